--- a/policy/policy.go
+++ b/policy/policy.go
@@ -253,13 +253,13 @@
 	*t = ticket{generation: t.generation + 1, place: place, inUse: true, offering: o,
 		arrived: now, cutOff: min(now+left, b.endAt), ranOn: -1}
 	if key == "" {
-		b.ring = (b.ring + 1) % slots
-		t.slot = b.ring
+		// In turn from one start, instances would follow each other over the same servers of the same table.
+		t.key = uint64(b.chance.next())<<32 | uint64(b.chance.next())
 	} else {
 		t.key = xxhash.Sum64String(key)
-		t.slot = int(t.key % slots)
 		t.heat = b.heat(t.key)
 	}
+	t.slot = int(t.key % slots)
 	t.value = b.worth(now, t, f, repeat)
 	// Where first tries agree, a repeat with another time than theirs has what they left of the cut-off.
 	p, odd := &b.patience[o], 0.0
@@ -732,7 +732,7 @@
 
 func (b *Balancer) bad(now Time, t *ticket, s *server, o Outcome) {
 	// A ticket that fails wherever it goes, under one key or on a further push, says little of the server.
-	if o != NotConnected && o != TurnedAway && (t.pushes > 1 || s.row > 0 && t.key != 0 && t.key == s.rowKey) {
+	if o != NotConnected && o != TurnedAway && (t.pushes > 1 || s.row > 0 && t.key == s.rowKey) {
 		return
 	}
 	s.row, s.rowKey = s.row+1, t.key
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -826,3 +826,49 @@
 		t.Error("an idle server was walked past")
 	}
 }
+
+// Requests without a key are spread over the servers by all instances together: instances that have each seen little must not follow
+// each other over the same servers of the same table.
+func TestKeylessRequestsOfManyInstancesAreSpread(t *testing.T) {
+	const instances, servers, each = 350, 100, 3
+	at := map[ServerID]int{}
+	for i := range instances {
+		w := &quiet{}
+		b := New(w, campaign(), uint64(i+1)*0x9e3779b97f4a7c15, Second)
+		b.List(Second, ListFull, fleet(servers, "a"))
+		for range each {
+			h := w.ask(b, 2*Second, "", false, 2*Second)
+			b.PushEnded(2*Second, h, 0, w.to[len(w.to)-1], CalledOff, 0, true)
+		}
+		for _, id := range w.to {
+			at[id]++
+		}
+	}
+	// By chance alone the busiest of 100 servers gets some 21 of 1,050 requests, and next to none gets nothing.
+	most := 0
+	for _, n := range at {
+		most = max(most, n)
+	}
+	if most > 35 || len(at) < servers*95/100 {
+		t.Errorf("%d requests: %d of %d servers met, the busiest %d times", instances*each, len(at), servers, most)
+	}
+}
+
+// Where a part of the keys looks near first, the same part of the requests without a key does.
+func TestNearPartHoldsForRequestsWithoutKey(t *testing.T) {
+	b, w := started(fleet(100, "a", "b"))
+	b.nearPart = 0.5
+	near := 0
+	for range 1000 {
+		h := w.ask(b, 2*Second, "", false, 2*Second)
+		id := w.to[len(w.to)-1]
+		b.PushEnded(2*Second, h, 0, id, CalledOff, 0, true)
+		if b.servers[b.places[id]].Zone == b.campaign.Zone {
+			near++
+		}
+	}
+	// Half of them near, and of the others, half as they fall.
+	if near < 680 || near > 820 {
+		t.Errorf("%d of 1000 near", near)
+	}
+}
--- a/policy/state.go
+++ b/policy/state.go
@@ -52,7 +52,7 @@
 	queued     bool
 	mayHaveRun bool
 	offering   OfferingID
-	key        uint64
+	key        uint64 // hash of its key, or drawn for it alone
 	slot       int
 	heat       float64 // its key's part of our traffic
 	home       int32   // server it waits for; -1: any
@@ -90,7 +90,6 @@
 	epoch      uint32
 	recent     [256]uint64 // keys of the latest tickets
 	recentAt   int
-	ring       int // next slot for tickets without a key
 	slab       []ticket
 	free       []uint32
 	queue      []uint32   // places of waiting tickets, by worth, then age
