--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -125,7 +125,7 @@
 		return Orders{}, err
 	}
 	o := Orders{Name: in.Name, Door: in.Admin, Pages: in.Pages, Discovery: in.Discovery, LogLevel: in.LogLevel, LogFormat: in.LogFormat,
-		Post: proto.Post{Listen: in.Listen, Seed: in.Seed, Descriptors: in.Descriptors, Memory: in.MemoryMB << 20,
+		Post: proto.Post{Listen: in.Listen, Seed: instanceSeed(in.Seed, in.Listen), Descriptors: in.Descriptors, Memory: in.MemoryMB << 20,
 			ConnectIn: in.ConnectIn, From: in.From, IdleFor: in.IdleFor, Accept: acceptFor, Campaign: in.Campaign, CutOffs: in.CutOffs,
 			Default: in.Default, Anonymous: in.Anonymous, Stall: Stall}}
 	if !in.Seeded {
@@ -152,7 +152,7 @@
 
 // ClientOrders are what a client is told that has the decisions within.
 type ClientOrders struct {
-	Seed                uint64
+	Seed                uint64 // 0: to be drawn
 	Campaign            *policy.Campaign
 	CutOffs             []policy.Time
 	Source              roster.Source
@@ -168,8 +168,11 @@
 	if err != nil {
 		return ClientOrders{}, err
 	}
-	o := ClientOrders{Seed: in.Seed, Campaign: in.Campaign, CutOffs: in.CutOffs, Methods: in.Methods, KeyMetadata: in.KeyMetadata,
+	o := ClientOrders{Campaign: in.Campaign, CutOffs: in.CutOffs, Methods: in.Methods, KeyMetadata: in.KeyMetadata,
 		KeyField: in.KeyField, LogLevel: in.LogLevel, LogFormat: in.LogFormat}
+	if in.Seeded {
+		o.Seed = instanceSeed(in.Seed, "")
+	}
 	o.Source, _ = source(in)
 	return o, nil
 }
--- /dev/null
+++ b/internal/daemon/seed_test.go
@@ -0,0 +1,49 @@
+package daemon
+
+import (
+	"strings"
+	"testing"
+)
+
+const seededConfiguration = `
+[instance]
+seed = "7"
+[front.http]
+listen = "127.0.0.1:9000"
+[source]
+kind = "fixed"
+[[source.server]]
+id = "a"
+address = "127.0.0.1:9100"
+[[offering]]
+name = "any"
+quoted_time = "1s"
+cut_off = "2s"
+`
+
+// Instances that read one file with a seed in it must not all make the same choices; each makes its own again after a restart.
+func TestInstancesOfOneFileHaveSeedsOfTheirOwn(t *testing.T) {
+	seeds := map[uint64]string{}
+	for _, listen := range []string{"127.0.0.1:9000", "127.0.0.1:9001", "127.0.0.2:9000"} {
+		text := []byte(strings.Replace(seededConfiguration, "127.0.0.1:9000", listen, 1))
+		orders, err := product("x.toml", text)
+		if err != nil {
+			t.Fatal(err)
+		}
+		again, err := product("x.toml", text)
+		if err != nil || again.Seed != orders.Seed {
+			t.Errorf("%s: seed %x, then %x (%v)", listen, orders.Seed, again.Seed, err)
+		}
+		if other, taken := seeds[orders.Seed]; taken {
+			t.Errorf("%s and %s have one seed", listen, other)
+		}
+		seeds[orders.Seed] = listen
+	}
+	for _, host := range []string{"one", "two", "onetwo"} {
+		seed := hostSeed(7, host, "127.0.0.1:9000")
+		if other, taken := seeds[seed]; taken {
+			t.Errorf("host %s and %s have one seed", host, other)
+		}
+		seeds[seed] = host
+	}
+}
--- a/internal/emulator/baseline/baseline.go
+++ b/internal/emulator/baseline/baseline.go
@@ -7,6 +7,7 @@
 import (
 	"cmp"
 	"fmt"
+	"math"
 	"math/rand/v2"
 	"slices"
 	"strings"
@@ -31,7 +32,9 @@
 		return nil, fmt.Errorf("policy: found %q, allowed %s", name, strings.Join(Names, ", "))
 	}
 	return func(front policy.Front, c *policy.Campaign, seed uint64, now policy.Time, view emulator.View) emulator.Decider {
-		return &base{front: front, c: c, view: view, chance: rand.New(rand.NewPCG(seed, 0x62617365)), choose: choose,
+		chance := rand.New(rand.NewPCG(seed, 0x62617365))
+		// From one start for all, instances would go round in step.
+		return &base{front: front, c: c, view: view, chance: chance, choose: choose, turn: chance.IntN(math.MaxInt32),
 			servers: map[policy.ServerID]*server{}, bare: name == "table"}
 	}, nil
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -105,9 +105,16 @@
 	return key, nil
 }
 
+// newCompany makes one that knows nobody yet. It begins anywhere among those that are to be joined: hundreds that start at once with one
+// list would otherwise all join the same process.
+func newCompany(p Post, log *logrus.Logger) *Company {
+	return &Company{post: p, log: log, stop: make(chan struct{}), peers: map[string]*Peer{}, next: rand.IntN(1 << 16),
+		says: Says{Zone: p.Zone, Since: time.Now().UnixNano(), Keeper: p.Keeper}}
+}
+
 // Open listens, and seeks those that are to be joined from then on. It waits for none of them.
 func Open(p Post, log *logrus.Logger) (*Company, error) {
-	c := &Company{post: p, log: log, stop: make(chan struct{}), peers: map[string]*Peer{}, says: Says{Zone: p.Zone, Since: time.Now().UnixNano(), Keeper: p.Keeper}}
+	c := newCompany(p, log)
 	conf := memberlist.DefaultLANConfig()
 	conf.Name, conf.Label, conf.SecretKey = p.Name, p.Cluster, p.Key
 	conf.Logger = quiet(log, &c.dropped)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -1,9 +1,11 @@
 package peers
 
 import (
+	"fmt"
 	"os"
 	"path/filepath"
 	"testing"
+	"time"
 )
 
 func TestKeysAreRead(t *testing.T) {
@@ -17,3 +19,20 @@
 		}
 	}
 }
+
+// Hundreds that start at once with one list of whom to join must not all join the same one.
+func TestThoseThatStartAtOnceJoinDifferentOnes(t *testing.T) {
+	post := Post{Name: "own", Listen: "127.0.0.1:1"}
+	for i := range 10 {
+		post.Join = append(post.Join, fmt.Sprintf("127.0.0.1:%d", 100+i))
+	}
+	met := map[string]int{}
+	for range 300 {
+		met[newCompany(post, nil).missing(time.Now())]++
+	}
+	for at, n := range met {
+		if n > 75 || len(met) < len(post.Join) {
+			t.Errorf("%d of 300 join %s, %d of %d are joined", n, at, len(met), len(post.Join))
+		}
+	}
+}
--- a/internal/roster/agent_test.go
+++ b/internal/roster/agent_test.go
@@ -291,3 +291,24 @@
 		t.Errorf("an answer may take %v", p.AnswerIn())
 	}
 }
+
+// One outage fails the calls of all instances in the same moment; they must not all ask again in the same moment too. An agent serves
+// one instance, which asks again at once.
+func TestCallsToASharedDiscoveryAreSpread(t *testing.T) {
+	shared, agent := NewPlatform("127.0.0.1:1", false), NewPlatform("127.0.0.1:1", false)
+	agent.Grace = time.Second
+	moments := map[time.Duration]bool{}
+	for range 300 {
+		wait := shared.spread(time.Second)
+		if wait < time.Second/2 || wait > time.Second {
+			t.Fatalf("%v for a second", wait)
+		}
+		moments[wait/(10*time.Millisecond)] = true
+		if got := agent.spread(time.Second); got != time.Second {
+			t.Fatalf("%v for a second at an agent", got)
+		}
+	}
+	if len(moments) < 40 {
+		t.Errorf("300 calls in %d moments of 10 ms", len(moments))
+	}
+}
--- a/internal/roster/platform.go
+++ b/internal/roster/platform.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"math/rand/v2"
 	"net"
 	"net/http"
 	"net/http/httptrace"
@@ -62,6 +63,15 @@
 	return min(tryAgain<<min(failed-1, 8), tryAtMost)
 }
 
+// spread shortens a pause by up to a half, drawn anew each time, where discovery serves many instances: one outage fails the calls of all in
+// the same moment, and asked again in step it would stay swamped.
+func (p *Platform) spread(pause time.Duration) time.Duration {
+	if p.Grace > 0 {
+		return pause // an agent of this instance alone
+	}
+	return pause - rand.N(pause/2+1)
+}
+
 // NewPlatform makes a source of the discovery at the address.
 func NewPlatform(addr string, once bool) *Platform {
 	return &Platform{gate: newGate(), addr: addr, once: once, Hold: longHold}
@@ -107,7 +117,7 @@
 			}
 			say(News{Failed: err.Error()})
 			if !p.once {
-				sleep(ctx, p.pause(failed))
+				sleep(ctx, p.spread(p.pause(failed)))
 			}
 			continue
 		}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -40,9 +40,9 @@
 	marginTicks, pollTicks = 3, 10                  // ticks before a cut-off to answer in; between looks
 )
 
-// New starts an instance.
+// New starts an instance. Seeds may be alike: near ones would give near first draws.
 func New(front Front, c *Campaign, seed uint64, now Time) *Balancer {
-	b := &Balancer{front: front, campaign: c, chance: newChance(seed), places: map[ServerID]int32{},
+	b := &Balancer{front: front, campaign: c, chance: newChance(xxhash.Sum64String(fmt.Sprint(seed))), places: map[ServerID]int32{},
 		usual: make([]float64, len(c.Offerings)), patience: make([]patience, len(c.Offerings)),
 		use: make([]meter, len(c.Franchises)), pushes: pushesCap / 2, calm: 0.25, perHeld: 0.15, tooLate: paceLost,
 		pace: math.MaxInt32, nearPart: min(1, 2*splitWorth*c.CrossPrice), endAt: math.MaxInt64}
