--- a/cmd/pepperlab/drill.go
+++ b/cmd/pepperlab/drill.go
@@ -37,10 +37,10 @@
 		}
 		defer os.RemoveAll(dir)
 		s, err := drill.Begin(drill.Post{Program: *daemon, Dir: dir, Count: *count, Strangers: 2, Instances: *count, Seed: *seed})
-		defer s.Close()
 		if err != nil {
 			return err
 		}
+		defer s.Close()
 		of, err := drill.Peers(ctx, s, *count)
 		if *asJSON {
 			if shown := printJSON(c.OutOrStdout(), of); shown != nil {
--- a/internal/agreement/rules_test.go
+++ b/internal/agreement/rules_test.go
@@ -127,7 +127,7 @@
 	if _, leased := h.Acts(0); leased {
 		t.Error("leased from the first moment")
 	}
-	if !h.Learn(version(1)) || !h.Learn(version(1)) || h.Learn(Version{Number: 1, Digest: [32]byte{9}}) {
+	if learned, again := h.Learn(version(1)), h.Learn(version(1)); !learned || !again || h.Learn(Version{Number: 1, Digest: [32]byte{9}}) {
 		t.Error("one number with two digests")
 	}
 	first, _ := h.Ask(10)
--- a/internal/campaign/campaign.go
+++ b/internal/campaign/campaign.go
@@ -74,7 +74,7 @@
 	return b
 }
 
-// oneOf gives the place of the value among the words.
+// OneOf gives the place of the value among the words.
 func (p *Values) OneOf(name string, words ...string) int {
 	v := p.Text(name)
 	for i, w := range words {
--- a/internal/daemon/rewrite_test.go
+++ b/internal/daemon/rewrite_test.go
@@ -60,7 +60,6 @@
 	asked    atomic.Int64
 	answered [3]atomic.Int64 // honoured, turned back, given up
 	lost     atomic.Int64
-	log      strings.Builder
 }
 
 const rewriteConfig = `[front.http]
--- a/internal/drill/cluster.go
+++ b/internal/drill/cluster.go
@@ -61,8 +61,18 @@
 	answerIn = cutOff + 3*time.Second
 )
 
-// BeginCluster starts all processes at once. The caller ends them by Close, also after an error.
+// BeginCluster starts all processes at once. The caller ends them by Close; after an error all that was started has ended.
 func BeginCluster(program, dir string, script *Script, seed uint64) (*Cluster, error) {
+	c, err := beginCluster(program, dir, script, seed)
+	if err != nil {
+		c.Close()
+		return nil, err
+	}
+	return c, nil
+}
+
+// beginCluster gives what it has started, also with an error.
+func beginCluster(program, dir string, script *Script, seed uint64) (*Cluster, error) {
 	c := &Cluster{Stage: &Stage{Links: links.New(seed), dir: dir, program: program, asks: http.Client{Timeout: 2 * time.Second}}, script: script,
 		chance: rand.New(rand.NewPCG(seed, 1)), quiet: make(chan struct{}), over: make(chan struct{}), since: map[*Process]int64{}, unheard: map[*Process]int64{}}
 	c.client = http.Client{Timeout: answerIn, Transport: &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Second}}
--- a/internal/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -37,10 +37,10 @@
 		t.Fatal(err)
 	}
 	s, err := Begin(Post{Program: program, Dir: t.TempDir(), Count: 5, Strangers: 2, Instances: 3, Seed: 1})
-	defer s.Close()
 	if err != nil {
 		t.Fatal(err)
 	}
+	defer s.Close()
 	c, err := Peers(t.Context(), s, 5)
 	if err != nil {
 		t.Errorf("%v\n%+v", err, c)
--- a/internal/drill/play.go
+++ b/internal/drill/play.go
@@ -81,10 +81,10 @@
 	defer end()
 	late := clockLateness(ctx)
 	c, err := BeginCluster(program, dir, s, seed)
-	defer c.Close()
 	if err != nil {
 		return nil, err
 	}
+	defer c.Close()
 	r = &Result{Seed: seed}
 	if err := c.leased(ctx, startIn); err != nil || len(c.ended()) > 0 {
 		return nil, errors.Join(fmt.Errorf("at the start: %w", err), errors.New(strings.Join(c.ended(), ", ")))
@@ -107,7 +107,7 @@
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
-	case <-time.After(s.Seconds - time.Since(begin)):
+	case <-time.After(s.Length - time.Since(begin)):
 	}
 	close(c.over)
 	changes.Wait()
--- a/internal/drill/script.go
+++ b/internal/drill/script.go
@@ -16,7 +16,7 @@
 	Sidecars    int
 	Keepers     int
 	Servers     int
-	Seconds     time.Duration
+	Length      time.Duration
 	Rate        float64 // requests a second at each sidecar
 	Resets      float64 // part of the work done whose answer is lost
 	Jitter      time.Duration
@@ -84,7 +84,7 @@
 	t := root.Table("drill")
 	s.About = t.Text("about", "")
 	s.Sidecars, s.Keepers = int(t.Count("sidecars", 5, 1, most)), int(t.Count("keepers", 3, 1, 5))
-	s.Servers, s.Seconds = int(t.Count("servers", 3, 1, most)), span(t, "seconds", 10*time.Second)
+	s.Servers, s.Length = int(t.Count("servers", 3, 1, most)), span(t, "seconds", 10*time.Second)
 	s.Rate, s.Resets = t.Real("rate", 10, 0, 1000), t.Real("resets", 0.1, 0, 1)
 	s.Jitter, s.Lease = span(t, "jitter", 300*time.Millisecond), t.Text("lease", "1.5s")
 	s.AgreeWithin = span(t, "agree_within", 500*time.Millisecond)
--- a/internal/drill/stage.go
+++ b/internal/drill/stage.go
@@ -60,8 +60,18 @@
 // most is how many processes, and how many servers, loopback addresses are laid out for here.
 const most = 2048
 
-// Begin starts all processes at once. The caller ends them by Close, also after an error.
+// Begin starts all processes at once. The caller ends them by Close; after an error all that was started has ended.
 func Begin(p Post) (*Stage, error) {
+	s, err := begin(p)
+	if err != nil {
+		s.Close()
+		return nil, err
+	}
+	return s, nil
+}
+
+// begin gives what it has started, also with an error.
+func begin(p Post) (*Stage, error) {
 	s := &Stage{Links: links.New(p.Seed), dir: p.Dir, program: p.Program, asks: http.Client{Timeout: 2 * time.Second}}
 	if p.Count < 1 || p.Count+p.Strangers > most {
 		return s, fmt.Errorf("drill: found %d processes, allowed 1 to %d", p.Count+p.Strangers, most)
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -188,30 +188,30 @@
 }
 
 // goesSilent is a machine that is cut off. dies: what is in it is lost, though nobody is told.
-func (v *server) goesSilent(dies bool) {
+func (s *server) goesSilent(dies bool) {
 	if dies {
-		v.stop()
-		v.lost = true
+		s.stop()
+		s.lost = true
 	}
-	v.w.noticed(v, policy.Gone, false)
+	s.w.noticed(s, policy.Gone, false)
 }
 
-func (v *server) comesBack() {
-	if v.dark() || v.standing == policy.Gone {
+func (s *server) comesBack() {
+	if s.dark() || s.standing == policy.Gone {
 		return // by another fault still
 	}
-	if v.lost {
-		v.lost = false
-		v.begin()
+	if s.lost {
+		s.lost = false
+		s.begin()
 	}
 	// What was written to it on connections of before is answered by a reset, now that it can be heard.
-	w := v.w
+	w := s.w
 	for i := range w.tries {
-		if t := &w.tries[i]; t.inUse && t.out && t.server == v && t.job == -1 && t.written {
-			w.queue.add(event{at: w.now + w.way(v.zone, t.sidecar.zone), rank: rankEnd, do: (*World).reset, a: int32(i), c: t.pushID})
+		if t := &w.tries[i]; t.inUse && t.out && t.server == s && t.job == -1 && t.written {
+			w.queue.add(event{at: w.now + w.way(s.zone, t.sidecar.zone), rank: rankEnd, do: (*World).reset, a: int32(i), c: t.pushID})
 		}
 	}
-	w.noticed(v, policy.Ready, true)
+	w.noticed(s, policy.Ready, true)
 }
 
 // pause stops the servers that a fault meets, again and again, each at its own moment.
--- a/internal/emulator/judge/judge_test.go
+++ b/internal/emulator/judge/judge_test.go
@@ -46,7 +46,6 @@
 
 // Each planted break is found, under its rule, with ticket and moment; what is allowed is let pass.
 func TestPlantedBreaksAreFound(t *testing.T) {
-	const ran, never = true, false
 	for _, k := range []struct {
 		name string
 		rule int // 0: all is well
--- a/internal/emulator/sidecar.go
+++ b/internal/emulator/sidecar.go
@@ -591,10 +591,10 @@
 }
 
 // fall is a cold server that was sent too much: it is down, and comes back cold after a while.
-func (v *server) fall() {
-	v.stop()
-	v.w.noticed(v, policy.Gone, false)
-	v.w.queue.add(event{at: v.w.now + 20*policy.Second, rank: rankWorld, do: (*World).revive, a: int32(v.no), c: uint64(v.life)})
+func (s *server) fall() {
+	s.stop()
+	s.w.noticed(s, policy.Gone, false)
+	s.w.queue.add(event{at: s.w.now + 20*policy.Second, rank: rankWorld, do: (*World).revive, a: int32(s.no), c: uint64(s.life)})
 }
 
 func (w *World) revive(e *event) {
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -72,7 +72,6 @@
 	noise    *rand.Rand // of the network
 	draws    struct{ faults, retries, errors *rand.Rand }
 	members  []policy.Member
-	fresh    int        // ids given out to servers
 	planned  *[]Arrival // if the day is only planned: what clients ask for
 	Series   []Sample
 }
@@ -113,8 +112,7 @@
 	errors     float64
 	life       int // counts starts
 	nextAt     policy.Time
-	ticket     uint32  // of its latest event; earlier ones are void
-	jobs       []int32 // by job of the machine: the try
+	ticket     uint32 // of its latest event; earlier ones are void
 	pod        *pod
 	out        int             // pushes out to it
 	known      policy.Standing // by discovery, and what else it knows
--- a/internal/group/store.go
+++ b/internal/group/store.go
@@ -12,6 +12,7 @@
 	boltdb "github.com/hashicorp/raft-boltdb/v2"
 	"github.com/sirupsen/logrus"
 	"go.etcd.io/bbolt"
+	bbolterrors "go.etcd.io/bbolt/errors"
 )
 
 const (
@@ -79,7 +80,7 @@
 		return nil
 	}
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockIn})
-	if errors.Is(err, bbolt.ErrTimeout) {
+	if errors.Is(err, bbolterrors.ErrTimeout) {
 		return fmt.Errorf("%s: another process has it", path)
 	}
 	if err != nil {
--- a/internal/proto/head.go
+++ b/internal/proto/head.go
@@ -46,7 +46,7 @@
 		}
 	}
 	value = bytes.Trim(value, " \t")
-	return name, value, rest, bytes.IndexAny(value, "\x00\r\n") < 0
+	return name, value, rest, !bytes.ContainsAny(value, "\x00\r\n")
 }
 
 // clean tells whether there is no control byte in it that could pass for the end of a line.
@@ -205,7 +205,7 @@
 	}
 	digits, extension, _ := bytes.Cut(b[:end], []byte{';'})
 	digits = bytes.Trim(digits, " \t")
-	if len(digits) == 0 || len(digits) > 8 || end > 256 || bytes.IndexAny(extension, "\r\n") >= 0 {
+	if len(digits) == 0 || len(digits) > 8 || end > 256 || bytes.ContainsAny(extension, "\r\n") {
 		return 0, 0, false
 	}
 	for _, c := range digits {
--- a/internal/yardstick/lists.go
+++ b/internal/yardstick/lists.go
@@ -159,7 +159,7 @@
 				fmt.Fprintf(&b, "started = %s\n", time.Now().Add(-time.Minute).UTC().Format(time.RFC3339Nano))
 			}
 		}
-		text := []byte(b.String() + "[whole]\nservers = 2\ntakes_away = 1\n")
+		var text []byte
 		if seal {
 			var err error
 			if text, _, err = listing.Seal("list", []byte(b.String()), listing.Issue(issue), 2); err != nil {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -49,7 +49,10 @@
 }
 
 func TestSameEventsSameActions(t *testing.T) {
-	same := func(seed int64) bool { return play(seed).trace.String() == play(seed).trace.String() }
+	same := func(seed int64) bool {
+		first, second := play(seed), play(seed)
+		return first.trace.String() == second.trace.String()
+	}
 	if err := quick.Check(same, &quick.Config{MaxCount: 10, Rand: rand.New(rand.NewSource(2))}); err != nil {
 		t.Error(err)
 	}
--- a/rpc/front.go
+++ b/rpc/front.go
@@ -238,11 +238,11 @@
 }
 
 // stop calls off the push that is out at its caller.
-func (c *call) stop() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.stopped = c.seq; c.cancel != nil {
-		c.cancel()
+func (k *call) stop() {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if k.stopped = k.seq; k.cancel != nil {
+		k.cancel()
 	}
 }
 
