--- a/internal/emulator/machine/machine.go
+++ b/internal/emulator/machine/machine.go
@@ -26,6 +26,7 @@
 	FallIn   policy.Time
 	Connect  policy.Time // work of a new connection
 	Conns    int         // connections that cost nothing; 0: all
+	MaxConns int         // connections that may be open; 0: any number
 	Tax      float64     // part of the speed lost when twice as many are open, and so on
 }
 
@@ -355,6 +356,9 @@
 // Connected notes connections that were opened, or closed.
 func (m *Machine) Connected(now policy.Time, more int) { m.advance(now); m.conns += more }
 
+// TakesConnection tells whether one more connection may be opened.
+func (m *Machine) TakesConnection() bool { return m.MaxConns == 0 || m.conns < m.MaxConns }
+
 // Connections is how many are open.
 func (m *Machine) Connections() int { return m.conns }
 
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -271,7 +271,7 @@
 			Forgets: t.Span("forgets", 0, 0, 3600*policy.Second), ChokeAt: int(t.Count("choke_at", 0, 0, 1e6)),
 			Choked: t.Real("choked", 0.5, 0.01, 1), Fall: t.Real("fall", 0, 0, 1000),
 			FallIn:  t.Span("fall_in", policy.Second, policy.Millisecond, 60*policy.Second),
-			Connect: t.Span("connect", 0, 0, policy.Second), Conns: int(t.Count("connections", 0, 0, 1e6)),
+			Connect: t.Span("connect", 0, 0, policy.Second), Conns: int(t.Count("connections", 0, 0, 1e6)), MaxConns: int(t.Count("max_connections", 0, 0, 1e6)),
 			Tax: t.Real("tax", 0, 0, 10)}
 		if k.Slots == 0 && k.Queue == 0 {
 			t.Fault("queue", "0", "1 or more where cores are shared")
--- a/internal/emulator/sidecar.go
+++ b/internal/emulator/sidecar.go
@@ -419,12 +419,9 @@
 	t.wire = w.judge.Pushed(w.day(w.now), t.of, v.no, v.zone, v.cell, v.zone != s.zone)
 	w.queue.add(event{at: w.now + wait, rank: rankWait, do: (*World).timeOut, a: i, c: t.pushID})
 	way := w.way(s.zone, v.zone)
+	s.closeIdle(v)
 	idle := s.idle(v)
 	fresh := int32(0)
-	for len(idle) > 0 && w.now-idle[0] >= w.sc.Network.IdleFor {
-		idle = idle[1:] // closed by either side meanwhile
-		v.machine.Connected(w.now, -1)
-	}
 	if n := len(idle); n > 0 {
 		idle = idle[:n-1]
 	} else {
@@ -457,6 +454,19 @@
 	return s.conns[v.no]
 }
 
+// closeIdle closes the connections to a server that have stood idle for too long. The server closes them, whether or not the instance
+// has anything more for it.
+func (s *sidecar) closeIdle(v *server) {
+	idle := s.idle(v)
+	for len(idle) > 0 && s.w.now-idle[0] >= s.w.sc.Network.IdleFor {
+		idle = idle[1:]
+		v.machine.Connected(s.w.now, -1)
+	}
+	s.conns[v.no] = idle
+}
+
+func (w *World) idleFor(e *event) { w.sidecars[e.a].closeIdle(w.servers[e.b]) }
+
 // Cancel calls a push off.
 func (s *sidecar) Cancel(h policy.Handle, n policy.PushNo) {
 	i, t := s.by(h)
@@ -550,6 +560,10 @@
 	}
 	v := t.server
 	if e.b == 1 && !v.dark() && !v.down {
+		if !v.machine.TakesConnection() {
+			w.queue.add(event{at: w.now + w.way(v.zone, t.sidecar.zone), rank: rankEnd, do: (*World).notConnected, a: e.a, c: e.c})
+			return
+		}
 		v.machine.Connected(w.now, 1)
 	}
 	if !t.written {
@@ -635,6 +649,7 @@
 			return // lost on the way
 		}
 		t.sidecar.conns[t.server.no] = append(t.sidecar.idle(t.server), w.now)
+		w.queue.add(event{at: w.now + w.sc.Network.IdleFor, rank: rankWorld, do: (*World).idleFor, a: int32(t.sidecar.no), b: int32(t.server.no)})
 		w.end(e.a, t, policy.Outcome(e.b))
 	}
 }
