--- a/policy/policy.go
+++ b/policy/policy.go
@@ -26,7 +26,7 @@
 	heatPrior, sureBeyond = 64, 2                   // tickets under other keys before; errors over a share
 	lately, hotSpread     = 32, 6                   // tickets that show a new hot key; servers for one's worth
 	shortOfHit, coldEarns = 0.25, 0.6               // no keys remembered: four times the work; own answers' part
-	coldKeeps             = 0.4                     // fall times that a push to a cold one keeps: all spend at once in a burst
+	coldKeeps             = 0.4                     // fall times that a push to a cold one keeps: a burst spends all
 	repeatValue, waitPart = 0.5, 0.5                // worth of a client's repeat; what may wait of home's rate
 	paceGrowth, firstWait = 0.5, 2.0                // growth at no lateness; quoted times for a first push
 	pushCredit, pushesCap = 0.1, 20                 // further pushes earned by each honoured, saved at most
@@ -42,10 +42,11 @@
 
 // New starts an instance. Seeds may be alike: near ones would give near first draws.
 func New(front Front, c *Campaign, seed uint64, now Time) *Balancer {
-	b := &Balancer{front: front, campaign: c, chance: newChance(xxhash.Sum64String(fmt.Sprint(seed))), places: map[ServerID]int32{},
-		usual: make([]float64, len(c.Offerings)), patience: make([]patience, len(c.Offerings)),
-		use: make([]meter, len(c.Franchises)), pushes: pushesCap / 2, calm: 0.25, perHeld: 0.15, tooLate: paceLost,
-		pace: math.MaxInt32, nearPart: min(1, 2*splitWorth*c.CrossPrice), endAt: math.MaxInt64}
+	b := &Balancer{front: front, campaign: c, chance: newChance(xxhash.Sum64String(fmt.Sprint(seed))),
+		places: map[ServerID]int32{}, usual: make([]float64, len(c.Offerings)), tooLate: paceLost,
+		patience: make([]patience, len(c.Offerings)), use: make([]meter, len(c.Franchises)), calm: 0.25,
+		perHeld: 0.15, pushes: pushesCap / 2, pace: math.MaxInt32, endAt: math.MaxInt64,
+		nearPart: min(1, 2*splitWorth*c.CrossPrice)}
 	for i, o := range c.Offerings {
 		b.usual[i] = float64(o.Quoted) / 4
 		if o.LateCredit > 0 {
@@ -259,7 +260,6 @@
 		t.key = xxhash.Sum64String(key)
 		t.heat = b.heat(t.key)
 	}
-	t.slot = int(t.key % slots)
 	t.value = b.worth(now, t, f, repeat)
 	// Where first tries agree, a repeat with another time than theirs has what they left of the cut-off.
 	p, odd := &b.patience[o], 0.0
@@ -389,8 +389,8 @@
 func (b *Balancer) push(now Time, t *ticket, to int32) {
 	s, o := &b.servers[to], &b.campaign.Offerings[t.offering]
 	wait := t.cutOff - b.margin() - now
-	// A silent server must not hold a ticket for long; saved pushes keep time-outs from feeding an overload.
-	if t.pushes+1 < b.campaign.MaxPushes && b.pushes >= 1 && o.Repeats != AtMostOnce {
+	// A silent server must not hold a ticket for long, where its work can be stopped: else both work on it.
+	if b.campaign.MayCancel && t.pushes+1 < b.campaign.MaxPushes && b.pushes >= 1 && o.Repeats != AtMostOnce {
 		wait = min(wait, max(Time(firstWait*float64(o.Quoted)), Time(6*b.usual[t.offering])))
 	}
 	if b.cold(now, s) {
@@ -519,7 +519,7 @@
 		most := max(1, t.heat*hotSpread*float64(owners))
 		one, other, rival := int(b.chance.part()*most), int(b.chance.part()*most), int32(-1)
 		for i := 0; i < len(b.table) && seen < owners; i++ {
-			p := b.table[(t.slot+i)%len(b.table)]
+			p := b.table[(int(t.key%slots)+i)%slots]
 			s := &b.servers[p]
 			if s.seen == b.epoch || near && s.Zone != b.campaign.Zone {
 				continue
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -770,7 +770,7 @@
 		}
 	}
 	for range 4000 {
-		tk := ticket{slot: int(b.chance.part() * slots), key: 1, heat: 1. / hotSpread} // dealt over all ten
+		tk := ticket{key: uint64(b.chance.part() * slots), heat: 1. / hotSpread} // dealt over all ten
 		share[b.choose(2*Second, &tk, false)%2]++
 	}
 	if share[0] > 1500 || share[0] < 500 {
@@ -784,7 +784,7 @@
 		}
 	}
 	for range 4000 {
-		tk := ticket{slot: int(b.chance.part() * slots), key: 1, heat: 1. / hotSpread}
+		tk := ticket{key: uint64(b.chance.part() * slots), heat: 1. / hotSpread}
 		if b.choose(2*Second, &tk, false)%2 == 0 {
 			cold++
 		}
@@ -792,7 +792,7 @@
 	if cold > 2300 || cold < 1700 {
 		t.Errorf("of 4000 tickets of hot keys %d went to the cold half", cold)
 	}
-	tk := ticket{slot: 5, key: 1}
+	tk := ticket{key: 5}
 	first := b.choose(2*Second, &tk, false)
 	for range 100 {
 		if b.choose(2*Second, &tk, false) != first {
@@ -809,7 +809,7 @@
 	push(b, q, 60*Second, "k", Honoured, 2*Second) // the quoted time is one second
 	kept := func() (n int) {
 		for range 1000 {
-			tk := ticket{slot: int(xxhash.Sum64String("k") % slots), key: 1}
+			tk := ticket{key: xxhash.Sum64String("k")}
 			if b.servers[b.choose(70*Second, &tk, false)].ID == home {
 				n++
 			}
@@ -880,3 +880,30 @@
 		t.Errorf("%d of 1000 near", near)
 	}
 }
+
+// An attempt that outlasts twice the target latency is ended early for a further one only where its work can be stopped: else two servers
+// work on one request, in every instance of the fleet at once.
+func TestAttemptsAreEndedEarlyOnlyWhereWorkStops(t *testing.T) {
+	for _, mayCancel := range []bool{true, false} {
+		c := campaign()
+		c.MayCancel = mayCancel
+		front := &waits{}
+		b := New(front, c, 7, Second)
+		b.List(Second, ListFull, fleet(10, "a"))
+		b.Begin(2*Second, b.Admit(2*Second, 0, NoFranchise, "k", false, 10*Second))
+		if early := front.wait < 9*Second; early != mayCancel {
+			t.Errorf("cancel %v: an attempt is given %v of 10 s", mayCancel, front.wait)
+		}
+	}
+}
+
+// waits keeps what the latest attempt is given.
+type waits struct {
+	quiet
+	wait Time
+}
+
+func (w *waits) Push(h Handle, id ServerID, wait Time) {
+	w.quiet.Push(h, id, wait)
+	w.wait = wait
+}
--- a/policy/state.go
+++ b/policy/state.go
@@ -52,8 +52,7 @@
 	queued     bool
 	mayHaveRun bool
 	offering   OfferingID
-	key        uint64 // hash of its key, or drawn for it alone
-	slot       int
+	key        uint64  // hash of its key, or drawn for it alone
 	heat       float64 // its key's part of our traffic
 	home       int32   // server it waits for; -1: any
 	arrived    Time
