--- /dev/null
+++ b/internal/emulator/keys.go
@@ -0,0 +1,31 @@
+package emulator
+
+import (
+	"math"
+	"math/rand/v2"
+)
+
+// zipf draws keys by popularity: key k with a weight of 1/k^s.
+type zipf struct{ cum []float64 }
+
+func newZipf(n int, s float64) *zipf {
+	z := &zipf{cum: make([]float64, min(n, 1<<20))}
+	for i := range z.cum {
+		z.cum[i] = math.Pow(float64(i+1), -s)
+	}
+	addUp(z.cum)
+	return z
+}
+
+func (z *zipf) draw(r *rand.Rand) uint64 {
+	at, low, high := r.Float64(), 0, len(z.cum)-1
+	for low < high {
+		mid := (low + high) / 2
+		if at < z.cum[mid] {
+			high = mid
+		} else {
+			low = mid + 1
+		}
+	}
+	return uint64(low + 1)
+}
--- /dev/null
+++ b/internal/rehearsal/servers.go
@@ -0,0 +1,90 @@
+package rehearsal
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"pepperlead/internal/emulator"
+	"pepperlead/internal/emulator/judge"
+	"pepperlead/internal/emulator/machine"
+	"pepperlead/internal/standin"
+	"pepperlead/policy"
+)
+
+func (s *stage) serve(world *emulator.World) error {
+	for no, of := range world.Layout() {
+		v := &server{no: judge.Server(no), uid: of.UID, zone: of.Zone, cell: of.Cell, weight: of.Weight}
+		if err := s.startServer(v, of.Traits, 0); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (s *stage) startServer(v *server, traits machine.Traits, started policy.Time) error {
+	roll := rand.New(rand.NewPCG(s.Seed, uint64(v.no)+100))
+	m, err := standin.StartModelled("127.0.0.1:0", traits, started, s.clock, roll.Float64, &eye{s, v})
+	if err != nil {
+		return err
+	}
+	v.Modelled, v.began = m, started
+	s.servers = append(s.servers, v)
+	return nil
+}
+
+// eye watches one server.
+type eye struct {
+	s *stage
+	v *server
+}
+
+type seen struct {
+	t *ticket
+	n int
+}
+
+// Arrived tells the judge of a push. An earlier push of the ticket whose connection the sidecar has closed is waited for a
+// little, as its server may hear of the close later than the next one of the push.
+func (e *eye) Arrived(_ policy.Time, id string, work policy.Time, cold bool, started policy.Time, capacity float64) any {
+	s := e.s
+	s.mu.Lock()
+	t := s.tickets[id]
+	if t == nil {
+		s.mu.Unlock()
+		return nil // of a request that is long over
+	}
+	at := s.now()
+	if before := t.out; before != nil {
+		s.mu.Unlock()
+		select {
+		case <-before:
+		case <-time.After(time.Duration(slack)):
+		}
+		s.mu.Lock()
+	}
+	defer s.mu.Unlock()
+	if t.answered > 0 && at < t.answered+slack {
+		return nil // was on its way already
+	}
+	n := s.judge.Pushed(at, t.of, e.v.no, e.v.zone, e.v.cell, e.v.zone != t.sidecar.zone)
+	s.judge.Written(t.of, n)
+	if cold {
+		s.judge.Pressed(at, t.sidecar.no, e.v.no, started, float64(work), capacity)
+	}
+	t.out = make(chan struct{})
+	t.pushes++
+	return &seen{t, n}
+}
+
+// Left tells the judge how a push ended for its server.
+func (e *eye) Left(_ policy.Time, of any, never bool) {
+	if k, is := of.(*seen); is {
+		e.s.mu.Lock()
+		defer e.s.mu.Unlock()
+		e.s.judge.Ended(k.t.of, k.n, never)
+		if k.t.out != nil {
+			close(k.t.out)
+			k.t.out = nil
+		}
+	}
+}
