--- /dev/null
+++ b/internal/proto/attempts_test.go
@@ -0,0 +1,200 @@
+package proto
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"pepperlead/internal/engine"
+	"pepperlead/internal/state"
+	"pepperlead/policy"
+)
+
+func TestBodiesGoThroughUnchangedOnKeptConnections(t *testing.T) {
+	server := newStandIn(t)
+	r, _ := run(t, nil, server.Addr().String())
+	c := r.client()
+	for _, size := range []int{0, 1, 2000, 5000, mostBody} {
+		for _, act := range []string{"echo", "slow"} {
+			time.Sleep(time.Duration(restFor + 5*policy.Millisecond)) // for what may still come behind the last answer
+			body := strings.Repeat("b", size)
+			id := c.send("step/"+act, body, "X-Priority-Class: step\r\nX-Attrs: a=1\r\n")
+			if answer, got := c.receive(); answer.StatusCode != 200 || got != body || answer.Close {
+				t.Errorf("%s %d: %d, %d bytes", act, size, answer.StatusCode, len(got))
+			}
+			if n, _ := server.count(id); n != 1 {
+				t.Errorf("%s %d: seen %d times", act, size, n)
+			}
+		}
+	}
+	if _, conns := server.count(""); conns != 1 {
+		t.Errorf("%d connections for requests one after another", conns)
+	}
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	if q, w := server.last.URL.RequestURI(), server.last.Header.Get("X-Timeout"); q != "/step/slow?q=1" ||
+		server.last.Header.Get("X-Attrs") != "a=1" || w <= "0.4" || w >= "1.0" {
+		t.Errorf("went on as %s, waiting %s", q, w)
+	}
+}
+
+func TestFramingsOfTheServersAnswerAndOfTheRequest(t *testing.T) {
+	server := newStandIn(t)
+	r, _ := run(t, nil, server.Addr().String())
+	for _, act := range []string{"chunked", "close"} {
+		c := r.client()
+		c.send("step/"+act, "some body that is longer than one piece", "")
+		if answer, got := c.receive(); answer.StatusCode != 200 || got != "some body that is longer than one piece" {
+			t.Errorf("%s: %d %q", act, answer.StatusCode, got)
+		}
+	}
+	c := r.client()
+	for _, part := range []string{"POST /step/echo HTTP/1.1\r\nHost: o\r\nX-Request-ID: c1\r\nX-Timeout: 1\r\nExpect: 100-continue\r\n",
+		"Transfer-Encoding: chunked\r\n\r\n", "3\r\nab", "c\r\n2;x=y\r\nde\r\n0\r\n", "\r\n"} {
+		io.WriteString(c, part)
+		time.Sleep(5 * time.Millisecond)
+	}
+	if answer, _ := http.ReadResponse(c.in, nil); answer == nil || answer.StatusCode != 100 {
+		t.Error("not asked for the body")
+	}
+	if answer, got := c.receive(); answer.StatusCode != 200 || got != "abcde" {
+		t.Errorf("%d %q", answer.StatusCode, got)
+	}
+	// Two requests at once: answered one after the other.
+	first, second := c.send("step/slow", "1", ""), c.send("step/echo", "2", "")
+	for _, want := range []string{"1", "2"} {
+		if _, got := c.receive(); got != want {
+			t.Errorf("%q, want %q (%s, %s)", got, want, first, second)
+		}
+	}
+}
+
+// Each way for a push to end, by the kind of ticket: how often it may be seen, and what the client is told.
+func TestEndingsOfPushes(t *testing.T) {
+	for _, k := range []struct {
+		act            string
+		step, note     int // status of the answer, reissuable and numbered
+		once, onceSeen int
+		outcome        policy.Outcome
+	}{
+		{"error", 503, 502, 502, 1, policy.Errored},
+		{"away", 503, 503, 503, 3, policy.TurnedAway},
+		{"reset", 503, 502, 502, 1, policy.ConnBroke},
+		{"half", 503, 502, 502, 1, policy.ConnBroke},
+		{"garbage", 503, 502, 502, 1, policy.ConnBroke},
+		{"icy", 503, 502, 502, 1, policy.ConnBroke},
+		{"huge", 503, 502, 502, 1, policy.ConnBroke},
+		{"declined", 422, 422, 422, 1, policy.Declined},
+		{"silent", 503, 502, 502, 1, policy.TimedOut},
+	} {
+		servers := []*standIn{newStandIn(t), newStandIn(t), newStandIn(t)}
+		var addrs []string
+		for _, s := range servers {
+			addrs = append(addrs, s.Addr().String())
+		}
+		r, _ := run(t, nil, addrs...)
+		for offering, want := range map[string]int{"step": k.step, "note": k.note, "once": k.once} {
+			c, began := r.client(), time.Now()
+			id := c.send(offering+"/"+k.act, "b", "")
+			answer, _ := c.receive()
+			if answer.StatusCode != want || answer.StatusCode == 503 && answer.Header.Get("Retry-After") == "" {
+				t.Errorf("%s of %s: %d, want %d", k.act, offering, answer.StatusCode, want)
+			}
+			if took := time.Since(began); took > 1050*time.Millisecond || k.act == "icy" && took > 200*time.Millisecond {
+				t.Errorf("%s of %s: answered after %v", k.act, offering, time.Since(began))
+			}
+			seen := 0
+			for _, s := range servers {
+				n, _ := s.count(id)
+				seen += n
+			}
+			if offering == "once" && seen != k.onceSeen || seen == 0 || seen > 3 {
+				t.Errorf("%s of %s: seen %d times", k.act, offering, seen)
+			}
+		}
+		r.end()
+		if r.Counters.Outcomes[k.outcome] < 3 {
+			t.Errorf("%s: outcomes %v", k.act, r.Counters.Outcomes)
+		}
+	}
+}
+
+// What stands behind an answer is no answer to the next ticket.
+func TestCopiesBehindAnswersReachNobody(t *testing.T) {
+	server := newStandIn(t)
+	r, _ := run(t, nil, server.Addr().String())
+	c := r.client()
+	for i := range 300 {
+		body := strings.Repeat(fmt.Sprint(i%10), 1+i*43) // also across the sizes of buffers
+		c.send("step/copy", body, "")
+		if answer, got := c.receive(); answer.StatusCode != 200 || got != body {
+			t.Fatalf("%d: %d, %d bytes of %.1q, want %d of %.1q", i, answer.StatusCode, len(got), got, len(body), body)
+		}
+	}
+}
+
+// A connection that never came up proves that nothing ran, also for what must run only once.
+func TestRefusedConnectionsAreNoRun(t *testing.T) {
+	up, down := newStandIn(t), newStandIn(t)
+	down.Close()
+	r, _ := run(t, nil, up.Addr().String(), down.Addr().String())
+	for range 20 {
+		c := r.client()
+		c.send("once/echo", "b", "")
+		if answer, _ := c.receive(); answer.StatusCode != 200 {
+			t.Errorf("%d", answer.StatusCode)
+		}
+	}
+	r.end()
+	if r.Counters.Outcomes[policy.NotConnected] == 0 {
+		t.Error("the test reached no server that is down")
+	}
+}
+
+// A request that did not go out whole has not run: here the server reads nothing, so the kernel takes only a part.
+func TestCutOffBeforeTheLastByteIsNoRun(t *testing.T) {
+	l, err := net.Listen("tcp", here)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	s := New(Post{Listen: "127.0.0.1:0", Descriptors: 64, Memory: 1 << 20, Campaign: &policy.Campaign{Sidecars: 1}}, logrus.New())
+	for queued, want := range map[int64]policy.Outcome{10: policy.ConnBroke, 11: policy.NotConnected} {
+		c := &state.Conn{Side: state.ToServer, Up: true, Queued: queued, Server: &state.Server{Of: &engine.Server{}}}
+		c.Written.Store(10)
+		ticket := state.Of(s.Take(s.no))
+		ticket.Push, c.Ticket = c, ticket
+		s.conns.Add(c)
+		s.closed(1, 1, c)
+		if s.Tell(1); s.Counters.Outcomes[want] != 1 {
+			t.Errorf("10 of %d bytes written: outcomes %v, want %d", queued, s.Counters.Outcomes, want)
+		}
+	}
+}
+
+func TestClientsThatLeaveTakeTheirPushWithThem(t *testing.T) {
+	server := newStandIn(t)
+	r, _ := run(t, nil, server.Addr().String())
+	for range 5 {
+		c := r.client()
+		id := c.send("step/silent", "b", "")
+		for i := 0; i < 200; i++ {
+			if n, _ := server.count(id); n > 0 {
+				break
+			}
+			time.Sleep(time.Millisecond)
+		}
+		c.Close()
+	}
+	time.Sleep(50 * time.Millisecond)
+	r.end()
+	if r.Counters.Gone != 5 || r.Counters.Outcomes[policy.CalledOff] != 5 {
+		t.Errorf("left %d, outcomes %v", r.Counters.Gone, r.Counters.Outcomes)
+	}
+}
--- /dev/null
+++ b/internal/proto/manners_test.go
@@ -0,0 +1,99 @@
+package proto
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"math/rand"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+// Clients and servers of all manners at once: each ticket gets one answer or none if its client left, what may run only
+// once is not sent again once it may have run, and (at the end of run) nothing is held.
+func TestAllMannersAtOnce(t *testing.T) {
+	var servers []*standIn
+	var addrs []string
+	for range 4 {
+		servers = append(servers, newStandIn(t))
+		addrs = append(addrs, servers[len(servers)-1].Addr().String())
+	}
+	r, a := run(t, nil, addrs...)
+	acts := []string{"echo", "echo", "echo", "chunked", "close", "slow", "error", "away", "reset", "half", "garbage", "silent"}
+	var wait sync.WaitGroup
+	for n := range 16 {
+		wait.Add(1)
+		go func() {
+			defer wait.Done()
+			rnd := rand.New(rand.NewSource(int64(n)))
+			var c net.Conn
+			var in *bufio.Reader
+			for i := range 40 {
+				offering, act := []string{"step", "note", "once"}[rnd.Intn(3)], acts[rnd.Intn(len(acts))]
+				body := strings.Repeat("x", rnd.Intn(3)*rnd.Intn(9000))
+				id := fmt.Sprintf("%d-%d", n, i)
+				message := fmt.Sprintf("POST /%s/%s HTTP/1.1\r\nHost: o\r\nX-Request-ID: %s\r\nX-Timeout: 0.3\r\nX-Route-Key: %d\r\n"+
+					"Idempotency-Key: %s\r\nContent-Length: %d\r\n\r\n%s", offering, act, id, rnd.Intn(20), id, len(body), body)
+				if c == nil {
+					var err error
+					if c, err = net.Dial("tcp", r.addr); err != nil {
+						t.Error(err)
+						return
+					}
+					defer c.Close()
+					c.SetDeadline(time.Now().Add(20 * time.Second))
+					in = bufio.NewReader(c)
+				}
+				at := rnd.Intn(len(message))
+				io.WriteString(c, message[:at])
+				if rnd.Intn(20) == 0 {
+					c.Close()
+					c = nil
+					continue
+				}
+				io.WriteString(c, message[at:])
+				if rnd.Intn(20) == 0 {
+					time.Sleep(time.Duration(rnd.Intn(30)) * time.Millisecond)
+					c.Close()
+					c = nil
+					continue
+				}
+				answer, err := http.ReadResponse(in, nil)
+				if err != nil {
+					t.Errorf("%s: %v", message[:40], err)
+					return
+				}
+				got, err := io.ReadAll(answer.Body)
+				if answer.StatusCode == 200 && string(got) != body || err != nil ||
+					answer.StatusCode != 200 && answer.StatusCode != 502 && answer.StatusCode != 503 {
+					t.Errorf("%s: %d, %d bytes, %v", message[:40], answer.StatusCode, len(got), err)
+				}
+				seen := 0
+				for _, s := range servers {
+					k, _ := s.count(id)
+					seen += k
+				}
+				if offering == "once" && act != "away" && seen > 1 || seen > 3 {
+					t.Errorf("%s of %s: sent %d times", act, offering, seen)
+				}
+				if answer.Close {
+					c.Close()
+					c = nil
+				}
+				if n == 0 && i%10 == 0 {
+					a.tell(listOf(addrs[:2+i/20]...))
+				}
+			}
+		}()
+	}
+	wait.Wait()
+	time.Sleep(50 * time.Millisecond)
+	r.end()
+	if k := r.Counters; k.Tickets < 400 || k.Honoured == 0 || k.GivenUp == 0 || k.TurnedBack == 0 || k.Gone == 0 {
+		t.Errorf("the histories reach too little: %s", k.String())
+	}
+}
