--- /dev/null
+++ b/policy/limits_test.go
@@ -0,0 +1,165 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+)
+
+// Limits grown in calm times, by short answers, choked the servers once a burst came.
+func TestLimitsFollowAnswers(t *testing.T) {
+	for _, c := range []struct {
+		n           int
+		every, took Time
+		most        float64
+	}{{20, Second / 10, 9 * Second / 10, 1.5}, {100, Second / 100, Second / 100, firstLimit + 1}} {
+		b, q := started(fleet(1, "a"))
+		for i := range c.n {
+			push(b, q, 2*Second+Time(i)*c.every, fmt.Sprint(i), Honoured, c.took)
+		}
+		if l := b.servers[0].limit; l > c.most {
+			t.Errorf("limit %.1f after %d answers of %dms", l, c.n, c.took/Millisecond)
+		}
+	}
+}
+
+// One push from each to each server kept all servers choked.
+func TestPaceFollowsLateness(t *testing.T) {
+	b, q := started(fleet(20, "a"))
+	b.campaign.Sidecars = 100
+	for i := range 2060 {
+		now, took := Time(i+2)*Second, 10*Millisecond
+		if i < 60 {
+			took = Second
+		}
+		push(b, q, now, fmt.Sprint(i), Honoured, took)
+		if i == 59 && (b.pace >= 1 || b.paced(now)) {
+			t.Errorf("pace %.2f, and no pause, after a minute of late answers", b.pace)
+		}
+	}
+	if b.pace < 1 {
+		t.Errorf("pace %.2f after long calm", b.pace)
+	}
+}
+
+// jhb-vouchers: where work alone takes a good part of the quoted time, and late answers earn nothing, the pace fell to a push or two though no
+// server was short of room. What an unloaded answer takes is no lateness; pools, which see more of each server, stay as they were.
+func TestPaceLeavesLongWorkItsTime(t *testing.T) {
+	for streams, cut := range map[int]bool{1: false, 100: true} {
+		b, q := started(fleet(20, "a"))
+		b.campaign.Sidecars, b.campaign.Streams = 100, streams
+		quoted := b.campaign.Offerings[0].Quoted
+		b.tooLate = paceLost
+		for i := range 400 {
+			push(b, q, Time(i+2)*Second, fmt.Sprint(i), Honoured, quoted*Time(52+6*(i%2))/100)
+		}
+		if b.late < paceLost || b.late > 0.62 || (b.pace < 1) != cut {
+			t.Errorf("streams %d: pace %.2f at a mean of %.2f of the quoted time, unloaded %.2f", streams, b.pace, b.late, b.calm)
+		}
+	}
+}
+
+// A lost data centre refuses a dozen connections at once, and spoilt answers come from any server alike: with the pace and
+// limits cut for either, servers with room stood idle.
+func TestOnlySignsOfLoadCutThePace(t *testing.T) {
+	for at, want := range map[struct {
+		o    Outcome
+		load float64
+	}]bool{{o: NotConnected}: false, {o: Errored}: false, {o: ConnBroke}: false, {o: TimedOut}: true,
+		{o: TurnedAway}: false, {TurnedAway, 0.9}: true} {
+		b, q := started(fleet(6, "a"))
+		limits, o := 0.0, at.o
+		for i := range b.servers {
+			b.servers[i].ratio = b.calm + at.load
+		}
+		for i := range 12 {
+			now := Second + Time(i)*Second/2
+			h := b.Admit(now, 0, NoFranchise, fmt.Sprint(i), false, 4*Second)
+			b.Begin(now, h)
+			b.PushEnded(now+Second/3, h, 0, q.to[len(q.to)-1], o, Second/3, true)
+		}
+		for _, s := range b.servers {
+			limits += s.limit
+		}
+		if b.late > 0.5 != want || limits < firstLimit*6 != want {
+			t.Errorf("outcome %v: lateness %.2f, limits %.1f in all", at, b.late, limits)
+		}
+	}
+}
+
+// Connections fall silent one by one; with each counted as load, limits and pace fell to a push or two before calm servers.
+func TestLoneTimeOutsAreNoSignOfLoad(t *testing.T) {
+	for later, want := range map[bool]bool{true: false, false: true} {
+		b, q := started(fleet(1, "a"))
+		for i := range 20 {
+			push(b, q, Second+Time(i)*100*Millisecond, fmt.Sprint("calm", i), Honoured, 10*Millisecond)
+		}
+		for i := range 8 {
+			now := 4*Second + Time(i)*2*Second
+			h := b.Admit(now, 0, NoFranchise, fmt.Sprint(i), false, 4*Second)
+			b.Begin(now, h)
+			id := q.to[len(q.to)-1]
+			if later {
+				push(b, q, now+100*Millisecond, "other", Honoured, 10*Millisecond)
+			}
+			b.PushEnded(now+Second, h, 0, id, TimedOut, Second, true)
+		}
+		if s := &b.servers[0]; b.late > 0.5 != want || s.limit < firstLimit != want {
+			t.Errorf("later pushes honoured %v: lateness %.2f, limit %.1f", later, b.late, s.limit)
+		}
+	}
+}
+
+// Pushes on silent connections hold places until they time out; limits that grow by answers alone left calm servers unused.
+func TestLoneTimeOutsGiveTheirPlaceBack(t *testing.T) {
+	b, q := started(fleet(1, "a"))
+	b.servers[0].limit = 3.9
+	var silent []Handle
+	for i := range 3 {
+		silent = append(silent, b.Admit(4*Second, 0, NoFranchise, fmt.Sprint(i), false, 4*Second))
+		b.Begin(4*Second, silent[i])
+	}
+	id := q.to[len(q.to)-1]
+	push(b, q, 4*Second+100*Millisecond, "other", Honoured, Millisecond)
+	for i, h := range silent {
+		b.PushEnded(5*Second, h, 0, id, TimedOut, Second, true)
+		if l := b.servers[0].limit; i == 0 && (l < 3.9+placeLost || l > 4+placeLost) || l > 4+2*placeLost {
+			t.Errorf("limit %.1f after %d lone time-outs", l, i+1)
+		}
+	}
+}
+
+// Bodies that are still coming take no place of those in hand at a server, and do once they are whole.
+func TestBodiesThatComeTakeNoPlace(t *testing.T) {
+	b, q := started(fleet(1, "a"))
+	now := 2 * Second
+	var slow []Handle
+	for range 3 * firstLimit {
+		h := b.Admit(now, 0, NoFranchise, "", false, Second)
+		b.Begin(now, h)
+		b.Coming(h, false, 0)
+		slow = append(slow, h)
+	}
+	if len(q.to) != len(slow) || b.out != len(slow) || b.idle != len(slow) || b.servers[0].busy() != 0 {
+		t.Fatalf("%d pushed, %d out, %d idle", len(q.to), b.out, b.idle)
+	}
+	if b.Woken(now + 10*Second); b.held(slow[0]).answered {
+		t.Error("answered before its body was whole")
+	}
+	now += 10 * Second
+	for _, h := range slow {
+		b.Coming(h, true, now+Second)
+		b.Coming(h, true, now+Second)
+	}
+	h := b.Admit(now, 0, NoFranchise, "", false, Second)
+	if b.Begin(now, h); b.busyAt(0) != len(slow) || len(q.to) != len(slow) {
+		t.Errorf("%d busy, %d pushed", b.busyAt(0), len(q.to))
+	}
+	for _, h := range slow {
+		b.PushEnded(now+Millisecond, h, 0, 1, Honoured, Millisecond, false)
+	}
+	if b.idle != 0 || b.out != b.busyAt(0) || b.out > 1 {
+		t.Errorf("%d idle, %d out", b.idle, b.out)
+	}
+}
+
+func (b *Balancer) busyAt(p int) int { return b.servers[p].busy() }
--- /dev/null
+++ b/policy/zones_test.go
@@ -0,0 +1,61 @@
+package policy
+
+import (
+	"testing"
+)
+
+// Near servers were flooded by their own zone's sidecars while far ones idled.
+func TestLoadedNearSideGivesKeysAway(t *testing.T) {
+	q := &quiet{}
+	c := campaign()
+	c.CrossPrice = 0.1
+	b := New(q, c, 7, Second)
+	b.List(Second, ListFull, fleet(6, "a", "b"))
+	near := push(b, q, 2*Second, "k", Honoured, Millisecond)
+	if b.servers[b.places[near]].Zone != "a" {
+		t.Error("an unloaded near side was passed over")
+	}
+	for i := range b.servers {
+		if b.servers[i].Zone == "a" {
+			b.sides[1] = 0.9
+		}
+	}
+	for i := range 40 {
+		b.Woken(3*Second + Time(i)*tendEvery)
+	}
+	if b.nearPart > 0 {
+		t.Errorf("%.2f of the keys still look near first", b.nearPart)
+	}
+}
+
+// Before anything is learned no more keys look near first than the near servers' part of all: all traffic may come to their zone.
+func TestNearPartStartsAtTheNearServersPart(t *testing.T) {
+	for _, zones := range []int{2, 5} {
+		c := campaign()
+		c.CrossPrice, c.Zones = 0.2, zones
+		b := New(&quiet{}, c, 7, Second)
+		b.List(Second, ListFull, fleet(10, "a", "b", "b", "b", "b"))
+		if b.nearPart < 0.19 || b.nearPart > 0.21 {
+			t.Errorf("near part %.2f with a fifth of the servers in one of %d zones", b.nearPart, zones)
+		}
+	}
+}
+
+// Where a part of the keys looks near first, the same part of the requests without a key does.
+func TestNearPartHoldsForRequestsWithoutKey(t *testing.T) {
+	b, w := started(fleet(100, "a", "b"))
+	b.nearPart = 0.5
+	near := 0
+	for range 1000 {
+		h := w.ask(b, 2*Second, "", false, 2*Second)
+		id := w.to[len(w.to)-1]
+		b.PushEnded(2*Second, h, 0, id, CalledOff, 0, true)
+		if b.servers[b.places[id]].Zone == b.campaign.Zone {
+			near++
+		}
+	}
+	// Half of them near, and of the others, half as they fall.
+	if near < 680 || near > 820 {
+		t.Errorf("%d of 1000 near", near)
+	}
+}
