--- a/internal/proto/crossing_test.go
+++ b/internal/proto/crossing_test.go
@@ -350,11 +350,12 @@
 					return true
 				}
 				one, _ := peer(t, serve)
-				two, _ := peer(t, serve)
-				if strings.HasPrefix(name, "waits") {
-					two = one
+				addrs := []string{one}
+				if !strings.HasPrefix(name, "waits") { // with two servers the request may find a connection of its own
+					two, _ := peer(t, serve)
+					addrs = append(addrs, two)
 				}
-				r, _ := run(t, func(p *Post) { p.Campaign.MayCancel, p.Campaign.Offerings[0].Quoted = cancel, k.quoted }, one, two)
+				r, _ := run(t, func(p *Post) { p.Campaign.MayCancel, p.Campaign.Offerings[0].Quoted = cancel, k.quoted }, addrs...)
 				if k.before != nil {
 					k.before(r)
 				}
