--- a/internal/proto/crossing_test.go
+++ b/internal/proto/crossing_test.go
@@ -279,6 +279,17 @@
 
 // A second answer comes milliseconds behind the first, when the next ticket may have been written already: it is nobody's.
 func TestLateCopiesReachNobody(t *testing.T) {
+	for range 10 {
+		if lateCopiesInTime(t) {
+			return
+		}
+		// The machine let the server sleep for longer than a connection rests: that play has shown nothing.
+	}
+	t.Error("no second answer came in time in ten plays: the machine is too busy for this test")
+}
+
+// lateCopiesInTime plays requests whose answers come twice, and tells whether a second one came in time to be mistaken.
+func lateCopiesInTime(t *testing.T) bool {
 	server := newStandIn(t)
 	r, _ := run(t, nil, server.Addr().String())
 	c := r.client()
@@ -302,9 +313,7 @@
 	}
 	server.mu.Lock()
 	defer server.mu.Unlock()
-	if server.copies == server.overdue {
-		t.Error("no second answer came in time: the machine is too busy for this test")
-	}
+	return server.copies > server.overdue
 }
 
 // A client closes while its request has not been sent yet, or has failed and would be sent again. Whatever path the request is on, no
