--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -125,11 +125,11 @@
 		return Orders{}, err
 	}
 	o := Orders{Name: in.Name, Door: in.Admin, Pages: in.Pages, Discovery: in.Discovery, LogLevel: in.LogLevel, LogFormat: in.LogFormat,
-		Post: proto.Post{Listen: in.Listen, Seed: instanceSeed(in.Seed, in.Listen), Descriptors: in.Descriptors, Memory: in.MemoryMB << 20,
+		Post: proto.Post{Listen: in.Listen, Descriptors: in.Descriptors, Memory: in.MemoryMB << 20,
 			ConnectIn: in.ConnectIn, From: in.From, IdleFor: in.IdleFor, Accept: acceptFor, Campaign: in.Campaign, CutOffs: in.CutOffs,
 			Default: in.Default, Anonymous: in.Anonymous, Stall: Stall}}
-	if !in.Seeded {
-		o.Seed = rand.Uint64()
+	if o.Seed = rand.Uint64(); in.Seeded {
+		o.Seed = instanceSeed(in.Seed, in.Listen)
 	}
 	o.Leave = in.Leave + acceptFor
 	o.Source, o.Aside = source(in)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -389,7 +389,7 @@
 func (b *Balancer) push(now Time, t *ticket, to int32) {
 	s, o := &b.servers[to], &b.campaign.Offerings[t.offering]
 	wait := t.cutOff - b.margin() - now
-	// A silent server must not hold a ticket for long, where its work can be stopped: else both work on it.
+	// A silent server must not hold a ticket for long; cancels and saved pushes keep that from feeding a jam.
 	if b.campaign.MayCancel && t.pushes+1 < b.campaign.MaxPushes && b.pushes >= 1 && o.Repeats != AtMostOnce {
 		wait = min(wait, max(Time(firstWait*float64(o.Quoted)), Time(6*b.usual[t.offering])))
 	}
