--- a/internal/emulator/largefleet_test.go
+++ b/internal/emulator/largefleet_test.go
@@ -17,7 +17,8 @@
 // same day, nor below half of what a policy serves that sees the true state: over the day, in each third of it, and for each class
 // with a twentieth of the requests or of the value.
 func TestValueServedByLargeFleets(t *testing.T) {
-	for _, shape := range []string{"short-queues.toml", "short-deadlines.toml", "many-tenants.toml", "one-class.toml"} {
+	for _, shape := range []string{"short-queues.toml", "short-deadlines.toml", "many-tenants.toml", "one-class.toml",
+		"release.toml", "zone-returns.toml", "restarts.toml"} {
 		for _, size := range fleetSizes {
 			for seed := uint64(1); seed <= 2; seed++ {
 				t.Run(fmt.Sprintf("%s/%dx%d/%d", shape, size.instances, size.servers, seed), func(t *testing.T) {
