--- /dev/null
+++ b/policy/cold_test.go
@@ -0,0 +1,97 @@
+package policy
+
+import (
+	"fmt"
+	"math"
+	"testing"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// coldBoundBroken gives the most that a server was sent within the time in which it falls, over what is allowed then: N requests, and two
+// roots of N and two more for chance.
+func coldBoundBroken(sent []Time, started Time, c *Campaign, capacity float64) (worst float64) {
+	for first, last := 0, 0; last < len(sent); last++ {
+		for sent[first] <= sent[last]-c.FallTime {
+			first++
+		}
+		share := c.ColdShare + (1-c.ColdShare)*float64(sent[last]-started)/float64(c.ColdTime)
+		n := c.FallMultiple * share * capacity * float64(c.FallTime) / float64(Second)
+		worst = max(worst, float64(last-first+1)/(n+2*math.Sqrt(n)+2))
+	}
+	return worst
+}
+
+// Many instances, each with a few requests a second, keep cold servers at work with requests that have no key, within what is allowed. A
+// budget lapses within a second in each of them, and by its slots each meets a given server once in 20 s.
+func TestKeylessRequestsOfManyInstancesReachColdServers(t *testing.T) {
+	const (
+		instances, servers, fresh = 300, 100, 60
+		each, step, known         = 5., 200 * Millisecond, 21 * Second // requests a second of each instance; when the new ones are heard of
+		capacity                  = instances * each / servers
+	)
+	c := campaign()
+	c.Sidecars, c.ColdShare, c.ColdTime, c.FallTime = instances, 0.4, 6*Second, 3*Second/2
+	members := fleet(servers, "a")
+	for i := range members {
+		members[i].Weight = 1
+	}
+	all, fronts := make([]*Balancer, instances), make([]quiet, instances)
+	for i := range all {
+		all[i] = New(&fronts[i], c, uint64(i), Second)
+		all[i].List(Second, ListFull, members[fresh:])
+	}
+	sent := map[ServerID][]Time{}
+	for now := Second; now < known+c.ColdTime; now += step {
+		for i, b := range all {
+			if now == known {
+				for m := range members[:fresh] {
+					members[m].Started = known
+				}
+				b.List(now, ListChanges, members[:fresh])
+			}
+			if to := push(b, &fronts[i], now, "", Honoured, 100*Millisecond); to <= fresh {
+				sent[to] = append(sent[to], now)
+			}
+		}
+	}
+	total := 0
+	for id, at := range sent {
+		total += len(at)
+		if over := coldBoundBroken(at, known, c, capacity); over > 1 {
+			t.Errorf("server %d was sent %.2f of what is allowed", id, over)
+		}
+	}
+	// By its slots alone a new server gets, while it warms, seven tenths of what a warm one does; half of that is wanted.
+	if bears := 0.7 * capacity * float64(c.ColdTime/Second) * fresh; float64(total) < bears/2 {
+		t.Errorf("%d cold servers were sent %d requests while they warmed, and bear %.0f", fresh, total, bears)
+	}
+}
+
+// Only a request without a key leaves its slot for a cold server that may be sent one, and only by the rules for any attempt.
+func TestOnlyKeylessRequestsLeaveTheirSlotForAColdServer(t *testing.T) {
+	const now = 30 * Second
+	for name, change := range map[string]func(s *server){
+		"may be sent one": func(*server) {},
+		"draining":        func(s *server) { s.Standing = Draining },
+		"without budget":  func(s *server) { s.budget = 0 },
+		"ejected":         func(s *server) { s.asideTill = now + Second },
+		"full":            func(s *server) { s.limit = 0 },
+	} {
+		b, w := started(fleet(50, "a"))
+		b.List(now, ListChanges, []Member{{ID: 7, Weight: 1, Zone: "a", Started: now}})
+		cold := &b.servers[b.places[7]]
+		for i := range 100 {
+			cold.budget, cold.budgetAt = 1, now
+			change(cold)
+			if to := push(b, w, now, fmt.Sprint("key", i), CalledOff, 0); to == 7 && b.table[xxhash.Sum64String(fmt.Sprint("key", i))%slots] != b.places[7] {
+				t.Errorf("%s: key %d left its slot", name, i)
+			}
+			cold.budget = 1
+			change(cold)
+			if to := push(b, w, now, "", CalledOff, 0); (to == 7) != (name == "may be sent one") {
+				t.Fatalf("%s: a request without a key went to server %d", name, to)
+			}
+		}
+	}
+}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -26,7 +26,7 @@
 	heatPrior, sureBeyond = 64, 2                   // tickets under other keys before; errors over a share
 	lately, hotSpread     = 32, 6                   // tickets that show a new hot key; servers for one's worth
 	shortOfHit, coldEarns = 0.25, 0.6               // no keys remembered: four times the work; own answers' part
-	coldKeeps             = 0.4                     // fall times that a push to a cold one keeps: a burst spends all
+	coldKeeps             = 0.4                     // fall times that a push to a cold one keeps: bursts spend all
 	repeatValue, waitPart = 0.5, 0.5                // worth of a client's repeat; what may wait of home's rate
 	paceGrowth, firstWait = 0.5, 2.0                // growth at no lateness; quoted times for a first push
 	pushCredit, pushesCap = 0.1, 20                 // further pushes earned by each honoured, saved at most
@@ -125,6 +125,7 @@
 		m.Weight = 1
 	}
 	p, known := b.places[m.ID]
+	b.coldTill = max(b.coldTill, m.Started+b.campaign.ColdTime)
 	if !known {
 		if m.Standing == Gone {
 			return false
@@ -253,7 +254,7 @@
 	t := &b.slab[place]
 	*t = ticket{generation: t.generation + 1, place: place, inUse: true, offering: o,
 		arrived: now, cutOff: min(now+left, b.endAt), ranOn: -1}
-	if key == "" {
+	if t.keyless = key == ""; t.keyless {
 		// In turn from one start, instances would follow each other over the same servers of the same table.
 		t.key = uint64(b.chance.next())<<32 | uint64(b.chance.next())
 	} else {
@@ -315,15 +316,6 @@
 	return v
 }
 
-func (b *Balancer) held(h Handle) *ticket {
-	if h.Place() < len(b.slab) && b.slab[h.Place()].inUse && b.slab[h.Place()].generation == uint32(h>>32) {
-		return &b.slab[h.Place()]
-	}
-	return nil
-}
-
-func (t *ticket) handle() Handle { return Handle(uint64(t.generation)<<32 | uint64(t.place)) }
-
 // Begin decides the first step of a ticket.
 func (b *Balancer) Begin(now Time, h Handle) {
 	t := b.held(h)
@@ -511,6 +503,11 @@
 	home, spare := int32(-1), int32(-1)
 	b.epoch++
 	near := float64(t.key>>44)/(1<<20) < b.nearPart
+	if t.keyless && now < b.coldTill {
+		if p := b.warming(now, t, near); p >= 0 {
+			return p
+		}
+	}
 	for seen := 0; ; near = false {
 		owners := len(b.byID)
 		if near {
@@ -558,6 +555,21 @@
 	return -1
 }
 
+// warming gives a cold server that may be sent a request now. An instance of hundreds has a budget for one only
+// for moments, in which its own requests seldom meet it by their slots: all together they would leave it idle.
+func (b *Balancer) warming(now Time, t *ticket, near bool) int32 {
+	for _, p := range b.byID {
+		s := &b.servers[p]
+		if !b.cold(now, s) || near && s.Zone != b.campaign.Zone {
+			continue
+		}
+		if b.allowed(now, t, p) && b.usable(now, s) && b.room(s) {
+			return p
+		}
+	}
+	return -1
+}
+
 func (b *Balancer) room(s *server) bool { return float64(s.busy()) < s.limit }
 
 // spills: home is at its limit; the other, which does not know the key, must be roomy, and hold less.
@@ -862,23 +874,3 @@
 		b.wake(now, now+pollTicks*b.campaign.Tick)
 	}
 }
-
-func newChance(seed uint64) chance {
-	return chance{uint32(seed) | 1, uint32(seed>>32)%4294957664 + 1}
-}
-
-func (c *chance) next() uint32 {
-	v := uint64(c.x)*4294957665 + uint64(c.carry)
-	c.x, c.carry = uint32(v), uint32(v>>32)
-	return c.x
-}
-
-func (c *chance) part() float64 { return float64(c.next()) / (1 << 32) }
-
-func (m *meter) now(now Time) float64 {
-	m.rate *= math.Exp(-float64(max(0, now-m.at)) / float64(rateSpan))
-	m.at = max(m.at, now)
-	return m.rate
-}
-
-func (m *meter) count(now Time) { m.rate = m.now(now) + float64(Second)/float64(rateSpan) }
--- a/policy/state.go
+++ b/policy/state.go
@@ -52,6 +52,7 @@
 	queued     bool
 	mayHaveRun bool
 	offering   OfferingID
+	keyless    bool
 	key        uint64  // hash of its key, or drawn for it alone
 	heat       float64 // its key's part of our traffic
 	home       int32   // server it waits for; -1: any
@@ -100,6 +101,7 @@
 	pushes     float64 // further pushes saved up
 	wakeAt     Time    // earliest call asked for; 0: none
 	tendAt     Time
+	coldTill   Time    // no server is cold later
 	meanHeld   float64 // tickets held for each core, over the fleet
 	listAt     Time    // latest list
 	perHeld    float64 // mean of answer time over quoted time, for each ticket held
@@ -125,15 +127,16 @@
 	nearPart   float64 // part of the keys that look for a near server first
 }
 
-// chance is a multiply-with-carry generator.
-type chance struct{ x, carry uint32 }
-
-// meter is a rate a second that forgets over rateSpan.
-type meter struct {
-	rate float64
-	at   Time
+// held gives the ticket behind a handle, nil where it has been let go.
+func (b *Balancer) held(h Handle) *ticket {
+	if h.Place() < len(b.slab) && b.slab[h.Place()].inUse && b.slab[h.Place()].generation == uint32(h>>32) {
+		return &b.slab[h.Place()]
+	}
+	return nil
 }
 
+func (t *ticket) handle() Handle { return Handle(uint64(t.generation)<<32 | uint64(t.place)) }
+
 // Gauges are figures that an instance goes by, for reports; nothing is decided on them elsewhere.
 type Gauges struct {
 	Pace    float64 // pushes that may be out in all
