--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -45,7 +45,7 @@
 }
 
 // NewLatency makes the histograms, all of them empty.
-func NewLatency(offerings []policy.Offering) *Latency {
+func NewLatency(offerings []policy.Class) *Latency {
 	l := &Latency{vec: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "pepperlead_answer_seconds",
 		Help: "From the last byte of a ticket to its final answer.", Buckets: Buckets}, []string{"offering", "answer"})}
 	for _, o := range offerings {
@@ -59,7 +59,7 @@
 }
 
 // Named has the answers at that place count under that offering's name.
-func (l *Latency) Named(o policy.OfferingID, name string) {
+func (l *Latency) Named(o policy.ClassID, name string) {
 	for len(l.by) <= int(o) {
 		l.by = append(l.by, nil)
 	}
@@ -70,7 +70,7 @@
 }
 
 // Observe counts a final answer; answer is its place in Answers.
-func (l *Latency) Observe(o policy.OfferingID, answer int, spent policy.Time) {
+func (l *Latency) Observe(o policy.ClassID, answer int, spent policy.Time) {
 	l.by[o][answer].Observe(float64(spent) / float64(policy.Second))
 }
 
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -28,7 +28,7 @@
 
 func TestPagesAndMetrics(t *testing.T) {
 	of := &sidecar{}
-	l := NewLatency([]policy.Offering{{Name: "step"}, {Name: "call"}})
+	l := NewLatency([]policy.Class{{Name: "step"}, {Name: "call"}})
 	l.Observe(1, 3, 30*policy.Millisecond)
 	if n := testing.AllocsPerRun(100, func() { l.Observe(0, 0, policy.Millisecond/2) }); n > 0 {
 		t.Errorf("%v allocations an observation", n)
--- a/internal/agreement/places.go
+++ b/internal/agreement/places.go
@@ -8,7 +8,7 @@
 // gets another where tickets in hand have been promised less than what comes into force allows.
 type Places struct {
 	of      []place // by policy.OfferingID
-	current map[string]policy.OfferingID
+	current map[string]policy.ClassID
 	Most    int // places; with none left an offering stays as strict as it was, until one is free
 }
 
@@ -23,9 +23,9 @@
 // Go makes these rules the ones in force. Without a lease (not leased) they bind those in hand for as long as that lasts: nothing is
 // repeated, and no cut-off is later. set is told of each place and by what its tickets now go; free ones are not told of. Places of offerings
 // that are new, or whose tickets in hand were promised less, are told of too.
-func (p *Places) Go(acts *Rules, leased bool, set func(at policy.OfferingID, name string, now Offering, admits bool)) {
+func (p *Places) Go(acts *Rules, leased bool, set func(at policy.ClassID, name string, now Offering, admits bool)) {
 	if p.current == nil {
-		p.current = map[string]policy.OfferingID{}
+		p.current = map[string]policy.ClassID{}
 	}
 	if leased {
 		for i := range p.of {
@@ -61,7 +61,7 @@
 				now.CutOff = shorter(now.CutOff, o.CutOff)
 			}
 		}
-		set(policy.OfferingID(i), one.name, now, one.taken)
+		set(policy.ClassID(i), one.name, now, one.taken)
 	}
 }
 
@@ -90,15 +90,15 @@
 		p.of[at].taken = false
 	}
 	p.of[free] = place{name: o.Name, rule: o.Offering, taken: true, keyed: o.Numbered()}
-	p.current[o.Name] = policy.OfferingID(free)
+	p.current[o.Name] = policy.ClassID(free)
 }
 
 // At is the place at which tickets of that name are admitted.
-func (p *Places) At(name string) (policy.OfferingID, bool) {
+func (p *Places) At(name string) (policy.ClassID, bool) {
 	at, known := p.current[name]
 	return at, known
 }
 
 // Took and Gave count the tickets in hand.
-func (p *Places) Took(at policy.OfferingID) { p.of[at].held++ }
-func (p *Places) Gave(at policy.OfferingID) { p.of[at].held-- }
+func (p *Places) Took(at policy.ClassID) { p.of[at].held++ }
+func (p *Places) Gave(at policy.ClassID) { p.of[at].held-- }
--- a/internal/agreement/random_test.go
+++ b/internal/agreement/random_test.go
@@ -33,18 +33,18 @@
 func TestTicketsGoByTheirOwnVersionOrAStricterOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type held struct {
-			at    policy.OfferingID
+			at    policy.ClassID
 			bound []Offering
 			keyed bool
 		}
-		p, tickets, now := Places{Most: rapid.IntRange(2, 8).Draw(t, "places")}, []held{}, map[policy.OfferingID]Offering{}
+		p, tickets, now := Places{Most: rapid.IntRange(2, 8).Draw(t, "places")}, []held{}, map[policy.ClassID]Offering{}
 		acts, leased := drawn(t), true
 		for range rapid.IntRange(5, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
 				acts, leased = drawn(t), rapid.IntRange(0, 3).Draw(t, "leased") > 0
 				clear(now)
-				p.Go(acts, leased, func(at policy.OfferingID, _ string, o Offering, _ bool) { now[at] = o })
+				p.Go(acts, leased, func(at policy.ClassID, _ string, o Offering, _ bool) { now[at] = o })
 				for i := range tickets {
 					if name := p.of[tickets[i].at].name; leased {
 						o, known := acts.Offering(name)
--- a/internal/agreement/rules.go
+++ b/internal/agreement/rules.go
@@ -22,7 +22,7 @@
 
 // Server is one that may be pushed to.
 type Server struct {
-	ID      policy.ServerID
+	ID      policy.EndpointID
 	Started policy.Time
 }
 
@@ -36,11 +36,11 @@
 type Rules struct {
 	Offerings  []Named
 	Franchises []Franchise
-	Servers    []Server          // ready ones; Open: any that a list names
-	Open       bool              // the version says nothing of servers
-	Bans       []policy.ServerID // taken out by hand, whoever lists them; in order
-	Instances  int               // sidecars among which budgets are split
-	ColdShare  float64           // part of its work that a cold server can do
+	Servers    []Server            // ready ones; Open: any that a list names
+	Open       bool                // the version says nothing of servers
+	Bans       []policy.EndpointID // taken out by hand, whoever lists them; in order
+	Instances  int                 // sidecars among which budgets are split
+	ColdShare  float64             // part of its work that a cold server can do
 	ColdTime   policy.Time
 	Fall       float64 // times what it can do that make a cold server fall over; 0: it gets nothing
 }
@@ -60,19 +60,19 @@
 func (o Offering) Numbered() bool { return o.Repeats && (o.Zone || o.Cell || o.Window < math.MaxInt64) }
 
 // RulesOf is what binds of a campaign whose offerings are cut off at these times. servers: nil where it says nothing of them.
-func RulesOf(c *policy.Campaign, cutOffs []policy.Time, servers []policy.Member, bans []policy.ServerID) Rules {
-	r := Rules{Open: servers == nil, Bans: slices.Sorted(slices.Values(bans)), Instances: c.Sidecars, ColdShare: c.ColdShare, ColdTime: c.ColdTime, Fall: c.FallMultiple}
-	for i, o := range c.Offerings {
+func RulesOf(c *policy.Settings, cutOffs []policy.Time, servers []policy.Member, bans []policy.EndpointID) Rules {
+	r := Rules{Open: servers == nil, Bans: slices.Sorted(slices.Values(bans)), Instances: c.Instances, ColdShare: c.ColdShare, ColdTime: c.ColdTime, Fall: c.FallMultiple}
+	for i, o := range c.Classes {
 		one := Offering{CutOff: cutOffs[i]}
-		switch o.Repeats {
-		case policy.Reissuable:
+		switch o.Idempotency {
+		case policy.Idempotent:
 			one = Reissuable(cutOffs[i])
-		case policy.Numbered:
+		case policy.Keyed:
 			one.Repeats, one.Window, one.Zone, one.Cell = true, o.Window, o.Group == policy.GroupZone, o.Group == policy.GroupCell
 		}
 		r.Offerings = append(r.Offerings, Named{o.Name, one})
 	}
-	for _, f := range c.Franchises {
+	for _, f := range c.Tenants {
 		r.Franchises = append(r.Franchises, Franchise{f.Name, f.Quota})
 	}
 	for _, m := range servers {
@@ -88,17 +88,17 @@
 
 // Bind writes into an offering what binds of it. Where it may be repeated within a zone and within a pod alike it may not at all: the module
 // knows one group for each.
-func (o Offering) Bind(to *policy.Offering) {
-	to.Repeats, to.Group, to.Window = policy.AtMostOnce, policy.GroupAll, 0
+func (o Offering) Bind(to *policy.Class) {
+	to.Idempotency, to.Group, to.Window = policy.NonIdempotent, policy.GroupAll, 0
 	if o.CutOff > 0 {
-		to.CutOff = o.CutOff
+		to.Deadline = o.CutOff
 	}
 	switch {
 	case !o.Repeats || o.Zone && o.Cell:
 	case !o.Numbered():
-		to.Repeats = policy.Reissuable
+		to.Idempotency = policy.Idempotent
 	default:
-		to.Repeats, to.Window = policy.Numbered, o.Window
+		to.Idempotency, to.Window = policy.Keyed, o.Window
 		if o.Zone {
 			to.Group = policy.GroupZone
 		}
--- a/internal/agreement/rules_test.go
+++ b/internal/agreement/rules_test.go
@@ -31,14 +31,14 @@
 			v.Franchises = append(v.Franchises, Franchise{name, float64(r.Intn(3))})
 		}
 	}
-	for id := range policy.ServerID(3) {
+	for id := range policy.EndpointID(3) {
 		if r.Intn(3) == 0 {
 			v.Bans = append(v.Bans, id)
 		}
 	}
 	for id := range 4 {
 		if !v.Open && r.Intn(3) > 0 {
-			v.Servers = append(v.Servers, Server{policy.ServerID(id), policy.Time(r.Intn(3))})
+			v.Servers = append(v.Servers, Server{policy.EndpointID(id), policy.Time(r.Intn(3))})
 		}
 	}
 	return reflect.ValueOf(v)
--- a/internal/campaign/campaign.go
+++ b/internal/campaign/campaign.go
@@ -87,15 +87,15 @@
 }
 
 // Read decodes the values that decisions are made by.
-func Read(p *Values) (*policy.Campaign, error) {
-	c := &policy.Campaign{
-		Sidecars:     max(1, p.Count("balancers")),
+func Read(p *Values) (*policy.Settings, error) {
+	c := &policy.Settings{
+		Instances:    max(1, p.Count("balancers")),
 		Zone:         policy.Zone(p.Text("zone")),
 		Zones:        1 + strings.Count(p.Text("zones"), ","),
 		Weighted:     p.OneOf("weight_kind", "nominal", "rough", "silent", "live") < 2,
 		MustAsk:      p.OneOf("membership_mode", "pushed", "on_request") == 1,
 		MayCancel:    p.Yes("limits.cancel"),
-		MaxPushes:    max(1, p.Count("limits.max_pushes")),
+		MaxAttempts:  max(1, p.Count("limits.max_pushes")),
 		CrossPrice:   p.Real("prices.cross_zone"),
 		Tick:         p.Span("tick_s"),
 		ColdShare:    p.Real("rules.cold_from"),
@@ -115,31 +115,31 @@
 		c.MustAskIn = p.Span("rules.must_ask_in_s")
 	}
 	if p.Yes("limits.retry_after") {
-		c.Advice = p.Span("limits.max_retry_after_s")
+		c.MaxRetryAfter = p.Span("limits.max_retry_after_s")
 	}
 	for n := range p.Count("offerings.count") {
 		at := "offerings." + strconv.Itoa(n) + "."
-		o := policy.Offering{
-			Name:       p.Text(at + "name"),
-			Credit:     p.Real(at + "credit"),
-			LateCredit: p.Real(at + "overdue_credit"),
-			Quoted:     p.Span(at + "quoted_time_s"),
-			CutOff:     p.Span(at + "cut_off_s"),
-			Repeats:    policy.Repeats(p.OneOf(at+"idempotency", "retryable", "dedup", "fragile")),
+		o := policy.Class{
+			Name:        p.Text(at + "name"),
+			Value:       p.Real(at + "credit"),
+			LateValue:   p.Real(at + "overdue_credit"),
+			Target:      p.Span(at + "quoted_time_s"),
+			Deadline:    p.Span(at + "cut_off_s"),
+			Idempotency: policy.Idempotency(p.OneOf(at+"idempotency", "retryable", "dedup", "fragile")),
 		}
-		if o.Repeats == policy.Numbered {
+		if o.Idempotency == policy.Keyed {
 			o.Group = policy.Group(p.OneOf(at+"group", "all", "zone", "cell"))
 			o.Window = p.Span(at + "window_s")
 		}
-		c.Offerings = append(c.Offerings, o)
+		c.Classes = append(c.Classes, o)
 	}
 	if v, ok := p.Of["realms.count"]; ok && strings.Trim(v, "0") != "" {
-		c.BeyondCredit = p.Real("beyond_share_credit")
+		c.BeyondValue = p.Real("beyond_share_credit")
 		for n := range p.Count("realms.count") {
 			at := "realms." + strconv.Itoa(n) + "."
-			f := policy.Franchise{Name: p.Text(at + "name"), Quota: p.Real(at + "quota_per_s")}
+			f := policy.Tenant{Name: p.Text(at + "name"), Quota: p.Real(at + "quota_per_s")}
 			c.Quotas += f.Quota
-			c.Franchises = append(c.Franchises, f)
+			c.Tenants = append(c.Tenants, f)
 		}
 	}
 	return c, p.Err
--- a/internal/daemon/agreed.go
+++ b/internal/daemon/agreed.go
@@ -35,9 +35,9 @@
 }
 
 // ownVersion is what the sidecar's own file says, as the version that is in force where the cluster has none.
-func ownVersion(c *policy.Campaign, cutOffs []policy.Time) *engine.Version {
+func ownVersion(c *policy.Settings, cutOffs []policy.Time) *engine.Version {
 	own := *c
-	own.Offerings, own.Franchises = slices.Clone(c.Offerings), slices.Clone(c.Franchises)
+	own.Classes, own.Tenants = slices.Clone(c.Classes), slices.Clone(c.Tenants)
 	return &engine.Version{Version: agreement.Version{Rules: agreement.RulesOf(&own, cutOffs, nil, nil)}, Campaign: &own}
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -144,7 +144,7 @@
 		o.Aside += peers.Descriptors
 	}
 	if in.Pages != "" {
-		o.Latency = admin.NewLatency(in.Campaign.Offerings)
+		o.Latency = admin.NewLatency(in.Campaign.Classes)
 		o.Aside += admin.Most + 2
 	}
 	return o, nil
@@ -153,7 +153,7 @@
 // ClientOrders are what a client is told that has the decisions within.
 type ClientOrders struct {
 	Seed                uint64 // 0: to be drawn
-	Campaign            *policy.Campaign
+	Campaign            *policy.Settings
 	CutOffs             []policy.Time
 	Source              roster.Source
 	Methods             [][]string // by offering
@@ -261,7 +261,7 @@
 	if post.Campaign, err = campaign.Read(values); err != nil {
 		fault("settings: %s", strings.ReplaceAll(err.Error(), "\n", "\nsettings: "))
 	} else {
-		at.Hold = roster.HoldFor(at.Grace > 0, post.Campaign.Sidecars)
+		at.Hold = roster.HoldFor(at.Grace > 0, post.Campaign.Instances)
 	}
 	return post, wrong
 }
@@ -408,10 +408,10 @@
 
 func head(o Orders) trace.Head {
 	h := trace.Head{Start: clock.New().Now(), Name: o.Name, Zone: o.Campaign.Zone}
-	for _, f := range o.Campaign.Offerings {
+	for _, f := range o.Campaign.Classes {
 		h.Offerings = append(h.Offerings, f.Name)
 	}
-	for _, f := range o.Campaign.Franchises {
+	for _, f := range o.Campaign.Tenants {
 		h.Franchises = append(h.Franchises, f.Name)
 	}
 	return h
@@ -438,7 +438,7 @@
 			now.inFile, now.Source = next.inFile, next.Source
 		}
 		if now.Agree {
-			next.Campaign = &policy.Campaign{} // of another shape: it stays as the cluster's versions say
+			next.Campaign = &policy.Settings{} // of another shape: it stays as the cluster's versions say
 		}
 		next.Latency, next.Record = now.Latency, now.Record
 		next.Memory = next.Memory * bufferPercent / 100
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -43,8 +43,8 @@
 	c := post.Campaign
 	if post.Listen != "127.9.9.9:1" || post.Discovery != "127.2.0.1:8500" || post.Seed != 0x8c1f30d27a5be964 ||
 		post.Descriptors != 1024 || post.ConnectIn != policy.Second/5 || post.IdleFor != 60*policy.Second ||
-		post.Leave != longest+acceptFor || c.Zones != 2 || c.Sidecars != 3 || len(c.Offerings) != 2 || c.Quotas != 30 ||
-		c.Streams != 1 || c.Offerings[1].CutOff != 4*policy.Second || c.Offerings[0].Name != "step, first" || c.Offerings[1].Group != policy.GroupCell || !c.Weighted {
+		post.Leave != longest+acceptFor || c.Zones != 2 || c.Instances != 3 || len(c.Classes) != 2 || c.Quotas != 30 ||
+		c.Streams != 1 || c.Classes[1].Deadline != 4*policy.Second || c.Classes[0].Name != "step, first" || c.Classes[1].Group != policy.GroupCell || !c.Weighted {
 		t.Errorf("%+v\n%+v", post, c)
 	}
 }
--- a/internal/daemon/keep.go
+++ b/internal/daemon/keep.go
@@ -36,7 +36,7 @@
 	if err != nil || now.Servers == nil {
 		return nil // what is in force was taken in by an older keeper
 	}
-	ready := map[policy.ServerID]bool{}
+	ready := map[policy.EndpointID]bool{}
 	for _, s := range now.Servers {
 		ready[s.ID] = s.Standing == policy.Ready
 	}
@@ -56,7 +56,7 @@
 		return nil
 	}
 	var was []policy.Member
-	var table []policy.ServerID
+	var table []policy.EndpointID
 	if inForce != nil {
 		if v, err := installation.ReadVersion("in force", inForce.Text); err == nil {
 			was = members(v.Servers)
--- a/internal/daemon/operated.go
+++ b/internal/daemon/operated.go
@@ -35,7 +35,7 @@
 // heritage is what a process tells the one that follows it.
 type heritage struct {
 	policy.Knowledge
-	Seen []policy.ServerID // ids that lists have named: also one that has gone can be taken out by hand
+	Seen []policy.EndpointID // ids that lists have named: also one that has gone can be taken out by hand
 }
 
 // tell gives what this process has learned.
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -33,11 +33,11 @@
 const Most = 200
 
 // Offerings are those of the demo; deploy/standalone.toml has the same.
-var Offerings = []policy.Offering{
-	{Name: "step", Credit: 5, LateCredit: 0.2, Quoted: 400 * policy.Millisecond, Repeats: policy.Reissuable},
-	{Name: "note", Credit: 2, LateCredit: 0.2, Quoted: 800 * policy.Millisecond, Repeats: policy.Numbered,
+var Offerings = []policy.Class{
+	{Name: "step", Value: 5, LateValue: 0.2, Target: 400 * policy.Millisecond, Idempotency: policy.Idempotent},
+	{Name: "note", Value: 2, LateValue: 0.2, Target: 800 * policy.Millisecond, Idempotency: policy.Keyed,
 		Group: policy.GroupZone, Window: 2 * policy.Second},
-	{Name: "call", Credit: 10, Quoted: policy.Second, Repeats: policy.AtMostOnce},
+	{Name: "call", Value: 10, Target: policy.Second, Idempotency: policy.NonIdempotent},
 }
 
 // Run shows the scene until its time or the context is over, and writes what there is to try and what was counted.
@@ -69,9 +69,9 @@
 	daemon := proto.New(proto.Post{Listen: listen, Source: fixed, Seed: sc.Seed, Descriptors: 512, Memory: 32 << 20,
 		ConnectIn: second / 5, IdleFor: 60 * second, Accept: second / 20, Leave: 2 * second, Anonymous: true, Default: "step",
 		CutOffs: []policy.Time{2 * second, 3 * second, 3 * second},
-		Campaign: &policy.Campaign{Sidecars: 1, Zone: "a", Zones: 1, Weighted: true, MayCancel: true, MaxPushes: 3,
-			Advice: 3 * second, Tick: 5 * policy.Millisecond, ColdShare: 0.2, ColdTime: 2 * second, FallMultiple: 3,
-			Offerings: Offerings}}, log)
+		Campaign: &policy.Settings{Instances: 1, Zone: "a", Zones: 1, Weighted: true, MayCancel: true, MaxAttempts: 3,
+			MaxRetryAfter: 3 * second, Tick: 5 * policy.Millisecond, ColdShare: 0.2, ColdTime: 2 * second, FallMultiple: 3,
+			Classes: Offerings}}, log)
 	stop, ended := make(chan os.Signal, 1), make(chan error, 1)
 	go func() { ended <- daemon.Run(stop, nil) }()
 	for !daemon.Ready() {
--- a/internal/emulator/attempt.go
+++ b/internal/emulator/attempt.go
@@ -54,7 +54,7 @@
 		w.judge.Pressed(w.day(w.now), t.sidecar.no, v.no, v.started, float64(work), v.traits.Cores*v.traits.Speed*v.machine.Warmth(w.now))
 	}
 	if v.standing != policy.Ready {
-		w.back(e.a, t, policy.TurnedAway)
+		w.back(e.a, t, policy.Rejected)
 		return
 	}
 	job, in := v.machine.Arrive(w.now, uint64(e.a)<<32|e.c&math.MaxUint32, q.key, work, policy.Time(float64(o.IO)*q.sizeIO), e.b == 1)
@@ -63,7 +63,7 @@
 		return
 	}
 	if !in {
-		w.back(e.a, t, policy.TurnedAway)
+		w.back(e.a, t, policy.Rejected)
 		return
 	}
 	t.job, t.life2 = job, v.life
@@ -101,7 +101,7 @@
 		return
 	}
 	t.job = machine.None
-	o := policy.Honoured
+	o := policy.Succeeded
 	if p := max(v.errors, v.kind.Errors); p > 0 && w.draws.errors.Float64() < p {
 		o = policy.Errored
 	}
@@ -124,7 +124,7 @@
 func (w *World) reset(e *event) {
 	if t := w.current(e); t != nil {
 		if t.written {
-			w.end(e.a, t, policy.ConnBroke)
+			w.end(e.a, t, policy.ConnectionLost)
 		} else {
 			w.end(e.a, t, policy.NotConnected)
 		}
@@ -151,7 +151,7 @@
 func (w *World) calledOff(e *event) {
 	if t := w.current(e); t != nil {
 		w.callOff(t)
-		w.end(e.a, t, policy.CalledOff)
+		w.end(e.a, t, policy.Cancelled)
 	}
 }
 
@@ -174,13 +174,13 @@
 
 // end tells the decider how a push ended.
 func (w *World) end(i int32, t *try, o policy.Outcome) {
-	never := o == policy.TurnedAway || o == policy.NotConnected || o == policy.NotSent
+	never := o == policy.Rejected || o == policy.NotConnected || o == policy.NotSent
 	t.out = false
 	t.server.out--
 	w.judge.Ended(t.of, t.wire, never)
 	s := t.sidecar
-	n, id := policy.PushNo(t.pushes-1), t.server.id
+	n, id := policy.AttemptNo(t.pushes-1), t.server.id
 	over := !t.owed
-	s.decider.PushEnded(w.now, t.handle, n, id, o, w.now-t.pushed, over)
+	s.decider.AttemptEnded(w.now, t.handle, n, id, o, w.now-t.pushed, over)
 	w.let(i)
 }
--- a/internal/emulator/baseline/baseline.go
+++ b/internal/emulator/baseline/baseline.go
@@ -23,7 +23,7 @@
 
 // Maker gives the maker of a policy by its name.
 func Maker(name string) (emulator.Maker, error) {
-	choose, known := map[string]func(b *base, t *ticket) policy.ServerID{"random": (*base).random, "ring": (*base).ring,
+	choose, known := map[string]func(b *base, t *ticket) policy.EndpointID{"random": (*base).random, "ring": (*base).ring,
 		"fewest": (*base).fewest, "two": (*base).two, "table": (*base).table, "seeing": (*base).seeing}[name]
 	switch {
 	case name == "module":
@@ -31,11 +31,11 @@
 	case !known:
 		return nil, fmt.Errorf("policy: found %q, allowed %s", name, strings.Join(Names, ", "))
 	}
-	return func(front policy.Front, c *policy.Campaign, seed uint64, now policy.Time, view emulator.View) emulator.Decider {
+	return func(front policy.Front, c *policy.Settings, seed uint64, now policy.Time, view emulator.View) emulator.Decider {
 		chance := rand.New(rand.NewPCG(seed, 0x62617365))
 		// From one start for all, instances would go round in step.
 		return &base{front: front, c: c, view: view, chance: chance, choose: choose, turn: chance.IntN(math.MaxInt32),
-			servers: map[policy.ServerID]*server{}, bare: name == "table"}
+			servers: map[policy.EndpointID]*server{}, bare: name == "table"}
 	}, nil
 }
 
@@ -48,14 +48,14 @@
 	inUse    bool
 	place    uint32
 	gen      uint32
-	o        policy.OfferingID
+	o        policy.ClassID
 	key      string
 	hash     uint64
 	cutOff   policy.Time
 	answered bool
 	out      bool
 	pushes   int
-	tried    []policy.ServerID
+	tried    []policy.EndpointID
 	ran      bool
 	ranAt    policy.Time
 	ranOn    policy.Member
@@ -66,12 +66,12 @@
 
 type base struct {
 	front   policy.Front
-	c       *policy.Campaign
+	c       *policy.Settings
 	view    emulator.View
 	chance  *rand.Rand
-	choose  func(b *base, t *ticket) policy.ServerID
-	servers map[policy.ServerID]*server
-	ready   []policy.ServerID // by id
+	choose  func(b *base, t *ticket) policy.EndpointID
+	servers map[policy.EndpointID]*server
+	ready   []policy.EndpointID // by id
 	turn    int
 	now     policy.Time
 	slab    []*ticket
@@ -82,7 +82,7 @@
 }
 
 // none is no server.
-const none policy.ServerID = 0
+const none policy.EndpointID = 0
 
 func (b *base) List(now policy.Time, kind policy.ListKind, members []policy.Member) {
 	if kind != policy.ListChanges {
@@ -124,7 +124,7 @@
 
 func (b *base) ListFailed(policy.Time) { b.front.FollowList(true) }
 
-func (b *base) Admit(now policy.Time, o policy.OfferingID, _ policy.FranchiseID, key string, _ bool, left policy.Time) policy.Handle {
+func (b *base) Admit(now policy.Time, o policy.ClassID, _ policy.TenantID, key string, _ bool, left policy.Time) policy.Handle {
 	if len(b.free) == 0 {
 		b.slab = append(b.slab, &ticket{place: uint32(len(b.slab))})
 		b.free = append(b.free, uint32(len(b.slab)-1))
@@ -154,13 +154,13 @@
 
 func (b *base) place(now policy.Time, t *ticket) {
 	b.now = now
-	if now < t.cutOff-b.margin() && t.pushes < b.c.MaxPushes {
+	if now < t.cutOff-b.margin() && t.pushes < b.c.MaxAttempts {
 		if id := b.choose(b, t); id != none {
 			t.pushes++
 			t.tried = append(t.tried, id)
 			t.out, t.sentAt = true, now
 			b.servers[id].out++
-			b.front.Push(t.handle(), id, t.cutOff-b.margin()-now)
+			b.front.Attempt(t.handle(), id, t.cutOff-b.margin()-now)
 			b.wake(now, t.cutOff-b.margin())
 			return
 		}
@@ -169,12 +169,12 @@
 }
 
 func (b *base) refuse(t *ticket) {
-	o := &b.c.Offerings[t.o]
+	o := &b.c.Classes[t.o]
 	t.answered = true
-	if !t.ran && !t.out || o.Repeats == policy.Reissuable || o.Repeats == policy.Numbered && o.Group == policy.GroupAll {
-		b.front.TurnBack(t.handle(), min(b.c.Advice, o.Quoted))
+	if !t.ran && !t.out || o.Idempotency == policy.Idempotent || o.Idempotency == policy.Keyed && o.Group == policy.GroupAll {
+		b.front.Reject(t.handle(), min(b.c.MaxRetryAfter, o.Target))
 	} else {
-		b.front.GiveUp(t.handle())
+		b.front.Fail(t.handle())
 	}
 	b.let(t)
 }
@@ -186,7 +186,7 @@
 	}
 }
 
-func (b *base) PushEnded(now policy.Time, h policy.Handle, n policy.PushNo, id policy.ServerID, o policy.Outcome, _ policy.Time,
+func (b *base) AttemptEnded(now policy.Time, h policy.Handle, n policy.AttemptNo, id policy.EndpointID, o policy.Outcome, _ policy.Time,
 	over bool) {
 	t := b.held(h)
 	if t == nil {
@@ -199,13 +199,13 @@
 		b.let(t)
 		return
 	}
-	if o == policy.Honoured || o == policy.Declined {
+	if o == policy.Succeeded || o == policy.Declined {
 		t.answered = true
-		b.front.Honour(h, n)
+		b.front.Succeed(h, n)
 		b.let(t)
 		return
 	}
-	if never := o == policy.TurnedAway || o == policy.NotConnected || o == policy.NotSent; !never && !t.ran {
+	if never := o == policy.Rejected || o == policy.NotConnected || o == policy.NotSent; !never && !t.ran {
 		t.ran, t.ranAt, t.ranOn = true, t.sentAt, s.Member
 	}
 	b.place(now, t)
@@ -221,7 +221,7 @@
 
 func (b *base) callOff(t *ticket) {
 	if t.out && b.c.MayCancel {
-		b.front.Cancel(t.handle(), policy.PushNo(t.pushes-1))
+		b.front.Cancel(t.handle(), policy.AttemptNo(t.pushes-1))
 	}
 }
 
@@ -251,23 +251,23 @@
 }
 
 // allowed keeps the rules on drains and repeats, and sends no ticket twice to one server.
-func (b *base) allowed(t *ticket, id policy.ServerID) bool {
+func (b *base) allowed(t *ticket, id policy.EndpointID) bool {
 	s := b.servers[id]
 	if s == nil || s.Standing != policy.Ready || slices.Contains(t.tried, id) {
 		return false
 	}
-	o := &b.c.Offerings[t.o]
-	if !t.ran || o.Repeats == policy.Reissuable {
+	o := &b.c.Classes[t.o]
+	if !t.ran || o.Idempotency == policy.Idempotent {
 		return true
 	}
-	return o.Repeats == policy.Numbered && b.now+b.margin() < t.ranAt+o.Window &&
+	return o.Idempotency == policy.Keyed && b.now+b.margin() < t.ranAt+o.Window &&
 		(o.Group == policy.GroupAll || o.Group == policy.GroupZone && s.Zone == t.ranOn.Zone ||
 			o.Group == policy.GroupCell && s.Cell == t.ranOn.Cell)
 }
 
 // ---- the policies ----
 
-func (b *base) from(t *ticket, at int) policy.ServerID {
+func (b *base) from(t *ticket, at int) policy.EndpointID {
 	for i := range b.ready {
 		if id := b.ready[(at+i)%len(b.ready)]; b.allowed(t, id) {
 			return id
@@ -276,19 +276,19 @@
 	return none
 }
 
-func (b *base) random(t *ticket) policy.ServerID {
+func (b *base) random(t *ticket) policy.EndpointID {
 	if len(b.ready) == 0 {
 		return none
 	}
 	return b.from(t, b.chance.IntN(len(b.ready)))
 }
 
-func (b *base) ring(t *ticket) policy.ServerID {
+func (b *base) ring(t *ticket) policy.EndpointID {
 	b.turn++
 	return b.from(t, b.turn)
 }
 
-func (b *base) fewest(t *ticket) policy.ServerID {
+func (b *base) fewest(t *ticket) policy.EndpointID {
 	best := none
 	at := 0
 	if len(b.ready) > 0 {
@@ -303,7 +303,7 @@
 	return best
 }
 
-func (b *base) two(t *ticket) policy.ServerID {
+func (b *base) two(t *ticket) policy.EndpointID {
 	x, y := b.random(t), b.random(t)
 	if x != none && y != none && b.servers[y].out < b.servers[x].out {
 		return y
@@ -311,16 +311,16 @@
 	return x
 }
 
-func (b *base) table(t *ticket) policy.ServerID {
+func (b *base) table(t *ticket) policy.EndpointID {
 	if b.slots == nil {
 		return none
 	}
-	return b.slots.Walk(t.hash, func(id policy.ServerID) bool { return b.allowed(t, id) })
+	return b.slots.Walk(t.hash, func(id policy.EndpointID) bool { return b.allowed(t, id) })
 }
 
-func (b *base) seeing(t *ticket) policy.ServerID {
-	id, left, any := b.view.Best(b.now, b.c.Zone, t.o, t.key, func(id policy.ServerID) bool { return b.allowed(t, id) })
-	if !any || left > b.c.Offerings[t.o].Quoted && t.pushes == 0 {
+func (b *base) seeing(t *ticket) policy.EndpointID {
+	id, left, any := b.view.Best(b.now, b.c.Zone, t.o, t.key, func(id policy.EndpointID) bool { return b.allowed(t, id) })
+	if !any || left > b.c.Classes[t.o].Target && t.pushes == 0 {
 		return none // it would come too late to be worth much, and cost others their turn
 	}
 	return id
@@ -329,21 +329,21 @@
 // Slots is the design's table with nothing around it, dealt in the plainest way: joiners in id order, each taking in seeded order
 // only slots that others hold above their new share, for whoever is furthest below.
 type Slots struct {
-	table  []policy.ServerID
+	table  []policy.EndpointID
 	order  []int
-	ids    []policy.ServerID
-	weight map[policy.ServerID]float64
-	held   map[policy.ServerID]int
+	ids    []policy.EndpointID
+	weight map[policy.EndpointID]float64
+	held   map[policy.EndpointID]int
 }
 
 // NewSlots makes an empty table.
 func NewSlots(n int) *Slots {
-	return &Slots{table: make([]policy.ServerID, n), order: rand.New(rand.NewPCG(1, 2)).Perm(n),
-		weight: map[policy.ServerID]float64{}, held: map[policy.ServerID]int{}}
+	return &Slots{table: make([]policy.EndpointID, n), order: rand.New(rand.NewPCG(1, 2)).Perm(n),
+		weight: map[policy.EndpointID]float64{}, held: map[policy.EndpointID]int{}}
 }
 
 // Join adds a server, or does nothing if it is there.
-func (s *Slots) Join(id policy.ServerID, weight float64) {
+func (s *Slots) Join(id policy.EndpointID, weight float64) {
 	if _, there := s.weight[id]; there {
 		return
 	}
@@ -354,7 +354,7 @@
 	for _, w := range s.weight {
 		total += w
 	}
-	share := map[policy.ServerID]int{}
+	share := map[policy.EndpointID]int{}
 	sum, given := 0.0, 0
 	for _, one := range s.ids {
 		sum += s.weight[one]
@@ -375,8 +375,8 @@
 }
 
 // Walk gives the first server from the hash's slot on that is allowed.
-func (s *Slots) Walk(hash uint64, allowed func(policy.ServerID) bool) policy.ServerID {
-	seen := map[policy.ServerID]bool{}
+func (s *Slots) Walk(hash uint64, allowed func(policy.EndpointID) bool) policy.EndpointID {
+	seen := map[policy.EndpointID]bool{}
 	for i := range s.table {
 		id := s.table[(hash+uint64(i))%uint64(len(s.table))]
 		if id == none || seen[id] {
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -57,10 +57,10 @@
 		r := w.newRequest()
 		q := &w.requests[r]
 		q.sidecar = e.a
-		q.offering = policy.OfferingID(pick(w.cumShare, s.mix.Float64()))
-		q.franchise = policy.NoFranchise
+		q.offering = policy.ClassID(pick(w.cumShare, s.mix.Float64()))
+		q.franchise = policy.NoTenant
 		if len(w.cumFr) > 0 {
-			q.franchise = policy.FranchiseID(pick(w.cumFr, s.mix.Float64()))
+			q.franchise = policy.TenantID(pick(w.cumFr, s.mix.Float64()))
 		}
 		if s.keys.Float64() >= w.sc.Load.Keyless {
 			q.key = w.keys.draw(s.keys)
@@ -69,7 +69,7 @@
 			q.key = 1 << 40
 		}
 		w.dress(q, s.sizes)
-		q.cutOff = w.now + w.sc.Offerings[q.offering].CutOff
+		q.cutOff = w.now + w.sc.Offerings[q.offering].Deadline
 		w.ask(r)
 	}
 	s.nextArrival()
@@ -216,7 +216,7 @@
 func (w *World) again(r int32, harmless bool, advice policy.Time) {
 	q := &w.requests[r]
 	o := &w.sc.Offerings[q.offering]
-	if q.tries > w.sc.Clients.Retries || !harmless && o.Repeats == policy.AtMostOnce {
+	if q.tries > w.sc.Clients.Retries || !harmless && o.Idempotency == policy.NonIdempotent {
 		w.over(r)
 		return
 	}
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -102,16 +102,16 @@
 	// One server, no jitter: 1 ms there, 10 ms of work, 1 ms back; the push may take as long.
 	sc := read(t, "name = \"x\"\nlength = \"1s\"\n[fleet]\nservers = 1\nsidecars = 1\n[[kind]]\nname = \"k\"\ncores = 1000\n[load]\nrate = 1.0\n"+
 		"[network]\nnear = \"1ms\"\nhandshakes = 0\nclient = \"0s\"\n[[offering]]\nname = \"o\"\nquoted_time = \"27ms\"\ncut_off = \"27ms\"\nwork = \"10ms\"\n")
-	sc.Arrivals = []emulator.Arrival{{At: policy.Second / 2, Franchise: policy.NoFranchise, Left: 27 * policy.Millisecond, Size: 1, SizeIO: 1}}
+	sc.Arrivals = []emulator.Arrival{{At: policy.Second / 2, Franchise: policy.NoTenant, Left: 27 * policy.Millisecond, Size: 1, SizeIO: 1}}
 	var ended []policy.Outcome
-	maker := func(front policy.Front, _ *policy.Campaign, _ uint64, _ policy.Time, _ emulator.View) emulator.Decider {
+	maker := func(front policy.Front, _ *policy.Settings, _ uint64, _ policy.Time, _ emulator.View) emulator.Decider {
 		return &script{front: front, wait: 12 * policy.Millisecond, ended: &ended}
 	}
-	if v := emulator.New(sc, 1, maker, nil).Run(); v.Honoured != 1 || !v.Kept() || ended[0] != policy.Honoured {
+	if v := emulator.New(sc, 1, maker, nil).Run(); v.Honoured != 1 || !v.Kept() || ended[0] != policy.Succeeded {
 		t.Errorf("%+v, %v", v, ended)
 	}
 	ended = nil
-	maker = func(front policy.Front, _ *policy.Campaign, _ uint64, _ policy.Time, _ emulator.View) emulator.Decider {
+	maker = func(front policy.Front, _ *policy.Settings, _ uint64, _ policy.Time, _ emulator.View) emulator.Decider {
 		return &script{front: front, wait: 12*policy.Millisecond - 1, ended: &ended}
 	}
 	if v := emulator.New(sc, 1, maker, nil).Run(); v.GivenUp != 1 || ended[0] != policy.TimedOut {
@@ -122,22 +122,22 @@
 // script is a decider that pushes once.
 type script struct {
 	front policy.Front
-	id    policy.ServerID
+	id    policy.EndpointID
 	wait  policy.Time
 	ended *[]policy.Outcome
 }
 
 func (s *script) List(_ policy.Time, _ policy.ListKind, m []policy.Member) { s.id = m[0].ID }
 func (s *script) ListFailed(policy.Time)                                   {}
-func (s *script) Admit(policy.Time, policy.OfferingID, policy.FranchiseID, string, bool, policy.Time) policy.Handle {
+func (s *script) Admit(policy.Time, policy.ClassID, policy.TenantID, string, bool, policy.Time) policy.Handle {
 	return 0
 }
-func (s *script) Begin(_ policy.Time, h policy.Handle) { s.front.Push(h, s.id, s.wait) }
-func (s *script) PushEnded(_ policy.Time, h policy.Handle, n policy.PushNo, _ policy.ServerID, o policy.Outcome, _ policy.Time, _ bool) {
-	if *s.ended = append(*s.ended, o); o == policy.Honoured {
-		s.front.Honour(h, n)
+func (s *script) Begin(_ policy.Time, h policy.Handle) { s.front.Attempt(h, s.id, s.wait) }
+func (s *script) AttemptEnded(_ policy.Time, h policy.Handle, n policy.AttemptNo, _ policy.EndpointID, o policy.Outcome, _ policy.Time, _ bool) {
+	if *s.ended = append(*s.ended, o); o == policy.Succeeded {
+		s.front.Succeed(h, n)
 	} else {
-		s.front.GiveUp(h)
+		s.front.Fail(h)
 	}
 }
 func (s *script) ClientLeft(policy.Time, policy.Handle) {}
--- a/internal/emulator/front.go
+++ b/internal/emulator/front.go
@@ -13,8 +13,8 @@
 	return i, &s.w.tries[i]
 }
 
-// Push sends a push: on a connection that stands idle, or on a new one.
-func (s *sidecar) Push(h policy.Handle, id policy.ServerID, wait policy.Time) {
+// Attempt sends a push: on a connection that stands idle, or on a new one.
+func (s *sidecar) Attempt(h policy.Handle, id policy.EndpointID, wait policy.Time) {
 	w := s.w
 	i, t := s.by(h)
 	v := w.byID[id]
@@ -74,19 +74,19 @@
 func (w *World) idleFor(e *event) { w.sidecars[e.a].closeIdle(w.servers[e.b]) }
 
 // Cancel calls a push off.
-func (s *sidecar) Cancel(h policy.Handle, n policy.PushNo) {
+func (s *sidecar) Cancel(h policy.Handle, n policy.AttemptNo) {
 	i, t := s.by(h)
 	if t.out && int(n) == t.pushes-1 {
 		s.w.queue.add(event{at: s.w.now, rank: rankEnd, do: (*World).calledOff, a: i, c: t.pushID})
 	}
 }
 
-// Honour, TurnBack and GiveUp are final answers: they reach the client after the way back.
-func (s *sidecar) Honour(h policy.Handle, _ policy.PushNo) { s.answer(h, judge.Honoured, 0) }
-func (s *sidecar) TurnBack(h policy.Handle, retryIn policy.Time) {
+// Succeed, TurnBack and GiveUp are final answers: they reach the client after the way back.
+func (s *sidecar) Succeed(h policy.Handle, _ policy.AttemptNo) { s.answer(h, judge.Honoured, 0) }
+func (s *sidecar) Reject(h policy.Handle, retryIn policy.Time) {
 	s.answer(h, judge.TurnedBack, retryIn)
 }
-func (s *sidecar) GiveUp(h policy.Handle) { s.answer(h, judge.GivenUp, 0) }
+func (s *sidecar) Fail(h policy.Handle) { s.answer(h, judge.GivenUp, 0) }
 
 func (s *sidecar) answer(h policy.Handle, a judge.Answer, retryIn policy.Time) {
 	w := s.w
@@ -143,6 +143,6 @@
 	}
 }
 
-func (s *sidecar) Release(policy.ServerID) {}
-func (s *sidecar) Forget(policy.ServerID)  {}
-func (s *sidecar) Log(string)              {}
+func (s *sidecar) Release(policy.EndpointID) {}
+func (s *sidecar) Forget(policy.EndpointID)  {}
+func (s *sidecar) Log(string)                {}
--- a/internal/emulator/judge/judge.go
+++ b/internal/emulator/judge/judge.go
@@ -33,7 +33,7 @@
 
 // Facts are what the judge must know of the fleet beforehand.
 type Facts struct {
-	Offerings []policy.Offering
+	Offerings []policy.Class
 	Sidecars  int
 	MaxPushes int
 	Grace     policy.Time // for pushes after a server was told to drain or to be gone
@@ -73,7 +73,7 @@
 	passed   bool // its cut-off
 	no       uint64
 	sidecar  Sidecar
-	offering policy.OfferingID
+	offering policy.ClassID
 	cutOff   policy.Time
 	pushes   []push
 	out      int
@@ -82,8 +82,8 @@
 
 type request struct {
 	at        policy.Time
-	offering  policy.OfferingID
-	franchise policy.FranchiseID
+	offering  policy.ClassID
+	franchise policy.TenantID
 	credit    float64
 	got       float64
 	open      int // tries under way
@@ -167,7 +167,7 @@
 // ---- requests and tickets ----
 
 // Asked is told of a request when a client first sends it; credit is what an answer in time is worth.
-func (j *Judge) Asked(at policy.Time, o policy.OfferingID, f policy.FranchiseID, credit float64) Request {
+func (j *Judge) Asked(at policy.Time, o policy.ClassID, f policy.TenantID, credit float64) Request {
 	var r Request
 	if n := len(j.freeR); n > 0 {
 		r = j.freeR[n-1]
@@ -210,7 +210,7 @@
 }
 
 // Accepted is told of a try that a sidecar has taken in hand: the ticket. A final answer is owed before the cut-off.
-func (j *Judge) Accepted(at policy.Time, r Request, s Sidecar, o policy.OfferingID, cutOff policy.Time) Ticket {
+func (j *Judge) Accepted(at policy.Time, r Request, s Sidecar, o policy.ClassID, cutOff policy.Time) Ticket {
 	var t Ticket
 	if n := len(j.free); n > 0 {
 		t = j.free[n-1]
@@ -239,7 +239,7 @@
 		j.fail(1, at, k.no, "answered %v after its cut-off", span(at-k.cutOff))
 	}
 	o := &j.facts.Offerings[k.offering]
-	if a == TurnedBack && !(o.Repeats == policy.Reissuable || o.Repeats == policy.Numbered && o.Group == policy.GroupAll) {
+	if a == TurnedBack && !(o.Idempotency == policy.Idempotent || o.Idempotency == policy.Keyed && o.Group == policy.GroupAll) {
 		// Its client comes again, with a ticket that no server can tell from another.
 		for _, p := range k.pushes {
 			if p.ran || p.out {
@@ -253,11 +253,11 @@
 	q := &j.requests[r]
 	if a == Honoured && q.got == 0 {
 		switch {
-		case at <= q.at+o.Quoted:
+		case at <= q.at+o.Target:
 			q.got = q.credit
 		default:
 			j.late++
-			q.got = q.credit * o.LateCredit
+			q.got = q.credit * o.LateValue
 		}
 	}
 	q.open--
@@ -324,11 +324,11 @@
 			continue
 		}
 		switch {
-		case o.Repeats == policy.AtMostOnce:
+		case o.Idempotency == policy.NonIdempotent:
 			j.fail(2, at, k.no, "at-most-once, pushed to server %d though it may have run at server %d", to, p.server)
-		case o.Repeats == policy.Numbered && at > p.at+o.Window:
+		case o.Idempotency == policy.Keyed && at > p.at+o.Window:
 			j.fail(2, at, k.no, "pushed again %v after the first push that may have run, window %v", span(at-p.at), span(o.Window))
-		case o.Repeats == policy.Numbered && (o.Group == policy.GroupZone && p.zone != zone ||
+		case o.Idempotency == policy.Keyed && (o.Group == policy.GroupZone && p.zone != zone ||
 			o.Group == policy.GroupCell && p.cell != cell):
 			j.fail(2, at, k.no, "pushed to server %d, outside of the group of server %d where it may have run", to, p.server)
 		default:
--- a/internal/emulator/judge/judge_test.go
+++ b/internal/emulator/judge/judge_test.go
@@ -11,11 +11,11 @@
 const sec = policy.Second
 
 func newJudge() *Judge {
-	o := func(name string, r policy.Repeats, g policy.Group) policy.Offering {
-		return policy.Offering{Name: name, Credit: 1, LateCredit: 0.5, Quoted: sec, Repeats: r, Group: g, Window: 2 * sec}
+	o := func(name string, r policy.Idempotency, g policy.Group) policy.Class {
+		return policy.Class{Name: name, Value: 1, LateValue: 0.5, Target: sec, Idempotency: r, Group: g, Window: 2 * sec}
 	}
-	return New(Facts{Offerings: []policy.Offering{o("reissuable", policy.Reissuable, 0), o("all", policy.Numbered, policy.GroupAll),
-		o("zone", policy.Numbered, policy.GroupZone), o("pod", policy.Numbered, policy.GroupCell), o("once", policy.AtMostOnce, 0)},
+	return New(Facts{Offerings: []policy.Class{o("reissuable", policy.Idempotent, 0), o("all", policy.Keyed, policy.GroupAll),
+		o("zone", policy.Keyed, policy.GroupZone), o("pod", policy.Keyed, policy.GroupCell), o("once", policy.NonIdempotent, 0)},
 		Sidecars: 2, MaxPushes: 3, Grace: sec, Fall: 3, FallIn: sec, Length: 60 * sec}, []string{"north"})
 }
 
@@ -27,7 +27,7 @@
 	at policy.Time
 }
 
-func accept(j *Judge, o policy.OfferingID) *history {
+func accept(j *Judge, o policy.ClassID) *history {
 	h := &history{j: j, at: 10 * sec}
 	h.r = j.Asked(h.at, o, 0, 1)
 	h.t = j.Accepted(h.at, h.r, 0, o, h.at+4*sec)
--- a/internal/emulator/plan.go
+++ b/internal/emulator/plan.go
@@ -7,11 +7,11 @@
 
 func (idle) List(policy.Time, policy.ListKind, []policy.Member) {}
 func (idle) ListFailed(policy.Time)                             {}
-func (idle) Admit(policy.Time, policy.OfferingID, policy.FranchiseID, string, bool, policy.Time) policy.Handle {
+func (idle) Admit(policy.Time, policy.ClassID, policy.TenantID, string, bool, policy.Time) policy.Handle {
 	return 0
 }
 func (idle) Begin(policy.Time, policy.Handle) {}
-func (idle) PushEnded(policy.Time, policy.Handle, policy.PushNo, policy.ServerID, policy.Outcome, policy.Time, bool) {
+func (idle) AttemptEnded(policy.Time, policy.Handle, policy.AttemptNo, policy.EndpointID, policy.Outcome, policy.Time, bool) {
 }
 func (idle) ClientLeft(policy.Time, policy.Handle) {}
 func (idle) Woken(policy.Time)                     {}
@@ -19,7 +19,7 @@
 // Plan gives what clients ask for on a day, the very requests that a World of that seed plays.
 func Plan(sc *Scenario, seed uint64) []Arrival {
 	var all []Arrival
-	w := New(sc, seed, func(policy.Front, *policy.Campaign, uint64, policy.Time, View) Decider { return idle{} }, nil)
+	w := New(sc, seed, func(policy.Front, *policy.Settings, uint64, policy.Time, View) Decider { return idle{} }, nil)
 	w.planned = &all
 	w.Run()
 	return all
@@ -46,8 +46,8 @@
 }
 
 // Of counts a request and gives its credit.
-func (c *Credit) Of(now policy.Time, o policy.OfferingID, f policy.FranchiseID) float64 {
-	credit := c.sc.Offerings[o].Credit
+func (c *Credit) Of(now policy.Time, o policy.ClassID, f policy.TenantID) float64 {
+	credit := c.sc.Offerings[o].Value
 	if f >= 0 && c.use[f].count(now) > 1.1*c.most[f] {
 		credit *= c.sc.Beyond
 	}
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -107,7 +107,7 @@
 
 // Offering is a kind of request.
 type Offering struct {
-	policy.Offering
+	policy.Class
 	Share  float64     // of the requests
 	Work   policy.Time // mean, of a core at speed 1
 	IO     policy.Time // mean
@@ -168,8 +168,8 @@
 type Arrival struct {
 	At        policy.Time
 	Sidecar   int
-	Offering  policy.OfferingID
-	Franchise policy.FranchiseID
+	Offering  policy.ClassID
+	Franchise policy.TenantID
 	Key       uint64 // 0: none
 	Left      policy.Time
 	Repeat    bool
@@ -330,14 +330,14 @@
 		t.Require("name", "quoted_time", "cut_off", "work")
 		o := Offering{Share: t.Real("share", 1, 1e-6, 1e6), Work: t.Span("work", policy.Millisecond, 1000, 600*policy.Second),
 			IO: t.Span("io", 0, 0, 600*policy.Second), Spread: t.Real("spread", 0, 0, 5)}
-		o.Offering = policy.Offering{Name: t.Text("name", ""), Credit: t.Real("credit", 1, 1e-6, 1e9),
-			LateCredit: t.Real("late_credit", 0, 0, 1), Quoted: t.Span("quoted_time", policy.Second, policy.Millisecond, day),
-			Repeats: policy.Repeats(t.OneOf("repeats", 0, "reissuable", "numbered", "at-most-once")),
-			Group:   policy.Group(t.OneOf("group", 0, "all", "zone", "pod")), Window: t.Span("window", 0, 0, day)}
-		if o.CutOff = t.Span("cut_off", o.Quoted, policy.Millisecond, day); o.CutOff < o.Quoted {
+		o.Class = policy.Class{Name: t.Text("name", ""), Value: t.Real("credit", 1, 1e-6, 1e9),
+			LateValue: t.Real("late_credit", 0, 0, 1), Target: t.Span("quoted_time", policy.Second, policy.Millisecond, day),
+			Idempotency: policy.Idempotency(t.OneOf("repeats", 0, "reissuable", "numbered", "at-most-once")),
+			Group:       policy.Group(t.OneOf("group", 0, "all", "zone", "pod")), Window: t.Span("window", 0, 0, day)}
+		if o.Deadline = t.Span("cut_off", o.Target, policy.Millisecond, day); o.Deadline < o.Target {
 			t.Fault("cut_off", t.Found("cut_off"), "at least the quoted time")
 		}
-		if o.Repeats == policy.Numbered {
+		if o.Idempotency == policy.Keyed {
 			t.Require("window")
 		}
 		t.Done()
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -13,7 +13,7 @@
 type server struct {
 	w          *World
 	no         judge.Server
-	id         policy.ServerID
+	id         policy.EndpointID
 	uid        string
 	kind       *Kind
 	traits     machine.Traits
--- a/internal/emulator/sidecar.go
+++ b/internal/emulator/sidecar.go
@@ -12,8 +12,8 @@
 type request struct {
 	inUse     bool
 	of        judge.Request
-	offering  policy.OfferingID
-	franchise policy.FranchiseID
+	offering  policy.ClassID
+	franchise policy.TenantID
 	sidecar   int32
 	key       uint64
 	size      float64 // of its work against the mean
@@ -74,7 +74,7 @@
 	gust    float64 // this second's factor
 	gustAt  policy.Time
 	seeds   *rand.Rand
-	base    *policy.Campaign
+	base    *policy.Settings
 }
 
 // view is what a sidecar was told of a server.
--- a/internal/emulator/view.go
+++ b/internal/emulator/view.go
@@ -9,12 +9,12 @@
 // View is the true state of the fleet, which no sidecar can see. Only an upper mark is given it.
 type View interface {
 	// Best is the server where the work would be done first, of those that allowed says yes to; false: there is none.
-	Best(now policy.Time, zone policy.Zone, o policy.OfferingID, key string, allowed func(policy.ServerID) bool) (policy.ServerID, policy.Time, bool)
+	Best(now policy.Time, zone policy.Zone, o policy.ClassID, key string, allowed func(policy.EndpointID) bool) (policy.EndpointID, policy.Time, bool)
 }
 
 // Best looks at every server as it really is.
-func (w *World) Best(now policy.Time, zone policy.Zone, o policy.OfferingID, key string,
-	allowed func(policy.ServerID) bool) (policy.ServerID, policy.Time, bool) {
+func (w *World) Best(now policy.Time, zone policy.Zone, o policy.ClassID, key string,
+	allowed func(policy.EndpointID) bool) (policy.EndpointID, policy.Time, bool) {
 	best, least := (*server)(nil), policy.Time(math.MaxInt64)
 	k := uint64(0)
 	if key != "" {
@@ -33,7 +33,7 @@
 		left := v.machine.Left(now, k, of.Work, of.IO)
 		left += policy.Time(float64(coming) / v.traits.Cores * float64(of.Work) / (v.traits.Speed * max(0.05, v.machine.Warmth(now))))
 		if v.zone != zone {
-			left += 2*w.sc.Network.Far + policy.Time(w.sc.Allow.CrossPrice*float64(of.Quoted))
+			left += 2*w.sc.Network.Far + policy.Time(w.sc.Allow.CrossPrice*float64(of.Target))
 		}
 		if v.machine.Cold(now) && v.traits.Fall > 0 && !v.machine.Bears(now, of.Work*policy.Time(2*coming+1)) {
 			continue
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -16,18 +16,18 @@
 type Decider interface {
 	List(now policy.Time, kind policy.ListKind, members []policy.Member)
 	ListFailed(now policy.Time)
-	Admit(now policy.Time, o policy.OfferingID, f policy.FranchiseID, key string, repeat bool, left policy.Time) policy.Handle
+	Admit(now policy.Time, o policy.ClassID, f policy.TenantID, key string, repeat bool, left policy.Time) policy.Handle
 	Begin(now policy.Time, h policy.Handle)
-	PushEnded(now policy.Time, h policy.Handle, n policy.PushNo, id policy.ServerID, o policy.Outcome, spent policy.Time, over bool)
+	AttemptEnded(now policy.Time, h policy.Handle, n policy.AttemptNo, id policy.EndpointID, o policy.Outcome, spent policy.Time, over bool)
 	ClientLeft(now policy.Time, h policy.Handle)
 	Woken(now policy.Time)
 }
 
 // Maker makes the decider of one sidecar. view is the true state of the fleet, for marks that no sidecar can reach.
-type Maker func(front policy.Front, c *policy.Campaign, seed uint64, now policy.Time, view View) Decider
+type Maker func(front policy.Front, c *policy.Settings, seed uint64, now policy.Time, view View) Decider
 
 // Module makes the decision module.
-func Module(front policy.Front, c *policy.Campaign, seed uint64, now policy.Time, _ View) Decider {
+func Module(front policy.Front, c *policy.Settings, seed uint64, now policy.Time, _ View) Decider {
 	return policy.New(front, c, seed, now)
 }
 
@@ -43,10 +43,10 @@
 	judge    *judge.Judge
 	facts    judge.Facts
 	names    []string        // of the franchises
-	campaign policy.Campaign // but for the zone
+	campaign policy.Settings // but for the zone
 	servers  []*server
 	pods     []*pod
-	byID     map[policy.ServerID]*server
+	byID     map[policy.EndpointID]*server
 	sidecars []*sidecar
 	requests []request
 	freeReq  []int32
@@ -77,7 +77,7 @@
 
 // Sampler is told of figures that a report shows; nil: none are kept.
 type Sampler interface {
-	Answer(o policy.OfferingID, a judge.Answer, spent policy.Time)
+	Answer(o policy.ClassID, a judge.Answer, spent policy.Time)
 }
 
 // Sample is what a moment looked like, once a second.
@@ -106,13 +106,13 @@
 
 // New sets a day up.
 func New(sc *Scenario, seed uint64, make Maker, sample Sampler) *World {
-	w := &World{sc: sc, seed: seed, now: start, byID: map[policy.ServerID]*server{}, darkZone: map[policy.Zone]int{},
+	w := &World{sc: sc, seed: seed, now: start, byID: map[policy.EndpointID]*server{}, darkZone: map[policy.Zone]int{},
 		factor: 1, sample: sample, noise: stream(seed, "network", 0)}
 	w.draws.faults, w.draws.retries = stream(seed, "faults", 0), stream(seed, "retries", 0)
 	w.draws.errors = stream(seed, "errors", 0)
-	w.campaign = policy.Campaign{Sidecars: sc.Sidecars, Zones: len(sc.Zones), Weighted: sc.weighs(), MustAsk: sc.Discovery.Asked,
-		MustAskIn: 10 * policy.Second, MayCancel: sc.Allow.Cancel, MaxPushes: sc.Allow.Pushes, Advice: sc.Allow.Advice,
-		CrossPrice: sc.Allow.CrossPrice, Tick: sc.Tick, ColdShare: 1, BeyondCredit: sc.Beyond, FallMultiple: 3}
+	w.campaign = policy.Settings{Instances: sc.Sidecars, Zones: len(sc.Zones), Weighted: sc.weighs(), MustAsk: sc.Discovery.Asked,
+		MustAskIn: 10 * policy.Second, MayCancel: sc.Allow.Cancel, MaxAttempts: sc.Allow.Pushes, MaxRetryAfter: sc.Allow.Advice,
+		CrossPrice: sc.Allow.CrossPrice, Tick: sc.Tick, ColdShare: 1, BeyondValue: sc.Beyond, FallMultiple: 3}
 	facts := judge.Facts{Sidecars: sc.Sidecars, MaxPushes: sc.Allow.Pushes, Grace: sc.Allow.Grace, Length: sc.Length}
 	for _, k := range sc.Kinds {
 		if k.WarmIn > 0 {
@@ -124,10 +124,10 @@
 		}
 	}
 	for _, o := range sc.Offerings {
-		facts.Offerings = append(facts.Offerings, o.Offering)
+		facts.Offerings = append(facts.Offerings, o.Class)
 		w.cumShare = append(w.cumShare, o.Share)
 	}
-	w.campaign.Offerings = facts.Offerings
+	w.campaign.Classes = facts.Offerings
 	cores := w.fleet()
 	w.rate = sc.Load.Rate
 	if w.rate == 0 {
@@ -139,7 +139,7 @@
 		if quota == 0 {
 			quota = f.Part * w.rate
 		}
-		w.campaign.Franchises = append(w.campaign.Franchises, policy.Franchise{Name: f.Name, Quota: quota})
+		w.campaign.Tenants = append(w.campaign.Tenants, policy.Tenant{Name: f.Name, Quota: quota})
 		w.campaign.Quotas += quota
 		names = append(names, f.Name)
 		w.cumFr = append(w.cumFr, f.Share)
@@ -218,7 +218,7 @@
 func (w *World) Run() *judge.Verdict {
 	longest := policy.Time(0)
 	for _, o := range w.sc.Offerings {
-		longest = max(longest, o.CutOff)
+		longest = max(longest, o.Deadline)
 	}
 	end := start + w.sc.Length + longest*policy.Time(1+w.sc.Clients.Retries) + 2*policy.Second
 	for len(w.queue.all) > 0 && w.queue.all[0].at <= end {
@@ -239,7 +239,7 @@
 func (w *World) Rate() float64 { return w.rate }
 
 // Campaign is what sidecars are told at their start, but for their zone.
-func (w *World) Campaign() policy.Campaign { return w.campaign }
+func (w *World) Campaign() policy.Settings { return w.campaign }
 
 // Events is how many things have happened.
 func (w *World) Events() uint64 { return w.events }
--- a/internal/engine/byhand.go
+++ b/internal/engine/byhand.go
@@ -22,7 +22,7 @@
 const mostSeen = 1 << 16
 
 // saw notes that an id was listed; of very many the oldest are forgotten.
-func (f *members) saw(id policy.ServerID) {
+func (f *members) saw(id policy.EndpointID) {
 	if _, is := f.seen[id]; is {
 		return
 	}
@@ -37,13 +37,13 @@
 }
 
 // Seen are the ids that lists have named, the latest last, for the process that follows.
-func (e *Engine) Seen() []policy.ServerID {
+func (e *Engine) Seen() []policy.EndpointID {
 	f := &e.list
 	return append(slices.Clone(f.order[f.oldest:]), f.order[:f.oldest]...)
 }
 
 // Saw takes over what another process has seen.
-func (e *Engine) Saw(ids []policy.ServerID) {
+func (e *Engine) Saw(ids []policy.EndpointID) {
 	for _, id := range ids {
 		e.list.saw(id)
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -48,15 +48,15 @@
 
 // Latency counts final answers by offering and by how they ended: 0 honoured, 1 declined, 2 turned back, 3 given up.
 type Latency interface {
-	Observe(o policy.OfferingID, answer int, spent policy.Time)
+	Observe(o policy.ClassID, answer int, spent policy.Time)
 	// Named says that this place is that offering's from now on.
-	Named(o policy.OfferingID, name string)
+	Named(o policy.ClassID, name string)
 }
 
 // Post is what an engine is told at its start.
 type Post struct {
 	Seed     uint64
-	Campaign *policy.Campaign
+	Campaign *policy.Settings
 	Source   roster.Source   // of servers
 	Known    []byte          // a list saved earlier, as discovery gives it
 	Leave    policy.Time     // from the first sign of the end to the last answer
@@ -72,13 +72,13 @@
 	front    int // its place
 	Part     any
 	No       uint64 // counts tickets
-	Offering policy.OfferingID
+	Offering policy.ClassID
 	Since    policy.Time // when its last byte came
 	Owed     bool        // to a client that is still there
 	Out      bool        // a push is out, or about to be
-	PushNo   policy.PushNo
+	PushNo   policy.AttemptNo
 	Pushes   int
-	Server   policy.ServerID
+	Server   policy.EndpointID
 	SentAt   policy.Time
 	Wait     Timer
 	Settled  bool   // the final answer is decided on
@@ -88,7 +88,7 @@
 
 // Server is a server as lists tell of it. Parts are the fronts' own, by the order in which these were added.
 type Server struct {
-	ID      policy.ServerID
+	ID      policy.EndpointID
 	UID     string
 	Addr    string
 	Zone    policy.Zone
@@ -113,7 +113,7 @@
 	Counters Counters
 	Tally    Tally
 	labels   [][Results]string // of what is shown, by offering
-	Servers  map[policy.ServerID]*Server
+	Servers  map[policy.EndpointID]*Server
 	Held     int // tickets
 
 	fronts  []Front
@@ -142,8 +142,8 @@
 type step struct {
 	do     func(e *Engine, now policy.Time, t *Ticket, n step)
 	ticket *Ticket
-	server policy.ServerID
-	push   policy.PushNo
+	server policy.EndpointID
+	push   policy.AttemptNo
 	span   policy.Time
 }
 
@@ -156,17 +156,17 @@
 
 // New makes an engine that does not run yet.
 func New(post Post, log *logrus.Logger) *Engine {
-	e := &Engine{Post: post, Logger: log, Clock: clock.New(), Servers: map[policy.ServerID]*Server{}, signal: make(chan struct{}, 1),
+	e := &Engine{Post: post, Logger: log, Clock: clock.New(), Servers: map[policy.EndpointID]*Server{}, signal: make(chan struct{}, 1),
 		asks: make(chan func()), over: make(chan struct{})}
 	e.wake.Do = func(now policy.Time) { e.Module.Woken(now) }
 	e.show.Do = e.publish
-	e.list = members{e: e, news: make(chan told, mostNews), byHand: map[string]hand{}, seen: map[policy.ServerID]struct{}{}}
-	e.Tally.Answered = make([][Results]atomic.Int64, len(post.Campaign.Offerings))
-	for _, o := range post.Campaign.Offerings {
+	e.list = members{e: e, news: make(chan told, mostNews), byHand: map[string]hand{}, seen: map[policy.EndpointID]struct{}{}}
+	e.Tally.Answered = make([][Results]atomic.Int64, len(post.Campaign.Classes))
+	for _, o := range post.Campaign.Classes {
 		e.labels = append(e.labels, [Results]string{label(o.Name, results[0]), label(o.Name, results[1]), label(o.Name, results[2])})
 	}
 	e.names.Store(int64(len(e.labels)))
-	e.configured = post.Campaign.Sidecars
+	e.configured = post.Campaign.Instances
 	e.Module = policy.New(e, post.Campaign, post.Seed, e.Clock.Now())
 	return e
 }
@@ -298,7 +298,7 @@
 		t.Out = false
 		e.recordEnd(now, t, n.outcome, n.spent)
 		t.Pending++
-		e.Module.PushEnded(now, t.Handle, t.PushNo, t.Server, n.outcome, n.spent, t.Settled)
+		e.Module.AttemptEnded(now, t.Handle, t.PushNo, t.Server, n.outcome, n.spent, t.Settled)
 		t.Pending--
 		if !t.Settled || t.Pending == 0 {
 			t.Front.Unneeded(t)
@@ -326,7 +326,7 @@
 }
 
 // Admit hands a ticket to the module. at is when its last byte came, and left how long its client waits from then on.
-func (e *Engine) Admit(now, at policy.Time, t *Ticket, o policy.OfferingID, f policy.FranchiseID, key string, repeat bool,
+func (e *Engine) Admit(now, at policy.Time, t *Ticket, o policy.ClassID, f policy.TenantID, key string, repeat bool,
 	left policy.Time) {
 	e.Counters.Tickets++
 	t.No, t.Offering, t.Since, t.Owed = uint64(e.Counters.Tickets), o, at, true
@@ -447,25 +447,25 @@
 	return n.ticket
 }
 
-func (e *Engine) Push(h policy.Handle, to policy.ServerID, wait policy.Time) {
+func (e *Engine) Attempt(h policy.Handle, to policy.EndpointID, wait policy.Time) {
 	t := e.want(h, step{do: (*Engine).push, server: to, span: wait})
-	t.Out, t.Server, t.PushNo, t.decided = true, to, policy.PushNo(t.Pushes), e.acted()
+	t.Out, t.Server, t.PushNo, t.decided = true, to, policy.AttemptNo(t.Pushes), e.acted()
 	t.Pushes++
 }
 
-func (e *Engine) Cancel(h policy.Handle, n policy.PushNo) {
+func (e *Engine) Cancel(h policy.Handle, n policy.AttemptNo) {
 	e.want(h, step{do: (*Engine).cancel, push: n})
 }
 
-func (e *Engine) Honour(h policy.Handle, _ policy.PushNo) {
+func (e *Engine) Succeed(h policy.Handle, _ policy.AttemptNo) {
 	e.want(h, step{do: func(_ *Engine, now policy.Time, t *Ticket, _ step) { t.Front.Honour(now, t) }}).Settled = true
 }
 
-func (e *Engine) TurnBack(h policy.Handle, retryIn policy.Time) {
+func (e *Engine) Reject(h policy.Handle, retryIn policy.Time) {
 	e.want(h, step{do: func(_ *Engine, now policy.Time, t *Ticket, n step) { t.Front.TurnBack(now, t, n.span) }, span: retryIn}).Settled = true
 }
 
-func (e *Engine) GiveUp(h policy.Handle) {
+func (e *Engine) Fail(h policy.Handle) {
 	e.want(h, step{do: func(_ *Engine, now policy.Time, t *Ticket, _ step) { t.Front.GiveUp(now, t) }}).Settled = true
 }
 
@@ -480,7 +480,7 @@
 func (e *Engine) Log(line string) { e.Logger.Info(line) }
 
 // Release closes what stands idle to a server that stays listed.
-func (e *Engine) Release(id policy.ServerID) {
+func (e *Engine) Release(id policy.EndpointID) {
 	if s := e.Servers[id]; s != nil {
 		for _, f := range e.fronts {
 			f.Retire(s)
@@ -489,7 +489,7 @@
 }
 
 // Forget lets a server go that is listed no more. Its connections, if any are left, close when they are free.
-func (e *Engine) Forget(id policy.ServerID) {
+func (e *Engine) Forget(id policy.EndpointID) {
 	if s := e.Servers[id]; s != nil {
 		e.retire(s)
 		for _, f := range e.fronts {
--- a/internal/engine/members.go
+++ b/internal/engine/members.go
@@ -31,12 +31,12 @@
 	failed  int  // calls in a row
 	refused string
 	byHand  map[string]hand // by uid
-	seen    map[policy.ServerID]struct{}
-	order   []policy.ServerID // of those seen, a ring
+	seen    map[policy.EndpointID]struct{}
+	order   []policy.EndpointID // of those seen, a ring
 	oldest  int
-	banned  []policy.ServerID // by versions
-	closed  bool              // versions say which servers there are
-	own     []roster.Entry    // what the source said last, where there are versions
+	banned  []policy.EndpointID // by versions
+	closed  bool                // versions say which servers there are
+	own     []roster.Entry      // what the source said last, where there are versions
 }
 
 // start runs a source beside the loop.
@@ -182,7 +182,7 @@
 
 // missing retires the servers that a whole list no longer names.
 func (f *members) missing(named []policy.Member) {
-	there := make(map[policy.ServerID]struct{}, len(named))
+	there := make(map[policy.EndpointID]struct{}, len(named))
 	for _, m := range named {
 		there[m.ID] = struct{}{}
 	}
--- a/internal/engine/members_test.go
+++ b/internal/engine/members_test.go
@@ -19,7 +19,7 @@
 func TestServersNeverShareAnID(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	e := New(Post{Campaign: &policy.Campaign{Sidecars: 1}}, log)
+	e := New(Post{Campaign: &policy.Settings{Instances: 1}}, log)
 	m := policy.Member{ID: 7}
 	if !e.list.know(roster.Entry{Member: m, UID: "a", Addr: "127.0.0.1:1"}) ||
 		e.list.know(roster.Entry{Member: m, UID: "b", Addr: "127.0.0.1:2"}) ||
@@ -39,7 +39,7 @@
 		all.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
 				list := roster.List{Kind: policy.ListFull}
-				for id := range policy.ServerID(100) {
+				for id := range policy.EndpointID(100) {
 					list.Entries = append(list.Entries, roster.Entry{Member: policy.Member{ID: id, Weight: float64(1 + (n+int(id))%2)}})
 				}
 				tell(roster.News{List: &list})
@@ -53,7 +53,7 @@
 func TestListsWithoutEndHoldUpNothing(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	e := New(Post{Campaign: &policy.Campaign{Sidecars: 1, Weighted: true}, Source: flood{}}, log)
+	e := New(Post{Campaign: &policy.Settings{Instances: 1, Weighted: true}, Source: flood{}}, log)
 	e.list.start(e.Source)
 	defer e.list.end()
 	for n := 0; len(e.list.news) < mostNews; n++ {
@@ -67,7 +67,7 @@
 
 // A server that had gone before a new version came could not be taken out there: its id was taken for a slip of the pen.
 func TestIdsSeenPassOn(t *testing.T) {
-	old, next := New(Post{Campaign: &policy.Campaign{}}, logrus.New()), New(Post{Campaign: &policy.Campaign{}}, logrus.New())
+	old, next := New(Post{Campaign: &policy.Settings{}}, logrus.New()), New(Post{Campaign: &policy.Settings{}}, logrus.New())
 	for n := range mostSeen + 10 {
 		old.list.saw(listing.IDOf(fmt.Sprint("s-", n)))
 	}
@@ -83,8 +83,8 @@
 // A part of a network that is cut off knows of few sidecars, and must not take the others' part of the budgets; nor may a new configuration.
 func TestBudgetsAreNeverSharedAmongFewer(t *testing.T) {
 	source := &roster.Fixed{Called: "none"}
-	campaign := func(sidecars int) *policy.Campaign {
-		return &policy.Campaign{Sidecars: sidecars, Tick: 5 * policy.Millisecond}
+	campaign := func(sidecars int) *policy.Settings {
+		return &policy.Settings{Instances: sidecars, Tick: 5 * policy.Millisecond}
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -96,8 +96,8 @@
 		if k.renewed > 0 {
 			e.Renew(Post{Campaign: campaign(k.renewed), Source: source})
 		}
-		if e.Campaign.Sidecars != k.want {
-			t.Errorf("step %d: shared among %d, not %d", i, e.Campaign.Sidecars, k.want)
+		if e.Campaign.Instances != k.want {
+			t.Errorf("step %d: shared among %d, not %d", i, e.Campaign.Instances, k.want)
 		}
 	}
 }
--- a/internal/engine/record.go
+++ b/internal/engine/record.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func (e *Engine) recordTicket(now policy.Time, t *Ticket, f policy.FranchiseID, key string, repeat bool, span policy.Time) {
+func (e *Engine) recordTicket(now policy.Time, t *Ticket, f policy.TenantID, key string, repeat bool, span policy.Time) {
 	r := e.Record
 	if r == nil {
 		return
--- a/internal/engine/renew.go
+++ b/internal/engine/renew.go
@@ -11,7 +11,7 @@
 func (e *Engine) Renew(post Post) (alike bool) {
 	if alike = sameShape(post.Campaign, e.Campaign); alike {
 		*e.Campaign = *post.Campaign // where the module reads it
-		e.configured = post.Campaign.Sidecars
+		e.configured = post.Campaign.Instances
 		e.Among(e.there)
 	}
 	e.Post.Leave = post.Leave
@@ -27,20 +27,20 @@
 // that is cut off knows of few, and must not take the others for gone. To be called by the loop.
 func (e *Engine) Among(there int) {
 	e.there = there
-	if n := max(e.configured, there); n != e.Campaign.Sidecars {
+	if n := max(e.configured, there); n != e.Campaign.Instances {
 		e.Logger.Infof("peers: budgets are shared among %d, %d are configured", n, e.configured)
-		e.Campaign.Sidecars = n
+		e.Campaign.Instances = n
 	}
 }
 
 // sameShape tells whether the module may go on with the one in place of the other: what it has counted by offering,
 // franchise and zone must stay true.
-func sameShape(a, b *policy.Campaign) bool {
+func sameShape(a, b *policy.Settings) bool {
 	return a.Zone == b.Zone && a.Zones == b.Zones && a.MustAsk == b.MustAsk && a.Weighted == b.Weighted &&
-		slices.EqualFunc(a.Offerings, b.Offerings, func(x, y policy.Offering) bool {
-			return x.Name == y.Name && x.Repeats == y.Repeats && x.Group == y.Group
+		slices.EqualFunc(a.Classes, b.Classes, func(x, y policy.Class) bool {
+			return x.Name == y.Name && x.Idempotency == y.Idempotency && x.Group == y.Group
 		}) &&
-		slices.EqualFunc(a.Franchises, b.Franchises, func(x, y policy.Franchise) bool { return x.Name == y.Name })
+		slices.EqualFunc(a.Tenants, b.Tenants, func(x, y policy.Tenant) bool { return x.Name == y.Name })
 }
 
 // Fresh tells whether the source has told a list since the start.
--- a/internal/engine/tally.go
+++ b/internal/engine/tally.go
@@ -32,9 +32,9 @@
 const figuresEvery = 200 * policy.Millisecond // between looks at who is avoided
 
 // Count counts a request's end. Requests that never became tickets are counted by their front.
-func (e *Engine) Count(o policy.OfferingID, r Result) {
+func (e *Engine) Count(o policy.ClassID, r Result) {
 	if e.terms != nil {
-		o = policy.OfferingID(e.terms.rows[o])
+		o = policy.ClassID(e.terms.rows[o])
 	}
 	e.Tally.Answered[o][r].Add(1)
 }
--- a/internal/engine/terms.go
+++ b/internal/engine/terms.go
@@ -17,9 +17,9 @@
 // Version is one as this sidecar can act by it: what binds, and all else that it says.
 type Version struct {
 	agreement.Version
-	Campaign *policy.Campaign
-	Servers  []roster.Entry    // nil: those of the sidecar's own source
-	Table    []policy.ServerID // who has which slot; nil: as dealt here
+	Campaign *policy.Settings
+	Servers  []roster.Entry      // nil: those of the sidecar's own source
+	Table    []policy.EndpointID // who has which slot; nil: as dealt here
 }
 
 // mostPlaces is how many offerings there may be, with those that tickets in hand were admitted to before a change.
@@ -43,8 +43,8 @@
 
 // Agreeing is a front that can go on while offerings and franchises come and go. With NoOffering and NoFranchise they go.
 type Agreeing interface {
-	Offers(name string, at policy.OfferingID, cutOff policy.Time)
-	Quotes(name string, at policy.FranchiseID)
+	Offers(name string, at policy.ClassID, cutOff policy.Time)
+	Quotes(name string, at policy.TenantID)
 }
 
 // Agree has the engine go by versions from now on: by its own file's as number 0, and until there is a lease by the floor of that. life tells
@@ -144,7 +144,7 @@
 	t, c := e.terms, e.Campaign
 	t.acts++
 	said := e.said()
-	t.places.Go(r, leased, func(at policy.OfferingID, name string, now agreement.Offering, admits bool) {
+	t.places.Go(r, leased, func(at policy.ClassID, name string, now agreement.Offering, admits bool) {
 		e.place(at, name, now, said[0])
 		if admits {
 			e.agreeing(func(f Agreeing) { f.Offers(name, at, now.CutOff) })
@@ -156,7 +156,7 @@
 		if _, offered := t.places.At(name); offered {
 			t.offered = append(t.offered, name)
 		} else {
-			e.agreeing(func(f Agreeing) { f.Offers(name, policy.NoOffering, 0) })
+			e.agreeing(func(f Agreeing) { f.Offers(name, policy.NoClass, 0) })
 		}
 	}
 	c.ColdShare, c.ColdTime, c.FallMultiple, e.configured = r.ColdShare, r.ColdTime, r.Fall, r.Instances
@@ -241,20 +241,20 @@
 }
 
 // place writes what binds a place's tickets to where the module reads it.
-func (e *Engine) place(at policy.OfferingID, name string, now agreement.Offering, latest *Version) {
+func (e *Engine) place(at policy.ClassID, name string, now agreement.Offering, latest *Version) {
 	t, c := e.terms, e.Campaign
 	for len(t.named) <= int(at) {
 		t.named, t.rows = append(t.named, ""), append(t.rows, 0)
 	}
-	for len(c.Offerings) <= int(at) {
-		c.Offerings = append(c.Offerings, policy.Offering{})
+	for len(c.Classes) <= int(at) {
+		c.Classes = append(c.Classes, policy.Class{})
 	}
-	o := &c.Offerings[at]
+	o := &c.Classes[at]
 	like := slices.Index(t.named, name)
-	if i := slices.IndexFunc(latest.Campaign.Offerings, func(o policy.Offering) bool { return o.Name == name }); i >= 0 {
-		*o = latest.Campaign.Offerings[i]
+	if i := slices.IndexFunc(latest.Campaign.Classes, func(o policy.Class) bool { return o.Name == name }); i >= 0 {
+		*o = latest.Campaign.Classes[i]
 	} else if t.named[at] != name && like >= 0 {
-		*o = c.Offerings[like]
+		*o = c.Classes[like]
 	}
 	now.Bind(o)
 	if t.named[at] != name {
@@ -262,7 +262,7 @@
 		if like < 0 {
 			like = int(at)
 		}
-		e.Module.Placed(at, policy.OfferingID(like))
+		e.Module.Placed(at, policy.ClassID(like))
 		if e.Latency != nil {
 			e.Latency.Named(at, name)
 		}
@@ -291,22 +291,22 @@
 func (e *Engine) quotas(r *agreement.Rules) {
 	c := e.Campaign
 	c.Quotas = 0
-	for i, f := range c.Franchises {
+	for i, f := range c.Tenants {
 		if !slices.ContainsFunc(r.Franchises, func(now agreement.Franchise) bool { return now.Name == f.Name }) {
-			e.agreeing(func(front Agreeing) { front.Quotes(f.Name, policy.NoFranchise) })
-			c.Franchises[i].Quota = 0
+			e.agreeing(func(front Agreeing) { front.Quotes(f.Name, policy.NoTenant) })
+			c.Tenants[i].Quota = 0
 		}
 	}
 	for _, f := range r.Franchises {
-		at := slices.IndexFunc(c.Franchises, func(was policy.Franchise) bool { return was.Name == f.Name })
+		at := slices.IndexFunc(c.Tenants, func(was policy.Tenant) bool { return was.Name == f.Name })
 		if at < 0 {
-			at = len(c.Franchises)
-			c.Franchises = append(c.Franchises, policy.Franchise{Name: f.Name})
+			at = len(c.Tenants)
+			c.Tenants = append(c.Tenants, policy.Tenant{Name: f.Name})
 			e.Module.Quoted()
 		}
-		c.Franchises[at].Quota = f.Quota
+		c.Tenants[at].Quota = f.Quota
 		c.Quotas += f.Quota
-		e.agreeing(func(front Agreeing) { front.Quotes(f.Name, policy.FranchiseID(at)) })
+		e.agreeing(func(front Agreeing) { front.Quotes(f.Name, policy.TenantID(at)) })
 	}
 }
 
@@ -322,14 +322,14 @@
 	}
 	f.closed = true
 	var all []roster.Entry
-	named := map[policy.ServerID]bool{}
+	named := map[policy.EndpointID]bool{}
 	for _, v := range said {
 		for _, e := range v.Servers {
 			if named[e.ID] {
 				continue
 			}
 			named[e.ID] = true
-			i, byAll := slices.BinarySearchFunc(r.Servers, e.ID, func(s agreement.Server, id policy.ServerID) int { return cmp.Compare(s.ID, id) })
+			i, byAll := slices.BinarySearchFunc(r.Servers, e.ID, func(s agreement.Server, id policy.EndpointID) int { return cmp.Compare(s.ID, id) })
 			if byAll {
 				e.Started = max(e.Started, r.Servers[i].Started)
 			} else if f.e.Servers[e.ID] == nil && (table == nil || v != table) {
@@ -344,7 +344,7 @@
 }
 
 // ban takes out the servers that a version bans, and calls back those that none does any more.
-func (f *members) ban(ids []policy.ServerID) {
+func (f *members) ban(ids []policy.EndpointID) {
 	if slices.Equal(f.banned, ids) {
 		return
 	}
--- a/internal/engine/terms_test.go
+++ b/internal/engine/terms_test.go
@@ -15,29 +15,29 @@
 // frontless carries nothing, and notes what it is told.
 type frontless struct {
 	Front
-	offers  map[string]policy.OfferingID
-	quotes  map[string]policy.FranchiseID
+	offers  map[string]policy.ClassID
+	quotes  map[string]policy.TenantID
 	pushed  int
 	answers int
 }
 
-func (f *frontless) Gather(policy.Time)                                      {}
-func (f *frontless) Push(policy.Time, *Ticket, *Server)                      { f.pushed++ }
-func (f *frontless) TimedOut(policy.Time, *Ticket)                           {}
-func (f *frontless) GiveUp(now policy.Time, t *Ticket)                       { f.answers++ }
-func (f *frontless) TurnBack(now policy.Time, t *Ticket, _ policy.Time)      { f.answers++ }
-func (f *frontless) Unneeded(*Ticket)                                        {}
-func (f *frontless) Given(*Ticket)                                           {}
-func (f *frontless) Retire(*Server)                                          {}
-func (f *frontless) Forget(*Server)                                          {}
-func (f *frontless) Offers(name string, at policy.OfferingID, _ policy.Time) { f.offers[name] = at }
-func (f *frontless) Quotes(name string, at policy.FranchiseID)               { f.quotes[name] = at }
+func (f *frontless) Gather(policy.Time)                                   {}
+func (f *frontless) Push(policy.Time, *Ticket, *Server)                   { f.pushed++ }
+func (f *frontless) TimedOut(policy.Time, *Ticket)                        {}
+func (f *frontless) GiveUp(now policy.Time, t *Ticket)                    { f.answers++ }
+func (f *frontless) TurnBack(now policy.Time, t *Ticket, _ policy.Time)   { f.answers++ }
+func (f *frontless) Unneeded(*Ticket)                                     {}
+func (f *frontless) Given(*Ticket)                                        {}
+func (f *frontless) Retire(*Server)                                       {}
+func (f *frontless) Forget(*Server)                                       {}
+func (f *frontless) Offers(name string, at policy.ClassID, _ policy.Time) { f.offers[name] = at }
+func (f *frontless) Quotes(name string, at policy.TenantID)               { f.quotes[name] = at }
 
-func versionOf(n agreement.Number, servers []roster.Entry, franchises []policy.Franchise, offerings ...policy.Offering) *Version {
-	c := &policy.Campaign{Sidecars: 4, Weighted: true, FallMultiple: 3, ColdShare: 0.5, MaxPushes: 3, Tick: policy.Millisecond, Offerings: offerings, Franchises: franchises}
+func versionOf(n agreement.Number, servers []roster.Entry, franchises []policy.Tenant, offerings ...policy.Class) *Version {
+	c := &policy.Settings{Instances: 4, Weighted: true, FallMultiple: 3, ColdShare: 0.5, MaxAttempts: 3, Tick: policy.Millisecond, Classes: offerings, Tenants: franchises}
 	var cutOffs []policy.Time
 	for _, o := range offerings {
-		cutOffs = append(cutOffs, o.CutOff)
+		cutOffs = append(cutOffs, o.Deadline)
 	}
 	var members []policy.Member
 	for _, s := range servers {
@@ -49,14 +49,14 @@
 func TestRulesComeAndGoWithoutARestart(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	offering := func(name string, r policy.Repeats) policy.Offering {
-		return policy.Offering{Name: name, Credit: 1, Quoted: policy.Second, CutOff: 2 * policy.Second, Repeats: r, Window: policy.Second}
+	offering := func(name string, r policy.Idempotency) policy.Class {
+		return policy.Class{Name: name, Value: 1, Target: policy.Second, Deadline: 2 * policy.Second, Idempotency: r, Window: policy.Second}
 	}
-	own := versionOf(0, nil, nil, offering("a", policy.Reissuable))
+	own := versionOf(0, nil, nil, offering("a", policy.Idempotent))
 	campaign := *own.Campaign
-	campaign.Offerings = append([]policy.Offering{}, own.Campaign.Offerings...)
+	campaign.Classes = append([]policy.Class{}, own.Campaign.Classes...)
 	e := New(Post{Campaign: &campaign}, log)
-	f := &frontless{offers: map[string]policy.OfferingID{}, quotes: map[string]policy.FranchiseID{}}
+	f := &frontless{offers: map[string]policy.ClassID{}, quotes: map[string]policy.TenantID{}}
 	e.Add(f)
 	e.Agree(own, 1)
 	grant := func(span policy.Time, of ...agreement.Number) {
@@ -66,36 +66,36 @@
 			t.Fatal("a grant is not taken")
 		}
 	}
-	if a := f.offers["a"]; campaign.Offerings[a].Repeats != policy.AtMostOnce || campaign.FallMultiple != 0 {
+	if a := f.offers["a"]; campaign.Classes[a].Idempotency != policy.NonIdempotent || campaign.FallMultiple != 0 {
 		t.Fatalf("without a lease: %+v", campaign)
 	}
 	grant(policy.Second*100, 0)
 	a := f.offers["a"]
-	if campaign.Offerings[a].Repeats != policy.Reissuable || campaign.FallMultiple != 3 {
+	if campaign.Classes[a].Idempotency != policy.Idempotent || campaign.FallMultiple != 3 {
 		t.Fatalf("by its own file: %+v", campaign)
 	}
 	e.list.take(0, told{news: roster.News{List: &roster.List{Kind: policy.ListFull, Entries: []roster.Entry{{Member: policy.Member{ID: 9}, UID: "own"}}}}})
 	now := e.Clock.Now()
 	first := e.Take(0)
-	e.Admit(now, now, first, a, policy.NoFranchise, "k", false, 2*policy.Second) // reissuable, and stays so or stricter
+	e.Admit(now, now, first, a, policy.NoTenant, "k", false, 2*policy.Second) // reissuable, and stays so or stricter
 	e.Round(now)
 	if f.pushed != 1 || len(e.Servers) != 1 {
 		t.Fatalf("%d pushes, %d servers", f.pushed, len(e.Servers))
 	}
 	servers := []roster.Entry{{Member: policy.Member{ID: 1, Weight: 1}, UID: "x"}, {Member: policy.Member{ID: 2, Weight: 1}, UID: "y"}}
-	if !e.Learn(versionOf(1, servers, []policy.Franchise{{Name: "f", Quota: 5}}, offering("a", policy.AtMostOnce), offering("b", policy.Numbered))) {
+	if !e.Learn(versionOf(1, servers, []policy.Tenant{{Name: "f", Quota: 5}}, offering("a", policy.NonIdempotent), offering("b", policy.Keyed))) {
 		t.Fatal("not learned")
 	}
 	grant(policy.Second*100, 0, 1)
-	if campaign.Offerings[a].Repeats != policy.AtMostOnce || f.offers["a"] != a || campaign.Offerings[f.offers["b"]].Repeats != policy.AtMostOnce {
-		t.Fatalf("by both: %+v %v", campaign.Offerings, f.offers)
+	if campaign.Classes[a].Idempotency != policy.NonIdempotent || f.offers["a"] != a || campaign.Classes[f.offers["b"]].Idempotency != policy.NonIdempotent {
+		t.Fatalf("by both: %+v %v", campaign.Classes, f.offers)
 	}
 	grant(policy.Second*100, 1)
-	if o := campaign.Offerings[f.offers["b"]]; o.Name != "b" || o.Repeats != policy.Numbered || campaign.Quotas != 5 || f.quotes["f"] != 0 || !e.list.closed ||
+	if o := campaign.Classes[f.offers["b"]]; o.Name != "b" || o.Idempotency != policy.Keyed || campaign.Quotas != 5 || f.quotes["f"] != 0 || !e.list.closed ||
 		len(e.Servers) != 3 || e.Servers[9].Listed || !e.Servers[1].Listed {
 		t.Fatalf("by the new: %+v %+v %+v", campaign, f, e.Servers)
 	}
-	if !e.Learn(versionOf(2, servers[:1], nil, offering("a", policy.Reissuable))) {
+	if !e.Learn(versionOf(2, servers[:1], nil, offering("a", policy.Idempotent))) {
 		t.Fatal("not learned")
 	}
 	grant(policy.Second*100, 1, 2)
@@ -106,16 +106,16 @@
 	if e.Servers[2].Listed {
 		t.Fatalf("a server that was taken away: %+v", e.Servers[2])
 	}
-	if !e.Learn(versionOf(3, nil, nil, offering("a", policy.Reissuable))) {
+	if !e.Learn(versionOf(3, nil, nil, offering("a", policy.Idempotent))) {
 		t.Fatal("not learned")
 	}
 	grant(policy.Second*100, 3)
-	if at := f.offers["a"]; at == a || campaign.Offerings[at].Repeats != policy.Reissuable || campaign.Offerings[a].Repeats != policy.AtMostOnce ||
-		f.offers["b"] != policy.NoOffering || f.quotes["f"] != policy.NoFranchise || !e.Servers[9].Listed {
-		t.Fatalf("laxer than what is in hand was promised: %+v %+v", campaign.Offerings, f)
+	if at := f.offers["a"]; at == a || campaign.Classes[at].Idempotency != policy.Idempotent || campaign.Classes[a].Idempotency != policy.NonIdempotent ||
+		f.offers["b"] != policy.NoClass || f.quotes["f"] != policy.NoTenant || !e.Servers[9].Listed {
+		t.Fatalf("laxer than what is in hand was promised: %+v %+v", campaign.Classes, f)
 	}
-	ban := versionOf(4, nil, nil, offering("a", policy.Reissuable))
-	ban.Rules.Bans = []policy.ServerID{9}
+	ban := versionOf(4, nil, nil, offering("a", policy.Idempotent))
+	ban.Rules.Bans = []policy.EndpointID{9}
 	if !e.Learn(ban) {
 		t.Fatal("not learned")
 	}
@@ -124,7 +124,7 @@
 		t.Error("a banned server is used")
 	}
 	grant(policy.Second*100, 4)
-	if !e.Learn(versionOf(5, nil, nil, offering("a", policy.Reissuable))) {
+	if !e.Learn(versionOf(5, nil, nil, offering("a", policy.Idempotent))) {
 		t.Fatal("not learned")
 	}
 	if grant(policy.Second*100, 5); e.Servers[9].Leaving {
@@ -134,7 +134,7 @@
 	grant(30*policy.Millisecond, 5)
 	second := e.Take(0)
 	now = e.Clock.Now()
-	e.Admit(now, now, second, f.offers["a"], policy.NoFranchise, "k", false, 2*policy.Second)
+	e.Admit(now, now, second, f.offers["a"], policy.NoTenant, "k", false, 2*policy.Second)
 	if len(e.steps) != 1 || !e.Stands(now, second) {
 		t.Fatal("no push was decided on, or it does not stand")
 	}
--- a/internal/engine/write_test.go
+++ b/internal/engine/write_test.go
@@ -19,9 +19,9 @@
 	}{{200 * policy.Millisecond, 2}, {1500 * policy.Millisecond, 1}} {
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		e := New(Post{Campaign: &policy.Campaign{Sidecars: 1, Weighted: true, FallMultiple: 3, MaxPushes: 3, Tick: policy.Millisecond,
-			Offerings: []policy.Offering{{Name: "a", Credit: 1, Quoted: 5 * policy.Second, CutOff: 9 * policy.Second,
-				Repeats: policy.Numbered, Window: policy.Second}}}}, log)
+		e := New(Post{Campaign: &policy.Settings{Instances: 1, Weighted: true, FallMultiple: 3, MaxAttempts: 3, Tick: policy.Millisecond,
+			Classes: []policy.Class{{Name: "a", Value: 1, Target: 5 * policy.Second, Deadline: 9 * policy.Second,
+				Idempotency: policy.Keyed, Window: policy.Second}}}}, log)
 		f := &frontless{}
 		e.Add(f)
 		now := e.Clock.Now()
@@ -29,9 +29,9 @@
 		e.Apply(then, &roster.List{Kind: policy.ListFull, Entries: []roster.Entry{{Member: policy.Member{ID: 1, Weight: 1}, UID: "x"},
 			{Member: policy.Member{ID: 2, Weight: 1}, UID: "y"}}})
 		ticket := e.Take(0)
-		e.Admit(then, then, ticket, 0, policy.NoFranchise, "k", false, 9*policy.Second)
+		e.Admit(then, then, ticket, 0, policy.NoTenant, "k", false, 9*policy.Second)
 		e.Round(then)
-		e.Ended(then+10*policy.Millisecond, ticket, policy.ConnBroke)
+		e.Ended(then+10*policy.Millisecond, ticket, policy.ConnectionLost)
 		e.Tell(then + 10*policy.Millisecond) // within the window: pushed again, says the module
 		if ticket.Pushes != 2 || f.pushed != 1 {
 			t.Fatalf("%d pushes decided on, %d written", ticket.Pushes, f.pushed)
--- a/internal/experiment/replay.go
+++ b/internal/experiment/replay.go
@@ -62,7 +62,7 @@
 				if int(r.A) >= len(offerings) || r.A < 0 || int(r.B) >= len(franchises) || r.C < 0 {
 					return nil, fmt.Errorf("trace of %s: a ticket of offering %d, franchise %d", t.Name, r.A, r.B)
 				}
-				a := emulator.Arrival{At: at, Sidecar: names[t.Name], Offering: offerings[r.A], Franchise: policy.NoFranchise, Key: r.Key, Left: r.C}
+				a := emulator.Arrival{At: at, Sidecar: names[t.Name], Offering: offerings[r.A], Franchise: policy.NoTenant, Key: r.Key, Left: r.C}
 				if r.B >= 0 {
 					a.Franchise = franchises[r.B]
 				}
@@ -94,20 +94,20 @@
 }
 
 // match finds a trace's offerings and franchises in the scenario, by name.
-func match(sc *emulator.Scenario, t *trace.Trace) (offerings []policy.OfferingID, franchises []policy.FranchiseID, err error) {
+func match(sc *emulator.Scenario, t *trace.Trace) (offerings []policy.ClassID, franchises []policy.TenantID, err error) {
 	for _, name := range t.Offerings {
 		i := slices.IndexFunc(sc.Offerings, func(o emulator.Offering) bool { return o.Name == name })
 		if i < 0 {
 			return nil, nil, fmt.Errorf("trace of %s: offering %q is not in the scenario", t.Name, name)
 		}
-		offerings = append(offerings, policy.OfferingID(i))
+		offerings = append(offerings, policy.ClassID(i))
 	}
 	for _, name := range t.Franchises {
 		i := slices.IndexFunc(sc.Franchise, func(f emulator.Franchise) bool { return f.Name == name })
 		if i < 0 {
 			return nil, nil, fmt.Errorf("trace of %s: franchise %q is not in the scenario", t.Name, name)
 		}
-		franchises = append(franchises, policy.FranchiseID(i))
+		franchises = append(franchises, policy.TenantID(i))
 	}
 	return offerings, franchises, nil
 }
@@ -144,7 +144,7 @@
 				seen[no] = max(seen[no], policy.Time(r.B))
 			case trace.Ended:
 				o := policy.Outcome(r.B)
-				one := trouble{at: at, good: o == policy.Honoured, bad: o == policy.NotConnected || o == policy.TimedOut || o == policy.ConnBroke,
+				one := trouble{at: at, good: o == policy.Succeeded, bad: o == policy.NotConnected || o == policy.TimedOut || o == policy.ConnectionLost,
 					mute: o == policy.TimedOut || o == policy.NotConnected && r.C > 50*policy.Millisecond}
 				if one.good || one.bad {
 					if one.bad {
--- a/internal/installation/installation.go
+++ b/internal/installation/installation.go
@@ -42,7 +42,7 @@
 	From        net.IP // connections to servers and discovery leave from there; nil: from whichever address the kernel picks
 	IdleFor     policy.Time
 	Leave       policy.Time // after the first sign of the end, for tickets in hand
-	Campaign    *policy.Campaign
+	Campaign    *policy.Settings
 	CutOffs     []policy.Time // by offering
 	Default     string        // offering of tickets that name none
 	Methods     [][]string    // by offering: of RPCs, as /package.Service/Method, /package.Service/* or *
@@ -94,7 +94,7 @@
 
 func (in *Installation) read(root *document.Table, folder string) {
 	root.Require("offering", "source")
-	c := &policy.Campaign{}
+	c := &policy.Settings{}
 	in.Campaign = c
 	in.instance(root.Table("instance"))
 	fronts := root.Table("front")
@@ -220,7 +220,7 @@
 	if !seen {
 		t.Fault("zone", t.Found("zone"), "one of the zones, "+strings.Join(zones, ", "))
 	}
-	c.Sidecars = int(t.Count("instances", 1, 1, 1<<16))
+	c.Instances = int(t.Count("instances", 1, 1, 1<<16))
 	c.CrossPrice = t.Real("cross_price", 0, 0, 1)
 	c.Weighted = t.OneOf("weights", 0, "nominal", "live") == 0
 	if seed := t.Text("seed", ""); seed != "" {
@@ -245,10 +245,10 @@
 	}
 	in.IdleFor = t.Span("idle", 60*policy.Second, policy.Second/10, 3600*policy.Second)
 	in.Leave = t.Span("leave", 0, policy.Second/10, 3600*policy.Second)
-	c.MaxPushes = int(t.Count("pushes", 3, 1, 8))
+	c.MaxAttempts = int(t.Count("pushes", 3, 1, 8))
 	c.Streams = int(t.Count("streams", 1, 1, 1<<16))
 	c.MayCancel = t.Yes("cancel", true)
-	c.Advice = t.Span("advice", 3*policy.Second, 0, 3600*policy.Second)
+	c.MaxRetryAfter = t.Span("advice", 3*policy.Second, 0, 3600*policy.Second)
 	c.Tick = t.Span("tick", 5*policy.Millisecond, policy.Millisecond, 100*policy.Millisecond)
 	t.Done()
 }
@@ -264,12 +264,12 @@
 	first := map[string]int{}
 	for _, t := range tables {
 		t.Require("name", "quoted_time", "cut_off")
-		o := policy.Offering{
-			Name:       t.Text("name", ""),
-			Credit:     t.Real("credit", 1, 1e-6, 1e9),
-			LateCredit: t.Real("late_credit", 0, 0, 1),
-			Quoted:     t.Span("quoted_time", policy.Second, policy.Millisecond, 3600*policy.Second),
-			Repeats: policy.Repeats(t.OneOf("repeats", int(policy.AtMostOnce), "reissuable", "numbered",
+		o := policy.Class{
+			Name:      t.Text("name", ""),
+			Value:     t.Real("credit", 1, 1e-6, 1e9),
+			LateValue: t.Real("late_credit", 0, 0, 1),
+			Target:    t.Span("quoted_time", policy.Second, policy.Millisecond, 3600*policy.Second),
+			Idempotency: policy.Idempotency(t.OneOf("repeats", int(policy.NonIdempotent), "reissuable", "numbered",
 				"at-most-once")),
 		}
 		if strings.HasPrefix(o.Name, "_") || strings.ContainsFunc(o.Name, func(r rune) bool {
@@ -281,11 +281,11 @@
 			t.Fault("name", t.Found("name"), fmt.Sprintf("a name of its own: line %d has it", at))
 		}
 		first[o.Name] = t.Line("name")
-		cutOff := t.Span("cut_off", max(o.Quoted, marginTicks*c.Tick), marginTicks*c.Tick, 3600*policy.Second)
-		if o.CutOff = cutOff; cutOff < o.Quoted {
-			t.Fault("cut_off", t.Found("cut_off"), fmt.Sprintf("at least the quoted time, %v", time.Duration(o.Quoted)))
+		cutOff := t.Span("cut_off", max(o.Target, marginTicks*c.Tick), marginTicks*c.Tick, 3600*policy.Second)
+		if o.Deadline = cutOff; cutOff < o.Target {
+			t.Fault("cut_off", t.Found("cut_off"), fmt.Sprintf("at least the quoted time, %v", time.Duration(o.Target)))
 		}
-		numbered := o.Repeats == policy.Numbered
+		numbered := o.Idempotency == policy.Keyed
 		if numbered {
 			t.Require("group", "window")
 		}
@@ -314,7 +314,7 @@
 			in.Default = o.Name
 		}
 		t.Done()
-		c.Offerings = append(c.Offerings, o)
+		c.Classes = append(c.Classes, o)
 		in.CutOffs = append(in.CutOffs, cutOff)
 	}
 }
@@ -322,19 +322,19 @@
 func (in *Installation) franchises(root *document.Table) {
 	c := in.Campaign
 	terms := root.Table("franchises")
-	c.BeyondCredit = terms.Real("beyond_credit", 0.05, 0, 1)
+	c.BeyondValue = terms.Real("beyond_credit", 0.05, 0, 1)
 	terms.Done()
 	first := map[string]int{}
 	for _, t := range root.Tables("franchise") {
 		t.Require("name", "quota")
-		f := policy.Franchise{Name: t.Text("name", ""), Quota: t.Real("quota", 1, 1e-6, 1e9)}
+		f := policy.Tenant{Name: t.Text("name", ""), Quota: t.Real("quota", 1, 1e-6, 1e9)}
 		if at, twice := first[f.Name]; twice && f.Name != "" {
 			t.Fault("name", t.Found("name"), fmt.Sprintf("a name of its own: line %d has it", at))
 		}
 		first[f.Name] = t.Line("name")
 		t.Done()
 		c.Quotas += f.Quota
-		c.Franchises = append(c.Franchises, f)
+		c.Tenants = append(c.Tenants, f)
 	}
 }
 
--- a/internal/installation/installation_test.go
+++ b/internal/installation/installation_test.go
@@ -26,9 +26,9 @@
 	}
 	c := in.Campaign
 	if in.Listen != "127.0.0.1:9000" || in.Admin != "127.0.0.1:9002" || in.Pages != "127.0.0.1:9001" || !in.Anonymous || in.MemoryMB != 192 || c.Zones != 2 ||
-		c.Zone != "a" || len(c.Offerings) != 3 || c.Offerings[1].Repeats != policy.Numbered ||
-		c.Offerings[1].Group != policy.GroupZone || c.Offerings[1].Window != 2*policy.Second || in.Default != "step" ||
-		in.CutOffs[0] != 2*policy.Second || c.Offerings[0].CutOff != 2*policy.Second || !c.Weighted || c.Streams != 1 || in.Leave != 3*policy.Second || c.Quotas != 250 || c.ColdTime != 24*policy.Second ||
+		c.Zone != "a" || len(c.Classes) != 3 || c.Classes[1].Idempotency != policy.Keyed ||
+		c.Classes[1].Group != policy.GroupZone || c.Classes[1].Window != 2*policy.Second || in.Default != "step" ||
+		in.CutOffs[0] != 2*policy.Second || c.Classes[0].Deadline != 2*policy.Second || !c.Weighted || c.Streams != 1 || in.Leave != 3*policy.Second || c.Quotas != 250 || c.ColdTime != 24*policy.Second ||
 		in.Patterns[0] != "../../deploy/servers.toml" || in.Terms.Settle != 200*policy.Millisecond {
 		t.Errorf("%+v\n%+v", in, c)
 	}
@@ -127,12 +127,12 @@
 			return
 		}
 		c := in.Campaign
-		if len(c.Offerings) == 0 || len(in.CutOffs) != len(c.Offerings) || !listing.Address(in.Listen) || c.Sidecars < 1 ||
+		if len(c.Classes) == 0 || len(in.CutOffs) != len(c.Classes) || !listing.Address(in.Listen) || c.Instances < 1 ||
 			in.Leave <= 0 || in.Kind == Files && len(in.Patterns) == 0 || in.Kind == Fixed && len(in.Servers) == 0 {
 			t.Fatalf("%+v %+v", in, c)
 		}
-		for i, o := range c.Offerings {
-			if o.Quoted <= 0 || in.CutOffs[i] < o.Quoted || o.Name == "" || (o.Repeats == policy.Numbered) != (o.Window > 0) {
+		for i, o := range c.Classes {
+			if o.Target <= 0 || in.CutOffs[i] < o.Target || o.Name == "" || (o.Idempotency == policy.Keyed) != (o.Window > 0) {
 				t.Fatalf("%+v", o)
 			}
 		}
--- a/internal/installation/version.go
+++ b/internal/installation/version.go
@@ -15,24 +15,24 @@
 
 // Version is what a version of the rules says: what binds, by which all sidecars of a cluster go.
 type Version struct {
-	Campaign *policy.Campaign  // offerings, franchises, instances, cold servers
-	CutOffs  []policy.Time     // by offering
-	Servers  []listing.Entry   // nil: it says nothing of servers
-	Bans     []policy.ServerID // taken out, whoever lists them
+	Campaign *policy.Settings    // offerings, franchises, instances, cold servers
+	CutOffs  []policy.Time       // by offering
+	Servers  []listing.Entry     // nil: it says nothing of servers
+	Bans     []policy.EndpointID // taken out, whoever lists them
 }
 
 // ReadVersion reads a version. The error has a line for each fault.
 func ReadVersion(file string, text []byte) (*Version, error) {
 	doc, root := document.Parse(file, text, mostVersion)
-	in := &Installation{Campaign: &policy.Campaign{Tick: 5 * policy.Millisecond}}
+	in := &Installation{Campaign: &policy.Settings{Tick: 5 * policy.Millisecond}}
 	c := in.Campaign
 	var servers []listing.Entry
-	var bans []policy.ServerID
+	var bans []policy.EndpointID
 	if doc.Err() == nil {
 		root.Require("fleet", "offering")
 		fleet := root.Table("fleet")
 		fleet.Require("instances")
-		c.Sidecars = int(fleet.Count("instances", 1, 1, 1<<16))
+		c.Instances = int(fleet.Count("instances", 1, 1, 1<<16))
 		kept := fleet.Span("servers_keep", 0, policy.Millisecond, 24*3600*policy.Second)
 		fleet.Done()
 		in.cold(root.Table("cold"))
@@ -41,8 +41,8 @@
 			root.Fault("offering", root.Found("offering"), "one offering at least")
 		}
 		in.offerings(tables)
-		for i, o := range c.Offerings {
-			if kept > 0 && o.Repeats == policy.Numbered && o.Window > kept {
+		for i, o := range c.Classes {
+			if kept > 0 && o.Idempotency == policy.Keyed && o.Window > kept {
 				// A server that has forgotten a number runs it again.
 				tables[i].Fault("window", tables[i].Found("window"), fmt.Sprintf("at most what servers keep, %v", time.Duration(kept)))
 			}
--- a/internal/listing/listing.go
+++ b/internal/listing/listing.go
@@ -21,7 +21,7 @@
 }
 
 // IDOf gives the id under which the module knows a server.
-func IDOf(uid string) policy.ServerID { return policy.ServerID(xxhash.Sum64String(uid)) }
+func IDOf(uid string) policy.EndpointID { return policy.EndpointID(xxhash.Sum64String(uid)) }
 
 // Mark tells one content of a file from another.
 type Mark uint64
@@ -214,7 +214,7 @@
 
 // conflict finds two servers under one id, or two ready ones at one address.
 func conflict(files []File) string {
-	byUID, byAddr, byID := map[string]string{}, map[string]string{}, map[policy.ServerID]string{}
+	byUID, byAddr, byID := map[string]string{}, map[string]string{}, map[policy.EndpointID]string{}
 	for _, f := range files {
 		for _, e := range f.Entries {
 			if in, twice := byUID[e.UID]; twice {
--- a/internal/migration/migration_test.go
+++ b/internal/migration/migration_test.go
@@ -42,12 +42,12 @@
 			t.Fatal(err)
 		}
 		c := *is.Campaign
-		if c.Weighted || c.Streams != 100 || c.Sidecars != 12 || is.Listen != to.Listen || len(m.Changed) != 4 || len(m.Left) < 3 {
+		if c.Weighted || c.Streams != 100 || c.Instances != 12 || is.Listen != to.Listen || len(m.Changed) != 4 || len(m.Left) < 3 {
 			t.Errorf("%s: %+v\n%q\n%q", name, c, m.Changed, m.Left)
 		}
 		a := *was.Campaign
-		if c.Offerings[0] != a.Offerings[0] || len(c.Offerings) != len(a.Offerings) || c.Quotas != a.Quotas || c.ColdTime != a.ColdTime ||
-			c.Advice != a.Advice || c.Zones != a.Zones || is.Leave != was.Leave || is.Descriptors != was.Descriptors {
+		if c.Classes[0] != a.Classes[0] || len(c.Classes) != len(a.Classes) || c.Quotas != a.Quotas || c.ColdTime != a.ColdTime ||
+			c.MaxRetryAfter != a.MaxRetryAfter || c.Zones != a.Zones || is.Leave != was.Leave || is.Descriptors != was.Descriptors {
 			t.Errorf("%s: something else has changed:\n%s", name, m.Text)
 		}
 		told := strings.Join(m.Left, "\n")
--- a/internal/proto/agreed.go
+++ b/internal/proto/agreed.go
@@ -4,8 +4,8 @@
 
 // Offers has requests for that offering come in at that place of the campaign, cut off at that time; NoOffering: they are refused from now on.
 // What is in hand stays where it is.
-func (s *Sidecar) Offers(name string, at policy.OfferingID, cutOff policy.Time) {
-	if at == policy.NoOffering {
+func (s *Sidecar) Offers(name string, at policy.ClassID, cutOff policy.Time) {
+	if at == policy.NoClass {
 		delete(s.offerings, name)
 	} else {
 		s.offerings[name] = at
@@ -20,8 +20,8 @@
 }
 
 // Quotes has requests of that franchise count at that place; NoFranchise: as nobody's.
-func (s *Sidecar) Quotes(name string, at policy.FranchiseID) {
-	if s.franchises[name] = at; at == policy.NoFranchise {
+func (s *Sidecar) Quotes(name string, at policy.TenantID) {
+	if s.franchises[name] = at; at == policy.NoTenant {
 		delete(s.franchises, name)
 	}
 }
--- a/internal/proto/answer.go
+++ b/internal/proto/answer.go
@@ -90,9 +90,9 @@
 func outcomeOf(status int, head []byte) policy.Outcome {
 	switch {
 	case status == 200:
-		return policy.Honoured
+		return policy.Succeeded
 	case (status == 503 || status == 504) && string(field(head, "X-Not-Processed")) == "1":
-		return policy.TurnedAway
+		return policy.Rejected
 	case status/100 == 4 && status != 408 && status != 429:
 		return policy.Declined
 	}
--- a/internal/proto/answers_test.go
+++ b/internal/proto/answers_test.go
@@ -129,7 +129,7 @@
 						if !passed {
 							want = 0
 						}
-						if r.Counters.StreamsBroken != int(want) || !passed && r.Counters.Outcomes[policy.ConnBroke] != 1 {
+						if r.Counters.StreamsBroken != int(want) || !passed && r.Counters.Outcomes[policy.ConnectionLost] != 1 {
 							t.Errorf("%d streams broken, outcomes %v", r.Counters.StreamsBroken, r.Counters.Outcomes)
 						}
 					})
@@ -228,7 +228,7 @@
 	}
 	one, _ := peer(t, serve)
 	two, _ := peer(t, serve)
-	r, _ := run(t, func(p *Post) { p.Campaign.Offerings[0].LateCredit = 0.5 }, one, two)
+	r, _ := run(t, func(p *Post) { p.Campaign.Classes[0].LateValue = 0.5 }, one, two)
 	watch := watchDelays()
 	began = time.Now()
 	came, took, ended := r.raw("GET", "step", version)
--- a/internal/proto/attempts_test.go
+++ b/internal/proto/attempts_test.go
@@ -84,12 +84,12 @@
 		outcome        policy.Outcome
 	}{
 		{"error", 503, 502, 502, 1, policy.Errored},
-		{"away", 503, 503, 503, 3, policy.TurnedAway},
-		{"reset", 503, 502, 502, 1, policy.ConnBroke},
-		{"half", 503, 502, 502, 1, policy.ConnBroke},
-		{"garbage", 503, 502, 502, 1, policy.ConnBroke},
-		{"icy", 503, 502, 502, 1, policy.ConnBroke},
-		{"huge", 503, 502, 502, 1, policy.ConnBroke},
+		{"away", 503, 503, 503, 3, policy.Rejected},
+		{"reset", 503, 502, 502, 1, policy.ConnectionLost},
+		{"half", 503, 502, 502, 1, policy.ConnectionLost},
+		{"garbage", 503, 502, 502, 1, policy.ConnectionLost},
+		{"icy", 503, 502, 502, 1, policy.ConnectionLost},
+		{"huge", 503, 502, 502, 1, policy.ConnectionLost},
 		{"declined", 422, 422, 422, 1, policy.Declined},
 		{"silent", 503, 502, 502, 1, policy.TimedOut},
 	} {
@@ -164,8 +164,8 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	s := New(Post{Listen: "127.0.0.1:0", Descriptors: 64, Memory: 1 << 20, Campaign: &policy.Campaign{Sidecars: 1}}, logrus.New())
-	for queued, want := range map[int64]policy.Outcome{10: policy.ConnBroke, 11: policy.NotConnected} {
+	s := New(Post{Listen: "127.0.0.1:0", Descriptors: 64, Memory: 1 << 20, Campaign: &policy.Settings{Instances: 1}}, logrus.New())
+	for queued, want := range map[int64]policy.Outcome{10: policy.ConnectionLost, 11: policy.NotConnected} {
 		c := &state.Conn{Side: state.ToServer, Up: true, Queued: queued, Server: &state.Server{Of: &engine.Server{}}}
 		c.Written.Store(10)
 		ticket := state.Of(s.Take(s.no))
@@ -194,7 +194,7 @@
 	}
 	time.Sleep(50 * time.Millisecond)
 	r.end()
-	if r.Counters.Gone != 5 || r.Counters.Outcomes[policy.CalledOff] != 5 {
+	if r.Counters.Gone != 5 || r.Counters.Outcomes[policy.Cancelled] != 5 {
 		t.Errorf("left %d, outcomes %v", r.Counters.Gone, r.Counters.Outcomes)
 	}
 }
--- a/internal/proto/clients.go
+++ b/internal/proto/clients.go
@@ -137,7 +137,7 @@
 		return
 	}
 	offering, known := s.offerings[string(class(target, head))]
-	if !known && s.fallback != policy.NoOffering && field(head, "X-Priority-Class") == nil {
+	if !known && s.fallback != policy.NoClass && field(head, "X-Priority-Class") == nil {
 		offering, known = s.fallback, true
 	}
 	left, timed := s.timeLeft(offering, field(head, "X-Timeout"))
@@ -171,7 +171,7 @@
 		// Whoever uses another's id may mean its request, or get its answer.
 		refuse(409, "a request with this X-Request-ID is in hand\n")
 		return
-	case s.post.Campaign.Offerings[offering].Repeats == policy.Numbered && field(head, "Idempotency-Key") == nil:
+	case s.post.Campaign.Classes[offering].Idempotency == policy.Keyed && field(head, "Idempotency-Key") == nil:
 		refuse(400, "Idempotency-Key is missing\n")
 		return
 	case s.buffers.Full():
@@ -184,7 +184,7 @@
 	}
 	franchise, known := s.franchises[string(field(head, "X-Tenant-Id"))]
 	if !known {
-		franchise = policy.NoFranchise
+		franchise = policy.NoTenant
 	}
 	t := state.Of(s.Take(s.no))
 	t.Client, t.Request, t.Method, t.Target, t.Head, t.Body, t.Last = c, buf, method, target, head, body, last
@@ -206,7 +206,7 @@
 
 // timeLeft is how long the client of a ticket waits: as it says, and at most for as long as its offering allows, where that is
 // set.
-func (s *Sidecar) timeLeft(o policy.OfferingID, says []byte) (policy.Time, bool) {
+func (s *Sidecar) timeLeft(o policy.ClassID, says []byte) (policy.Time, bool) {
 	left, timed := seconds(says)
 	if s.post.CutOffs == nil {
 		return left, timed
@@ -423,7 +423,7 @@
 	if (t.Push != nil || t.Rest.On()) && s.unwritten(t) {
 		// What is missing of its body never comes; and a push that no server has whole is none yet, so ending it is allowed also where
 		// pushes may not be called off.
-		s.endPush(now, t, policy.CalledOff, false)
+		s.endPush(now, t, policy.Cancelled, false)
 	}
 }
 
--- a/internal/proto/crossing_test.go
+++ b/internal/proto/crossing_test.go
@@ -89,7 +89,7 @@
 			}
 			s.running, s.agent = run(t, func(p *Post) {
 				p.Campaign.MayCancel, p.ConnectIn = k.cancel, 2*policy.Second
-				p.Campaign.Offerings[1].Quoted, p.Campaign.Offerings[1].Window = 2*policy.Second, 300*policy.Millisecond
+				p.Campaign.Classes[1].Target, p.Campaign.Classes[1].Window = 2*policy.Second, 300*policy.Millisecond
 			}, addrs...)
 			s.until("told", func() bool { return s.Counters.Lists == 2 })
 			begun, release := s.dials(k.from)
@@ -155,7 +155,7 @@
 		slips, left bool
 		want        policy.Outcome
 		none        bool
-	}{{slips: false, want: policy.NotConnected}, {slips: true, want: policy.TimedOut}, {left: true, want: policy.CalledOff},
+	}{{slips: false, want: policy.NotConnected}, {slips: true, want: policy.TimedOut}, {left: true, want: policy.Cancelled},
 		{left: true, slips: true, none: true}} {
 		s, connect := still(t)
 		s.Engine.Campaign.MayCancel = false
@@ -366,7 +366,7 @@
 					two, _ := peer(t, serve)
 					addrs = append(addrs, two)
 				}
-				r, _ := run(t, func(p *Post) { p.Campaign.MayCancel, p.Campaign.Offerings[0].Quoted = cancel, k.quoted }, addrs...)
+				r, _ := run(t, func(p *Post) { p.Campaign.MayCancel, p.Campaign.Classes[0].Target = cancel, k.quoted }, addrs...)
 				if k.before != nil {
 					k.before(r)
 				}
--- a/internal/proto/parse_test.go
+++ b/internal/proto/parse_test.go
@@ -109,26 +109,26 @@
 
 func TestAnswersMeanWhatTheProtocolSays(t *testing.T) {
 	for in, want := range map[string]policy.Outcome{
-		"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n":                                                         policy.Honoured,
+		"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n":                                                         policy.Succeeded,
 		"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n":                                                         policy.Errored,
-		"HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n":                                   policy.TurnedAway,
-		"HTTP/1.1 504 No\r\nx-not-processed: 1\r\nContent-Length: 0\r\n\r\n":                                   policy.TurnedAway,
+		"HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n":                                   policy.Rejected,
+		"HTTP/1.1 504 No\r\nx-not-processed: 1\r\nContent-Length: 0\r\n\r\n":                                   policy.Rejected,
 		"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n":                                                         policy.Errored,
 		"HTTP/1.1 500 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n":                                   policy.Errored,
 		"HTTP/1.1 204 None\r\n\r\n":                                                                            policy.Errored,
 		"HTTP/1.1 404 No\r\nContent-Length: 2\r\n\r\nno":                                                       policy.Declined,
 		"HTTP/1.1 429 No\r\nContent-Length: 2\r\n\r\nno":                                                       policy.Errored,
-		"HTTP/1.1 200 OK\r\nX-Load: \x01{\r\nContent-Length: 0\r\n\r\n":                                        policy.Honoured,
-		"HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 102 P\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n": policy.Honoured,
-		"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n":                                                     policy.ConnBroke,
-		"HTTP/1.1 200\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab":                                     policy.ConnBroke,
-		"HTTP/1.1 20 OK\r\n\r\n":                                                                               policy.ConnBroke,
-		"SSH-2.0-x\r\n\r\n":                                                                                    policy.ConnBroke,
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n":                                           policy.ConnBroke,
-		"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", mostHead) + "\r\n\r\n":                                  policy.ConnBroke,
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n0\r\n\r":                    policy.ConnBroke,
+		"HTTP/1.1 200 OK\r\nX-Load: \x01{\r\nContent-Length: 0\r\n\r\n":                                        policy.Succeeded,
+		"HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 102 P\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n": policy.Succeeded,
+		"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n":                                                     policy.ConnectionLost,
+		"HTTP/1.1 200\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab":                                     policy.ConnectionLost,
+		"HTTP/1.1 20 OK\r\n\r\n":                                                                               policy.ConnectionLost,
+		"SSH-2.0-x\r\n\r\n":                                                                                    policy.ConnectionLost,
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n":                                           policy.ConnectionLost,
+		"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", mostHead) + "\r\n\r\n":                                  policy.ConnectionLost,
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n0\r\n\r":                    policy.ConnectionLost,
 	} {
-		got := policy.ConnBroke
+		got := policy.ConnectionLost
 		if n, status, head, _, _, ok := CutAnswer([]byte(in), false, false, mostBody); ok && n > 0 {
 			got = outcomeOf(status, head)
 		}
--- a/internal/proto/pushes.go
+++ b/internal/proto/pushes.go
@@ -62,7 +62,7 @@
 		return false
 	}
 	in := server.Idle[server.Awaited].Since + restFor - now
-	if in > s.post.Campaign.Offerings[t.Offering].Quoted/aRest {
+	if in > s.post.Campaign.Classes[t.Offering].Target/aRest {
 		return false
 	}
 	if t.Rest.Do == nil {
@@ -174,7 +174,7 @@
 		s.endPush(at, t, outcomeOf(status, head), stays)
 	case s.answerComes(now, at, c, !ok):
 	case !ok:
-		s.endPush(at, t, policy.ConnBroke, false)
+		s.endPush(at, t, policy.ConnectionLost, false)
 	}
 }
 
@@ -210,7 +210,7 @@
 			return
 		}
 	}
-	s.endPush(at, t, policy.ConnBroke, false)
+	s.endPush(at, t, policy.ConnectionLost, false)
 }
 
 // TimedOut is the end of a push's time. A request that has not been written whole is cut off with its connection, so
@@ -241,7 +241,7 @@
 // CallOff ends a push that nobody waits for any more.
 func (s *Sidecar) CallOff(now policy.Time, of *engine.Ticket) {
 	if t := state.Of(of); (t.Push != nil || t.Rest.On()) && !t.Streams {
-		s.endPush(now, t, policy.CalledOff, false)
+		s.endPush(now, t, policy.Cancelled, false)
 	}
 }
 
--- a/internal/proto/renew.go
+++ b/internal/proto/renew.go
@@ -18,7 +18,7 @@
 	keep("listen", post.Listen == s.post.Listen)
 	keep("limits", post.Descriptors == s.post.Descriptors && post.Memory == s.post.Memory)
 	if post.Default != s.post.Default {
-		post.Campaign = &policy.Campaign{} // of another shape: who names nothing would get another offering under a ticket in hand
+		post.Campaign = &policy.Settings{} // of another shape: who names nothing would get another offering under a ticket in hand
 	}
 	alike := s.Renew(engine.Post{Campaign: post.Campaign, Source: post.Source, Leave: post.Leave})
 	keep("settings", alike)
--- a/internal/proto/rig_test.go
+++ b/internal/proto/rig_test.go
@@ -227,12 +227,12 @@
 	s := time.Second.Nanoseconds()
 	post := Post{Listen: free.Addr().String(), Source: roster.NewPlatform(a.Addr().String(), false), Seed: 5, Descriptors: 256, Memory: 32 << 20,
 		ConnectIn: policy.Time(s / 5), IdleFor: policy.Time(s * 60), Leave: policy.Time(s), Accept: policy.Time(s / 20),
-		Known: []byte(told), Campaign: &policy.Campaign{Sidecars: 1, Zone: "a", Zones: 1, MayCancel: true, MaxPushes: 3,
-			Advice: policy.Second, Tick: 5 * policy.Millisecond, ColdShare: 0.2, ColdTime: policy.Second, FallMultiple: 3,
-			Offerings: []policy.Offering{{Name: "step", Credit: 1, Quoted: policy.Second / 4},
-				{Name: "note", Credit: 1, Quoted: policy.Second / 4, Repeats: policy.Numbered, Group: policy.GroupCell,
+		Known: []byte(told), Campaign: &policy.Settings{Instances: 1, Zone: "a", Zones: 1, MayCancel: true, MaxAttempts: 3,
+			MaxRetryAfter: policy.Second, Tick: 5 * policy.Millisecond, ColdShare: 0.2, ColdTime: policy.Second, FallMultiple: 3,
+			Classes: []policy.Class{{Name: "step", Value: 1, Target: policy.Second / 4},
+				{Name: "note", Value: 1, Target: policy.Second / 4, Idempotency: policy.Keyed, Group: policy.GroupCell,
 					Window: policy.Second},
-				{Name: "once", Credit: 1, Quoted: policy.Second / 4, Repeats: policy.AtMostOnce}}}}
+				{Name: "once", Value: 1, Target: policy.Second / 4, Idempotency: policy.NonIdempotent}}}}
 	if change != nil {
 		change(&post)
 	}
--- a/internal/proto/sidecar.go
+++ b/internal/proto/sidecar.go
@@ -27,7 +27,7 @@
 	IdleFor     policy.Time // servers close connections that stood idle for so long
 	Accept      policy.Time // for so long after the first sign of the end clients may come
 	Leave       policy.Time // from that sign to the last answer
-	Campaign    *policy.Campaign
+	Campaign    *policy.Settings
 	CutOffs     []policy.Time   // by offering, for tickets that say nothing of it or more; nil: they must say
 	Default     string          // the offering of tickets that name none; "": they must
 	Anonymous   bool            // tickets may come without X-Request-ID
@@ -51,10 +51,10 @@
 	conns   *state.Conns
 	tickets *state.Tickets
 
-	offerings  map[string]policy.OfferingID
-	franchises map[string]policy.FranchiseID
-	fallback   policy.OfferingID // of tickets that name none
-	again      []*state.Conn     // clients whose next request may be in already
+	offerings  map[string]policy.ClassID
+	franchises map[string]policy.TenantID
+	fallback   policy.ClassID // of tickets that name none
+	again      []*state.Conn  // clients whose next request may be in already
 	scratch    []byte
 	begin      engine.Timer // to look whether clients may come in
 	room       engine.Timer // to look for connections of clients to close
@@ -72,19 +72,19 @@
 // New makes a sidecar that does not serve yet.
 func New(post Post, log *logrus.Logger) *Sidecar {
 	s := &Sidecar{post: post, buffers: &state.Buffers{Most: post.Memory}, conns: state.NewConns(post.Descriptors - post.Aside),
-		tickets: &state.Tickets{}, offerings: map[string]policy.OfferingID{}, franchises: map[string]policy.FranchiseID{}}
+		tickets: &state.Tickets{}, offerings: map[string]policy.ClassID{}, franchises: map[string]policy.TenantID{}}
 	s.Engine = engine.New(engine.Post{Seed: post.Seed, Campaign: post.Campaign, Source: post.Source, Known: post.Known,
 		Leave: post.Leave, Latency: post.Latency, Record: post.Record, Stall: post.Stall}, log)
 	s.no = s.Engine.Add(s)
-	for i, o := range post.Campaign.Offerings {
-		s.offerings[o.Name] = policy.OfferingID(i)
+	for i, o := range post.Campaign.Classes {
+		s.offerings[o.Name] = policy.ClassID(i)
 	}
-	s.fallback = policy.NoOffering
+	s.fallback = policy.NoClass
 	if i, known := s.offerings[post.Default]; known {
 		s.fallback = i
 	}
-	for i, f := range post.Campaign.Franchises {
-		s.franchises[f.Name] = policy.FranchiseID(i)
+	for i, f := range post.Campaign.Tenants {
+		s.franchises[f.Name] = policy.TenantID(i)
 	}
 	s.processes.Store(1)
 	s.shared = 1
--- a/internal/proto/sidecar_test.go
+++ b/internal/proto/sidecar_test.go
@@ -161,14 +161,14 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	post.Campaign = &policy.Campaign{Offerings: []policy.Offering{{Name: "other"}}}
+	post.Campaign = &policy.Settings{Classes: []policy.Class{{Name: "other"}}}
 	r.new <- post // what the module counts by cannot change under it
 	kept.send("step/echo", "d", "")
 	if answer, _ := kept.receive(); answer.StatusCode != 200 {
 		t.Errorf("after settings of another shape: %d", answer.StatusCode)
 	}
 	changed := *r.post.Campaign
-	changed.Advice = 2 * policy.Second
+	changed.MaxRetryAfter = 2 * policy.Second
 	post.Campaign = &changed
 	r.new <- post
 	kept.send("step/away", "e", "")
@@ -181,8 +181,8 @@
 	}
 	second.mu.Unlock()
 	r.end()
-	if r.Counters.Renewals != 3 || r.post.Campaign.Advice != 2*policy.Second {
-		t.Errorf("renewed %d times, advice %d", r.Counters.Renewals, r.post.Campaign.Advice)
+	if r.Counters.Renewals != 3 || r.post.Campaign.MaxRetryAfter != 2*policy.Second {
+		t.Errorf("renewed %d times, advice %d", r.Counters.Renewals, r.post.Campaign.MaxRetryAfter)
 	}
 }
 
@@ -386,7 +386,7 @@
 	if err := quick.Check(feed, &quick.Config{MaxCount: 5000, Rand: rand.New(rand.NewSource(9))}); err != nil {
 		t.Error(err, s.report())
 	}
-	if k := s.Counters; k.Honoured == 0 || k.Bad == 0 || k.Outcomes[policy.ConnBroke] == 0 || k.Lists < 100 {
+	if k := s.Counters; k.Honoured == 0 || k.Bad == 0 || k.Outcomes[policy.ConnectionLost] == 0 || k.Lists < 100 {
 		t.Errorf("too little was reached: %s", k.String())
 	}
 }
--- a/internal/proto/stream.go
+++ b/internal/proto/stream.go
@@ -35,7 +35,7 @@
 			c.Need = n + size
 		}
 	}
-	if o := outcomeOf(status, head); o != policy.Honoured && o != policy.Declined {
+	if o := outcomeOf(status, head); o != policy.Succeeded && o != policy.Declined {
 		if size > mostBody {
 			// What a server says at length of a failure is not waited for.
 			s.endPush(at, t, o, false)
@@ -50,7 +50,7 @@
 	c.Frame = frameOf(size, chunked)
 	got, used, done, ok := takeBody(&c.Frame, b[n:])
 	if !ok || done || used < len(b)-n {
-		s.endPush(at, t, policy.ConnBroke, false)
+		s.endPush(at, t, policy.ConnectionLost, false)
 		return true
 	}
 	s.beginStream(now, at, c, t, status, head, b[n:n+got], stays)
--- a/internal/rehearsal/clients.go
+++ b/internal/rehearsal/clients.go
@@ -28,7 +28,7 @@
 	for try := 1; ; try++ {
 		answer, advice, sent := s.try(a, c, r, cutOff, try)
 		harmless := !sent || answer == judge.TurnedBack
-		if sent && answer == judge.Honoured || try > sc.Clients.Retries || !harmless && o.Repeats == policy.AtMostOnce {
+		if sent && answer == judge.Honoured || try > sc.Clients.Retries || !harmless && o.Idempotency == policy.NonIdempotent {
 			break
 		}
 		s.mu.Lock()
@@ -66,7 +66,7 @@
 	s.tickets[id] = t
 	s.mu.Unlock()
 	method := http.MethodPost
-	if o.Repeats == policy.Reissuable {
+	if o.Idempotency == policy.Idempotent {
 		method = http.MethodGet
 	}
 	ctx, end := context.WithTimeout(context.Background(), time.Duration(left+slack/2))
@@ -82,7 +82,7 @@
 	if a.Franchise >= 0 {
 		h.Set("X-Tenant-Id", s.Scenario.Franchise[a.Franchise].Name)
 	}
-	if o.Repeats == policy.Numbered {
+	if o.Idempotency == policy.Keyed {
 		h.Set("Idempotency-Key", "i-"+id)
 	}
 	if s.Scenario.Clients.Marks && try > 1 {
--- a/internal/rehearsal/rehearsal.go
+++ b/internal/rehearsal/rehearsal.go
@@ -48,7 +48,7 @@
 	dir      string
 	clock    clock.Clock
 	start    policy.Time
-	campaign policy.Campaign
+	campaign policy.Settings
 	servers  []*server
 	sidecars []*sidecar
 	client   *http.Transport
--- a/internal/rehearsal/sidecars.go
+++ b/internal/rehearsal/sidecars.go
@@ -131,18 +131,18 @@
 		strings.Join(zones, ", "), sc.Sidecars, k.CrossPrice, s.Seed*1000+uint64(c.no)+1)
 	line("[front.http]\nlisten = %q\nrequest_id = \"demanded\"", c.addr)
 	line("[limits]\ndescriptors = 4096\nmemory_mb = 192\npushes = %d\ncancel = %v\nadvice = %q\nconnect = %q\nidle = %q\ntick = %q",
-		k.MaxPushes, k.MayCancel, span(k.Advice), span(sc.Network.ConnectIn), span(sc.Network.IdleFor), span(k.Tick))
+		k.MaxAttempts, k.MayCancel, span(k.MaxRetryAfter), span(sc.Network.ConnectIn), span(sc.Network.IdleFor), span(k.Tick))
 	line("[cold]\nshare = %g\ntime = %q\nfall = %g", max(0.001, k.ColdShare), span(k.ColdTime), max(1, k.FallMultiple))
 	repeats, groups := []string{"reissuable", "numbered", "at-most-once"}, []string{"all", "zone", "pod"}
 	for _, o := range sc.Offerings {
-		line("[[offering]]\nname = %q\ncredit = %g\nlate_credit = %g\nquoted_time = %q\ncut_off = %q\nrepeats = %q", o.Name, o.Credit, o.LateCredit,
-			span(o.Quoted), span(o.CutOff), repeats[o.Repeats])
-		if o.Repeats == policy.Numbered {
+		line("[[offering]]\nname = %q\ncredit = %g\nlate_credit = %g\nquoted_time = %q\ncut_off = %q\nrepeats = %q", o.Name, o.Value, o.LateValue,
+			span(o.Target), span(o.Deadline), repeats[o.Idempotency])
+		if o.Idempotency == policy.Keyed {
 			line("group = %q\nwindow = %q", groups[o.Group], span(o.Window))
 		}
 	}
-	line("[franchises]\nbeyond_credit = %g", k.BeyondCredit)
-	for _, f := range k.Franchises {
+	line("[franchises]\nbeyond_credit = %g", k.BeyondValue)
+	for _, f := range k.Tenants {
 		line("[[franchise]]\nname = %q\nquota = %g", f.Name, f.Quota)
 	}
 	line("[source]\nkind = \"files\"\nfiles = [\"servers.toml\"]\nmay_take_away = 1.0\n[state]\nfolder = \"state\"")
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -22,7 +22,7 @@
 	name     []byte
 	out      *bytes.Buffer
 	balancer *policy.Balancer
-	campaign *policy.Campaign
+	campaign *policy.Settings
 	names    map[string]int32 // offerings
 	houses   map[string]int32 // franchises
 	handles  map[ticketID]policy.Handle
@@ -258,7 +258,7 @@
 	if id > math.MaxUint32 {
 		return fmt.Errorf("endpoint=%d is out of range", id)
 	}
-	m.ID = policy.ServerID(id)
+	m.ID = policy.EndpointID(id)
 	state, err := a.need("readiness")
 	if err != nil {
 		return err
@@ -347,10 +347,10 @@
 	if !ok {
 		return fmt.Errorf("band=%s is not among the offerings", band)
 	}
-	franchise := policy.NoFranchise
+	franchise := policy.NoTenant
 	if v, ok := a.get("party"); ok {
 		if f, ok := i.houses[string(v)]; ok {
-			franchise = policy.FranchiseID(f)
+			franchise = policy.TenantID(f)
 		}
 	}
 	opts := uint64(0)
@@ -360,7 +360,7 @@
 		}
 	}
 	key, _ := a.get("item")
-	h := i.balancer.Admit(a.now, policy.OfferingID(offering), franchise, string(key), opts&2 != 0, left)
+	h := i.balancer.Admit(a.now, policy.ClassID(offering), franchise, string(key), opts&2 != 0, left)
 	for len(i.ids) <= h.Place() {
 		i.ids = append(i.ids, ticketID{})
 	}
@@ -371,8 +371,8 @@
 	return nil
 }
 
-var outcomes = map[string]policy.Outcome{"S": policy.Honoured, "E": policy.Errored, "F": policy.TurnedAway,
-	"T": policy.TimedOut, "C": policy.NotConnected, "R": policy.ConnBroke, "X": policy.CalledOff, "N": policy.NotSent}
+var outcomes = map[string]policy.Outcome{"S": policy.Succeeded, "E": policy.Errored, "F": policy.Rejected,
+	"T": policy.TimedOut, "C": policy.NotConnected, "R": policy.ConnectionLost, "X": policy.Cancelled, "N": policy.NotSent}
 
 func (a *Adapter) completed(i *instance) error {
 	id, err := a.id()
@@ -404,7 +404,7 @@
 		return err
 	}
 	if h, ok := i.handles[id]; ok {
-		i.balancer.PushEnded(a.now, h, policy.PushNo(push), policy.ServerID(server), outcome, spent, over)
+		i.balancer.AttemptEnded(a.now, h, policy.AttemptNo(push), policy.EndpointID(server), outcome, spent, over)
 	}
 	return nil
 }
@@ -440,7 +440,7 @@
 	}
 }
 
-func (i *instance) Push(h policy.Handle, s policy.ServerID, wait policy.Time) {
+func (i *instance) Attempt(h policy.Handle, s policy.EndpointID, wait policy.Time) {
 	i.about("route", h)
 	i.whole("endpoint", uint64(s))
 	if wait > 0 {
@@ -449,26 +449,26 @@
 	i.out.WriteByte('\n')
 }
 
-func (i *instance) Cancel(h policy.Handle, n policy.PushNo) {
+func (i *instance) Cancel(h policy.Handle, n policy.AttemptNo) {
 	i.about("undo_send", h)
 	i.whole("send_no", uint64(n))
 	i.out.WriteByte('\n')
 }
 
-// Honour has nothing to write: the bench passes a server's answer on by itself.
-func (i *instance) Honour(policy.Handle, policy.PushNo) {}
+// Succeed has nothing to write: the bench passes a server's answer on by itself.
+func (i *instance) Succeed(policy.Handle, policy.AttemptNo) {}
 
 // Release gives the connections to a server back.
-func (i *instance) Release(s policy.ServerID) {
+func (i *instance) Release(s policy.EndpointID) {
 	i.action("release")
 	i.whole("endpoint", uint64(s))
 	i.out.WriteByte('\n')
 }
 
 // Forget has nothing to do: servers are named by their ids alone.
-func (i *instance) Forget(policy.ServerID) {}
+func (i *instance) Forget(policy.EndpointID) {}
 
-func (i *instance) TurnBack(h policy.Handle, retryIn policy.Time) {
+func (i *instance) Reject(h policy.Handle, retryIn policy.Time) {
 	i.about("busy", h)
 	if retryIn > 0 {
 		i.span("backoff_s", retryIn)
@@ -476,7 +476,7 @@
 	i.out.WriteByte('\n')
 }
 
-func (i *instance) GiveUp(h policy.Handle) {
+func (i *instance) Fail(h policy.Handle) {
 	i.about("drop_request", h)
 	i.out.WriteByte('\n')
 }
--- a/internal/simwire/start.go
+++ b/internal/simwire/start.go
@@ -32,10 +32,10 @@
 	}
 	i := &instance{name: bytes.Clone(name), out: &a.out, handles: map[ticketID]policy.Handle{},
 		names: map[string]int32{}, houses: map[string]int32{}, campaign: c}
-	for n, o := range c.Offerings {
+	for n, o := range c.Classes {
 		i.names[o.Name] = int32(n)
 	}
-	for n, f := range c.Franchises {
+	for n, f := range c.Tenants {
 		i.houses[f.Name] = int32(n)
 	}
 	a.instances[string(i.name)] = i
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -72,7 +72,7 @@
 	records chan Record
 	done    chan error
 	dropped atomic.Int64
-	servers map[policy.ServerID]int64 // the loop's
+	servers map[policy.EndpointID]int64 // the loop's
 }
 
 // Create begins a trace in a new file.
@@ -82,7 +82,7 @@
 		return nil, err
 	}
 	head.Format, head.Version = format, version
-	r := &Recorder{head: head, records: make(chan Record, mostWaits), done: make(chan error, 1), servers: map[policy.ServerID]int64{}}
+	r := &Recorder{head: head, records: make(chan Record, mostWaits), done: make(chan error, 1), servers: map[policy.EndpointID]int64{}}
 	go func() {
 		err := r.write(f)
 		r.done <- errors.Join(err, f.Close())
@@ -149,7 +149,7 @@
 }
 
 // Known gives the place of a server told of before, -1 if it was not.
-func (r *Recorder) Known(id policy.ServerID) int64 {
+func (r *Recorder) Known(id policy.EndpointID) int64 {
 	if no, known := r.servers[id]; known {
 		return no
 	}
--- a/internal/yardstick/lists.go
+++ b/internal/yardstick/lists.go
@@ -73,8 +73,8 @@
 		for _, e := range found.Entries {
 			members = append(members, e.Member)
 		}
-		module := policy.New(nobody{}, &policy.Campaign{Sidecars: 1, Zone: "a", Zones: 3, Weighted: true, Tick: 5 * policy.Millisecond,
-			Offerings: []policy.Offering{{Name: "step", Credit: 1, Quoted: policy.Second}}}, 1, 1)
+		module := policy.New(nobody{}, &policy.Settings{Instances: 1, Zone: "a", Zones: 3, Weighted: true, Tick: 5 * policy.Millisecond,
+			Classes: []policy.Class{{Name: "step", Value: 1, Target: policy.Second}}}, 1, 1)
 		at = time.Now()
 		module.List(1, policy.ListFull, members)
 		least(&out.Deal, at)
@@ -88,16 +88,16 @@
 // nobody is a front that nothing is asked of.
 type nobody struct{}
 
-func (nobody) Push(policy.Handle, policy.ServerID, policy.Time) {}
-func (nobody) Cancel(policy.Handle, policy.PushNo)              {}
-func (nobody) Honour(policy.Handle, policy.PushNo)              {}
-func (nobody) TurnBack(policy.Handle, policy.Time)              {}
-func (nobody) GiveUp(policy.Handle)                             {}
-func (nobody) Wake(policy.Time)                                 {}
-func (nobody) FollowList(bool)                                  {}
-func (nobody) Release(policy.ServerID)                          {}
-func (nobody) Forget(policy.ServerID)                           {}
-func (nobody) Log(string)                                       {}
+func (nobody) Attempt(policy.Handle, policy.EndpointID, policy.Time) {}
+func (nobody) Cancel(policy.Handle, policy.AttemptNo)                {}
+func (nobody) Succeed(policy.Handle, policy.AttemptNo)               {}
+func (nobody) Reject(policy.Handle, policy.Time)                     {}
+func (nobody) Fail(policy.Handle)                                    {}
+func (nobody) Wake(policy.Time)                                      {}
+func (nobody) FollowList(bool)                                       {}
+func (nobody) Release(policy.EndpointID)                             {}
+func (nobody) Forget(policy.EndpointID)                              {}
+func (nobody) Log(string)                                            {}
 
 // ServerHere serves as a stand-in at the address until the process is told to end.
 func ServerHere(addr string) error {
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -10,7 +10,7 @@
 
 // coldBoundBroken gives the most that a server was sent within the time in which it falls, over what is allowed then: N requests, and two
 // roots of N and two more for chance.
-func coldBoundBroken(sent []Time, started Time, c *Campaign, capacity float64) (worst float64) {
+func coldBoundBroken(sent []Time, started Time, c *Settings, capacity float64) (worst float64) {
 	for first, last := 0, 0; last < len(sent); last++ {
 		for sent[first] <= sent[last]-c.FallTime {
 			first++
@@ -31,7 +31,7 @@
 		capacity                  = instances * each / servers
 	)
 	c := campaign()
-	c.Sidecars, c.ColdShare, c.ColdTime, c.FallTime = instances, 0.4, 6*Second, 3*Second/2
+	c.Instances, c.ColdShare, c.ColdTime, c.FallTime = instances, 0.4, 6*Second, 3*Second/2
 	members := fleet(servers, "a")
 	for i := range members {
 		members[i].Weight = 1
@@ -41,7 +41,7 @@
 		all[i] = New(&fronts[i], c, uint64(i), Second)
 		all[i].List(Second, ListFull, members[fresh:])
 	}
-	sent := map[ServerID][]Time{}
+	sent := map[EndpointID][]Time{}
 	for now := Second; now < known+c.ColdTime; now += step {
 		for i, b := range all {
 			if now == known {
@@ -50,7 +50,7 @@
 				}
 				b.List(now, ListChanges, members[:fresh])
 			}
-			if to := push(b, &fronts[i], now, "", Honoured, 100*Millisecond); to <= fresh {
+			if to := push(b, &fronts[i], now, "", Succeeded, 100*Millisecond); to <= fresh {
 				sent[to] = append(sent[to], now)
 			}
 		}
@@ -84,12 +84,12 @@
 		for i := range 100 {
 			cold.budget, cold.budgetAt = 1, now
 			change(cold)
-			if to := push(b, w, now, fmt.Sprint("key", i), CalledOff, 0); to == 7 && b.table[xxhash.Sum64String(fmt.Sprint("key", i))%slots] != b.places[7] {
+			if to := push(b, w, now, fmt.Sprint("key", i), Cancelled, 0); to == 7 && b.table[xxhash.Sum64String(fmt.Sprint("key", i))%slots] != b.places[7] {
 				t.Errorf("%s: key %d left its slot", name, i)
 			}
 			cold.budget = 1
 			change(cold)
-			if to := push(b, w, now, "", CalledOff, 0); (to == 7) != (name == "may be sent one") {
+			if to := push(b, w, now, "", Cancelled, 0); (to == 7) != (name == "may be sent one") {
 				t.Fatalf("%s: a request without a key went to server %d", name, to)
 			}
 		}
--- a/policy/coldfleet_test.go
+++ b/policy/coldfleet_test.go
@@ -10,7 +10,7 @@
 // is held against what the settings allow: N calls of mean work in the time in which a cold server falls, beyond which only
 // 2 roots of N and 2 more are chance.
 type coldFleet struct {
-	*Campaign
+	*Settings
 	all      []*Balancer
 	cold     []*server // as each instance has it
 	capacity float64   // calls of mean work that the server bears in a second when warm
@@ -24,10 +24,10 @@
 }
 
 func newColdFleet(n int, capacity, used float64, fall Time, from float64, seed uint64) *coldFleet {
-	f := &coldFleet{capacity: capacity, used: used, Campaign: &Campaign{Sidecars: n, Weighted: true, MaxPushes: 3, Tick: 5 * Millisecond,
-		ColdShare: from, ColdTime: 20 * Second, FallMultiple: 3, FallTime: fall, Offerings: []Offering{{Name: "r", Quoted: Second}}}}
+	f := &coldFleet{capacity: capacity, used: used, Settings: &Settings{Instances: n, Weighted: true, MaxAttempts: 3, Tick: 5 * Millisecond,
+		ColdShare: from, ColdTime: 20 * Second, FallMultiple: 3, FallTime: fall, Classes: []Class{{Name: "r", Target: Second}}}}
 	for i := range n {
-		b := &Balancer{campaign: f.Campaign, chance: newChance((seed*1000 + uint64(i)) * 0x9e3779b97f4a7c15), borne: used * capacity / float64(n)}
+		b := &Balancer{campaign: f.Settings, chance: newChance((seed*1000 + uint64(i)) * 0x9e3779b97f4a7c15), borne: used * capacity / float64(n)}
 		f.all, f.cold = append(f.all, b), append(f.cold, nil)
 	}
 	return f
--- a/policy/ejection_test.go
+++ b/policy/ejection_test.go
@@ -24,7 +24,7 @@
 	b, q := started(fleet(2, "a"))
 	b.servers[0].trickle = 1
 	for i := range 8 {
-		b.Begin(2*Second, b.Admit(2*Second, 0, NoFranchise, fmt.Sprint(i), false, Second))
+		b.Begin(2*Second, b.Admit(2*Second, 0, NoTenant, fmt.Sprint(i), false, Second))
 	}
 	if b.servers[0].out != 1 {
 		t.Errorf("%d of %d pushes out to a server that just returned", b.servers[0].out, len(q.to))
@@ -34,10 +34,10 @@
 // At full size a sidecar that hears of a server once in a minute judged it by three failures.
 func TestSingleFailureCountsWhereLittleIsHeard(t *testing.T) {
 	b, q := lived(200, 200)
-	h := b.Admit(60*Second, 0, NoFranchise, "one", false, 2*Second)
+	h := b.Admit(60*Second, 0, NoTenant, "one", false, 2*Second)
 	b.Begin(60*Second, h)
 	id := q.to[len(q.to)-1]
-	b.PushEnded(61*Second, h, 0, id, TimedOut, Second, false)
+	b.AttemptEnded(61*Second, h, 0, id, TimedOut, Second, false)
 	if till := b.servers[b.places[id]].asideTill; till < 70*Second {
 		t.Errorf("aside till %d after the one failure heard in a minute", till)
 	}
@@ -48,20 +48,20 @@
 	for load, want := range map[float64]int{0: 1, 0.9: 0} {
 		b, q := started(fleet(4, "a"))
 		for i := range 40 {
-			push(b, q, 2*Second+Time(i)*Millisecond, fmt.Sprint(i), Honoured, 100*Millisecond)
+			push(b, q, 2*Second+Time(i)*Millisecond, fmt.Sprint(i), Succeeded, 100*Millisecond)
 		}
 		b.servers[0].ratio = b.calm + load
 		away := 0
 		for i := range 200 {
 			now := 3*Second + Time(i)*5*Millisecond
-			h := b.Admit(now, 0, NoFranchise, fmt.Sprint(i), false, 4*Second)
+			h := b.Admit(now, 0, NoTenant, fmt.Sprint(i), false, 4*Second)
 			b.Begin(now, h)
 			for n := 0; b.held(h) != nil && n < 3; n++ {
-				o, to := Honoured, q.to[len(q.to)-1]
+				o, to := Succeeded, q.to[len(q.to)-1]
 				if to == b.servers[0].ID {
-					o, away = TurnedAway, away+1
+					o, away = Rejected, away+1
 				}
-				b.PushEnded(now, h, PushNo(n), to, o, 100*Millisecond, o == Honoured)
+				b.AttemptEnded(now, h, AttemptNo(n), to, o, 100*Millisecond, o == Succeeded)
 			}
 		}
 		if b.tend(4 * Second); b.aside != want || want > 0 && (away > inRow || b.late > 0.5) {
@@ -74,14 +74,14 @@
 func TestImpatientClientsAreNoSignOfTheServer(t *testing.T) {
 	b, q := started(fleet(1, "a"))
 	for i := range 20 {
-		push(b, q, Second+Time(i)*500*Millisecond, fmt.Sprint("usual", i), Honoured, 300*Millisecond)
+		push(b, q, Second+Time(i)*500*Millisecond, fmt.Sprint("usual", i), Succeeded, 300*Millisecond)
 	}
 	was := b.late
 	for i := range 4 {
 		now := 12*Second + Time(i)*Second
-		h := b.Admit(now, 0, NoFranchise, fmt.Sprint(i), false, 100*Millisecond)
+		h := b.Admit(now, 0, NoTenant, fmt.Sprint(i), false, 100*Millisecond)
 		b.Begin(now, h)
-		b.PushEnded(now+84*Millisecond, h, 0, q.to[len(q.to)-1], TimedOut, 84*Millisecond, true)
+		b.AttemptEnded(now+84*Millisecond, h, 0, q.to[len(q.to)-1], TimedOut, 84*Millisecond, true)
 	}
 	if s := &b.servers[0]; s.asideTill > 0 || s.limit < firstLimit || b.late > was {
 		t.Errorf("aside till %d, limit %.1f, lateness %.2f after %.2f", s.asideTill, s.limit, b.late, was)
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -9,7 +9,7 @@
 
 // sent is one push as the plain model remembers it.
 type sent struct {
-	server ServerID
+	server EndpointID
 	at     Time
 	out    bool
 	ran    bool // may have run
@@ -17,7 +17,7 @@
 
 // request is one ticket as the plain model remembers it.
 type request struct {
-	offering Offering
+	offering Class
 	cutOff   Time
 	answered bool
 	pushes   []sent
@@ -34,16 +34,16 @@
 type world struct {
 	*rand.Rand
 	now      Time
-	campaign *Campaign
+	campaign *Settings
 	b        *Balancer
 	life     int // counts restarts; events of an earlier life are void
 	requests map[Handle]*request
-	fleet    map[ServerID]Member
-	told     map[ServerID]Time // when this life heard that a server leaves
-	colds    map[ServerID][]Time
+	fleet    map[EndpointID]Member
+	told     map[EndpointID]Time // when this life heard that a server leaves
+	colds    map[EndpointID][]Time
 	honoured []Time
-	byCold   map[ServerID][]Time // honoured by a cold server since it started
-	fewest   int                 // fewest warm servers so far
+	byCold   map[EndpointID][]Time // honoured by a cold server since it started
+	fewest   int                   // fewest warm servers so far
 	events   []event
 	trace    strings.Builder
 	broken   string
@@ -75,10 +75,10 @@
 	return r
 }
 
-func (w *world) Push(h Handle, id ServerID, wait Time) {
+func (w *world) Attempt(h Handle, id EndpointID, wait Time) {
 	fmt.Fprintf(&w.trace, "push %d %d %d\n", h, id, wait)
 	r, s := w.open(h), w.fleet[id]
-	if len(r.pushes) >= w.campaign.MaxPushes {
+	if len(r.pushes) >= w.campaign.MaxAttempts {
 		w.fail("more pushes than allowed")
 	}
 	for _, p := range r.pushes {
@@ -91,7 +91,7 @@
 		was := w.fleet[p.server]
 		within := o.Group == GroupAll || o.Group == GroupZone && was.Zone == s.Zone ||
 			o.Group == GroupCell && was.Cell == s.Cell
-		if o.Repeats == AtMostOnce || o.Repeats == Numbered && (!within || w.now > p.at+o.Window) {
+		if o.Idempotency == NonIdempotent || o.Idempotency == Keyed && (!within || w.now > p.at+o.Window) {
 			w.fail("rule 2: pushed again outside its group or window")
 		}
 	}
@@ -123,13 +123,13 @@
 }
 
 // coldPush counts pushes to a cold server against what a warm one, or it itself, was at most seen to honour.
-func (w *world) coldPush(id ServerID, s Member) {
+func (w *world) coldPush(id EndpointID, s Member) {
 	w.colds[id] = append(w.colds[id], w.now)
 	c := w.campaign
 	share := c.ColdShare + (1-c.ColdShare)*float64(w.now-s.Started)/float64(c.ColdTime)
 	rate := max(share*0.25*float64(busiest(w.honoured))/float64(max(1, w.fewest)), 0.8*float64(busiest(w.byCold[id])))
 	// A rate that forgets over three seconds is at most 1.2 times its busiest second.
-	most := 1 + 1/float64(c.Sidecars) + c.FallMultiple*1.2*rate
+	most := 1 + 1/float64(c.Instances) + c.FallMultiple*1.2*rate
 	n := 0
 	for _, at := range w.colds[id] {
 		if at > w.now-Second {
@@ -145,7 +145,7 @@
 func (w *world) outcomeOf(h Handle, r *request, n int, wait Time) {
 	o := Outcome(w.Intn(int(NotSent)))
 	if w.Intn(3) > 0 {
-		o = Honoured
+		o = Succeeded
 	}
 	d := Time(w.Int63n(int64(300 * Millisecond)))
 	if o == TimedOut || d > wait {
@@ -158,15 +158,15 @@
 		p := &r.pushes[n]
 		p.out = false
 		switch o {
-		case Errored, TimedOut, ConnBroke, CalledOff:
+		case Errored, TimedOut, ConnectionLost, Cancelled:
 			p.ran = true
-		case Honoured:
+		case Succeeded:
 			w.honoured = append(w.honoured, w.now)
 			w.byCold[p.server] = append(w.byCold[p.server], w.now)
 			r.answered = true
 		}
 		w.kinds[fmt.Sprint("outcome ", o)]++
-		w.b.PushEnded(w.now, h, PushNo(n), p.server, o, w.now-p.at, r.answered)
+		w.b.AttemptEnded(w.now, h, AttemptNo(n), p.server, o, w.now-p.at, r.answered)
 	})
 	for i := range r.pushes {
 		// A push that is out may already be running.
@@ -174,11 +174,11 @@
 	}
 }
 
-func (w *world) TurnBack(h Handle, _ Time) {
+func (w *world) Reject(h Handle, _ Time) {
 	fmt.Fprintf(&w.trace, "back %d\n", h)
 	w.kinds["turned back"]++
 	r := w.open(h)
-	again := r.offering.Repeats == Reissuable || r.offering.Repeats == Numbered && r.offering.Group == GroupAll
+	again := r.offering.Idempotency == Idempotent || r.offering.Idempotency == Keyed && r.offering.Group == GroupAll
 	for _, p := range r.pushes {
 		if (p.ran || p.out) && !again {
 			w.fail("rule 2: turned back though it may have run")
@@ -187,20 +187,20 @@
 	r.answered = true
 }
 
-func (w *world) GiveUp(h Handle) {
+func (w *world) Fail(h Handle) {
 	fmt.Fprintf(&w.trace, "give up %d\n", h)
 	w.kinds["given up"]++
 	w.open(h).answered = true
 }
 
-func (w *world) Cancel(Handle, PushNo) {}
-func (w *world) Honour(Handle, PushNo) {}
-func (w *world) Log(string)            {}
-func (w *world) Forget(ServerID)       { w.kinds["forgotten"]++ }
-func (w *world) Wake(in Time)          { w.after(in, func() { w.b.Woken(w.now) }) }
+func (w *world) Cancel(Handle, AttemptNo)  {}
+func (w *world) Succeed(Handle, AttemptNo) {}
+func (w *world) Log(string)                {}
+func (w *world) Forget(EndpointID)         { w.kinds["forgotten"]++ }
+func (w *world) Wake(in Time)              { w.after(in, func() { w.b.Woken(w.now) }) }
 
 // Release must leave alone what carries something.
-func (w *world) Release(id ServerID) {
+func (w *world) Release(id EndpointID) {
 	w.kinds["released"]++
 	for _, r := range w.requests {
 		for _, p := range r.pushes {
@@ -232,7 +232,7 @@
 // list changes the fleet a little and tells the sidecar.
 func (w *world) list(kind ListKind) {
 	var all []Member
-	for id := ServerID(1); id <= 8; id++ {
+	for id := EndpointID(1); id <= 8; id++ {
 		m := w.fleet[id]
 		switch w.Intn(12) {
 		case 0:
@@ -253,7 +253,7 @@
 		all = nil
 	}
 	w.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	listed := map[ServerID]bool{}
+	listed := map[EndpointID]bool{}
 	warm := 0
 	for _, m := range all {
 		listed[m.ID] = m.Standing == Ready
@@ -277,7 +277,7 @@
 	w.life++
 	w.leaveBy = 0
 	w.requests = map[Handle]*request{}
-	w.told = map[ServerID]Time{}
+	w.told = map[EndpointID]Time{}
 	w.b = New(w, w.campaign, uint64(w.Int63()), w.now)
 	if w.Intn(4) > 0 {
 		w.list(ListSaved)
@@ -295,7 +295,7 @@
 }
 
 func (w *world) arrive() {
-	o := OfferingID(w.Intn(len(w.campaign.Offerings)))
+	o := ClassID(w.Intn(len(w.campaign.Classes)))
 	key := ""
 	if w.Intn(5) > 0 {
 		key = fmt.Sprint("key", w.Intn(20))
@@ -304,8 +304,8 @@
 	if w.Intn(20) == 0 {
 		left = Millisecond
 	}
-	h := w.b.Admit(w.now, o, FranchiseID(w.Intn(2)), key, w.Intn(5) == 0, left)
-	w.requests[h] = &request{offering: w.campaign.Offerings[o], cutOff: w.now + left}
+	h := w.b.Admit(w.now, o, TenantID(w.Intn(2)), key, w.Intn(5) == 0, left)
+	w.requests[h] = &request{offering: w.campaign.Classes[o], cutOff: w.now + left}
 	if w.leaveBy > 0 {
 		w.requests[h].cutOff = min(w.now+left, w.leaveBy)
 	}
@@ -323,19 +323,19 @@
 // play runs a drawn history to its end and returns what was done, and the first rule broken.
 func play(seed int64) *world {
 	r := rand.New(rand.NewSource(seed))
-	w := &world{Rand: r, now: 100 * Second, fleet: map[ServerID]Member{}, colds: map[ServerID][]Time{}, byCold: map[ServerID][]Time{},
-		kinds: map[string]int{}, fewest: 8, campaign: &Campaign{
-			Sidecars: 1 + r.Intn(4), Zone: "a", Franchises: []Franchise{{"x", 20}, {"y", 20}}, BeyondCredit: 0.05,
+	w := &world{Rand: r, now: 100 * Second, fleet: map[EndpointID]Member{}, colds: map[EndpointID][]Time{}, byCold: map[EndpointID][]Time{},
+		kinds: map[string]int{}, fewest: 8, campaign: &Settings{
+			Instances: 1 + r.Intn(4), Zone: "a", Tenants: []Tenant{{"x", 20}, {"y", 20}}, BeyondValue: 0.05,
 			Quotas: 40, Zones: 2,
-			MustAsk: r.Intn(2) == 0, MustAskIn: 10 * Second, MayCancel: true, MaxPushes: 3, Advice: Second,
+			MustAsk: r.Intn(2) == 0, MustAskIn: 10 * Second, MayCancel: true, MaxAttempts: 3, MaxRetryAfter: Second,
 			Weighted: r.Intn(2) == 0, Streams: 1 + 99*r.Intn(2),
 			CrossPrice: 0.1 * float64(r.Intn(2)), Tick: 5 * Millisecond, ColdShare: 0.1 + r.Float64()/4,
-			ColdTime: 20 * Second, FallMultiple: 3, Offerings: []Offering{
-				{Name: "r", Credit: 5, Quoted: Second / 2, CutOff: 2 * Second},
-				{Name: "n", LateCredit: 0.2, Quoted: Second / 2, Repeats: Numbered, Window: Second / 2},
-				{Name: "z", LateCredit: 0.2, Quoted: Second / 2, Repeats: Numbered, Group: GroupZone, Window: Second / 2},
-				{Name: "c", LateCredit: 0.2, Quoted: Second / 2, Repeats: Numbered, Group: GroupCell, Window: Second},
-				{Name: "o", LateCredit: 0.2, Quoted: Second / 2, Repeats: AtMostOnce}}}}
+			ColdTime: 20 * Second, FallMultiple: 3, Classes: []Class{
+				{Name: "r", Value: 5, Target: Second / 2, Deadline: 2 * Second},
+				{Name: "n", LateValue: 0.2, Target: Second / 2, Idempotency: Keyed, Window: Second / 2},
+				{Name: "z", LateValue: 0.2, Target: Second / 2, Idempotency: Keyed, Group: GroupZone, Window: Second / 2},
+				{Name: "c", LateValue: 0.2, Target: Second / 2, Idempotency: Keyed, Group: GroupCell, Window: Second},
+				{Name: "o", LateValue: 0.2, Target: Second / 2, Idempotency: NonIdempotent}}}}
 	w.start()
 	for end := w.now + 20*Second; w.now < end && w.broken == ""; {
 		next := w.now + Time(w.Int63n(int64(20*Millisecond)))
--- a/policy/knowledge.go
+++ b/policy/knowledge.go
@@ -20,7 +20,7 @@
 
 // Learned is what was learned of one server.
 type Learned struct {
-	ID                           ServerID
+	ID                           EndpointID
 	Started                      Time
 	Weight, Limit, Ratio, Served float64
 	Row, Trickle                 int
@@ -96,19 +96,19 @@
 }
 
 // Placed is told of an offering that is new at its place in the campaign, and like which its answers are likely to be: another's, or at itself.
-func (b *Balancer) Placed(at, like OfferingID) {
-	for len(b.usual) < len(b.campaign.Offerings) {
+func (b *Balancer) Placed(at, like ClassID) {
+	for len(b.usual) < len(b.campaign.Classes) {
 		b.usual, b.patience = append(b.usual, 0), append(b.patience, patience{})
 	}
 	b.usual[at], b.patience[at] = b.usual[like], b.patience[like]
 	if like == at {
-		b.usual[at] = float64(b.campaign.Offerings[at].Quoted) / 4
+		b.usual[at] = float64(b.campaign.Classes[at].Target) / 4
 	}
 }
 
 // Quoted is told that the campaign has more franchises than before.
 func (b *Balancer) Quoted() {
-	for len(b.use) < len(b.campaign.Franchises) {
+	for len(b.use) < len(b.campaign.Tenants) {
 		b.use = append(b.use, meter{})
 	}
 }
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -14,7 +14,7 @@
 	}{{20, Second / 10, 9 * Second / 10, 1.5}, {100, Second / 100, Second / 100, firstLimit + 1}} {
 		b, q := started(fleet(1, "a"))
 		for i := range c.n {
-			push(b, q, 2*Second+Time(i)*c.every, fmt.Sprint(i), Honoured, c.took)
+			push(b, q, 2*Second+Time(i)*c.every, fmt.Sprint(i), Succeeded, c.took)
 		}
 		if l := b.servers[0].limit; l > c.most {
 			t.Errorf("limit %.1f after %d answers of %dms", l, c.n, c.took/Millisecond)
@@ -25,13 +25,13 @@
 // One push from each to each server kept all servers choked.
 func TestPaceFollowsLateness(t *testing.T) {
 	b, q := started(fleet(20, "a"))
-	b.campaign.Sidecars = 100
+	b.campaign.Instances = 100
 	for i := range 2060 {
 		now, took := Time(i+2)*Second, 10*Millisecond
 		if i < 60 {
 			took = Second
 		}
-		push(b, q, now, fmt.Sprint(i), Honoured, took)
+		push(b, q, now, fmt.Sprint(i), Succeeded, took)
 		if i == 59 && (b.pace >= 1 || b.paced(now)) {
 			t.Errorf("pace %.2f, and no pause, after a minute of late answers", b.pace)
 		}
@@ -46,11 +46,11 @@
 func TestPaceLeavesLongWorkItsTime(t *testing.T) {
 	for streams, cut := range map[int]bool{1: false, 100: true} {
 		b, q := started(fleet(20, "a"))
-		b.campaign.Sidecars, b.campaign.Streams = 100, streams
-		quoted := b.campaign.Offerings[0].Quoted
+		b.campaign.Instances, b.campaign.Streams = 100, streams
+		quoted := b.campaign.Classes[0].Target
 		b.tooLate = paceLost
 		for i := range 400 {
-			push(b, q, Time(i+2)*Second, fmt.Sprint(i), Honoured, quoted*Time(52+6*(i%2))/100)
+			push(b, q, Time(i+2)*Second, fmt.Sprint(i), Succeeded, quoted*Time(52+6*(i%2))/100)
 		}
 		if b.late < paceLost || b.late > 0.62 || (b.pace < 1) != cut {
 			t.Errorf("streams %d: pace %.2f at a mean of %.2f of the quoted time, unloaded %.2f", streams, b.pace, b.late, b.calm)
@@ -64,8 +64,8 @@
 	for at, want := range map[struct {
 		o    Outcome
 		load float64
-	}]bool{{o: NotConnected}: false, {o: Errored}: false, {o: ConnBroke}: false, {o: TimedOut}: true,
-		{o: TurnedAway}: false, {TurnedAway, 0.9}: true} {
+	}]bool{{o: NotConnected}: false, {o: Errored}: false, {o: ConnectionLost}: false, {o: TimedOut}: true,
+		{o: Rejected}: false, {Rejected, 0.9}: true} {
 		b, q := started(fleet(6, "a"))
 		limits, o := 0.0, at.o
 		for i := range b.servers {
@@ -73,9 +73,9 @@
 		}
 		for i := range 12 {
 			now := Second + Time(i)*Second/2
-			h := b.Admit(now, 0, NoFranchise, fmt.Sprint(i), false, 4*Second)
+			h := b.Admit(now, 0, NoTenant, fmt.Sprint(i), false, 4*Second)
 			b.Begin(now, h)
-			b.PushEnded(now+Second/3, h, 0, q.to[len(q.to)-1], o, Second/3, true)
+			b.AttemptEnded(now+Second/3, h, 0, q.to[len(q.to)-1], o, Second/3, true)
 		}
 		for _, s := range b.servers {
 			limits += s.limit
@@ -91,17 +91,17 @@
 	for later, want := range map[bool]bool{true: false, false: true} {
 		b, q := started(fleet(1, "a"))
 		for i := range 20 {
-			push(b, q, Second+Time(i)*100*Millisecond, fmt.Sprint("calm", i), Honoured, 10*Millisecond)
+			push(b, q, Second+Time(i)*100*Millisecond, fmt.Sprint("calm", i), Succeeded, 10*Millisecond)
 		}
 		for i := range 8 {
 			now := 4*Second + Time(i)*2*Second
-			h := b.Admit(now, 0, NoFranchise, fmt.Sprint(i), false, 4*Second)
+			h := b.Admit(now, 0, NoTenant, fmt.Sprint(i), false, 4*Second)
 			b.Begin(now, h)
 			id := q.to[len(q.to)-1]
 			if later {
-				push(b, q, now+100*Millisecond, "other", Honoured, 10*Millisecond)
+				push(b, q, now+100*Millisecond, "other", Succeeded, 10*Millisecond)
 			}
-			b.PushEnded(now+Second, h, 0, id, TimedOut, Second, true)
+			b.AttemptEnded(now+Second, h, 0, id, TimedOut, Second, true)
 		}
 		if s := &b.servers[0]; b.late > 0.5 != want || s.limit < firstLimit != want {
 			t.Errorf("later pushes honoured %v: lateness %.2f, limit %.1f", later, b.late, s.limit)
@@ -115,13 +115,13 @@
 	b.servers[0].limit = 3.9
 	var silent []Handle
 	for i := range 3 {
-		silent = append(silent, b.Admit(4*Second, 0, NoFranchise, fmt.Sprint(i), false, 4*Second))
+		silent = append(silent, b.Admit(4*Second, 0, NoTenant, fmt.Sprint(i), false, 4*Second))
 		b.Begin(4*Second, silent[i])
 	}
 	id := q.to[len(q.to)-1]
-	push(b, q, 4*Second+100*Millisecond, "other", Honoured, Millisecond)
+	push(b, q, 4*Second+100*Millisecond, "other", Succeeded, Millisecond)
 	for i, h := range silent {
-		b.PushEnded(5*Second, h, 0, id, TimedOut, Second, true)
+		b.AttemptEnded(5*Second, h, 0, id, TimedOut, Second, true)
 		if l := b.servers[0].limit; i == 0 && (l < 3.9+placeLost || l > 4+placeLost) || l > 4+2*placeLost {
 			t.Errorf("limit %.1f after %d lone time-outs", l, i+1)
 		}
@@ -134,7 +134,7 @@
 	now := 2 * Second
 	var slow []Handle
 	for range 3 * firstLimit {
-		h := b.Admit(now, 0, NoFranchise, "", false, Second)
+		h := b.Admit(now, 0, NoTenant, "", false, Second)
 		b.Begin(now, h)
 		b.Coming(h, false, 0)
 		slow = append(slow, h)
@@ -150,12 +150,12 @@
 		b.Coming(h, true, now+Second)
 		b.Coming(h, true, now+Second)
 	}
-	h := b.Admit(now, 0, NoFranchise, "", false, Second)
+	h := b.Admit(now, 0, NoTenant, "", false, Second)
 	if b.Begin(now, h); b.busyAt(0) != len(slow) || len(q.to) != len(slow) {
 		t.Errorf("%d busy, %d pushed", b.busyAt(0), len(q.to))
 	}
 	for _, h := range slow {
-		b.PushEnded(now+Millisecond, h, 0, 1, Honoured, Millisecond, false)
+		b.AttemptEnded(now+Millisecond, h, 0, 1, Succeeded, Millisecond, false)
 	}
 	if b.idle != 0 || b.out != b.busyAt(0) || b.out > 1 {
 		t.Errorf("%d idle, %d out", b.idle, b.out)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -41,20 +41,20 @@
 )
 
 // New starts an instance. Seeds may be alike: near ones would give near first draws.
-func New(front Front, c *Campaign, seed uint64, now Time) *Balancer {
+func New(front Front, c *Settings, seed uint64, now Time) *Balancer {
 	b := &Balancer{front: front, campaign: c, chance: newChance(xxhash.Sum64String(fmt.Sprint(seed))),
-		places: map[ServerID]int32{}, usual: make([]float64, len(c.Offerings)), tooLate: paceLost,
-		patience: make([]patience, len(c.Offerings)), use: make([]meter, len(c.Franchises)), calm: 0.25,
+		places: map[EndpointID]int32{}, usual: make([]float64, len(c.Classes)), tooLate: paceLost,
+		patience: make([]patience, len(c.Classes)), use: make([]meter, len(c.Tenants)), calm: 0.25,
 		perHeld: 0.15, pushes: pushesCap / 2, pace: math.MaxInt32, endAt: math.MaxInt64,
 		nearPart: min(1, 2*splitWorth*c.CrossPrice)}
-	for i, o := range c.Offerings {
-		b.usual[i] = float64(o.Quoted) / 4
-		if o.LateCredit > 0 {
+	for i, o := range c.Classes {
+		b.usual[i] = float64(o.Target) / 4
+		if o.LateValue > 0 {
 			b.tooLate = paceLate
 		}
 	}
 	if c.MustAsk {
-		b.askWait = min(Time(c.Sidecars)*askEach, c.MustAskIn/4)
+		b.askWait = min(Time(c.Instances)*askEach, c.MustAskIn/4)
 		b.askAt = now + Time(b.chance.part()*float64(b.askWait)) + 1
 		b.wake(now, b.askAt)
 	}
@@ -118,7 +118,7 @@
 func (b *Balancer) expected() float64 { return b.perHeld * (1 + b.meanHeld) }
 
 // least is the pace at which all sidecars together have one push out at each server.
-func (b *Balancer) least() float64 { return float64(len(b.byID)) / float64(b.campaign.Sidecars) }
+func (b *Balancer) least() float64 { return float64(len(b.byID)) / float64(b.campaign.Instances) }
 
 func (b *Balancer) heard(now Time, m Member) bool {
 	if m.Weight <= 0 {
@@ -236,14 +236,14 @@
 
 // ListFailed is told when asking failed or following broke. Asked in step, its service would stay swamped.
 func (b *Balancer) ListFailed(now Time) {
-	b.askWait = min(max(2*b.askWait, Time(b.campaign.Sidecars)*askEach, Second/4), b.campaign.MustAskIn/4)
+	b.askWait = min(max(2*b.askWait, Time(b.campaign.Instances)*askEach, Second/4), b.campaign.MustAskIn/4)
 	b.askAt = now + Time(float64(b.askWait)*(0.5+b.chance.part()))
 	b.front.Log(fmt.Sprintf("list: failed, asking again in %dms", (b.askAt-now)/Millisecond))
 	b.wake(now, b.askAt)
 }
 
 // Admit takes a ticket in hand; Begin must follow.
-func (b *Balancer) Admit(now Time, o OfferingID, f FranchiseID, key string, repeat bool, left Time) Handle {
+func (b *Balancer) Admit(now Time, o ClassID, f TenantID, key string, repeat bool, left Time) Handle {
 	b.tend(now)
 	if len(b.free) == 0 {
 		b.slab = append(b.slab, ticket{})
@@ -264,13 +264,13 @@
 	t.value = b.worth(now, t, f, repeat)
 	// Where first tries agree, a repeat with another time than theirs has what they left of the cut-off.
 	p, odd := &b.patience[o], 0.0
-	if of := &b.campaign.Offerings[o]; !repeat {
+	if of := &b.campaign.Classes[o]; !repeat {
 		if p.most = max(p.most, left); p.most-left > b.margin() {
 			odd = 1
 		}
 		p.odd += 0.05 * (odd - p.odd)
-	} else if of.LateCredit == 0 && p.odd < agreed && max(left-p.most, p.most-left) > b.margin() {
-		if t.arrived -= max(0, of.CutOff-left); now > t.arrived+of.Quoted {
+	} else if of.LateValue == 0 && p.odd < agreed && max(left-p.most, p.most-left) > b.margin() {
+		if t.arrived -= max(0, of.Deadline-left); now > t.arrived+of.Target {
 			t.cutOff = now // too late to be worth anything: answered at once
 		}
 	}
@@ -295,8 +295,8 @@
 }
 
 // worth is the credit expected for each second that a server works on the ticket.
-func (b *Balancer) worth(now Time, t *ticket, f FranchiseID, repeat bool) float64 {
-	v := b.campaign.Offerings[t.offering].Credit / b.usual[t.offering]
+func (b *Balancer) worth(now Time, t *ticket, f TenantID, repeat bool) float64 {
+	v := b.campaign.Classes[t.offering].Value / b.usual[t.offering]
 	if repeat {
 		v *= repeatValue
 	}
@@ -304,13 +304,13 @@
 	if f >= 0 {
 		b.use[f].count(now)
 		// Others' traffic is unseen: our part of the quotas is taken for our part of all, at least an equal one.
-		part := min(1, max(1/float64(b.campaign.Sidecars), b.arrivals.rate/b.campaign.Quotas))
-		most := 1.1 * part * b.campaign.Franchises[f].Quota
+		part := min(1, max(1/float64(b.campaign.Instances), b.arrivals.rate/b.campaign.Quotas))
+		most := 1.1 * part * b.campaign.Tenants[f].Quota
 		if b.campaign.Streams > 1 { // a pool's sidecar counts too few of each to tell a share from chance
 			most += sureBeyond * math.Sqrt(most/float64(2*rateSpan/Second))
 		}
 		if b.use[f].rate > most {
-			v *= max(b.campaign.BeyondCredit, 0.01)
+			v *= max(b.campaign.BeyondValue, 0.01)
 		}
 	}
 	return v
@@ -320,7 +320,7 @@
 func (b *Balancer) Begin(now Time, h Handle) {
 	t := b.held(h)
 	// A client may have less patience than the quoted time: what has waited must have left what an answer takes.
-	till := min(t.arrived+b.campaign.Offerings[t.offering].Quoted, t.cutOff-b.margin())
+	till := min(t.arrived+b.campaign.Classes[t.offering].Target, t.cutOff-b.margin())
 	t.waitTill = till - Time(b.usual[t.offering])
 	b.place(now, t, false)
 }
@@ -379,11 +379,11 @@
 func (b *Balancer) called(t *ticket, n news) { b.push(n.now, t, n.server) }
 
 func (b *Balancer) push(now Time, t *ticket, to int32) {
-	s, o := &b.servers[to], &b.campaign.Offerings[t.offering]
+	s, o := &b.servers[to], &b.campaign.Classes[t.offering]
 	wait := t.cutOff - b.margin() - now
 	// A silent server must not hold a ticket for long; cancels and saved pushes keep that from feeding a jam.
-	if b.campaign.MayCancel && t.pushes+1 < b.campaign.MaxPushes && b.pushes >= 1 && o.Repeats != AtMostOnce {
-		wait = min(wait, max(Time(firstWait*float64(o.Quoted)), Time(6*b.usual[t.offering])))
+	if b.campaign.MayCancel && t.pushes+1 < b.campaign.MaxAttempts && b.pushes >= 1 && o.Idempotency != NonIdempotent {
+		wait = min(wait, max(Time(firstWait*float64(o.Target)), Time(6*b.usual[t.offering])))
 	}
 	if b.cold(now, s) {
 		s.budget--
@@ -392,12 +392,12 @@
 	t.pushes, t.out, b.out, s.out, t.sentAt = t.pushes+1, t.out+1, b.out+1, s.out+1, now
 	b.idles(t, to, 1)
 	t.next = (*Balancer).pushed
-	b.front.Push(t.handle(), s.ID, wait)
+	b.front.Attempt(t.handle(), s.ID, wait)
 	b.wake(now, t.cutOff-b.margin())
 }
 
-// PushEnded hands over how a push ended. over is true when nothing more is owed for the ticket.
-func (b *Balancer) PushEnded(now Time, h Handle, n PushNo, id ServerID, o Outcome, spent Time, over bool) {
+// AttemptEnded hands over how a push ended. over is true when nothing more is owed for the ticket.
+func (b *Balancer) AttemptEnded(now Time, h Handle, n AttemptNo, id EndpointID, o Outcome, spent Time, over bool) {
 	p, known := b.places[id]
 	t := b.held(h)
 	if t == nil || !known || t.out == 0 {
@@ -405,7 +405,7 @@
 	}
 	b.idles(t, p, -1)
 	t.out, b.out, b.servers[p].out, b.servers[p].usedAt = t.out-1, b.out-1, b.servers[p].out-1, now
-	if o < CalledOff {
+	if o < Cancelled {
 		b.judge(now, t, p, o, spent)
 	}
 	if over {
@@ -426,20 +426,20 @@
 }
 
 func (b *Balancer) pushed(t *ticket, n news) {
-	if n.outcome == Honoured || n.outcome == Declined {
+	if n.outcome == Succeeded || n.outcome == Declined {
 		t.settle()
-		b.front.Honour(t.handle(), n.push)
+		b.front.Succeed(t.handle(), n.push)
 		return
 	}
-	never := n.outcome == TurnedAway || n.outcome == NotConnected || n.outcome == NotSent
+	never := n.outcome == Rejected || n.outcome == NotConnected || n.outcome == NotSent
 	if !never && !t.mayHaveRun {
 		t.mayHaveRun, t.ranAt, t.ranOn = true, t.sentAt, n.server
 	}
-	o := &b.campaign.Offerings[t.offering]
-	spent := t.mayHaveRun || n.outcome == TurnedAway && b.late > crowded
-	late := o.LateCredit == 0 && n.now > t.arrived+o.Quoted
+	o := &b.campaign.Classes[t.offering]
+	spent := t.mayHaveRun || n.outcome == Rejected && b.late > crowded
+	late := o.LateValue == 0 && n.now > t.arrived+o.Target
 	nowhere := !slices.ContainsFunc(b.byID, func(p int32) bool { return b.allowed(n.now, t, p) })
-	if n.outcome == NotSent || t.pushes >= b.campaign.MaxPushes || late || nowhere || spent && b.pushes < 1 {
+	if n.outcome == NotSent || t.pushes >= b.campaign.MaxAttempts || late || nowhere || spent && b.pushes < 1 {
 		b.refuse(n.now, t) // with nowhere to go it would wait for nothing
 		return
 	}
@@ -451,16 +451,16 @@
 
 // refuse answers at once: turned back where the client may safely come again, else given up.
 func (b *Balancer) refuse(now Time, t *ticket) {
-	o := &b.campaign.Offerings[t.offering]
+	o := &b.campaign.Classes[t.offering]
 	t.settle()
-	if !t.mayHaveRun && t.out == 0 || o.Repeats == Reissuable || o.Repeats == Numbered && o.Group == GroupAll {
+	if !t.mayHaveRun && t.out == 0 || o.Idempotency == Idempotent || o.Idempotency == Keyed && o.Group == GroupAll {
 		if !b.short {
 			b.front.Log(fmt.Sprintf("short of room: turning back, %d out, %d waiting", b.out, len(b.queue)))
 		}
 		b.short, b.turnedAt = true, now
-		b.front.TurnBack(t.handle(), min(b.campaign.Advice, o.Quoted))
+		b.front.Reject(t.handle(), min(b.campaign.MaxRetryAfter, o.Target))
 	} else {
-		b.front.GiveUp(t.handle())
+		b.front.Fail(t.handle())
 	}
 	b.letGo(t)
 }
@@ -494,7 +494,7 @@
 
 func (b *Balancer) callOff(t *ticket) {
 	if t.out > 0 && b.campaign.MayCancel {
-		b.front.Cancel(t.handle(), PushNo(t.pushes-1))
+		b.front.Cancel(t.handle(), AttemptNo(t.pushes-1))
 	}
 }
 
@@ -580,13 +580,13 @@
 
 // allowed keeps the second rule, and sends no ticket twice to one server.
 func (b *Balancer) allowed(now Time, t *ticket, p int32) bool {
-	s, o := &b.servers[p], &b.campaign.Offerings[t.offering]
+	s, o := &b.servers[p], &b.campaign.Classes[t.offering]
 	if s.Standing != Ready {
 		return false
 	}
-	if t.mayHaveRun && o.Repeats != Reissuable {
+	if t.mayHaveRun && o.Idempotency != Idempotent {
 		ran := &b.servers[t.ranOn]
-		if o.Repeats == AtMostOnce || now+b.margin() >= t.ranAt+o.Window ||
+		if o.Idempotency == NonIdempotent || now+b.margin() >= t.ranAt+o.Window ||
 			o.Group == GroupZone && ran.Zone != s.Zone || o.Group == GroupCell && ran.Cell != s.Cell {
 			return false
 		}
@@ -633,7 +633,7 @@
 func (b *Balancer) save(now Time, s *server) float64 {
 	c := b.campaign
 	share := c.ColdShare + (1-c.ColdShare)*float64(now-s.Started)/float64(c.ColdTime)
-	grow := max(0.25/float64(c.Sidecars), c.FallMultiple*share*shortOfHit*b.borne*b.worksAs(s),
+	grow := max(0.25/float64(c.Instances), c.FallMultiple*share*shortOfHit*b.borne*b.worksAs(s),
 		c.FallMultiple*coldEarns*s.served.now(now)) / float64(Second)
 	sum, kept := s.budget+grow*float64(now-s.budgetAt), grow*coldKeeps*float64(cmp.Or(c.FallTime, Second))
 	sum -= max(0, math.Ceil(sum-1-kept)) // one at most is kept, and for no longer
@@ -659,14 +659,14 @@
 }
 
 func (b *Balancer) judge(now Time, t *ticket, p int32, o Outcome, spent Time) {
-	s, quoted := &b.servers[p], b.campaign.Offerings[t.offering].Quoted
+	s, quoted := &b.servers[p], b.campaign.Classes[t.offering].Target
 	part := float64(spent) / float64(quoted)
 	if o == TimedOut && spent < Time(b.usual[t.offering]) {
 		return // its client left less time than answers take, which is no sign of the server
 	}
-	if o != Honoured {
+	if o != Succeeded {
 		// Errors are no sign of load, nor is a lone time-out. What turns away, yet answers in time, is leaving.
-		full := o == TurnedAway && (b.load(s) > crowded || s.held > b.meanHeld)
+		full := o == Rejected && (b.load(s) > crowded || s.held > b.meanHeld)
 		if !full {
 			b.bad(now, t, s, o)
 		}
@@ -744,7 +744,7 @@
 
 func (b *Balancer) bad(now Time, t *ticket, s *server, o Outcome) {
 	// A ticket that fails wherever it goes, under one key or on a further push, says little of the server.
-	if o != NotConnected && o != TurnedAway && (t.pushes > 1 || s.row > 0 && t.key == s.rowKey) {
+	if o != NotConnected && o != Rejected && (t.pushes > 1 || s.row > 0 && t.key == s.rowKey) {
 		return
 	}
 	s.row, s.rowKey = s.row+1, t.key
@@ -776,7 +776,7 @@
 	// An empty list is more likely a fault of the list than the end of the fleet, and moves nothing.
 	empty := !slices.ContainsFunc(b.servers, func(s server) bool { return s.Standing != Gone })
 	warm, expected := 0.0, max(0.2, b.expected()) // a place kept costs most where servers are busy
-	idle := Time(float64(idleKeep) / float64(b.campaign.Sidecars) / (expected * expected))
+	idle := Time(float64(idleKeep) / float64(b.campaign.Instances) / (expected * expected))
 	for i := range b.servers {
 		s := &b.servers[i]
 		if s.Standing == Ready && !b.cold(now, s) {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -11,19 +11,19 @@
 // quiet is a front that remembers the last push and answers nothing.
 type quiet struct {
 	world
-	to       []ServerID
+	to       []EndpointID
 	back     int
 	gone     int
 	released int
 }
 
-func (q *quiet) Push(_ Handle, s ServerID, _ Time) { q.to = append(q.to, s) }
-func (q *quiet) TurnBack(Handle, Time)             { q.back++ }
-func (q *quiet) GiveUp(Handle)                     { q.back++ }
-func (q *quiet) Wake(Time)                         {}
-func (q *quiet) FollowList(bool)                   {}
-func (q *quiet) Release(ServerID)                  { q.released++ }
-func (q *quiet) Forget(ServerID)                   { q.gone++ }
+func (q *quiet) Attempt(_ Handle, s EndpointID, _ Time) { q.to = append(q.to, s) }
+func (q *quiet) Reject(Handle, Time)                    { q.back++ }
+func (q *quiet) Fail(Handle)                            { q.back++ }
+func (q *quiet) Wake(Time)                              {}
+func (q *quiet) FollowList(bool)                        {}
+func (q *quiet) Release(EndpointID)                     { q.released++ }
+func (q *quiet) Forget(EndpointID)                      { q.gone++ }
 
 func TestRulesAgainstPlainModel(t *testing.T) {
 	kinds := map[string]int{}
@@ -58,14 +58,14 @@
 func fleet(n int, zones ...Zone) []Member {
 	var all []Member
 	for i := range n {
-		all = append(all, Member{ID: ServerID(i + 1), Weight: float64(1 + i%3), Zone: zones[i%len(zones)]})
+		all = append(all, Member{ID: EndpointID(i + 1), Weight: float64(1 + i%3), Zone: zones[i%len(zones)]})
 	}
 	return all
 }
 
-func campaign() *Campaign {
-	return &Campaign{Sidecars: 1, Zone: "a", Weighted: true, MaxPushes: 3, Tick: 5 * Millisecond, ColdShare: 0.1,
-		ColdTime: 20 * Second, FallMultiple: 3, Offerings: []Offering{{Name: "r", Credit: 1, Quoted: Second}}}
+func campaign() *Settings {
+	return &Settings{Instances: 1, Zone: "a", Weighted: true, MaxAttempts: 3, Tick: 5 * Millisecond, ColdShare: 0.1,
+		ColdTime: 20 * Second, FallMultiple: 3, Classes: []Class{{Name: "r", Value: 1, Target: Second}}}
 }
 
 func started(members []Member) (*Balancer, *quiet) {
@@ -75,8 +75,8 @@
 	return b, q
 }
 
-func owners(b *Balancer) []ServerID {
-	var ids []ServerID
+func owners(b *Balancer) []EndpointID {
+	var ids []EndpointID
 	for _, p := range b.table {
 		ids = append(ids, b.servers[p].ID)
 	}
@@ -157,7 +157,7 @@
 		t.Error("a restart moved slots")
 	}
 	for i := range 50 {
-		b.Begin(2*Second, b.Admit(2*Second, 0, NoFranchise, fmt.Sprint(i), false, Second))
+		b.Begin(2*Second, b.Admit(2*Second, 0, NoTenant, fmt.Sprint(i), false, Second))
 	}
 	if slices.Contains(q.to, 1) {
 		t.Error("a server was pushed to in the moment of its start")
@@ -166,11 +166,11 @@
 
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
 	b, q := started(fleet(300, "a"))
-	q.to = make([]ServerID, 0, 5000)
+	q.to = make([]EndpointID, 0, 5000)
 	now := 2 * Second
 	one := func() {
 		now += 3 * Millisecond
-		push(b, q, now, "call", Honoured, Millisecond)
+		push(b, q, now, "call", Succeeded, Millisecond)
 		b.Woken(now)
 	}
 	if n := testing.AllocsPerRun(2000, one); n != 0 {
@@ -179,12 +179,12 @@
 }
 
 // push sends tickets of the given key and ends each push with the outcome.
-func push(b *Balancer, q *quiet, now Time, key string, o Outcome, spent Time) ServerID {
-	h := b.Admit(now, 0, NoFranchise, key, false, 2*Second)
+func push(b *Balancer, q *quiet, now Time, key string, o Outcome, spent Time) EndpointID {
+	h := b.Admit(now, 0, NoTenant, key, false, 2*Second)
 	b.Begin(now, h)
 	id := q.to[len(q.to)-1]
 	for n := 0; b.held(h) != nil && n < 5; n++ {
-		b.PushEnded(now, h, PushNo(n), q.to[len(q.to)-1], o, spent, o == Honoured)
+		b.AttemptEnded(now, h, AttemptNo(n), q.to[len(q.to)-1], o, spent, o == Succeeded)
 	}
 	return id
 }
@@ -196,7 +196,7 @@
 		b.servers[i].ratio, b.servers[i].limit, b.late = 0.6, 2, 0.6 // all alike
 	}
 	for range 3 {
-		b.Begin(2*Second, b.Admit(2*Second, 0, NoFranchise, "hot", false, Second))
+		b.Begin(2*Second, b.Admit(2*Second, 0, NoTenant, "hot", false, Second))
 	}
 	if n := len(slices.Compact(q.to)); n != 1 {
 		t.Errorf("a key went to %d loaded servers", n)
@@ -206,8 +206,8 @@
 func TestNoServerAnswersBeforeCutOff(t *testing.T) {
 	q := &quiet{}
 	b := New(q, campaign(), 7, 0)
-	b.Begin(0, b.Admit(0, 0, NoFranchise, "k", false, Second/2))
-	b.Begin(0, b.Admit(0, 0, NoFranchise, "k", false, Millisecond))
+	b.Begin(0, b.Admit(0, 0, NoTenant, "k", false, Second/2))
+	b.Begin(0, b.Admit(0, 0, NoTenant, "k", false, Millisecond))
 	b.Woken(Second/2 - b.margin())
 	if q.back != 2 || len(b.free) != len(b.slab) {
 		t.Errorf("%d answers, %d places, %d free", q.back, len(b.slab), len(b.free))
@@ -231,7 +231,7 @@
 	var fronts [sidecars]quiet
 	for i := range all {
 		c := campaign()
-		c.Sidecars = sidecars
+		c.Instances = sidecars
 		all[i] = New(&fronts[i], c, uint64(i)*7919+3, Second)
 		all[i].List(Second, ListFull, fleet(10, "a"))
 	}
@@ -241,7 +241,7 @@
 			if now == start {
 				b.List(now, ListChanges, []Member{{ID: 1, Weight: 2, Zone: "a", Started: now}})
 			}
-			to := push(b, &fronts[i], now, fmt.Sprint(r.Intn(500)), Honoured, 100*Millisecond)
+			to := push(b, &fronts[i], now, fmt.Sprint(r.Intn(500)), Succeeded, 100*Millisecond)
 			if now >= start && to == 1 {
 				sends[(now-start)/Second]++
 			}
@@ -266,7 +266,7 @@
 	key := []byte("....")
 	for i := range b.N {
 		key[i%4] = byte('a' + i%23)
-		push(bal, q, 2*Second+Time(i)*Millisecond, string(key), Honoured, Millisecond)
+		push(bal, q, 2*Second+Time(i)*Millisecond, string(key), Succeeded, Millisecond)
 		q.to = q.to[:0]
 	}
 }
@@ -276,9 +276,9 @@
 	b, q := started(fleet(4, "a"))
 	for i := range 100 {
 		now := 2*Second + Time(i)*Millisecond
-		h := b.Admit(now, 0, NoFranchise, fmt.Sprint(i), false, 2*Second)
+		h := b.Admit(now, 0, NoTenant, fmt.Sprint(i), false, 2*Second)
 		b.Begin(now, h)
-		b.PushEnded(now, h, 0, q.to[len(q.to)-1], Declined, Millisecond, false)
+		b.AttemptEnded(now, h, 0, q.to[len(q.to)-1], Declined, Millisecond, false)
 		if b.held(h) != nil || len(q.to) != i+1 {
 			t.Fatalf("still held, or pushed again: %d pushes of %d tickets", len(q.to), i+1)
 		}
@@ -295,18 +295,18 @@
 		now := Time(day+1) * 40 * Second
 		next := fleet(4, "a")
 		for i := range next {
-			next[i].ID += ServerID(1000 * day)
+			next[i].ID += EndpointID(1000 * day)
 		}
 		b.List(now, ListFull, next)
-		push(b, q, now, fmt.Sprint(day), Honoured, Millisecond)
-		if id := q.to[len(q.to)-1]; id/1000 != ServerID(day) {
+		push(b, q, now, fmt.Sprint(day), Succeeded, Millisecond)
+		if id := q.to[len(q.to)-1]; id/1000 != EndpointID(day) {
 			t.Fatalf("pushed to server %d on day %d", id, day)
 		}
 	}
 	if n := q.gone; len(b.servers) > 12 || len(b.places) > 12 || n < 4*47 {
 		t.Errorf("%d servers, %d places, %d forgotten", len(b.servers), len(b.places), n)
 	}
-	slots := map[ServerID]int{}
+	slots := map[EndpointID]int{}
 	for _, p := range b.table {
 		slots[b.servers[p].ID]++
 	}
@@ -319,7 +319,7 @@
 func TestTicketsWaitForTheFirstAnswers(t *testing.T) {
 	b, q := started(fleet(1, "a"))
 	for i := range firstLimit + 3 {
-		b.Begin(2*Second, b.Admit(2*Second, 0, NoFranchise, fmt.Sprint(i), false, 2*Second))
+		b.Begin(2*Second, b.Admit(2*Second, 0, NoTenant, fmt.Sprint(i), false, 2*Second))
 	}
 	if len(q.to) != firstLimit || len(b.queue) != 3 || q.back != 0 {
 		t.Errorf("%d pushed, %d waiting, %d turned back", len(q.to), len(b.queue), q.back)
@@ -362,12 +362,12 @@
 
 // A ticket that may have run and may go nowhere any more was held until its time for waiting was over.
 func TestWithNowhereToGoIsAnsweredAtOnce(t *testing.T) {
-	for repeats, want := range map[Repeats]int{AtMostOnce: 1, Reissuable: 0} {
+	for repeats, want := range map[Idempotency]int{NonIdempotent: 1, Idempotent: 0} {
 		b, q := started(fleet(3, "a"))
-		b.campaign.Offerings[0].Repeats = repeats
-		h := b.Admit(2*Second, 0, NoFranchise, "k", false, 2*Second)
+		b.campaign.Classes[0].Idempotency = repeats
+		h := b.Admit(2*Second, 0, NoTenant, "k", false, 2*Second)
 		b.Begin(2*Second, h)
-		b.PushEnded(2*Second+Millisecond, h, 0, q.to[0], ConnBroke, Millisecond, false)
+		b.AttemptEnded(2*Second+Millisecond, h, 0, q.to[0], ConnectionLost, Millisecond, false)
 		if q.back != want || len(b.queue) != 0 {
 			t.Errorf("kind %d: %d answers, %d waiting", repeats, q.back, len(b.queue))
 		}
@@ -377,11 +377,11 @@
 // keeper is a front that keeps what is out, by server.
 type keeper struct {
 	quiet
-	out   map[ServerID][]Handle
-	sends map[ServerID]int
+	out   map[EndpointID][]Handle
+	sends map[EndpointID]int
 }
 
-func (k *keeper) Push(h Handle, id ServerID, _ Time) {
+func (k *keeper) Attempt(h Handle, id EndpointID, _ Time) {
 	k.out[id] = append(k.out[id], h)
 	k.sends[id]++
 }
@@ -390,25 +390,25 @@
 // and each answers eight a second.
 func TestColdServersEarnByTheirOwnAnswers(t *testing.T) {
 	const each, last = 8, 15
-	k := &keeper{out: map[ServerID][]Handle{}}
+	k := &keeper{out: map[EndpointID][]Handle{}}
 	b, all := New(k, campaign(), 7, Second), fleet(4, "a")
 	for i := range all {
 		all[i].Started = Second
 	}
 	b.List(Second, ListFull, all)
 	for second := range Time(last) {
-		k.sends = map[ServerID]int{}
+		k.sends = map[EndpointID]int{}
 		for i := range Time(each) {
 			now := (1+second)*Second + (i+1)*Second/each
 			for n := range Time(40) {
 				at := now - Second/each + n*3*Millisecond
-				b.Begin(at, b.Admit(at, 0, NoFranchise, fmt.Sprint(n), false, Second))
+				b.Begin(at, b.Admit(at, 0, NoTenant, fmt.Sprint(n), false, Second))
 			}
 			for _, m := range all {
 				b.servers[b.places[m.ID]].limit = 1000 // the budget alone is to bind
 				if out := k.out[m.ID]; len(out) > 0 {
 					k.out[m.ID] = out[1:]
-					b.PushEnded(now, out[0], 0, m.ID, Honoured, 50*Millisecond, true)
+					b.AttemptEnded(now, out[0], 0, m.ID, Succeeded, 50*Millisecond, true)
 				}
 			}
 			b.Woken(now)
@@ -426,11 +426,11 @@
 	b, q := started(fleet(1, "a"))
 	var out []Handle
 	for i := range firstLimit + 1 {
-		out = append(out, b.Admit(2*Second, 0, NoFranchise, fmt.Sprint(i), false, 600*Millisecond))
+		out = append(out, b.Admit(2*Second, 0, NoTenant, fmt.Sprint(i), false, 600*Millisecond))
 		b.Begin(2*Second, out[i])
 	}
 	at := 2*Second + 600*Millisecond - b.margin() - Time(b.usual[0]) + Millisecond
-	b.PushEnded(at, out[0], 0, q.to[0], Honoured, at-2*Second, true)
+	b.AttemptEnded(at, out[0], 0, q.to[0], Succeeded, at-2*Second, true)
 	if b.Woken(at + Millisecond); len(q.to) != firstLimit || q.back != 1 {
 		t.Errorf("%d pushed, %d turned back with a sixth of a client's patience left", len(q.to), q.back)
 	}
@@ -445,7 +445,7 @@
 		front := &waits{}
 		b := New(front, c, 7, Second)
 		b.List(Second, ListFull, fleet(10, "a"))
-		b.Begin(2*Second, b.Admit(2*Second, 0, NoFranchise, "k", false, 10*Second))
+		b.Begin(2*Second, b.Admit(2*Second, 0, NoTenant, "k", false, 10*Second))
 		if early := front.wait < 9*Second; early != mayCancel {
 			t.Errorf("cancel %v: an attempt is given %v of 10 s", mayCancel, front.wait)
 		}
@@ -458,7 +458,7 @@
 	wait Time
 }
 
-func (w *waits) Push(h Handle, id ServerID, wait Time) {
-	w.quiet.Push(h, id, wait)
+func (w *waits) Attempt(h Handle, id EndpointID, wait Time) {
+	w.quiet.Attempt(h, id, wait)
 	w.wait = wait
 }
--- a/policy/pool_test.go
+++ b/policy/pool_test.go
@@ -7,9 +7,9 @@
 
 // pool is an instance among 100 sidecars before ten servers whose weights fall with load.
 func pool(w *quiet, late float64) *Balancer {
-	b := New(w, &Campaign{Sidecars: 100, Zone: "a", Zones: 1, MaxPushes: 3, Tick: 5 * Millisecond, Streams: 100,
-		ColdShare: 0.2, ColdTime: 10 * Second, FallMultiple: 3, Offerings: []Offering{{Name: "r", Credit: 1,
-			LateCredit: late, Quoted: Second, CutOff: 2 * Second}}}, 7, Second)
+	b := New(w, &Settings{Instances: 100, Zone: "a", Zones: 1, MaxAttempts: 3, Tick: 5 * Millisecond, Streams: 100,
+		ColdShare: 0.2, ColdTime: 10 * Second, FallMultiple: 3, Classes: []Class{{Name: "r", Value: 1,
+			LateValue: late, Target: Second, Deadline: 2 * Second}}}, 7, Second)
 	b.List(Second, ListFull, loaded(nil))
 	return b
 }
@@ -18,13 +18,13 @@
 func loaded(held map[int]float64) []Member {
 	var all []Member
 	for i := range 10 {
-		all = append(all, Member{ID: ServerID(i + 1), Weight: 2 / (1 + held[i]), Zone: "a"})
+		all = append(all, Member{ID: EndpointID(i + 1), Weight: 2 / (1 + held[i]), Zone: "a"})
 	}
 	return all
 }
 
 func (q *quiet) ask(b *Balancer, now Time, key string, repeat bool, left Time) Handle {
-	h := b.Admit(now, 0, NoFranchise, key, repeat, left)
+	h := b.Admit(now, 0, NoTenant, key, repeat, left)
 	b.Begin(now, h)
 	return h
 }
@@ -39,11 +39,11 @@
 	if fmt.Sprint(b.table) != table {
 		t.Error("slots have moved for load")
 	}
-	to := map[ServerID]int{}
+	to := map[EndpointID]int{}
 	for i := range 1000 {
 		h := w.ask(b, 2*Second, fmt.Sprint(i), false, 2*Second)
 		to[w.to[len(w.to)-1]]++
-		b.PushEnded(2*Second, h, 0, w.to[len(w.to)-1], CalledOff, 0, true)
+		b.AttemptEnded(2*Second, h, 0, w.to[len(w.to)-1], Cancelled, 0, true)
 	}
 	if to[4] > 50 || to[1]+to[2]+to[3]+to[5] < 300 {
 		t.Errorf("tickets by server: %v", to)
@@ -68,7 +68,7 @@
 		h := w.ask(b, 2*Second, "k", false, 2*Second)
 		b.Woken(3 * Second)
 		before := w.released
-		b.PushEnded(3*Second, h, 0, w.to[0], Honoured, Second, true)
+		b.AttemptEnded(3*Second, h, 0, w.to[0], Succeeded, Second, true)
 		b.tend(3*Second + max(tendEvery, c.idle) - Millisecond)
 		early := w.released
 		b.tend(6 * Second)
@@ -146,7 +146,7 @@
 		at := (200 + 10*n) * Second
 		b.List(at, ListChanges, loaded(map[int]float64{0: 0.1}))
 		h := w.ask(b, at, fmt.Sprint(n), false, 2*Second)
-		b.PushEnded(at+100*Millisecond, h, 0, w.to[len(w.to)-1], Honoured, 100*Millisecond, true)
+		b.AttemptEnded(at+100*Millisecond, h, 0, w.to[len(w.to)-1], Succeeded, 100*Millisecond, true)
 	}
 	if b.late > 0.2 || b.pace < 0.25 {
 		t.Errorf("lateness %v, pace %v after answers in time", b.late, b.pace)
@@ -159,14 +159,14 @@
 		held  float64
 		o     Outcome
 		aside bool
-	}{{0, NotConnected, true}, {0, TimedOut, false}, {9, TimedOut, true}, {9, TurnedAway, false}} {
+	}{{0, NotConnected, true}, {0, TimedOut, false}, {9, TimedOut, true}, {9, Rejected, false}} {
 		w := &quiet{}
 		b := pool(w, 0)
 		b.late = 0.6
 		h := w.ask(b, 2*Second, "k", false, 2*Second)
 		at := int(w.to[0]) - 1
 		b.List(2*Second, ListChanges, loaded(map[int]float64{at: c.held, (at + 1) % 10: 0.1})[at:at+1])
-		b.PushEnded(3*Second, h, 0, w.to[0], c.o, Second, false)
+		b.AttemptEnded(3*Second, h, 0, w.to[0], c.o, Second, false)
 		if aside := b.servers[b.places[w.to[0]]].asideTill > 3*Second; aside != c.aside {
 			t.Errorf("%+v: aside %v", c, aside)
 		}
@@ -176,7 +176,7 @@
 // A franchise's share is a few tickets in ten seconds at one of a hundred sidecars: two at once are chance, thirty are not.
 func TestChanceIsNotTakenForMoreThanAShare(t *testing.T) {
 	b := pool(&quiet{}, 0)
-	b.campaign.Franchises, b.campaign.Quotas, b.campaign.BeyondCredit = []Franchise{{"x", 60}, {"y", 60}}, 120, 0.05
+	b.campaign.Tenants, b.campaign.Quotas, b.campaign.BeyondValue = []Tenant{{"x", 60}, {"y", 60}}, 120, 0.05
 	b.use = make([]meter, 2)
 	first := b.worth(2*Second, &ticket{}, 0, false)
 	if second := b.worth(2*Second, &ticket{}, 0, false); second != first {
--- a/policy/spread_test.go
+++ b/policy/spread_test.go
@@ -13,7 +13,7 @@
 func lived(n, keys int) (*Balancer, *quiet) {
 	b, q := started(fleet(200, "a"))
 	for i := range n {
-		push(b, q, 2*Second+Time(i)*250*Millisecond, fmt.Sprint(i%keys), Honoured, 100*Millisecond)
+		push(b, q, 2*Second+Time(i)*250*Millisecond, fmt.Sprint(i%keys), Succeeded, 100*Millisecond)
 	}
 	return b, q
 }
@@ -31,15 +31,15 @@
 func TestLittleIsEnoughToSeeAHotKey(t *testing.T) {
 	b, q := started(fleet(100, "a"))
 	for i := range 256 {
-		push(b, q, 2*Second+Time(i)*Second/10, fmt.Sprint(i), Honoured, Second/10)
+		push(b, q, 2*Second+Time(i)*Second/10, fmt.Sprint(i), Succeeded, Second/10)
 	}
-	to := map[ServerID]int{}
+	to := map[EndpointID]int{}
 	for i := range 24 { // a quarter of a sidecar's traffic, at 13 tickets a second for two seconds, is about one thing
 		at := 30*Second + Time(i)*Second/13
 		if i%4 > 0 {
-			push(b, q, at, fmt.Sprint("other", i), Honoured, Second/10)
+			push(b, q, at, fmt.Sprint("other", i), Succeeded, Second/10)
 		} else {
-			to[push(b, q, at, "hot", Honoured, Second/10)]++
+			to[push(b, q, at, "hot", Succeeded, Second/10)]++
 		}
 	}
 	if len(to) < 4 {
@@ -96,8 +96,8 @@
 // are late alike. One answer after a long silence is enough.
 func TestOwnAnswersShowALoadedServer(t *testing.T) {
 	b, q := started(fleet(10, "a"))
-	home := push(b, q, 2*Second, "k", Honoured, Second/4)
-	push(b, q, 60*Second, "k", Honoured, 2*Second) // the quoted time is one second
+	home := push(b, q, 2*Second, "k", Succeeded, Second/4)
+	push(b, q, 60*Second, "k", Succeeded, 2*Second) // the quoted time is one second
 	kept := func() (n int) {
 		for range 1000 {
 			tk := ticket{key: xxhash.Sum64String("k")}
@@ -130,14 +130,14 @@
 // each other over the same servers of the same table.
 func TestKeylessRequestsOfManyInstancesAreSpread(t *testing.T) {
 	const instances, servers, each = 350, 100, 3
-	at := map[ServerID]int{}
+	at := map[EndpointID]int{}
 	for i := range instances {
 		w := &quiet{}
 		b := New(w, campaign(), uint64(i+1), Second)
 		b.List(Second, ListFull, fleet(servers, "a"))
 		for range each {
 			h := w.ask(b, 2*Second, "", false, 2*Second)
-			b.PushEnded(2*Second, h, 0, w.to[len(w.to)-1], CalledOff, 0, true)
+			b.AttemptEnded(2*Second, h, 0, w.to[len(w.to)-1], Cancelled, 0, true)
 		}
 		for _, id := range w.to {
 			at[id]++
--- a/policy/state.go
+++ b/policy/state.go
@@ -40,7 +40,7 @@
 	now     Time
 	outcome Outcome
 	server  int32
-	push    PushNo
+	push    AttemptNo
 	spent   Time
 }
 
@@ -51,7 +51,7 @@
 	answered   bool
 	queued     bool
 	mayHaveRun bool
-	offering   OfferingID
+	offering   ClassID
 	keyless    bool
 	key        uint64  // hash of its key, or drawn for it alone
 	heat       float64 // its key's part of our traffic
@@ -79,12 +79,12 @@
 // Balancer is one instance of the module.
 type Balancer struct {
 	front      Front
-	campaign   *Campaign
+	campaign   *Settings
 	chance     chance
 	table      []int32 // slot to place in servers
 	order      []int32 // seeded order of the slots
 	servers    []server
-	places     map[ServerID]int32
+	places     map[EndpointID]int32
 	byID       []int32 // servers in the table, in id order
 	nearOwners int     // of these, in this zone
 	epoch      uint32
@@ -192,7 +192,7 @@
 }
 
 // Avoids tells whether the server is set aside, for reports.
-func (b *Balancer) Avoids(now Time, id ServerID) bool {
+func (b *Balancer) Avoids(now Time, id EndpointID) bool {
 	p, known := b.places[id]
 	return known && now < b.servers[p].asideTill
 }
--- a/policy/table.go
+++ b/policy/table.go
@@ -8,22 +8,22 @@
 // nobody is a front for an instance that carries no tickets.
 type nobody struct{}
 
-func (nobody) Push(Handle, ServerID, Time) {}
-func (nobody) Cancel(Handle, PushNo)       {}
-func (nobody) Honour(Handle, PushNo)       {}
-func (nobody) TurnBack(Handle, Time)       {}
-func (nobody) GiveUp(Handle)               {}
-func (nobody) Wake(Time)                   {}
-func (nobody) FollowList(bool)             {}
-func (nobody) Release(ServerID)            {}
-func (nobody) Forget(ServerID)             {}
-func (nobody) Log(string)                  {}
+func (nobody) Attempt(Handle, EndpointID, Time) {}
+func (nobody) Cancel(Handle, AttemptNo)         {}
+func (nobody) Succeed(Handle, AttemptNo)        {}
+func (nobody) Reject(Handle, Time)              {}
+func (nobody) Fail(Handle)                      {}
+func (nobody) Wake(Time)                        {}
+func (nobody) FollowList(bool)                  {}
+func (nobody) Release(EndpointID)               {}
+func (nobody) Forget(EndpointID)                {}
+func (nobody) Log(string)                       {}
 
 // Deal gives the owner of each slot after a list has followed on another, by the module's own joins, leaves and moves of surplus slots alone: who
 // deals the same lists in the same order has the same table, whenever it began. table and was are what stood before, nil at the first list. Nil
 // where there is no server.
-func Deal(table []ServerID, was, now []Member) []ServerID {
-	b := New(nobody{}, &Campaign{Sidecars: 1, Weighted: true}, 0, 0)
+func Deal(table []EndpointID, was, now []Member) []EndpointID {
+	b := New(nobody{}, &Settings{Instances: 1, Weighted: true}, 0, 0)
 	listed := func(all []Member) (kept []Member) {
 		for _, m := range all {
 			if m.Standing != Gone {
@@ -50,7 +50,7 @@
 	return b.owners()
 }
 
-func (b *Balancer) owners() (all []ServerID) {
+func (b *Balancer) owners() (all []EndpointID) {
 	for _, p := range b.table {
 		all = append(all, b.servers[p].ID)
 	}
@@ -58,8 +58,8 @@
 }
 
 // Adopt takes over who has which slot. False, and nothing is changed, where a server in it is not in the list.
-func (b *Balancer) Adopt(table []ServerID) bool {
-	if len(table) != len(b.table) || slices.ContainsFunc(table, func(id ServerID) bool {
+func (b *Balancer) Adopt(table []EndpointID) bool {
+	if len(table) != len(b.table) || slices.ContainsFunc(table, func(id EndpointID) bool {
 		p, known := b.places[id]
 		return !known || !b.servers[p].inTable
 	}) {
@@ -77,7 +77,7 @@
 }
 
 // Packed writes a table as the places of the owners among the servers of its list, two bytes a slot. Nil: one of them is not in it.
-func Packed(table []ServerID, list []Member) (b []byte) {
+func Packed(table []EndpointID, list []Member) (b []byte) {
 	ids := sortedIDs(list)
 	for _, id := range table {
 		i, known := slices.BinarySearch(ids, id)
@@ -90,7 +90,7 @@
 }
 
 // Unpacked reads it. Nil: it is not one of that list.
-func Unpacked(b []byte, list []Member) (table []ServerID) {
+func Unpacked(b []byte, list []Member) (table []EndpointID) {
 	ids := sortedIDs(list)
 	if len(b) != 2*slots {
 		return nil
@@ -105,10 +105,10 @@
 	return table
 }
 
-func sortedIDs(list []Member) (ids []ServerID) {
+func sortedIDs(list []Member) (ids []EndpointID) {
 	for _, m := range list {
 		ids = append(ids, m.ID)
 	}
-	slices.SortFunc(ids, cmp.Compare[ServerID])
+	slices.SortFunc(ids, cmp.Compare[EndpointID])
 	return ids
 }
--- a/policy/table_test.go
+++ b/policy/table_test.go
@@ -13,14 +13,14 @@
 	list := func() (all []Member) {
 		for id := range 40 {
 			if chance.IntN(3) > 0 {
-				all = append(all, Member{ID: ServerID(1000 + id*id), Weight: float64(1 + id%3)})
+				all = append(all, Member{ID: EndpointID(1000 + id*id), Weight: float64(1 + id%3)})
 			}
 		}
 		return all
 	}
-	var table []ServerID
+	var table []EndpointID
 	var was []Member
-	live := New(nobody{}, &Campaign{Sidecars: 3, Weighted: true, Offerings: []Offering{{Quoted: Second, CutOff: Second}}}, 9, 0)
+	live := New(nobody{}, &Settings{Instances: 3, Weighted: true, Classes: []Class{{Target: Second, Deadline: Second}}}, 9, 0)
 	now := Time(0)
 	for range 20 {
 		next := list()
@@ -31,7 +31,7 @@
 		if again := Deal(Unpacked(Packed(table, was), was), was, slices.Clone(next)); !slices.Equal(dealt, again) {
 			t.Fatal("two dealt alike and have two tables")
 		}
-		total, share := 0.0, map[ServerID]float64{}
+		total, share := 0.0, map[EndpointID]float64{}
 		for _, m := range next {
 			total += m.Weight
 		}
@@ -39,7 +39,7 @@
 			share[id]++
 		}
 		moved, needed := 0, 0.0
-		before := map[ServerID]float64{}
+		before := map[EndpointID]float64{}
 		for i, id := range table {
 			before[id]++
 			if dealt[i] != id {
@@ -68,7 +68,7 @@
 		if !slices.Equal(live.owners(), dealt) {
 			t.Error("it has left the table that it took")
 		}
-		if live.Adopt(append([]ServerID{1}, dealt[1:]...)) || !slices.Equal(live.owners(), dealt) {
+		if live.Adopt(append([]EndpointID{1}, dealt[1:]...)) || !slices.Equal(live.owners(), dealt) {
 			t.Error("a table with a stranger in it is taken")
 		}
 		table, was = dealt, next
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -11,7 +11,7 @@
 	c.CrossPrice = 0.1
 	b := New(q, c, 7, Second)
 	b.List(Second, ListFull, fleet(6, "a", "b"))
-	near := push(b, q, 2*Second, "k", Honoured, Millisecond)
+	near := push(b, q, 2*Second, "k", Succeeded, Millisecond)
 	if b.servers[b.places[near]].Zone != "a" {
 		t.Error("an unloaded near side was passed over")
 	}
@@ -49,7 +49,7 @@
 	for range 1000 {
 		h := w.ask(b, 2*Second, "", false, 2*Second)
 		id := w.to[len(w.to)-1]
-		b.PushEnded(2*Second, h, 0, id, CalledOff, 0, true)
+		b.AttemptEnded(2*Second, h, 0, id, Cancelled, 0, true)
 		if b.servers[b.places[id]].Zone == b.campaign.Zone {
 			near++
 		}
--- a/rpc/conn.go
+++ b/rpc/conn.go
@@ -32,11 +32,11 @@
 	engine     *engine.Engine
 	stop       chan os.Signal
 	close      sync.Once
-	exact      map[string]policy.OfferingID
-	services   map[string]policy.OfferingID
-	any        policy.OfferingID
+	exact      map[string]policy.ClassID
+	services   map[string]policy.ClassID
+	any        policy.ClassID
 	cutOffs    []policy.Time
-	franchises map[string]policy.FranchiseID
+	franchises map[string]policy.TenantID
 	metadata   string
 	field      protoreflect.Name
 }
@@ -67,24 +67,24 @@
 }
 
 func start(o daemon.ClientOrders, log *logrus.Logger, opts []grpc.DialOption) *Conn {
-	c := &Conn{stop: make(chan os.Signal, 1), exact: map[string]policy.OfferingID{}, services: map[string]policy.OfferingID{},
-		any: policy.NoOffering, cutOffs: o.CutOffs, franchises: map[string]policy.FranchiseID{}, metadata: o.KeyMetadata,
+	c := &Conn{stop: make(chan os.Signal, 1), exact: map[string]policy.ClassID{}, services: map[string]policy.ClassID{},
+		any: policy.NoClass, cutOffs: o.CutOffs, franchises: map[string]policy.TenantID{}, metadata: o.KeyMetadata,
 		field: protoreflect.Name(o.KeyField)}
 	for i, methods := range o.Methods {
 		for _, m := range methods {
 			service, wild := strings.CutSuffix(m, "/*")
 			switch {
 			case m == "*":
-				c.any = policy.OfferingID(i)
+				c.any = policy.ClassID(i)
 			case wild:
-				c.services[service] = policy.OfferingID(i)
+				c.services[service] = policy.ClassID(i)
 			default:
-				c.exact[m] = policy.OfferingID(i)
+				c.exact[m] = policy.ClassID(i)
 			}
 		}
 	}
-	for i, f := range o.Campaign.Franchises {
-		c.franchises[f.Name] = policy.FranchiseID(i)
+	for i, f := range o.Campaign.Tenants {
+		c.franchises[f.Name] = policy.TenantID(i)
 	}
 	seed := o.Seed
 	if seed == 0 {
@@ -149,7 +149,7 @@
 }
 
 // offering finds the one that a method is bound to: by its whole name, else by its service, else by *.
-func (c *Conn) offering(method string) (policy.OfferingID, bool) {
+func (c *Conn) offering(method string) (policy.ClassID, bool) {
 	if o, known := c.exact[method]; known {
 		return o, true
 	}
@@ -158,7 +158,7 @@
 			return o, true
 		}
 	}
-	return c.any, c.any != policy.NoOffering
+	return c.any, c.any != policy.NoClass
 }
 
 // key finds what a call is about: as the context says, else its metadata, else a field of the request.
@@ -200,7 +200,7 @@
 		end = d
 	}
 	k := c.front.calls.Get().(*call)
-	k.offering, k.key, k.left, k.franchise = o, c.key(ctx, request), policy.Time(end.Sub(now)), policy.NoFranchise
+	k.offering, k.key, k.left, k.franchise = o, c.key(ctx, request), policy.Time(end.Sub(now)), policy.NoTenant
 	if name, is := ctx.Value(franchiseOf{}).(string); is {
 		if f, known := c.franchises[name]; known {
 			k.franchise = f
@@ -350,11 +350,11 @@
 		cancel()
 		o.to.begun.drop(k.mark.Load())
 		how := k.ended(err)
-		p := posting{do: (*front).ended, call: k, seq: o.seq, to: o.to, outcome: how, last: how == policy.Honoured || how == policy.Declined}
+		p := posting{do: (*front).ended, call: k, seq: o.seq, to: o.to, outcome: how, last: how == policy.Succeeded || how == policy.Declined}
 		if !p.last && ctx.Err() != nil {
 			p.last, err = true, status.FromContextError(ctx.Err()).Err()
 			if how != policy.NotConnected {
-				p.outcome = policy.CalledOff
+				p.outcome = policy.Cancelled
 			}
 		}
 		c.front.post(p) // from here on the call is the loop's if this was its last
--- a/rpc/front.go
+++ b/rpc/front.go
@@ -65,8 +65,8 @@
 	gone   bool   // its caller has its answer, or has left: it reads no more orders
 	closed bool   // its caller has posted its last
 
-	offering  policy.OfferingID
-	franchise policy.FranchiseID
+	offering  policy.ClassID
+	franchise policy.TenantID
 	key       string
 	left      policy.Time
 	stream    bool
@@ -134,7 +134,7 @@
 func (f *front) ended(now policy.Time, c *call, p posting) {
 	t := c.ticket
 	current := t != nil && t.Out && c.seq == p.seq
-	if p.last && t != nil && (!current || c.stream && p.outcome != policy.Honoured && p.outcome != policy.Declined) {
+	if p.last && t != nil && (!current || c.stream && p.outcome != policy.Succeeded && p.outcome != policy.Declined) {
 		// Its caller has an answer that nothing can change any more.
 		f.engine.ClientLeft(now, t)
 	}
@@ -158,7 +158,7 @@
 // streams is the first message of a stream's server: its opening was honoured. The stream goes on.
 func (f *front) streams(_ policy.Time, c *call, p posting) {
 	if t := c.ticket; t != nil && t.Out && c.seq == p.seq {
-		f.engine.Ended(p.at, t, policy.Honoured)
+		f.engine.Ended(p.at, t, policy.Succeeded)
 	}
 }
 
@@ -258,7 +258,7 @@
 
 func (f *front) CallOff(now policy.Time, t *engine.Ticket) {
 	t.Part.(*call).stop()
-	f.engine.Ended(now, t, policy.CalledOff)
+	f.engine.Ended(now, t, policy.Cancelled)
 }
 
 // Honour: the caller has the reply already.
--- a/rpc/outcome.go
+++ b/rpc/outcome.go
@@ -23,20 +23,20 @@
 	}
 	switch code {
 	case codes.OK:
-		return policy.Honoured
+		return policy.Succeeded
 	case codes.InvalidArgument, codes.NotFound, codes.AlreadyExists, codes.PermissionDenied, codes.FailedPrecondition,
 		codes.OutOfRange, codes.Unimplemented, codes.Unauthenticated:
 		if notProcessed {
-			return policy.TurnedAway
+			return policy.Rejected
 		}
 		// The server cannot use this call, and no other could.
 		return policy.Declined
 	}
 	switch {
 	case notProcessed:
-		return policy.TurnedAway
+		return policy.Rejected
 	case code == codes.Unavailable:
-		return policy.ConnBroke
+		return policy.ConnectionLost
 	}
 	return policy.Errored
 }
--- a/rpc/stream.go
+++ b/rpc/stream.go
@@ -49,7 +49,7 @@
 				p.last, err = true, status.FromContextError(ctx.Err()).Err()
 			}
 			// With an error no stream is open, but gRPC may have begun one: then it is not begun again.
-			p.last = p.last || how != policy.NotConnected && how != policy.TurnedAway
+			p.last = p.last || how != policy.NotConnected && how != policy.Rejected
 			c.front.post(p)
 			if p.last {
 				return nil, err
@@ -62,7 +62,7 @@
 		s.state = &streamState{front: c.front, call: k, seq: o.seq, to: o.to, cancel: cancel}
 		// A caller that drops a stream without reading it to its end, or cancelling its context, must not hold the server's place.
 		runtime.AddCleanup(s, (*streamState).dropped, s.state)
-		context.AfterFunc(ctx, func() { s.state.end(policy.CalledOff) })
+		context.AfterFunc(ctx, func() { s.state.end(policy.Cancelled) })
 		return s, nil
 	}
 }
@@ -92,7 +92,7 @@
 	defer t.mu.Unlock()
 	if !t.told {
 		t.told = true
-		t.front.post(posting{do: (*front).streams, call: t.call, seq: t.seq, outcome: policy.Honoured})
+		t.front.post(posting{do: (*front).streams, call: t.call, seq: t.seq, outcome: policy.Succeeded})
 	}
 }
 
@@ -107,13 +107,13 @@
 	t.cancel()
 	t.to.begun.drop(t.call.mark.Load())
 	if t.told {
-		o = policy.Honoured
+		o = policy.Succeeded
 	}
 	t.told = true
 	t.front.post(posting{do: (*front).ended, call: t.call, seq: t.seq, to: t.to, outcome: o, last: true})
 }
 
-func (t *streamState) dropped() { t.end(policy.CalledOff) }
+func (t *streamState) dropped() { t.end(policy.Cancelled) }
 
 func (s *stream) RecvMsg(m any) error {
 	err := s.ClientStream.RecvMsg(m)
@@ -121,7 +121,7 @@
 	case err == nil && s.desc.ServerStreams:
 		s.state.began()
 	case err == nil || err == io.EOF:
-		s.state.end(policy.Honoured)
+		s.state.end(policy.Succeeded)
 	default:
 		v := s.Trailer().Get(NotProcessed)
 		s.state.end(outcome(1, status.Code(err), len(v) > 0 && v[0] == "1"))
