--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -308,9 +308,9 @@
 		if of, says := c.decider.(interface{ Gauges() policy.Gauges }); says && c.alive {
 			g := of.Gauges()
 			n++
-			s.Pace += min(g.Pace, 1e4)
+			s.Pace += min(g.OutLimit, 1e4)
 			s.Limit += g.Limit
-			s.Aside += float64(g.Aside)
+			s.Aside += float64(g.Ejected)
 		}
 	}
 	if n > 0 {
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// coldBoundBroken gives the most that a server was sent within the time in which it falls, over what is allowed then: N requests, and two
+// coldBoundBroken gives the most that an endpoint was sent within the time in which it falls, over what is allowed then: N requests, and two
 // roots of N and two more for chance.
 func coldBoundBroken(sent []Time, started Time, c *Settings, capacity float64) (worst float64) {
 	for first, last := 0, 0; last < len(sent); last++ {
@@ -22,8 +22,8 @@
 	return worst
 }
 
-// Many instances, each with a few requests a second, keep cold servers at work with requests that have no key, within what is allowed. A
-// budget lapses within a second in each of them, and by its slots each meets a given server once in 20 s.
+// Many instances, each with a few requests a second, keep cold endpoints at work with requests that have no key, within what is allowed. A
+// budget lapses within a second in each of them, and by its slots each meets a given endpoint once in 20 s.
 func TestKeylessRequestsOfManyInstancesReachColdServers(t *testing.T) {
 	const (
 		instances, servers, fresh = 300, 100, 60
@@ -59,28 +59,28 @@
 	for id, at := range sent {
 		total += len(at)
 		if over := coldBoundBroken(at, known, c, capacity); over > 1 {
-			t.Errorf("server %d was sent %.2f of what is allowed", id, over)
+			t.Errorf("endpoint %d was sent %.2f of what is allowed", id, over)
 		}
 	}
-	// By its slots alone a new server gets, while it warms, seven tenths of what a warm one does; half of that is wanted.
+	// By its slots alone a new endpoint gets, while it warms, seven tenths of what a warm one does; half of that is wanted.
 	if bears := 0.7 * capacity * float64(c.ColdTime/Second) * fresh; float64(total) < bears/2 {
-		t.Errorf("%d cold servers were sent %d requests while they warmed, and bear %.0f", fresh, total, bears)
+		t.Errorf("%d cold endpoints were sent %d requests while they warmed, and bear %.0f", fresh, total, bears)
 	}
 }
 
-// Only a request without a key leaves its slot for a cold server that may be sent one, and only by the rules for any attempt.
+// Only a request without a key leaves its slot for a cold endpoint that may be sent one, and only by the rules for any attempt.
 func TestOnlyKeylessRequestsLeaveTheirSlotForAColdServer(t *testing.T) {
 	const now = 30 * Second
-	for name, change := range map[string]func(s *server){
-		"may be sent one": func(*server) {},
-		"draining":        func(s *server) { s.Standing = Draining },
-		"without budget":  func(s *server) { s.budget = 0 },
-		"ejected":         func(s *server) { s.asideTill = now + Second },
-		"full":            func(s *server) { s.limit = 0 },
+	for name, change := range map[string]func(s *endpoint){
+		"may be sent one": func(*endpoint) {},
+		"draining":        func(s *endpoint) { s.Standing = Draining },
+		"without budget":  func(s *endpoint) { s.budget = 0 },
+		"ejected":         func(s *endpoint) { s.ejectedTill = now + Second },
+		"full":            func(s *endpoint) { s.limit = 0 },
 	} {
 		b, w := started(fleet(50, "a"))
 		b.List(now, ListChanges, []Member{{ID: 7, Weight: 1, Zone: "a", Started: now}})
-		cold := &b.servers[b.places[7]]
+		cold := &b.endpoints[b.places[7]]
 		for i := range 100 {
 			cold.budget, cold.budgetAt = 1, now
 			change(cold)
@@ -90,7 +90,7 @@
 			cold.budget = 1
 			change(cold)
 			if to := push(b, w, now, "", Cancelled, 0); (to == 7) != (name == "may be sent one") {
-				t.Fatalf("%s: a request without a key went to server %d", name, to)
+				t.Fatalf("%s: a request without a key went to endpoint %d", name, to)
 			}
 		}
 	}
--- a/policy/coldfleet_test.go
+++ b/policy/coldfleet_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-// coldFleet is one cold server before many instances that share nothing, each with the budget that it alone keeps. What they may send in sum
-// is held against what the settings allow: N calls of mean work in the time in which a cold server falls, beyond which only
+// coldFleet is one cold endpoint before many instances that share nothing, each with the budget that it alone keeps. What they may send in sum
+// is held against what the settings allow: N calls of mean work in the time in which a cold endpoint falls, beyond which only
 // 2 roots of N and 2 more are chance.
 type coldFleet struct {
 	*Settings
 	all      []*Balancer
-	cold     []*server // as each instance has it
-	capacity float64   // calls of mean work that the server bears in a second when warm
+	cold     []*endpoint // as each instance has it
+	capacity float64     // calls of mean work that the endpoint bears in a second when warm
 	started  Time
-	used     float64 // part of what the warm servers bear that is asked of them
+	used     float64 // part of what the warm endpoints bear that is asked of them
 	queue    []int   // whose calls it still has to answer
 	works    float64
 	sent     []Time
@@ -27,24 +27,24 @@
 	f := &coldFleet{capacity: capacity, used: used, Settings: &Settings{Instances: n, Weighted: true, MaxAttempts: 3, Tick: 5 * Millisecond,
 		ColdShare: from, ColdTime: 20 * Second, FallMultiple: 3, FallTime: fall, Classes: []Class{{Name: "r", Target: Second}}}}
 	for i := range n {
-		b := &Balancer{campaign: f.Settings, chance: newChance((seed*1000 + uint64(i)) * 0x9e3779b97f4a7c15), borne: used * capacity / float64(n)}
+		b := &Balancer{settings: f.Settings, chance: newChance((seed*1000 + uint64(i)) * 0x9e3779b97f4a7c15), warmRate: used * capacity / float64(n)}
 		f.all, f.cold = append(f.all, b), append(f.cold, nil)
 	}
 	return f
 }
 
-// start has the instances from one on hear that the server has started, as they do of a new one, one that is back, or when they start themselves.
+// start has the instances from one on hear that the endpoint has started, as they do of a new one, one that is back, or when they start themselves.
 func (f *coldFleet) start(now, at Time, from int) {
 	f.started = at
 	for i := from; i < len(f.all); i++ {
-		f.cold[i] = &server{Member: Member{ID: 1, Weight: 1, Started: at}, budget: f.all[i].chance.part(), budgetAt: now}
+		f.cold[i] = &endpoint{Member: Member{ID: 1, Weight: 1, Started: at}, budget: f.all[i].chance.part(), budgetAt: now}
 	}
 }
 
-// step has all that may send, of those asked for, do so, and the server answer what it can.
+// step has all that may send, of those asked for, do so, and the endpoint answer what it can.
 func (f *coldFleet) step(now, step Time, asks func(i int) bool) {
 	for i, b := range f.all {
-		for asks(i) && b.save(now, f.cold[i]) >= 1 {
+		for asks(i) && b.saveBudget(now, f.cold[i]) >= 1 {
 			f.cold[i].budget--
 			f.sent, f.queue = append(f.sent, now), append(f.queue, i)
 		}
@@ -65,7 +65,7 @@
 	}
 }
 
-// Whoever asks and whenever, what all send a cold server in sum stays within what is allowed: from the first moment, after it was left
+// Whoever asks and whenever, what all send a cold endpoint in sum stays within what is allowed: from the first moment, after it was left
 // alone for as long as may be, in bursts, when it comes back, and with instances that restart. Instances and sizes are those of
 // deployments, from a few processes to the largest.
 func TestFleetKeepsTheColdBudget(t *testing.T) {
--- a/policy/ejection_test.go
+++ b/policy/ejection_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A ticket that fails wherever it goes set aside one server after another; and when all servers fail, setting
+// A request that fails wherever it goes ejected one endpoint after another; and when all endpoints fail, setting
 // most aside only crowds the rest.
 func TestFailuresOfOneKeyOrOfAllSetFewAside(t *testing.T) {
 	for most, keys := range map[int]int{0: 1, 3: 300} {
@@ -13,64 +13,64 @@
 		for i := range 300 {
 			push(b, q, 2*Second+Time(i)*Millisecond, fmt.Sprint(i%keys), Errored, Millisecond)
 		}
-		if n := b.aside; n > most || most > 0 && n == 0 {
-			t.Errorf("%d of 6 servers aside for failures of %d keys", n, keys)
+		if n := b.ejected; n > most || most > 0 && n == 0 {
+			t.Errorf("%d of 6 endpoints aside for failures of %d keys", n, keys)
 		}
 	}
 }
 
-// A server back from being set aside gets a trickle that doubles, not its whole traffic at once.
+// An endpoint back from being ejected gets a trickle that doubles, not its whole traffic at once.
 func TestReturnIsATrickle(t *testing.T) {
 	b, q := started(fleet(2, "a"))
-	b.servers[0].trickle = 1
+	b.endpoints[0].slowStart = 1
 	for i := range 8 {
 		b.Begin(2*Second, b.Admit(2*Second, 0, NoTenant, fmt.Sprint(i), false, Second))
 	}
-	if b.servers[0].out != 1 {
-		t.Errorf("%d of %d pushes out to a server that just returned", b.servers[0].out, len(q.to))
+	if b.endpoints[0].out != 1 {
+		t.Errorf("%d of %d attempts out to an endpoint that just returned", b.endpoints[0].out, len(q.to))
 	}
 }
 
-// At full size a sidecar that hears of a server once in a minute judged it by three failures.
+// At full size an instance that hears of an endpoint once in a minute judged it by three failures.
 func TestSingleFailureCountsWhereLittleIsHeard(t *testing.T) {
 	b, q := lived(200, 200)
 	h := b.Admit(60*Second, 0, NoTenant, "one", false, 2*Second)
 	b.Begin(60*Second, h)
 	id := q.to[len(q.to)-1]
 	b.AttemptEnded(61*Second, h, 0, id, TimedOut, Second, false)
-	if till := b.servers[b.places[id]].asideTill; till < 70*Second {
+	if till := b.endpoints[b.places[id]].ejectedTill; till < 70*Second {
 		t.Errorf("aside till %d after the one failure heard in a minute", till)
 	}
 }
 
-// A release takes servers out seconds before the list says so: each turned away all it was sent, and every sidecar, again and again.
+// A release takes endpoints out seconds before the list says so: each rejected all it was sent, and every instance, again and again.
 func TestServersThatLeaveBeforeTheListKnows(t *testing.T) {
 	for load, want := range map[float64]int{0: 1, 0.9: 0} {
 		b, q := started(fleet(4, "a"))
 		for i := range 40 {
 			push(b, q, 2*Second+Time(i)*Millisecond, fmt.Sprint(i), Succeeded, 100*Millisecond)
 		}
-		b.servers[0].ratio = b.calm + load
+		b.endpoints[0].ratio = b.baseline + load
 		away := 0
 		for i := range 200 {
 			now := 3*Second + Time(i)*5*Millisecond
 			h := b.Admit(now, 0, NoTenant, fmt.Sprint(i), false, 4*Second)
 			b.Begin(now, h)
-			for n := 0; b.held(h) != nil && n < 3; n++ {
+			for n := 0; b.lookup(h) != nil && n < 3; n++ {
 				o, to := Succeeded, q.to[len(q.to)-1]
-				if to == b.servers[0].ID {
+				if to == b.endpoints[0].ID {
 					o, away = Rejected, away+1
 				}
 				b.AttemptEnded(now, h, AttemptNo(n), to, o, 100*Millisecond, o == Succeeded)
 			}
 		}
-		if b.tend(4 * Second); b.aside != want || want > 0 && (away > inRow || b.late > 0.5) {
-			t.Errorf("load %.1f: %d aside, %d turned away, lateness %.2f", load, b.aside, away, b.late)
+		if b.maintain(4 * Second); b.ejected != want || want > 0 && (away > failuresToEject || b.late > 0.5) {
+			t.Errorf("load %.1f: %d aside, %d rejected, lateness %.2f", load, b.ejected, away, b.late)
 		}
 	}
 }
 
-// Full fleet, join+mass: 2,182 pushes left with 84 ms of their clients' 100, timed out, and healthy servers were set aside by them.
+// Full fleet, join+mass: 2,182 attempts left with 84 ms of their clients' 100, timed out, and healthy endpoints were ejected by them.
 func TestImpatientClientsAreNoSignOfTheServer(t *testing.T) {
 	b, q := started(fleet(1, "a"))
 	for i := range 20 {
@@ -83,7 +83,7 @@
 		b.Begin(now, h)
 		b.AttemptEnded(now+84*Millisecond, h, 0, q.to[len(q.to)-1], TimedOut, 84*Millisecond, true)
 	}
-	if s := &b.servers[0]; s.asideTill > 0 || s.limit < firstLimit || b.late > was {
-		t.Errorf("aside till %d, limit %.1f, lateness %.2f after %.2f", s.asideTill, s.limit, b.late, was)
+	if s := &b.endpoints[0]; s.ejectedTill > 0 || s.limit < firstLimit || b.late > was {
+		t.Errorf("aside till %d, limit %.1f, lateness %.2f after %.2f", s.ejectedTill, s.limit, b.late, was)
 	}
 }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// sent is one push as the plain model remembers it.
+// sent is one attempt as the plain model remembers it.
 type sent struct {
 	server EndpointID
 	at     Time
@@ -15,8 +15,8 @@
 	ran    bool // may have run
 }
 
-// request is one ticket as the plain model remembers it.
-type request struct {
+// openRequest is one request as the plain model remembers it.
+type openRequest struct {
 	offering Class
 	cutOff   Time
 	answered bool
@@ -29,7 +29,7 @@
 	do func()
 }
 
-// world is the surroundings of one sidecar and the slow, plain model of the four rules: every action is
+// world is the surroundings of one instance and the slow, plain model of the four rules: every action is
 // checked against the whole history, with nothing remembered but what happened.
 type world struct {
 	*rand.Rand
@@ -37,13 +37,13 @@
 	campaign *Settings
 	b        *Balancer
 	life     int // counts restarts; events of an earlier life are void
-	requests map[Handle]*request
+	requests map[Handle]*openRequest
 	fleet    map[EndpointID]Member
-	told     map[EndpointID]Time // when this life heard that a server leaves
+	told     map[EndpointID]Time // when this life heard that an endpoint leaves
 	colds    map[EndpointID][]Time
 	honoured []Time
-	byCold   map[EndpointID][]Time // honoured by a cold server since it started
-	fewest   int                   // fewest warm servers so far
+	byCold   map[EndpointID][]Time // successful by a cold endpoint since it started
+	fewest   int                   // fewest warm endpoints so far
 	events   []event
 	trace    strings.Builder
 	broken   string
@@ -66,11 +66,11 @@
 	}})
 }
 
-func (w *world) open(h Handle) *request {
+func (w *world) open(h Handle) *openRequest {
 	r := w.requests[h]
 	if r == nil || r.answered {
-		w.fail("rule 1: action for a ticket that is not open")
-		return &request{}
+		w.fail("rule 1: action for a request that is not open")
+		return &openRequest{}
 	}
 	return r
 }
@@ -79,11 +79,11 @@
 	fmt.Fprintf(&w.trace, "push %d %d %d\n", h, id, wait)
 	r, s := w.open(h), w.fleet[id]
 	if len(r.pushes) >= w.campaign.MaxAttempts {
-		w.fail("more pushes than allowed")
+		w.fail("more attempts than allowed")
 	}
 	for _, p := range r.pushes {
 		if p.out {
-			w.fail("two pushes out at once")
+			w.fail("two attempts out at once")
 		}
 	}
 	if first := slices.IndexFunc(r.pushes, func(p sent) bool { return p.ran }); first >= 0 {
@@ -92,11 +92,11 @@
 		within := o.Group == GroupAll || o.Group == GroupZone && was.Zone == s.Zone ||
 			o.Group == GroupCell && was.Cell == s.Cell
 		if o.Idempotency == NonIdempotent || o.Idempotency == Keyed && (!within || w.now > p.at+o.Window) {
-			w.fail("rule 2: pushed again outside its group or window")
+			w.fail("rule 2: attempted again outside its group or window")
 		}
 	}
 	if at, leaving := w.told[id]; leaving && w.now > at+Second {
-		w.fail("rule 3: pushed to a leaving server")
+		w.fail("rule 3: attempted to a leaving endpoint")
 	}
 	if s.Started > 0 && w.now < s.Started+w.campaign.ColdTime {
 		w.coldPush(id, s)
@@ -122,7 +122,7 @@
 	return most
 }
 
-// coldPush counts pushes to a cold server against what a warm one, or it itself, was at most seen to honour.
+// coldPush counts attempts to a cold endpoint against what a warm one, or it itself, was at most seen to honour.
 func (w *world) coldPush(id EndpointID, s Member) {
 	w.colds[id] = append(w.colds[id], w.now)
 	c := w.campaign
@@ -137,12 +137,12 @@
 		}
 	}
 	if float64(n) > most {
-		w.fail("rule 4: %d pushes to a cold server, %.1f allowed", n, most)
+		w.fail("rule 4: %d attempts to a cold endpoint, %.1f allowed", n, most)
 	}
 }
 
-// outcomeOf draws how a push ends, and when.
-func (w *world) outcomeOf(h Handle, r *request, n int, wait Time) {
+// outcomeOf draws how an attempt ends, and when.
+func (w *world) outcomeOf(h Handle, r *openRequest, n int, wait Time) {
 	o := Outcome(w.Intn(int(NotSent)))
 	if w.Intn(3) > 0 {
 		o = Succeeded
@@ -152,7 +152,7 @@
 		o, d = TimedOut, wait
 	}
 	if o == TimedOut && w.Intn(4) == 0 {
-		d += 10 * Second // a time-out that is lost until long after the cut-off
+		d += 10 * Second // a time-out that is lost until long after the deadline
 	}
 	w.after(d, func() {
 		p := &r.pushes[n]
@@ -169,7 +169,7 @@
 		w.b.AttemptEnded(w.now, h, AttemptNo(n), p.server, o, w.now-p.at, r.answered)
 	})
 	for i := range r.pushes {
-		// A push that is out may already be running.
+		// An attempt that is out may already be running.
 		r.pushes[i].ran = r.pushes[i].ran || r.pushes[i].out && i < n
 	}
 }
@@ -181,7 +181,7 @@
 	again := r.offering.Idempotency == Idempotent || r.offering.Idempotency == Keyed && r.offering.Group == GroupAll
 	for _, p := range r.pushes {
 		if (p.ran || p.out) && !again {
-			w.fail("rule 2: turned back though it may have run")
+			w.fail("rule 2: rejected though it may have run")
 		}
 	}
 	r.answered = true
@@ -205,7 +205,7 @@
 	for _, r := range w.requests {
 		for _, p := range r.pushes {
 			if p.out && p.server == id || w.campaign.Streams <= 1 {
-				w.fail("connections to server %d released: a push is out, or they carry one ticket each", id)
+				w.fail("connections to endpoint %d released: an attempt is out, or they carry one request each", id)
 			}
 		}
 	}
@@ -221,7 +221,7 @@
 	})
 }
 
-// load is a weight: 1, or where it falls with load what a server holding up to nine tickets a core has left.
+// load is a weight: 1, or where it falls with load what an endpoint holding up to nine requests a core has left.
 func (w *world) load() float64 {
 	if w.campaign.Weighted {
 		return 1
@@ -229,7 +229,7 @@
 	return 1 / float64(1+w.Intn(10))
 }
 
-// list changes the fleet a little and tells the sidecar.
+// list changes the fleet a little and tells the instance.
 func (w *world) list(kind ListKind) {
 	var all []Member
 	for id := EndpointID(1); id <= 8; id++ {
@@ -272,11 +272,11 @@
 	w.b.List(w.now, kind, all)
 }
 
-// start begins a life of the sidecar; requests of an earlier one are the clients' to retry.
+// start begins a life of the instance; requests of an earlier one are the clients' to retry.
 func (w *world) start() {
 	w.life++
 	w.leaveBy = 0
-	w.requests = map[Handle]*request{}
+	w.requests = map[Handle]*openRequest{}
 	w.told = map[EndpointID]Time{}
 	w.b = New(w, w.campaign, uint64(w.Int63()), w.now)
 	if w.Intn(4) > 0 {
@@ -284,7 +284,7 @@
 	}
 }
 
-// leave lets the sidecar end a little later: whatever is open must be answered by then.
+// leave lets the instance end a little later: whatever is open must be answered by then.
 func (w *world) leave() {
 	by := w.now + 300*Millisecond
 	w.b.Leave(w.now, by)
@@ -305,7 +305,7 @@
 		left = Millisecond
 	}
 	h := w.b.Admit(w.now, o, TenantID(w.Intn(2)), key, w.Intn(5) == 0, left)
-	w.requests[h] = &request{offering: w.campaign.Classes[o], cutOff: w.now + left}
+	w.requests[h] = &openRequest{offering: w.campaign.Classes[o], cutOff: w.now + left}
 	if w.leaveBy > 0 {
 		w.requests[h].cutOff = min(w.now+left, w.leaveBy)
 	}
@@ -357,7 +357,7 @@
 		w.now = next
 		for _, r := range w.requests {
 			if !r.answered && w.now > r.cutOff+20*Millisecond {
-				w.fail("rule 1: no answer before the cut-off")
+				w.fail("rule 1: no answer before the deadline")
 			}
 		}
 		switch k := w.Intn(200); {
--- a/policy/knowledge.go
+++ b/policy/knowledge.go
@@ -4,21 +4,21 @@
 type Knowledge struct {
 	Calm, PerHeld, Pace, InUse, Late, Pushes, NearPart float64
 	Sides                                              [2]float64
-	Usual                                              []float64 // by offering
+	Usual                                              []float64 // by class
 	Patience                                           []Patience
-	Use                                                []float64 // rates, by franchise
+	Use                                                []float64 // rates, by tenant
 	Arrivals, Done, Borne                              float64
 	Recent                                             []uint64 // the latest first
 	Servers                                            []Learned
 }
 
-// Patience is the time that first tries of an offering come with, and the part that came with less.
+// Patience is the time that first tries of an class come with, and the part that came with less.
 type Patience struct {
 	Most Time
 	Odd  float64
 }
 
-// Learned is what was learned of one server.
+// Learned is what was learned of one endpoint.
 type Learned struct {
 	ID                           EndpointID
 	Started                      Time
@@ -28,12 +28,12 @@
 	Budget                       float64
 }
 
-// Tell gives what was learned. What cold servers may be sent passes with it: what is saved up, and the rate by which more is saved,
+// Tell gives what was learned. What cold endpoints may be sent passes with it: what is saved up, and the rate by which more is saved,
 // are whoever's that is told, and this instance begins anew with what it sees itself.
 func (b *Balancer) Tell(now Time) Knowledge {
-	k := Knowledge{Calm: b.calm, PerHeld: b.perHeld, Pace: b.pace, InUse: b.inUse, Late: b.late, Pushes: b.pushes,
-		NearPart: b.nearPart, Sides: b.sides, Usual: append([]float64(nil), b.usual...), Arrivals: b.arrivals.now(now),
-		Done: b.done.now(now), Borne: b.borne}
+	k := Knowledge{Calm: b.baseline, PerHeld: b.perReported, Pace: b.limit, InUse: b.inUse, Late: b.late, Pushes: b.retryBudget,
+		NearPart: b.nearPart, Sides: b.sides, Usual: append([]float64(nil), b.meanLatency...), Arrivals: b.arrivals.now(now),
+		Done: b.successes.now(now), Borne: b.warmRate}
 	for _, p := range b.patience {
 		k.Patience = append(k.Patience, Patience{p.most, p.odd})
 	}
@@ -43,11 +43,11 @@
 	for i := range min(b.recentAt, len(b.recent)) {
 		k.Recent = append(k.Recent, b.recent[(b.recentAt-1-i)%len(b.recent)])
 	}
-	b.done.rate, b.borne = 0, 0
+	b.successes.rate, b.warmRate = 0, 0
 	for _, p := range b.byID {
-		s := &b.servers[p]
-		k.Servers = append(k.Servers, Learned{s.ID, s.Started, s.Weight, s.limit, s.ratio, s.served.now(now), s.row, s.trickle,
-			s.asideTill, s.skip, s.budget})
+		s := &b.endpoints[p]
+		k.Servers = append(k.Servers, Learned{s.ID, s.Started, s.Weight, s.limit, s.ratio, s.served.now(now), s.failures, s.slowStart,
+			s.ejectedTill, s.ejection, s.budget})
 		if b.cold(now, s) {
 			s.budget, s.served = 0, meter{}
 		}
@@ -55,22 +55,22 @@
 	return k
 }
 
-// Learn goes on from what another has learned, of the servers in the list that have not started anew since. Both are of one shape.
+// Learn goes on from what another has learned, of the endpoints in the list that have not started anew since. Both are of one shape.
 func (b *Balancer) Learn(now Time, k Knowledge) {
-	if len(k.Usual) != len(b.usual) || len(k.Patience) != len(b.patience) || len(k.Use) != len(b.use) {
-		return // a configuration of another shape: what was counted by offering and franchise does not hold
+	if len(k.Usual) != len(b.meanLatency) || len(k.Patience) != len(b.patience) || len(k.Use) != len(b.use) {
+		return // a configuration of another shape: what was counted by class and tenant does not hold
 	}
-	b.calm, b.perHeld, b.pace, b.inUse, b.late, b.pushes = k.Calm, k.PerHeld, k.Pace, k.InUse, k.Late, k.Pushes
+	b.baseline, b.perReported, b.limit, b.inUse, b.late, b.retryBudget = k.Calm, k.PerHeld, k.Pace, k.InUse, k.Late, k.Pushes
 	b.nearPart, b.sides, b.heardAt = k.NearPart, k.Sides, now
-	copy(b.usual, k.Usual)
+	copy(b.meanLatency, k.Usual)
 	for i, p := range k.Patience {
-		b.patience[i] = patience{p.Most, p.Odd}
+		b.patience[i] = firstTries{p.Most, p.Odd}
 	}
 	for i, rate := range k.Use {
 		b.use[i] = meter{rate, now}
 	}
-	b.arrivals, b.done = meter{k.Arrivals, now}, meter{k.Done, now}
-	b.borne, b.recentAt = k.Borne, 0
+	b.arrivals, b.successes = meter{k.Arrivals, now}, meter{k.Done, now}
+	b.warmRate, b.recentAt = k.Borne, 0
 	for i := len(k.Recent) - 1; i >= 0 && len(k.Recent) <= len(b.recent); i-- {
 		b.recent[b.recentAt] = k.Recent[i]
 		b.recentAt++
@@ -78,51 +78,51 @@
 	reweighed := false
 	for _, of := range k.Servers {
 		p, known := b.places[of.ID]
-		if !known || b.servers[p].Started > of.Started {
+		if !known || b.endpoints[p].Started > of.Started {
 			continue
 		}
-		s := &b.servers[p]
-		s.limit, s.ratio, s.served, s.row, s.trickle = of.Limit, of.Ratio, meter{of.Served, now}, of.Row, of.Trickle
-		s.asideTill, s.skip, s.budget, s.budgetAt = of.AsideTill, of.Skip, of.Budget, now
-		if !b.campaign.Weighted && of.Weight > s.Weight {
+		s := &b.endpoints[p]
+		s.limit, s.ratio, s.served, s.failures, s.slowStart = of.Limit, of.Ratio, meter{of.Served, now}, of.Row, of.Trickle
+		s.ejectedTill, s.ejection, s.budget, s.budgetAt = of.AsideTill, of.Skip, of.Budget, now
+		if !b.settings.Weighted && of.Weight > s.Weight {
 			s.Weight, reweighed = of.Weight, true
 		}
 	}
 	if reweighed {
-		b.deal(nil, b.byID)
+		b.assign(nil, b.byID)
 	}
-	b.tendAt = 0
-	b.tend(now)
+	b.maintainAt = 0
+	b.maintain(now)
 }
 
-// Placed is told of an offering that is new at its place in the campaign, and like which its answers are likely to be: another's, or at itself.
+// Placed is told of an class that is new at its place in the settings, and like which its answers are likely to be: another's, or at itself.
 func (b *Balancer) Placed(at, like ClassID) {
-	for len(b.usual) < len(b.campaign.Classes) {
-		b.usual, b.patience = append(b.usual, 0), append(b.patience, patience{})
+	for len(b.meanLatency) < len(b.settings.Classes) {
+		b.meanLatency, b.patience = append(b.meanLatency, 0), append(b.patience, firstTries{})
 	}
-	b.usual[at], b.patience[at] = b.usual[like], b.patience[like]
+	b.meanLatency[at], b.patience[at] = b.meanLatency[like], b.patience[like]
 	if like == at {
-		b.usual[at] = float64(b.campaign.Classes[at].Target) / 4
+		b.meanLatency[at] = float64(b.settings.Classes[at].Target) / 4
 	}
 }
 
-// Quoted is told that the campaign has more franchises than before.
+// Quoted is told that the settings has more tenants than before.
 func (b *Balancer) Quoted() {
-	for len(b.use) < len(b.campaign.Tenants) {
+	for len(b.use) < len(b.settings.Tenants) {
 		b.use = append(b.use, meter{})
 	}
 }
 
-// Stands tells whether the ticket's latest push, decided on and not yet written, is still allowed: rules may have changed since. What did
+// Stands tells whether the request's latest attempt, decided on and not yet written, is still allowed: rules may have changed since. What did
 // not leave is told by NotSent.
 func (b *Balancer) Stands(now Time, h Handle) bool {
-	t := b.held(h)
-	if t == nil || t.pushes == 0 {
+	t := b.lookup(h)
+	if t == nil || t.attempts == 0 {
 		return false
 	}
-	t.pushes--
-	p := t.tried[t.pushes%len(t.tried)]
-	allowed := b.allowed(now, t, p) && (b.campaign.FallMultiple > 0 || !b.cold(now, &b.servers[p]))
-	t.pushes++
+	t.attempts--
+	p := t.tried[t.attempts%len(t.tried)]
+	allowed := b.allowed(now, t, p) && (b.settings.FallMultiple > 0 || !b.cold(now, &b.endpoints[p]))
+	t.attempts++
 	return allowed
 }
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Limits grown in calm times, by short answers, choked the servers once a burst came.
+// Limits grown in calm times, by short answers, choked the endpoints once a burst came.
 func TestLimitsFollowAnswers(t *testing.T) {
 	for _, c := range []struct {
 		n           int
@@ -16,50 +16,50 @@
 		for i := range c.n {
 			push(b, q, 2*Second+Time(i)*c.every, fmt.Sprint(i), Succeeded, c.took)
 		}
-		if l := b.servers[0].limit; l > c.most {
+		if l := b.endpoints[0].limit; l > c.most {
 			t.Errorf("limit %.1f after %d answers of %dms", l, c.n, c.took/Millisecond)
 		}
 	}
 }
 
-// One push from each to each server kept all servers choked.
+// One attempt from each to each endpoint kept all endpoints choked.
 func TestPaceFollowsLateness(t *testing.T) {
 	b, q := started(fleet(20, "a"))
-	b.campaign.Instances = 100
+	b.settings.Instances = 100
 	for i := range 2060 {
 		now, took := Time(i+2)*Second, 10*Millisecond
 		if i < 60 {
 			took = Second
 		}
 		push(b, q, now, fmt.Sprint(i), Succeeded, took)
-		if i == 59 && (b.pace >= 1 || b.paced(now)) {
-			t.Errorf("pace %.2f, and no pause, after a minute of late answers", b.pace)
+		if i == 59 && (b.limit >= 1 || b.underLimit(now)) {
+			t.Errorf("pace %.2f, and no pause, after a minute of late answers", b.limit)
 		}
 	}
-	if b.pace < 1 {
-		t.Errorf("pace %.2f after long calm", b.pace)
+	if b.limit < 1 {
+		t.Errorf("pace %.2f after long calm", b.limit)
 	}
 }
 
-// jhb-vouchers: where work alone takes a good part of the quoted time, and late answers earn nothing, the pace fell to a push or two though no
-// server was short of room. What an unloaded answer takes is no lateness; pools, which see more of each server, stay as they were.
+// jhb-vouchers: where work alone takes a good part of the target latency, and late answers earn nothing, the limit fell to an attempt or two though no
+// endpoint was short of room. What an unloaded answer takes is no lateness; pools, which see more of each endpoint, stay as they were.
 func TestPaceLeavesLongWorkItsTime(t *testing.T) {
 	for streams, cut := range map[int]bool{1: false, 100: true} {
 		b, q := started(fleet(20, "a"))
-		b.campaign.Instances, b.campaign.Streams = 100, streams
-		quoted := b.campaign.Classes[0].Target
-		b.tooLate = paceLost
+		b.settings.Instances, b.settings.Streams = 100, streams
+		quoted := b.settings.Classes[0].Target
+		b.tooLate = lostBound
 		for i := range 400 {
 			push(b, q, Time(i+2)*Second, fmt.Sprint(i), Succeeded, quoted*Time(52+6*(i%2))/100)
 		}
-		if b.late < paceLost || b.late > 0.62 || (b.pace < 1) != cut {
-			t.Errorf("streams %d: pace %.2f at a mean of %.2f of the quoted time, unloaded %.2f", streams, b.pace, b.late, b.calm)
+		if b.late < lostBound || b.late > 0.62 || (b.limit < 1) != cut {
+			t.Errorf("streams %d: pace %.2f at a mean of %.2f of the target latency, unloaded %.2f", streams, b.limit, b.late, b.baseline)
 		}
 	}
 }
 
-// A lost data centre refuses a dozen connections at once, and spoilt answers come from any server alike: with the pace and
-// limits cut for either, servers with room stood idle.
+// A lost data centre refuses a dozen connections at once, and spoilt answers come from any endpoint alike: with the limit and
+// limits cut for either, endpoints with room stood idle.
 func TestOnlySignsOfLoadCutThePace(t *testing.T) {
 	for at, want := range map[struct {
 		o    Outcome
@@ -68,8 +68,8 @@
 		{o: Rejected}: false, {Rejected, 0.9}: true} {
 		b, q := started(fleet(6, "a"))
 		limits, o := 0.0, at.o
-		for i := range b.servers {
-			b.servers[i].ratio = b.calm + at.load
+		for i := range b.endpoints {
+			b.endpoints[i].ratio = b.baseline + at.load
 		}
 		for i := range 12 {
 			now := Second + Time(i)*Second/2
@@ -77,7 +77,7 @@
 			b.Begin(now, h)
 			b.AttemptEnded(now+Second/3, h, 0, q.to[len(q.to)-1], o, Second/3, true)
 		}
-		for _, s := range b.servers {
+		for _, s := range b.endpoints {
 			limits += s.limit
 		}
 		if b.late > 0.5 != want || limits < firstLimit*6 != want {
@@ -86,7 +86,7 @@
 	}
 }
 
-// Connections fall silent one by one; with each counted as load, limits and pace fell to a push or two before calm servers.
+// Connections fall silent one by one; with each counted as load, limits and pace fell to an attempt or two before calm endpoints.
 func TestLoneTimeOutsAreNoSignOfLoad(t *testing.T) {
 	for later, want := range map[bool]bool{true: false, false: true} {
 		b, q := started(fleet(1, "a"))
@@ -103,16 +103,16 @@
 			}
 			b.AttemptEnded(now+Second, h, 0, id, TimedOut, Second, true)
 		}
-		if s := &b.servers[0]; b.late > 0.5 != want || s.limit < firstLimit != want {
-			t.Errorf("later pushes honoured %v: lateness %.2f, limit %.1f", later, b.late, s.limit)
+		if s := &b.endpoints[0]; b.late > 0.5 != want || s.limit < firstLimit != want {
+			t.Errorf("later attempts successful %v: lateness %.2f, limit %.1f", later, b.late, s.limit)
 		}
 	}
 }
 
-// Pushes on silent connections hold places until they time out; limits that grow by answers alone left calm servers unused.
+// Attempts on silent connections hold places until they time out; limits that grow by answers alone left calm endpoints unused.
 func TestLoneTimeOutsGiveTheirPlaceBack(t *testing.T) {
 	b, q := started(fleet(1, "a"))
-	b.servers[0].limit = 3.9
+	b.endpoints[0].limit = 3.9
 	var silent []Handle
 	for i := range 3 {
 		silent = append(silent, b.Admit(4*Second, 0, NoTenant, fmt.Sprint(i), false, 4*Second))
@@ -122,13 +122,13 @@
 	push(b, q, 4*Second+100*Millisecond, "other", Succeeded, Millisecond)
 	for i, h := range silent {
 		b.AttemptEnded(5*Second, h, 0, id, TimedOut, Second, true)
-		if l := b.servers[0].limit; i == 0 && (l < 3.9+placeLost || l > 4+placeLost) || l > 4+2*placeLost {
+		if l := b.endpoints[0].limit; i == 0 && (l < 3.9+placeLost || l > 4+placeLost) || l > 4+2*placeLost {
 			t.Errorf("limit %.1f after %d lone time-outs", l, i+1)
 		}
 	}
 }
 
-// Bodies that are still coming take no place of those in hand at a server, and do once they are whole.
+// Bodies that are still coming take no place of those in hand at an endpoint, and do once they are whole.
 func TestBodiesThatComeTakeNoPlace(t *testing.T) {
 	b, q := started(fleet(1, "a"))
 	now := 2 * Second
@@ -139,10 +139,10 @@
 		b.Coming(h, false, 0)
 		slow = append(slow, h)
 	}
-	if len(q.to) != len(slow) || b.out != len(slow) || b.idle != len(slow) || b.servers[0].busy() != 0 {
-		t.Fatalf("%d pushed, %d out, %d idle", len(q.to), b.out, b.idle)
+	if len(q.to) != len(slow) || b.out != len(slow) || b.idle != len(slow) || b.endpoints[0].busy() != 0 {
+		t.Fatalf("%d attempted, %d out, %d idle", len(q.to), b.out, b.idle)
 	}
-	if b.Woken(now + 10*Second); b.held(slow[0]).answered {
+	if b.Woken(now + 10*Second); b.lookup(slow[0]).answered {
 		t.Error("answered before its body was whole")
 	}
 	now += 10 * Second
@@ -152,7 +152,7 @@
 	}
 	h := b.Admit(now, 0, NoTenant, "", false, Second)
 	if b.Begin(now, h); b.busyAt(0) != len(slow) || len(q.to) != len(slow) {
-		t.Errorf("%d busy, %d pushed", b.busyAt(0), len(q.to))
+		t.Errorf("%d busy, %d attempted", b.busyAt(0), len(q.to))
 	}
 	for _, h := range slow {
 		b.AttemptEnded(now+Millisecond, h, 0, 1, Succeeded, Millisecond, false)
@@ -162,4 +162,4 @@
 	}
 }
 
-func (b *Balancer) busyAt(p int) int { return b.servers[p].busy() }
+func (b *Balancer) busyAt(p int) int { return b.endpoints[p].busy() }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -8,7 +8,7 @@
 	"testing/quick"
 )
 
-// quiet is a front that remembers the last push and answers nothing.
+// quiet is a front that remembers the last attempt and answers nothing.
 type quiet struct {
 	world
 	to       []EndpointID
@@ -78,7 +78,7 @@
 func owners(b *Balancer) []EndpointID {
 	var ids []EndpointID
 	for _, p := range b.table {
-		ids = append(ids, b.servers[p].ID)
+		ids = append(ids, b.endpoints[p].ID)
 	}
 	return ids
 }
@@ -86,15 +86,15 @@
 func within(t *testing.T, b *Balancer) {
 	t.Helper()
 	total := 0.0
-	for _, s := range b.servers {
+	for _, s := range b.endpoints {
 		if s.inTable {
 			total += s.Weight
 		}
 	}
-	for _, s := range b.servers {
+	for _, s := range b.endpoints {
 		want := float64(len(b.table)) * s.Weight / total
 		if s.inTable && (float64(len(s.ranks)) < want-1 || float64(len(s.ranks)) > want+1) {
-			t.Errorf("server %d has %d slots, want about %.1f", s.ID, len(s.ranks), want)
+			t.Errorf("endpoint %d has %d slots, want about %.1f", s.ID, len(s.ranks), want)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 	gone.Standing = Gone
 	b.List(Second, ListChanges, []Member{gone})
 	if !slices.Equal(owners(b), joined) {
-		t.Fatal("a server listed gone lost slots before the hold time")
+		t.Fatal("an endpoint listed gone lost slots before the hold time")
 	}
 	b.Woken(Second + holdTime)
 	within(t, b)
@@ -160,7 +160,7 @@
 		b.Begin(2*Second, b.Admit(2*Second, 0, NoTenant, fmt.Sprint(i), false, Second))
 	}
 	if slices.Contains(q.to, 1) {
-		t.Error("a server was pushed to in the moment of its start")
+		t.Error("an endpoint was attempted to in the moment of its start")
 	}
 }
 
@@ -174,32 +174,32 @@
 		b.Woken(now)
 	}
 	if n := testing.AllocsPerRun(2000, one); n != 0 {
-		t.Errorf("%v allocations a ticket", n)
+		t.Errorf("%v allocations a request", n)
 	}
 }
 
-// push sends tickets of the given key and ends each push with the outcome.
+// attempt sends requests of the given key and ends each attempt with the outcome.
 func push(b *Balancer, q *quiet, now Time, key string, o Outcome, spent Time) EndpointID {
 	h := b.Admit(now, 0, NoTenant, key, false, 2*Second)
 	b.Begin(now, h)
 	id := q.to[len(q.to)-1]
-	for n := 0; b.held(h) != nil && n < 5; n++ {
+	for n := 0; b.lookup(h) != nil && n < 5; n++ {
 		b.AttemptEnded(now, h, AttemptNo(n), q.to[len(q.to)-1], o, spent, o == Succeeded)
 	}
 	return id
 }
 
-// oslo-skript, a fresh slow day: spilled keys are full work at servers that were loaded already.
+// oslo-skript, a fresh slow day: spilled keys are full work at endpoints that were loaded already.
 func TestSpillsOnlyToRoomyServers(t *testing.T) {
 	b, q := started(fleet(3, "a"))
-	for i := range b.servers {
-		b.servers[i].ratio, b.servers[i].limit, b.late = 0.6, 2, 0.6 // all alike
+	for i := range b.endpoints {
+		b.endpoints[i].ratio, b.endpoints[i].limit, b.late = 0.6, 2, 0.6 // all alike
 	}
 	for range 3 {
 		b.Begin(2*Second, b.Admit(2*Second, 0, NoTenant, "hot", false, Second))
 	}
 	if n := len(slices.Compact(q.to)); n != 1 {
-		t.Errorf("a key went to %d loaded servers", n)
+		t.Errorf("a key went to %d loaded endpoints", n)
 	}
 }
 
@@ -214,17 +214,17 @@
 	}
 }
 
-// oslo-skript at 430 servers: tables dealt join by join took longer than the day. Growth alone makes no drift.
+// oslo-skript at 430 endpoints: tables assigned join by join took longer than the day. Growth alone makes no drift.
 func TestGrownFleetHasOneTable(t *testing.T) {
 	all := fleet(300, "a")
 	b, _ := started(all[:60])
 	b.List(2*Second, ListChanges, all[60:])
 	if whole, _ := started(all); !slices.Equal(owners(b), owners(whole)) {
-		t.Error("sidecars started before and after the growth lay different tables")
+		t.Error("instances started before and after the growth lay different tables")
 	}
 }
 
-// oslo-skript at 700 sidecars: budgets from zero gave a cold server nothing for long, then all at once.
+// oslo-skript at 700 instances: budgets from zero gave a cold endpoint nothing for long, then all at once.
 func TestManySidecarsKeepTheColdBudget(t *testing.T) {
 	const sidecars, start = 400, 31 * Second
 	var all [sidecars]*Balancer
@@ -248,13 +248,13 @@
 		}
 	}
 	for second, n := range sends {
-		// Two tickets a second from each sidecar over ten servers; a little slack for chance.
+		// Two requests a second from each instance over ten endpoints; a little slack for chance.
 		carries := 2.0 * sidecars / 10 * (0.1 + 0.9*float64(second+1)/20)
 		if n > 1.2*3*carries+5 {
-			t.Errorf("%.0f pushes in second %d to a cold server that carries %.1f", n, second, carries)
+			t.Errorf("%.0f attempts in second %d to a cold endpoint that carries %.1f", n, second, carries)
 		}
 		if second >= 3 && sends[second-3]+sends[second-2]+sends[second-1]+n == 0 {
-			t.Errorf("no push in the four seconds up to %d", second)
+			t.Errorf("no attempt in the four seconds up to %d", second)
 		}
 	}
 }
@@ -271,7 +271,7 @@
 	}
 }
 
-// A request that no server can use says nothing of them, and is not pushed again.
+// A request that no endpoint can use says nothing of them, and is not attempted again.
 func TestDeclinedIsNoFailureOfTheServer(t *testing.T) {
 	b, q := started(fleet(4, "a"))
 	for i := range 100 {
@@ -279,16 +279,16 @@
 		h := b.Admit(now, 0, NoTenant, fmt.Sprint(i), false, 2*Second)
 		b.Begin(now, h)
 		b.AttemptEnded(now, h, 0, q.to[len(q.to)-1], Declined, Millisecond, false)
-		if b.held(h) != nil || len(q.to) != i+1 {
-			t.Fatalf("still held, or pushed again: %d pushes of %d tickets", len(q.to), i+1)
+		if b.lookup(h) != nil || len(q.to) != i+1 {
+			t.Fatalf("still held, or attempted again: %d attempts of %d requests", len(q.to), i+1)
 		}
 	}
-	if b.aside > 0 || b.late > 0 || q.back > 0 {
-		t.Errorf("%d servers aside, lateness %.2f, %d not handed on", b.aside, b.late, q.back)
+	if b.ejected > 0 || b.late > 0 || q.back > 0 {
+		t.Errorf("%d endpoints aside, lateness %.2f, %d not handed on", b.ejected, b.late, q.back)
 	}
 }
 
-// Over a long day servers come and go under ever new ids; what is known of those gone for good takes no room.
+// Over a long day endpoints come and go under ever new ids; what is known of those gone for good takes no room.
 func TestServersLongGoneAreForgotten(t *testing.T) {
 	b, q := started(fleet(4, "a"))
 	for day := range 50 {
@@ -300,71 +300,71 @@
 		b.List(now, ListFull, next)
 		push(b, q, now, fmt.Sprint(day), Succeeded, Millisecond)
 		if id := q.to[len(q.to)-1]; id/1000 != EndpointID(day) {
-			t.Fatalf("pushed to server %d on day %d", id, day)
+			t.Fatalf("attempted to endpoint %d on day %d", id, day)
 		}
 	}
-	if n := q.gone; len(b.servers) > 12 || len(b.places) > 12 || n < 4*47 {
-		t.Errorf("%d servers, %d places, %d forgotten", len(b.servers), len(b.places), n)
+	if n := q.gone; len(b.endpoints) > 12 || len(b.places) > 12 || n < 4*47 {
+		t.Errorf("%d endpoints, %d places, %d forgotten", len(b.endpoints), len(b.places), n)
 	}
 	slots := map[EndpointID]int{}
 	for _, p := range b.table {
-		slots[b.servers[p].ID]++
+		slots[b.endpoints[p].ID]++
 	}
 	if len(slots) > 8 {
-		t.Errorf("the table has slots of %d servers", len(slots))
+		t.Errorf("the table has slots of %d endpoints", len(slots))
 	}
 }
 
-// A new sidecar has been honoured nothing yet; it turned back what could have waited for its first answers.
+// A new instance has been successful nothing yet; it rejected what could have waited for its first answers.
 func TestTicketsWaitForTheFirstAnswers(t *testing.T) {
 	b, q := started(fleet(1, "a"))
 	for i := range firstLimit + 3 {
 		b.Begin(2*Second, b.Admit(2*Second, 0, NoTenant, fmt.Sprint(i), false, 2*Second))
 	}
 	if len(q.to) != firstLimit || len(b.queue) != 3 || q.back != 0 {
-		t.Errorf("%d pushed, %d waiting, %d turned back", len(q.to), len(b.queue), q.back)
+		t.Errorf("%d attempted, %d waiting, %d rejected", len(q.to), len(b.queue), q.back)
 	}
 }
 
-// A process that follows another goes on from its limits and failures, and what cold servers may be sent is theirs together.
+// A process that follows another goes on from its limits and failures, and what cold endpoints may be sent is theirs together.
 func TestWhatWasLearnedPassesOn(t *testing.T) {
 	members := fleet(4, "a")
 	members[3].Started = 100 * Second
 	old, _ := started(members)
 	now := 102 * Second
 	old.List(now, ListFull, members)
-	for i := range old.servers {
-		old.servers[i].limit, old.servers[i].row, old.servers[i].budget = 9, i, 0.8
+	for i := range old.endpoints {
+		old.endpoints[i].limit, old.endpoints[i].failures, old.endpoints[i].budget = 9, i, 0.8
 	}
-	old.done, old.borne, old.usual[0], old.recent[0], old.recentAt = meter{40, now}, 10, 7e6, 77, 1
+	old.successes, old.warmRate, old.meanLatency[0], old.recent[0], old.recentAt = meter{40, now}, 10, 7e6, 77, 1
 	next, _ := started(members)
 	next.List(now, ListFull, members)
 	told := old.Tell(now)
 	members[1].Started = now // it has started anew meanwhile
 	next.List(now, ListFull, members)
 	next.Learn(now, told)
-	for i := range next.servers {
-		if s := &next.servers[i]; i != 1 && (s.limit != 9 || s.row != i) || i == 1 && (s.limit != firstLimit || s.row != 0) {
-			t.Errorf("server %d: %+v", i, s)
+	for i := range next.endpoints {
+		if s := &next.endpoints[i]; i != 1 && (s.limit != 9 || s.failures != i) || i == 1 && (s.limit != firstLimit || s.failures != 0) {
+			t.Errorf("endpoint %d: %+v", i, s)
 		}
 	}
-	if cold := old.servers[3].budget + next.servers[3].budget; cold > 0.8 || old.done.rate+next.done.rate > 40 || old.borne+next.borne > 40 || next.usual[0] != 7e6 ||
-		next.heat(77) == 0 {
-		t.Errorf("%v saved up, %v and %v honoured a second, %v", cold, old.done.rate, next.done.rate, next.usual)
+	if cold := old.endpoints[3].budget + next.endpoints[3].budget; cold > 0.8 || old.successes.rate+next.successes.rate > 40 || old.warmRate+next.warmRate > 40 || next.meanLatency[0] != 7e6 ||
+		next.keyFrequency(77) == 0 {
+		t.Errorf("%v saved up, %v and %v successful a second, %v", cold, old.successes.rate, next.successes.rate, next.meanLatency)
 	}
-	now += Second // a longer row of offerings: nothing is taken over
+	now += Second // a longer row of classes: nothing is taken over
 	told.Usual = append(told.Usual, 1)
 	other, _ := started(members)
-	if other.Learn(now, told); other.usual[0] == 7e6 {
+	if other.Learn(now, told); other.meanLatency[0] == 7e6 {
 		t.Error("taken over from another shape")
 	}
 }
 
-// A ticket that may have run and may go nowhere any more was held until its time for waiting was over.
+// A request that may have run and may go nowhere any more was held until its time for waiting was over.
 func TestWithNowhereToGoIsAnsweredAtOnce(t *testing.T) {
 	for repeats, want := range map[Idempotency]int{NonIdempotent: 1, Idempotent: 0} {
 		b, q := started(fleet(3, "a"))
-		b.campaign.Classes[0].Idempotency = repeats
+		b.settings.Classes[0].Idempotency = repeats
 		h := b.Admit(2*Second, 0, NoTenant, "k", false, 2*Second)
 		b.Begin(2*Second, h)
 		b.AttemptEnded(2*Second+Millisecond, h, 0, q.to[0], ConnectionLost, Millisecond, false)
@@ -374,7 +374,7 @@
 	}
 }
 
-// keeper is a front that keeps what is out, by server.
+// keeper is a front that keeps what is out, by endpoint.
 type keeper struct {
 	quiet
 	out   map[EndpointID][]Handle
@@ -386,7 +386,7 @@
 	k.sends[id]++
 }
 
-// With hardly a warm server left to go by, cold ones were sent next to nothing while tickets were turned back. Here all start at once,
+// With hardly a warm endpoint left to go by, cold ones were sent next to nothing while requests were rejected. Here all start at once,
 // and each answers eight a second.
 func TestColdServersEarnByTheirOwnAnswers(t *testing.T) {
 	const each, last = 8, 15
@@ -405,7 +405,7 @@
 				b.Begin(at, b.Admit(at, 0, NoTenant, fmt.Sprint(n), false, Second))
 			}
 			for _, m := range all {
-				b.servers[b.places[m.ID]].limit = 1000 // the budget alone is to bind
+				b.endpoints[b.places[m.ID]].limit = 1000 // the budget alone is to bind
 				if out := k.out[m.ID]; len(out) > 0 {
 					k.out[m.ID] = out[1:]
 					b.AttemptEnded(now, out[0], 0, m.ID, Succeeded, 50*Millisecond, true)
@@ -415,7 +415,7 @@
 		}
 		for _, m := range all {
 			if n := k.sends[m.ID]; n > 3*each || second == last-1 && n < each/2 {
-				t.Errorf("second %d: %d pushes to server %d, which answers %d", second, n, m.ID, each)
+				t.Errorf("second %d: %d attempts to endpoint %d, which answers %d", second, n, m.ID, each)
 			}
 		}
 	}
@@ -429,14 +429,14 @@
 		out = append(out, b.Admit(2*Second, 0, NoTenant, fmt.Sprint(i), false, 600*Millisecond))
 		b.Begin(2*Second, out[i])
 	}
-	at := 2*Second + 600*Millisecond - b.margin() - Time(b.usual[0]) + Millisecond
+	at := 2*Second + 600*Millisecond - b.margin() - Time(b.meanLatency[0]) + Millisecond
 	b.AttemptEnded(at, out[0], 0, q.to[0], Succeeded, at-2*Second, true)
 	if b.Woken(at + Millisecond); len(q.to) != firstLimit || q.back != 1 {
-		t.Errorf("%d pushed, %d turned back with a sixth of a client's patience left", len(q.to), q.back)
+		t.Errorf("%d attempted, %d rejected with a sixth of a client's patience left", len(q.to), q.back)
 	}
 }
 
-// An attempt that outlasts twice the target latency is ended early for a further one only where its work can be stopped: else two servers
+// An attempt that outlasts twice the target latency is ended early for a further one only where its work can be stopped: else two endpoints
 // work on one request, in every instance of the fleet at once.
 func TestAttemptsAreEndedEarlyOnlyWhereWorkStops(t *testing.T) {
 	for _, mayCancel := range []bool{true, false} {
--- a/policy/pool_test.go
+++ b/policy/pool_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// pool is an instance among 100 sidecars before ten servers whose weights fall with load.
+// pool is an instance among 100 instances before ten endpoints whose weights fall with load.
 func pool(w *quiet, late float64) *Balancer {
 	b := New(w, &Settings{Instances: 100, Zone: "a", Zones: 1, MaxAttempts: 3, Tick: 5 * Millisecond, Streams: 100,
 		ColdShare: 0.2, ColdTime: 10 * Second, FallMultiple: 3, Classes: []Class{{Name: "r", Value: 1,
@@ -14,7 +14,7 @@
 	return b
 }
 
-// loaded lists ten servers of size 2, some of which hold so many tickets a core.
+// loaded lists ten endpoints of size 2, some of which hold so many requests a core.
 func loaded(held map[int]float64) []Member {
 	var all []Member
 	for i := range 10 {
@@ -29,7 +29,7 @@
 	return h
 }
 
-// Weights that fall with load move no slots; a server that holds ten times the mean is walked past by most tickets.
+// Weights that fall with load move no slots; an endpoint that holds ten times the mean is walked past by most requests.
 func TestLoadedServersAreWalkedPastAndKeepTheirSlots(t *testing.T) {
 	w := &quiet{}
 	b := pool(w, 0)
@@ -46,16 +46,16 @@
 		b.AttemptEnded(2*Second, h, 0, w.to[len(w.to)-1], Cancelled, 0, true)
 	}
 	if to[4] > 50 || to[1]+to[2]+to[3]+to[5] < 300 {
-		t.Errorf("tickets by server: %v", to)
+		t.Errorf("requests by endpoint: %v", to)
 	}
 	b.List(3*Second, ListChanges, loaded(nil)[3:4])
-	if s := b.servers[b.places[4]]; s.held != 0 || s.Weight != 2 {
+	if s := b.endpoints[b.places[4]]; s.reported != 0 || s.Weight != 2 {
 		t.Errorf("%+v", s)
 	}
 }
 
-// An idle connection is given back once it has stood its part of the time that all sidecars together may keep one; the busier
-// the servers the sooner.
+// An idle connection is given back once it has stood its part of the time that all instances together may keep one; the busier
+// the endpoints the sooner.
 func TestIdleSharedConnectionsAreReleased(t *testing.T) {
 	for _, c := range []struct {
 		streams, want int
@@ -64,22 +64,22 @@
 	}{{1, 0, 0, Second}, {100, 1, 0, idleKeep / 100 * 25}, {100, 1, 9, idleKeep / 100 * 4 / 9}} {
 		w := &quiet{}
 		b := pool(w, 0)
-		b.campaign.Streams, b.meanHeld = c.streams, c.held
+		b.settings.Streams, b.meanReported = c.streams, c.held
 		h := w.ask(b, 2*Second, "k", false, 2*Second)
 		b.Woken(3 * Second)
 		before := w.released
 		b.AttemptEnded(3*Second, h, 0, w.to[0], Succeeded, Second, true)
-		b.tend(3*Second + max(tendEvery, c.idle) - Millisecond)
+		b.maintain(3*Second + max(maintainEvery, c.idle) - Millisecond)
 		early := w.released
-		b.tend(6 * Second)
-		b.tend(7 * Second)
-		if before > 0 || c.idle > tendEvery && early > 0 || c.idle < tendEvery && early < c.want || w.released != c.want {
+		b.maintain(6 * Second)
+		b.maintain(7 * Second)
+		if before > 0 || c.idle > maintainEvery && early > 0 || c.idle < maintainEvery && early < c.want || w.released != c.want {
 			t.Errorf("%+v: %d released while out, %d early, %d at last", c, before, early, w.released)
 		}
 	}
 }
 
-// A repeat that has less time left than first tries come with is as old as what is missing of the cut-off.
+// A repeat that has less time left than first tries come with is as old as what is missing of the deadline.
 func TestRepeatsTooLateAreAnsweredAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		late   float64
@@ -93,67 +93,67 @@
 		w.ask(b, 2*Second, "a", false, 800*Millisecond)
 		w.ask(b, 3*Second, "b", c.repeat, c.left)
 		if len(w.to) != 1+c.pushed || w.back != 1-c.pushed {
-			t.Errorf("%+v: %d pushed, %d turned back", c, len(w.to)-1, w.back)
+			t.Errorf("%+v: %d attempted, %d rejected", c, len(w.to)-1, w.back)
 		}
 		for n := range Time(20) { // clients unlike each other: a shorter time says nothing any more
 			w.ask(b, 4*Second, fmt.Sprint(n), false, (700+40*(n%3))*Millisecond)
 		}
 		back := w.back
-		b.pace, b.resumeAt = 100, 0
+		b.limit, b.resumeAt = 100, 0
 		if w.ask(b, 5*Second, "c", true, 400*Millisecond); w.back > back {
-			t.Errorf("%+v: turned back for being unlike others", c)
+			t.Errorf("%+v: rejected for being unlike others", c)
 		}
 	}
 }
 
-// A list that shows every server full cuts the pace at once, and not below one push at each server from all together.
+// A list that shows every endpoint full cuts the limit at once, and not below one attempt at each endpoint from all together.
 func TestPaceIsCutByTheList(t *testing.T) {
 	w := &quiet{}
 	b := pool(w, 0)
-	b.pace, b.inUse = 5, 5
+	b.limit, b.inUse = 5, 5
 	all := map[int]float64{}
 	for i := range 10 {
 		all[i] = 1
 	}
 	b.List(2*Second, ListChanges, loaded(all))
-	if b.pace != 5 {
-		t.Errorf("pace %v while one ticket a core is held", b.pace)
+	if b.limit != 5 {
+		t.Errorf("pace %v while one request a core is held", b.limit)
 	}
 	for i := range all {
 		all[i] = 20
 	}
 	b.List(3*Second, ListChanges, loaded(all))
-	if b.pace > 2.5 {
-		t.Errorf("pace %v while twenty are", b.pace)
+	if b.limit > 2.5 {
+		t.Errorf("pace %v while twenty are", b.limit)
 	}
 	for n := range Time(20) {
 		b.List((4+n)*Second, ListChanges, loaded(all))
 	}
-	if b.pace != 0.1 {
-		t.Errorf("pace %v at last", b.pace)
+	if b.limit != 0.1 {
+		t.Errorf("pace %v at last", b.limit)
 	}
-	// What was learned wrongly, under a list that stood still, does not keep the pace down for ever.
-	b.perHeld, b.late = 2, 0.3
+	// What was learned wrongly, under a list that stood still, does not keep the limit down for ever.
+	b.perReported, b.late = 2, 0.3
 	for n := range Time(300) {
 		b.List((30+n/4)*Second, ListChanges, loaded(map[int]float64{0: 1}))
 	}
-	if b.perHeld > 0.9 {
-		t.Errorf("%v expected for each ticket held after 300 lists", b.perHeld)
+	if b.perReported > 0.9 {
+		t.Errorf("%v expected for each request held after 300 lists", b.perReported)
 	}
-	// One push in ten seconds, long in time: it says more than what was late before it.
-	b.late, b.pace = 1, 0.1
+	// One attempt in ten seconds, long in time: it says more than what was late before it.
+	b.late, b.limit = 1, 0.1
 	for n := range Time(6) {
 		at := (200 + 10*n) * Second
 		b.List(at, ListChanges, loaded(map[int]float64{0: 0.1}))
 		h := w.ask(b, at, fmt.Sprint(n), false, 2*Second)
 		b.AttemptEnded(at+100*Millisecond, h, 0, w.to[len(w.to)-1], Succeeded, 100*Millisecond, true)
 	}
-	if b.late > 0.2 || b.pace < 0.25 {
-		t.Errorf("lateness %v, pace %v after answers in time", b.late, b.pace)
+	if b.late > 0.2 || b.limit < 0.25 {
+		t.Errorf("lateness %v, pace %v after answers in time", b.late, b.limit)
 	}
 }
 
-// One failure sets a server aside where it could not be reached over a shared connection, or holds more than the mean.
+// One failure sets an endpoint aside where it could not be reached over a shared connection, or holds more than the mean.
 func TestOneFailureSetsAsideInAPool(t *testing.T) {
 	for _, c := range []struct {
 		held  float64
@@ -167,27 +167,27 @@
 		at := int(w.to[0]) - 1
 		b.List(2*Second, ListChanges, loaded(map[int]float64{at: c.held, (at + 1) % 10: 0.1})[at:at+1])
 		b.AttemptEnded(3*Second, h, 0, w.to[0], c.o, Second, false)
-		if aside := b.servers[b.places[w.to[0]]].asideTill > 3*Second; aside != c.aside {
+		if aside := b.endpoints[b.places[w.to[0]]].ejectedTill > 3*Second; aside != c.aside {
 			t.Errorf("%+v: aside %v", c, aside)
 		}
 	}
 }
 
-// A franchise's share is a few tickets in ten seconds at one of a hundred sidecars: two at once are chance, thirty are not.
+// A tenant's share is a few requests in ten seconds at one of a hundred instances: two at once are chance, thirty are not.
 func TestChanceIsNotTakenForMoreThanAShare(t *testing.T) {
 	b := pool(&quiet{}, 0)
-	b.campaign.Tenants, b.campaign.Quotas, b.campaign.BeyondValue = []Tenant{{"x", 60}, {"y", 60}}, 120, 0.05
+	b.settings.Tenants, b.settings.Quotas, b.settings.BeyondValue = []Tenant{{"x", 60}, {"y", 60}}, 120, 0.05
 	b.use = make([]meter, 2)
-	first := b.worth(2*Second, &ticket{}, 0, false)
-	if second := b.worth(2*Second, &ticket{}, 0, false); second != first {
+	first := b.valueRate(2*Second, &request{}, 0, false)
+	if second := b.valueRate(2*Second, &request{}, 0, false); second != first {
 		t.Errorf("worth %v, then %v", first, second)
 	}
 	for range 28 {
-		b.worth(2*Second, &ticket{}, 1, false) // its own part of our traffic grows as well
-		b.worth(2*Second, &ticket{}, 0, false)
+		b.valueRate(2*Second, &request{}, 1, false) // its own part of our traffic grows as well
+		b.valueRate(2*Second, &request{}, 0, false)
 	}
 	b.arrivals = meter{}
-	if last := b.worth(2*Second, &ticket{}, 0, false); last != 0.05*first {
+	if last := b.valueRate(2*Second, &request{}, 0, false); last != 0.05*first {
 		t.Errorf("worth %v, after thirty at once %v", first, last)
 	}
 }
--- a/policy/spread_test.go
+++ b/policy/spread_test.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// lived is a sidecar of a fleet of 200 that has had n tickets, four a second, answered in time.
+// lived is an instance of a fleet of 200 that has had n requests, four a second, answered in time.
 func lived(n, keys int) (*Balancer, *quiet) {
 	b, q := started(fleet(200, "a"))
 	for i := range n {
@@ -18,23 +18,23 @@
 	return b, q
 }
 
-// oslo-skript-later at full size: the most asked keys are each more than a server can do.
+// oslo-skript-later at full size: the most asked keys are each more than an endpoint can do.
 func TestHotKeysAreDealtOverServers(t *testing.T) {
 	_, q := lived(200, 10)
 	slices.Sort(q.to)
 	if n := len(slices.Compact(q.to)); n < 100 {
-		t.Errorf("ten keys with a tenth of the traffic each went to %d of 200 servers", n)
+		t.Errorf("ten keys with a tenth of the traffic each went to %d of 200 endpoints", n)
 	}
 }
 
-// Hundreds of sidecars see a server seldom: a key that becomes hot, and a server that answers late, must show within a few tickets.
+// Hundreds of instances see an endpoint seldom: a key that becomes hot, and an endpoint that answers late, must show within a few requests.
 func TestLittleIsEnoughToSeeAHotKey(t *testing.T) {
 	b, q := started(fleet(100, "a"))
 	for i := range 256 {
 		push(b, q, 2*Second+Time(i)*Second/10, fmt.Sprint(i), Succeeded, Second/10)
 	}
 	to := map[EndpointID]int{}
-	for i := range 24 { // a quarter of a sidecar's traffic, at 13 tickets a second for two seconds, is about one thing
+	for i := range 24 { // a quarter of an instance's traffic, at 13 requests a second for two seconds, is about one thing
 		at := 30*Second + Time(i)*Second/13
 		if i%4 > 0 {
 			push(b, q, at, fmt.Sprint("other", i), Succeeded, Second/10)
@@ -43,76 +43,76 @@
 		}
 	}
 	if len(to) < 4 {
-		t.Errorf("six tickets of a key with a quarter of the traffic went to %d of 100 servers", len(to))
+		t.Errorf("six requests of a key with a quarter of the traffic went to %d of 100 endpoints", len(to))
 	}
 }
 
-// The less loaded of two: of the servers that a hot key may go to, those whose answers take long get less.
+// The less loaded of two: of the endpoints that a hot key may go to, those whose answers take long get less.
 func TestHotKeysGoToTheLessLoadedOfTwo(t *testing.T) {
 	b, _ := started(fleet(10, "a"))
-	b.late = b.calm
+	b.late = b.baseline
 	share := [2]int{}
-	for i := range b.servers {
-		b.servers[i].limit = 100
+	for i := range b.endpoints {
+		b.endpoints[i].limit = 100
 		if i%2 == 0 {
-			b.servers[i].ratio = 1.4 * b.calm // under the bound
+			b.endpoints[i].ratio = 1.4 * b.baseline // under the bound
 		} else {
-			b.servers[i].ratio = b.calm
+			b.endpoints[i].ratio = b.baseline
 		}
 	}
 	for range 4000 {
-		tk := ticket{key: uint64(b.chance.part() * slots), heat: 1. / hotSpread} // dealt over all ten
+		tk := request{key: uint64(b.chance.part() * slots), frequency: 1. / hotSpread} // assigned over all ten
 		share[b.choose(2*Second, &tk, false)%2]++
 	}
 	if share[0] > 1500 || share[0] < 500 {
-		t.Errorf("of 4000 tickets of hot keys %d went to the loaded half", share[0])
+		t.Errorf("of 4000 requests of hot keys %d went to the loaded half", share[0])
 	}
 	// A cold one that has answered nothing yet is no less loaded one: it would be sent all that its budget allows, in work that is known elsewhere.
 	cold := 0
-	for i := range b.servers {
-		if b.servers[i].ratio = b.calm; i%2 == 0 {
-			b.servers[i].ratio, b.servers[i].Started, b.servers[i].budget, b.servers[i].budgetAt = 0, Second, 1, 2*Second
+	for i := range b.endpoints {
+		if b.endpoints[i].ratio = b.baseline; i%2 == 0 {
+			b.endpoints[i].ratio, b.endpoints[i].Started, b.endpoints[i].budget, b.endpoints[i].budgetAt = 0, Second, 1, 2*Second
 		}
 	}
 	for range 4000 {
-		tk := ticket{key: uint64(b.chance.part() * slots), heat: 1. / hotSpread}
+		tk := request{key: uint64(b.chance.part() * slots), frequency: 1. / hotSpread}
 		if b.choose(2*Second, &tk, false)%2 == 0 {
 			cold++
 		}
 	}
 	if cold > 2300 || cold < 1700 {
-		t.Errorf("of 4000 tickets of hot keys %d went to the cold half", cold)
+		t.Errorf("of 4000 requests of hot keys %d went to the cold half", cold)
 	}
-	tk := ticket{key: 5}
+	tk := request{key: 5}
 	first := b.choose(2*Second, &tk, false)
 	for range 100 {
 		if b.choose(2*Second, &tk, false) != first {
-			t.Fatal("a key that is not hot left its server")
+			t.Fatal("a key that is not hot left its endpoint")
 		}
 	}
 }
 
-// Where the list shows no load, a server whose answers take longer than the bound over the mean is walked past in part, and in none where all
+// Where the list shows no load, an endpoint whose answers take longer than the bound over the mean is walked past in part, and in none where all
 // are late alike. One answer after a long silence is enough.
 func TestOwnAnswersShowALoadedServer(t *testing.T) {
 	b, q := started(fleet(10, "a"))
 	home := push(b, q, 2*Second, "k", Succeeded, Second/4)
-	push(b, q, 60*Second, "k", Succeeded, 2*Second) // the quoted time is one second
+	push(b, q, 60*Second, "k", Succeeded, 2*Second) // the target latency is one second
 	kept := func() (n int) {
 		for range 1000 {
-			tk := ticket{key: xxhash.Sum64String("k")}
-			if b.servers[b.choose(70*Second, &tk, false)].ID == home {
+			tk := request{key: xxhash.Sum64String("k")}
+			if b.endpoints[b.choose(70*Second, &tk, false)].ID == home {
 				n++
 			}
 		}
 		return n
 	}
-	s := &b.servers[b.places[home]]
+	s := &b.endpoints[b.places[home]]
 	if s.limit = 100; s.ratio < 1 {
-		t.Errorf("after one answer of two quoted times in a minute its mean is %.2f", s.ratio)
+		t.Errorf("after one answer of two target latencies in a minute its mean is %.2f", s.ratio)
 	}
 	b.late = 0.4
-	part := heldBound * b.late / s.ratio
+	part := loadBound * b.late / s.ratio
 	if n := kept(); math.Abs(float64(n)/1000-part*part) > 0.06 {
 		t.Errorf("%d of 1000 stayed, wanted a part of %.2f", n, part*part)
 	}
@@ -120,14 +120,14 @@
 	if n := kept(); n != 1000 {
 		t.Errorf("all are late alike, and %d of 1000 stayed", n)
 	}
-	// Idle servers answer in one millisecond or in ten: no load.
-	if b.late, b.calm, s.ratio = 0.001, 0.001, 0.01; kept() != 1000 {
-		t.Error("an idle server was walked past")
+	// Idle endpoints answer in one millisecond or in ten: no load.
+	if b.late, b.baseline, s.ratio = 0.001, 0.001, 0.01; kept() != 1000 {
+		t.Error("an idle endpoint was walked past")
 	}
 }
 
-// Requests without a key are spread over the servers by all instances together: instances that have each seen little must not follow
-// each other over the same servers of the same table.
+// Requests without a key are spread over the endpoints by all instances together: instances that have each seen little must not follow
+// each other over the same endpoints of the same table.
 func TestKeylessRequestsOfManyInstancesAreSpread(t *testing.T) {
 	const instances, servers, each = 350, 100, 3
 	at := map[EndpointID]int{}
@@ -143,12 +143,12 @@
 			at[id]++
 		}
 	}
-	// By chance alone the busiest of 100 servers gets some 21 of 1,050 requests, and next to none gets nothing.
+	// By chance alone the busiest of 100 endpoints gets some 21 of 1,050 requests, and next to none gets nothing.
 	most := 0
 	for _, n := range at {
 		most = max(most, n)
 	}
 	if most > 35 || len(at) < servers*95/100 {
-		t.Errorf("%d requests: %d of %d servers met, the busiest %d times", instances*each, len(at), servers, most)
+		t.Errorf("%d requests: %d of %d endpoints met, the busiest %d times", instances*each, len(at), servers, most)
 	}
 }
--- a/policy/table.go
+++ b/policy/table.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// nobody is a front for an instance that carries no tickets.
+// nobody is a front for an instance that carries no requests.
 type nobody struct{}
 
 func (nobody) Attempt(Handle, EndpointID, Time) {}
@@ -20,8 +20,8 @@
 func (nobody) Log(string)                       {}
 
 // Deal gives the owner of each slot after a list has followed on another, by the module's own joins, leaves and moves of surplus slots alone: who
-// deals the same lists in the same order has the same table, whenever it began. table and was are what stood before, nil at the first list. Nil
-// where there is no server.
+// assigns the same lists in the same order has the same table, whenever it began. table and was are what stood before, nil at the first list. Nil
+// where there is no endpoint.
 func Deal(table []EndpointID, was, now []Member) []EndpointID {
 	b := New(nobody{}, &Settings{Instances: 1, Weighted: true}, 0, 0)
 	listed := func(all []Member) (kept []Member) {
@@ -35,48 +35,48 @@
 	if len(table) == slots {
 		b.List(0, ListFull, listed(was))
 		if !b.Adopt(table) {
-			b = New(nobody{}, b.campaign, 0, 0) // the table of another list: dealt as the first
+			b = New(nobody{}, b.settings, 0, 0) // the table of another list: assigned as the first
 		}
 	}
 	b.List(0, ListFull, listed(now))
-	gone := slices.DeleteFunc(slices.Clone(b.byID), func(p int32) bool { return b.servers[p].Standing != Gone })
+	gone := slices.DeleteFunc(slices.Clone(b.byID), func(p int32) bool { return b.endpoints[p].Standing != Gone })
 	if len(gone) == len(b.byID) {
 		return nil
 	}
 	for _, p := range gone {
 		b.leave(p)
 	}
-	b.deal(nil, b.byID) // leaves deal only what has come loose; so that no later one finds a surplus
+	b.assign(nil, b.byID) // leaves assign only what has come loose; so that no later one finds a surplus
 	return b.owners()
 }
 
 func (b *Balancer) owners() (all []EndpointID) {
 	for _, p := range b.table {
-		all = append(all, b.servers[p].ID)
+		all = append(all, b.endpoints[p].ID)
 	}
 	return all
 }
 
-// Adopt takes over who has which slot. False, and nothing is changed, where a server in it is not in the list.
+// Adopt takes over who has which slot. False, and nothing is changed, where an endpoint in it is not in the list.
 func (b *Balancer) Adopt(table []EndpointID) bool {
 	if len(table) != len(b.table) || slices.ContainsFunc(table, func(id EndpointID) bool {
 		p, known := b.places[id]
-		return !known || !b.servers[p].inTable
+		return !known || !b.endpoints[p].inTable
 	}) {
 		return false
 	}
 	for _, p := range b.byID {
-		b.servers[p].ranks = []int32{} // not nil: when it leaves, nothing is to be dealt for it
+		b.endpoints[p].ranks = []int32{} // not nil: when it leaves, nothing is to be assigned for it
 	}
 	for rank, slot := range b.order {
 		p := b.places[table[slot]]
 		b.table[slot] = p
-		b.servers[p].ranks = append(b.servers[p].ranks, int32(rank))
+		b.endpoints[p].ranks = append(b.endpoints[p].ranks, int32(rank))
 	}
 	return true
 }
 
-// Packed writes a table as the places of the owners among the servers of its list, two bytes a slot. Nil: one of them is not in it.
+// Packed writes a table as the places of the owners among the endpoints of its list, two bytes a slot. Nil: one of them is not in it.
 func Packed(table []EndpointID, list []Member) (b []byte) {
 	ids := sortedIDs(list)
 	for _, id := range table {
--- a/policy/table_test.go
+++ b/policy/table_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Whoever deals the same lists has the same table; a change moves no more slots than the shares ask for; and one that lives through the lists
-// and adopts each table stays with it while servers that went away leave it after their time.
+// Whoever assigns the same lists has the same table; a change moves no more slots than the shares ask for; and one that lives through the lists
+// and adopts each table stays with it while endpoints that went away leave it after their time.
 func TestDealtTablesAreOneForAll(t *testing.T) {
 	chance := rand.New(rand.NewPCG(7, 0))
 	list := func() (all []Member) {
@@ -29,7 +29,7 @@
 		}
 		dealt := Deal(table, was, next)
 		if again := Deal(Unpacked(Packed(table, was), was), was, slices.Clone(next)); !slices.Equal(dealt, again) {
-			t.Fatal("two dealt alike and have two tables")
+			t.Fatal("two assigned alike and have two tables")
 		}
 		total, share := 0.0, map[EndpointID]float64{}
 		for _, m := range next {
@@ -48,11 +48,11 @@
 		}
 		for _, m := range next {
 			if want := m.Weight / total * slots; share[m.ID] < want-1 || share[m.ID] > want+1 {
-				t.Errorf("server %d has %v slots, wants %v", m.ID, share[m.ID], want)
+				t.Errorf("endpoint %d has %v slots, wants %v", m.ID, share[m.ID], want)
 			}
 			needed += max(0, share[m.ID]-before[m.ID])
 		}
-		// A join deals before the leaves do, so a slot may move twice in one change.
+		// A join assigns before the leaves do, so a slot may move twice in one change.
 		if table != nil && float64(moved) > 1.5*needed+float64(len(next)) {
 			t.Errorf("%d slots moved, %v had to", moved, needed)
 		}
--- a/policy/types.go
+++ b/policy/types.go
@@ -9,13 +9,13 @@
 )
 
 type (
-	EndpointID uint64 // a server, the same at every sidecar and over its restarts
+	EndpointID uint64 // an endpoint, the same at every instance and over its restarts
 	Zone       string // a data centre
-	Cell       int32  // a pod: a small group of servers
-	ClassID    int32  // place in Campaign.Offerings
-	TenantID   int32  // place in Campaign.Franchises; NoFranchise where unknown
-	AttemptNo  int32  // number of a push of one ticket, from 0
-	Handle     uint64 // a ticket in hand: generation in the upper half, place in the lower
+	Cell       int32  // a pod: a small group of endpoints
+	ClassID    int32  // place in Settings.Classes
+	TenantID   int32  // place in Settings.Tenants; NoTenant where unknown
+	AttemptNo  int32  // number of an attempt of one request, from 0
+	Handle     uint64 // a request in hand: generation in the upper half, place in the lower
 )
 
 const (
@@ -23,10 +23,10 @@
 	NoClass  ClassID  = -1
 )
 
-// Place is the slab place behind a handle; it is reused once the ticket is let go.
+// Place is the slab place behind a handle; it is reused once the request is let go.
 func (h Handle) Place() int { return int(uint32(h)) }
 
-// Outcome is how a push ended.
+// Outcome is how an attempt ended.
 type Outcome uint8
 
 const (
@@ -38,10 +38,10 @@
 	ConnectionLost         // may have run
 	Cancelled              // cancelled; may have run
 	NotSent                // never ran
-	Declined               // the server cannot use the request, and says why; no sign of its state
+	Declined               // the endpoint cannot use the request, and says why; no sign of its state
 )
 
-// Idempotency says what may be done with a ticket that may have run.
+// Idempotency says what may be done with a request that may have run.
 type Idempotency uint8
 
 const (
@@ -50,7 +50,7 @@
 	NonIdempotent
 )
 
-// Group is the set of servers that drop repeats of a numbered ticket.
+// Group is the set of endpoints that drop repeats of a keyed request.
 type Group uint8
 
 const (
@@ -59,7 +59,7 @@
 	GroupCell
 )
 
-// Standing is what the list says of a server.
+// Standing is what the list says of an endpoint.
 type Standing uint8
 
 const (
@@ -77,7 +77,7 @@
 	ListSaved
 )
 
-// Member is a server as the list names it.
+// Member is an endpoint as the list names it.
 type Member struct {
 	ID       EndpointID
 	Weight   float64
@@ -87,11 +87,11 @@
 	Started  Time // 0: long ago
 }
 
-// Class is a kind of ticket.
+// Class is a kind of request.
 type Class struct {
 	Name        string
 	Value       float64
-	LateValue   float64 // part of the credit left between quoted time and cut-off
+	LateValue   float64 // part of the value left between target latency and deadline
 	Target      Time
 	Deadline    Time // a client's patience over all its tries
 	Idempotency Idempotency
@@ -102,7 +102,7 @@
 // Tenant is a tenant with a share of the fleet.
 type Tenant struct {
 	Name  string
-	Quota float64 // tickets a second over all sidecars
+	Quota float64 // requests a second over all instances
 }
 
 // Settings is all that an instance is told at its start.
@@ -112,33 +112,33 @@
 	Zones         int
 	Classes       []Class
 	Tenants       []Tenant
-	Quotas        float64 // of all franchises
-	BeyondValue   float64 // part of the credit left beyond a franchise's share
+	Quotas        float64 // of all tenants
+	BeyondValue   float64 // part of the value left beyond a tenant's share
 	Weighted      bool    // weights hold still and mean size
 	MustAsk       bool    // the list comes only when asked for
 	MustAskIn     Time
 	MayCancel     bool
 	MaxAttempts   int
-	Streams       int  // pushes that one connection carries at once
+	Streams       int  // attempts that one connection carries at once
 	MaxRetryAfter Time // longest retry advice that is heeded; 0 where none is allowed
 	CrossPrice    float64
 	Tick          Time
 	ColdShare     float64
 	ColdTime      Time
 	FallMultiple  float64
-	FallTime      Time // over which what is sent to a cold server counts; 0: a second
+	FallTime      Time // over which what is sent to a cold endpoint counts; 0: a second
 }
 
 // Front is what the module asks of its surroundings.
 type Front interface {
 	Attempt(h Handle, s EndpointID, wait Time)
 	Cancel(h Handle, n AttemptNo)
-	Succeed(h Handle, n AttemptNo) // hands on the server's answer, also one that declines
+	Succeed(h Handle, n AttemptNo) // hands on the endpoint's answer, also one that declines
 	Reject(h Handle, retryIn Time)
 	Fail(h Handle)
 	Wake(in Time)
 	FollowList(on bool)
 	Release(s EndpointID) // connections to it that carry nothing may close
-	Forget(s EndpointID)  // gone for good; should the id come again, it is a new server
+	Forget(s EndpointID)  // gone for good; should the id come again, it is a new endpoint
 	Log(line string)
 }
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// Near servers were flooded by their own zone's sidecars while far ones idled.
+// Near endpoints were flooded by their own zone's instances while far ones idled.
 func TestLoadedNearSideGivesKeysAway(t *testing.T) {
 	q := &quiet{}
 	c := campaign()
@@ -12,23 +12,23 @@
 	b := New(q, c, 7, Second)
 	b.List(Second, ListFull, fleet(6, "a", "b"))
 	near := push(b, q, 2*Second, "k", Succeeded, Millisecond)
-	if b.servers[b.places[near]].Zone != "a" {
+	if b.endpoints[b.places[near]].Zone != "a" {
 		t.Error("an unloaded near side was passed over")
 	}
-	for i := range b.servers {
-		if b.servers[i].Zone == "a" {
+	for i := range b.endpoints {
+		if b.endpoints[i].Zone == "a" {
 			b.sides[1] = 0.9
 		}
 	}
 	for i := range 40 {
-		b.Woken(3*Second + Time(i)*tendEvery)
+		b.Woken(3*Second + Time(i)*maintainEvery)
 	}
 	if b.nearPart > 0 {
 		t.Errorf("%.2f of the keys still look near first", b.nearPart)
 	}
 }
 
-// Before anything is learned no more keys look near first than the near servers' part of all: all traffic may come to their zone.
+// Before anything is learned no more keys look near first than the near endpoints' part of all: all traffic may come to their zone.
 func TestNearPartStartsAtTheNearServersPart(t *testing.T) {
 	for _, zones := range []int{2, 5} {
 		c := campaign()
@@ -36,7 +36,7 @@
 		b := New(&quiet{}, c, 7, Second)
 		b.List(Second, ListFull, fleet(10, "a", "b", "b", "b", "b"))
 		if b.nearPart < 0.19 || b.nearPart > 0.21 {
-			t.Errorf("near part %.2f with a fifth of the servers in one of %d zones", b.nearPart, zones)
+			t.Errorf("near part %.2f with a fifth of the endpoints in one of %d zones", b.nearPart, zones)
 		}
 	}
 }
@@ -50,7 +50,7 @@
 		h := w.ask(b, 2*Second, "", false, 2*Second)
 		id := w.to[len(w.to)-1]
 		b.AttemptEnded(2*Second, h, 0, id, Cancelled, 0, true)
-		if b.servers[b.places[id]].Zone == b.campaign.Zone {
+		if b.endpoints[b.places[id]].Zone == b.settings.Zone {
 			near++
 		}
 	}
