--- a/policy/ejection_test.go
+++ b/policy/ejection_test.go
@@ -64,7 +64,7 @@
 				b.AttemptEnded(now, h, AttemptNo(n), to, o, 100*Millisecond, o == Succeeded)
 			}
 		}
-		if b.maintain(4 * Second); b.ejected != want || want > 0 && (away > failuresToEject || b.late > 0.5) {
+		if b.maintain(4 * Second); b.ejected != want || want > 0 && (away > ejectAfter || b.late > 0.5) {
 			t.Errorf("load %.1f: %d aside, %d rejected, lateness %.2f", load, b.ejected, away, b.late)
 		}
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -17,24 +17,24 @@
 	layoutSeed = 0x70657070  // fixed: every instance lays out the same table
 	holdTime   = 30 * Second // an endpoint listed gone keeps its slots this long
 
-	ejectFirst, ejectMost       = 2 * Second, 16 * Second // time ejected, doubled on each relapse
-	failuresToEject, firstLimit = 3, 2                    // failures that eject; attempts out to a new one
-	spillMargin                 = 2                       // free places, or fewer attempts, that a spill must find
-	roomy, crowded              = 0.15, 0.45              // load under which more may go out, and over which less must
-	lateBound, lostBound        = 0.75, 0.5               // mean lateness that cuts it; where late earns nothing
-	limitSpare, limitFree       = 4, 16                   // times what is out, or attempts at each endpoint, left to it
-	frequencyPrior, sureBeyond  = 64, 2                   // requests under other keys before; errors over a share
-	lately, hotSpread           = 32, 6                   // requests that show a new hot key; endpoints for one's worth
-	shortOfHit, coldEarns       = 0.25, 0.6               // no keys remembered: four times the work; own answers' part
-	coldKeeps                   = 0.4                     // fall times that a budget is kept: bursts spend all
-	repeatValue, waitPart       = 0.5, 0.5                // worth of a client's repeat; what may wait of home's rate
-	limitGrowth, firstWait      = 0.5, 2.0                // growth at no lateness; target latencies for a first attempt
-	retryEarned, retryCap       = 0.1, 20                 // further attempts earned by each successful, saved at most
-	splitWorth, placeLost       = 5, 0.5                  // load at which crossings pay; limit for a lone time-out
-	nearAway, nearBack          = 0.15, 0.05              // near load beyond far: fewer keys stay near, and more
+	ejectFirst, ejectMost      = 2 * Second, 16 * Second // time ejected, doubled on each relapse
+	ejectAfter, firstLimit     = 3, 2                    // failures that eject; attempts out to a new one
+	spillMargin                = 2                       // free places, or fewer attempts, that a spill needs
+	roomy, crowded             = 0.15, 0.45              // load under which more may go out, or less must
+	lateBound, lostBound       = 0.75, 0.5               // mean lateness that cuts it; where late earns nothing
+	limitSpare, limitFree      = 4, 16                   // times what is out, or attempts per endpoint, left
+	frequencyPrior, sureBeyond = 64, 2                   // requests under other keys before; errors over a share
+	lately, hotSpread          = 32, 6                   // requests that show a hot key; endpoints for one
+	shortOfHit, coldEarns      = 0.25, 0.6               // no keys remembered: four times the work; own answers
+	coldKeeps                  = 0.4                     // fall times that a budget is kept: bursts spend all
+	repeatValue, waitPart      = 0.5, 0.5                // value of a client's repeat; part of home's rate
+	limitGrowth, firstWait     = 0.5, 2.0                // growth at no lateness; a first attempt's wait
+	retryEarned, retryCap      = 0.1, 20                 // further attempts a success earns, saved at most
+	splitWorth, placeLost      = 5, 0.5                  // load at which crossings pay; limit per lone time-out
+	nearAway, nearBack         = 0.15, 0.05              // near load beyond far: fewer keys stay near, and more
 
 	loadBound, resized      = 1.5, 1.1               // times the mean load, walked past; change that moves slots
-	agreed, listFresh       = 0.1, 2 * Second        // first tries with less time; age of a list believed on load
+	agreed, listFresh       = 0.1, 2 * Second        // first tries with less time; age of a list's load
 	idleKeep, askEach       = 10 * Second, 1e7       // idle connections over all; ns for each to ask the list
 	rateSpan, maintainEvery = 3 * Second, Second / 4 // memory of the rate meters; between looks at all endpoints
 	marginTicks, pollTicks  = 3, 10                  // ticks before a deadline to answer in; between looks
@@ -190,7 +190,7 @@
 }
 
 // assign sets the shares, exact to one slot, and moves the loose slots in the order given, or else, in seeded
-// order, those above their owners' shares, each to whichever endpoint is furthest below its share, ties by id.
+// order, those above their owners' shares, each to the endpoint that is furthest below its share, ties by id.
 func (b *Balancer) assign(loose, to []int32) {
 	total, sum, given, surplus := 0.0, 0.0, 0, []int32(nil)
 	for _, p := range b.byID {
@@ -278,7 +278,7 @@
 }
 
 // keyFrequency is the key's part of our recent requests, this one apart, or, less one more, of the latest.
-// One with more than an endpoint's share would drown its owner before any of hundreds sees it by its attempts.
+// One with more than an endpoint's share would drown its owner before any of hundreds sees it by attempts.
 func (b *Balancer) keyFrequency(key uint64) float64 {
 	n, late := -1.0, -2.0
 	b.recent[b.recentAt%len(b.recent)] = key
@@ -319,7 +319,7 @@
 // Begin decides the first step of a request.
 func (b *Balancer) Begin(now Time, h Handle) {
 	t := b.lookup(h)
-	// A client may have less patience than the target latency: what has waited must have left what an answer takes.
+	// A client may have less time than the target latency: what has waited must have left what an answer takes.
 	till := min(t.arrived+b.settings.Classes[t.class].Target, t.deadline-b.margin())
 	t.waitTill = till - Time(b.meanLatency[t.class])
 	b.dispatch(now, t, false)
@@ -381,7 +381,7 @@
 func (b *Balancer) attempt(now Time, t *request, to int32) {
 	s, o := &b.endpoints[to], &b.settings.Classes[t.class]
 	wait := t.deadline - b.margin() - now
-	// A silent endpoint must not hold a request for long; cancels and saved attempts keep that from feeding a jam.
+	// A silent endpoint must not hold a request for long; cancels and the retry budget bound what that feeds.
 	further := t.attempts+1 < b.settings.MaxAttempts && b.retryBudget >= 1 && o.Idempotency != NonIdempotent
 	if further && b.settings.MayCancel {
 		wait = min(wait, max(Time(firstWait*float64(o.Target)), Time(6*b.meanLatency[t.class])))
@@ -501,7 +501,7 @@
 	}
 }
 
-// choose walks the table to the first usable endpoint, home, or if that is full one it may spill to. -1: wait.
+// choose walks the table to the first usable endpoint, home, or if that is full one to spill to. -1: wait.
 func (b *Balancer) choose(now Time, t *request, last bool) int32 {
 	home, spare := int32(-1), int32(-1)
 	b.epoch++
@@ -558,8 +558,8 @@
 	return -1
 }
 
-// warming gives a cold endpoint that may be sent a request now. One of hundreds of instances has budget for one
-// only for moments, in which its requests seldom meet it by their slots: all together they would leave it idle.
+// warming gives a cold endpoint that may be sent a request now. One of hundreds of instances has budget for
+// it only for moments, and its requests seldom meet it by their slots just then: together they left it idle.
 func (b *Balancer) warming(now Time, t *request, near bool) int32 {
 	for _, p := range b.byID {
 		s := &b.endpoints[p]
@@ -629,7 +629,7 @@
 	return 1
 }
 
-// saveBudget lets a cold endpoint's budget grow, by one part at all instances of what warm ones bear or it does.
+// saveBudget lets a cold endpoint's budget grow, by one part at all instances of what warm ones bear.
 func (b *Balancer) saveBudget(now Time, s *endpoint) float64 {
 	c := b.settings
 	share := c.ColdShare + (1-c.ColdShare)*float64(now-s.Started)/float64(c.ColdTime)
@@ -712,7 +712,7 @@
 	if b.meanReported > 0 && b.loadShare(s) < 1 {
 		return // its own trouble, and no reason to send less to the others
 	}
-	// What was late is forgotten with time too: held down to an attempt in two seconds, ten of them outlast any jam.
+	// What was late is forgotten with time too: at one attempt in two seconds, ten of them outlast any jam.
 	b.late += max(0.1, min(0.5, float64(now-b.heardAt)/float64(4*quoted))) * (late - b.late)
 	b.heardAt, b.inUse = now, b.inUse+0.1*(float64(b.out-b.idle+1)-b.inUse)
 	mean, tooLate := b.late, b.tooLate
@@ -753,9 +753,9 @@
 	// When most endpoints look bad at once the cause is shared, and moving their work makes it worse.
 	shared := o != NotConnected && 2*(b.ejected+1) > len(b.byID)
 	// Where an instance hears little of each endpoint, three failures in a row, or two seconds, mean nothing.
-	need, skip, each := failuresToEject, ejectFirst, b.successes.now(now)/float64(len(b.byID))
+	need, skip, each := ejectAfter, ejectFirst, b.successes.now(now)/float64(len(b.byID))
 	if b.late < 0.5 && b.recentAt > frequencyPrior || s.reported > b.meanReported {
-		need, skip = 1+int((failuresToEject-1)*min(1, each)), max(skip, Time(float64(Second)/max(each, 0.01)))
+		need, skip = 1+int((ejectAfter-1)*min(1, each)), max(skip, Time(float64(Second)/max(each, 0.01)))
 	}
 	if o == NotConnected && b.settings.Streams > 1 {
 		need = 1 // where connections last, one that fails tells more than an attempt
@@ -809,11 +809,13 @@
 	}
 }
 
-// adjustNearPart sets the part of the keys that look near first: by key, so that each stays with one endpoint.
+// adjustNearPart sets the part of the keys that look near first: by key, so that each stays where it is.
 func (b *Balancer) adjustNearPart(now Time) {
 	near, far, was, rise := b.sides[1]-b.baseline, b.sides[0]-b.baseline, b.nearPart, 0.01
 	if b.meanReported > 0 {
 		near, far, rise = b.nearReported/(1+b.meanReported), b.meanReported/(1+b.meanReported), 0.03
+	} else if near < roomy {
+		rise = max(rise, min(0.03, b.settings.CrossPrice/4)) // what answers as if idle is not jammed by it
 	}
 	switch {
 	case b.settings.CrossPrice == 0, b.meanReported > 0 && now-b.listAt >= listFresh:
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"math"
 	"testing"
 )
 
@@ -59,3 +60,21 @@
 		t.Errorf("%d of 1000 near", near)
 	}
 }
+
+// While the near endpoints answer as if idle, the near part rises by a quarter of what a crossing costs, within bounds; once they are
+// loaded it rises slowly, and where both sides are alike it goes on to do so.
+func TestNearPartRisesByThePriceOfACrossing(t *testing.T) {
+	for _, c := range []struct{ price, load, want float64 }{
+		{0.01, 0, 0.01}, {0.08, 0, 0.02}, {0.12, 0, 0.03}, {0.5, 0, 0.03}, {0.12, 0.2, 0.01}, {0, 0, 0},
+	} {
+		s := campaign()
+		s.CrossPrice = c.price
+		b := New(&quiet{}, s, 7, Second)
+		b.List(Second, ListFull, fleet(10, "a", "b"))
+		b.nearPart = 0.25
+		b.sides = [2]float64{b.baseline + c.load, b.baseline + c.load}
+		if b.adjustNearPart(2 * Second); math.Abs(b.nearPart-0.25-c.want) > 1e-9 {
+			t.Errorf("price %g, load %g: rose by %g, want %g", c.price, c.load, b.nearPart-0.25, c.want)
+		}
+	}
+}
