--- /dev/null
+++ b/internal/engine/requests.go
@@ -0,0 +1,110 @@
+package engine
+
+import (
+	"pepperlead/policy"
+)
+
+// Take gives an empty place for a ticket of the front with that place; its Part may be one that the front left there earlier, or
+// nil.
+func (e *Engine) Take(no int) *Ticket {
+	e.Held++
+	if n := len(e.free[no]); n > 0 {
+		t := e.free[no][n-1]
+		e.free[no] = e.free[no][:n-1]
+		return t
+	}
+	t := &Ticket{Front: e.fronts[no], front: no}
+	t.Wait.Do = func(now policy.Time) { t.Front.TimedOut(now, t) }
+	return t
+}
+
+// Admit hands a ticket to the module. at is when its last byte came, and left how long its client waits from then on.
+func (e *Engine) Admit(now, at policy.Time, t *Ticket, o policy.ClassID, f policy.TenantID, key string, repeat bool,
+	left policy.Time) {
+	e.Counters.Tickets++
+	t.No, t.Offering, t.Since, t.Owed = uint64(e.Counters.Tickets), o, at, true
+	e.Tally.Pending.Add(1)
+	left -= now - at
+	e.recordTicket(now, t, f, key, repeat, left)
+	h := e.Module.Admit(now, o, f, key, repeat, max(0, left))
+	for len(e.byPlace) <= h.Place() {
+		e.byPlace = append(e.byPlace, nil)
+	}
+	t.Handle, e.byPlace[h.Place()] = h, t
+	if e.terms != nil {
+		e.terms.places.Took(o)
+	}
+	e.Module.Begin(now, h)
+}
+
+// Ended notes how the push that is out ended. The module is told before the next step.
+func (e *Engine) Ended(at policy.Time, t *Ticket, o policy.Outcome) {
+	e.Timers.Stop(&t.Wait)
+	e.ends = append(e.ends, end{t, o, max(0, at-t.SentAt)})
+}
+
+// Answered says that nothing more is owed to the ticket's client; answer as in Latency.
+func (e *Engine) Answered(now policy.Time, t *Ticket, answer int) {
+	e.owedNoMore(t, answer)
+	e.observe(now, t, answer)
+}
+
+// Comes says that the last byte of an admitted ticket is still to come: it has no cut-off until Whole.
+func (e *Engine) Comes(t *Ticket) {
+	if !t.Settled {
+		e.Module.Coming(t.Handle, false, 0)
+	}
+}
+
+// Whole says that it has come, and how long the client waits from now on.
+func (e *Engine) Whole(now policy.Time, t *Ticket, left policy.Time) {
+	if t.Settled {
+		return
+	}
+	t.Since = now
+	e.Module.Coming(t.Handle, true, now+left)
+	if t.Out {
+		t.SentAt = now
+		e.Timers.Set(&t.Wait, now+max(0, left-BeforeDeadline*e.Campaign.Tick))
+	}
+}
+
+// BeforeDeadline is how many ticks before its client's deadline ends what the module does not end: a push whose body came late, an answer
+// that is passed on and comes no more.
+const BeforeDeadline = 4
+
+// Done says that the front is through with a ticket whose push had ended before.
+func (e *Engine) Done(t *Ticket) { e.tidy(t) }
+
+// Unanswered says that the ticket's answer found no client.
+func (e *Engine) Unanswered(t *Ticket) { e.owedNoMore(t, left) }
+
+// ClientLeft says that the ticket's client is gone.
+func (e *Engine) ClientLeft(now policy.Time, t *Ticket) {
+	e.owedNoMore(t, left)
+	if !t.Settled {
+		e.Counters.Gone++
+		e.observe(now, t, left)
+		t.Settled = true
+		e.Module.ClientLeft(now, t.Handle)
+	}
+	e.tidy(t)
+}
+
+// tidy gives back a ticket that nothing refers to any more.
+func (e *Engine) tidy(t *Ticket) {
+	if !t.Settled || t.Out || t.Pending != 0 || t.Owed {
+		return
+	}
+	e.Timers.Stop(&t.Wait)
+	if at := t.Handle.Place(); at < len(e.byPlace) && e.byPlace[at] == t {
+		e.byPlace[at] = nil
+	}
+	if e.terms != nil {
+		e.terms.places.Gave(t.Offering)
+	}
+	t.Front.Given(t)
+	*t = Ticket{Front: t.Front, front: t.front, Part: t.Part, Wait: Timer{Do: t.Wait.Do}}
+	e.free[t.front] = append(e.free[t.front], t)
+	e.Held--
+}
--- /dev/null
+++ b/internal/proto/replies.go
@@ -0,0 +1,68 @@
+package proto
+
+import (
+	"pepperlead/internal/engine"
+	"pepperlead/internal/state"
+	"pepperlead/policy"
+)
+
+// answer takes the client off a ticket that is being answered; nil if it has left.
+func (s *Sidecar) answer(now policy.Time, t *state.Ticket, kind int) *state.Conn {
+	c := t.Client
+	t.Client = nil
+	s.tickets.Unmark(t)
+	if c == nil || c.Dead {
+		if c != nil {
+			c.Ticket = nil // the ticket's place may be another's by the time this connection's end is told
+		}
+		s.Counters.Unsent++
+		s.Unanswered(t.Ticket)
+		return nil
+	}
+	s.Answered(now, t.Ticket, kind)
+	return c
+}
+
+// Honour passes a server's answer on, also one that declines.
+func (s *Sidecar) Honour(now policy.Time, of *engine.Ticket) {
+	t, kind := state.Of(of), 0
+	if t.Status != 200 {
+		kind = 1
+	}
+	if c := s.answer(now, t, kind); c != nil {
+		last := t.Last || s.ending()
+		if kind == 0 {
+			s.Counters.Honoured++
+		} else {
+			// The server cannot use the request. What else its sender has ready is not taken for better.
+			s.Counters.Declined++
+			last = true
+		}
+		s.scratch = AppendHonour(s.scratch[:0], t.Status, t.AnswerHead, len(t.AnswerBody), last)
+		if len(t.AnswerBody) <= state.Small {
+			s.scratch = append(s.scratch, t.AnswerBody...)
+			s.write(c, s.scratch)
+		} else {
+			s.write(c, s.scratch)
+			s.write(c, t.AnswerBody)
+		}
+		s.free(now, c, last)
+	}
+}
+
+// TurnBack and GiveUp answer for the module.
+func (s *Sidecar) TurnBack(now policy.Time, of *engine.Ticket, retryIn policy.Time) {
+	t := state.Of(of)
+	if c := s.answer(now, t, 2); c != nil {
+		s.Counters.TurnedBack++
+		s.own(now, c, 503, "turned back\n", retryIn, t.Last)
+	}
+}
+
+func (s *Sidecar) GiveUp(now policy.Time, of *engine.Ticket) {
+	t := state.Of(of)
+	if c := s.answer(now, t, 3); c != nil {
+		s.Counters.GivenUp++
+		s.own(now, c, 502, "given up\n", 0, t.Last)
+	}
+}
