--- a/internal/emulator/front.go
+++ b/internal/emulator/front.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// Succeed, TurnBack and GiveUp are final answers: they reach the client after the way back.
+// Succeed, Reject and Fail are final answers: they reach the client after the way back.
 func (s *sidecar) Succeed(h policy.Handle, _ policy.AttemptNo) { s.answer(h, judge.Honoured, 0) }
 func (s *sidecar) Reject(h policy.Handle, retryIn policy.Time) {
 	s.answer(h, judge.TurnedBack, retryIn)
--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -4,33 +4,33 @@
 	"pepperlead/policy"
 )
 
-func (e *Engine) want(h policy.Handle, n step) *Ticket {
-	n.ticket = e.byPlace[h.Place()]
-	n.ticket.Pending++
+func (e *Engine) want(h policy.Handle, n step) *Request {
+	n.request = e.byPlace[h.Place()]
+	n.request.Pending++
 	e.steps = append(e.steps, n)
-	return n.ticket
+	return n.request
 }
 
 func (e *Engine) Attempt(h policy.Handle, to policy.EndpointID, wait policy.Time) {
-	t := e.want(h, step{do: (*Engine).push, server: to, span: wait})
-	t.Out, t.Server, t.PushNo, t.decided = true, to, policy.AttemptNo(t.Pushes), e.acted()
-	t.Pushes++
+	t := e.want(h, step{do: (*Engine).send, endpoint: to, span: wait})
+	t.Out, t.Endpoint, t.AttemptNo, t.decided = true, to, policy.AttemptNo(t.Attempts), e.acted()
+	t.Attempts++
 }
 
 func (e *Engine) Cancel(h policy.Handle, n policy.AttemptNo) {
-	e.want(h, step{do: (*Engine).cancel, push: n})
+	e.want(h, step{do: (*Engine).cancel, attempt: n})
 }
 
 func (e *Engine) Succeed(h policy.Handle, _ policy.AttemptNo) {
-	e.want(h, step{do: func(_ *Engine, now policy.Time, t *Ticket, _ step) { t.Front.Honour(now, t) }}).Settled = true
+	e.want(h, step{do: func(_ *Engine, now policy.Time, t *Request, _ step) { t.Front.Succeed(now, t) }}).Settled = true
 }
 
 func (e *Engine) Reject(h policy.Handle, retryIn policy.Time) {
-	e.want(h, step{do: func(_ *Engine, now policy.Time, t *Ticket, n step) { t.Front.TurnBack(now, t, n.span) }, span: retryIn}).Settled = true
+	e.want(h, step{do: func(_ *Engine, now policy.Time, t *Request, n step) { t.Front.Reject(now, t, n.span) }, span: retryIn}).Settled = true
 }
 
 func (e *Engine) Fail(h policy.Handle) {
-	e.want(h, step{do: func(_ *Engine, now policy.Time, t *Ticket, _ step) { t.Front.GiveUp(now, t) }}).Settled = true
+	e.want(h, step{do: func(_ *Engine, now policy.Time, t *Request, _ step) { t.Front.Fail(now, t) }}).Settled = true
 }
 
 func (e *Engine) Wake(in policy.Time) {
@@ -43,28 +43,28 @@
 
 func (e *Engine) Log(line string) { e.Logger.Info(line) }
 
-// Release closes what stands idle to a server that stays listed.
+// Release closes what stands idle to an endpoint that stays listed.
 func (e *Engine) Release(id policy.EndpointID) {
-	if s := e.Servers[id]; s != nil {
+	if s := e.Endpoints[id]; s != nil {
 		for _, f := range e.fronts {
 			f.Retire(s)
 		}
 	}
 }
 
-// Forget lets a server go that is listed no more. Its connections, if any are left, close when they are free.
+// Forget lets an endpoint go that is listed no more. Its connections, if any are left, close when they are free.
 func (e *Engine) Forget(id policy.EndpointID) {
-	if s := e.Servers[id]; s != nil {
+	if s := e.Endpoints[id]; s != nil {
 		e.retire(s)
 		for _, f := range e.fronts {
 			f.Forget(s)
 		}
-		delete(e.Servers, id)
+		delete(e.Endpoints, id)
 	}
 }
 
-// retire has no connection to the server kept for later.
-func (e *Engine) retire(s *Server) {
+// retire has no connection to the endpoint kept for later.
+func (e *Engine) retire(s *Endpoint) {
 	s.Leaving = true
 	s.Life++
 	for _, f := range e.fronts {
@@ -72,22 +72,22 @@
 	}
 }
 
-func (e *Engine) push(now policy.Time, t *Ticket, n step) {
+func (e *Engine) send(now policy.Time, t *Request, n step) {
 	t.SentAt = now
-	s := e.Servers[n.server]
+	s := e.Endpoints[n.endpoint]
 	if t.Settled || s == nil || !e.Stands(now, t) {
 		e.Ended(now, t, policy.NotSent)
 		return
 	}
 	e.Counters.Pushes++
-	e.recordPush(now, t, s)
+	e.recordAttempt(now, t, s)
 	e.Timers.Set(&t.Wait, now+n.span)
-	t.Front.Push(now, t, s)
+	t.Front.Send(now, t, s)
 }
 
-func (e *Engine) cancel(now policy.Time, t *Ticket, n step) {
-	if t.Out && t.PushNo == n.push {
-		t.Front.CallOff(now, t)
+func (e *Engine) cancel(now policy.Time, t *Request, n step) {
+	if t.Out && t.AttemptNo == n.attempt {
+		t.Front.CancelAttempt(now, t)
 	}
 }
 
--- a/internal/engine/byhand.go
+++ b/internal/engine/byhand.go
@@ -12,7 +12,7 @@
 // ErrNeverListed is told of an id that no list has ever named.
 var ErrNeverListed = errors.New("no list has ever named this id")
 
-// hand is what was done by hand about a server.
+// hand is what was done by hand about an endpoint.
 type hand struct {
 	out  bool        // it is taken out
 	back policy.Time // when it was last called back
@@ -49,7 +49,7 @@
 	}
 }
 
-// shown is what everybody is told of an entry. A server that is out by hand or banned drains, whatever the list says; one that was called
+// shown is what everybody is told of an entry. An endpoint that is out by hand or banned drains, whatever the list says; one that was called
 // back was restarted meanwhile, whether or not the list tells so yet.
 func (f *members) shown(e roster.Entry) roster.Entry {
 	h := f.byHand[e.UID]
@@ -60,13 +60,13 @@
 	return e
 }
 
-// Listed tells whether any list has named the id; a server that is out by hand was listed when that was done.
+// Listed tells whether any list has named the id; an endpoint that is out by hand was listed when that was done.
 func (e *Engine) Listed(uid string) bool {
 	_, seen := e.list.seen[listing.IDOf(uid)]
 	return seen || e.list.byHand[uid].out
 }
 
-// Out makes these servers the ones that are out by hand. Those that were and are not any more are called back.
+// Out makes these endpoints the ones that are out by hand. Those that were and are not any more are called back.
 func (e *Engine) Out(now policy.Time, uids []string) {
 	f := &e.list
 	wanted := make(map[string]bool, len(uids))
@@ -76,7 +76,7 @@
 	var changed []policy.Member
 	change := func(uid string, to hand) {
 		f.byHand[uid] = to
-		if s := e.Servers[listing.IDOf(uid)]; s != nil && s.UID == uid && s.Listed {
+		if s := e.Endpoints[listing.IDOf(uid)]; s != nil && s.UID == uid && s.Listed {
 			if shown := f.shown(s.Said); f.know(shown) {
 				changed = append(changed, shown.Member)
 			}
--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -11,11 +11,11 @@
 type Counters struct {
 	ClientConns, ClientConnsCut   int
 	ClientsSilent                 int // closed as nothing came
-	Tickets, Bad, Overflow, Gone  int
+	Requests, Bad, Overflow, Gone int
 	Honoured, TurnedBack, GivenUp int
-	Declined                      int // requests that a server could not use
+	Declined                      int // requests that an endpoint could not use
 	Unsent                        int // final answers that found no client
-	LongBodies, PassedBodies      int // of requests; of these, such as went on to a server before they were whole
+	LongBodies, PassedBodies      int // of requests; of these, such as went on to an endpoint before they were whole
 	Streams, StreamsBroken        int // answers handed on as they came; of these, such as stayed a part
 	Pushes, Dials, Reused         int
 	Outcomes                      [policy.Declined + 1]int
@@ -30,7 +30,7 @@
 	line("client_connections", int64(c.ClientConns))
 	line("client_connections_cut", int64(c.ClientConnsCut))
 	line("clients_silent", int64(c.ClientsSilent))
-	line("tickets", int64(c.Tickets))
+	line("tickets", int64(c.Requests))
 	line("tickets_bad", int64(c.Bad))
 	line("tickets_overflow", int64(c.Overflow))
 	line("clients_left", int64(c.Gone))
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is the loop that owns the decision module and its tickets: it gathers what has happened from its fronts, has the
-// module decide, and has the fronts carry that out. It knows no protocol and no sockets; a front brings tickets in and carries
-// their pushes. One goroutine runs an engine; all that it calls is called on that one.
+// Package engine is the loop that owns the decision module and its requests: it gathers what has happened from its fronts, has the
+// module decide, and has the fronts carry that out. It knows no protocol and no sockets; a front brings requests in and carries
+// their attempts. One goroutine runs an engine; all that it calls is called on that one.
 package engine
 
 import (
@@ -16,48 +16,48 @@
 	"pepperlead/policy"
 )
 
-// Front speaks a protocol: it hands tickets to the engine and carries out what the module decides for them. Its methods are
+// Front speaks a protocol: it hands requests to the engine and carries out what the module decides for them. Its methods are
 // called by the loop and must not wait.
 type Front interface {
 	// Gather hands over what has happened since the last call.
 	Gather(now policy.Time)
 	// More tells whether there is something to gather at once.
 	More() bool
-	// Push begins a push; Engine.Ended must be told of its end, exactly once.
-	Push(now policy.Time, t *Ticket, to *Server)
-	// TimedOut and CallOff end the push that is out, if it still is.
-	TimedOut(now policy.Time, t *Ticket)
-	CallOff(now policy.Time, t *Ticket)
-	// Honour, TurnBack and GiveUp give the final answer. Engine.Answered must be told once nothing more is owed to the client.
-	Honour(now policy.Time, t *Ticket)
-	TurnBack(now policy.Time, t *Ticket, retryIn policy.Time)
-	GiveUp(now policy.Time, t *Ticket)
-	// Unneeded says that the answer of the last push is not handed on.
-	Unneeded(t *Ticket)
-	// Given says that nothing refers to the ticket any more: its part can be used again.
-	Given(t *Ticket)
-	// Retire keeps no connection to the server for later; Forget lets it go for good.
-	Retire(s *Server)
-	Forget(s *Server)
-	// Leave begins the end; Left tells whether no ticket can come any more.
+	// Send begins an attempt; Engine.Ended must be told of its end, exactly once.
+	Send(now policy.Time, t *Request, to *Endpoint)
+	// TimedOut and CancelAttempt end the attempt that is out, if it still is.
+	TimedOut(now policy.Time, t *Request)
+	CancelAttempt(now policy.Time, t *Request)
+	// Succeed, Reject and Fail give the final answer. Engine.Answered must be told once nothing more is owed to the client.
+	Succeed(now policy.Time, t *Request)
+	Reject(now policy.Time, t *Request, retryIn policy.Time)
+	Fail(now policy.Time, t *Request)
+	// Unneeded says that the answer of the last attempt is not handed on.
+	Unneeded(t *Request)
+	// Given says that nothing refers to the request any more: its part can be used again.
+	Given(t *Request)
+	// Retire keeps no connection to the endpoint for later; Forget lets it go for good.
+	Retire(s *Endpoint)
+	Forget(s *Endpoint)
+	// Leave begins the end; Left tells whether no request can come any more.
 	Leave(now policy.Time)
 	Left(now policy.Time) bool
 	// Shut gives back what is still held.
 	Shut()
 }
 
-// Latency counts final answers by offering and by how they ended: 0 honoured, 1 declined, 2 turned back, 3 given up.
+// Latency counts final answers by class and by how they ended: 0 successful, 1 declined, 2 rejected, 3 failed.
 type Latency interface {
 	Observe(o policy.ClassID, answer int, spent policy.Time)
-	// Named says that this place is that offering's from now on.
+	// Named says that this place is that class's from now on.
 	Named(o policy.ClassID, name string)
 }
 
-// Post is what an engine is told at its start.
-type Post struct {
+// Config is what an engine is told at its start.
+type Config struct {
 	Seed     uint64
-	Campaign *policy.Settings
-	Source   roster.Source   // of servers
+	Settings *policy.Settings
+	Source   roster.Source   // of endpoints
 	Known    []byte          // a list saved earlier, as discovery gives it
 	Leave    policy.Time     // from the first sign of the end to the last answer
 	Latency  Latency         // of final answers; nil: not measured
@@ -65,29 +65,29 @@
 	Stall    policy.Time     // a loop that has not turned for so long may have stood still: it looks at its list first; 0: never
 }
 
-// Ticket is a ticket as the engine has it. Part is the front's own, and stays with the place.
-type Ticket struct {
-	Handle   policy.Handle
-	Front    Front
-	front    int // its place
-	Part     any
-	No       uint64 // counts tickets
-	Offering policy.ClassID
-	Since    policy.Time // when its last byte came
-	Owed     bool        // to a client that is still there
-	Out      bool        // a push is out, or about to be
-	PushNo   policy.AttemptNo
-	Pushes   int
-	Server   policy.EndpointID
-	SentAt   policy.Time
-	Wait     Timer
-	Settled  bool   // the final answer is decided on
-	decided  uint64 // changes of the rules before its latest push was decided on
-	Pending  int    // steps decided on and not yet carried out
+// Request is a request as the engine has it. Part is the front's own, and stays with the place.
+type Request struct {
+	Handle    policy.Handle
+	Front     Front
+	front     int // its place
+	Part      any
+	No        uint64 // counts requests
+	Class     policy.ClassID
+	Since     policy.Time // when its last byte came
+	Owed      bool        // to a client that is still there
+	Out       bool        // an attempt is out, or about to be
+	AttemptNo policy.AttemptNo
+	Attempts  int
+	Endpoint  policy.EndpointID
+	SentAt    policy.Time
+	Wait      Timer
+	Settled   bool   // the final answer is decided on
+	decided   uint64 // changes of the rules before its latest attempt was decided on
+	Pending   int    // steps decided on and not yet carried out
 }
 
-// Server is a server as lists tell of it. Parts are the fronts' own, by the order in which these were added.
-type Server struct {
+// Endpoint is an endpoint as lists tell of it. Parts are the fronts' own, by the order in which these were added.
+type Endpoint struct {
 	ID      policy.EndpointID
 	UID     string
 	Addr    string
@@ -105,25 +105,25 @@
 
 // Engine owns the module and all state around it.
 type Engine struct {
-	Post
-	Clock    clock.Clock
-	Logger   *logrus.Logger
-	Module   *policy.Balancer
-	Timers   Timers
-	Counters Counters
-	Tally    Tally
-	labels   [][Results]string // of what is shown, by offering
-	Servers  map[policy.EndpointID]*Server
-	Held     int // tickets
+	Config
+	Clock     clock.Clock
+	Logger    *logrus.Logger
+	Module    *policy.Balancer
+	Timers    Timers
+	Counters  Counters
+	Tally     Tally
+	labels    [][Results]string // of what is shown, by class
+	Endpoints map[policy.EndpointID]*Endpoint
+	Held      int // requests
 
 	fronts  []Front
-	free    [MostFronts][]*Ticket
-	byPlace []*Ticket
-	steps   []step // decided on by the module, to be carried out
-	ends    []end  // of pushes, to be told to the module
+	free    [MostFronts][]*Request
+	byPlace []*Request
+	steps   []step       // decided on by the module, to be carried out
+	ends    []attemptEnd // of attempts, to be told to the module
 	wake    Timer
 	look    Timer // for what is still to be done at the end
-	show    Timer // for figures of the servers
+	show    Timer // for figures of the endpoints
 	list    members
 	signal  chan struct{}
 	asks    chan func()   // of whoever wants something done or known; run by the loop
@@ -133,45 +133,45 @@
 	turned  policy.Time // when the loop last did
 
 	terms *terms       // nil: none are agreed on
-	names atomic.Int64 // of offerings that are shown
+	names atomic.Int64 // of classes that are shown
 
-	configured, there int // sidecars: as the campaign says, and as peers tell; 0: they do not
+	configured, there int // instances: as the settings say, and as peers tell; 0: they do not
 }
 
 // step is something that the module wants done.
 type step struct {
-	do     func(e *Engine, now policy.Time, t *Ticket, n step)
-	ticket *Ticket
-	server policy.EndpointID
-	push   policy.AttemptNo
-	span   policy.Time
+	do       func(e *Engine, now policy.Time, t *Request, n step)
+	request  *Request
+	endpoint policy.EndpointID
+	attempt  policy.AttemptNo
+	span     policy.Time
 }
 
-// end is how a push ended.
-type end struct {
-	ticket  *Ticket
+// attemptEnd is how an attempt ended.
+type attemptEnd struct {
+	request *Request
 	outcome policy.Outcome
 	spent   policy.Time
 }
 
 // New makes an engine that does not run yet.
-func New(post Post, log *logrus.Logger) *Engine {
-	e := &Engine{Post: post, Logger: log, Clock: clock.New(), Servers: map[policy.EndpointID]*Server{}, signal: make(chan struct{}, 1),
+func New(post Config, log *logrus.Logger) *Engine {
+	e := &Engine{Config: post, Logger: log, Clock: clock.New(), Endpoints: map[policy.EndpointID]*Endpoint{}, signal: make(chan struct{}, 1),
 		asks: make(chan func()), over: make(chan struct{})}
 	e.wake.Do = func(now policy.Time) { e.Module.Woken(now) }
 	e.show.Do = e.publish
 	e.list = members{e: e, news: make(chan told, mostNews), byHand: map[string]hand{}, seen: map[policy.EndpointID]struct{}{}}
-	e.Tally.Answered = make([][Results]atomic.Int64, len(post.Campaign.Classes))
-	for _, o := range post.Campaign.Classes {
+	e.Tally.Answered = make([][Results]atomic.Int64, len(post.Settings.Classes))
+	for _, o := range post.Settings.Classes {
 		e.labels = append(e.labels, [Results]string{label(o.Name, results[0]), label(o.Name, results[1]), label(o.Name, results[2])})
 	}
 	e.names.Store(int64(len(e.labels)))
-	e.configured = post.Campaign.Instances
-	e.Module = policy.New(e, post.Campaign, post.Seed, e.Clock.Now())
+	e.configured = post.Settings.Instances
+	e.Module = policy.New(e, post.Settings, post.Seed, e.Clock.Now())
 	return e
 }
 
-// Add adds a front before Run, and gives its place in Server.Parts.
+// Add adds a front before Run, and gives its place in Endpoint.Parts.
 func (e *Engine) Add(f Front) int {
 	e.fronts = append(e.fronts, f)
 	return len(e.fronts) - 1
@@ -198,7 +198,7 @@
 		}
 	}
 	e.publish(now)
-	if !e.Campaign.MustAsk {
+	if !e.Settings.MustAsk {
 		e.list.follow(true)
 	}
 	e.list.start(e.Source)
@@ -256,17 +256,17 @@
 	e.Tell(now)
 	for i := 0; i < len(e.steps); i++ {
 		n := e.steps[i]
-		n.do(e, now, n.ticket, n)
-		n.ticket.Pending--
-		e.tidy(n.ticket)
+		n.do(e, now, n.request, n)
+		n.request.Pending--
+		e.release(n.request)
 	}
 	clear(e.steps)
 	e.steps = e.steps[:0]
 }
 
-// hear takes lists before anything is decided: after a process has stood still, what the list said meanwhile comes before any push.
+// hear takes lists before anything is decided: after a process has stood still, what the list said meanwhile comes before any attempt.
 // Whoever asks is heard as well, so that under load nobody waits for the loop to rest. What comes in meanwhile is for the next round:
-// lists that come faster than they can be dealt kept all tickets waiting for seconds.
+// lists that come faster than they can be assigned kept all requests waiting for seconds.
 func (e *Engine) hear(now policy.Time) {
 	for n := 0; n <= mostNews; n++ { // those that wait, and one that waits to be let in
 		select {
@@ -286,24 +286,24 @@
 	}
 }
 
-// Tell hands the module the ends of pushes.
+// Tell hands the module the ends of attempts.
 func (e *Engine) Tell(now policy.Time) {
 	for i := 0; i < len(e.ends); i++ {
 		n := e.ends[i]
-		t := n.ticket
+		t := n.request
 		e.Counters.Outcomes[n.outcome]++
 		if e.Logger.IsLevelEnabled(logrus.DebugLevel) {
-			e.Logger.Debugf("push %d to server %d: outcome %d after %d us", t.PushNo, t.Server, n.outcome, n.spent/1000)
+			e.Logger.Debugf("push %d to server %d: outcome %d after %d us", t.AttemptNo, t.Endpoint, n.outcome, n.spent/1000)
 		}
 		t.Out = false
 		e.recordEnd(now, t, n.outcome, n.spent)
 		t.Pending++
-		e.Module.AttemptEnded(now, t.Handle, t.PushNo, t.Server, n.outcome, n.spent, t.Settled)
+		e.Module.AttemptEnded(now, t.Handle, t.AttemptNo, t.Endpoint, n.outcome, n.spent, t.Settled)
 		t.Pending--
 		if !t.Settled || t.Pending == 0 {
 			t.Front.Unneeded(t)
 		}
-		e.tidy(t)
+		e.release(t)
 	}
 	clear(e.ends)
 	e.ends = e.ends[:0]
--- a/internal/engine/leave.go
+++ b/internal/engine/leave.go
@@ -14,7 +14,7 @@
 		return
 	}
 	e.Logger.WithField("tickets", e.Held).Info("leaving: answering what is in hand")
-	e.leaving, e.leaveBy = true, now+e.Post.Leave
+	e.leaving, e.leaveBy = true, now+e.Config.Leave
 	e.Module.Leave(now, e.leaveBy)
 	for _, f := range e.fronts {
 		f.Leave(now)
--- a/internal/engine/members.go
+++ b/internal/engine/members.go
@@ -18,7 +18,7 @@
 	news roster.News
 }
 
-// members follows a source of servers and hands the module what it tells.
+// members follows a source of endpoints and hands the module what it tells.
 type members struct {
 	e       *Engine
 	source  roster.Source
@@ -35,7 +35,7 @@
 	order   []policy.EndpointID // of those seen, a ring
 	oldest  int
 	banned  []policy.EndpointID // by versions
-	closed  bool                // versions say which servers there are
+	closed  bool                // versions say which endpoints there are
 	own     []roster.Entry      // what the source said last, where there are versions
 }
 
@@ -78,7 +78,7 @@
 const lookIn = 50 * time.Millisecond
 
 // look has the source tell what there is by now, where it can be asked; else what has come in for it is given the time to be
-// read. A process that stood still, stopped or swapped out, would otherwise push by a list of before.
+// read. A process that stood still, stopped or swapped out, would otherwise send by a list of before.
 func (f *members) look() {
 	if s, can := f.source.(interface{ Look(time.Duration) bool }); can {
 		s.Look(lookIn)
@@ -107,7 +107,7 @@
 		if f.failed++; f.failed == 1 {
 			f.e.Logger.WithField("why", n.Failed).Warn("list: calls fail")
 		}
-		if f.e.Campaign.MustAsk {
+		if f.e.Settings.MustAsk {
 			f.e.Module.ListFailed(now)
 		}
 	case n.Refused != "":
@@ -138,7 +138,7 @@
 	for _, said := range list.Entries {
 		e := f.shown(said)
 		if f.know(e) {
-			f.e.Servers[e.ID].Said = said
+			f.e.Endpoints[e.ID].Said = said
 			kept = append(kept, e.Member)
 			f.e.recordListed(now, e)
 		}
@@ -152,16 +152,16 @@
 	f.e.publish(now)
 }
 
-// know keeps where a server is. Two servers never share an id: by 64 bits of a hash they hardly could, and the
+// know keeps where an endpoint is. Two endpoints never share an id: by 64 bits of a hash they hardly could, and the
 // second is then left out.
 func (f *members) know(e roster.Entry) bool {
-	server := f.e.Servers[e.ID]
+	server := f.e.Endpoints[e.ID]
 	if server == nil && e.Standing == policy.Gone {
 		return false
 	}
 	if server == nil {
-		server = &Server{ID: e.ID, UID: e.UID, Addr: e.Addr, Started: e.Started}
-		f.e.Servers[e.ID] = server
+		server = &Endpoint{ID: e.ID, UID: e.UID, Addr: e.Addr, Started: e.Started}
+		f.e.Endpoints[e.ID] = server
 	}
 	if server.UID != e.UID {
 		f.e.Logger.WithField("uid", e.UID).Error("list: left out, has the id of " + server.UID)
@@ -180,13 +180,13 @@
 	return true
 }
 
-// missing retires the servers that a whole list no longer names.
+// missing retires the endpoints that a whole list no longer names.
 func (f *members) missing(named []policy.Member) {
 	there := make(map[policy.EndpointID]struct{}, len(named))
 	for _, m := range named {
 		there[m.ID] = struct{}{}
 	}
-	for id, server := range f.e.Servers {
+	for id, server := range f.e.Endpoints {
 		if _, is := there[id]; !is {
 			server.Listed = false
 			f.e.retire(server)
--- a/internal/engine/members_test.go
+++ b/internal/engine/members_test.go
@@ -15,15 +15,15 @@
 	"pepperlead/policy"
 )
 
-// Two servers whose ids fall together must not be taken for one.
+// Two endpoints whose ids fall together must not be taken for one.
 func TestServersNeverShareAnID(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	e := New(Post{Campaign: &policy.Settings{Instances: 1}}, log)
+	e := New(Config{Settings: &policy.Settings{Instances: 1}}, log)
 	m := policy.Member{ID: 7}
 	if !e.list.know(roster.Entry{Member: m, UID: "a", Addr: "127.0.0.1:1"}) ||
 		e.list.know(roster.Entry{Member: m, UID: "b", Addr: "127.0.0.1:2"}) ||
-		!e.list.know(roster.Entry{Member: m, UID: "a", Addr: "127.0.0.1:3"}) || e.Servers[7].Addr != "127.0.0.1:3" {
+		!e.list.know(roster.Entry{Member: m, UID: "a", Addr: "127.0.0.1:3"}) || e.Endpoints[7].Addr != "127.0.0.1:3" {
 		t.Error("two servers were merged")
 	}
 }
@@ -49,11 +49,11 @@
 	all.Wait()
 }
 
-// Lists that came faster than they could be dealt kept all else waiting for seconds.
+// Lists that came faster than they could be assigned kept all else waiting for seconds.
 func TestListsWithoutEndHoldUpNothing(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	e := New(Post{Campaign: &policy.Settings{Instances: 1, Weighted: true}, Source: flood{}}, log)
+	e := New(Config{Settings: &policy.Settings{Instances: 1, Weighted: true}, Source: flood{}}, log)
 	e.list.start(e.Source)
 	defer e.list.end()
 	for n := 0; len(e.list.news) < mostNews; n++ {
@@ -65,9 +65,9 @@
 	}
 }
 
-// A server that had gone before a new version came could not be taken out there: its id was taken for a slip of the pen.
+// An endpoint that had gone before a new version came could not be taken out there: its id was taken for a slip of the pen.
 func TestIdsSeenPassOn(t *testing.T) {
-	old, next := New(Post{Campaign: &policy.Settings{}}, logrus.New()), New(Post{Campaign: &policy.Settings{}}, logrus.New())
+	old, next := New(Config{Settings: &policy.Settings{}}, logrus.New()), New(Config{Settings: &policy.Settings{}}, logrus.New())
 	for n := range mostSeen + 10 {
 		old.list.saw(listing.IDOf(fmt.Sprint("s-", n)))
 	}
@@ -80,7 +80,7 @@
 	}
 }
 
-// A part of a network that is cut off knows of few sidecars, and must not take the others' part of the budgets; nor may a new configuration.
+// A part of a network that is cut off knows of few instances, and must not take the others' part of the budgets; nor may a new configuration.
 func TestBudgetsAreNeverSharedAmongFewer(t *testing.T) {
 	source := &roster.Fixed{Called: "none"}
 	campaign := func(sidecars int) *policy.Settings {
@@ -88,16 +88,16 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	e := New(Post{Campaign: campaign(3), Source: source}, log)
+	e := New(Config{Settings: campaign(3), Source: source}, log)
 	for i, k := range []struct{ there, renewed, want int }{{5, 0, 5}, {1, 0, 3}, {0, 8, 8}, {9, 0, 9}, {0, 2, 9}, {1, 0, 2}} {
 		if k.there > 0 {
 			e.Among(k.there)
 		}
 		if k.renewed > 0 {
-			e.Renew(Post{Campaign: campaign(k.renewed), Source: source})
+			e.Renew(Config{Settings: campaign(k.renewed), Source: source})
 		}
-		if e.Campaign.Instances != k.want {
-			t.Errorf("step %d: shared among %d, not %d", i, e.Campaign.Instances, k.want)
+		if e.Settings.Instances != k.want {
+			t.Errorf("step %d: shared among %d, not %d", i, e.Settings.Instances, k.want)
 		}
 	}
 }
--- a/internal/engine/record.go
+++ b/internal/engine/record.go
@@ -8,25 +8,25 @@
 	"pepperlead/policy"
 )
 
-// left is how a ticket ends whose client has gone, beside the four answers of Latency.
+// left is how a request ends whose client has gone, beside the four answers of Latency.
 const left = 4
 
 // observe measures a final answer, and records it.
-func (e *Engine) observe(now policy.Time, t *Ticket, answer int) {
+func (e *Engine) observe(now policy.Time, t *Request, answer int) {
 	if e.Latency != nil && answer != left {
-		e.Latency.Observe(t.Offering, answer, max(0, now-t.Since))
+		e.Latency.Observe(t.Class, answer, max(0, now-t.Since))
 	}
 	if r := e.Record; r != nil {
 		r.Put(trace.Record{Kind: trace.Answer, At: now, No: t.No, A: int64(answer), C: max(0, now-t.Since)})
 	}
 }
 
-func (e *Engine) recordTicket(now policy.Time, t *Ticket, f policy.TenantID, key string, repeat bool, span policy.Time) {
+func (e *Engine) recordRequest(now policy.Time, t *Request, f policy.TenantID, key string, repeat bool, span policy.Time) {
 	r := e.Record
 	if r == nil {
 		return
 	}
-	one := trace.Record{Kind: trace.Ticket, At: now, No: t.No, A: int64(t.Offering), B: int64(f), C: max(0, span)}
+	one := trace.Record{Kind: trace.Ticket, At: now, No: t.No, A: int64(t.Class), B: int64(f), C: max(0, span)}
 	if key != "" {
 		one.Key = xxhash.Sum64String(key)
 	}
@@ -36,15 +36,15 @@
 	r.Put(one)
 }
 
-func (e *Engine) recordPush(now policy.Time, t *Ticket, to *Server) {
+func (e *Engine) recordAttempt(now policy.Time, t *Request, to *Endpoint) {
 	if r := e.Record; r != nil {
 		r.Put(trace.Record{Kind: trace.Push, At: now, No: t.No, A: r.Known(to.ID)})
 	}
 }
 
-func (e *Engine) recordEnd(now policy.Time, t *Ticket, o policy.Outcome, spent policy.Time) {
+func (e *Engine) recordEnd(now policy.Time, t *Request, o policy.Outcome, spent policy.Time) {
 	if r := e.Record; r != nil {
-		r.Put(trace.Record{Kind: trace.Ended, At: now, No: t.No, A: r.Known(t.Server), B: int64(o), C: spent})
+		r.Put(trace.Record{Kind: trace.Ended, At: now, No: t.No, A: r.Known(t.Endpoint), B: int64(o), C: spent})
 	}
 }
 
--- a/internal/engine/renew.go
+++ b/internal/engine/renew.go
@@ -6,15 +6,15 @@
 	"pepperlead/policy"
 )
 
-// Renew goes over to a new campaign and source of servers. Tickets and all that is known of servers stay. alike: the campaign
+// Renew goes over to new settings and a new source of endpoints. Requests and all that is known of endpoints stay. alike: the settings
 // is taken over; else the old one stays, as what the module has counted by it would not be true any more.
-func (e *Engine) Renew(post Post) (alike bool) {
-	if alike = sameShape(post.Campaign, e.Campaign); alike {
-		*e.Campaign = *post.Campaign // where the module reads it
-		e.configured = post.Campaign.Instances
+func (e *Engine) Renew(post Config) (alike bool) {
+	if alike = sameShape(post.Settings, e.Settings); alike {
+		*e.Settings = *post.Settings // where the module reads it
+		e.configured = post.Settings.Instances
 		e.Among(e.there)
 	}
-	e.Post.Leave = post.Leave
+	e.Config.Leave = post.Leave
 	if post.Source.Name() != e.Source.Name() {
 		e.Source = post.Source
 		e.list.move(post.Source)
@@ -23,18 +23,18 @@
 	return alike
 }
 
-// Among has budgets and waits shared out among as many sidecars as are there, and never among fewer than are configured: a part of a network
+// Among has budgets and waits shared out among as many instances as are there, and never among fewer than are configured: a part of a network
 // that is cut off knows of few, and must not take the others for gone. To be called by the loop.
 func (e *Engine) Among(there int) {
 	e.there = there
-	if n := max(e.configured, there); n != e.Campaign.Instances {
+	if n := max(e.configured, there); n != e.Settings.Instances {
 		e.Logger.Infof("peers: budgets are shared among %d, %d are configured", n, e.configured)
-		e.Campaign.Instances = n
+		e.Settings.Instances = n
 	}
 }
 
-// sameShape tells whether the module may go on with the one in place of the other: what it has counted by offering,
-// franchise and zone must stay true.
+// sameShape tells whether the module may go on with the one in place of the other: what it has counted by class,
+// tenant and zone must stay true.
 func sameShape(a, b *policy.Settings) bool {
 	return a.Zone == b.Zone && a.Zones == b.Zones && a.MustAsk == b.MustAsk && a.Weighted == b.Weighted &&
 		slices.EqualFunc(a.Classes, b.Classes, func(x, y policy.Class) bool {
@@ -46,5 +46,5 @@
 // Fresh tells whether the source has told a list since the start.
 func (e *Engine) Fresh() bool { return e.list.fresh }
 
-// Heard tells whether a list of servers is known, and why the latest was refused, "" if it was not.
+// Heard tells whether a list of endpoints is known, and why the latest was refused, "" if it was not.
 func (e *Engine) Heard() (heard bool, refused string) { return e.list.heard, e.list.refused }
--- a/internal/engine/tally.go
+++ b/internal/engine/tally.go
@@ -21,17 +21,17 @@
 
 // Tally is kept by the loop, and read by any goroutine without asking it.
 type Tally struct {
-	Answered    [][Results]atomic.Int64 // by offering; where these change, by name
-	Written     atomic.Int64            // pushes of which the kernel has the last byte
-	Pending     atomic.Int64            // tickets taken and not answered
-	Members     atomic.Int64            // servers in the list
-	Unavailable atomic.Int64            // of these, taken out by hand or set aside by the module
+	Answered    [][Results]atomic.Int64 // by class; where these change, by name
+	Written     atomic.Int64            // attempts of which the kernel has the last byte
+	Pending     atomic.Int64            // requests taken and not answered
+	Members     atomic.Int64            // endpoints in the list
+	Unavailable atomic.Int64            // of these, taken out by hand or ejected by the module
 	Heard       atomic.Bool             // some list is there
 }
 
 const figuresEvery = 200 * policy.Millisecond // between looks at who is avoided
 
-// Count counts a request's end. Requests that never became tickets are counted by their front.
+// Count counts a request's end. What never became a request is counted by their front.
 func (e *Engine) Count(o policy.ClassID, r Result) {
 	if e.terms != nil {
 		o = policy.ClassID(e.terms.rows[o])
@@ -39,19 +39,19 @@
 	e.Tally.Answered[o][r].Add(1)
 }
 
-// owedNoMore counts a ticket's end, once.
-func (e *Engine) owedNoMore(t *Ticket, answer int) {
+// owedNoMore counts a request's end, once.
+func (e *Engine) owedNoMore(t *Request, answer int) {
 	if t.Owed {
 		t.Owed = false
 		e.Tally.Pending.Add(-1)
-		e.Count(t.Offering, resultOf[answer])
+		e.Count(t.Class, resultOf[answer])
 	}
 }
 
-// publish renews what is shown of the servers.
+// publish renews what is shown of the endpoints.
 func (e *Engine) publish(now policy.Time) {
 	var members, avoided int64
-	for _, s := range e.Servers {
+	for _, s := range e.Endpoints {
 		if !s.Listed {
 			continue
 		}
--- a/internal/engine/terms.go
+++ b/internal/engine/terms.go
@@ -14,18 +14,18 @@
 	"pepperlead/policy"
 )
 
-// Version is one as this sidecar can act by it: what binds, and all else that it says.
+// Version is one as this instance can act by it: what binds, and all else that it says.
 type Version struct {
 	agreement.Version
 	Campaign *policy.Settings
-	Servers  []roster.Entry      // nil: those of the sidecar's own source
-	Table    []policy.EndpointID // who has which slot; nil: as dealt here
+	Servers  []roster.Entry      // nil: those of the instance's own source
+	Table    []policy.EndpointID // who has which slot; nil: as assigned here
 }
 
-// mostPlaces is how many offerings there may be, with those that tickets in hand were admitted to before a change.
+// mostPlaces is how many classes there may be, with those that requests in hand were admitted to before a change.
 const mostPlaces = 512
 
-// terms are the rules that this sidecar agrees on with others. The loop's own.
+// terms are the rules that this instance agrees on with others. The loop's own.
 type terms struct {
 	holder  *agreement.Holder
 	places  agreement.Places
@@ -41,7 +41,7 @@
 	acts    uint64           // changes
 }
 
-// Agreeing is a front that can go on while offerings and franchises come and go. With NoOffering and NoFranchise they go.
+// Agreeing is a front that can go on while classes and tenants come and go. With NoClass and NoTenant they go.
 type Agreeing interface {
 	Offers(name string, at policy.ClassID, cutOff policy.Time)
 	Quotes(name string, at policy.TenantID)
@@ -59,7 +59,7 @@
 	e.labels = append(e.labels, make([][Results]string, mostPlaces-names)...)
 	t.holder.Learn(own.Version)
 	t.of[own.Number] = own
-	t.leased = true // its offerings are there from the first moment, by the floor of what it says: nothing has changed that is worth a line
+	t.leased = true // its classes are there from the first moment, by the floor of what it says: nothing has changed that is worth a line
 	e.act(&own.Rules, true)
 	e.obey()
 }
@@ -92,17 +92,17 @@
 	return granted
 }
 
-// Standing tells by which versions this sidecar acts, and whether it has a lease on them.
+// Standing tells by which versions this instance acts, and whether it has a lease on them.
 func (e *Engine) Standing() (of []agreement.Number, leased bool) {
 	return e.terms.holder.InForce(), e.terms.leased
 }
 
-// Acting is a line of the log with what this sidecar acts by, and when.
+// Acting is a line of the log with what this instance acts by, and when.
 func (e *Engine) Acting() *logrus.Entry {
 	return e.Logger.WithFields(logrus.Fields{"versions": e.terms.holder.InForce(), "leased": e.terms.leased, "awake_ns": int64(clock.True())})
 }
 
-// Tells whether each step of a ticket is to be written down: where rules are agreed on, and debug lines are wanted.
+// Tells whether each step of a request is to be written down: where rules are agreed on, and debug lines are wanted.
 func (e *Engine) Tells() bool { return e.terms != nil && e.Logger.IsLevelEnabled(logrus.DebugLevel) }
 
 // acted counts changes of what may be done, so that what was decided before one is looked at again.
@@ -126,10 +126,10 @@
 	}
 }
 
-// Stands tells whether a push that was decided on may be written now. A dial, or a loop that stood still, may have taken a ticket that is
+// Stands tells whether an attempt that was decided on may be written now. A dial, or a loop that stood still, may have taken a request that is
 // sent again out of the window in which its repeat is dropped.
-func (e *Engine) Stands(now policy.Time, t *Ticket) bool {
-	if t.Pushes > 1 && !e.Module.Stands(e.Clock.Now(), t.Handle) {
+func (e *Engine) Stands(now policy.Time, t *Request) bool {
+	if t.Attempts > 1 && !e.Module.Stands(e.Clock.Now(), t.Handle) {
 		return false
 	}
 	if e.terms == nil {
@@ -141,7 +141,7 @@
 
 // act has the module go by these rules from its next decision on.
 func (e *Engine) act(r *agreement.Rules, leased bool) {
-	t, c := e.terms, e.Campaign
+	t, c := e.terms, e.Settings
 	t.acts++
 	said := e.said()
 	t.places.Go(r, leased, func(at policy.ClassID, name string, now agreement.Offering, admits bool) {
@@ -183,7 +183,7 @@
 	return n
 }
 
-// Table is the digest of the table as it stands. One that was agreed on is taken again where the module has left it: a server whose time
+// Table is the digest of the table as it stands. One that was agreed on is taken again where the module has left it: an endpoint whose time
 // after its end is over may have moved slots.
 func (e *Engine) Table() uint64 {
 	table := e.Module.Table()
@@ -240,9 +240,9 @@
 	}
 }
 
-// place writes what binds a place's tickets to where the module reads it.
+// place writes what binds a place's requests to where the module reads it.
 func (e *Engine) place(at policy.ClassID, name string, now agreement.Offering, latest *Version) {
-	t, c := e.terms, e.Campaign
+	t, c := e.terms, e.Settings
 	for len(t.named) <= int(at) {
 		t.named, t.rows = append(t.named, ""), append(t.rows, 0)
 	}
@@ -269,7 +269,7 @@
 	}
 }
 
-// row is where an offering's figures are: all of one name have one. Of very many names over time the last share one.
+// row is where an class's figures are: all of one name have one. Of very many names over time the last share one.
 func (e *Engine) row(name string) int {
 	n := int(e.names.Load())
 	for i := range n {
@@ -287,9 +287,9 @@
 	return n
 }
 
-// quotas takes over those of the franchises. One that is not named any more has none, and its tickets come as nobody's.
+// quotas takes over those of the tenants. One that is not named any more has none, and its requests come as nobody's.
 func (e *Engine) quotas(r *agreement.Rules) {
-	c := e.Campaign
+	c := e.Settings
 	c.Quotas = 0
 	for i, f := range c.Tenants {
 		if !slices.ContainsFunc(r.Franchises, func(now agreement.Franchise) bool { return now.Name == f.Name }) {
@@ -310,7 +310,7 @@
 	}
 }
 
-// agreed has the servers that versions name in the place of the source's own. One that not all of those name that may be in force drains.
+// agreed has the endpoints that versions name in the place of the source's own. One that not all of those name that may be in force drains.
 // One that is only coming is not known yet, so that the table stays as it is in force; table is the version that it is of.
 func (f *members) agreed(r *agreement.Rules, said []*Version, table *Version) {
 	if r.Open {
@@ -332,7 +332,7 @@
 			i, byAll := slices.BinarySearchFunc(r.Servers, e.ID, func(s agreement.Server, id policy.EndpointID) int { return cmp.Compare(s.ID, id) })
 			if byAll {
 				e.Started = max(e.Started, r.Servers[i].Started)
-			} else if f.e.Servers[e.ID] == nil && (table == nil || v != table) {
+			} else if f.e.Endpoints[e.ID] == nil && (table == nil || v != table) {
 				continue
 			} else if e.Standing == policy.Ready {
 				e.Standing = policy.Draining
@@ -343,15 +343,15 @@
 	f.apply(f.e.Clock.Now(), &roster.List{Kind: policy.ListFull, Entries: all})
 }
 
-// ban takes out the servers that a version bans, and calls back those that none does any more.
+// ban takes out the endpoints that a version bans, and calls back those that none does any more.
 func (f *members) ban(ids []policy.EndpointID) {
 	if slices.Equal(f.banned, ids) {
 		return
 	}
 	f.banned = slices.Clone(ids)
 	var changed []policy.Member
-	for _, id := range slices.Sorted(maps.Keys(f.e.Servers)) {
-		if s := f.e.Servers[id]; s.Listed {
+	for _, id := range slices.Sorted(maps.Keys(f.e.Endpoints)) {
+		if s := f.e.Endpoints[id]; s.Listed {
 			if shown := f.shown(s.Said); shown.Standing == policy.Ready == s.Leaving && f.know(shown) {
 				changed = append(changed, shown.Member)
 			}
@@ -362,7 +362,7 @@
 	}
 }
 
-// keep notes what the own source tells while versions say which servers there are.
+// keep notes what the own source tells while versions say which endpoints there are.
 func (f *members) keep(l *roster.List) {
 	if l.Kind != policy.ListChanges {
 		f.own = nil
--- a/internal/engine/terms_test.go
+++ b/internal/engine/terms_test.go
@@ -22,14 +22,14 @@
 }
 
 func (f *frontless) Gather(policy.Time)                                   {}
-func (f *frontless) Push(policy.Time, *Ticket, *Server)                   { f.pushed++ }
-func (f *frontless) TimedOut(policy.Time, *Ticket)                        {}
-func (f *frontless) GiveUp(now policy.Time, t *Ticket)                    { f.answers++ }
-func (f *frontless) TurnBack(now policy.Time, t *Ticket, _ policy.Time)   { f.answers++ }
-func (f *frontless) Unneeded(*Ticket)                                     {}
-func (f *frontless) Given(*Ticket)                                        {}
-func (f *frontless) Retire(*Server)                                       {}
-func (f *frontless) Forget(*Server)                                       {}
+func (f *frontless) Send(policy.Time, *Request, *Endpoint)                { f.pushed++ }
+func (f *frontless) TimedOut(policy.Time, *Request)                       {}
+func (f *frontless) Fail(now policy.Time, t *Request)                     { f.answers++ }
+func (f *frontless) Reject(now policy.Time, t *Request, _ policy.Time)    { f.answers++ }
+func (f *frontless) Unneeded(*Request)                                    {}
+func (f *frontless) Given(*Request)                                       {}
+func (f *frontless) Retire(*Endpoint)                                     {}
+func (f *frontless) Forget(*Endpoint)                                     {}
 func (f *frontless) Offers(name string, at policy.ClassID, _ policy.Time) { f.offers[name] = at }
 func (f *frontless) Quotes(name string, at policy.TenantID)               { f.quotes[name] = at }
 
@@ -55,7 +55,7 @@
 	own := versionOf(0, nil, nil, offering("a", policy.Idempotent))
 	campaign := *own.Campaign
 	campaign.Classes = append([]policy.Class{}, own.Campaign.Classes...)
-	e := New(Post{Campaign: &campaign}, log)
+	e := New(Config{Settings: &campaign}, log)
 	f := &frontless{offers: map[string]policy.ClassID{}, quotes: map[string]policy.TenantID{}}
 	e.Add(f)
 	e.Agree(own, 1)
@@ -77,10 +77,10 @@
 	e.list.take(0, told{news: roster.News{List: &roster.List{Kind: policy.ListFull, Entries: []roster.Entry{{Member: policy.Member{ID: 9}, UID: "own"}}}}})
 	now := e.Clock.Now()
 	first := e.Take(0)
-	e.Admit(now, now, first, a, policy.NoTenant, "k", false, 2*policy.Second) // reissuable, and stays so or stricter
+	e.Admit(now, now, first, a, policy.NoTenant, "k", false, 2*policy.Second) // idempotent, and stays so or stricter
 	e.Round(now)
-	if f.pushed != 1 || len(e.Servers) != 1 {
-		t.Fatalf("%d pushes, %d servers", f.pushed, len(e.Servers))
+	if f.pushed != 1 || len(e.Endpoints) != 1 {
+		t.Fatalf("%d pushes, %d servers", f.pushed, len(e.Endpoints))
 	}
 	servers := []roster.Entry{{Member: policy.Member{ID: 1, Weight: 1}, UID: "x"}, {Member: policy.Member{ID: 2, Weight: 1}, UID: "y"}}
 	if !e.Learn(versionOf(1, servers, []policy.Tenant{{Name: "f", Quota: 5}}, offering("a", policy.NonIdempotent), offering("b", policy.Keyed))) {
@@ -92,26 +92,26 @@
 	}
 	grant(policy.Second*100, 1)
 	if o := campaign.Classes[f.offers["b"]]; o.Name != "b" || o.Idempotency != policy.Keyed || campaign.Quotas != 5 || f.quotes["f"] != 0 || !e.list.closed ||
-		len(e.Servers) != 3 || e.Servers[9].Listed || !e.Servers[1].Listed {
-		t.Fatalf("by the new: %+v %+v %+v", campaign, f, e.Servers)
+		len(e.Endpoints) != 3 || e.Endpoints[9].Listed || !e.Endpoints[1].Listed {
+		t.Fatalf("by the new: %+v %+v %+v", campaign, f, e.Endpoints)
 	}
 	if !e.Learn(versionOf(2, servers[:1], nil, offering("a", policy.Idempotent))) {
 		t.Fatal("not learned")
 	}
 	grant(policy.Second*100, 1, 2)
-	if y := e.Servers[2]; !y.Listed || !y.Leaving || e.Servers[1].Leaving {
+	if y := e.Endpoints[2]; !y.Listed || !y.Leaving || e.Endpoints[1].Leaving {
 		t.Fatalf("while a server is taken away: %+v", y)
 	}
 	grant(policy.Second*100, 2)
-	if e.Servers[2].Listed {
-		t.Fatalf("a server that was taken away: %+v", e.Servers[2])
+	if e.Endpoints[2].Listed {
+		t.Fatalf("a server that was taken away: %+v", e.Endpoints[2])
 	}
 	if !e.Learn(versionOf(3, nil, nil, offering("a", policy.Idempotent))) {
 		t.Fatal("not learned")
 	}
 	grant(policy.Second*100, 3)
 	if at := f.offers["a"]; at == a || campaign.Classes[at].Idempotency != policy.Idempotent || campaign.Classes[a].Idempotency != policy.NonIdempotent ||
-		f.offers["b"] != policy.NoClass || f.quotes["f"] != policy.NoTenant || !e.Servers[9].Listed {
+		f.offers["b"] != policy.NoClass || f.quotes["f"] != policy.NoTenant || !e.Endpoints[9].Listed {
 		t.Fatalf("laxer than what is in hand was promised: %+v %+v", campaign.Classes, f)
 	}
 	ban := versionOf(4, nil, nil, offering("a", policy.Idempotent))
@@ -120,14 +120,14 @@
 		t.Fatal("not learned")
 	}
 	grant(policy.Second*100, 3, 4)
-	if !e.Servers[9].Leaving {
+	if !e.Endpoints[9].Leaving {
 		t.Error("a banned server is used")
 	}
 	grant(policy.Second*100, 4)
 	if !e.Learn(versionOf(5, nil, nil, offering("a", policy.Idempotent))) {
 		t.Fatal("not learned")
 	}
-	if grant(policy.Second*100, 5); e.Servers[9].Leaving {
+	if grant(policy.Second*100, 5); e.Endpoints[9].Leaving {
 		t.Error("a server that is banned no more is not used")
 	}
 	// The lease runs out between a decision and its write.
@@ -138,7 +138,7 @@
 	if len(e.steps) != 1 || !e.Stands(now, second) {
 		t.Fatal("no push was decided on, or it does not stand")
 	}
-	e.Servers[9].Said.Standing = policy.Draining
+	e.Endpoints[9].Said.Standing = policy.Draining
 	e.list.apply(now, &roster.List{Kind: policy.ListChanges, Entries: []roster.Entry{{Member: policy.Member{ID: 9, Standing: policy.Draining}, UID: "own"}}})
 	time.Sleep(40 * time.Millisecond)
 	if e.Stands(now, second) || e.terms.leased {
--- a/internal/engine/write_test.go
+++ b/internal/engine/write_test.go
@@ -10,16 +10,16 @@
 	"pepperlead/policy"
 )
 
-// A numbered ticket that may have run is sent again only within its window. A loop that stands still between the decision and the write takes
+// A keyed request that may have run is sent again only within its window. A loop that stands still between the decision and the write takes
 // it out of that: it is judged again at the write, by the clock as it is then.
 func TestRepeatsAreJudgedAtTheWrite(t *testing.T) {
 	for _, k := range []struct {
-		ago  policy.Time // when its first push went out
+		ago  policy.Time // when its first attempt went out
 		want int
 	}{{200 * policy.Millisecond, 2}, {1500 * policy.Millisecond, 1}} {
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		e := New(Post{Campaign: &policy.Settings{Instances: 1, Weighted: true, FallMultiple: 3, MaxAttempts: 3, Tick: policy.Millisecond,
+		e := New(Config{Settings: &policy.Settings{Instances: 1, Weighted: true, FallMultiple: 3, MaxAttempts: 3, Tick: policy.Millisecond,
 			Classes: []policy.Class{{Name: "a", Value: 1, Target: 5 * policy.Second, Deadline: 9 * policy.Second,
 				Idempotency: policy.Keyed, Window: policy.Second}}}}, log)
 		f := &frontless{}
@@ -32,9 +32,9 @@
 		e.Admit(then, then, ticket, 0, policy.NoTenant, "k", false, 9*policy.Second)
 		e.Round(then)
 		e.Ended(then+10*policy.Millisecond, ticket, policy.ConnectionLost)
-		e.Tell(then + 10*policy.Millisecond) // within the window: pushed again, says the module
-		if ticket.Pushes != 2 || f.pushed != 1 {
-			t.Fatalf("%d pushes decided on, %d written", ticket.Pushes, f.pushed)
+		e.Tell(then + 10*policy.Millisecond) // within the window: attempted again, says the module
+		if ticket.Attempts != 2 || f.pushed != 1 {
+			t.Fatalf("%d pushes decided on, %d written", ticket.Attempts, f.pushed)
 		}
 		if e.Round(then + 10*policy.Millisecond); f.pushed != k.want {
 			t.Errorf("%d ms after the first push: %d written, want %d", k.ago/policy.Millisecond, f.pushed, k.want)
--- a/internal/proto/attempts_test.go
+++ b/internal/proto/attempts_test.go
@@ -166,10 +166,10 @@
 	defer l.Close()
 	s := New(Post{Listen: "127.0.0.1:0", Descriptors: 64, Memory: 1 << 20, Campaign: &policy.Settings{Instances: 1}}, logrus.New())
 	for queued, want := range map[int64]policy.Outcome{10: policy.ConnectionLost, 11: policy.NotConnected} {
-		c := &state.Conn{Side: state.ToServer, Up: true, Queued: queued, Server: &state.Server{Of: &engine.Server{}}}
+		c := &state.Conn{Side: state.ToServer, Up: true, Queued: queued, Endpoint: &state.Endpoint{Of: &engine.Endpoint{}}}
 		c.Written.Store(10)
 		ticket := state.Of(s.Take(s.no))
-		ticket.Push, c.Ticket = c, ticket
+		ticket.Attempt, c.Request = c, ticket
 		s.conns.Add(c)
 		s.closed(1, 1, c)
 		if s.Tell(1); s.Counters.Outcomes[want] != 1 {
--- a/internal/proto/clients.go
+++ b/internal/proto/clients.go
@@ -51,7 +51,7 @@
 
 // fromClient takes the next request that is in whole. at: when its last byte came.
 func (s *Sidecar) fromClient(now, at policy.Time, c *state.Conn) {
-	for c.In != nil && c.Ticket == nil && !c.Last && !c.Dead && !c.Left.Load() && s.reads(now, c) {
+	for c.In != nil && c.Request == nil && !c.Last && !c.Dead && !c.Left.Load() && s.reads(now, c) {
 		if len(c.In.B) < c.Need && !s.buffers.Full() {
 			s.bodyDue(c)
 			return
@@ -92,7 +92,7 @@
 		}
 		s.request(now, at, c, request, a, body)
 	}
-	if c.In != nil && len(c.In.B) > state.Large && (c.Ticket != nil || !c.Flushed()) {
+	if c.In != nil && len(c.In.B) > state.Large && (c.Request != nil || !c.Flushed()) {
 		s.close(c) // it goes on sending without waiting for answers
 	}
 }
@@ -187,20 +187,20 @@
 		franchise = policy.NoTenant
 	}
 	t := state.Of(s.Take(s.no))
-	t.Client, t.Request, t.Method, t.Target, t.Head, t.Body, t.Last = c, buf, method, target, head, body, last
+	t.Client, t.Received, t.Method, t.Target, t.Head, t.Body, t.Last = c, buf, method, target, head, body, last
 	t.Bodiless = string(method) == "HEAD"
 	t.Old, t.Left = a.old, left
 	t.Uploads, t.Size = c.Upload == state.Passed, a.size
-	c.Ticket = t
+	c.Request = t
 	if named {
 		s.tickets.Mark(t, mark)
 	}
 	if s.Tells() {
 		s.Acting().WithField("id", string(id)).Debug("drill: ticket")
 	}
-	s.Admit(now, at, t.Ticket, offering, franchise, text(field(head, "X-Route-Key")), string(field(head, "X-Retried")) == "1", left)
+	s.Admit(now, at, t.Request, offering, franchise, text(field(head, "X-Route-Key")), string(field(head, "X-Retried")) == "1", left)
 	if t.Uploads {
-		s.Comes(t.Ticket)
+		s.Comes(t.Request)
 	}
 }
 
@@ -245,7 +245,7 @@
 // servers is the list as it stands, with the ids under which the module speaks of servers.
 func (s *Sidecar) servers() string {
 	var lines []string
-	for id, one := range s.Servers {
+	for id, one := range s.Endpoints {
 		standing := "ready"
 		if one.Leaving {
 			standing = "leaving"
@@ -284,7 +284,7 @@
 
 // free lets a client's connection go on to its next request, or closes it once the answer is out.
 func (s *Sidecar) free(now policy.Time, c *state.Conn, last bool) {
-	c.Ticket, c.Since, c.Used, c.MovedAt = nil, now, true, 0
+	c.Request, c.Since, c.Used, c.MovedAt = nil, now, true, 0
 	switch {
 	case c.Upload == state.Passed:
 		// Its sender goes on with a body that nobody needs any more, and may read the answer only after that.
@@ -343,7 +343,7 @@
 
 // clientLeft is told that the client's connection is gone, and so its ticket over.
 func (s *Sidecar) clientLeft(now policy.Time, c *state.Conn) {
-	t := c.Ticket
+	t := c.Request
 	if t == nil {
 		return
 	}
@@ -355,11 +355,11 @@
 }
 
 // leaves ends a ticket whose client is gone, or has not sent it whole.
-func (s *Sidecar) leaves(now policy.Time, c *state.Conn, t *state.Ticket) {
-	c.Ticket, t.Client = nil, nil
+func (s *Sidecar) leaves(now policy.Time, c *state.Conn, t *state.Request) {
+	c.Request, t.Client = nil, nil
 	s.tickets.Unmark(t)
-	s.ClientLeft(now, t.Ticket)
-	if (t.Push != nil || t.Rest.On()) && s.unwritten(t) {
+	s.ClientLeft(now, t.Request)
+	if (t.Attempt != nil || t.Rest.On()) && s.unwritten(t) {
 		// What is missing of its body never comes; and a push that no server has whole is none yet, so ending it is allowed also where
 		// pushes may not be called off.
 		s.endPush(now, t, policy.Cancelled, false)
--- a/internal/proto/crossing_test.go
+++ b/internal/proto/crossing_test.go
@@ -129,8 +129,8 @@
 			s.happened(now, e)
 		}
 		s.Round(now)
-		if s.Counters.BytesIn == 0 || s.Counters.Tickets != 0 || s.Counters.Dials != 0 {
-			t.Errorf("%s: %d bytes read, %d tickets, %d dials", name, s.Counters.BytesIn, s.Counters.Tickets, s.Counters.Dials)
+		if s.Counters.BytesIn == 0 || s.Counters.Requests != 0 || s.Counters.Dials != 0 {
+			t.Errorf("%s: %d bytes read, %d tickets, %d dials", name, s.Counters.BytesIn, s.Counters.Requests, s.Counters.Dials)
 		}
 	}
 }
@@ -158,11 +158,11 @@
 	}{{slips: false, want: policy.NotConnected}, {slips: true, want: policy.TimedOut}, {left: true, want: policy.Cancelled},
 		{left: true, slips: true, none: true}} {
 		s, connect := still(t)
-		s.Engine.Campaign.MayCancel = false
+		s.Engine.Settings.MayCancel = false
 		client, _ := connect(state.Client)
 		server, plain := connect(state.ToServer)
-		for _, one := range s.Servers {
-			server.Server = s.part(one)
+		for _, one := range s.Endpoints {
+			server.Endpoint = s.part(one)
 			s.park(1, server)
 		}
 		buf := s.buffers.Get(state.Small)
@@ -171,7 +171,7 @@
 		now := s.Clock.Now()
 		s.fromClient(now, now, client)
 		s.Round(now)
-		ticket := server.Ticket
+		ticket := server.Request
 		if ticket == nil {
 			t.Fatal("not pushed")
 		}
@@ -180,10 +180,10 @@
 		if k.left {
 			s.clientLeft(now, client)
 		} else {
-			s.TimedOut(now, ticket.Ticket)
+			s.TimedOut(now, ticket.Request)
 		}
 		s.Tell(now)
-		if n := s.Counters.Outcomes[k.want]; !k.none && n != 1 || k.none && ticket.Push == nil {
+		if n := s.Counters.Outcomes[k.want]; !k.none && n != 1 || k.none && ticket.Attempt == nil {
 			t.Errorf("%+v: outcomes %v", k, s.Counters.Outcomes)
 		}
 	}
--- a/internal/proto/leave.go
+++ b/internal/proto/leave.go
@@ -44,7 +44,7 @@
 	for c := range s.conns.Open {
 		if c.Side == state.Client && !c.Dead {
 			stays := s.post.Inherited > 0 && now-c.Since < lookedFor && now < leaveBy // its next answer ends it
-			if c.Ticket == nil && c.In == nil && !c.Last && c.Upload == state.NoUpload && !stays && c.Link.Cut(c) {
+			if c.Request == nil && c.In == nil && !c.Last && c.Upload == state.NoUpload && !stays && c.Link.Cut(c) {
 				s.conns.End(c)
 			}
 			waiting = true
--- a/internal/proto/operated_test.go
+++ b/internal/proto/operated_test.go
@@ -63,7 +63,7 @@
 	before := r.Clock.Now()
 	r.byHand()
 	r.Inside(func() {
-		for _, s := range r.Servers {
+		for _, s := range r.Endpoints {
 			if s.UID == "s-0" {
 				started = s.Started
 			}
--- a/internal/proto/pushes.go
+++ b/internal/proto/pushes.go
@@ -17,8 +17,8 @@
 // server work, and this request a handshake.
 const aRest = 32
 
-// Push sends a ticket to a server, on a connection that stands idle or on a new one.
-func (s *Sidecar) Push(now policy.Time, of *engine.Ticket, to *engine.Server) {
+// Send sends a ticket to a server, on a connection that stands idle or on a new one.
+func (s *Sidecar) Send(now policy.Time, of *engine.Request, to *engine.Endpoint) {
 	t, server := state.Of(of), s.part(to)
 	if t.Uploads {
 		s.Timers.Stop(&t.Wait) // its time begins when its body is whole
@@ -35,7 +35,7 @@
 			continue
 		}
 		s.Counters.Reused++
-		t.Push, c.Ticket = c, t
+		t.Attempt, c.Request = c, t
 		s.send(now, t)
 		return
 	}
@@ -47,22 +47,22 @@
 		s.Ended(now, of, policy.NotSent)
 		return
 	}
-	c := &state.Conn{Side: state.ToServer, Server: server, Life: to.Life, Ticket: t, Whole: &s.Tally.Written}
+	c := &state.Conn{Side: state.ToServer, Endpoint: server, Life: to.Life, Request: t, Whole: &s.Tally.Written}
 	c.Timer.Do = func(now policy.Time) { s.serverDue(now, c) }
-	t.Push = c
+	t.Attempt = c
 	s.conns.Add(c)
 	s.Counters.Dials++
 	s.sockets.dial(c, to.Addr, s.post.ConnectIn)
 }
 
 // awaits has a push wait for the connection that will have rested next, once, if that is soon.
-func (s *Sidecar) awaits(now policy.Time, t *state.Ticket, server *state.Server) bool {
+func (s *Sidecar) awaits(now policy.Time, t *state.Request, server *state.Endpoint) bool {
 	if t.Waited || t.Uploads || server.Awaited >= len(server.Idle) {
 		t.Waited = false
 		return false
 	}
 	in := server.Idle[server.Awaited].Since + restFor - now
-	if in > s.post.Campaign.Classes[t.Offering].Target/aRest {
+	if in > s.post.Campaign.Classes[t.Class].Target/aRest {
 		return false
 	}
 	if t.Rest.Do == nil {
@@ -75,40 +75,40 @@
 }
 
 // rested has a push that waited go on, unless it may not be made any more.
-func (s *Sidecar) rested(now policy.Time, t *state.Ticket) {
+func (s *Sidecar) rested(now policy.Time, t *state.Request) {
 	s.part(t.To).Awaited--
 	switch {
 	case t.To.Leaving:
 		s.endPush(now, t, policy.NotConnected, false)
-	case t.Settled || !s.Stands(now, t.Ticket):
+	case t.Settled || !s.Stands(now, t.Request):
 		s.endPush(now, t, policy.NotSent, false)
 	default:
-		s.Push(now, t.Ticket, t.To)
+		s.Send(now, t.Request, t.To)
 	}
 }
 
 // connected is told that a connection to a server is up.
 func (s *Sidecar) connected(now policy.Time, c *state.Conn) {
 	switch {
-	case c.Ticket == nil:
+	case c.Request == nil:
 		s.park(now, c) // its ticket did not wait for it
-	case c.Server.Of.Leaving || c.Life != c.Server.Of.Life:
+	case c.Endpoint.Of.Leaving || c.Life != c.Endpoint.Of.Life:
 		// The server was ready when this was dialled and is not any more, or another process stands there: it gets nothing new.
-		s.endPush(now, c.Ticket, policy.NotConnected, false)
-	case c.Ticket.Settled || !s.Stands(now, c.Ticket.Ticket):
+		s.endPush(now, c.Request, policy.NotConnected, false)
+	case c.Request.Settled || !s.Stands(now, c.Request.Request):
 		// The ticket has its answer, or its client has left; or the rules or the list have changed since, or the window in which it may
 		// be sent again has closed: what was decided then may not be done now.
-		s.endPush(now, c.Ticket, policy.NotSent, true)
+		s.endPush(now, c.Request, policy.NotSent, true)
 	default:
-		s.send(now, c.Ticket)
+		s.send(now, c.Request)
 	}
 }
 
 // send writes the request. Nothing of it is sent again by itself.
-func (s *Sidecar) send(now policy.Time, t *state.Ticket) {
+func (s *Sidecar) send(now policy.Time, t *state.Request) {
 	if s.Tells() {
-		s.Acting().WithFields(logrus.Fields{"id": text(field(t.Head, "X-Request-ID")), "no": int(t.Ticket.PushNo),
-			"server": t.Push.Server.Of.UID}).Debug("drill: push")
+		s.Acting().WithFields(logrus.Fields{"id": text(field(t.Head, "X-Request-ID")), "no": int(t.Request.AttemptNo),
+			"server": t.Attempt.Endpoint.Of.UID}).Debug("drill: push")
 	}
 	size, wait := len(t.Body), t.Wait.At()-now
 	if t.More != nil {
@@ -117,18 +117,18 @@
 	if t.Uploads {
 		size, wait = t.Size, t.Left
 	}
-	t.Push.Used = true
+	t.Attempt.Used = true
 	s.scratch = AppendPush(s.scratch[:0], t.Method, t.Target, t.Head, size, wait)
 	if !t.Uploads && len(t.Body) <= state.Small && t.More == nil {
 		s.scratch = append(s.scratch, t.Body...)
-		t.Push.Due.Store(t.Push.Queued + int64(len(s.scratch)))
-		s.write(t.Push, s.scratch)
+		t.Attempt.Due.Store(t.Attempt.Queued + int64(len(s.scratch)))
+		s.write(t.Attempt, s.scratch)
 		return
 	}
 	if !t.Uploads {
-		t.Push.Due.Store(t.Push.Queued + int64(len(s.scratch)+size))
+		t.Attempt.Due.Store(t.Attempt.Queued + int64(len(s.scratch)+size))
 	}
-	s.write(t.Push, s.scratch)
+	s.write(t.Attempt, s.scratch)
 	if !t.Uploads {
 		t.Size = size
 	}
@@ -137,18 +137,18 @@
 		s.sendPart(t, t.More.B)
 	}
 	if t.Uploads && t.Client != nil {
-		t.Sent, t.Push.MovedAt = true, 0
+		t.Sent, t.Attempt.MovedAt = true, 0
 		s.buffers.Put(t.More)
 		t.More = nil
 		s.goOn(t.Client)
-		s.holdUp(t.Client, t.Push)
+		s.holdUp(t.Client, t.Attempt)
 	}
 }
 
 // park keeps a connection for the next push to its server, but closes it well before the server would: what is
 // written as the server closes may have run or not.
 func (s *Sidecar) park(now policy.Time, c *state.Conn) {
-	if c.Server.Of.Leaving || c.Life != c.Server.Of.Life {
+	if c.Endpoint.Of.Leaving || c.Life != c.Endpoint.Of.Life {
 		s.close(c) // an answer that came after the list: where it leads, nothing new goes, or another process stands
 		return
 	}
@@ -158,7 +158,7 @@
 
 // fromServer takes the answer once it is whole.
 func (s *Sidecar) fromServer(now, at policy.Time, c *state.Conn) {
-	t := c.Ticket
+	t := c.Request
 	if t == nil {
 		s.close(c) // it says something unasked
 		return
@@ -179,14 +179,14 @@
 }
 
 // take moves the answer's buffer from the connection to the ticket.
-func (s *Sidecar) take(t *state.Ticket, c *state.Conn, status int, head, body []byte) {
+func (s *Sidecar) take(t *state.Request, c *state.Conn, status int, head, body []byte) {
 	t.Answer, t.Status, t.AnswerHead, t.AnswerBody = c.In, status, head, body
 	c.In = nil
 }
 
 // broke is told that a connection to a server has ended, or never came up.
 func (s *Sidecar) broke(at policy.Time, c *state.Conn) {
-	t := c.Ticket
+	t := c.Request
 	if t == nil {
 		return
 	}
@@ -215,7 +215,7 @@
 
 // TimedOut is the end of a push's time. A request that has not been written whole is cut off with its connection, so
 // it never runs.
-func (s *Sidecar) TimedOut(now policy.Time, of *engine.Ticket) {
+func (s *Sidecar) TimedOut(now policy.Time, of *engine.Request) {
 	t := state.Of(of)
 	o := policy.TimedOut
 	if s.unwritten(t) {
@@ -226,8 +226,8 @@
 
 // unwritten ends the connection of a push that has not gone out whole, and tells whether it never will. What waits to be written goes out
 // beside the loop: looked at first and closed then, its last byte could slip through between, and what has run be sent again.
-func (s *Sidecar) unwritten(t *state.Ticket) bool {
-	c := t.Push
+func (s *Sidecar) unwritten(t *state.Request) bool {
+	c := t.Attempt
 	if c == nil || !c.Up || t.Uploads {
 		return true
 	}
@@ -238,30 +238,30 @@
 	return !c.Flushed()
 }
 
-// CallOff ends a push that nobody waits for any more.
-func (s *Sidecar) CallOff(now policy.Time, of *engine.Ticket) {
-	if t := state.Of(of); (t.Push != nil || t.Rest.On()) && !t.Streams {
+// CancelAttempt ends a push that nobody waits for any more.
+func (s *Sidecar) CancelAttempt(now policy.Time, of *engine.Request) {
+	if t := state.Of(of); (t.Attempt != nil || t.Rest.On()) && !t.Streams {
 		s.endPush(now, t, policy.Cancelled, false)
 	}
 }
 
 // endPush ends the push that is out.
-func (s *Sidecar) endPush(at policy.Time, t *state.Ticket, o policy.Outcome, stays bool) {
+func (s *Sidecar) endPush(at policy.Time, t *state.Request, o policy.Outcome, stays bool) {
 	s.detach(at, t, stays)
-	s.Ended(at, t.Ticket, o)
+	s.Ended(at, t.Request, o)
 }
 
 // detach takes the ticket off its connection to a server, which is kept or closed.
-func (s *Sidecar) detach(at policy.Time, t *state.Ticket, stays bool) {
+func (s *Sidecar) detach(at policy.Time, t *state.Request, stays bool) {
 	if t.Waited = false; t.Rest.On() {
 		s.Timers.Stop(&t.Rest)
 		s.part(t.To).Awaited--
 	}
-	c := t.Push
+	c := t.Attempt
 	if c == nil {
 		return
 	}
-	t.Push, c.Ticket, c.Need, c.HeadAt = nil, nil, 0, 0
+	t.Attempt, c.Request, c.Need, c.HeadAt = nil, nil, 0, 0
 	c.Stop.Store(false)
 	s.Timers.Stop(&c.Timer)
 	switch {
--- a/internal/proto/renew.go
+++ b/internal/proto/renew.go
@@ -20,7 +20,7 @@
 	if post.Default != s.post.Default {
 		post.Campaign = &policy.Settings{} // of another shape: who names nothing would get another offering under a ticket in hand
 	}
-	alike := s.Renew(engine.Post{Campaign: post.Campaign, Source: post.Source, Leave: post.Leave})
+	alike := s.Renew(engine.Config{Settings: post.Campaign, Source: post.Source, Leave: post.Leave})
 	keep("settings", alike)
 	if alike {
 		s.post.CutOffs, s.post.Anonymous = post.CutOffs, post.Anonymous
--- a/internal/proto/replies.go
+++ b/internal/proto/replies.go
@@ -7,24 +7,24 @@
 )
 
 // answer takes the client off a ticket that is being answered; nil if it has left.
-func (s *Sidecar) answer(now policy.Time, t *state.Ticket, kind int) *state.Conn {
+func (s *Sidecar) answer(now policy.Time, t *state.Request, kind int) *state.Conn {
 	c := t.Client
 	t.Client = nil
 	s.tickets.Unmark(t)
 	if c == nil || c.Dead {
 		if c != nil {
-			c.Ticket = nil // the ticket's place may be another's by the time this connection's end is told
+			c.Request = nil // the ticket's place may be another's by the time this connection's end is told
 		}
 		s.Counters.Unsent++
-		s.Unanswered(t.Ticket)
+		s.Unanswered(t.Request)
 		return nil
 	}
-	s.Answered(now, t.Ticket, kind)
+	s.Answered(now, t.Request, kind)
 	return c
 }
 
-// Honour passes a server's answer on, also one that declines.
-func (s *Sidecar) Honour(now policy.Time, of *engine.Ticket) {
+// Succeed passes a server's answer on, also one that declines.
+func (s *Sidecar) Succeed(now policy.Time, of *engine.Request) {
 	t, kind := state.Of(of), 0
 	if t.Status != 200 {
 		kind = 1
@@ -50,8 +50,8 @@
 	}
 }
 
-// TurnBack and GiveUp answer for the module.
-func (s *Sidecar) TurnBack(now policy.Time, of *engine.Ticket, retryIn policy.Time) {
+// Reject and Fail answer for the module.
+func (s *Sidecar) Reject(now policy.Time, of *engine.Request, retryIn policy.Time) {
 	t := state.Of(of)
 	if c := s.answer(now, t, 2); c != nil {
 		s.Counters.TurnedBack++
@@ -59,7 +59,7 @@
 	}
 }
 
-func (s *Sidecar) GiveUp(now policy.Time, of *engine.Ticket) {
+func (s *Sidecar) Fail(now policy.Time, of *engine.Request) {
 	t := state.Of(of)
 	if c := s.answer(now, t, 3); c != nil {
 		s.Counters.GivenUp++
--- a/internal/proto/sidecar.go
+++ b/internal/proto/sidecar.go
@@ -49,7 +49,7 @@
 	sockets *sockets
 	buffers *state.Buffers
 	conns   *state.Conns
-	tickets *state.Tickets
+	tickets *state.Requests
 
 	offerings  map[string]policy.ClassID
 	franchises map[string]policy.TenantID
@@ -72,8 +72,8 @@
 // New makes a sidecar that does not serve yet.
 func New(post Post, log *logrus.Logger) *Sidecar {
 	s := &Sidecar{post: post, buffers: &state.Buffers{Most: post.Memory}, conns: state.NewConns(post.Descriptors - post.Aside),
-		tickets: &state.Tickets{}, offerings: map[string]policy.ClassID{}, franchises: map[string]policy.TenantID{}}
-	s.Engine = engine.New(engine.Post{Seed: post.Seed, Campaign: post.Campaign, Source: post.Source, Known: post.Known,
+		tickets: &state.Requests{}, offerings: map[string]policy.ClassID{}, franchises: map[string]policy.TenantID{}}
+	s.Engine = engine.New(engine.Config{Seed: post.Seed, Settings: post.Campaign, Source: post.Source, Known: post.Known,
 		Leave: post.Leave, Latency: post.Latency, Record: post.Record, Stall: post.Stall}, log)
 	s.no = s.Engine.Add(s)
 	for i, o := range post.Campaign.Classes {
@@ -162,8 +162,8 @@
 		switch {
 		case c.Upload != state.NoUpload:
 			s.uploadComes(now, e.at, c, e.buf)
-		case c.Side == state.ToServer && c.Ticket != nil && c.Ticket.Streams:
-			s.passOn(now, e.at, c, c.Ticket, e.buf.B)
+		case c.Side == state.ToServer && c.Request != nil && c.Request.Streams:
+			s.passOn(now, e.at, c, c.Request, e.buf.B)
 			s.buffers.Put(e.buf)
 		case c.Side == state.Client:
 			c.In = s.buffers.Join(c.In, e.buf)
@@ -232,25 +232,25 @@
 // ---- what the engine asks for ----
 
 // Unneeded gives back an answer that is not handed on.
-func (s *Sidecar) Unneeded(of *engine.Ticket) {
+func (s *Sidecar) Unneeded(of *engine.Request) {
 	t := state.Of(of)
 	s.buffers.Put(t.Answer)
 	t.Answer = nil
 }
 
 // Given takes the ticket's buffers back.
-func (s *Sidecar) Given(of *engine.Ticket) { state.Of(of).Give(s.buffers) }
+func (s *Sidecar) Given(of *engine.Request) { state.Of(of).Give(s.buffers) }
 
 // part is what this front keeps of a server.
-func (s *Sidecar) part(of *engine.Server) *state.Server {
+func (s *Sidecar) part(of *engine.Endpoint) *state.Endpoint {
 	if of.Parts[s.no] == nil {
-		of.Parts[s.no] = &state.Server{Of: of}
+		of.Parts[s.no] = &state.Endpoint{Of: of}
 	}
-	return of.Parts[s.no].(*state.Server)
+	return of.Parts[s.no].(*state.Endpoint)
 }
 
 // Retire closes the connections to a server that stand idle.
-func (s *Sidecar) Retire(of *engine.Server) {
+func (s *Sidecar) Retire(of *engine.Endpoint) {
 	server := s.part(of)
 	for len(server.Idle) > 0 {
 		c := server.Idle[len(server.Idle)-1]
@@ -260,4 +260,4 @@
 }
 
 // Forget has nothing to add: what is still open closes when it is free.
-func (s *Sidecar) Forget(*engine.Server) {}
+func (s *Sidecar) Forget(*engine.Endpoint) {}
--- a/internal/proto/sidecar_test.go
+++ b/internal/proto/sidecar_test.go
@@ -261,8 +261,8 @@
 	s, connect := still(t)
 	client, answers := connect(state.Client)
 	server, pushes := connect(state.ToServer)
-	for _, one := range s.Servers {
-		server.Server = s.part(one)
+	for _, one := range s.Endpoints {
+		server.Endpoint = s.part(one)
 		s.park(1, server)
 	}
 	request := []byte("GET /step/a HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Route-Key: k\r\nX-Timeout: 1\r\n\r\n")
@@ -302,8 +302,8 @@
 	var all []*state.Conn
 	for i := range 4 {
 		c, k := connect(state.ToServer)
-		for _, one := range s.Servers {
-			c.Server, c.Used = s.part(one), true
+		for _, one := range s.Endpoints {
+			c.Endpoint, c.Used = s.part(one), true
 		}
 		s.park(now+policy.Time(i)*policy.Millisecond, c)
 		idle, all = append(idle, k), append(all, c)
@@ -334,8 +334,8 @@
 		client, _ := connect(state.Client)
 		server, _ := connect(state.ToServer)
 		client.Timer.Do = func(now policy.Time) { s.clientDue(now, client) }
-		for _, one := range s.Servers {
-			server.Server, server.Life = s.part(one), one.Life // dialled to it as it stands now
+		for _, one := range s.Endpoints {
+			server.Endpoint, server.Life = s.part(one), one.Life // dialled to it as it stands now
 			s.park(now, server)
 			break
 		}
--- a/internal/proto/stream.go
+++ b/internal/proto/stream.go
@@ -24,7 +24,7 @@
 // turn out to be long goes on once it has taken its time and still comes: where its server has fallen silent, nothing is gained by
 // that, and the push is lost. dealt: nothing else is to be done about it now.
 func (s *Sidecar) answerComes(now, at policy.Time, c *state.Conn, long bool) (dealt bool) {
-	t, b := c.Ticket, c.In.B
+	t, b := c.Request, c.In.B
 	n, status, head, size, chunked, stays, ok := answerHead(b, false, t.Bodiless)
 	if !ok || n == 0 || size > mostStream || t.Client == nil || t.Settled {
 		return false
@@ -59,10 +59,10 @@
 	return true
 }
 
-func (s *Sidecar) beginStream(now, at policy.Time, c *state.Conn, t *state.Ticket, status int, head, body []byte, stays bool) {
+func (s *Sidecar) beginStream(now, at policy.Time, c *state.Conn, t *state.Request, status int, head, body []byte, stays bool) {
 	// For the module the push ends with the first bytes, as the server's work does; the rest is a matter of the sockets.
 	t.Settled = true
-	s.Ended(at, t.Ticket, outcomeOf(status, head))
+	s.Ended(at, t.Request, outcomeOf(status, head))
 	s.Counters.Streams++
 	s.streams++
 	s.setAhead()
@@ -87,7 +87,7 @@
 }
 
 // passOn hands on what has come of an answer.
-func (s *Sidecar) passOn(now, at policy.Time, c *state.Conn, t *state.Ticket, b []byte) {
+func (s *Sidecar) passOn(now, at policy.Time, c *state.Conn, t *state.Request, b []byte) {
 	c.MovedAt = at
 	n, used, done, ok := takeBody(&c.Frame, b)
 	if t.Client != nil {
@@ -102,7 +102,7 @@
 }
 
 // handOn writes a part of the body to the client; where that has much to take, the server waits.
-func (s *Sidecar) handOn(c *state.Conn, t *state.Ticket, b []byte) {
+func (s *Sidecar) handOn(c *state.Conn, t *state.Request, b []byte) {
 	if len(b) == 0 {
 		return
 	}
@@ -141,10 +141,10 @@
 
 // drained is told that a connection has taken most of what waited.
 func (s *Sidecar) drained(c *state.Conn) {
-	switch t := c.Ticket; {
+	switch t := c.Request; {
 	case t == nil || c.Dead:
-	case c.Side == state.Client && t.Push != nil:
-		s.goOn(t.Push)
+	case c.Side == state.Client && t.Attempt != nil:
+		s.goOn(t.Attempt)
 	case c.Side == state.ToServer && t.Client != nil:
 		s.goOn(t.Client)
 	}
@@ -156,7 +156,7 @@
 }
 
 // endStream is the end of an answer that has come whole.
-func (s *Sidecar) endStream(now policy.Time, t *state.Ticket, stays bool) {
+func (s *Sidecar) endStream(now policy.Time, t *state.Request, stays bool) {
 	kind := 0
 	if t.Status != 200 {
 		kind = 1
@@ -173,17 +173,17 @@
 		}
 		s.free(now, c, t.Last)
 	}
-	s.Done(t.Ticket)
+	s.Done(t.Request)
 }
 
 // breakStream is the end of one that stays a part. Its client is shown that by a close before the end that was announced.
-func (s *Sidecar) breakStream(now policy.Time, t *state.Ticket) {
+func (s *Sidecar) breakStream(now policy.Time, t *state.Request) {
 	s.Counters.StreamsBroken++
 	s.streamOver(now, t, false)
 	if c := t.Client; c != nil {
-		c.Ticket, t.Client = nil, nil
+		c.Request, t.Client = nil, nil
 		s.tickets.Unmark(t)
-		s.Unanswered(t.Ticket)
+		s.Unanswered(t.Request)
 		if t.Unframed && !c.Dead {
 			s.conns.End(c) // an HTTP/1.0 client, told no length, takes an orderly end for the answer's
 			c.Link.Reset()
@@ -191,10 +191,10 @@
 			s.close(c)
 		}
 	}
-	s.Done(t.Ticket)
+	s.Done(t.Request)
 }
 
-func (s *Sidecar) streamOver(now policy.Time, t *state.Ticket, stays bool) {
+func (s *Sidecar) streamOver(now policy.Time, t *state.Request, stays bool) {
 	t.Streams = false
 	s.detach(now, t, stays)
 	s.streams--
@@ -203,7 +203,7 @@
 
 // serverDue is the one timer of a connection to a server: idle for too long, or a stream that may move no more.
 func (s *Sidecar) serverDue(now policy.Time, c *state.Conn) {
-	switch t := c.Ticket; {
+	switch t := c.Request; {
 	case t == nil:
 		s.close(c)
 	case t.Streams:
@@ -212,7 +212,7 @@
 }
 
 // streamDue ends a stream in which nothing moves any more, and sets the next look.
-func (s *Sidecar) streamDue(now policy.Time, c *state.Conn, t *state.Ticket) {
+func (s *Sidecar) streamDue(now policy.Time, c *state.Conn, t *state.Request) {
 	if t.Client == nil {
 		s.breakStream(now, t)
 		return
@@ -227,7 +227,7 @@
 	case t.Uploads: // its time has not begun
 		by = c.MovedAt + unreadIn
 	default:
-		by = streamBy(c.Frame, c.MovedAt, t.Since+t.Left-engine.BeforeDeadline*s.Campaign.Tick)
+		by = streamBy(c.Frame, c.MovedAt, t.Since+t.Left-engine.BeforeDeadline*s.Settings.Tick)
 	}
 	if now >= by {
 		s.breakStream(now, t)
--- a/internal/proto/upload.go
+++ b/internal/proto/upload.go
@@ -46,7 +46,7 @@
 		next.B = append(next.B, buf.B[used:]...)
 	}
 	buf.B = buf.B[:n]
-	t := c.Ticket
+	t := c.Request
 	switch {
 	case !ok:
 		s.buffers.Put(buf)
@@ -59,10 +59,10 @@
 		}
 	case t == nil:
 		s.buffers.Put(buf)
-	case t.Sent && t.Push != nil:
+	case t.Sent && t.Attempt != nil:
 		s.sendPart(t, buf.B)
 		s.buffers.Put(buf)
-		s.holdUp(c, t.Push)
+		s.holdUp(c, t.Attempt)
 	default:
 		t.More = s.buffers.Join(t.More, buf)
 		c.Stop.Store(true) // until a push takes it
@@ -91,7 +91,7 @@
 
 // uploaded is told that the body is whole; next came behind it.
 func (s *Sidecar) uploaded(now, at policy.Time, c *state.Conn, next *state.Buffer) {
-	was, t := c.Upload, c.Ticket
+	was, t := c.Upload, c.Request
 	s.Timers.Stop(&c.Timer)
 	c.Upload, c.Asked, c.HeadAt = state.NoUpload, false, 0
 	buf := c.In
@@ -105,31 +105,31 @@
 		s.free(now, c, c.After)
 	default:
 		t.Uploads = false
-		if t.Sent && t.Push != nil {
+		if t.Sent && t.Attempt != nil {
 			s.sendEnd(t)
 		}
-		s.Whole(now, t.Ticket, t.Left)
+		s.Whole(now, t.Request, t.Left)
 	}
 }
 
 // sendPart writes a part of the body to the server.
-func (s *Sidecar) sendPart(t *state.Ticket, b []byte) {
+func (s *Sidecar) sendPart(t *state.Request, b []byte) {
 	if len(b) == 0 {
 		return
 	}
 	if t.Size >= 0 {
-		s.write(t.Push, b)
+		s.write(t.Attempt, b)
 		return
 	}
 	s.scratch = append(strconv.AppendInt(s.scratch[:0], int64(len(b)), 16), "\r\n"...)
-	s.write(t.Push, s.scratch)
-	s.write(t.Push, b)
-	s.write(t.Push, headEnd[:2])
+	s.write(t.Attempt, s.scratch)
+	s.write(t.Attempt, b)
+	s.write(t.Attempt, headEnd[:2])
 }
 
 // sendEnd says that all of it was written.
-func (s *Sidecar) sendEnd(t *state.Ticket) {
-	c := t.Push
+func (s *Sidecar) sendEnd(t *state.Request) {
+	c := t.Attempt
 	if t.Size < 0 {
 		c.Due.Store(c.Queued + int64(len(lastChunk)))
 		s.write(c, lastChunk)
@@ -146,15 +146,15 @@
 
 // uploadDue looks whether a body still comes. While its client has to wait, it is the server that must take something.
 func (s *Sidecar) uploadDue(now policy.Time, c *state.Conn) {
-	t := c.Ticket
+	t := c.Request
 	switch {
 	case c.Stop.Load() && t != nil:
-		if t.Sent && t.Push != nil && !t.Push.Moves(now, t.Push.Written.Load(), flushIn) {
+		if t.Sent && t.Attempt != nil && !t.Attempt.Moves(now, t.Attempt.Written.Load(), flushIn) {
 			if t.Streams {
 				s.breakStream(now, t) // its server answers already
 				return
 			}
-			s.TimedOut(now, t.Ticket)
+			s.TimedOut(now, t.Request)
 		}
 		c.HeadAt = now - policy.Time(c.Frame.Got)*policy.Second/bodyRate
 		s.Timers.Set(&c.Timer, now+lookAt)
@@ -167,7 +167,7 @@
 
 // uploadFails ends a request that does not come whole.
 func (s *Sidecar) uploadFails(now policy.Time, c *state.Conn, status int, why string) {
-	if t := c.Ticket; t != nil {
+	if t := c.Request; t != nil {
 		s.leaves(now, c, t)
 	}
 	c.Upload = state.NoUpload
--- a/internal/state/buffers.go
+++ b/internal/state/buffers.go
@@ -1,4 +1,4 @@
-// Package state keeps what the sidecar holds in memory: buffers, connections, tickets' front side, servers, timers
+// Package state keeps what the instance holds in memory: buffers, connections, requests' front side, endpoints, timers
 // and counters. It knows no protocol and takes no decisions. Only Buffers may be used by several goroutines.
 package state
 
@@ -74,7 +74,7 @@
 	return p.lent
 }
 
-// Full says that no new ticket should be taken into memory.
+// Full says that no new request should be taken into memory.
 func (p *Buffers) Full() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/state/conns.go
+++ b/internal/state/conns.go
@@ -31,46 +31,46 @@
 const (
 	NoUpload  Upload = iota
 	Collected        // it is held until it is whole, as long as it fits
-	Passed           // it goes on to a server as it comes, or nowhere if its ticket has ended
+	Passed           // it goes on to an endpoint as it comes, or nowhere if its request has ended
 )
 
 // Conn is one connection. The loop owns it, but for what is atomic: that is told by whoever serves the socket.
 type Conn struct {
-	Link    Link
-	Side    Side
-	Timer   engine.Timer
-	In      *Buffer      // read and not yet used up
-	Ticket  *Ticket      // that it carries now
-	Server  *Server      // ToServer: whose
-	Life    int          // of the server, when this was dialled
-	Up      bool         // connected
-	Dead    bool         // closed, or about to be: nothing more is read or sent
-	Left    atomic.Bool  // the other end has closed behind what has come of it; its end will be told
-	EOF     atomic.Bool  // the other end has ended its sending in order; a connection that ends without that was reset
-	Last    bool         // closes once all is written; what still comes is dropped
-	Waits   bool         // with its next request for the last answer to be taken
-	Asked   bool         // the client has been asked for the body that it waits with
-	Rests   bool         // has had its answer, and nothing has come since
-	Used    bool         // has carried something
-	Since   policy.Time  // when it came, or last had work
-	No      uint64       // counts connections
-	Queued  int64        // bytes given to the socket
-	Written atomic.Int64 // of these, what the kernel has taken
-	Unread  atomic.Int64 // bytes read that the loop has not looked at yet
-	Ahead   atomic.Int64 // memory that these take
-	Stop    atomic.Bool  // what has not been read stays where it is, until whoever gets it has taken what waits
-	Tell    atomic.Int64 // bytes written of which the loop wants to hear; 0: none
-	Frame   Frame        // of a body that is handed on as it comes
-	Upload  Upload       // what becomes of the body that is coming
-	Size    int          // of that body; -1: not told
-	BodyAt  int          // where it begins in In, while it is collected
-	After   bool         // the connection closes once that body has come
-	Need    int          // bytes with which what In holds is whole, where that is known
-	HeadAt  policy.Time  // when the head was whole, of what In holds
-	Moved   int64        // bytes at the latest look whether any had moved
-	MovedAt policy.Time  // when they last had
-	Due     atomic.Int64 // bytes with which a request is whole; 0: none is being written
-	Whole   *atomic.Int64
+	Link     Link
+	Side     Side
+	Timer    engine.Timer
+	In       *Buffer      // read and not yet used up
+	Request  *Request     // that it carries now
+	Endpoint *Endpoint    // ToServer: whose
+	Life     int          // of the endpoint, when this was dialled
+	Up       bool         // connected
+	Dead     bool         // closed, or about to be: nothing more is read or sent
+	Left     atomic.Bool  // the other end has closed behind what has come of it; its end will be told
+	EOF      atomic.Bool  // the other end has ended its sending in order; a connection that ends without that was reset
+	Last     bool         // closes once all is written; what still comes is dropped
+	Waits    bool         // with its next request for the last answer to be taken
+	Asked    bool         // the client has been asked for the body that it waits with
+	Rests    bool         // has had its answer, and nothing has come since
+	Used     bool         // has carried something
+	Since    policy.Time  // when it came, or last had work
+	No       uint64       // counts connections
+	Queued   int64        // bytes given to the socket
+	Written  atomic.Int64 // of these, what the kernel has taken
+	Unread   atomic.Int64 // bytes read that the loop has not looked at yet
+	Ahead    atomic.Int64 // memory that these take
+	Stop     atomic.Bool  // what has not been read stays where it is, until whoever gets it has taken what waits
+	Tell     atomic.Int64 // bytes written of which the loop wants to hear; 0: none
+	Frame    Frame        // of a body that is handed on as it comes
+	Upload   Upload       // what becomes of the body that is coming
+	Size     int          // of that body; -1: not told
+	BodyAt   int          // where it begins in In, while it is collected
+	After    bool         // the connection closes once that body has come
+	Need     int          // bytes with which what In holds is whole, where that is known
+	HeadAt   policy.Time  // when the head was whole, of what In holds
+	Moved    int64        // bytes at the latest look whether any had moved
+	MovedAt  policy.Time  // when they last had
+	Due      atomic.Int64 // bytes with which a request is whole; 0: none is being written
+	Whole    *atomic.Int64
 }
 
 // Took notes what the kernel has taken, and counts the request whose last byte was in it.
@@ -96,14 +96,14 @@
 // Flushed tells whether the kernel has taken all that was sent.
 func (c *Conn) Flushed() bool { return c.Written.Load() >= c.Queued }
 
-// Server holds the connections to one server.
-type Server struct {
-	Of      *engine.Server
+// Endpoint holds the connections to one endpoint.
+type Endpoint struct {
+	Of      *engine.Endpoint
 	Idle    []*Conn // last used last
-	Awaited int     // of these, for how many a push waits until they have rested
+	Awaited int     // of these, for how many an attempt waits until they have rested
 }
 
-// Conns counts connections against the descriptors allowed, and holds those to servers that stand idle.
+// Conns counts connections against the descriptors allowed, and holds those to endpoints that stand idle.
 type Conns struct {
 	Open    map[*Conn]struct{}
 	Most    [2]int // by side; clients beyond it are let in, and room is made for them
@@ -120,7 +120,7 @@
 
 // NewConns shares the descriptors out. A request in hand needs one on either side, but a connection of a client may also
 // stand idle, or say nothing: so clients get three fifths of what the process itself leaves over, of which room is made in
-// the last eighth, and servers get the rest.
+// the last eighth, and endpoints get the rest.
 func NewConns(descriptors int) *Conns {
 	k := &Conns{Open: map[*Conn]struct{}{}}
 	k.Share(descriptors, 1)
@@ -183,7 +183,7 @@
 	if c.Dead {
 		k.ending[c.Side]--
 	}
-	if c.Server != nil {
+	if c.Endpoint != nil {
 		k.Unpark(c)
 	}
 	return true
@@ -192,13 +192,13 @@
 // Park keeps a connection that carries nothing.
 func (k *Conns) Park(c *Conn, now policy.Time) {
 	c.Since = now
-	c.Server.Idle = append(c.Server.Idle, c)
+	c.Endpoint.Idle = append(c.Endpoint.Idle, c)
 }
 
-// Take takes a connection to the server from those that stand idle, nil if there is none: the last used, so that the others
+// Take takes a connection to the endpoint from those that stand idle, nil if there is none: the last used, so that the others
 // grow old and are closed, of those that have stood idle since rested or have carried nothing yet: on others more may be on its way behind
 // an answer.
-func (k *Conns) Take(server *Server, rested policy.Time) *Conn {
+func (k *Conns) Take(server *Endpoint, rested policy.Time) *Conn {
 	at := len(server.Idle) - 1
 	for at >= 0 && server.Idle[at].Used && server.Idle[at].Since > rested {
 		at--
@@ -213,10 +213,10 @@
 
 // Unpark takes the connection from those that stand idle, if it is among them.
 func (k *Conns) Unpark(c *Conn) bool {
-	idle := c.Server.Idle
+	idle := c.Endpoint.Idle
 	for i := len(idle) - 1; i >= 0; i-- {
 		if idle[i] == c {
-			c.Server.Idle = append(idle[:i], idle[i+1:]...)
+			c.Endpoint.Idle = append(idle[:i], idle[i+1:]...)
 			return true
 		}
 	}
@@ -228,7 +228,7 @@
 func (k *Conns) Oldest(side Side, idle, fresh policy.Time) *Conn {
 	var oldest *Conn
 	for c := range k.Open {
-		if c.Side != side || !c.Up || c.Dead || c.Ticket != nil || c.In != nil || c.Upload != NoUpload || c.Unread.Load() > 0 ||
+		if c.Side != side || !c.Up || c.Dead || c.Request != nil || c.In != nil || c.Upload != NoUpload || c.Unread.Load() > 0 ||
 			c.Used && c.Since > idle || !c.Used && c.Since > fresh {
 			continue
 		}
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -45,11 +45,11 @@
 }
 
 func TestTicketPlacesAreReused(t *testing.T) {
-	place, p := &engine.Ticket{}, &Buffers{}
+	place, p := &engine.Request{}, &Buffers{}
 	first := Of(place)
-	first.Request, first.Answer, first.Status = p.Get(1), p.Get(Large), 200
+	first.Received, first.Answer, first.Status = p.Get(1), p.Get(Large), 200
 	first.Give(p)
-	if again := Of(place); p.Lent() != 0 || again != first || again.Request != nil || again.Status != 0 || again.Ticket != place {
+	if again := Of(place); p.Lent() != 0 || again != first || again.Received != nil || again.Status != 0 || again.Request != place {
 		t.Error("not reused, or not emptied")
 	}
 }
--- a/rpc/conn.go
+++ b/rpc/conn.go
@@ -90,7 +90,7 @@
 	if seed == 0 {
 		seed = rand.Uint64()
 	}
-	c.engine = engine.New(engine.Post{Seed: seed, Campaign: o.Campaign, Source: o.Source, Leave: policy.Second, Stall: daemon.Stall}, log)
+	c.engine = engine.New(engine.Config{Seed: seed, Settings: o.Campaign, Source: o.Source, Leave: policy.Second, Stall: daemon.Stall}, log)
 	c.front = &front{engine: c.engine, dial: opts}
 	c.front.calls.New = newCall
 	c.front.no = c.engine.Add(c.front)
@@ -121,7 +121,7 @@
 // Servers are those of the list in force, in no order.
 func (c *Conn) Servers() (all []Server) {
 	c.inside(func() {
-		for _, s := range c.engine.Servers {
+		for _, s := range c.engine.Endpoints {
 			all = append(all, Server{s.UID, s.Addr, string(s.Zone), s.Leaving})
 		}
 	})
--- a/rpc/front.go
+++ b/rpc/front.go
@@ -60,7 +60,7 @@
 // call is one RPC, from its ticket to its end. The loop owns ticket and seq, the caller the rest; mu is between both.
 type call struct {
 	orders chan order
-	ticket *engine.Ticket
+	ticket *engine.Request
 	seq    uint32 // of the latest push; it goes on when the call is used again, so that nothing late is taken for something new
 	gone   bool   // its caller has its answer, or has left: it reads no more orders
 	closed bool   // its caller has posted its last
@@ -201,8 +201,8 @@
 	}
 }
 
-// Push has the caller send its call to the server.
-func (f *front) Push(now policy.Time, t *engine.Ticket, to *engine.Server) {
+// Send has the caller send its call to the server.
+func (f *front) Send(now policy.Time, t *engine.Request, to *engine.Endpoint) {
 	c := t.Part.(*call)
 	b, err := f.backend(to)
 	if err != nil {
@@ -218,7 +218,7 @@
 	c.orders <- order{to: b, seq: c.seq, at: now} // the round's: the process may have stood still within it
 }
 
-func (f *front) backend(to *engine.Server) (*backend, error) {
+func (f *front) backend(to *engine.Endpoint) (*backend, error) {
 	if b, is := to.Parts[f.no].(*backend); is && !b.retired {
 		return b, nil
 	}
@@ -246,7 +246,7 @@
 	}
 }
 
-func (f *front) TimedOut(now policy.Time, t *engine.Ticket) {
+func (f *front) TimedOut(now policy.Time, t *engine.Request) {
 	c := t.Part.(*call)
 	o := policy.TimedOut
 	if c.attempts.Load() == 0 {
@@ -256,28 +256,28 @@
 	f.engine.Ended(now, t, o)
 }
 
-func (f *front) CallOff(now policy.Time, t *engine.Ticket) {
+func (f *front) CancelAttempt(now policy.Time, t *engine.Request) {
 	t.Part.(*call).stop()
 	f.engine.Ended(now, t, policy.Cancelled)
 }
 
-// Honour: the caller has the reply already.
-func (f *front) Honour(now policy.Time, t *engine.Ticket) {
+// Succeed: the caller has the reply already.
+func (f *front) Succeed(now policy.Time, t *engine.Request) {
 	f.engine.Counters.Honoured++
 	f.engine.Answered(now, t, 0)
 }
 
-func (f *front) TurnBack(now policy.Time, t *engine.Ticket, retryIn policy.Time) {
+func (f *front) Reject(now policy.Time, t *engine.Request, retryIn policy.Time) {
 	f.engine.Counters.TurnedBack++
 	f.answer(now, t, order{final: turnedBack, retryIn: retryIn}, 2)
 }
 
-func (f *front) GiveUp(now policy.Time, t *engine.Ticket) {
+func (f *front) Fail(now policy.Time, t *engine.Request) {
 	f.engine.Counters.GivenUp++
 	f.answer(now, t, order{final: givenUp}, 3)
 }
 
-func (f *front) answer(now policy.Time, t *engine.Ticket, o order, kind int) {
+func (f *front) answer(now policy.Time, t *engine.Request, o order, kind int) {
 	if c := t.Part.(*call); !c.gone {
 		c.gone = true
 		c.orders <- o
@@ -285,16 +285,16 @@
 	f.engine.Answered(now, t, kind)
 }
 
-func (f *front) Unneeded(*engine.Ticket) {}
+func (f *front) Unneeded(*engine.Request) {}
 
 // Given has the call's place used again, once its caller is through with it too.
-func (f *front) Given(t *engine.Ticket) {
+func (f *front) Given(t *engine.Request) {
 	c := t.Part.(*call)
 	t.Part, c.ticket = nil, nil
 	f.free(c)
 }
 
-func (f *front) Retire(s *engine.Server) {
+func (f *front) Retire(s *engine.Endpoint) {
 	if b, is := s.Parts[f.no].(*backend); is && !b.retired {
 		// Calls and streams that are open go on; a connection that nobody uses must not come up again by itself.
 		b.retired = true
@@ -304,14 +304,14 @@
 	}
 }
 
-func (f *front) Forget(*engine.Server) {}
+func (f *front) Forget(*engine.Endpoint) {}
 
 func (f *front) Leave(policy.Time)     {}
 func (f *front) Left(policy.Time) bool { return true }
 
 // Shut closes what is still open.
 func (f *front) Shut() {
-	for _, s := range f.engine.Servers {
+	for _, s := range f.engine.Endpoints {
 		if b, is := s.Parts[f.no].(*backend); is {
 			b.conn.Close()
 		}
