--- a/cmd/pepperlead/list.go
+++ b/cmd/pepperlead/list.go
@@ -9,9 +9,9 @@
 
 	"github.com/spf13/cobra"
 
+	"pepperlead/internal/discovery"
 	"pepperlead/internal/listing"
-	"pepperlead/internal/roster"
-	"pepperlead/internal/shelf"
+	"pepperlead/internal/snapshot"
 	"pepperlead/policy"
 )
 
@@ -67,7 +67,7 @@
 		var files []listing.File
 		var all []summary
 		for _, name := range names {
-			text, err := roster.ReadFile(name)
+			text, err := discovery.ReadFile(name)
 			if err != nil {
 				return err
 			}
@@ -107,7 +107,7 @@
 		if *issue < 0 || *issue > 1<<53 || *away < 0 || *away > 1<<20 {
 			return fmt.Errorf("issue and takes-away: found %d and %d, allowed from 0 up; %w", *issue, *away, errUsage)
 		}
-		text, err := roster.ReadFile(names[0])
+		text, err := discovery.ReadFile(names[0])
 		if err != nil {
 			return err
 		}
@@ -118,7 +118,7 @@
 		if now, err := os.ReadFile(names[0]); err != nil || string(now) != string(text) {
 			return errors.Join(err, fmt.Errorf("%s: it has changed meanwhile: nothing was written", names[0]))
 		}
-		if err := shelf.Replace(names[0], sealed); err != nil {
+		if err := snapshot.Replace(names[0], sealed); err != nil {
 			return err
 		}
 		sum(f).print(c.OutOrStdout())
--- a/cmd/pepperlead/migrate.go
+++ b/cmd/pepperlead/migrate.go
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
+	"pepperlead/internal/discovery"
 	"pepperlead/internal/migration"
-	"pepperlead/internal/roster"
 )
 
 func migrateCommand() *cobra.Command {
@@ -29,7 +29,7 @@
 		if to.Listen == "" || to.Sidecar == 0 {
 			return fmt.Errorf("migrate: --listen and --instances must be given; %w", errUsage)
 		}
-		text, err := roster.ReadFile(names[0])
+		text, err := discovery.ReadFile(names[0])
 		if err != nil {
 			return err
 		}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -21,13 +21,13 @@
 	"pepperlead/internal/admin"
 	"pepperlead/internal/campaign"
 	"pepperlead/internal/clock"
+	"pepperlead/internal/discovery"
 	"pepperlead/internal/engine"
 	"pepperlead/internal/handover"
 	"pepperlead/internal/installation"
 	"pepperlead/internal/listing"
 	"pepperlead/internal/peers"
 	"pepperlead/internal/proto"
-	"pepperlead/internal/roster"
 	"pepperlead/internal/trace"
 	"pepperlead/policy"
 )
@@ -155,7 +155,7 @@
 	Seed                uint64 // 0: to be drawn
 	Campaign            *policy.Settings
 	CutOffs             []policy.Time
-	Source              roster.Source
+	Source              discovery.Source
 	Methods             [][]string // by offering
 	KeyMetadata         string
 	KeyField            string
@@ -178,19 +178,19 @@
 }
 
 // source makes the one that the configuration names, and tells how many descriptors it takes.
-func source(in *installation.Installation) (s roster.Source, descriptors int) {
+func source(in *installation.Installation) (s discovery.Source, descriptors int) {
 	now := clock.New().Now
 	switch in.Kind {
 	case installation.Files:
-		s, descriptors = roster.NewFiles(in.Patterns, in.Terms, now), watchDescriptors
+		s, descriptors = discovery.NewFiles(in.Patterns, in.Terms, now), watchDescriptors
 	case installation.Discovery:
-		p := roster.NewPlatform(in.Discovery, false)
+		p := discovery.NewPlatform(in.Discovery, false)
 		p.From, s = in.From, p
 	case installation.Fixed:
-		s = &roster.Fixed{Entries: in.Servers, Called: fmt.Sprintf("fixed: %+v", in.Servers)}
+		s = &discovery.Fixed{Entries: in.Servers, Called: fmt.Sprintf("fixed: %+v", in.Servers)}
 	}
 	if in.State != "" {
-		s = roster.Keep(s, in.State, now)
+		s = discovery.Keep(s, in.State, now)
 	}
 	return s, descriptors
 }
@@ -251,7 +251,7 @@
 	if err := post.operators(told.Admin, env); err != nil {
 		fault("%w", err)
 	}
-	at := roster.NewPlatform(post.Discovery, values.Of["membership_mode"] == "on_request")
+	at := discovery.NewPlatform(post.Discovery, values.Of["membership_mode"] == "on_request")
 	if _, told := values.Of["rules.drain_grace_s"]; told && values.Of["membership_mode"] == "pushed" {
 		// Discovery is an agent on this machine that has what is told: a process that starts hears it before its first push.
 		at.Grace = max(time.Millisecond, time.Duration(values.Span("rules.drain_grace_s")))
@@ -261,7 +261,7 @@
 	if post.Campaign, err = campaign.Read(values); err != nil {
 		fault("settings: %s", strings.ReplaceAll(err.Error(), "\n", "\nsettings: "))
 	} else {
-		at.Hold = roster.HoldFor(at.Grace > 0, post.Campaign.Instances)
+		at.Hold = discovery.HoldFor(at.Grace > 0, post.Campaign.Instances)
 	}
 	return post, wrong
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"pepperlead/internal/discovery"
 	"pepperlead/internal/proto"
-	"pepperlead/internal/roster"
 	"pepperlead/policy"
 )
 
@@ -123,7 +123,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	post.Discovery, post.Source = "127.2.0.9:1", roster.NewPlatform("127.2.0.9:1", false) // as the environment had it
+	post.Discovery, post.Source = "127.2.0.9:1", discovery.NewPlatform("127.2.0.9:1", false) // as the environment had it
 	lines := make(chanWriter)
 	log := logrus.New()
 	log.SetOutput(lines)
--- a/internal/daemon/rewrite_test.go
+++ b/internal/daemon/rewrite_test.go
@@ -19,9 +19,9 @@
 
 	"github.com/sirupsen/logrus"
 
+	"pepperlead/internal/discovery"
 	"pepperlead/internal/listing"
 	"pepperlead/internal/proto"
-	"pepperlead/internal/roster"
 	"pepperlead/internal/standin"
 )
 
@@ -30,13 +30,13 @@
 
 // tap hands lists through and keeps what it saw.
 type tap struct {
-	roster.Source
+	discovery.Source
 	mu    sync.Mutex
-	lists []*roster.List
+	lists []*discovery.List
 }
 
-func (p *tap) Run(ctx context.Context, say func(roster.News)) {
-	p.Source.Run(ctx, func(n roster.News) {
+func (p *tap) Run(ctx context.Context, say func(discovery.News)) {
+	p.Source.Run(ctx, func(n discovery.News) {
 		if n.List != nil {
 			p.mu.Lock()
 			p.lists = append(p.lists, n.List)
@@ -200,7 +200,7 @@
 }
 
 // truth is what a list file says at some issue.
-type truth map[string]roster.Entry
+type truth map[string]discovery.Entry
 
 // TestThousandRewrites writes list files in all the ways in which people and programs do, whole and not, under load. No list
 // that is not one of those written whole is ever applied, no server that drains gets anything new a second later, and no
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -14,9 +14,9 @@
 
 	"github.com/sirupsen/logrus"
 
+	"pepperlead/internal/discovery"
 	"pepperlead/internal/listing"
 	"pepperlead/internal/proto"
-	"pepperlead/internal/roster"
 	"pepperlead/internal/standin"
 	"pepperlead/policy"
 )
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	fixed := &roster.Fixed{Called: "stand-ins of the demo"}
+	fixed := &discovery.Fixed{Called: "stand-ins of the demo"}
 	var servers []*standin.Server
 	for i := range sc.Servers {
 		// Three in a hundred requests go wrong, so that there is something to see.
@@ -62,7 +62,7 @@
 		}
 		defer s.Close()
 		servers = append(servers, s)
-		fixed.Entries = append(fixed.Entries, roster.Entry{UID: traits.Name, Addr: s.Addr(),
+		fixed.Entries = append(fixed.Entries, discovery.Entry{UID: traits.Name, Addr: s.Addr(),
 			Member: policy.Member{ID: listing.IDOf(traits.Name), Zone: "a", Weight: 1}})
 	}
 	second := policy.Second
--- a/internal/roster/roster.go
+++ b/internal/discovery/discovery.go
@@ -1,7 +1,7 @@
-// Package roster is where servers come from: the platform's discovery, a fixed list, watched files. Each source runs beside
+// Package discovery is where servers come from: the platform's discovery, a fixed list, watched files. Each source runs beside
 // the loop, and what it has to tell crosses over as values. What becomes of a list that was read from files is decided in
 // internal/listing.
-package roster
+package discovery
 
 import (
 	"context"
--- a/internal/roster/files_test.go
+++ b/internal/discovery/files_test.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"bytes"
--- a/internal/roster/kept.go
+++ b/internal/discovery/kept.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"time"
 
 	"pepperlead/internal/listing"
-	"pepperlead/internal/shelf"
+	"pepperlead/internal/snapshot"
 	"pepperlead/policy"
 )
 
@@ -30,17 +30,17 @@
 // the disk beside the loop and beside the source.
 type Kept struct {
 	Source
-	shelf *shelf.Shelf
+	store *snapshot.Store
 	now   func() policy.Time
 }
 
 // Keep wraps a source.
 func Keep(s Source, dir string, now func() policy.Time) *Kept {
-	return &Kept{Source: s, shelf: &shelf.Shelf{Dir: dir}, now: now}
+	return &Kept{Source: s, store: &snapshot.Store{Dir: dir}, now: now}
 }
 
 // Name tells the folder too.
-func (k *Kept) Name() string { return k.Source.Name() + ", kept in " + k.shelf.Dir }
+func (k *Kept) Name() string { return k.Source.Name() + ", kept in " + k.store.Dir }
 
 // Look is the source's, where it has one.
 func (k *Kept) Look(within time.Duration) bool {
@@ -80,7 +80,7 @@
 			r.Resume(entries, memo)
 		}
 		say(News{List: &List{Kind: policy.ListSaved, Entries: entries, Memo: memo}})
-	case !errors.Is(err, shelf.ErrNone):
+	case !errors.Is(err, snapshot.ErrNone):
 		// A damaged list is no reason not to serve: the source has a newer one.
 		say(News{Note: "kept list: left out: " + err.Error()})
 	}
@@ -143,13 +143,13 @@
 	if err != nil {
 		return err
 	}
-	return k.shelf.Put(keptName, keptKind, keptVersion, body)
+	return k.store.Put(keptName, keptKind, keptVersion, body)
 }
 
 func (k *Kept) load() ([]Entry, listing.Memo, error) {
 	var doc saved
 	memo := listing.Memo{Drains: map[string]listing.Drain{}}
-	body, err := k.shelf.Get(keptName, keptKind, keptVersion)
+	body, err := k.store.Get(keptName, keptKind, keptVersion)
 	if err == nil {
 		err = json.Unmarshal(body, &doc)
 	}
--- a/internal/drill/cluster.go
+++ b/internal/drill/cluster.go
@@ -56,7 +56,7 @@
 
 	discovery = links.Place("discovery")
 	// How long after the way to discovery is open again a sidecar may not have heard it: a call is given up after 2 s, the next one is made
-	// within 2 s, and what was held in the link comes at once (internal/roster). A watch waits longer than drills cut it off.
+	// within 2 s, and what was held in the link comes at once (internal/discovery). A watch waits longer than drills cut it off.
 	hearsIn  = 5 * time.Second
 	answerIn = cutOff + 3*time.Second
 )
--- a/internal/drill/report.go
+++ b/internal/drill/report.go
@@ -9,7 +9,7 @@
 	"path/filepath"
 	"slices"
 
-	"pepperlead/internal/shelf"
+	"pepperlead/internal/snapshot"
 )
 
 //go:embed report.html
@@ -123,5 +123,5 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	return shelf.Replace(filepath.Join(dir, fmt.Sprintf("%s-%d.html", r.Drill, r.Seed)), out.Bytes())
+	return snapshot.Replace(filepath.Join(dir, fmt.Sprintf("%s-%d.html", r.Drill, r.Seed)), out.Bytes())
 }
--- a/internal/engine/byhand.go
+++ b/internal/engine/byhand.go
@@ -4,8 +4,8 @@
 	"errors"
 	"slices"
 
+	"pepperlead/internal/discovery"
 	"pepperlead/internal/listing"
-	"pepperlead/internal/roster"
 	"pepperlead/policy"
 )
 
@@ -51,7 +51,7 @@
 
 // shown is what everybody is told of an entry. An endpoint that is out by hand or banned drains, whatever the list says; one that was called
 // back was restarted meanwhile, whether or not the list tells so yet.
-func (f *members) shown(e roster.Entry) roster.Entry {
+func (f *members) shown(e discovery.Entry) discovery.Entry {
 	h := f.byHand[e.UID]
 	if _, banned := slices.BinarySearch(f.banned, e.ID); (h.out || banned) && e.Standing == policy.Ready {
 		e.Standing = policy.Draining
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -11,7 +11,7 @@
 	"github.com/sirupsen/logrus"
 
 	"pepperlead/internal/clock"
-	"pepperlead/internal/roster"
+	"pepperlead/internal/discovery"
 	"pepperlead/internal/trace"
 	"pepperlead/policy"
 )
@@ -57,12 +57,12 @@
 type Config struct {
 	Seed     uint64
 	Settings *policy.Settings
-	Source   roster.Source   // of endpoints
-	Known    []byte          // a list saved earlier, as discovery gives it
-	Leave    policy.Time     // from the first sign of the end to the last answer
-	Latency  Latency         // of final answers; nil: not measured
-	Record   *trace.Recorder // of what comes in and how it ends; nil: none
-	Stall    policy.Time     // a loop that has not turned for so long may have stood still: it looks at its list first; 0: never
+	Source   discovery.Source // of endpoints
+	Known    []byte           // a list saved earlier, as discovery gives it
+	Leave    policy.Time      // from the first sign of the end to the last answer
+	Latency  Latency          // of final answers; nil: not measured
+	Record   *trace.Recorder  // of what comes in and how it ends; nil: none
+	Stall    policy.Time      // a loop that has not turned for so long may have stood still: it looks at its list first; 0: never
 }
 
 // Request is a request as the engine has it. Part is the front's own, and stays with the place.
@@ -94,9 +94,9 @@
 	Zone    policy.Zone
 	Started policy.Time
 	Leaving bool
-	Life    int          // counts what makes its connections worthless: that it leaves, starts anew, or moves to another address
-	Listed  bool         // the latest list names it
-	Said    roster.Entry // what that says of it
+	Life    int             // counts what makes its connections worthless: that it leaves, starts anew, or moves to another address
+	Listed  bool            // the latest list names it
+	Said    discovery.Entry // what that says of it
 	Parts   [MostFronts]any
 }
 
@@ -191,10 +191,10 @@
 	now := e.Clock.Now()
 	if len(e.Known) > 0 {
 		// A saved list that cannot be read is no reason not to serve: discovery has a newer one.
-		if _, _, entries, err := roster.ReadList(e.Known); err != nil {
+		if _, _, entries, err := discovery.ReadList(e.Known); err != nil {
 			e.Logger.WithError(err).Warn("known list: left out")
 		} else {
-			e.list.apply(now, &roster.List{Kind: policy.ListSaved, Entries: entries})
+			e.list.apply(now, &discovery.List{Kind: policy.ListSaved, Entries: entries})
 		}
 	}
 	e.publish(now)
--- a/internal/engine/members.go
+++ b/internal/engine/members.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"pepperlead/internal/roster"
+	"pepperlead/internal/discovery"
 	"pepperlead/policy"
 )
 
@@ -14,14 +14,14 @@
 
 // told is news of a source, and which source that was: one that is followed no longer may still have some under way.
 type told struct {
-	by   roster.Source
-	news roster.News
+	by   discovery.Source
+	news discovery.News
 }
 
 // members follows a source of endpoints and hands the module what it tells.
 type members struct {
 	e       *Engine
-	source  roster.Source
+	source  discovery.Source
 	news    chan told
 	end     context.CancelFunc
 	ended   chan struct{}
@@ -36,11 +36,11 @@
 	oldest  int
 	banned  []policy.EndpointID // by versions
 	closed  bool                // versions say which endpoints there are
-	own     []roster.Entry      // what the source said last, where there are versions
+	own     []discovery.Entry   // what the source said last, where there are versions
 }
 
 // start runs a source beside the loop.
-func (f *members) start(source roster.Source) {
+func (f *members) start(source discovery.Source) {
 	ctx, end := context.WithCancel(context.Background())
 	before, ended := f.ended, make(chan struct{})
 	f.source, f.end, f.ended = source, end, ended
@@ -52,7 +52,7 @@
 		if before != nil {
 			<-before // both may keep their list in one place
 		}
-		source.Run(ctx, func(n roster.News) {
+		source.Run(ctx, func(n discovery.News) {
 			select {
 			case f.news <- told{source, n}:
 			case <-ctx.Done():
@@ -62,7 +62,7 @@
 }
 
 // move goes over to another source, whose lists need not go on from those of the old.
-func (f *members) move(source roster.Source) {
+func (f *members) move(source discovery.Source) {
 	f.end()
 	f.failed, f.refused = 0, ""
 	f.start(source)
@@ -130,7 +130,7 @@
 }
 
 // apply hands a list to the module.
-func (f *members) apply(now policy.Time, list *roster.List) {
+func (f *members) apply(now policy.Time, list *discovery.List) {
 	f.heard = true
 	f.e.Counters.Lists++
 	f.e.Counters.ListEntries += len(list.Entries)
@@ -154,7 +154,7 @@
 
 // know keeps where an endpoint is. Two endpoints never share an id: by 64 bits of a hash they hardly could, and the
 // second is then left out.
-func (f *members) know(e roster.Entry) bool {
+func (f *members) know(e discovery.Entry) bool {
 	server := f.e.Endpoints[e.ID]
 	if server == nil && e.Standing == policy.Gone {
 		return false
@@ -195,4 +195,4 @@
 }
 
 // Apply hands the module a list that came from elsewhere than the engine's source.
-func (e *Engine) Apply(now policy.Time, list *roster.List) { e.list.apply(now, list) }
+func (e *Engine) Apply(now policy.Time, list *discovery.List) { e.list.apply(now, list) }
--- a/internal/engine/members_test.go
+++ b/internal/engine/members_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"pepperlead/internal/discovery"
 	"pepperlead/internal/listing"
-	"pepperlead/internal/roster"
 	"pepperlead/policy"
 )
 
@@ -21,28 +21,28 @@
 	log.SetOutput(io.Discard)
 	e := New(Config{Settings: &policy.Settings{Instances: 1}}, log)
 	m := policy.Member{ID: 7}
-	if !e.list.know(roster.Entry{Member: m, UID: "a", Addr: "127.0.0.1:1"}) ||
-		e.list.know(roster.Entry{Member: m, UID: "b", Addr: "127.0.0.1:2"}) ||
-		!e.list.know(roster.Entry{Member: m, UID: "a", Addr: "127.0.0.1:3"}) || e.Endpoints[7].Addr != "127.0.0.1:3" {
+	if !e.list.know(discovery.Entry{Member: m, UID: "a", Addr: "127.0.0.1:1"}) ||
+		e.list.know(discovery.Entry{Member: m, UID: "b", Addr: "127.0.0.1:2"}) ||
+		!e.list.know(discovery.Entry{Member: m, UID: "a", Addr: "127.0.0.1:3"}) || e.Endpoints[7].Addr != "127.0.0.1:3" {
 		t.Error("two servers were merged")
 	}
 }
 
 // flood is a source that always has another list.
-type flood struct{ roster.Source }
+type flood struct{ discovery.Source }
 
 func (flood) Follow(bool) {}
 
-func (flood) Run(ctx context.Context, tell func(roster.News)) {
+func (flood) Run(ctx context.Context, tell func(discovery.News)) {
 	var all sync.WaitGroup
 	for range 4 {
 		all.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				list := roster.List{Kind: policy.ListFull}
+				list := discovery.List{Kind: policy.ListFull}
 				for id := range policy.EndpointID(100) {
-					list.Entries = append(list.Entries, roster.Entry{Member: policy.Member{ID: id, Weight: float64(1 + (n+int(id))%2)}})
+					list.Entries = append(list.Entries, discovery.Entry{Member: policy.Member{ID: id, Weight: float64(1 + (n+int(id))%2)}})
 				}
-				tell(roster.News{List: &list})
+				tell(discovery.News{List: &list})
 			}
 		})
 	}
@@ -82,7 +82,7 @@
 
 // A part of a network that is cut off knows of few instances, and must not take the others' part of the budgets; nor may a new configuration.
 func TestBudgetsAreNeverSharedAmongFewer(t *testing.T) {
-	source := &roster.Fixed{Called: "none"}
+	source := &discovery.Fixed{Called: "none"}
 	campaign := func(sidecars int) *policy.Settings {
 		return &policy.Settings{Instances: sidecars, Tick: 5 * policy.Millisecond}
 	}
--- a/internal/engine/record.go
+++ b/internal/engine/record.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/cespare/xxhash/v2"
 
-	"pepperlead/internal/roster"
+	"pepperlead/internal/discovery"
 	"pepperlead/internal/trace"
 	"pepperlead/policy"
 )
@@ -48,7 +48,7 @@
 	}
 }
 
-func (e *Engine) recordListed(now policy.Time, of roster.Entry) {
+func (e *Engine) recordListed(now policy.Time, of discovery.Entry) {
 	if r := e.Record; r != nil {
 		r.Put(trace.Record{Kind: trace.Listed, At: now, No: uint64(r.ServerNo(now, of.Member, of.UID)), A: int64(of.Standing),
 			B: int64(of.Started)})
--- a/internal/engine/terms.go
+++ b/internal/engine/terms.go
@@ -10,7 +10,7 @@
 
 	"pepperlead/internal/agreement"
 	"pepperlead/internal/clock"
-	"pepperlead/internal/roster"
+	"pepperlead/internal/discovery"
 	"pepperlead/policy"
 )
 
@@ -18,7 +18,7 @@
 type Version struct {
 	agreement.Version
 	Campaign *policy.Settings
-	Servers  []roster.Entry      // nil: those of the instance's own source
+	Servers  []discovery.Entry   // nil: those of the instance's own source
 	Table    []policy.EndpointID // who has which slot; nil: as assigned here
 }
 
@@ -316,12 +316,12 @@
 	if r.Open {
 		if f.closed {
 			f.closed = false
-			f.apply(f.e.Clock.Now(), &roster.List{Kind: policy.ListFull, Entries: f.own})
+			f.apply(f.e.Clock.Now(), &discovery.List{Kind: policy.ListFull, Entries: f.own})
 		}
 		return
 	}
 	f.closed = true
-	var all []roster.Entry
+	var all []discovery.Entry
 	named := map[policy.EndpointID]bool{}
 	for _, v := range said {
 		for _, e := range v.Servers {
@@ -340,7 +340,7 @@
 			all = append(all, e)
 		}
 	}
-	f.apply(f.e.Clock.Now(), &roster.List{Kind: policy.ListFull, Entries: all})
+	f.apply(f.e.Clock.Now(), &discovery.List{Kind: policy.ListFull, Entries: all})
 }
 
 // ban takes out the endpoints that a version bans, and calls back those that none does any more.
@@ -363,12 +363,12 @@
 }
 
 // keep notes what the own source tells while versions say which endpoints there are.
-func (f *members) keep(l *roster.List) {
+func (f *members) keep(l *discovery.List) {
 	if l.Kind != policy.ListChanges {
 		f.own = nil
 	}
 	for _, e := range l.Entries {
-		at := slices.IndexFunc(f.own, func(was roster.Entry) bool { return was.ID == e.ID })
+		at := slices.IndexFunc(f.own, func(was discovery.Entry) bool { return was.ID == e.ID })
 		switch {
 		case at >= 0 && e.Standing == policy.Gone:
 			f.own = slices.Delete(f.own, at, at+1)
--- a/internal/engine/terms_test.go
+++ b/internal/engine/terms_test.go
@@ -8,7 +8,7 @@
 	"github.com/sirupsen/logrus"
 
 	"pepperlead/internal/agreement"
-	"pepperlead/internal/roster"
+	"pepperlead/internal/discovery"
 	"pepperlead/policy"
 )
 
@@ -33,7 +33,7 @@
 func (f *frontless) Offers(name string, at policy.ClassID, _ policy.Time) { f.offers[name] = at }
 func (f *frontless) Quotes(name string, at policy.TenantID)               { f.quotes[name] = at }
 
-func versionOf(n agreement.Number, servers []roster.Entry, franchises []policy.Tenant, offerings ...policy.Class) *Version {
+func versionOf(n agreement.Number, servers []discovery.Entry, franchises []policy.Tenant, offerings ...policy.Class) *Version {
 	c := &policy.Settings{Instances: 4, Weighted: true, FallMultiple: 3, ColdShare: 0.5, MaxAttempts: 3, Tick: policy.Millisecond, Classes: offerings, Tenants: franchises}
 	var cutOffs []policy.Time
 	for _, o := range offerings {
@@ -74,7 +74,7 @@
 	if campaign.Classes[a].Idempotency != policy.Idempotent || campaign.FallMultiple != 3 {
 		t.Fatalf("by its own file: %+v", campaign)
 	}
-	e.list.take(0, told{news: roster.News{List: &roster.List{Kind: policy.ListFull, Entries: []roster.Entry{{Member: policy.Member{ID: 9}, UID: "own"}}}}})
+	e.list.take(0, told{news: discovery.News{List: &discovery.List{Kind: policy.ListFull, Entries: []discovery.Entry{{Member: policy.Member{ID: 9}, UID: "own"}}}}})
 	now := e.Clock.Now()
 	first := e.Take(0)
 	e.Admit(now, now, first, a, policy.NoTenant, "k", false, 2*policy.Second) // idempotent, and stays so or stricter
@@ -82,7 +82,7 @@
 	if f.pushed != 1 || len(e.Endpoints) != 1 {
 		t.Fatalf("%d pushes, %d servers", f.pushed, len(e.Endpoints))
 	}
-	servers := []roster.Entry{{Member: policy.Member{ID: 1, Weight: 1}, UID: "x"}, {Member: policy.Member{ID: 2, Weight: 1}, UID: "y"}}
+	servers := []discovery.Entry{{Member: policy.Member{ID: 1, Weight: 1}, UID: "x"}, {Member: policy.Member{ID: 2, Weight: 1}, UID: "y"}}
 	if !e.Learn(versionOf(1, servers, []policy.Tenant{{Name: "f", Quota: 5}}, offering("a", policy.NonIdempotent), offering("b", policy.Keyed))) {
 		t.Fatal("not learned")
 	}
@@ -139,7 +139,7 @@
 		t.Fatal("no push was decided on, or it does not stand")
 	}
 	e.Endpoints[9].Said.Standing = policy.Draining
-	e.list.apply(now, &roster.List{Kind: policy.ListChanges, Entries: []roster.Entry{{Member: policy.Member{ID: 9, Standing: policy.Draining}, UID: "own"}}})
+	e.list.apply(now, &discovery.List{Kind: policy.ListChanges, Entries: []discovery.Entry{{Member: policy.Member{ID: 9, Standing: policy.Draining}, UID: "own"}}})
 	time.Sleep(40 * time.Millisecond)
 	if e.Stands(now, second) || e.terms.leased {
 		t.Error("what was decided under a lease is written without it, to a server that has gone")
--- a/internal/engine/write_test.go
+++ b/internal/engine/write_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"pepperlead/internal/roster"
+	"pepperlead/internal/discovery"
 	"pepperlead/policy"
 )
 
@@ -26,7 +26,7 @@
 		e.Add(f)
 		now := e.Clock.Now()
 		then := now - k.ago
-		e.Apply(then, &roster.List{Kind: policy.ListFull, Entries: []roster.Entry{{Member: policy.Member{ID: 1, Weight: 1}, UID: "x"},
+		e.Apply(then, &discovery.List{Kind: policy.ListFull, Entries: []discovery.Entry{{Member: policy.Member{ID: 1, Weight: 1}, UID: "x"},
 			{Member: policy.Member{ID: 2, Weight: 1}, UID: "y"}}})
 		ticket := e.Take(0)
 		e.Admit(then, then, ticket, 0, policy.NoTenant, "k", false, 9*policy.Second)
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -11,7 +11,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"pepperlead/internal/shelf"
+	"pepperlead/internal/snapshot"
 )
 
 // PlotRows draws a sweep's table into an SVG file: service by scenario, or by the values of a figure, a mark for each policy with its
@@ -76,7 +76,7 @@
 	if _, err := c.WriteTo(&b); err != nil {
 		return err
 	}
-	return shelf.Replace(path, b.Bytes())
+	return snapshot.Replace(path, b.Bytes())
 }
 
 // bars are points with their intervals.
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -18,7 +18,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 
 	"pepperlead/internal/emulator"
-	"pepperlead/internal/shelf"
+	"pepperlead/internal/snapshot"
 	"pepperlead/policy"
 )
 
@@ -53,7 +53,7 @@
 		return "", err
 	}
 	path := filepath.Join(dir, "report.html")
-	return path, shelf.Replace(path, out.Bytes())
+	return path, snapshot.Replace(path, out.Bytes())
 }
 
 var ruleNames = []string{"one final answer before the cut-off", "no effect twice", "nothing new to a server that leaves",
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -16,7 +16,7 @@
 	"pepperlead/internal/emulator"
 	"pepperlead/internal/emulator/baseline"
 	"pepperlead/internal/emulator/judge"
-	"pepperlead/internal/shelf"
+	"pepperlead/internal/snapshot"
 	"pepperlead/policy"
 )
 
@@ -180,7 +180,7 @@
 	if err != nil {
 		return err
 	}
-	return shelf.Replace(path, append(b, '\n'))
+	return snapshot.Replace(path, append(b, '\n'))
 }
 
 func readJSON(path string, v any) error {
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -20,7 +20,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/sirupsen/logrus"
 
-	"pepperlead/internal/shelf"
+	"pepperlead/internal/snapshot"
 )
 
 const (
@@ -46,7 +46,7 @@
 	dir    string
 	root   *os.File // the folder: paths of sockets are short, whatever its name
 	name   string   // of the own socket
-	shelf  shelf.Shelf
+	store  snapshot.Store
 	socket net.Listener
 	log    *logrus.Logger
 	obey   func(uids []string) bool // has the loop take out these servers and no others; true once it has
@@ -97,7 +97,7 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &Kin{dir: dir, root: root, name: fmt.Sprintf("%d-%x%s", os.Getpid(), time.Now().UnixNano(), linkEnd), shelf: shelf.Shelf{Dir: dir},
+	k := &Kin{dir: dir, root: root, name: fmt.Sprintf("%d-%x%s", os.Getpid(), time.Now().UnixNano(), linkEnd), store: snapshot.Store{Dir: dir},
 		log: log, others: map[*other]struct{}{}, alone: map[string]bool{}, obey: func([]string) bool { return true }, share: func(int) {},
 		tell: func() []byte { return nil }}
 	if k.socket, err = net.Listen("unix", k.at(k.name)); err != nil {
@@ -228,8 +228,8 @@
 	if k.why != nil {
 		return nil, nil
 	}
-	body, err := k.shelf.Get(kept, keptKind, keptVersion)
-	if errors.Is(err, shelf.ErrNone) {
+	body, err := k.store.Get(kept, keptKind, keptVersion)
+	if errors.Is(err, snapshot.ErrNone) {
 		return nil, nil
 	}
 	return strings.Fields(string(body)), err
@@ -321,7 +321,7 @@
 	if err != nil {
 		return err
 	}
-	return k.shelf.Put(kept, keptKind, keptVersion, []byte(strings.Join(with(uids, uid, out), "\n")))
+	return k.store.Put(kept, keptKind, keptVersion, []byte(strings.Join(with(uids, uid, out), "\n")))
 }
 
 // with is the list with that server on it, or without.
--- a/internal/proto/crossing_test.go
+++ b/internal/proto/crossing_test.go
@@ -14,7 +14,7 @@
 
 	logrustest "github.com/sirupsen/logrus/hooks/test"
 
-	"pepperlead/internal/roster"
+	"pepperlead/internal/discovery"
 	"pepperlead/internal/state"
 	"pepperlead/policy"
 )
@@ -241,7 +241,7 @@
 		drained, ready := newStandIn(t), newStandIn(t)
 		addr, release := held(t, strings.Replace(listOf(drained.Addr().String()+" Terminating", ready.Addr().String()), "REV", "7", 1))
 		r, _ := run(t, func(p *Post) {
-			source := roster.NewPlatform(addr, false)
+			source := discovery.NewPlatform(addr, false)
 			source.Grace = time.Second
 			p.Source, p.First = source, 300*policy.Millisecond
 		}, drained.Addr().String())
--- a/internal/proto/rig_test.go
+++ b/internal/proto/rig_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"pepperlead/internal/roster"
+	"pepperlead/internal/discovery"
 	"pepperlead/internal/state"
 	"pepperlead/policy"
 )
@@ -228,7 +228,7 @@
 	}
 	free.Close()
 	s := time.Second.Nanoseconds()
-	post := Post{Listen: free.Addr().String(), Source: roster.NewPlatform(a.Addr().String(), false), Seed: 5, Descriptors: 256, Memory: 32 << 20,
+	post := Post{Listen: free.Addr().String(), Source: discovery.NewPlatform(a.Addr().String(), false), Seed: 5, Descriptors: 256, Memory: 32 << 20,
 		ConnectIn: policy.Time(s / 5), IdleFor: policy.Time(s * 60), Leave: policy.Time(s), Accept: policy.Time(s / 20),
 		Known: []byte(told), Campaign: &policy.Settings{Instances: 1, Zone: "a", Zones: 1, MayCancel: true, MaxAttempts: 3,
 			MaxRetryAfter: policy.Second, Tick: 5 * policy.Millisecond, ColdShare: 0.2, ColdTime: policy.Second, FallMultiple: 3,
--- a/internal/proto/sidecar.go
+++ b/internal/proto/sidecar.go
@@ -7,8 +7,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"pepperlead/internal/discovery"
 	"pepperlead/internal/engine"
-	"pepperlead/internal/roster"
 	"pepperlead/internal/state"
 	"pepperlead/internal/trace"
 	"pepperlead/policy"
@@ -17,7 +17,7 @@
 // Post is what a sidecar is told of its place: where it listens and asks, and what it may use.
 type Post struct {
 	Listen      string
-	Source      roster.Source // of servers
+	Source      discovery.Source // of servers
 	Seed        uint64
 	Descriptors int
 	Aside       int // of these, for what stands beside the sidecar
--- a/internal/proto/sidecar_test.go
+++ b/internal/proto/sidecar_test.go
@@ -11,8 +11,8 @@
 	"testing/quick"
 	"time"
 
+	"pepperlead/internal/discovery"
 	"pepperlead/internal/engine"
-	"pepperlead/internal/roster"
 	"pepperlead/internal/state"
 	"pepperlead/policy"
 )
@@ -142,7 +142,7 @@
 	slow.send("once/slow", "b", "")
 	time.Sleep(20 * time.Millisecond)
 	post := r.post
-	post.Source = roster.NewPlatform(second.Addr().String(), false)
+	post.Source = discovery.NewPlatform(second.Addr().String(), false)
 	r.new <- post
 	first.Close()
 	if answer, got := slow.receive(); answer.StatusCode != 200 || got != "b" || answer.Close {
@@ -243,11 +243,11 @@
 	r.end()
 	s := New(r.post, r.Logger)
 	s.sockets.connect = func(string, policy.Time) (net.Conn, error) { return nil, net.ErrClosed }
-	_, _, entries, err := roster.ReadList(s.post.Known)
+	_, _, entries, err := discovery.ReadList(s.post.Known)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Apply(1, &roster.List{Kind: policy.ListSaved, Entries: entries})
+	s.Apply(1, &discovery.List{Kind: policy.ListSaved, Entries: entries})
 	return s, func(side state.Side) (*state.Conn, *sink) {
 		c := &state.Conn{Side: side, Up: true, Timer: engine.Timer{Do: func(policy.Time) {}}}
 		k := &sink{conn: c}
@@ -355,12 +355,12 @@
 					in = []byte{0}
 				}
 			}
-			if _, full, entries, err := roster.ReadList(in); err == nil {
+			if _, full, entries, err := discovery.ReadList(in); err == nil {
 				kind := policy.ListChanges
 				if full {
 					kind = policy.ListFull
 				}
-				s.Apply(now, &roster.List{Kind: kind, Entries: entries})
+				s.Apply(now, &discovery.List{Kind: kind, Entries: entries})
 			}
 			c := []*state.Conn{client, server}[rnd.Intn(2)]
 			buf := s.buffers.Get(len(in))
--- a/internal/shelf/shelf.go
+++ b/internal/snapshot/snapshot.go
@@ -1,6 +1,6 @@
-// Package shelf keeps small things on disk over a restart: each is written to a new file, synced and renamed, so that
+// Package snapshot keeps small things on disk over a restart: each is written to a new file, synced and renamed, so that
 // whatever ends the process leaves the old or the new, and carries a checksum, so that a damaged one is known.
-package shelf
+package snapshot
 
 import (
 	"bytes"
@@ -18,14 +18,14 @@
 // ErrNone says that nothing is kept under the name.
 var ErrNone = errors.New("nothing is kept")
 
-// Shelf is a folder. The zero value of Step is ready to use; tests have it called before each step of a write.
-type Shelf struct {
+// Store is a folder. The zero value of Step is ready to use; tests have it called before each step of a write.
+type Store struct {
 	Dir  string
 	Step func(name string)
 }
 
 // Put keeps the body under the name, in place of what was there. kind and version say what it is.
-func (s *Shelf) Put(name, kind string, version int, body []byte) error {
+func (s *Store) Put(name, kind string, version int, body []byte) error {
 	head := fmt.Sprintf("pepperlead %s %d %d %x\n", kind, version, len(body), sha256.Sum256(body))
 	if err := os.MkdirAll(s.Dir, 0o700); err != nil {
 		return err
@@ -34,7 +34,7 @@
 }
 
 // Get gives what was last kept under the name, if it is whole and of that kind and version.
-func (s *Shelf) Get(name, kind string, version int) ([]byte, error) {
+func (s *Store) Get(name, kind string, version int) ([]byte, error) {
 	path := filepath.Join(s.Dir, name)
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/shelf/shelf_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -1,4 +1,4 @@
-package shelf
+package snapshot
 
 import (
 	"errors"
@@ -17,7 +17,7 @@
 	if dir == "" {
 		os.Exit(m.Run())
 	}
-	s := &Shelf{Dir: dir, Step: func(at string) {
+	s := &Store{Dir: dir, Step: func(at string) {
 		if at == step {
 			syscall.Kill(os.Getpid(), syscall.SIGKILL)
 			select {}
@@ -28,7 +28,7 @@
 
 func TestAKillLeavesTheOldOrTheNew(t *testing.T) {
 	for i, step := range steps {
-		s := &Shelf{Dir: t.TempDir()}
+		s := &Store{Dir: t.TempDir()}
 		if err := s.Put("x", "kind", 1, []byte("the old")); err != nil {
 			t.Fatal(err)
 		}
@@ -56,7 +56,7 @@
 
 // A write that fails at any step says so, and what was there stays.
 func TestDamageIsKnown(t *testing.T) {
-	s := &Shelf{Dir: t.TempDir()}
+	s := &Store{Dir: t.TempDir()}
 	if _, err := s.Get("x", "kind", 1); !errors.Is(err, ErrNone) {
 		t.Error(err)
 	}
