--- /dev/null
+++ b/internal/daemon/orders.go
@@ -0,0 +1,284 @@
+package daemon
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"strconv"
+	"strings"
+	"time"
+
+	"pepperlead/internal/admin"
+	"pepperlead/internal/campaign"
+	"pepperlead/internal/clock"
+	"pepperlead/internal/discovery"
+	"pepperlead/internal/handover"
+	"pepperlead/internal/installation"
+	"pepperlead/internal/listing"
+	"pepperlead/internal/peers"
+	"pepperlead/internal/proto"
+	"pepperlead/policy"
+)
+
+// Orders are all that a configuration says: the sidecar's post, and what stands around it.
+type Orders struct {
+	proto.Post
+	Discovery string // address, where the platform's is followed
+	Name      string
+	inFile    string // the same as the file alone has it
+	Door      string // address for operators; "": none
+	Pages     string // address of counters and metrics over HTTP; "": none
+	LogLevel  string // "": as the command line says
+	LogFormat string
+	Peers     *peers.Post // nil: none
+	Agree     bool        // rules come from the peers' keepers
+}
+
+// Read takes orders from the configuration in the file, and from what the environment says of the same. One that begins with
+// { is the platform's JSON, any other the product's own.
+func Read(path string, env func(string) string) (Orders, error) {
+	b, err := os.ReadFile(path)
+	if err != nil {
+		return Orders{}, err
+	}
+	return Parse(path, b, env)
+}
+
+// Parse takes orders from the text of such a file.
+func Parse(path string, b []byte, env func(string) string) (Orders, error) {
+	if bytes.HasPrefix(bytes.TrimSpace(b), []byte("{")) {
+		lines, err := Lines(path, b)
+		if err != nil {
+			return Orders{}, err
+		}
+		o, err := platform(path, b, env)
+		if err != nil {
+			return o, placed(path, err, lines)
+		}
+		return o, nil
+	}
+	o, err := product(path, b)
+	if err != nil {
+		return o, err
+	}
+	return o, o.operators(o.Door, env)
+}
+
+// operators takes what the environment says of the door and of the listener, which goes first, and sets descriptors aside for them.
+func (o *Orders) operators(door string, env func(string) string) error {
+	o.Door = door
+	if at := env("GW_ADMIN"); at != "" {
+		o.Door = at
+	}
+	if o.Door != "" && !listing.Address(o.Door) {
+		return fmt.Errorf("admin: found %q, allowed an IP address and port, as 127.0.0.1:9002", o.Door)
+	}
+	if fd := env("GW_INHERITED_FD"); fd != "" {
+		n, err := strconv.Atoi(fd)
+		if err != nil || n < 3 {
+			return fmt.Errorf("GW_INHERITED_FD: found %q, allowed the number of a descriptor", fd)
+		}
+		o.Inherited = n
+	}
+	if o.Door != "" {
+		o.Aside += admin.DoorDescriptors
+	}
+	if o.together() {
+		o.Aside += handover.Descriptors
+	}
+	return nil
+}
+
+// together tells whether other processes may be one sidecar with this one, or something is to be kept for the next.
+func (o *Orders) together() bool { return o.Door != "" || o.Inherited > 0 }
+
+// product makes orders of the product's own configuration.
+func product(path string, b []byte) (Orders, error) {
+	in, err := installation.Read(path, b)
+	if err != nil {
+		return Orders{}, err
+	}
+	o := Orders{Name: in.Name, Door: in.Admin, Pages: in.Pages, Discovery: in.Discovery, LogLevel: in.LogLevel, LogFormat: in.LogFormat,
+		Post: proto.Post{Listen: in.Listen, Descriptors: in.Descriptors, Memory: in.MemoryMB << 20,
+			ConnectIn: in.ConnectIn, From: in.From, IdleFor: in.IdleFor, Accept: acceptFor, Campaign: in.Campaign, CutOffs: in.CutOffs,
+			Default: in.Default, Anonymous: in.Anonymous, Stall: Stall}}
+	if o.Seed = rand.Uint64(); in.Seeded {
+		o.Seed = instanceSeed(in.Seed, in.Listen)
+	}
+	o.Leave = in.Leave + acceptFor
+	o.Source, o.Aside = source(in)
+	if at := in.Peers; at.Listen != "" {
+		key, err := peers.ReadKey(at.Key)
+		if err != nil {
+			return o, fmt.Errorf("%s: peers.key_file: %w", path, err)
+		}
+		o.Peers = &peers.Post{Name: in.Name, Cluster: at.Cluster, Listen: at.Listen, Advertise: at.Advertise, Join: at.Join, Key: key,
+			Zone: string(in.Campaign.Zone)}
+		o.Agree = at.Agree
+		o.Aside += peers.Descriptors
+	}
+	if in.Pages != "" {
+		o.Latency = admin.NewLatency(in.Campaign.Classes)
+		o.Aside += admin.Most + 2
+	}
+	return o, nil
+}
+
+// ClientOrders are what a client is told that has the decisions within.
+type ClientOrders struct {
+	Seed                uint64 // 0: to be drawn
+	Campaign            *policy.Settings
+	CutOffs             []policy.Time
+	Source              discovery.Source
+	Methods             [][]string // by offering
+	KeyMetadata         string
+	KeyField            string
+	LogLevel, LogFormat string
+}
+
+// Client makes orders for a client of the product's configuration.
+func Client(name string, text []byte) (ClientOrders, error) {
+	in, err := installation.ReadClient(name, text)
+	if err != nil {
+		return ClientOrders{}, err
+	}
+	o := ClientOrders{Campaign: in.Campaign, CutOffs: in.CutOffs, Methods: in.Methods, KeyMetadata: in.KeyMetadata,
+		KeyField: in.KeyField, LogLevel: in.LogLevel, LogFormat: in.LogFormat}
+	if in.Seeded {
+		o.Seed = instanceSeed(in.Seed, "")
+	}
+	o.Source, _ = source(in)
+	return o, nil
+}
+
+// source makes the one that the configuration names, and tells how many descriptors it takes.
+func source(in *installation.Installation) (s discovery.Source, descriptors int) {
+	now := clock.New().Now
+	switch in.Kind {
+	case installation.Files:
+		s, descriptors = discovery.NewFiles(in.Patterns, in.Terms, now), watchDescriptors
+	case installation.Discovery:
+		p := discovery.NewPlatform(in.Discovery, false)
+		p.From, s = in.From, p
+	case installation.Fixed:
+		s = &discovery.Fixed{Entries: in.Servers, Called: fmt.Sprintf("fixed: %+v", in.Servers)}
+	}
+	if in.State != "" {
+		s = discovery.Keep(s, in.State, now)
+	}
+	return s, descriptors
+}
+
+// platform makes orders of the platform's configuration.
+func platform(path string, b []byte, env func(string) string) (Orders, error) {
+	var post Orders
+	var err error
+	var told struct {
+		Name, Listen, Discovery, Seed, Admin string
+		Limits                               struct {
+			Memory  float64 `json:"memory_mb"`
+			Sockets int
+		}
+		Known, Settings json.RawMessage
+	}
+	if err := json.Unmarshal(b, &told); err != nil {
+		return post, fmt.Errorf("%s: %w", path, err)
+	}
+	first := func(name, value string) string {
+		if v := env(name); v != "" {
+			return v
+		}
+		return value
+	}
+	post.Listen, post.Discovery = first("GW_LISTEN", told.Listen), first("GW_DISCOVERY", told.Discovery)
+	post.inFile = told.Discovery
+	var wrong error // all that is, a line each
+	fault := func(form string, of ...any) { wrong = errors.Join(wrong, fmt.Errorf(form, of...)) }
+	if post.Listen == "" || post.Discovery == "" {
+		fault("listen or discovery: found nothing, allowed an address each")
+	}
+	if post.Seed, err = strconv.ParseUint(told.Seed, 16, 64); err != nil {
+		fault("seed: found %q, allowed a hexadecimal number of 64 bits", told.Seed)
+	}
+	if told.Limits.Sockets < leastSockets {
+		fault("limits.sockets: found %d, allowed a number from %d up", told.Limits.Sockets, leastSockets)
+	}
+	if !(told.Limits.Memory >= leastMemory) {
+		fault("limits.memory_mb: found %v, allowed a number from %d up", told.Limits.Memory, leastMemory)
+	}
+	values := &campaign.Values{Of: map[string]string{}}
+	if err := flatten(values.Of, "", told.Settings); err != nil {
+		return post, fmt.Errorf("%s: settings: %w", path, err)
+	}
+	post.Descriptors = told.Limits.Sockets
+	post.Memory = int(told.Limits.Memory * (1 << 20))
+	post.ConnectIn = values.Span("limits.connect_timeout_s")
+	post.IdleFor = values.Span("limits.conn_idle_s")
+	post.Accept = acceptFor
+	for n := range values.Count("offerings.count") {
+		post.Leave = max(post.Leave, values.Span("offerings."+strconv.Itoa(n)+".cut_off_s"))
+	}
+	// SIGKILL comes 0.7 s after the longest cut-off, so this leaves 250 ms.
+	post.Leave = min(post.Leave, longest) + acceptFor
+	post.Known = told.Known
+	post.Name = first("GW_NAME", told.Name)
+	if err := post.operators(told.Admin, env); err != nil {
+		fault("%w", err)
+	}
+	at := discovery.NewPlatform(post.Discovery, values.Of["membership_mode"] == "on_request")
+	if _, told := values.Of["rules.drain_grace_s"]; told && values.Of["membership_mode"] == "pushed" {
+		// Discovery is an agent on this machine that has what is told: a process that starts hears it before its first push.
+		at.Grace = max(time.Millisecond, time.Duration(values.Span("rules.drain_grace_s")))
+		post.First = policy.Time(at.AnswerIn())
+	}
+	post.Source = at
+	if post.Campaign, err = campaign.Read(values); err != nil {
+		fault("settings: %s", strings.ReplaceAll(err.Error(), "\n", "\nsettings: "))
+	} else {
+		at.Hold = discovery.HoldFor(at.Grace > 0, post.Campaign.Instances)
+	}
+	return post, wrong
+}
+
+// flatten gives each value its path, as the simulator's wire does.
+func flatten(to map[string]string, at string, raw json.RawMessage) error {
+	var object map[string]json.RawMessage
+	var list []json.RawMessage
+	var word string
+	switch v := strings.TrimSpace(string(raw)); {
+	case v == "" || v == "null":
+	case v[0] == '{':
+		if err := json.Unmarshal(raw, &object); err != nil {
+			return err
+		}
+		for name, of := range object {
+			if err := flatten(to, strings.TrimPrefix(at+"."+name, "."), of); err != nil {
+				return err
+			}
+		}
+	case v[0] == '[':
+		if err := json.Unmarshal(raw, &list); err != nil {
+			return err
+		}
+		to[at+".count"] = strconv.Itoa(len(list))
+		var words []string
+		for i, of := range list {
+			if err := flatten(to, at+"."+strconv.Itoa(i), of); err != nil {
+				return err
+			}
+			words = append(words, strings.ReplaceAll(to[at+"."+strconv.Itoa(i)], ",", "_"))
+		}
+		to[at] = strings.Join(words, ",")
+	case v[0] == '"':
+		if err := json.Unmarshal(raw, &word); err != nil {
+			return err
+		}
+		to[at] = word
+	default:
+		to[at] = v
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/emulator/random.go
@@ -0,0 +1,23 @@
+package emulator
+
+import (
+	"hash/fnv"
+	"math"
+	"math/rand/v2"
+)
+
+// stream is chance for one purpose: what is drawn from it moves nothing that is drawn for another.
+func stream(seed uint64, purpose string, no int) *rand.Rand {
+	h := fnv.New64a()
+	h.Write([]byte(purpose))
+	return rand.New(rand.NewPCG(seed, h.Sum64()+uint64(no)*0x9e3779b97f4a7c15))
+}
+
+// spread gives a factor with a mean of 1, log-normal with the coefficient of variation.
+func spread(r *rand.Rand, cv float64) float64 {
+	if cv == 0 {
+		return 1
+	}
+	v := math.Log(1 + cv*cv)
+	return math.Exp(r.NormFloat64()*math.Sqrt(v) - v/2)
+}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -9,7 +9,6 @@
 	"cmp"
 	"encoding/base64"
 	"fmt"
-	"log"
 	"maps"
 	"math/rand/v2"
 	"net"
@@ -21,7 +20,6 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/fxamacker/cbor/v2"
 	"github.com/hashicorp/memberlist"
 	"github.com/sirupsen/logrus"
 )
@@ -312,100 +310,3 @@
 }
 
 // ---- what memberlist calls ----
-
-// NodeMeta is what is told of this sidecar.
-func (c *Company) NodeMeta(limit int) []byte {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	b, err := cbor.Marshal(c.says)
-	if err != nil || len(b) > limit {
-		return nil
-	}
-	return b
-}
-
-// NotifyJoin is told of one that is there.
-func (c *Company) NotifyJoin(n *memberlist.Node) { c.heard(n, true, true) }
-
-// NotifyUpdate is told of one that says something else now.
-func (c *Company) NotifyUpdate(n *memberlist.Node) { c.heard(n, true, false) }
-
-// NotifyLeave is told of one that is gone.
-func (c *Company) NotifyLeave(n *memberlist.Node) { c.heard(n, false, true) }
-
-func (c *Company) heard(n *memberlist.Node, alive, moved bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	p := c.peers[n.Name]
-	if p == nil {
-		p = &Peer{Name: n.Name}
-		c.peers[n.Name] = p
-	}
-	var says Says
-	if cbor.Unmarshal(n.Meta, &says) == nil { // else of a newer kind: it is there all the same
-		p.Says = says
-	}
-	p.Address, p.Alive, p.Heard = n.Address(), alive, time.Now()
-	if !moved || n.Name == c.post.Name {
-		return
-	}
-	there := 0
-	for _, p := range c.peers {
-		if p.Alive {
-			there++
-		}
-	}
-	if alive {
-		c.joins++
-		c.log.Infof("peers: %s joined, %d there", n.Name, there)
-	} else {
-		c.gone++
-		c.log.Infof("peers: %s gone, %d there", n.Name, there)
-	}
-}
-
-// NotifyPingComplete is told of one that has answered.
-func (c *Company) NotifyPingComplete(n *memberlist.Node, _ time.Duration, _ []byte) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if p := c.peers[n.Name]; p != nil {
-		p.Heard = time.Now()
-	}
-}
-
-// NotifyConflict is told of two under one name: the one that was there first stays.
-func (c *Company) NotifyConflict(is, other *memberlist.Node) {
-	c.log.Warnf("peers: %s is the name of %s, and of %s, which is left out", is.Name, is.Address(), other.Address())
-}
-
-// NotifyMsg is told of what another has sent. The bytes are memberlist's again after it.
-func (c *Company) NotifyMsg(b []byte) {
-	if c.post.Heard != nil {
-		c.post.Heard(slices.Clone(b))
-	}
-}
-
-func (c *Company) AckPayload() []byte              { return nil }
-func (c *Company) GetBroadcasts(_, _ int) [][]byte { return nil }
-func (c *Company) LocalState(bool) []byte          { return nil }
-func (c *Company) MergeRemoteState([]byte, bool)   {}
-
-// quiet turns memberlist's lines into the sidecar's, at debug: what matters of them is told as a change of who is there.
-// Packets that it drops it tells nowhere else.
-func quiet(to *logrus.Logger, dropped *atomic.Uint64) *log.Logger {
-	return log.New(lines{to, dropped}, "", 0)
-}
-
-type lines struct {
-	to      *logrus.Logger
-	dropped *atomic.Uint64
-}
-
-func (l lines) Write(b []byte) (int, error) {
-	if s := string(b); strings.Contains(s, "Decrypt packet failed") || strings.Contains(s, "unacceptable label") ||
-		strings.Contains(s, "failed to receive") && strings.Contains(s, "crypt") {
-		l.dropped.Add(1)
-	}
-	l.to.Debug("peers: " + strings.TrimSpace(string(b)))
-	return len(b), nil
-}
