--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -70,7 +70,7 @@
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	again := make(chan os.Signal, 1)
 	signal.Notify(again, syscall.SIGHUP)
-	fresh := make(chan proto.Post)
+	fresh := make(chan proto.Config)
 	if record != "" && o.Agree {
 		return errors.New("record: a trace has one set of offerings, and with peers.agree these come and go")
 	}
@@ -98,7 +98,7 @@
 		of.kin, o.Follows = kin, kin.Processes() > 1
 	}
 	o.Learn = func() { of.learn() }
-	s := proto.New(o.Post, log)
+	s := proto.New(o.Config, log)
 	go reread(path, o, again, fresh, s.Over(), log)
 	of.Sidecar = s
 	if of.kin != nil {
@@ -110,7 +110,7 @@
 	if o.Peers != nil {
 		var own *engine.Version
 		if o.Agree {
-			own = ownVersion(o.Campaign, o.CutOffs)
+			own = ownVersion(o.Settings, o.Deadlines)
 		}
 		company := meet(s, *o.Peers, own)
 		defer company.close()
@@ -138,11 +138,11 @@
 }
 
 func head(o Orders) trace.Head {
-	h := trace.Head{Start: clock.New().Now(), Name: o.Name, Zone: o.Campaign.Zone}
-	for _, f := range o.Campaign.Classes {
+	h := trace.Head{Start: clock.New().Now(), Name: o.Name, Zone: o.Settings.Zone}
+	for _, f := range o.Settings.Classes {
 		h.Offerings = append(h.Offerings, f.Name)
 	}
-	for _, f := range o.Campaign.Tenants {
+	for _, f := range o.Settings.Tenants {
 		h.Franchises = append(h.Franchises, f.Name)
 	}
 	return h
@@ -150,7 +150,7 @@
 
 // reread reads the file anew at each signal and hands on what can be served. Reading takes its time, so the loop is not held
 // up by it.
-func reread(path string, now Orders, again <-chan os.Signal, fresh chan<- proto.Post, over <-chan struct{}, log *logrus.Logger) {
+func reread(path string, now Orders, again <-chan os.Signal, fresh chan<- proto.Config, over <-chan struct{}, log *logrus.Logger) {
 	for range again {
 		next, err := Read(path, func(name string) string {
 			if name == "GW_DISCOVERY" {
@@ -169,12 +169,12 @@
 			now.inFile, now.Source = next.inFile, next.Source
 		}
 		if now.Agree {
-			next.Campaign = &policy.Settings{} // of another shape: it stays as the cluster's versions say
+			next.Settings = &policy.Settings{} // of another shape: it stays as the cluster's versions say
 		}
 		next.Latency, next.Record = now.Latency, now.Record
 		next.Memory = next.Memory * bufferPercent / 100
 		select {
-		case fresh <- next.Post:
+		case fresh <- next.Config:
 		case <-over: // it was told to end as well, and has
 			return
 		}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := post.Campaign
+	c := post.Settings
 	if post.Listen != "127.9.9.9:1" || post.Discovery != "127.2.0.1:8500" || post.Seed != 0x8c1f30d27a5be964 ||
 		post.Descriptors != 1024 || post.ConnectIn != policy.Second/5 || post.IdleFor != 60*policy.Second ||
 		post.Leave != longest+acceptFor || c.Zones != 2 || c.Instances != 3 || len(c.Classes) != 2 || c.Quotas != 30 ||
@@ -52,8 +52,8 @@
 func TestPoolsAreRead(t *testing.T) {
 	text := strings.NewReplacer(`"rough"`, `"live"`, `"max_pushes":3`, `"max_pushes":3,"streams_per_conn":100`).Replace(told)
 	post, err := Read(write(t, text), func(string) string { return "" })
-	if err != nil || post.Campaign.Weighted || post.Campaign.Streams != 100 {
-		t.Errorf("%v %+v", err, post.Campaign)
+	if err != nil || post.Settings.Weighted || post.Settings.Streams != 100 {
+		t.Errorf("%v %+v", err, post.Settings)
 	}
 }
 
@@ -106,7 +106,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	again, over, ended := make(chan os.Signal), make(chan struct{}), make(chan struct{})
-	go func() { reread(path, post, again, make(chan proto.Post), over, log); close(ended) }()
+	go func() { reread(path, post, again, make(chan proto.Config), over, log); close(ended) }()
 	again <- syscall.SIGHUP
 	close(over)
 	select {
@@ -127,7 +127,7 @@
 	lines := make(chanWriter)
 	log := logrus.New()
 	log.SetOutput(lines)
-	again, fresh := make(chan os.Signal), make(chan proto.Post)
+	again, fresh := make(chan os.Signal), make(chan proto.Config)
 	ended := make(chan bool)
 	go func() { reread(path, post, again, fresh, nil, log); close(ended) }()
 	for _, k := range []struct{ in, discovery string }{{told, "127.2.0.9:1"}, {"{", ""},
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -25,7 +25,7 @@
 
 // Orders are all that a configuration says: the sidecar's post, and what stands around it.
 type Orders struct {
-	proto.Post
+	proto.Config
 	Discovery string // address, where the platform's is followed
 	Name      string
 	inFile    string // the same as the file alone has it
@@ -102,9 +102,9 @@
 		return Orders{}, err
 	}
 	o := Orders{Name: in.Name, Door: in.Admin, Pages: in.Pages, Discovery: in.Discovery, LogLevel: in.LogLevel, LogFormat: in.LogFormat,
-		Post: proto.Post{Listen: in.Listen, Descriptors: in.Descriptors, Memory: in.MemoryMB << 20,
-			ConnectIn: in.ConnectIn, From: in.From, IdleFor: in.IdleFor, Accept: acceptFor, Campaign: in.Campaign, CutOffs: in.CutOffs,
-			Default: in.Default, Anonymous: in.Anonymous, Stall: Stall}}
+		Config: proto.Config{Listen: in.Listen, Descriptors: in.Descriptors, Memory: in.MemoryMB << 20,
+			ConnectIn: in.ConnectIn, From: in.From, IdleFor: in.IdleFor, Accept: acceptFor, Settings: in.Campaign, Deadlines: in.CutOffs,
+			DefaultClass: in.Default, Anonymous: in.Anonymous, Stall: Stall}}
 	if o.Seed = rand.Uint64(); in.Seeded {
 		o.Seed = instanceSeed(in.Seed, in.Listen)
 	}
@@ -235,10 +235,10 @@
 		post.First = policy.Time(at.AnswerIn())
 	}
 	post.Source = at
-	if post.Campaign, err = campaign.Read(values); err != nil {
+	if post.Settings, err = campaign.Read(values); err != nil {
 		fault("settings: %s", strings.ReplaceAll(err.Error(), "\n", "\nsettings: "))
 	} else {
-		at.Hold = discovery.HoldFor(at.Grace > 0, post.Campaign.Instances)
+		at.Hold = discovery.HoldFor(at.Grace > 0, post.Settings.Instances)
 	}
 	return post, wrong
 }
--- a/internal/daemon/rewrite_test.go
+++ b/internal/daemon/rewrite_test.go
@@ -121,7 +121,7 @@
 }
 
 // serve starts the daemon from the configuration, as `serve` reads it, and clients before it.
-func (f *fleet) serve(clients int) (fresh chan proto.Post, path string, end func()) {
+func (f *fleet) serve(clients int) (fresh chan proto.Config, path string, end func()) {
 	free, err := net.Listen("tcp", here+":0")
 	if err != nil {
 		f.t.Fatal(err)
@@ -139,9 +139,9 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	orders.Memory /= 4
-	f.sidecar = proto.New(orders.Post, log)
+	f.sidecar = proto.New(orders.Config, log)
 	stop, ended := make(chan os.Signal, 1), make(chan error, 1)
-	fresh = make(chan proto.Post)
+	fresh = make(chan proto.Config)
 	go func() { ended <- f.sidecar.Run(stop, fresh) }()
 	for i := 0; !f.sidecar.Ready(); i++ {
 		if i > 1000 {
@@ -306,7 +306,7 @@
 			if orders, err := Read(config, os.Getenv); err != nil {
 				t.Error(err)
 			} else {
-				fresh <- orders.Post // its source has the same name, so the one that runs stays
+				fresh <- orders.Config // its source has the same name, so the one that runs stays
 			}
 			os.WriteFile(path(file), next, 0o600)
 		}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -66,10 +66,10 @@
 			Member: policy.Member{ID: listing.IDOf(traits.Name), Zone: "a", Weight: 1}})
 	}
 	second := policy.Second
-	daemon := proto.New(proto.Post{Listen: listen, Source: fixed, Seed: sc.Seed, Descriptors: 512, Memory: 32 << 20,
-		ConnectIn: second / 5, IdleFor: 60 * second, Accept: second / 20, Leave: 2 * second, Anonymous: true, Default: "step",
-		CutOffs: []policy.Time{2 * second, 3 * second, 3 * second},
-		Campaign: &policy.Settings{Instances: 1, Zone: "a", Zones: 1, Weighted: true, MayCancel: true, MaxAttempts: 3,
+	daemon := proto.New(proto.Config{Listen: listen, Source: fixed, Seed: sc.Seed, Descriptors: 512, Memory: 32 << 20,
+		ConnectIn: second / 5, IdleFor: 60 * second, Accept: second / 20, Leave: 2 * second, Anonymous: true, DefaultClass: "step",
+		Deadlines: []policy.Time{2 * second, 3 * second, 3 * second},
+		Settings: &policy.Settings{Instances: 1, Zone: "a", Zones: 1, Weighted: true, MayCancel: true, MaxAttempts: 3,
 			MaxRetryAfter: 3 * second, Tick: 5 * policy.Millisecond, ColdShare: 0.2, ColdTime: 2 * second, FallMultiple: 3,
 			Classes: Offerings}}, log)
 	stop, ended := make(chan os.Signal, 1), make(chan error, 1)
--- a/internal/engine/terms.go
+++ b/internal/engine/terms.go
@@ -269,7 +269,7 @@
 	}
 }
 
-// row is where an class's figures are: all of one name have one. Of very many names over time the last share one.
+// row is where a class's figures are: all of one name have one. Of very many names over time the last share one.
 func (e *Engine) row(name string) int {
 	n := int(e.names.Load())
 	for i := range n {
--- a/internal/proto/answer.go
+++ b/internal/proto/answer.go
@@ -10,7 +10,7 @@
 // answerHead reads the head of an answer, and of those before it that are none yet (1xx). at is where its body begins, 0 while the
 // head is not whole; size -1: not told. over says that nothing more will come, bodiless that the request was one whose answer has no
 // body. stays: the connection can carry more. An answer that cannot be read is not ok, and that is told as soon as it shows: its
-// server may leave the connection open.
+// endpoint may leave the connection open.
 func answerHead(b []byte, over, bodiless bool) (at, status int, head []byte, size int, chunked, stays, ok bool) {
 	for {
 		first, head, n := cutHead(b[at:])
@@ -99,8 +99,8 @@
 	return policy.Errored
 }
 
-// AppendHonour writes the head of an answer that passes a server's on; the body follows.
-func AppendHonour(to []byte, status int, head []byte, size int, last bool) []byte {
+// AppendSuccess writes the head of an answer that passes an endpoint's on; the body follows.
+func AppendSuccess(to []byte, status int, head []byte, size int, last bool) []byte {
 	to = appendThrough(appendStatus(to, status), head)
 	return appendEnd(to, size, last)
 }
@@ -114,7 +114,7 @@
 	return append(to, "\r\n\r\n"...)
 }
 
-// AppendOwn writes an answer of the sidecar's own.
+// AppendOwn writes an answer of the instance's own.
 func AppendOwn(to []byte, status int, body string, retryIn policy.Time, last bool) []byte {
 	to = append(appendStatus(to, status), "Content-Type: text/plain\r\n"...)
 	if retryIn > 0 {
--- a/internal/proto/answers_test.go
+++ b/internal/proto/answers_test.go
@@ -76,7 +76,7 @@
 	return 0, f.err
 }
 
-// Whatever its framing, an answer that is reset on the way is no answer: one that was held costs an attempt, after which the offering's
+// Whatever its framing, an answer that is reset on the way is no answer: one that was held costs an attempt, after which the class's
 // effect decides; of one that was passed on the client can tell that it has a part, over HTTP/1.0 too. It has failed once.
 func TestResetIsNoEndOfAnAnswer(t *testing.T) {
 	const short = "what the endpoint has made for this request"
@@ -84,7 +84,7 @@
 		for _, passed := range []bool{false, true} {
 			for _, k := range []struct {
 				method, offering, version string
-				status                    int // of a held one that was reset: the other endpoint's answer, or given up
+				status                    int // of a held one that was reset: the other endpoint's answer, or failed
 			}{{"GET", "step", "1.1", 200}, {"GET", "step", "1.0", 200}, {"POST", "note", "1.1", 200}, {"POST", "once", "1.1", 502},
 				{"POST", "once", "1.0", 502}} {
 				name := fmt.Sprintf("%s, passed on %v, %s %s HTTP/%s", f.name, passed, k.method, k.offering, k.version)
@@ -223,12 +223,12 @@
 			}
 			io.WriteString(c, h.part)
 		}
-		io.Copy(io.Discard, c) // until the sidecar closes
+		io.Copy(io.Discard, c) // until the instance closes
 		return false
 	}
 	one, _ := peer(t, serve)
 	two, _ := peer(t, serve)
-	r, _ := run(t, func(p *Post) { p.Campaign.Classes[0].LateValue = 0.5 }, one, two)
+	r, _ := run(t, func(p *Config) { p.Settings.Classes[0].LateValue = 0.5 }, one, two)
 	watch := watchDelays()
 	began = time.Now()
 	came, took, ended := r.raw("GET", "step", version)
@@ -243,7 +243,7 @@
 	return took, heldUp
 }
 
-// When a stream ends whose server is silent: by the deadline, unless it sent something just before.
+// When a stream ends whose endpoint is silent: by the deadline, unless it sent something just before.
 func TestStreamsEndInTime(t *testing.T) {
 	const ms = policy.Millisecond
 	for _, k := range []struct {
@@ -264,7 +264,7 @@
 	}
 }
 
-// A long answer that moves goes on past its deadline, also to a client that reads slowly, and one whose server pauses for less than a
+// A long answer that moves goes on past its deadline, also to a client that reads slowly, and one whose endpoint pauses for less than a
 // second.
 func TestLongAnswersOutlastTheDeadline(t *testing.T) {
 	addr := giver(t, func(w io.Writer, body *rand.Rand) {
@@ -295,7 +295,7 @@
 	}
 }
 
-// A server that begins a long answer and takes no more of the body that still comes: its client is shown the end.
+// An endpoint that begins a long answer and takes no more of the body that still comes: its client is shown the end.
 func TestAnswerBegunUnderABodyThatIsNotTaken(t *testing.T) {
 	addr, _ := peer(t, func(c net.Conn, r *http.Request, _ int) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\npart", long)
--- a/internal/proto/pushes.go
+++ b/internal/proto/attempts.go
@@ -8,23 +8,23 @@
 	"pepperlead/policy"
 )
 
-// restFor is how long a connection stands idle before it is used again: what a server may send behind an answer, a copy say, some
+// restFor is how long a connection stands idle before it is used again: what an endpoint may send behind an answer, a copy say, some
 // milliseconds late, shows in that time. Nothing in an answer says to which request it belongs, so a copy that comes once the next request
 // is written would be taken for its answer.
 const restFor = 20 * policy.Millisecond
 
-// aRest is the part of its quoted time that a push waits for a connection to have rested, rather than have another opened: that costs the
-// server work, and this request a handshake.
+// aRest is the part of its target latency that an attempt waits for a connection to have rested, rather than have another opened: that costs the
+// endpoint work, and this request a handshake.
 const aRest = 32
 
-// Send sends a ticket to a server, on a connection that stands idle or on a new one.
+// Send sends a request to an endpoint, on a connection that stands idle or on a new one.
 func (s *Sidecar) Send(now policy.Time, of *engine.Request, to *engine.Endpoint) {
 	t, server := state.Of(of), s.part(to)
 	if t.Uploads {
 		s.Timers.Stop(&t.Wait) // its time begins when its body is whole
 	}
 	if t.Sent {
-		s.Ended(now, of, policy.NotSent) // a part of its body went with an earlier push, and is gone
+		s.Ended(now, of, policy.NotSent) // a part of its body went with an earlier attempt, and is gone
 		return
 	}
 	for c := s.conns.Take(server, now-restFor); c != nil; c = s.conns.Take(server, now-restFor) {
@@ -43,26 +43,26 @@
 		return
 	}
 	if s.conns.Count(state.ToServer) >= s.conns.Most[state.ToServer] && !s.spare(state.ToServer, now, now) {
-		// Every descriptor carries a push: nothing was sent, and that is no fault of the server.
+		// Every descriptor carries an attempt: nothing was sent, and that is no fault of the endpoint.
 		s.Ended(now, of, policy.NotSent)
 		return
 	}
 	c := &state.Conn{Side: state.ToServer, Endpoint: server, Life: to.Life, Request: t, Whole: &s.Tally.Written}
-	c.Timer.Do = func(now policy.Time) { s.serverDue(now, c) }
+	c.Timer.Do = func(now policy.Time) { s.endpointDue(now, c) }
 	t.Attempt = c
 	s.conns.Add(c)
 	s.Counters.Dials++
 	s.sockets.dial(c, to.Addr, s.post.ConnectIn)
 }
 
-// awaits has a push wait for the connection that will have rested next, once, if that is soon.
+// awaits has an attempt wait for the connection that will have rested next, once, if that is soon.
 func (s *Sidecar) awaits(now policy.Time, t *state.Request, server *state.Endpoint) bool {
 	if t.Waited || t.Uploads || server.Awaited >= len(server.Idle) {
 		t.Waited = false
 		return false
 	}
 	in := server.Idle[server.Awaited].Since + restFor - now
-	if in > s.post.Campaign.Classes[t.Class].Target/aRest {
+	if in > s.post.Settings.Classes[t.Class].Target/aRest {
 		return false
 	}
 	if t.Rest.Do == nil {
@@ -74,31 +74,31 @@
 	return true
 }
 
-// rested has a push that waited go on, unless it may not be made any more.
+// rested has an attempt that waited go on, unless it may not be made any more.
 func (s *Sidecar) rested(now policy.Time, t *state.Request) {
 	s.part(t.To).Awaited--
 	switch {
 	case t.To.Leaving:
-		s.endPush(now, t, policy.NotConnected, false)
+		s.endAttempt(now, t, policy.NotConnected, false)
 	case t.Settled || !s.Stands(now, t.Request):
-		s.endPush(now, t, policy.NotSent, false)
+		s.endAttempt(now, t, policy.NotSent, false)
 	default:
 		s.Send(now, t.Request, t.To)
 	}
 }
 
-// connected is told that a connection to a server is up.
+// connected is told that a connection to an endpoint is up.
 func (s *Sidecar) connected(now policy.Time, c *state.Conn) {
 	switch {
 	case c.Request == nil:
-		s.park(now, c) // its ticket did not wait for it
+		s.park(now, c) // its request did not wait for it
 	case c.Endpoint.Of.Leaving || c.Life != c.Endpoint.Of.Life:
-		// The server was ready when this was dialled and is not any more, or another process stands there: it gets nothing new.
-		s.endPush(now, c.Request, policy.NotConnected, false)
+		// The endpoint was ready when this was dialled and is not any more, or another process stands there: it gets nothing new.
+		s.endAttempt(now, c.Request, policy.NotConnected, false)
 	case c.Request.Settled || !s.Stands(now, c.Request.Request):
-		// The ticket has its answer, or its client has left; or the rules or the list have changed since, or the window in which it may
+		// The request has its answer, or its client has left; or the rules or the list have changed since, or the window in which it may
 		// be sent again has closed: what was decided then may not be done now.
-		s.endPush(now, c.Request, policy.NotSent, true)
+		s.endAttempt(now, c.Request, policy.NotSent, true)
 	default:
 		s.send(now, c.Request)
 	}
@@ -118,7 +118,7 @@
 		size, wait = t.Size, t.Left
 	}
 	t.Attempt.Used = true
-	s.scratch = AppendPush(s.scratch[:0], t.Method, t.Target, t.Head, size, wait)
+	s.scratch = AppendAttempt(s.scratch[:0], t.Method, t.Target, t.Head, size, wait)
 	if !t.Uploads && len(t.Body) <= state.Small && t.More == nil {
 		s.scratch = append(s.scratch, t.Body...)
 		t.Attempt.Due.Store(t.Attempt.Queued + int64(len(s.scratch)))
@@ -145,8 +145,8 @@
 	}
 }
 
-// park keeps a connection for the next push to its server, but closes it well before the server would: what is
-// written as the server closes may have run or not.
+// park keeps a connection for the next attempt to its endpoint, but closes it well before the endpoint would: what is
+// written as the endpoint closes may have run or not.
 func (s *Sidecar) park(now policy.Time, c *state.Conn) {
 	if c.Endpoint.Of.Leaving || c.Life != c.Endpoint.Of.Life {
 		s.close(c) // an answer that came after the list: where it leads, nothing new goes, or another process stands
@@ -156,8 +156,8 @@
 	s.Timers.Set(&c.Timer, now+s.post.IdleFor*3/4)
 }
 
-// fromServer takes the answer once it is whole.
-func (s *Sidecar) fromServer(now, at policy.Time, c *state.Conn) {
+// fromEndpoint takes the answer once it is whole.
+func (s *Sidecar) fromEndpoint(now, at policy.Time, c *state.Conn) {
 	t := c.Request
 	if t == nil {
 		s.close(c) // it says something unasked
@@ -171,20 +171,20 @@
 	case n > 0:
 		stays = stays && n == len(c.In.B) && c.Flushed() && !t.Uploads
 		s.take(t, c, status, head, body)
-		s.endPush(at, t, outcomeOf(status, head), stays)
+		s.endAttempt(at, t, outcomeOf(status, head), stays)
 	case s.answerComes(now, at, c, !ok):
 	case !ok:
-		s.endPush(at, t, policy.ConnectionLost, false)
+		s.endAttempt(at, t, policy.ConnectionLost, false)
 	}
 }
 
-// take moves the answer's buffer from the connection to the ticket.
+// take moves the answer's buffer from the connection to the request.
 func (s *Sidecar) take(t *state.Request, c *state.Conn, status int, head, body []byte) {
 	t.Answer, t.Status, t.AnswerHead, t.AnswerBody = c.In, status, head, body
 	c.In = nil
 }
 
-// broke is told that a connection to a server has ended, or never came up.
+// broke is told that a connection to an endpoint has ended, or never came up.
 func (s *Sidecar) broke(at policy.Time, c *state.Conn) {
 	t := c.Request
 	if t == nil {
@@ -200,20 +200,20 @@
 		return
 	}
 	if !c.Up || !c.Flushed() || t.Uploads {
-		s.endPush(at, t, policy.NotConnected, false)
+		s.endAttempt(at, t, policy.NotConnected, false)
 		return
 	}
 	if c.In != nil {
 		if n, status, head, body, _, ok := CutAnswer(c.In.B, over, t.Bodiless, mostBody); ok && n > 0 {
 			s.take(t, c, status, head, body)
-			s.endPush(at, t, outcomeOf(status, head), false)
+			s.endAttempt(at, t, outcomeOf(status, head), false)
 			return
 		}
 	}
-	s.endPush(at, t, policy.ConnectionLost, false)
+	s.endAttempt(at, t, policy.ConnectionLost, false)
 }
 
-// TimedOut is the end of a push's time. A request that has not been written whole is cut off with its connection, so
+// TimedOut is the end of an attempt's time. A request that has not been written whole is cut off with its connection, so
 // it never runs.
 func (s *Sidecar) TimedOut(now policy.Time, of *engine.Request) {
 	t := state.Of(of)
@@ -221,10 +221,10 @@
 	if s.unwritten(t) {
 		o = policy.NotConnected
 	}
-	s.endPush(now, t, o, false)
+	s.endAttempt(now, t, o, false)
 }
 
-// unwritten ends the connection of a push that has not gone out whole, and tells whether it never will. What waits to be written goes out
+// unwritten ends the connection of an attempt that has not gone out whole, and tells whether it never will. What waits to be written goes out
 // beside the loop: looked at first and closed then, its last byte could slip through between, and what has run be sent again.
 func (s *Sidecar) unwritten(t *state.Request) bool {
 	c := t.Attempt
@@ -238,20 +238,20 @@
 	return !c.Flushed()
 }
 
-// CancelAttempt ends a push that nobody waits for any more.
+// CancelAttempt ends an attempt that nobody waits for any more.
 func (s *Sidecar) CancelAttempt(now policy.Time, of *engine.Request) {
 	if t := state.Of(of); (t.Attempt != nil || t.Rest.On()) && !t.Streams {
-		s.endPush(now, t, policy.Cancelled, false)
+		s.endAttempt(now, t, policy.Cancelled, false)
 	}
 }
 
-// endPush ends the push that is out.
-func (s *Sidecar) endPush(at policy.Time, t *state.Request, o policy.Outcome, stays bool) {
+// endAttempt ends the attempt that is out.
+func (s *Sidecar) endAttempt(at policy.Time, t *state.Request, o policy.Outcome, stays bool) {
 	s.detach(at, t, stays)
 	s.Ended(at, t.Request, o)
 }
 
-// detach takes the ticket off its connection to a server, which is kept or closed.
+// detach takes the request off its connection to an endpoint, which is kept or closed.
 func (s *Sidecar) detach(at policy.Time, t *state.Request, stays bool) {
 	if t.Waited = false; t.Rest.On() {
 		s.Timers.Stop(&t.Rest)
--- a/internal/proto/attempts_test.go
+++ b/internal/proto/attempts_test.go
@@ -75,11 +75,11 @@
 	}
 }
 
-// Each way for a push to end, by the kind of ticket: how often it may be seen, and what the client is told.
+// Each way for an attempt to end, by the kind of request: how often it may be seen, and what the client is told.
 func TestEndingsOfPushes(t *testing.T) {
 	for _, k := range []struct {
 		act            string
-		step, note     int // status of the answer, reissuable and numbered
+		step, note     int // status of the answer, idempotent and keyed
 		once, onceSeen int
 		outcome        policy.Outcome
 	}{
@@ -125,7 +125,7 @@
 	}
 }
 
-// What stands behind an answer is no answer to the next ticket.
+// What stands behind an answer is no answer to the next request.
 func TestCopiesBehindAnswersReachNobody(t *testing.T) {
 	server := newStandIn(t)
 	r, _ := run(t, nil, server.Addr().String())
@@ -157,14 +157,14 @@
 	}
 }
 
-// A request that did not go out whole has not run: here the server reads nothing, so the kernel takes only a part.
+// A request that did not go out whole has not run: here the endpoint reads nothing, so the kernel takes only a part.
 func TestCutOffBeforeTheLastByteIsNoRun(t *testing.T) {
 	l, err := net.Listen("tcp", here)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	s := New(Post{Listen: "127.0.0.1:0", Descriptors: 64, Memory: 1 << 20, Campaign: &policy.Settings{Instances: 1}}, logrus.New())
+	s := New(Config{Listen: "127.0.0.1:0", Descriptors: 64, Memory: 1 << 20, Settings: &policy.Settings{Instances: 1}}, logrus.New())
 	for queued, want := range map[int64]policy.Outcome{10: policy.ConnectionLost, 11: policy.NotConnected} {
 		c := &state.Conn{Side: state.ToServer, Up: true, Queued: queued, Endpoint: &state.Endpoint{Of: &engine.Endpoint{}}}
 		c.Written.Store(10)
--- a/internal/proto/begin.go
+++ b/internal/proto/begin.go
@@ -12,7 +12,7 @@
 		s.begin.Do = s.beginWhenReady
 		s.Timers.Set(&s.begin, now+beginEvery)
 	case s.post.First > 0:
-		// The saved list may be old, and what the source has to tell binds from the first push on. It is asked first; where it is silent
+		// The saved list may be old, and what the source has to tell binds from the first attempt on. It is asked first; where it is silent
 		// clients wait no longer than this outside the door, and the saved list serves.
 		s.waits = true
 		s.begin.Do = s.open
--- a/internal/proto/clients.go
+++ b/internal/proto/clients.go
@@ -70,7 +70,7 @@
 			s.bad(now, c, fault, "the request cannot be read\n")
 			return
 		case n == 0 && s.buffers.Full():
-			// Requests that come in pieces must not fill the memory from outside of all tickets.
+			// Requests that come in pieces must not fill the memory from outside of all that is admitted.
 			s.overflow(now, c)
 			return
 		case n == 0:
@@ -129,14 +129,14 @@
 	return !c.Waits
 }
 
-// request makes a ticket of a whole request, or answers it.
+// request admits a request that has come whole, or answers it.
 func (s *Sidecar) request(now, at policy.Time, c *state.Conn, buf *state.Buffer, a asked, body []byte) {
 	method, target, head, last := a.method, a.target, a.head, a.last
 	if strings.HasPrefix(text(target), "/_") && s.aside(now, c, target, last) {
 		s.buffers.Put(buf)
 		return
 	}
-	offering, known := s.offerings[string(class(target, head))]
+	offering, known := s.classes[string(class(target, head))]
 	if !known && s.fallback != policy.NoClass && field(head, "X-Priority-Class") == nil {
 		offering, known = s.fallback, true
 	}
@@ -167,22 +167,22 @@
 	case ambiguous(head):
 		refuse(400, "X-Request-ID or Idempotency-Key is given twice, or for this connection only\n")
 		return
-	case named && s.tickets.Marked(mark) != nil && bytes.Equal(field(s.tickets.Marked(mark).Head, "X-Request-ID"), id):
+	case named && s.requests.Marked(mark) != nil && bytes.Equal(field(s.requests.Marked(mark).Head, "X-Request-ID"), id):
 		// Whoever uses another's id may mean its request, or get its answer.
 		refuse(409, "a request with this X-Request-ID is in hand\n")
 		return
-	case s.post.Campaign.Classes[offering].Idempotency == policy.Keyed && field(head, "Idempotency-Key") == nil:
+	case s.post.Settings.Classes[offering].Idempotency == policy.Keyed && field(head, "Idempotency-Key") == nil:
 		refuse(400, "Idempotency-Key is missing\n")
 		return
 	case s.buffers.Full():
-		// Out of memory: an answer costs nothing, the ticket might cost the process. Nothing has been pushed, so coming
+		// Out of memory: an answer costs nothing, the request might cost the process. Nothing has been attempted, so coming
 		// again is harmless.
 		s.Count(offering, engine.Rejected)
 		s.buffers.Put(buf)
 		s.overflow(now, c)
 		return
 	}
-	franchise, known := s.franchises[string(field(head, "X-Tenant-Id"))]
+	franchise, known := s.tenants[string(field(head, "X-Tenant-Id"))]
 	if !known {
 		franchise = policy.NoTenant
 	}
@@ -193,7 +193,7 @@
 	t.Uploads, t.Size = c.Upload == state.Passed, a.size
 	c.Request = t
 	if named {
-		s.tickets.Mark(t, mark)
+		s.requests.Mark(t, mark)
 	}
 	if s.Tells() {
 		s.Acting().WithField("id", string(id)).Debug("drill: ticket")
@@ -204,17 +204,17 @@
 	}
 }
 
-// timeLeft is how long the client of a ticket waits: as it says, and at most for as long as its offering allows, where that is
+// timeLeft is how long the client of a request waits: as it says, and at most for as long as its class allows, where that is
 // set.
 func (s *Sidecar) timeLeft(o policy.ClassID, says []byte) (policy.Time, bool) {
 	left, timed := seconds(says)
-	if s.post.CutOffs == nil {
+	if s.post.Deadlines == nil {
 		return left, timed
 	}
 	if says == nil {
-		return s.post.CutOffs[o], true
+		return s.post.Deadlines[o], true
 	}
-	return min(left, s.post.CutOffs[o]), timed
+	return min(left, s.post.Deadlines[o]), timed
 }
 
 // overflow answers a request for which there is no room.
@@ -223,7 +223,7 @@
 	s.own(now, c, 503, "out of room\n", 0, true)
 }
 
-// aside answers what is asked of the sidecar itself.
+// aside answers what is asked of the instance itself.
 func (s *Sidecar) aside(now policy.Time, c *state.Conn, target []byte, last bool) bool {
 	switch string(target) {
 	case "/_health":
@@ -235,15 +235,15 @@
 	case "/_counters":
 		s.own(now, c, 200, s.report(), 0, last)
 	case "/_servers":
-		s.own(now, c, 200, s.servers(), 0, last)
+		s.own(now, c, 200, s.endpoints(), 0, last)
 	default:
 		return false
 	}
 	return true
 }
 
-// servers is the list as it stands, with the ids under which the module speaks of servers.
-func (s *Sidecar) servers() string {
+// endpoints is the list as it stands, with the ids under which the module speaks of endpoints.
+func (s *Sidecar) endpoints() string {
 	var lines []string
 	for id, one := range s.Endpoints {
 		standing := "ready"
@@ -267,7 +267,7 @@
 	s.Timers.Set(&c.Timer, now+lingerFor)
 }
 
-// own sends an answer that no server made.
+// own sends an answer that no endpoint made.
 func (s *Sidecar) own(now policy.Time, c *state.Conn, status int, body string, retryIn policy.Time, last bool) {
 	last = last || s.ending()
 	s.scratch = AppendOwn(s.scratch[:0], status, body, retryIn, last)
@@ -341,7 +341,7 @@
 	}
 }
 
-// clientLeft is told that the client's connection is gone, and so its ticket over.
+// clientLeft is told that the client's connection is gone, and so its request over.
 func (s *Sidecar) clientLeft(now policy.Time, c *state.Conn) {
 	t := c.Request
 	if t == nil {
@@ -354,15 +354,15 @@
 	s.leaves(now, c, t)
 }
 
-// leaves ends a ticket whose client is gone, or has not sent it whole.
+// leaves ends a request whose client is gone, or has not sent it whole.
 func (s *Sidecar) leaves(now policy.Time, c *state.Conn, t *state.Request) {
 	c.Request, t.Client = nil, nil
-	s.tickets.Unmark(t)
+	s.requests.Unmark(t)
 	s.ClientLeft(now, t.Request)
 	if (t.Attempt != nil || t.Rest.On()) && s.unwritten(t) {
-		// What is missing of its body never comes; and a push that no server has whole is none yet, so ending it is allowed also where
-		// pushes may not be called off.
-		s.endPush(now, t, policy.Cancelled, false)
+		// What is missing of its body never comes; and an attempt that no endpoint has whole is none yet, so ending it is allowed also where
+		// attempts may not be cancelled.
+		s.endAttempt(now, t, policy.Cancelled, false)
 	}
 }
 
--- a/internal/proto/crossing_test.go
+++ b/internal/proto/crossing_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// dials holds the connections to servers that are opened from the nth on, until they are let go.
+// dials holds the connections to endpoints that are opened from the nth on, until they are let go.
 func (r *running) dials(from int) (begun chan string, release chan struct{}) {
 	begun, release = make(chan string, 8), make(chan struct{})
 	r.Inside(func() {
@@ -53,7 +53,7 @@
 	return begun, release
 }
 
-// A connection that comes up late finds a ticket whose push may not be made any more: its client has left, its server drains or stands
+// A connection that comes up late finds a request whose attempt may not be made any more: its client has left, its endpoint drains or stands
 // elsewhere, or the window in which its repeat would be dropped has closed. Nothing is sent on it.
 func TestLateConnectionsCarryNothingThatIsOver(t *testing.T) {
 	type scene struct {
@@ -87,9 +87,9 @@
 			if k.from > 1 {
 				addrs[1] = s.two.Addr().String()
 			}
-			s.running, s.agent = run(t, func(p *Post) {
-				p.Campaign.MayCancel, p.ConnectIn = k.cancel, 2*policy.Second
-				p.Campaign.Classes[1].Target, p.Campaign.Classes[1].Window = 2*policy.Second, 300*policy.Millisecond
+			s.running, s.agent = run(t, func(p *Config) {
+				p.Settings.MayCancel, p.ConnectIn = k.cancel, 2*policy.Second
+				p.Settings.Classes[1].Target, p.Settings.Classes[1].Window = 2*policy.Second, 300*policy.Millisecond
 			}, addrs...)
 			s.until("told", func() bool { return s.Counters.Lists == 2 })
 			begun, release := s.dials(k.from)
@@ -149,7 +149,7 @@
 }
 
 // What has been written only in part never runs, unless the rest slips out just before the end of its connection. So is told whether a
-// push that is cut off at its time-out, or as its client leaves, may have run; and one that cannot is ended also where none may be called off.
+// attempt that is cut off at its time-out, or as its client leaves, may have run; and one that cannot is ended also where none may be cancelled.
 func TestPushCutOffAsItsLastBytesGoOut(t *testing.T) {
 	for _, k := range []struct {
 		slips, left bool
@@ -192,7 +192,7 @@
 // At the end one still waits in the kernel to be accepted, with its request: it counts as taken, and is answered.
 func TestWhoWaitsToBeAcceptedAtTheEndIsAnswered(t *testing.T) {
 	server := newStandIn(t)
-	r, _ := run(t, func(p *Post) { p.Leave = 2 * policy.Second }, server.Addr().String())
+	r, _ := run(t, func(p *Config) { p.Leave = 2 * policy.Second }, server.Addr().String())
 	first := r.client()
 	first.send("step/echo", "a", "")
 	first.receive()
@@ -234,13 +234,13 @@
 	return l.Addr().String(), release
 }
 
-// What the agent has binds from a process's first push on, and the list that it was started with may be old: the agent is heard first. Where it
+// What the agent has binds from a process's first attempt on, and the list that it was started with may be old: the agent is heard first. Where it
 // is silent, clients wait no longer than told, and the saved list serves; also to a process that is told to end meanwhile.
 func TestAgentIsHeardBeforeTheFirstPush(t *testing.T) {
 	for _, name := range []string{"agent answers", "agent is silent", "told to end"} {
 		drained, ready := newStandIn(t), newStandIn(t)
 		addr, release := held(t, strings.Replace(listOf(drained.Addr().String()+" Terminating", ready.Addr().String()), "REV", "7", 1))
-		r, _ := run(t, func(p *Post) {
+		r, _ := run(t, func(p *Config) {
 			source := discovery.NewPlatform(addr, false)
 			source.Grace = time.Second
 			p.Source, p.First = source, 300*policy.Millisecond
@@ -277,13 +277,13 @@
 	}
 }
 
-// A second answer comes milliseconds behind the first, when the next ticket may have been written already: it is nobody's.
+// A second answer comes milliseconds behind the first, when the next request may have been written already: it is nobody's.
 func TestLateCopiesReachNobody(t *testing.T) {
 	for range 10 {
 		if lateCopiesInTime(t) {
 			return
 		}
-		// The machine let the server sleep for longer than a connection rests: that play has shown nothing.
+		// The machine let the endpoint sleep for longer than a connection rests: that play has shown nothing.
 	}
 	t.Error("no second answer came in time in ten plays: the machine is too busy for this test")
 }
@@ -303,11 +303,11 @@
 			if answer.StatusCode == 200 && got == body {
 				continue
 			}
-			time.Sleep(time.Duration(2 * restFor)) // for the server to have noted it
+			time.Sleep(time.Duration(2 * restFor)) // for the endpoint to have noted it
 			server.mu.Lock()
 			overdue := server.overdue
 			server.mu.Unlock()
-			// A copy that left the server in time is overdue all the same where this process was held up before it read it.
+			// A copy that left the endpoint in time is overdue all the same where this process was held up before it read it.
 			heldUp := watch.stop()
 			watch = watchDelays()
 			if overdue == 0 && heldUp < time.Duration(restFor)-lateCopyAfter {
@@ -367,11 +367,11 @@
 				}
 				one, _ := peer(t, serve)
 				addrs := []string{one}
-				if !strings.HasPrefix(name, "waits") { // with two servers the request may find a connection of its own
+				if !strings.HasPrefix(name, "waits") { // with two endpoints the request may find a connection of its own
 					two, _ := peer(t, serve)
 					addrs = append(addrs, two)
 				}
-				r, _ := run(t, func(p *Post) { p.Campaign.MayCancel, p.Campaign.Classes[0].Target = cancel, k.quoted }, addrs...)
+				r, _ := run(t, func(p *Config) { p.Settings.MayCancel, p.Settings.Classes[0].Target = cancel, k.quoted }, addrs...)
 				if k.before != nil {
 					k.before(r)
 				}
--- a/internal/proto/head.go
+++ b/internal/proto/head.go
@@ -1,5 +1,5 @@
-// Package proto is what the sidecar speaks: HTTP/1.1 to clients and to servers, and the list of servers. The parsers
-// and writers work on slices alone; sockets are served by link.go, and the loop in sidecar.go holds all together.
+// Package proto is what the instance speaks: HTTP/1.1 to clients and to endpoints, and the list of endpoints. The parsers
+// and writers work on slices alone; sockets are served by sockets.go, and the loop in sidecar.go holds all together.
 package proto
 
 import (
--- a/internal/proto/limits_test.go
+++ b/internal/proto/limits_test.go
@@ -21,7 +21,7 @@
 // connection.
 func TestMoreClientsThanDescriptors(t *testing.T) {
 	server := newStandIn(t)
-	r, _ := run(t, func(p *Post) { p.Descriptors = 30 }, server.Addr().String())
+	r, _ := run(t, func(p *Config) { p.Descriptors = 30 }, server.Addr().String())
 	for range 3 {
 		c := r.client()
 		c.send("step/echo", "b", "")
@@ -62,7 +62,7 @@
 // connections to them, also while they pause.
 func TestSilentClientsCostOthersNothing(t *testing.T) {
 	server := newStandIn(t)
-	r, _ := run(t, func(p *Post) { p.Descriptors = 160 }, server.Addr().String())
+	r, _ := run(t, func(p *Config) { p.Descriptors = 160 }, server.Addr().String())
 	usual := r.client()
 	ask := func(c *client) {
 		t.Helper()
@@ -103,7 +103,7 @@
 
 // Clients that ask once and stay: beyond a few of them answers end connections, and those that rest for long are closed.
 func TestClientsThatStayMakeRoom(t *testing.T) {
-	r, _ := run(t, func(p *Post) { p.Descriptors = 160 }, newStandIn(t).Addr().String())
+	r, _ := run(t, func(p *Config) { p.Descriptors = 160 }, newStandIn(t).Addr().String())
 	var stay []*client
 	closes := 0
 	for range 40 {
@@ -173,7 +173,7 @@
 
 // Full memory is answered, not filled further.
 func TestFullMemoryTurnsBack(t *testing.T) {
-	r, _ := run(t, func(p *Post) { p.Memory = 0 }, newStandIn(t).Addr().String())
+	r, _ := run(t, func(p *Config) { p.Memory = 0 }, newStandIn(t).Addr().String())
 	for i := range 3 {
 		c := r.client()
 		if i < 2 {
@@ -218,7 +218,7 @@
 	}
 	c.Close()
 	r.end()
-	// What the kernel took at either end is not the sidecar's.
+	// What the kernel took at either end is not the instance's.
 	if r.Counters.BytesOut > 24<<20 || r.Counters.Honoured > 200 {
 		t.Errorf("%d bytes were sent to one that reads nothing: %s", r.Counters.BytesOut, r.Report())
 	}
@@ -255,7 +255,7 @@
 	}
 }
 
-// pair is a connection as the sidecar holds it, and its other end.
+// pair is a connection as the instance holds it, and its other end.
 func pair(t *testing.T) (far net.Conn, nb *nbio.Conn, conn *state.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", here)
@@ -287,7 +287,7 @@
 	held := s.buffers.Get(state.Large)
 	fmt.Fprint(far, "GET")
 	time.Sleep(20 * time.Millisecond)
-	s.read(nb) // a little is always taken, to be turned back
+	s.read(nb) // a little is always taken, to be rejected
 	if conn.Link.(*link).cut || conn.Unread.Load() != 3 {
 		t.Errorf("cut at its first bytes, or they were not read: %d", conn.Unread.Load())
 	}
--- a/internal/proto/manners_test.go
+++ b/internal/proto/manners_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Clients and servers of all manners at once: each ticket gets one answer or none if its client left, what may run only
+// Clients and endpoints of all manners at once: each request gets one answer or none if its client left, what may run only
 // once is not sent again once it may have run, and (at the end of run) nothing is held.
 func TestAllMannersAtOnce(t *testing.T) {
 	var servers []*standIn
--- a/internal/proto/operated_test.go
+++ b/internal/proto/operated_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// A server that is out by hand gets nothing, whatever lists say meanwhile; called back it is cold, and used.
+// An endpoint that is out by hand gets nothing, whatever lists say meanwhile; called back it is cold, and used.
 func TestOutByHandWhateverTheListSays(t *testing.T) {
 	one, two := newStandIn(t), newStandIn(t)
 	r, a := run(t, nil, one.Addr().String(), two.Addr().String())
@@ -139,7 +139,7 @@
 	}
 	defer f.Close()
 	next := func(follows bool) *running {
-		r, _ := run(t, func(p *Post) {
+		r, _ := run(t, func(p *Config) {
 			p.Listen, p.Follows, p.Learn = l.Addr().String(), follows, func() {}
 			if p.Inherited, err = syscall.Dup(int(f.Fd())); err != nil {
 				t.Fatal(err)
--- a/internal/proto/parse_test.go
+++ b/internal/proto/parse_test.go
@@ -142,7 +142,7 @@
 	}
 }
 
-// What cannot become an answer is told while it is not whole: its server may leave the connection open, and say no more.
+// What cannot become an answer is told while it is not whole: its endpoint may leave the connection open, and say no more.
 func TestSpoiltAnswersAreToldEarly(t *testing.T) {
 	for _, in := range []string{"\x93\x0c", "HTTQ", "ICY 200 OK\r\n", "HTTP/1.1 2x0 OK\r\n", "HTTP/1.1 OK 200\r\nA: b",
 		"HTTP/1.1 200 OK\r\nno colon here\r\nA", "HTTP/1.1 200 OK\r\nA: \x00\r\n", "HTTP/1.1 200 OK\r\n\r\nand no length",
@@ -156,7 +156,7 @@
 	}
 }
 
-// A server must not be able to read another id or key than the sidecar did.
+// An endpoint must not be able to read another id or key than the instance did.
 func TestIDsAreGivenOnce(t *testing.T) {
 	for head, want := range map[string]bool{"X-Request-ID: 1\r\nIdempotency-Key: 2\r\nConnection: close\r\n": false,
 		"X-Request-ID: 1\r\nx-request-id: 2\r\n":               true,
@@ -177,7 +177,7 @@
 		"X-Timeout: 9\r\nContent-Length: 3\r\nTE: x\r\nExpect: 100-continue\r\nX-Attrs: a=1,b=2\r\n")
 	want := "POST /s?q=1 HTTP/1.1\r\nHost: a\r\nX-Request-ID: 7\r\nIdempotency-Key: k\r\nX-Attrs: a=1,b=2\r\n" +
 		"X-Timeout: 0.2500\r\nContent-Length: 3\r\n\r\n"
-	got := AppendPush(nil, []byte("POST"), []byte("/s?q=1"), head, 3, policy.Second/4)
+	got := AppendAttempt(nil, []byte("POST"), []byte("/s?q=1"), head, 3, policy.Second/4)
 	if string(got) != want {
 		t.Errorf("%q", got)
 	}
@@ -194,8 +194,8 @@
 		if n == 0 {
 			return
 		}
-		// What goes on to a server must be read there as one request with the same body.
-		out := append(AppendPush(nil, a.method, a.target, a.head, len(body), policy.Second), body...)
+		// What goes on to an endpoint must be read there as one request with the same body.
+		out := append(AppendAttempt(nil, a.method, a.target, a.head, len(body), policy.Second), body...)
 		m, again, same, fault := CutRequest(append(out, whole[n:]...), mostBody)
 		if fault != 0 || (m != len(out) || !bytes.Equal(same, body) || !bytes.Equal(again.target, a.target)) {
 			t.Fatalf("%q went on as %q", whole, out)
--- a/internal/proto/renew.go
+++ b/internal/proto/renew.go
@@ -7,8 +7,8 @@
 	"pepperlead/policy"
 )
 
-// renew goes over to a new configuration. Tickets, connections and all that is known of servers stay.
-func (s *Sidecar) renew(post Post) {
+// renew goes over to a new configuration. Requests, connections and all that is known of endpoints stay.
+func (s *Sidecar) renew(post Config) {
 	var late []string // takes a new start
 	keep := func(name string, same bool) {
 		if !same {
@@ -17,13 +17,13 @@
 	}
 	keep("listen", post.Listen == s.post.Listen)
 	keep("limits", post.Descriptors == s.post.Descriptors && post.Memory == s.post.Memory)
-	if post.Default != s.post.Default {
-		post.Campaign = &policy.Settings{} // of another shape: who names nothing would get another offering under a ticket in hand
+	if post.DefaultClass != s.post.DefaultClass {
+		post.Settings = &policy.Settings{} // of another shape: who names nothing would get another class under a request in hand
 	}
-	alike := s.Renew(engine.Config{Settings: post.Campaign, Source: post.Source, Leave: post.Leave})
+	alike := s.Renew(engine.Config{Settings: post.Settings, Source: post.Source, Leave: post.Leave})
 	keep("settings", alike)
 	if alike {
-		s.post.CutOffs, s.post.Anonymous = post.CutOffs, post.Anonymous
+		s.post.Deadlines, s.post.Anonymous = post.Deadlines, post.Anonymous
 	}
 	s.post.Source, s.post.ConnectIn, s.post.IdleFor, s.post.Accept = post.Source, post.ConnectIn, post.IdleFor, post.Accept
 	log := s.Logger.WithField("servers", post.Source.Name())
--- a/internal/proto/replies.go
+++ b/internal/proto/replies.go
@@ -6,14 +6,14 @@
 	"pepperlead/policy"
 )
 
-// answer takes the client off a ticket that is being answered; nil if it has left.
+// answer takes the client off a request that is being answered; nil if it has left.
 func (s *Sidecar) answer(now policy.Time, t *state.Request, kind int) *state.Conn {
 	c := t.Client
 	t.Client = nil
-	s.tickets.Unmark(t)
+	s.requests.Unmark(t)
 	if c == nil || c.Dead {
 		if c != nil {
-			c.Request = nil // the ticket's place may be another's by the time this connection's end is told
+			c.Request = nil // the request's place may be another's by the time this connection's end is told
 		}
 		s.Counters.Unsent++
 		s.Unanswered(t.Request)
@@ -23,7 +23,7 @@
 	return c
 }
 
-// Succeed passes a server's answer on, also one that declines.
+// Succeed passes an endpoint's answer on, also one that declines.
 func (s *Sidecar) Succeed(now policy.Time, of *engine.Request) {
 	t, kind := state.Of(of), 0
 	if t.Status != 200 {
@@ -34,11 +34,11 @@
 		if kind == 0 {
 			s.Counters.Honoured++
 		} else {
-			// The server cannot use the request. What else its sender has ready is not taken for better.
+			// The endpoint cannot use the request. What else its sender has ready is not taken for better.
 			s.Counters.Declined++
 			last = true
 		}
-		s.scratch = AppendHonour(s.scratch[:0], t.Status, t.AnswerHead, len(t.AnswerBody), last)
+		s.scratch = AppendSuccess(s.scratch[:0], t.Status, t.AnswerHead, len(t.AnswerBody), last)
 		if len(t.AnswerBody) <= state.Small {
 			s.scratch = append(s.scratch, t.AnswerBody...)
 			s.write(c, s.scratch)
--- a/internal/proto/reports.go
+++ b/internal/proto/reports.go
@@ -35,7 +35,7 @@
 
 // ---- for other goroutines ----
 
-// Report is the counters, and what is held now, a line each; also once the sidecar has ended.
+// Report is the counters, and what is held now, a line each; also once the instance has ended.
 func (s *Sidecar) Report() (report string) {
 	if !s.Inside(func() { report = s.report() }) {
 		report = s.report()
@@ -45,11 +45,11 @@
 
 // ServersReport is the list as it stands.
 func (s *Sidecar) ServersReport() (report string) {
-	s.Inside(func() { report = s.servers() })
+	s.Inside(func() { report = s.endpoints() })
 	return report
 }
 
-// Ready tells whether this process can serve: it listens, a list of servers is known, and it is not about to end.
+// Ready tells whether this process can serve: it listens, a list of endpoints is known, and it is not about to end.
 func (s *Sidecar) Ready() bool { return s.serves.Load() && s.Tally.Heard.Load() }
 
 // Figures hands over each counter, and each figure that goes up and down.
--- a/internal/proto/request.go
+++ b/internal/proto/request.go
@@ -112,7 +112,7 @@
 	return at > 0 && named(field(head, "Expect"), "100-continue")
 }
 
-// class is the offering that a request names: its header, or else the first part of the path.
+// class is the class that a request names: its header, or else the first part of the path.
 func class(target, head []byte) []byte {
 	if v := field(head, "X-Priority-Class"); v != nil {
 		return v
@@ -136,7 +136,7 @@
 	return policy.Time(s * float64(policy.Second)), true
 }
 
-// ambiguous tells whether a server could read another id or key than was read here, or none.
+// ambiguous tells whether an endpoint could read another id or key than was read here, or none.
 func ambiguous(head []byte) bool {
 	dropped := field(head, "Connection")
 	for _, name := range [...]string{"X-Request-ID", "Idempotency-Key"} {
@@ -195,9 +195,9 @@
 	return to
 }
 
-// AppendPush writes the head of a request as it goes on to a server, which is told how long the answer is waited for. size is that
+// AppendAttempt writes the head of a request as it goes on to an endpoint, which is told how long the answer is waited for. size is that
 // of the body, -1 where it is not known yet.
-func AppendPush(to, method, target, head []byte, size int, wait policy.Time) []byte {
+func AppendAttempt(to, method, target, head []byte, size int, wait policy.Time) []byte {
 	to = append(append(append(append(to, method...), ' '), target...), " HTTP/1.1\r\n"...)
 	to = appendThrough(to, head)
 	to = append(to, "X-Timeout: "...)
--- a/internal/proto/rig_test.go
+++ b/internal/proto/rig_test.go
@@ -25,10 +25,10 @@
 // here is an address of this run's own, so that runs side by side never meet on a port that one has just left.
 var here = fmt.Sprintf("127.%d.%d.%d:0", 64+os.Getpid()>>14%64, os.Getpid()>>7%128, 1+os.Getpid()%128)
 
-// lateCopyAfter is how long after an answer a stand-in server sends it again, where it is asked to.
+// lateCopyAfter is how long after an answer a stand-in endpoint sends it again, where it is asked to.
 const lateCopyAfter = 10 * time.Millisecond
 
-// standIn is a server of the fleet that does as the path says, and writes down what it was sent.
+// standIn is an endpoint of the fleet that does as the path says, and writes down what it was sent.
 type standIn struct {
 	net.Listener
 	mu    sync.Mutex
@@ -194,7 +194,7 @@
 	a.news = make(chan struct{})
 }
 
-// listOf names the servers at the addresses as a list of theirs; an address may be followed by a state.
+// listOf names the endpoints at the addresses as a list of theirs; an address may be followed by a state.
 func listOf(addrs ...string) string {
 	var all []string
 	for i, at := range addrs {
@@ -213,12 +213,12 @@
 	t    *testing.T
 	addr string
 	stop chan os.Signal
-	new  chan Post
+	new  chan Config
 	done chan error
 }
 
-// run starts a sidecar before the servers named; whatever the test did, nothing may be held at its end.
-func run(t *testing.T, change func(*Post), addrs ...string) (*running, *agent) {
+// run starts an instance before the endpoints named; whatever the test did, nothing may be held at its end.
+func run(t *testing.T, change func(*Config), addrs ...string) (*running, *agent) {
 	t.Helper()
 	told := strings.Replace(listOf(addrs...), "REV", "1", 1)
 	a := newAgent(t, told)
@@ -228,9 +228,9 @@
 	}
 	free.Close()
 	s := time.Second.Nanoseconds()
-	post := Post{Listen: free.Addr().String(), Source: discovery.NewPlatform(a.Addr().String(), false), Seed: 5, Descriptors: 256, Memory: 32 << 20,
+	post := Config{Listen: free.Addr().String(), Source: discovery.NewPlatform(a.Addr().String(), false), Seed: 5, Descriptors: 256, Memory: 32 << 20,
 		ConnectIn: policy.Time(s / 5), IdleFor: policy.Time(s * 60), Leave: policy.Time(s), Accept: policy.Time(s / 20),
-		Known: []byte(told), Campaign: &policy.Settings{Instances: 1, Zone: "a", Zones: 1, MayCancel: true, MaxAttempts: 3,
+		Known: []byte(told), Settings: &policy.Settings{Instances: 1, Zone: "a", Zones: 1, MayCancel: true, MaxAttempts: 3,
 			MaxRetryAfter: policy.Second, Tick: 5 * policy.Millisecond, ColdShare: 0.2, ColdTime: policy.Second, FallMultiple: 3,
 			Classes: []policy.Class{{Name: "step", Value: 1, Target: policy.Second / 4},
 				{Name: "note", Value: 1, Target: policy.Second / 4, Idempotency: policy.Keyed, Group: policy.GroupCell,
@@ -242,7 +242,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	r := &running{Sidecar: New(post, log), t: t, addr: post.Listen, stop: make(chan os.Signal, 1),
-		new: make(chan Post), done: make(chan error, 1)}
+		new: make(chan Config), done: make(chan error, 1)}
 	go func() { r.done <- r.Run(r.stop, r.new) }()
 	for i := 0; ; i++ {
 		if c, err := net.Dial("tcp", r.addr); err == nil {
@@ -299,7 +299,7 @@
 
 var serial int
 
-// send asks for an offering to be treated in some way, and gives the request's id.
+// send asks for a class to be treated in some way, and gives the request's id.
 func (c *client) send(path, body, more string) string {
 	serial++
 	id := fmt.Sprint("id-", serial)
--- a/internal/proto/share.go
+++ b/internal/proto/share.go
@@ -2,7 +2,7 @@
 
 import "pepperlead/policy"
 
-// Share has the process keep to its part of the limits while it is one of so many that are one sidecar. Any goroutine may call it.
+// Share has the process keep to its part of the limits while it is one of so many that are one instance. Any goroutine may call it.
 func (s *Sidecar) Share(processes int) {
 	s.processes.Store(int64(processes))
 	s.Signal()
--- a/internal/proto/sidecar.go
+++ b/internal/proto/sidecar.go
@@ -14,53 +14,53 @@
 	"pepperlead/policy"
 )
 
-// Post is what a sidecar is told of its place: where it listens and asks, and what it may use.
-type Post struct {
-	Listen      string
-	Source      discovery.Source // of servers
-	Seed        uint64
-	Descriptors int
-	Aside       int // of these, for what stands beside the sidecar
-	Memory      int // bytes that messages in hand may take
-	ConnectIn   policy.Time
-	From        net.IP      // connections to servers leave from there; nil: from whichever address the kernel picks
-	IdleFor     policy.Time // servers close connections that stood idle for so long
-	Accept      policy.Time // for so long after the first sign of the end clients may come
-	Leave       policy.Time // from that sign to the last answer
-	Campaign    *policy.Settings
-	CutOffs     []policy.Time   // by offering, for tickets that say nothing of it or more; nil: they must say
-	Default     string          // the offering of tickets that name none; "": they must
-	Anonymous   bool            // tickets may come without X-Request-ID
-	Latency     engine.Latency  // of final answers; nil: not measured
-	Record      *trace.Recorder // of what comes in and how it ends; nil: none
-	Stall       policy.Time     // as the engine has it
-	Inherited   int             // descriptor of a listener that others have too; 0: the sidecar listens by itself
-	Follows     bool            // another process of this sidecar serves already
-	First       policy.Time     // for so long at most clients wait at the start until the source has told its list; 0: they do not
-	Learn       func()          // takes over what that has learned; called beside the loop
-	Known       []byte          // a list saved earlier, as discovery gives it
+// Config is what an instance is told of its place: where it listens and asks, and what it may use.
+type Config struct {
+	Listen       string
+	Source       discovery.Source // of endpoints
+	Seed         uint64
+	Descriptors  int
+	Aside        int // of these, for what stands beside the instance
+	Memory       int // bytes that messages in hand may take
+	ConnectIn    policy.Time
+	From         net.IP      // connections to endpoints leave from there; nil: from whichever address the kernel picks
+	IdleFor      policy.Time // endpoints close connections that stood idle for so long
+	Accept       policy.Time // for so long after the first sign of the end clients may come
+	Leave        policy.Time // from that sign to the last answer
+	Settings     *policy.Settings
+	Deadlines    []policy.Time   // by class, for requests that say nothing of it or more; nil: they must say
+	DefaultClass string          // the class of requests that name none; "": they must
+	Anonymous    bool            // requests may come without X-Request-ID
+	Latency      engine.Latency  // of final answers; nil: not measured
+	Record       *trace.Recorder // of what comes in and how it ends; nil: none
+	Stall        policy.Time     // as the engine has it
+	Inherited    int             // descriptor of a listener that others have too; 0: the instance listens by itself
+	Follows      bool            // another process of this instance serves already
+	First        policy.Time     // for so long at most clients wait at the start until the source has told its list; 0: they do not
+	Learn        func()          // takes over what that has learned; called beside the loop
+	Known        []byte          // a list saved earlier, as discovery gives it
 }
 
 // Sidecar is the HTTP front on sockets, and the engine that decides for it. The engine's loop owns all of its state.
 type Sidecar struct {
 	*engine.Engine
-	no      int // of the front, in the engine
-	post    Post
-	sockets *sockets
-	buffers *state.Buffers
-	conns   *state.Conns
-	tickets *state.Requests
+	no       int // of the front, in the engine
+	post     Config
+	sockets  *sockets
+	buffers  *state.Buffers
+	conns    *state.Conns
+	requests *state.Requests
 
-	offerings  map[string]policy.ClassID
-	franchises map[string]policy.TenantID
-	fallback   policy.ClassID // of tickets that name none
-	again      []*state.Conn  // clients whose next request may be in already
-	scratch    []byte
-	begin      engine.Timer // to look whether clients may come in
-	room       engine.Timer // to look for connections of clients to close
-	pressed    bool         // there are too many, and none can be closed yet
+	classes  map[string]policy.ClassID
+	tenants  map[string]policy.TenantID
+	fallback policy.ClassID // of requests that name none
+	again    []*state.Conn  // clients whose next request may be in already
+	scratch  []byte
+	begin    engine.Timer // to look whether clients may come in
+	room     engine.Timer // to look for connections of clients to close
+	pressed  bool         // there are too many, and none can be closed yet
 
-	processes atomic.Int64 // that are one sidecar, with this one
+	processes atomic.Int64 // that are one instance, with this one
 	streams   int          // answers that are handed on as they come
 	shared    int          // so many the limits were last shared by
 	serves    atomic.Bool  // it listens, and does not end
@@ -69,22 +69,22 @@
 	acceptTo  policy.Time  // until then new connections may come
 }
 
-// New makes a sidecar that does not serve yet.
-func New(post Post, log *logrus.Logger) *Sidecar {
+// New makes an instance that does not serve yet.
+func New(post Config, log *logrus.Logger) *Sidecar {
 	s := &Sidecar{post: post, buffers: &state.Buffers{Most: post.Memory}, conns: state.NewConns(post.Descriptors - post.Aside),
-		tickets: &state.Requests{}, offerings: map[string]policy.ClassID{}, franchises: map[string]policy.TenantID{}}
-	s.Engine = engine.New(engine.Config{Seed: post.Seed, Settings: post.Campaign, Source: post.Source, Known: post.Known,
+		requests: &state.Requests{}, classes: map[string]policy.ClassID{}, tenants: map[string]policy.TenantID{}}
+	s.Engine = engine.New(engine.Config{Seed: post.Seed, Settings: post.Settings, Source: post.Source, Known: post.Known,
 		Leave: post.Leave, Latency: post.Latency, Record: post.Record, Stall: post.Stall}, log)
 	s.no = s.Engine.Add(s)
-	for i, o := range post.Campaign.Classes {
-		s.offerings[o.Name] = policy.ClassID(i)
+	for i, o := range post.Settings.Classes {
+		s.classes[o.Name] = policy.ClassID(i)
 	}
 	s.fallback = policy.NoClass
-	if i, known := s.offerings[post.Default]; known {
+	if i, known := s.classes[post.DefaultClass]; known {
 		s.fallback = i
 	}
-	for i, f := range post.Campaign.Tenants {
-		s.franchises[f.Name] = policy.TenantID(i)
+	for i, f := range post.Settings.Tenants {
+		s.tenants[f.Name] = policy.TenantID(i)
 	}
 	s.processes.Store(1)
 	s.shared = 1
@@ -94,7 +94,7 @@
 }
 
 // Run serves until a signal comes and all in hand is answered, and goes over to each new configuration.
-func (s *Sidecar) Run(stop <-chan os.Signal, fresh <-chan Post) error {
+func (s *Sidecar) Run(stop <-chan os.Signal, fresh <-chan Config) error {
 	if err := s.sockets.engine.Start(); err != nil {
 		s.Engine.Abandon()
 		return err
@@ -170,7 +170,7 @@
 			s.fromClient(now, e.at, c)
 		default:
 			c.In = s.buffers.Join(c.In, e.buf)
-			s.fromServer(now, e.at, c)
+			s.fromEndpoint(now, e.at, c)
 		}
 		if !c.Dead && c.Unread.Load() <= 0 {
 			s.sockets.resume(c)
@@ -238,10 +238,10 @@
 	t.Answer = nil
 }
 
-// Given takes the ticket's buffers back.
+// Given takes the request's buffers back.
 func (s *Sidecar) Given(of *engine.Request) { state.Of(of).Give(s.buffers) }
 
-// part is what this front keeps of a server.
+// part is what this front keeps of an endpoint.
 func (s *Sidecar) part(of *engine.Endpoint) *state.Endpoint {
 	if of.Parts[s.no] == nil {
 		of.Parts[s.no] = &state.Endpoint{Of: of}
@@ -249,7 +249,7 @@
 	return of.Parts[s.no].(*state.Endpoint)
 }
 
-// Retire closes the connections to a server that stand idle.
+// Retire closes the connections to an endpoint that stand idle.
 func (s *Sidecar) Retire(of *engine.Endpoint) {
 	server := s.part(of)
 	for len(server.Idle) > 0 {
--- a/internal/proto/sidecar_test.go
+++ b/internal/proto/sidecar_test.go
@@ -51,7 +51,7 @@
 }
 
 func TestOwnPages(t *testing.T) {
-	r, a := run(t, func(p *Post) { p.Known = nil }, newStandIn(t).Addr().String())
+	r, a := run(t, func(p *Config) { p.Known = nil }, newStandIn(t).Addr().String())
 	ready := func() int {
 		c := r.client()
 		io.WriteString(c, "GET /_health HTTP/1.1\r\nHost: o\r\n\r\n")
@@ -131,7 +131,7 @@
 	}
 }
 
-// A new configuration moves discovery and nothing else: tickets in hand are answered, and connections to servers stay.
+// A new configuration moves discovery and nothing else: requests in hand are answered, and connections to endpoints stay.
 func TestNewConfigurationUnderLoad(t *testing.T) {
 	old, new := newStandIn(t), newStandIn(t)
 	r, first := run(t, nil, old.Addr().String())
@@ -161,15 +161,15 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	post.Campaign = &policy.Settings{Classes: []policy.Class{{Name: "other"}}}
+	post.Settings = &policy.Settings{Classes: []policy.Class{{Name: "other"}}}
 	r.new <- post // what the module counts by cannot change under it
 	kept.send("step/echo", "d", "")
 	if answer, _ := kept.receive(); answer.StatusCode != 200 {
 		t.Errorf("after settings of another shape: %d", answer.StatusCode)
 	}
-	changed := *r.post.Campaign
+	changed := *r.post.Settings
 	changed.MaxRetryAfter = 2 * policy.Second
-	post.Campaign = &changed
+	post.Settings = &changed
 	r.new <- post
 	kept.send("step/away", "e", "")
 	if answer, _ := kept.receive(); answer.StatusCode != 503 {
@@ -181,14 +181,14 @@
 	}
 	second.mu.Unlock()
 	r.end()
-	if r.Counters.Renewals != 3 || r.post.Campaign.MaxRetryAfter != 2*policy.Second {
-		t.Errorf("renewed %d times, advice %d", r.Counters.Renewals, r.post.Campaign.MaxRetryAfter)
+	if r.Counters.Renewals != 3 || r.post.Settings.MaxRetryAfter != 2*policy.Second {
+		t.Errorf("renewed %d times, advice %d", r.Counters.Renewals, r.post.Settings.MaxRetryAfter)
 	}
 }
 
 func TestLeaving(t *testing.T) {
 	server := newStandIn(t)
-	r, _ := run(t, func(p *Post) { p.Accept, p.Leave = 200*policy.Millisecond, 600*policy.Millisecond }, server.Addr().String())
+	r, _ := run(t, func(p *Config) { p.Accept, p.Leave = 200*policy.Millisecond, 600*policy.Millisecond }, server.Addr().String())
 	idle, slow, silent := r.client(), r.client(), r.client()
 	idle.send("step/echo", "b", "")
 	idle.receive()
@@ -236,7 +236,7 @@
 func (k *sink) Reset()                 {}
 func (k *sink) Quiet(*state.Conn) bool { return !k.noisy }
 
-// still is a sidecar that knows one server and does not run, and a way to connect to it without sockets.
+// still is an instance that knows one endpoint and does not run, and a way to connect to it without sockets.
 func still(t *testing.T) (*Sidecar, func(side state.Side) (*state.Conn, *sink)) {
 	t.Helper()
 	r, _ := run(t, nil, "127.0.0.1:1")
@@ -278,7 +278,7 @@
 		buf = s.buffers.Get(state.Small)
 		buf.B = append(buf.B, answer...)
 		server.In = s.buffers.Join(server.In, buf)
-		s.fromServer(now+policy.Millisecond, now+policy.Millisecond, server)
+		s.fromEndpoint(now+policy.Millisecond, now+policy.Millisecond, server)
 		s.Round(now + policy.Millisecond)
 	}
 	for range 500 {
@@ -293,7 +293,7 @@
 	}
 }
 
-// A connection on which something unasked stands, or whose last answer is only just there, is not the one for the next push.
+// A connection on which something unasked stands, or whose last answer is only just there, is not the one for the next attempt.
 func TestPushesGoOutOnQuietConnections(t *testing.T) {
 	s, connect := still(t)
 	client, _ := connect(state.Client)
@@ -320,7 +320,7 @@
 	}
 }
 
-// Whatever clients, servers and discovery say, in whatever pieces: the process goes on, and all is given back.
+// Whatever clients, endpoints and discovery say, in whatever pieces: the process goes on, and all is given back.
 func TestNothingReadEndsTheProcess(t *testing.T) {
 	s, connect := still(t)
 	texts := []string{"GET /step/a HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Route-Key: k\r\nX-Timeout: 1\r\n\r\n",
--- a/internal/proto/sockets.go
+++ b/internal/proto/sockets.go
@@ -54,10 +54,10 @@
 const (
 	mostHushed = 512 << 10 // read and thrown away after a last answer
 	mostAhead  = 128 << 10 // what one connection may have sent before the loop has looked at it, and what waits to be written
-	mostTaken  = 64 << 10  // asked of the kernel for what servers send: so much may have to be taken at once when one closes
+	mostTaken  = 64 << 10  // asked of the kernel for what endpoints send: so much may have to be taken at once when one closes
 )
 
-func newSockets(clock clock.Clock, buffers *state.Buffers, post *Post, clients int, signal func()) *sockets {
+func newSockets(clock clock.Clock, buffers *state.Buffers, post *Config, clients int, signal func()) *sockets {
 	s := &sockets{clock: clock, buffers: buffers, connect: connect(post.From), signal: signal, room: make(chan struct{}, 1), ended: make(chan struct{})}
 	s.most.Store(int64(clients))
 	s.ahead.Store(mostAhead)
@@ -197,7 +197,7 @@
 			if conn.Side == state.Client || !l.hungUp() {
 				return // what is more stands in the kernel, and so holds up its sender
 			}
-			// The server has closed. nbio does so after this, and what it still had to say is to be had only now.
+			// The endpoint has closed. nbio does so after this, and what it still had to say is to be had only now.
 		}
 		buf := s.buffers.Get(size)
 		if !l.read(conn, buf) {
--- a/internal/proto/stream.go
+++ b/internal/proto/stream.go
@@ -11,7 +11,7 @@
 const (
 	heldFor  = 300 * policy.Millisecond // an answer of unknown length that is still coming goes on to the client as it comes
 	unreadIn = 5 * policy.Second        // the client has taken nothing of what waits for it: the stream is over
-	silentIn = policy.Second            // past the deadline, the server has sent nothing more of a long answer: what it still gives is not cut off
+	silentIn = policy.Second            // past the deadline, the endpoint has sent nothing more of a long answer: what it still gives is not cut off
 	shortIn  = 300 * policy.Millisecond // the same of one that may turn out to be short: that is lost half a second after the deadline
 	lookAt   = 250 * policy.Millisecond // between looks
 	leastRun = 16 << 10                 // may be under way of one stream, however many there are
@@ -20,9 +20,9 @@
 var lastChunk = []byte("0\r\n\r\n")
 
 // answerComes looks at an answer that is not whole, or (long) too long to be held. From when it goes on to the client as it comes, a
-// fault can only be shown to that; until then it costs a push. So a short one is held till it is whole or its push is over. One that may
-// turn out to be long goes on once it has taken its time and still comes: where its server has fallen silent, nothing is gained by
-// that, and the push is lost. dealt: nothing else is to be done about it now.
+// fault can only be shown to that; until then it costs an attempt. So a short one is held till it is whole or its attempt is over. One that may
+// turn out to be long goes on once it has taken its time and still comes: where its endpoint has fallen silent, nothing is gained by
+// that, and the attempt is lost. dealt: nothing else is to be done about it now.
 func (s *Sidecar) answerComes(now, at policy.Time, c *state.Conn, long bool) (dealt bool) {
 	t, b := c.Request, c.In.B
 	n, status, head, size, chunked, stays, ok := answerHead(b, false, t.Bodiless)
@@ -37,8 +37,8 @@
 	}
 	if o := outcomeOf(status, head); o != policy.Succeeded && o != policy.Declined {
 		if size > mostBody {
-			// What a server says at length of a failure is not waited for.
-			s.endPush(at, t, o, false)
+			// What an endpoint says at length of a failure is not waited for.
+			s.endAttempt(at, t, o, false)
 			return true
 		}
 		return false
@@ -50,7 +50,7 @@
 	c.Frame = frameOf(size, chunked)
 	got, used, done, ok := takeBody(&c.Frame, b[n:])
 	if !ok || done || used < len(b)-n {
-		s.endPush(at, t, policy.ConnectionLost, false)
+		s.endAttempt(at, t, policy.ConnectionLost, false)
 		return true
 	}
 	s.beginStream(now, at, c, t, status, head, b[n:n+got], stays)
@@ -60,7 +60,7 @@
 }
 
 func (s *Sidecar) beginStream(now, at policy.Time, c *state.Conn, t *state.Request, status int, head, body []byte, stays bool) {
-	// For the module the push ends with the first bytes, as the server's work does; the rest is a matter of the sockets.
+	// For the module the attempt ends with the first bytes, as the endpoint's work does; the rest is a matter of the sockets.
 	t.Settled = true
 	s.Ended(at, t.Request, outcomeOf(status, head))
 	s.Counters.Streams++
@@ -101,7 +101,7 @@
 	}
 }
 
-// handOn writes a part of the body to the client; where that has much to take, the server waits.
+// handOn writes a part of the body to the client; where that has much to take, the endpoint waits.
 func (s *Sidecar) handOn(c *state.Conn, t *state.Request, b []byte) {
 	if len(b) == 0 {
 		return
@@ -182,7 +182,7 @@
 	s.streamOver(now, t, false)
 	if c := t.Client; c != nil {
 		c.Request, t.Client = nil, nil
-		s.tickets.Unmark(t)
+		s.requests.Unmark(t)
 		s.Unanswered(t.Request)
 		if t.Unframed && !c.Dead {
 			s.conns.End(c) // an HTTP/1.0 client, told no length, takes an orderly end for the answer's
@@ -201,8 +201,8 @@
 	s.setAhead()
 }
 
-// serverDue is the one timer of a connection to a server: idle for too long, or a stream that may move no more.
-func (s *Sidecar) serverDue(now policy.Time, c *state.Conn) {
+// endpointDue is the one timer of a connection to an endpoint: idle for too long, or a stream that may move no more.
+func (s *Sidecar) endpointDue(now policy.Time, c *state.Conn) {
 	switch t := c.Request; {
 	case t == nil:
 		s.close(c)
@@ -220,7 +220,7 @@
 	by := now + unreadIn
 	switch {
 	case t.Client.Waiting() > 0:
-		c.MovedAt = now // the server is not at fault: it may have to wait
+		c.MovedAt = now // the endpoint is not at fault: it may have to wait
 		if !t.Client.Moves(now, t.Client.Written.Load(), unreadIn) {
 			by = now
 		}
@@ -236,7 +236,7 @@
 	s.Timers.Set(&c.Timer, min(by, now+lookAt))
 }
 
-// streamBy is when a stream ends whose server sends nothing more: its client knows by its deadline that it gets no more, or, where
+// streamBy is when a stream ends whose endpoint sends nothing more: its client knows by its deadline that it gets no more, or, where
 // some came just before that, soon after it.
 func streamBy(f state.Frame, movedAt, deadline policy.Time) policy.Time {
 	if f.Kind == sized || f.Got > mostBody { // it is long: a short one of known size is never passed on before it is whole
--- a/internal/proto/stream_test.go
+++ b/internal/proto/stream_test.go
@@ -57,7 +57,7 @@
 	})
 }
 
-// peer is a server that does with each request as told, until that says no; seen counts them.
+// peer is an endpoint that does with each request as told, until that says no; seen counts them.
 func peer(t *testing.T, serve func(c net.Conn, r *http.Request, n int) bool) (addr string, seen *atomic.Int64) {
 	t.Helper()
 	l, err := net.Listen("tcp", here)
@@ -253,9 +253,9 @@
 }
 
 // little is memory for messages of which one body may take 1 MiB.
-func little(p *Post) { p.Memory = 6 << 20 }
+func little(p *Config) { p.Memory = 6 << 20 }
 
-// Long bodies come to the server as they were sent, collected or passed on, and the connection goes on to its next request.
+// Long bodies come to the endpoint as they were sent, collected or passed on, and the connection goes on to its next request.
 func TestLongBodiesComeAsTheyAre(t *testing.T) {
 	addr, _ := taker(t, func(r *http.Request, n int) (int64, [32]byte, bool) {
 		time.Sleep(50 * time.Millisecond) // its client has to wait
@@ -328,7 +328,7 @@
 	}
 }
 
-// Who stops in the middle of a long body is told so and closed, and its ticket ends without a trace.
+// Who stops in the middle of a long body is told so and closed, and its request ends without a trace.
 func TestLongBodiesThatStop(t *testing.T) {
 	addr, _ := taker(t, all)
 	r, _ := run(t, nil, addr)
--- a/internal/proto/upload.go
+++ b/internal/proto/upload.go
@@ -7,8 +7,8 @@
 	"pepperlead/policy"
 )
 
-// A body over 64 KiB is collected while it fits, so that it can be sent again and no server waits for its client; else it goes on to
-// a server as it comes, and a push that fails in the middle of it is the ticket's last.
+// A body over 64 KiB is collected while it fits, so that it can be sent again and no endpoint waits for its client; else it goes on to
+// an endpoint as it comes, and an attempt that fails in the middle of it is the request's last.
 
 // hold is how much of one body is collected.
 func (s *Sidecar) hold() int {
@@ -65,13 +65,13 @@
 		s.holdUp(c, t.Attempt)
 	default:
 		t.More = s.buffers.Join(t.More, buf)
-		c.Stop.Store(true) // until a push takes it
+		c.Stop.Store(true) // until an attempt takes it
 	}
 	if !done {
 		if c.Upload != state.NoUpload {
 			by := s.uploadBy(c)
 			if c.Stop.Load() {
-				by = min(by, now+lookAt) // it waits for its server, which may take no more
+				by = min(by, now+lookAt) // it waits for its endpoint, which may take no more
 			}
 			s.Timers.Set(&c.Timer, by)
 		}
@@ -80,7 +80,7 @@
 	s.uploaded(now, at, c, next)
 }
 
-// goesOn makes a ticket of a request whose body has not come whole.
+// goesOn admits a request whose body has not come whole.
 func (s *Sidecar) goesOn(now, at policy.Time, c *state.Conn) {
 	buf := c.In
 	s.Counters.PassedBodies++
@@ -112,7 +112,7 @@
 	}
 }
 
-// sendPart writes a part of the body to the server.
+// sendPart writes a part of the body to the endpoint.
 func (s *Sidecar) sendPart(t *state.Request, b []byte) {
 	if len(b) == 0 {
 		return
@@ -144,14 +144,14 @@
 	return c.HeadAt + bodyIn + policy.Time(c.Frame.Got)*policy.Second/bodyRate
 }
 
-// uploadDue looks whether a body still comes. While its client has to wait, it is the server that must take something.
+// uploadDue looks whether a body still comes. While its client has to wait, it is the endpoint that must take something.
 func (s *Sidecar) uploadDue(now policy.Time, c *state.Conn) {
 	t := c.Request
 	switch {
 	case c.Stop.Load() && t != nil:
 		if t.Sent && t.Attempt != nil && !t.Attempt.Moves(now, t.Attempt.Written.Load(), flushIn) {
 			if t.Streams {
-				s.breakStream(now, t) // its server answers already
+				s.breakStream(now, t) // its endpoint answers already
 				return
 			}
 			s.TimedOut(now, t.Request)
--- a/policy/knowledge.go
+++ b/policy/knowledge.go
@@ -12,7 +12,7 @@
 	Servers                                            []Learned
 }
 
-// Patience is the time that first tries of an class come with, and the part that came with less.
+// Patience is the time that first tries of a class come with, and the part that came with less.
 type Patience struct {
 	Most Time
 	Odd  float64
@@ -95,7 +95,7 @@
 	b.maintain(now)
 }
 
-// Placed is told of an class that is new at its place in the settings, and like which its answers are likely to be: another's, or at itself.
+// Placed is told of a class that is new at its place in the settings, and like which its answers are likely to be: another's, or at itself.
 func (b *Balancer) Placed(at, like ClassID) {
 	for len(b.meanLatency) < len(b.settings.Classes) {
 		b.meanLatency, b.patience = append(b.meanLatency, 0), append(b.patience, firstTries{})
