--- a/rpc/rpc_test.go
+++ b/rpc/rpc_test.go
@@ -77,7 +77,7 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	side := proto.New(o.Post, log)
+	side := proto.New(o.Config, log)
 	stop, ended := make(chan os.Signal, 1), make(chan error, 1)
 	go func() { ended <- side.Run(stop, nil) }()
 	defer func() { stop <- syscall.SIGTERM; <-ended }()
