--- a/internal/daemon/rewrite_test.go
+++ b/internal/daemon/rewrite_test.go
@@ -10,6 +10,7 @@
 	"net/http"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -81,6 +82,9 @@
 missing_for = "30ms"
 %s`
 
+// missingFor is how long a list file may be away, as the configuration above says.
+const missingFor = 30 * time.Millisecond
+
 // text is a list file of these servers, by number, with their weights.
 func (f *fleet) text(issue int, servers map[int]float64, drains map[int]bool) []byte {
 	var b strings.Builder
@@ -291,9 +295,14 @@
 			os.WriteFile(path(file), next, 0o600)
 		case 6:
 			kinds["gone for a moment"]++
+			removed := time.Now()
 			os.Remove(path(file))
 			time.Sleep(time.Duration(rnd.IntN(10)) * time.Millisecond)
 			os.WriteFile(path(file), next, 0o600)
+			if time.Since(removed) >= missingFor {
+				// The machine held this up: the file was away for long enough to be out, and that is true as well.
+				truths[file] = slices.Insert(truths[file], len(truths[file])-1, truth{})
+			}
 		case 7: // an old copy, then the new one
 			kinds["old copy"]++
 			broken++
