--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -90,5 +90,3 @@
 		t.Front.CancelAttempt(now, t)
 	}
 }
-
-// ---- the end ----
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -309,8 +309,6 @@
 	e.ends = e.ends[:0]
 }
 
-// ---- for fronts ----
-
 // Inside has the loop do something between two rounds; false: it runs no more. What is done must be short and must not call
 // Inside.
 func (e *Engine) Inside(do func()) bool { return e.inside(nil, do) }
@@ -332,5 +330,3 @@
 
 // Over is closed once Run has ended.
 func (e *Engine) Over() <-chan struct{} { return e.over }
-
-// ---- what the module asks for ----
--- a/internal/proto/answers_test.go
+++ b/internal/proto/answers_test.go
@@ -229,10 +229,10 @@
 	one, _ := peer(t, serve)
 	two, _ := peer(t, serve)
 	r, _ := run(t, func(p *Config) { p.Settings.Classes[0].LateValue = 0.5 }, one, two)
-	watch := watchDelays()
+	stopWatch := watchDelays()
 	began = time.Now()
 	came, took, ended := r.raw("GET", "step", version)
-	heldUp = watch.stop() + time.Duration(firstBytes.Load())
+	heldUp = stopWatch() + time.Duration(firstBytes.Load())
 	status, body, is := understood(t, "GET", came, ended)
 	if h.elsewhere && (!is || status != 200 || body != "whole") {
 		t.Errorf("status %d, whole %v, %q", status, is, body)
--- a/internal/proto/crossing_test.go
+++ b/internal/proto/crossing_test.go
@@ -293,8 +293,8 @@
 	server := newStandIn(t)
 	r, _ := run(t, nil, server.Addr().String())
 	c := r.client()
-	watch := watchDelays()
-	defer func() { watch.stop() }()
+	stopWatch := watchDelays()
+	defer stopWatch()
 	for i := range 20 {
 		for _, act := range []string{"late", "echo"} {
 			body := fmt.Sprint(act, i)
@@ -308,10 +308,11 @@
 			overdue := server.overdue
 			server.mu.Unlock()
 			// A copy that left the endpoint in time is overdue all the same where this process was held up before it read it.
-			heldUp := watch.stop()
-			watch = watchDelays()
-			if overdue == 0 && heldUp < time.Duration(restFor)-lateCopyAfter {
-				t.Fatalf("%d %q, want %q; the machine held this process up for %v", answer.StatusCode, got, body, heldUp)
+			if overdue == 0 {
+				if heldUp := stopWatch(); heldUp < time.Duration(restFor)-lateCopyAfter {
+					t.Fatalf("%d %q, want %q; the machine held this process up for %v", answer.StatusCode, got, body, heldUp)
+				}
+				return false
 			}
 			c = r.client() // what it reads here may be a copy of before
 		}
--- a/internal/proto/delay_test.go
+++ b/internal/proto/delay_test.go
@@ -1,21 +1,22 @@
 package proto
 
-import "time"
+import (
+	"sync"
+	"time"
+)
 
-// delayWatch measures how late the machine wakes a goroutine that does nothing but sleep: the delay that any timer of this process may
-// have had meanwhile, whatever the code under test does.
-type delayWatch struct {
-	end  chan struct{}
-	most chan time.Duration
+// watchDelays measures how late the machine wakes a goroutine that does nothing but sleep: the delay that any timer of this process may
+// have had meanwhile, whatever the code under test does. stop ends the watch and gives the longest delay; it may be called again.
+func watchDelays() (stop func() time.Duration) {
+	end, longest := make(chan struct{}), make(chan time.Duration, 1)
+	go measureDelays(end, longest)
+	return sync.OnceValue(func() time.Duration {
+		close(end)
+		return <-longest
+	})
 }
 
-func watchDelays() delayWatch {
-	w := delayWatch{end: make(chan struct{}), most: make(chan time.Duration, 1)}
-	go w.run()
-	return w
-}
-
-func (w delayWatch) run() {
+func measureDelays(end <-chan struct{}, longest chan<- time.Duration) {
 	const nap = time.Millisecond
 	var most time.Duration
 	for {
@@ -23,16 +24,10 @@
 		time.Sleep(nap)
 		most = max(most, time.Since(began)-nap)
 		select {
-		case <-w.end:
-			w.most <- most
+		case <-end:
+			longest <- most
 			return
 		default:
 		}
 	}
 }
-
-// stop ends the watch and gives the longest delay.
-func (w delayWatch) stop() time.Duration {
-	close(w.end)
-	return <-w.most
-}
