--- a/cmd/pepperlab/drill.go
+++ b/cmd/pepperlead-sim/drill.go
@@ -23,7 +23,7 @@
 		Long: `Starts sidecars that know of each other, on loopback, with links between them. Measures what an idle one sends and costs, then cuts a
 link one way, kills one, cuts the company in two, heals it, stalls one, has one leave, and starts the killed one again, each time
 until all that are left know. Exit code 1 where they do not.`,
-		Example: "  pepperlab drill peers --count 50"}
+		Example: "  pepperlead-sim drill peers --count 50"}
 	count := c.Flags().Int("count", 5, "sidecars, 5 at least")
 	seed := c.Flags().Uint64("seed", 1, "names the drill")
 	daemon := c.Flags().String("daemon", "bin/pepperlead", "the daemon's `program`")
--- a/cmd/pepperlab/drillplay.go
+++ b/cmd/pepperlead-sim/drillplay.go
@@ -22,7 +22,7 @@
 		Long: `Starts sidecars, keepers of versions, servers and clients as drills/*.toml say, does to them what is said there, heals all, and
 has the judge look at what processes, servers and clients wrote down. Exit code 1 where a rule was broken, two acted on rules that
 contradict each other for longer than agree_within, or something failed; the command that plays a failed one again is printed.`,
-		Example: "  pepperlab drill play drills/naps.toml --seeds 20 --report out"}
+		Example: "  pepperlead-sim drill play drills/naps.toml --seeds 20 --report out"}
 	seed := c.Flags().Uint64("seed", 1, "names the play; the first of them")
 	seeds := c.Flags().Uint64("seeds", 1, "plays of each drill, one after the other")
 	count := c.Flags().Int("count", 0, "sidecars (default as the drill says)")
@@ -59,7 +59,7 @@
 			for n := *seed; n < *seed+*seeds && ctx.Err() == nil; n++ {
 				r, err := playOne(ctx, *daemon, *keep, s, n)
 				bar.Increment()
-				again := fmt.Sprintf("pepperlab drill play %s --seed %d", files[i], n)
+				again := fmt.Sprintf("pepperlead-sim drill play %s --seed %d", files[i], n)
 				if err != nil {
 					failed = append(failed, again)
 					fmt.Fprintf(c.ErrOrStderr(), "%s: %v\n", again, err)
--- a/cmd/pepperlab/main.go
+++ b/cmd/pepperlead-sim/main.go
@@ -1,4 +1,4 @@
-// Command pepperlab measures and rehearses what the sidecar does. It is no part of what is deployed.
+// Command pepperlead-sim measures and rehearses what the sidecar does. It is no part of what is deployed.
 package main
 
 import (
@@ -9,11 +9,11 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "pepperlab", Short: "Measure and rehearse what pepperlead does", SilenceUsage: true, SilenceErrors: true}
+	root := &cobra.Command{Use: "pepperlead-sim", Short: "Measure and rehearse what pepperlead does", SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(runCommand(), replayCommand(), socketsCommand(), drillCommand(), sweepCommand(), compareCommand(), reportCommand(), costCommand(), listsCommand(), followCommand(), memoryCommand())
 	root.AddCommand(hidden()...)
 	if err := root.Execute(); err != nil {
-		fmt.Fprintln(os.Stderr, "pepperlab:", err)
+		fmt.Fprintln(os.Stderr, "pepperlead-sim:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/pepperlab/rehearse.go
+++ b/cmd/pepperlead-sim/rehearse.go
@@ -22,7 +22,7 @@
 func runCommand() *cobra.Command {
 	c := &cobra.Command{Use: "run SCENARIO", Args: cobra.ExactArgs(1), Short: "Play one day in virtual time",
 		Long:    "Play one day in virtual time. The same scenario, seed and policy give the same result.json, to the byte.",
-		Example: "  pepperlab run scenarios/monday.toml --seed 7 --out /tmp/monday && pepperlab report /tmp/monday"}
+		Example: "  pepperlead-sim run scenarios/monday.toml --seed 7 --out /tmp/monday && pepperlead-sim report /tmp/monday"}
 	seed := c.Flags().Uint64("seed", 1, "names the day")
 	out := c.Flags().String("out", "", "`folder` for result.json and series.json (default: nothing is written)")
 	name := c.Flags().String("policy", "module", strings.Join(baseline.Names, ", "))
@@ -72,9 +72,9 @@
 
 func sweepCommand() *cobra.Command {
 	c := &cobra.Command{Use: "sweep SCENARIO...", Args: cobra.MinimumNArgs(1), Short: "Play many days: seeds, values of a figure, policies",
-		Example: "  pepperlab sweep scenarios/*.toml --seeds 20 --policies module,two,seeing --out /tmp/all\n" +
-			"  pepperlab sweep scenarios/burst.toml --vary load.part=0.5:1.5:0.1 --seeds 5 --out /tmp/load\n" +
-			"  pepperlab sweep scenarios/slow.toml --vary scale=4x8,300x100 --seeds 5     # sidecars x servers, load and keys in proportion"}
+		Example: "  pepperlead-sim sweep scenarios/*.toml --seeds 20 --policies module,two,seeing --out /tmp/all\n" +
+			"  pepperlead-sim sweep scenarios/burst.toml --vary load.part=0.5:1.5:0.1 --seeds 5 --out /tmp/load\n" +
+			"  pepperlead-sim sweep scenarios/slow.toml --vary scale=4x8,300x100 --seeds 5     # sidecars x servers, load and keys in proportion"}
 	seeds := c.Flags().Uint64("seeds", 5, "how many seeds, from --first on")
 	first := c.Flags().Uint64("first", 1, "the first seed")
 	vary := c.Flags().String("vary", "", "a figure and its `values`, as load.part=0.5,0.8 or load.part=0.5:1.5:0.1")
@@ -154,7 +154,7 @@
 	c := &cobra.Command{Use: "compare A B", Args: cobra.ExactArgs(2), Short: "Compare two sweeps, or two days, paired by seed",
 		Long: `Compare what run or sweep wrote into two folders, paired by scenario, figure and seed, with the 95% interval of the gain.
 Exit code 1 if a scenario loses more than is allowed, or if B breaks a rule where A did not.`,
-		Example: "  pepperlab compare /tmp/before /tmp/after --allow 0.01"}
+		Example: "  pepperlead-sim compare /tmp/before /tmp/after --allow 0.01"}
 	allow := c.Flags().Float64("allow", 0.01, "the loss of service that is let pass")
 	a := c.Flags().String("policy-a", "", "the policy of A, where it has several")
 	b := c.Flags().String("policy-b", "", "the policy of B, where it has several")
@@ -197,7 +197,7 @@
 
 func reportCommand() *cobra.Command {
 	c := &cobra.Command{Use: "report FOLDER", Args: cobra.ExactArgs(1), Short: "Write report.html about a day that run has played",
-		Example: "  pepperlab report /tmp/monday"}
+		Example: "  pepperlead-sim report /tmp/monday"}
 	asJSON := c.Flags().Bool("json", false, "print the file's path as JSON")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		path, err := experiment.Report(args[0])
--- a/cmd/pepperlab/replay.go
+++ b/cmd/pepperlead-sim/replay.go
@@ -15,7 +15,7 @@
 	c := &cobra.Command{Use: "replay TRACE...", Args: cobra.MinimumNArgs(1), Short: "Play what daemons have recorded, in virtual time",
 		Long: `Play what daemons have recorded by serve --record, a trace from each sidecar, in virtual time: the same requests at the same
 moments, and what the traces show to have gone wrong with servers. The fleet, which no sidecar knows, is a scenario's.`,
-		Example: "  pepperlab replay --scenario scenarios/monday.toml /tmp/monday/*.trace --out /tmp/again"}
+		Example: "  pepperlead-sim replay --scenario scenarios/monday.toml /tmp/monday/*.trace --out /tmp/again"}
 	path := c.Flags().String("scenario", "", "the `scenario` whose fleet, offerings and clients are played (must be given)")
 	scripted := c.Flags().Bool("scripted", false, "play the scenario's faults in place of those the traces show; those on load are in the traces")
 	seed := c.Flags().Uint64("seed", 1, "of what was not recorded: sizes of work, speeds")
--- a/cmd/pepperlab/yardsticks.go
+++ b/cmd/pepperlead-sim/yardsticks.go
@@ -46,8 +46,8 @@
 func costCommand() *cobra.Command {
 	c := &cobra.Command{Use: "cost --daemon LABEL=PROGRAM...", Args: cobra.NoArgs,
 		Short: "Measure what a ticket costs daemons and a plain proxy of the standard library, side by side",
-		Example: "  pepperlab cost --daemon now=bin/pepperlead --clients 1,16 --rounds 5 --each 3s\n" +
-			"  pepperlab cost --daemon before=/path/to/an/earlier/pepperlead --daemon now=bin/pepperlead"}
+		Example: "  pepperlead-sim cost --daemon now=bin/pepperlead --clients 1,16 --rounds 5 --each 3s\n" +
+			"  pepperlead-sim cost --daemon before=/path/to/an/earlier/pepperlead --daemon now=bin/pepperlead"}
 	daemons := c.Flags().StringArray("daemon", []string{"now=bin/pepperlead"}, "a daemon's `label=program`; several are measured side by side")
 	products := c.Flags().StringArray("product", nil, "a `label=program=file`: by the product's configuration, with what the file adds to it, as [peers]")
 	clients := c.Flags().IntSlice("clients", []int{1, 16}, "clients at once")
@@ -61,7 +61,7 @@
 		if err != nil {
 			return err
 		}
-		dir, err := os.MkdirTemp("", "pepperlab")
+		dir, err := os.MkdirTemp("", "pepperlead-sim")
 		if err != nil {
 			return err
 		}
@@ -141,7 +141,7 @@
 
 func listsCommand() *cobra.Command {
 	c := &cobra.Command{Use: "lists", Args: cobra.NoArgs, Short: "Measure how long a list of servers takes to be read, checked and dealt",
-		Example: "  pepperlab lists --servers 300,5000"}
+		Example: "  pepperlead-sim lists --servers 300,5000"}
 	servers := c.Flags().IntSlice("servers", []int{10, 300, 5000}, "sizes of the list")
 	rounds := c.Flags().Int("rounds", 5, "rounds, of which the least is told")
 	asJSON := c.Flags().Bool("json", false, "print JSON")
@@ -166,7 +166,7 @@
 // standalone starts a daemon on a list of its own and gives the folder.
 func standalone(program string, servers int, addrs []string, extra string) (p *exec.Cmd, listen, dir string, err error) {
 	listen = yardstick.Free()
-	if dir, err = os.MkdirTemp("", "pepperlab"); err != nil {
+	if dir, err = os.MkdirTemp("", "pepperlead-sim"); err != nil {
 		return nil, "", "", err
 	}
 	path, err := yardstick.Standalone(dir, listen, servers, addrs, extra)
--- a/cmd/pepperlead/serve.go
+++ b/cmd/pepperlead/serve.go
@@ -28,7 +28,7 @@
 	path := configFlag(c)
 	level := c.Flags().String("log", "", "least `level` that is logged: debug, info, warning or error (default info, or as configured)")
 	format := c.Flags().String("log-format", "", "`format` of the log: text or json (default text, or as configured)")
-	record := c.Flags().String("record", "", "`file` for a trace of what comes in and how it ends, for pepperlab replay (default none)")
+	record := c.Flags().String("record", "", "`file` for a trace of what comes in and how it ends, for pepperlead-sim replay (default none)")
 	c.RunE = func(*cobra.Command, []string) error {
 		orders, err := daemon.Read(*path, os.Getenv)
 		if err != nil {
