--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"os"
 
-	"pepperlead/internal/simwire"
+	"pepperlead/internal/simprotocol"
 )
 
 func main() {
-	if err := simwire.Run(os.Stdin, os.Stdout); err != nil {
+	if err := simprotocol.Run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simulator-adapter:", err)
 		os.Exit(1)
 	}
--- a/internal/simwire/events.go
+++ b/internal/simprotocol/events.go
@@ -1,4 +1,4 @@
-package simwire
+package simprotocol
 
 import (
 	"fmt"
--- a/internal/simwire/simwire.go
+++ b/internal/simprotocol/simwire.go
@@ -1,6 +1,6 @@
 // Package simwire puts instances of the decision module on the bench's wire: it decodes the lines of
 // a batch straight into calls and writes what the module asks for as the lines of the reply.
-package simwire
+package simprotocol
 
 import (
 	"bufio"
