--- a/internal/daemon/keep.go
+++ b/internal/daemon/keep.go
@@ -9,10 +9,10 @@
 
 	"github.com/sirupsen/logrus"
 
-	"pepperlead/internal/agreement"
 	"pepperlead/internal/group"
 	"pepperlead/internal/installation"
 	"pepperlead/internal/peers"
+	"pepperlead/internal/ruleset"
 	"pepperlead/policy"
 )
 
@@ -50,7 +50,7 @@
 }
 
 // dealt gives the slots' owners of a version that follows on another.
-func dealt(text []byte, inForce *agreement.Page) []byte {
+func dealt(text []byte, inForce *ruleset.Page) []byte {
 	next, err := installation.ReadVersion("version", text)
 	if err != nil || next.Servers == nil {
 		return nil
--- a/internal/engine/terms.go
+++ b/internal/engine/terms.go
@@ -8,15 +8,15 @@
 
 	"github.com/sirupsen/logrus"
 
-	"pepperlead/internal/agreement"
 	"pepperlead/internal/clock"
 	"pepperlead/internal/discovery"
+	"pepperlead/internal/ruleset"
 	"pepperlead/policy"
 )
 
 // Version is one as this instance can act by it: what binds, and all else that it says.
 type Version struct {
-	agreement.Version
+	ruleset.Version
 	Campaign *policy.Settings
 	Servers  []discovery.Entry   // nil: those of the instance's own source
 	Table    []policy.EndpointID // who has which slot; nil: as assigned here
@@ -27,18 +27,18 @@
 
 // terms are the rules that this instance agrees on with others. The loop's own.
 type terms struct {
-	holder  *agreement.Holder
-	places  agreement.Places
-	of      map[agreement.Number]*Version
+	holder  *ruleset.Holder
+	places  ruleset.Places
+	of      map[ruleset.Number]*Version
 	named   []string // by place
 	rows    []int    // by place: where its figures are
 	offered []string
 	turns   uint64
 	leased  bool
-	last    []agreement.Number
-	unfit   agreement.Number // version whose table could not be taken
-	table   uint64           // digest of the table that was taken last
-	acts    uint64           // changes
+	last    []ruleset.Number
+	unfit   ruleset.Number // version whose table could not be taken
+	table   uint64         // digest of the table that was taken last
+	acts    uint64         // changes
 }
 
 // Agreeing is a front that can go on while classes and tenants come and go. With NoClass and NoTenant they go.
@@ -50,7 +50,7 @@
 // Agree has the engine go by versions from now on: by its own file's as number 0, and until there is a lease by the floor of that. life tells
 // this process's lives apart. To be called before Run.
 func (e *Engine) Agree(own *Version, life uint32) {
-	t := &terms{holder: agreement.NewHolder(life), of: map[agreement.Number]*Version{}, turns: 1 << 63}
+	t := &terms{holder: ruleset.NewHolder(life), of: map[ruleset.Number]*Version{}, turns: 1 << 63}
 	t.places.Most = mostPlaces
 	e.terms = t
 	e.Tally.Answered = make([][Results]atomic.Int64, mostPlaces)
@@ -81,19 +81,19 @@
 }
 
 // Ask numbers a question for a lease that is sent now.
-func (e *Engine) Ask() (ask uint64, knows []agreement.Number) {
+func (e *Engine) Ask() (ask uint64, knows []ruleset.Number) {
 	return e.terms.holder.Ask(clock.Awake())
 }
 
 // Granted takes a lease.
-func (e *Engine) Granted(g agreement.Grant) bool {
+func (e *Engine) Granted(g ruleset.Grant) bool {
 	granted := e.terms.holder.Granted(g)
 	e.obey()
 	return granted
 }
 
 // Standing tells by which versions this instance acts, and whether it has a lease on them.
-func (e *Engine) Standing() (of []agreement.Number, leased bool) {
+func (e *Engine) Standing() (of []ruleset.Number, leased bool) {
 	return e.terms.holder.InForce(), e.terms.leased
 }
 
@@ -140,11 +140,11 @@
 }
 
 // act has the module go by these rules from its next decision on.
-func (e *Engine) act(r *agreement.Rules, leased bool) {
+func (e *Engine) act(r *ruleset.Rules, leased bool) {
 	t, c := e.terms, e.Settings
 	t.acts++
 	said := e.said()
-	t.places.Go(r, leased, func(at policy.ClassID, name string, now agreement.Offering, admits bool) {
+	t.places.Go(r, leased, func(at policy.ClassID, name string, now ruleset.Offering, admits bool) {
 		e.place(at, name, now, said[0])
 		if admits {
 			e.agreeing(func(f Agreeing) { f.Offers(name, at, now.CutOff) })
@@ -176,7 +176,7 @@
 }
 
 // oldest is the version whose table is gone by: the one in force, and while a change is under way the one before it.
-func oldest(h *agreement.Holder) (n agreement.Number) {
+func oldest(h *ruleset.Holder) (n ruleset.Number) {
 	if of := h.InForce(); len(of) > 0 {
 		n = of[0]
 	}
@@ -241,7 +241,7 @@
 }
 
 // place writes what binds a place's requests to where the module reads it.
-func (e *Engine) place(at policy.ClassID, name string, now agreement.Offering, latest *Version) {
+func (e *Engine) place(at policy.ClassID, name string, now ruleset.Offering, latest *Version) {
 	t, c := e.terms, e.Settings
 	for len(t.named) <= int(at) {
 		t.named, t.rows = append(t.named, ""), append(t.rows, 0)
@@ -288,11 +288,11 @@
 }
 
 // quotas takes over those of the tenants. One that is not named any more has none, and its requests come as nobody's.
-func (e *Engine) quotas(r *agreement.Rules) {
+func (e *Engine) quotas(r *ruleset.Rules) {
 	c := e.Settings
 	c.Quotas = 0
 	for i, f := range c.Tenants {
-		if !slices.ContainsFunc(r.Franchises, func(now agreement.Franchise) bool { return now.Name == f.Name }) {
+		if !slices.ContainsFunc(r.Franchises, func(now ruleset.Franchise) bool { return now.Name == f.Name }) {
 			e.agreeing(func(front Agreeing) { front.Quotes(f.Name, policy.NoTenant) })
 			c.Tenants[i].Quota = 0
 		}
@@ -312,7 +312,7 @@
 
 // agreed has the endpoints that versions name in the place of the source's own. One that not all of those name that may be in force drains.
 // One that is only coming is not known yet, so that the table stays as it is in force; table is the version that it is of.
-func (f *members) agreed(r *agreement.Rules, said []*Version, table *Version) {
+func (f *members) agreed(r *ruleset.Rules, said []*Version, table *Version) {
 	if r.Open {
 		if f.closed {
 			f.closed = false
@@ -329,7 +329,7 @@
 				continue
 			}
 			named[e.ID] = true
-			i, byAll := slices.BinarySearchFunc(r.Servers, e.ID, func(s agreement.Server, id policy.EndpointID) int { return cmp.Compare(s.ID, id) })
+			i, byAll := slices.BinarySearchFunc(r.Servers, e.ID, func(s ruleset.Server, id policy.EndpointID) int { return cmp.Compare(s.ID, id) })
 			if byAll {
 				e.Started = max(e.Started, r.Servers[i].Started)
 			} else if f.e.Endpoints[e.ID] == nil && (table == nil || v != table) {
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -13,9 +13,9 @@
 	"github.com/hashicorp/raft"
 	"github.com/sirupsen/logrus"
 
-	"pepperlead/internal/agreement"
 	"pepperlead/internal/clock"
 	"pepperlead/internal/peers"
+	"pepperlead/internal/ruleset"
 	"pepperlead/policy"
 )
 
@@ -38,7 +38,7 @@
 	Drift   float64
 	Check   func(text, inForce []byte) error // whether a version can follow on another; nil: there is none
 	// Deal gives the slots' owners of a text that follows on a version, nil: there is none; nothing where it names no servers.
-	Deal func(text []byte, inForce *agreement.Page) []byte
+	Deal func(text []byte, inForce *ruleset.Page) []byte
 }
 
 const (
@@ -66,7 +66,7 @@
 type question struct {
 	from  string
 	ask   uint64
-	knows []agreement.Number
+	knows []ruleset.Number
 	came  policy.Time
 }
 
@@ -83,8 +83,8 @@
 	company atomic.Pointer[peers.Company]
 
 	mu      sync.Mutex
-	book    agreement.Book
-	granter *agreement.Granter // nil: it does not lead
+	book    ruleset.Book
+	granter *ruleset.Granter // nil: it does not lead
 	asked   []question
 	told    map[string]time.Time // when a sidecar was last sent pages
 	begun   policy.Time          // of the change under way
@@ -157,7 +157,7 @@
 
 // Heard takes what a sidecar has sent; it does not wait.
 func (k *Keeper) Heard(b []byte) {
-	ears := agreement.Ears{Asked: func(from string, ask uint64, knows []agreement.Number) {
+	ears := ruleset.Ears{Asked: func(from string, ask uint64, knows []ruleset.Number) {
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		if k.granter == nil || len(k.asked) >= mostAsked {
@@ -202,7 +202,7 @@
 
 // Apply proposes a text on top of the latest version that its author saw; back is the number of a version that it has the text of, or 0.
 // Errors: ErrNotLeading, why it is refused, or that its fate is not known.
-func (k *Keeper) Apply(text []byte, back, last agreement.Number, author string) (agreement.Number, error) {
+func (k *Keeper) Apply(text []byte, back, last ruleset.Number, author string) (ruleset.Number, error) {
 	if _, err := k.Leader(); err != nil {
 		return 0, err
 	}
@@ -220,9 +220,9 @@
 }
 
 // check tells why the text, or that of the version gone back to, cannot follow on what is in force; and gives the text and what that is.
-func (k *Keeper) check(text []byte, back agreement.Number) ([]byte, *agreement.Page, agreement.Number, error) {
+func (k *Keeper) check(text []byte, back ruleset.Number) ([]byte, *ruleset.Page, ruleset.Number, error) {
 	b := k.Book()
-	var inForce *agreement.Page
+	var inForce *ruleset.Page
 	var follows []byte
 	for i, p := range b.Pages {
 		if p.Number == b.Old {
@@ -236,20 +236,20 @@
 }
 
 // dry tells why it would be refused.
-func (k *Keeper) dry(text []byte, back, last agreement.Number) error {
+func (k *Keeper) dry(text []byte, back, last ruleset.Number) error {
 	text, _, on, err := k.check(text, back)
 	if err != nil {
 		return err
 	}
 	b := k.Book()
 	if back > 0 {
-		return b.Back(back, agreement.Page{}, last, on)
+		return b.Back(back, ruleset.Page{}, last, on)
 	}
-	return b.Propose(agreement.Page{Text: text}, last, on)
+	return b.Propose(ruleset.Page{Text: text}, last, on)
 }
 
 // Withdraw ends the change to that version while it is under way.
-func (k *Keeper) Withdraw(n agreement.Number) error {
+func (k *Keeper) Withdraw(n ruleset.Number) error {
 	if k.raft.State() != raft.Leader {
 		return ErrNotLeading
 	}
@@ -257,7 +257,7 @@
 }
 
 // Book is what this keeper knows to be agreed on.
-func (k *Keeper) Book() agreement.Book {
+func (k *Keeper) Book() ruleset.Book {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	b := k.book
--- a/internal/group/group_test.go
+++ b/internal/group/group_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"pepperlead/internal/agreement"
+	"pepperlead/internal/ruleset"
 	"pepperlead/policy"
 )
 
@@ -43,7 +43,7 @@
 					return errors.New("it is bad")
 				}
 				return nil
-			}, Deal: func([]byte, *agreement.Page) []byte { return nil }}
+			}, Deal: func([]byte, *ruleset.Page) []byte { return nil }}
 		k, err := Open(p, log)
 		if err != nil {
 			t.Fatal(err)
@@ -64,7 +64,7 @@
 }
 
 // apply applies at whoever leads.
-func apply(t *testing.T, all []*Keeper, text string, back agreement.Number) (n agreement.Number) {
+func apply(t *testing.T, all []*Keeper, text string, back ruleset.Number) (n ruleset.Number) {
 	t.Helper()
 	eventually(t, "apply "+text, func() bool {
 		for _, k := range all {
@@ -79,7 +79,7 @@
 	return n
 }
 
-func alone(k *Keeper, n agreement.Number) func() bool {
+func alone(k *Keeper, n ruleset.Number) func() bool {
 	return func() bool { b := k.Book(); return b.Old == n && b.New == n }
 }
 
--- a/internal/group/leader.go
+++ b/internal/group/leader.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"pepperlead/internal/agreement"
 	"pepperlead/internal/clock"
+	"pepperlead/internal/ruleset"
 	"pepperlead/policy"
 )
 
@@ -35,7 +35,7 @@
 				continue
 			}
 			k.mu.Lock()
-			k.granter = agreement.NewGranter(agreement.Term(k.raft.CurrentTerm()), k.post.Lease, k.post.Drift, k.book.Old, k.book.New, clock.Awake())
+			k.granter = ruleset.NewGranter(ruleset.Term(k.raft.CurrentTerm()), k.post.Lease, k.post.Drift, k.book.Old, k.book.New, clock.Awake())
 			k.log.Infof("keep: leads in term %d, version %d in force, %d coming", k.raft.CurrentTerm(), k.book.Old, k.book.New)
 			k.mu.Unlock()
 		}
@@ -75,14 +75,14 @@
 		return
 	}
 	k.mu.Lock()
-	if k.granter == nil || k.granter.Term() != agreement.Term(k.raft.CurrentTerm()) {
+	if k.granter == nil || k.granter.Term() != ruleset.Term(k.raft.CurrentTerm()) {
 		// It may have led, lost that and got it again without having heard yet: what lay between is not in this granter.
 		k.mu.Unlock()
 		return
 	}
 	k.granter.Confirmed(begun)
 	g, given := k.granter.Grant(q.ask, q.knows, q.came)
-	var lacks []agreement.Page
+	var lacks []ruleset.Page
 	if !given && time.Since(k.told[q.from]) > tellEvery {
 		for _, p := range k.book.InForce() {
 			if !slices.Contains(q.knows, p.Number) {
@@ -97,7 +97,7 @@
 	k.mu.Unlock()
 	if given {
 		k.grants.Add(1)
-		c.Send(q.from, agreement.SayGrant(c.Own(), g)) // lost: it is asked again
+		c.Send(q.from, ruleset.SayGrant(c.Own(), g)) // lost: it is asked again
 		return
 	}
 	if len(lacks) == 0 {
@@ -111,7 +111,7 @@
 	go func() {
 		defer func() { <-k.room }()
 		for _, p := range lacks {
-			b := agreement.SayPage(c.Own(), p)
+			b := ruleset.SayPage(c.Own(), p)
 			k.sent.Add(1)
 			k.sentBytes.Add(uint64(len(b)))
 			if c.SendWhole(q.from, b) != nil {
--- a/internal/group/pages.go
+++ b/internal/group/pages.go
@@ -16,7 +16,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"pepperlead/internal/admin"
-	"pepperlead/internal/agreement"
+	"pepperlead/internal/ruleset"
 )
 
 const mostText = 4 << 20
@@ -75,13 +75,13 @@
 // Close ends them.
 func (p *Pages) Close() error { return p.http.Close() }
 
-func number(r *http.Request, of string) (agreement.Number, error) {
+func number(r *http.Request, of string) (ruleset.Number, error) {
 	text := r.URL.Query().Get(of)
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
 		return 0, fmt.Errorf("%s: found %q, allowed the number of a version", of, text)
 	}
-	return agreement.Number(n), nil
+	return ruleset.Number(n), nil
 }
 
 // apply proposes a version.
@@ -89,7 +89,7 @@
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, mostText))
 	last, wrong := number(r, "last")
 	err = errors.Join(err, wrong)
-	var back agreement.Number
+	var back ruleset.Number
 	if r.URL.Query().Has("back") {
 		back, wrong = number(r, "back")
 		err = errors.Join(err, wrong)
@@ -98,7 +98,7 @@
 		k.result(w, k.dry(text, back, last), "it could be applied on top of version %d\n", last)
 		return
 	}
-	var n agreement.Number
+	var n ruleset.Number
 	if err == nil {
 		n, err = k.Apply(text, back, last, r.URL.Query().Get("author"))
 	}
--- a/internal/group/statemachine.go
+++ b/internal/group/statemachine.go
@@ -8,8 +8,8 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/hashicorp/raft"
 
-	"pepperlead/internal/agreement"
 	"pepperlead/internal/clock"
+	"pepperlead/internal/ruleset"
 	"pepperlead/policy"
 )
 
@@ -39,8 +39,8 @@
 	now := clock.Awake()
 	switch verb {
 	case "apply":
-		var page agreement.Page
-		var back, last, on agreement.Number
+		var page ruleset.Page
+		var back, last, on ruleset.Number
 		err := read(&page.Text, &page.Table, &back, &last, &on, &page.Author, &page.At)
 		if err == nil && back > 0 {
 			err = p.book.Back(back, page, last, on)
@@ -56,7 +56,7 @@
 		}
 		p.log.Infof("keep: version %d is agreed on, %d is in force too until no lease is left of it alone", p.book.New, p.book.Old)
 	case "drop":
-		var n agreement.Number
+		var n ruleset.Number
 		if err := read(&n); err != nil {
 			return err
 		}
@@ -68,7 +68,7 @@
 		}
 		p.log.Infof("keep: version %d is in force alone, %dms after it was agreed on", n, (now-p.begun)/policy.Millisecond)
 	case "withdraw":
-		var n agreement.Number
+		var n ruleset.Number
 		if err := read(&n); err != nil {
 			return err
 		}
@@ -96,7 +96,7 @@
 // Restore goes on from a snapshot.
 func (p *pen) Restore(from io.ReadCloser) error {
 	defer from.Close()
-	var book agreement.Book
+	var book ruleset.Book
 	if err := cbor.NewDecoder(from).Decode(&book); err != nil {
 		return err
 	}
--- a/internal/agreement/lease.go
+++ b/internal/ruleset/lease.go
@@ -1,4 +1,4 @@
-package agreement
+package ruleset
 
 import (
 	"slices"
--- a/internal/agreement/norace_test.go
+++ b/internal/ruleset/norace_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package agreement
+package ruleset
 
 const raced = false
--- a/internal/agreement/rules.go
+++ b/internal/ruleset/rules.go
@@ -1,7 +1,7 @@
 // Package agreement decides by which rules a sidecar may act while versions of them change and links break: what the strictest of
 // several versions is, how long a lease on a version holds, and when the next one may come into force. No I/O, no clock, no goroutine:
 // moments are handed in. Why it is so: docs/agreement.md.
-package agreement
+package ruleset
 
 import (
 	"cmp"
--- a/internal/agreement/words.go
+++ b/internal/ruleset/words.go
@@ -1,4 +1,4 @@
-package agreement
+package ruleset
 
 import "github.com/fxamacker/cbor/v2"
 
