--- a/cmd/pepperlead/versions.go
+++ b/cmd/pepperlead/versions.go
@@ -15,8 +15,8 @@
 
 	"github.com/spf13/cobra"
 
+	"pepperlead/internal/coordinator"
 	"pepperlead/internal/daemon"
-	"pepperlead/internal/group"
 )
 
 func keepCommand() *cobra.Command {
@@ -63,7 +63,7 @@
 		}
 		text, err := io.ReadAll(answer.Body)
 		answer.Body.Close()
-		switch leader := answer.Header.Get(group.LeaderAt); {
+		switch leader := answer.Header.Get(coordinator.LeaderAt); {
 		case err != nil:
 			return "", err
 		case answer.StatusCode == http.StatusOK:
--- a/internal/group/group.go
+++ b/internal/coordinator/group.go
@@ -1,6 +1,6 @@
 // Package group keeps versions: a few keepers agree on their order by hashicorp/raft, and the one that leads grants leases on what is in force.
 // What is decided stands in internal/agreement; here stand the log, the disk and the network. docs/agreement.md.
-package group
+package coordinator
 
 import (
 	"errors"
--- a/internal/group/stream.go
+++ b/internal/coordinator/stream.go
@@ -1,4 +1,4 @@
-package group
+package coordinator
 
 import (
 	"crypto/hmac"
--- a/internal/daemon/keep.go
+++ b/internal/daemon/keep.go
@@ -9,7 +9,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"pepperlead/internal/group"
+	"pepperlead/internal/coordinator"
 	"pepperlead/internal/installation"
 	"pepperlead/internal/peers"
 	"pepperlead/internal/ruleset"
@@ -74,17 +74,17 @@
 	if err != nil {
 		return fmt.Errorf("peers.key_file: %w", err)
 	}
-	post := group.Post{Name: k.Name, Folder: k.Folder, Listen: k.Listen, Cluster: k.Peers.Cluster, Key: key, Lease: k.Lease, Drift: k.Drift,
+	post := coordinator.Post{Name: k.Name, Folder: k.Folder, Listen: k.Listen, Cluster: k.Peers.Cluster, Key: key, Lease: k.Lease, Drift: k.Drift,
 		Check: func(text, inForce []byte) error { return CheckVersion("version", text, inForce) }, Deal: dealt}
 	for _, m := range k.Members {
-		post.Members = append(post.Members, group.Member(m))
+		post.Members = append(post.Members, coordinator.Member(m))
 	}
-	keeper, err := group.Open(post, log)
+	keeper, err := coordinator.Open(post, log)
 	if err != nil {
 		return fmt.Errorf("keep: %w", err)
 	}
 	defer keeper.Close()
-	pages, err := group.Listen(keeper)
+	pages, err := coordinator.Listen(keeper)
 	if err != nil {
 		return fmt.Errorf("pages: %w", err)
 	}
