--- a/internal/coordinator/group.go
+++ b/internal/coordinator/group.go
@@ -14,7 +14,7 @@
 	"github.com/sirupsen/logrus"
 
 	"pepperlead/internal/clock"
-	"pepperlead/internal/peers"
+	"pepperlead/internal/membership"
 	"pepperlead/internal/ruleset"
 	"pepperlead/policy"
 )
@@ -80,7 +80,7 @@
 	stop   chan struct{}
 	ended  sync.WaitGroup
 
-	company atomic.Pointer[peers.Company]
+	company atomic.Pointer[membership.Company]
 
 	mu      sync.Mutex
 	book    ruleset.Book
@@ -141,7 +141,7 @@
 }
 
 // Meet tells the company by which sidecars are answered.
-func (k *Keeper) Meet(c *peers.Company) { k.company.Store(c) }
+func (k *Keeper) Meet(c *membership.Company) { k.company.Store(c) }
 
 // Close ends it; who leads hands that over first, so that nobody need find out.
 func (k *Keeper) Close() {
--- a/internal/daemon/company.go
+++ b/internal/daemon/company.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"pepperlead/internal/engine"
-	"pepperlead/internal/peers"
+	"pepperlead/internal/membership"
 	"pepperlead/internal/proto"
 )
 
@@ -19,8 +19,8 @@
 // among is a sidecar among peers.
 type among struct {
 	*proto.Sidecar
-	post  peers.Post
-	of    atomic.Pointer[peers.Company] // nil until it could be opened
+	post  membership.Post
+	of    atomic.Pointer[membership.Company] // nil until it could be opened
 	stop  chan struct{}
 	ended sync.WaitGroup
 	rules *agreed // nil: the file's own
@@ -28,7 +28,7 @@
 
 // meet opens the company, and keeps what this sidecar tells of itself, and how many it shares budgets with, as it is. An address that is
 // still the process's before this one is tried again: serving never waits for peers. own: what its file says, where rules are agreed on; else nil.
-func meet(s *proto.Sidecar, post peers.Post, own *engine.Version) *among {
+func meet(s *proto.Sidecar, post membership.Post, own *engine.Version) *among {
 	a := &among{Sidecar: s, post: post, stop: make(chan struct{})}
 	if own != nil {
 		s.Agree(own, rand.Uint32())
@@ -48,7 +48,7 @@
 			c := a.of.Load()
 			if c == nil {
 				var err error
-				if c, err = peers.Open(post, s.Logger); err != nil {
+				if c, err = membership.Open(post, s.Logger); err != nil {
 					if err.Error() != told {
 						told = err.Error()
 						s.Logger.WithError(err).Warn("peers: left out for now, tried again each second")
--- a/internal/daemon/keep.go
+++ b/internal/daemon/keep.go
@@ -11,7 +11,7 @@
 
 	"pepperlead/internal/coordinator"
 	"pepperlead/internal/installation"
-	"pepperlead/internal/peers"
+	"pepperlead/internal/membership"
 	"pepperlead/internal/ruleset"
 	"pepperlead/policy"
 )
@@ -70,7 +70,7 @@
 func Keep(k *installation.Keeping, log *logrus.Logger) error {
 	stop := make(chan os.Signal, 2)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
-	key, err := peers.ReadKey(k.Peers.Key)
+	key, err := membership.ReadKey(k.Peers.Key)
 	if err != nil {
 		return fmt.Errorf("peers.key_file: %w", err)
 	}
@@ -89,7 +89,7 @@
 		return fmt.Errorf("pages: %w", err)
 	}
 	defer pages.Close()
-	company, err := peers.Open(peers.Post{Name: k.Name, Cluster: k.Peers.Cluster, Listen: k.Peers.Listen, Advertise: k.Peers.Advertise,
+	company, err := membership.Open(membership.Post{Name: k.Name, Cluster: k.Peers.Cluster, Listen: k.Peers.Listen, Advertise: k.Peers.Advertise,
 		Join: k.Peers.Join, Key: key, Keeper: true, Heard: keeper.Heard}, log)
 	if err != nil {
 		return fmt.Errorf("peers: %w", err)
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -18,7 +18,7 @@
 	"pepperlead/internal/handover"
 	"pepperlead/internal/installation"
 	"pepperlead/internal/listing"
-	"pepperlead/internal/peers"
+	"pepperlead/internal/membership"
 	"pepperlead/internal/proto"
 	"pepperlead/policy"
 )
@@ -33,8 +33,8 @@
 	Pages     string // address of counters and metrics over HTTP; "": none
 	LogLevel  string // "": as the command line says
 	LogFormat string
-	Peers     *peers.Post // nil: none
-	Agree     bool        // rules come from the peers' keepers
+	Peers     *membership.Post // nil: none
+	Agree     bool             // rules come from the peers' keepers
 }
 
 // Read takes orders from the configuration in the file, and from what the environment says of the same. One that begins with
@@ -111,14 +111,14 @@
 	o.Leave = in.Leave + acceptFor
 	o.Source, o.Aside = source(in)
 	if at := in.Peers; at.Listen != "" {
-		key, err := peers.ReadKey(at.Key)
+		key, err := membership.ReadKey(at.Key)
 		if err != nil {
 			return o, fmt.Errorf("%s: peers.key_file: %w", path, err)
 		}
-		o.Peers = &peers.Post{Name: in.Name, Cluster: at.Cluster, Listen: at.Listen, Advertise: at.Advertise, Join: at.Join, Key: key,
+		o.Peers = &membership.Post{Name: in.Name, Cluster: at.Cluster, Listen: at.Listen, Advertise: at.Advertise, Join: at.Join, Key: key,
 			Zone: string(in.Campaign.Zone)}
 		o.Agree = at.Agree
-		o.Aside += peers.Descriptors
+		o.Aside += membership.Descriptors
 	}
 	if in.Pages != "" {
 		o.Latency = admin.NewLatency(in.Campaign.Classes)
--- a/internal/peers/peers.go
+++ b/internal/membership/peers.go
@@ -2,7 +2,7 @@
 // Lifeguard's awareness of the own health); here stand what it is told, what it may cost, who is sought again after a parted network has
 // healed, and what the rest of the sidecar asks. Nothing is decided on it but a count that can only make bounds stricter. Off unless
 // configured. docs/peers.md.
-package peers
+package membership
 
 import (
 	"bytes"
--- a/internal/peers/wire.go
+++ b/internal/membership/wire.go
@@ -1,4 +1,4 @@
-package peers
+package membership
 
 import (
 	"net"
