--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -17,7 +17,7 @@
 	"pepperlead/internal/admin"
 	"pepperlead/internal/clock"
 	"pepperlead/internal/engine"
-	"pepperlead/internal/handover"
+	"pepperlead/internal/hotrestart"
 	"pepperlead/internal/proto"
 	"pepperlead/internal/trace"
 	"pepperlead/policy"
@@ -88,11 +88,11 @@
 	}
 	of := operated{}
 	if o.together() {
-		kin, err := handover.Join(handover.Folder(o.Name, o.Listen), log)
+		kin, err := hotrestart.Join(hotrestart.Folder(o.Name, o.Listen), log)
 		if err != nil {
 			// Serving goes on without: what is done by hand ends with this process, and a new version does not know of it.
 			log.WithError(err).Error("handover: left out")
-			kin = handover.Alone(err, log)
+			kin = hotrestart.Alone(err, log)
 		}
 		defer kin.Close()
 		of.kin, o.Follows = kin, kin.Processes() > 1
--- a/internal/daemon/operated.go
+++ b/internal/daemon/operated.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"pepperlead/internal/engine"
-	"pepperlead/internal/handover"
+	"pepperlead/internal/hotrestart"
 	"pepperlead/internal/proto"
 	"pepperlead/policy"
 )
@@ -16,7 +16,7 @@
 // operated is the sidecar as the door has it.
 type operated struct {
 	*proto.Sidecar
-	kin *handover.Kin
+	kin *hotrestart.Kin
 }
 
 // begin takes over what was done by hand before this process, and obeys what is done from now on. It is called before Run.
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -15,7 +15,7 @@
 	"pepperlead/internal/campaign"
 	"pepperlead/internal/clock"
 	"pepperlead/internal/discovery"
-	"pepperlead/internal/handover"
+	"pepperlead/internal/hotrestart"
 	"pepperlead/internal/installation"
 	"pepperlead/internal/listing"
 	"pepperlead/internal/membership"
@@ -87,7 +87,7 @@
 		o.Aside += admin.DoorDescriptors
 	}
 	if o.together() {
-		o.Aside += handover.Descriptors
+		o.Aside += hotrestart.Descriptors
 	}
 	return nil
 }
--- a/internal/handover/byhand.go
+++ b/internal/hotrestart/byhand.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"errors"
--- a/internal/handover/handover.go
+++ b/internal/hotrestart/handover.go
@@ -1,6 +1,6 @@
 // Package handover makes the processes of one sidecar, an old version and the new one that follows it, act as one. They meet in a
 // folder: what must outlast each of them is a file there, and each listens on a socket there for the others.
-package handover
+package hotrestart
 
 import (
 	"bufio"
