--- a/internal/daemon/company.go
+++ b/internal/daemon/company.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"pepperlead/internal/engine"
+	"pepperlead/internal/httpproxy"
 	"pepperlead/internal/membership"
-	"pepperlead/internal/proto"
 )
 
 const (
@@ -18,7 +18,7 @@
 
 // among is a sidecar among peers.
 type among struct {
-	*proto.Sidecar
+	*httpproxy.Sidecar
 	post  membership.Post
 	of    atomic.Pointer[membership.Company] // nil until it could be opened
 	stop  chan struct{}
@@ -28,7 +28,7 @@
 
 // meet opens the company, and keeps what this sidecar tells of itself, and how many it shares budgets with, as it is. An address that is
 // still the process's before this one is tried again: serving never waits for peers. own: what its file says, where rules are agreed on; else nil.
-func meet(s *proto.Sidecar, post membership.Post, own *engine.Version) *among {
+func meet(s *httpproxy.Sidecar, post membership.Post, own *engine.Version) *among {
 	a := &among{Sidecar: s, post: post, stop: make(chan struct{})}
 	if own != nil {
 		s.Agree(own, rand.Uint32())
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -18,7 +18,7 @@
 	"pepperlead/internal/clock"
 	"pepperlead/internal/engine"
 	"pepperlead/internal/hotrestart"
-	"pepperlead/internal/proto"
+	"pepperlead/internal/httpproxy"
 	"pepperlead/internal/trace"
 	"pepperlead/policy"
 )
@@ -70,7 +70,7 @@
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	again := make(chan os.Signal, 1)
 	signal.Notify(again, syscall.SIGHUP)
-	fresh := make(chan proto.Config)
+	fresh := make(chan httpproxy.Config)
 	if record != "" && o.Agree {
 		return errors.New("record: a trace has one set of offerings, and with peers.agree these come and go")
 	}
@@ -98,7 +98,7 @@
 		of.kin, o.Follows = kin, kin.Processes() > 1
 	}
 	o.Learn = func() { of.learn() }
-	s := proto.New(o.Config, log)
+	s := httpproxy.New(o.Config, log)
 	go reread(path, o, again, fresh, s.Over(), log)
 	of.Sidecar = s
 	if of.kin != nil {
@@ -150,7 +150,7 @@
 
 // reread reads the file anew at each signal and hands on what can be served. Reading takes its time, so the loop is not held
 // up by it.
-func reread(path string, now Orders, again <-chan os.Signal, fresh chan<- proto.Config, over <-chan struct{}, log *logrus.Logger) {
+func reread(path string, now Orders, again <-chan os.Signal, fresh chan<- httpproxy.Config, over <-chan struct{}, log *logrus.Logger) {
 	for range again {
 		next, err := Read(path, func(name string) string {
 			if name == "GW_DISCOVERY" {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -12,7 +12,7 @@
 	"github.com/sirupsen/logrus"
 
 	"pepperlead/internal/discovery"
-	"pepperlead/internal/proto"
+	"pepperlead/internal/httpproxy"
 	"pepperlead/policy"
 )
 
@@ -106,7 +106,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	again, over, ended := make(chan os.Signal), make(chan struct{}), make(chan struct{})
-	go func() { reread(path, post, again, make(chan proto.Config), over, log); close(ended) }()
+	go func() { reread(path, post, again, make(chan httpproxy.Config), over, log); close(ended) }()
 	again <- syscall.SIGHUP
 	close(over)
 	select {
@@ -127,7 +127,7 @@
 	lines := make(chanWriter)
 	log := logrus.New()
 	log.SetOutput(lines)
-	again, fresh := make(chan os.Signal), make(chan proto.Config)
+	again, fresh := make(chan os.Signal), make(chan httpproxy.Config)
 	ended := make(chan bool)
 	go func() { reread(path, post, again, fresh, nil, log); close(ended) }()
 	for _, k := range []struct{ in, discovery string }{{told, "127.2.0.9:1"}, {"{", ""},
--- a/internal/daemon/operated.go
+++ b/internal/daemon/operated.go
@@ -7,7 +7,7 @@
 
 	"pepperlead/internal/engine"
 	"pepperlead/internal/hotrestart"
-	"pepperlead/internal/proto"
+	"pepperlead/internal/httpproxy"
 	"pepperlead/policy"
 )
 
@@ -15,7 +15,7 @@
 
 // operated is the sidecar as the door has it.
 type operated struct {
-	*proto.Sidecar
+	*httpproxy.Sidecar
 	kin *hotrestart.Kin
 }
 
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -16,16 +16,16 @@
 	"pepperlead/internal/clock"
 	"pepperlead/internal/discovery"
 	"pepperlead/internal/hotrestart"
+	"pepperlead/internal/httpproxy"
 	"pepperlead/internal/installation"
 	"pepperlead/internal/listing"
 	"pepperlead/internal/membership"
-	"pepperlead/internal/proto"
 	"pepperlead/policy"
 )
 
 // Orders are all that a configuration says: the sidecar's post, and what stands around it.
 type Orders struct {
-	proto.Config
+	httpproxy.Config
 	Discovery string // address, where the platform's is followed
 	Name      string
 	inFile    string // the same as the file alone has it
@@ -102,7 +102,7 @@
 		return Orders{}, err
 	}
 	o := Orders{Name: in.Name, Door: in.Admin, Pages: in.Pages, Discovery: in.Discovery, LogLevel: in.LogLevel, LogFormat: in.LogFormat,
-		Config: proto.Config{Listen: in.Listen, Descriptors: in.Descriptors, Memory: in.MemoryMB << 20,
+		Config: httpproxy.Config{Listen: in.Listen, Descriptors: in.Descriptors, Memory: in.MemoryMB << 20,
 			ConnectIn: in.ConnectIn, From: in.From, IdleFor: in.IdleFor, Accept: acceptFor, Settings: in.Campaign, Deadlines: in.CutOffs,
 			DefaultClass: in.Default, Anonymous: in.Anonymous, Stall: Stall}}
 	if o.Seed = rand.Uint64(); in.Seeded {
--- a/internal/daemon/rewrite_test.go
+++ b/internal/daemon/rewrite_test.go
@@ -21,8 +21,8 @@
 	"github.com/sirupsen/logrus"
 
 	"pepperlead/internal/discovery"
+	"pepperlead/internal/httpproxy"
 	"pepperlead/internal/listing"
-	"pepperlead/internal/proto"
 	"pepperlead/internal/standin"
 )
 
@@ -52,7 +52,7 @@
 	t        *testing.T
 	dir      string
 	addr     string
-	sidecar  *proto.Sidecar
+	sidecar  *httpproxy.Sidecar
 	tap      *tap
 	servers  []*standin.Server
 	mu       sync.Mutex
@@ -125,7 +125,7 @@
 }
 
 // serve starts the daemon from the configuration, as `serve` reads it, and clients before it.
-func (f *fleet) serve(clients int) (fresh chan proto.Config, path string, end func()) {
+func (f *fleet) serve(clients int) (fresh chan httpproxy.Config, path string, end func()) {
 	free, err := net.Listen("tcp", here+":0")
 	if err != nil {
 		f.t.Fatal(err)
@@ -143,9 +143,9 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	orders.Memory /= 4
-	f.sidecar = proto.New(orders.Config, log)
+	f.sidecar = httpproxy.New(orders.Config, log)
 	stop, ended := make(chan os.Signal, 1), make(chan error, 1)
-	fresh = make(chan proto.Config)
+	fresh = make(chan httpproxy.Config)
 	go func() { ended <- f.sidecar.Run(stop, fresh) }()
 	for i := 0; !f.sidecar.Ready(); i++ {
 		if i > 1000 {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -15,8 +15,8 @@
 	"github.com/sirupsen/logrus"
 
 	"pepperlead/internal/discovery"
+	"pepperlead/internal/httpproxy"
 	"pepperlead/internal/listing"
-	"pepperlead/internal/proto"
 	"pepperlead/internal/standin"
 	"pepperlead/policy"
 )
@@ -66,7 +66,7 @@
 			Member: policy.Member{ID: listing.IDOf(traits.Name), Zone: "a", Weight: 1}})
 	}
 	second := policy.Second
-	daemon := proto.New(proto.Config{Listen: listen, Source: fixed, Seed: sc.Seed, Descriptors: 512, Memory: 32 << 20,
+	daemon := httpproxy.New(httpproxy.Config{Listen: listen, Source: fixed, Seed: sc.Seed, Descriptors: 512, Memory: 32 << 20,
 		ConnectIn: second / 5, IdleFor: 60 * second, Accept: second / 20, Leave: 2 * second, Anonymous: true, DefaultClass: "step",
 		Deadlines: []policy.Time{2 * second, 3 * second, 3 * second},
 		Settings: &policy.Settings{Instances: 1, Zone: "a", Zones: 1, Weighted: true, MayCancel: true, MaxAttempts: 3,
--- a/internal/proto/head.go
+++ b/internal/httpproxy/head.go
@@ -1,6 +1,6 @@
 // Package proto is what the instance speaks: HTTP/1.1 to clients and to endpoints, and the list of endpoints. The parsers
 // and writers work on slices alone; sockets are served by sockets.go, and the loop in sidecar.go holds all together.
-package proto
+package httpproxy
 
 import (
 	"bytes"
--- a/internal/proto/reports.go
+++ b/internal/httpproxy/reports.go
@@ -1,4 +1,4 @@
-package proto
+package httpproxy
 
 import (
 	"fmt"
--- a/rpc/rpc_test.go
+++ b/rpc/rpc_test.go
@@ -29,7 +29,7 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
 	"pepperlead/internal/daemon"
-	"pepperlead/internal/proto"
+	"pepperlead/internal/httpproxy"
 	"pepperlead/internal/standin"
 )
 
@@ -77,7 +77,7 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	side := proto.New(o.Config, log)
+	side := httpproxy.New(o.Config, log)
 	stop, ended := make(chan os.Signal, 1), make(chan error, 1)
 	go func() { ended <- side.Run(stop, nil) }()
 	defer func() { stop <- syscall.SIGTERM; <-ended }()
