--- a/internal/state/buffers.go
+++ b/internal/connstate/buffers.go
@@ -1,6 +1,6 @@
 // Package state keeps what the instance holds in memory: buffers, connections, requests' front side, endpoints, timers
 // and counters. It knows no protocol and takes no decisions. Only Buffers may be used by several goroutines.
-package state
+package connstate
 
 import "sync"
 
--- a/internal/state/conns.go
+++ b/internal/connstate/conns.go
@@ -1,4 +1,4 @@
-package state
+package connstate
 
 import (
 	"sync/atomic"
--- a/internal/state/frame.go
+++ b/internal/connstate/frame.go
@@ -1,4 +1,4 @@
-package state
+package connstate
 
 // Frame is how far a body has come that is handed on as it comes. What it means is the protocol's.
 type Frame struct {
--- a/internal/httpproxy/answers_test.go
+++ b/internal/httpproxy/answers_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"pepperlead/internal/state"
+	"pepperlead/internal/connstate"
 	"pepperlead/policy"
 )
 
@@ -258,7 +258,7 @@
 		{inChunks, 100, 1390 * ms, 1690 * ms}, // still coming, and may be long
 		{inChunks, mostBody + 1, 1390 * ms, 2390 * ms},
 	} {
-		if got := streamBy(state.Frame{Kind: k.kind, Got: k.got}, k.movedAt, 1000*ms); got != k.want {
+		if got := streamBy(connstate.Frame{Kind: k.kind, Got: k.got}, k.movedAt, 1000*ms); got != k.want {
 			t.Errorf("%+v: %v", k, got)
 		}
 	}
--- a/internal/httpproxy/attempts.go
+++ b/internal/httpproxy/attempts.go
@@ -3,8 +3,8 @@
 import (
 	"github.com/sirupsen/logrus"
 
+	"pepperlead/internal/connstate"
 	"pepperlead/internal/engine"
-	"pepperlead/internal/state"
 	"pepperlead/policy"
 )
 
@@ -19,7 +19,7 @@
 
 // Send sends a request to an endpoint, on a connection that stands idle or on a new one.
 func (s *Sidecar) Send(now policy.Time, of *engine.Request, to *engine.Endpoint) {
-	t, server := state.Of(of), s.part(to)
+	t, server := connstate.Of(of), s.part(to)
 	if t.Uploads {
 		s.Timers.Stop(&t.Wait) // its time begins when its body is whole
 	}
@@ -42,12 +42,12 @@
 	if s.awaits(now, t, server) {
 		return
 	}
-	if s.conns.Count(state.ToServer) >= s.conns.Most[state.ToServer] && !s.spare(state.ToServer, now, now) {
+	if s.conns.Count(connstate.ToServer) >= s.conns.Most[connstate.ToServer] && !s.spare(connstate.ToServer, now, now) {
 		// Every descriptor carries an attempt: nothing was sent, and that is no fault of the endpoint.
 		s.Ended(now, of, policy.NotSent)
 		return
 	}
-	c := &state.Conn{Side: state.ToServer, Endpoint: server, Life: to.Life, Request: t, Whole: &s.Tally.Written}
+	c := &connstate.Conn{Side: connstate.ToServer, Endpoint: server, Life: to.Life, Request: t, Whole: &s.Tally.Written}
 	c.Timer.Do = func(now policy.Time) { s.endpointDue(now, c) }
 	t.Attempt = c
 	s.conns.Add(c)
@@ -56,7 +56,7 @@
 }
 
 // awaits has an attempt wait for the connection that will have rested next, once, if that is soon.
-func (s *Sidecar) awaits(now policy.Time, t *state.Request, server *state.Endpoint) bool {
+func (s *Sidecar) awaits(now policy.Time, t *connstate.Request, server *connstate.Endpoint) bool {
 	if t.Waited || t.Uploads || server.Awaited >= len(server.Idle) {
 		t.Waited = false
 		return false
@@ -75,7 +75,7 @@
 }
 
 // rested has an attempt that waited go on, unless it may not be made any more.
-func (s *Sidecar) rested(now policy.Time, t *state.Request) {
+func (s *Sidecar) rested(now policy.Time, t *connstate.Request) {
 	s.part(t.To).Awaited--
 	switch {
 	case t.To.Leaving:
@@ -88,7 +88,7 @@
 }
 
 // connected is told that a connection to an endpoint is up.
-func (s *Sidecar) connected(now policy.Time, c *state.Conn) {
+func (s *Sidecar) connected(now policy.Time, c *connstate.Conn) {
 	switch {
 	case c.Request == nil:
 		s.park(now, c) // its request did not wait for it
@@ -105,7 +105,7 @@
 }
 
 // send writes the request. Nothing of it is sent again by itself.
-func (s *Sidecar) send(now policy.Time, t *state.Request) {
+func (s *Sidecar) send(now policy.Time, t *connstate.Request) {
 	if s.Tells() {
 		s.Acting().WithFields(logrus.Fields{"id": text(field(t.Head, "X-Request-ID")), "no": int(t.Request.AttemptNo),
 			"server": t.Attempt.Endpoint.Of.UID}).Debug("drill: push")
@@ -119,7 +119,7 @@
 	}
 	t.Attempt.Used = true
 	s.scratch = AppendAttempt(s.scratch[:0], t.Method, t.Target, t.Head, size, wait)
-	if !t.Uploads && len(t.Body) <= state.Small && t.More == nil {
+	if !t.Uploads && len(t.Body) <= connstate.Small && t.More == nil {
 		s.scratch = append(s.scratch, t.Body...)
 		t.Attempt.Due.Store(t.Attempt.Queued + int64(len(s.scratch)))
 		s.write(t.Attempt, s.scratch)
@@ -147,7 +147,7 @@
 
 // park keeps a connection for the next attempt to its endpoint, but closes it well before the endpoint would: what is
 // written as the endpoint closes may have run or not.
-func (s *Sidecar) park(now policy.Time, c *state.Conn) {
+func (s *Sidecar) park(now policy.Time, c *connstate.Conn) {
 	if c.Endpoint.Of.Leaving || c.Life != c.Endpoint.Of.Life {
 		s.close(c) // an answer that came after the list: where it leads, nothing new goes, or another process stands
 		return
@@ -157,7 +157,7 @@
 }
 
 // fromEndpoint takes the answer once it is whole.
-func (s *Sidecar) fromEndpoint(now, at policy.Time, c *state.Conn) {
+func (s *Sidecar) fromEndpoint(now, at policy.Time, c *connstate.Conn) {
 	t := c.Request
 	if t == nil {
 		s.close(c) // it says something unasked
@@ -179,13 +179,13 @@
 }
 
 // take moves the answer's buffer from the connection to the request.
-func (s *Sidecar) take(t *state.Request, c *state.Conn, status int, head, body []byte) {
+func (s *Sidecar) take(t *connstate.Request, c *connstate.Conn, status int, head, body []byte) {
 	t.Answer, t.Status, t.AnswerHead, t.AnswerBody = c.In, status, head, body
 	c.In = nil
 }
 
 // broke is told that a connection to an endpoint has ended, or never came up.
-func (s *Sidecar) broke(at policy.Time, c *state.Conn) {
+func (s *Sidecar) broke(at policy.Time, c *connstate.Conn) {
 	t := c.Request
 	if t == nil {
 		return
@@ -216,7 +216,7 @@
 // TimedOut is the end of an attempt's time. A request that has not been written whole is cut off with its connection, so
 // it never runs.
 func (s *Sidecar) TimedOut(now policy.Time, of *engine.Request) {
-	t := state.Of(of)
+	t := connstate.Of(of)
 	o := policy.TimedOut
 	if s.unwritten(t) {
 		o = policy.NotConnected
@@ -226,7 +226,7 @@
 
 // unwritten ends the connection of an attempt that has not gone out whole, and tells whether it never will. What waits to be written goes out
 // beside the loop: looked at first and closed then, its last byte could slip through between, and what has run be sent again.
-func (s *Sidecar) unwritten(t *state.Request) bool {
+func (s *Sidecar) unwritten(t *connstate.Request) bool {
 	c := t.Attempt
 	if c == nil || !c.Up || t.Uploads {
 		return true
@@ -240,19 +240,19 @@
 
 // CancelAttempt ends an attempt that nobody waits for any more.
 func (s *Sidecar) CancelAttempt(now policy.Time, of *engine.Request) {
-	if t := state.Of(of); (t.Attempt != nil || t.Rest.On()) && !t.Streams {
+	if t := connstate.Of(of); (t.Attempt != nil || t.Rest.On()) && !t.Streams {
 		s.endAttempt(now, t, policy.Cancelled, false)
 	}
 }
 
 // endAttempt ends the attempt that is out.
-func (s *Sidecar) endAttempt(at policy.Time, t *state.Request, o policy.Outcome, stays bool) {
+func (s *Sidecar) endAttempt(at policy.Time, t *connstate.Request, o policy.Outcome, stays bool) {
 	s.detach(at, t, stays)
 	s.Ended(at, t.Request, o)
 }
 
 // detach takes the request off its connection to an endpoint, which is kept or closed.
-func (s *Sidecar) detach(at policy.Time, t *state.Request, stays bool) {
+func (s *Sidecar) detach(at policy.Time, t *connstate.Request, stays bool) {
 	if t.Waited = false; t.Rest.On() {
 		s.Timers.Stop(&t.Rest)
 		s.part(t.To).Awaited--
--- a/internal/httpproxy/attempts_test.go
+++ b/internal/httpproxy/attempts_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"pepperlead/internal/connstate"
 	"pepperlead/internal/engine"
-	"pepperlead/internal/state"
 	"pepperlead/policy"
 )
 
@@ -166,9 +166,9 @@
 	defer l.Close()
 	s := New(Config{Listen: "127.0.0.1:0", Descriptors: 64, Memory: 1 << 20, Settings: &policy.Settings{Instances: 1}}, logrus.New())
 	for queued, want := range map[int64]policy.Outcome{10: policy.ConnectionLost, 11: policy.NotConnected} {
-		c := &state.Conn{Side: state.ToServer, Up: true, Queued: queued, Endpoint: &state.Endpoint{Of: &engine.Endpoint{}}}
+		c := &connstate.Conn{Side: connstate.ToServer, Up: true, Queued: queued, Endpoint: &connstate.Endpoint{Of: &engine.Endpoint{}}}
 		c.Written.Store(10)
-		ticket := state.Of(s.Take(s.no))
+		ticket := connstate.Of(s.Take(s.no))
 		ticket.Attempt, c.Request = c, ticket
 		s.conns.Add(c)
 		s.closed(1, 1, c)
--- a/internal/httpproxy/clients.go
+++ b/internal/httpproxy/clients.go
@@ -8,8 +8,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"pepperlead/internal/connstate"
 	"pepperlead/internal/engine"
-	"pepperlead/internal/state"
 	"pepperlead/policy"
 )
 
@@ -25,7 +25,7 @@
 	flushIn    = 2 * policy.Second         // for a client to take something of its answer, before it is closed
 )
 
-func (s *Sidecar) opened(now policy.Time, c *state.Conn) {
+func (s *Sidecar) opened(now policy.Time, c *connstate.Conn) {
 	c.Up, c.Since = true, now
 	c.Timer.Do = func(now policy.Time) { s.clientDue(now, c) }
 	// Whoever connects and says nothing, or only a part, must not hold a place for long.
@@ -39,8 +39,8 @@
 // closed yet, each answer ends its connection.
 func (s *Sidecar) makeRoom(now policy.Time) {
 	s.pressed = false
-	for s.conns.Over(state.Client) && !s.pressed {
-		if s.spare(state.Client, 0, now-cutFresh) || s.spare(state.Client, now-cutAfter, 0) {
+	for s.conns.Over(connstate.Client) && !s.pressed {
+		if s.spare(connstate.Client, 0, now-cutFresh) || s.spare(connstate.Client, now-cutAfter, 0) {
 			s.Counters.ClientConnsCut++
 			continue
 		}
@@ -50,7 +50,7 @@
 }
 
 // fromClient takes the next request that is in whole. at: when its last byte came.
-func (s *Sidecar) fromClient(now, at policy.Time, c *state.Conn) {
+func (s *Sidecar) fromClient(now, at policy.Time, c *connstate.Conn) {
 	for c.In != nil && c.Request == nil && !c.Last && !c.Dead && !c.Left.Load() && s.reads(now, c) {
 		if len(c.In.B) < c.Need && !s.buffers.Full() {
 			s.bodyDue(c)
@@ -92,13 +92,13 @@
 		}
 		s.request(now, at, c, request, a, body)
 	}
-	if c.In != nil && len(c.In.B) > state.Large && (c.Request != nil || !c.Flushed()) {
+	if c.In != nil && len(c.In.B) > connstate.Large && (c.Request != nil || !c.Flushed()) {
 		s.close(c) // it goes on sending without waiting for answers
 	}
 }
 
 // comes sets by when more of a request must have come. Clients may be slow, but those that say nothing must not hold a place.
-func (s *Sidecar) comes(now policy.Time, c *state.Conn) {
+func (s *Sidecar) comes(now policy.Time, c *connstate.Conn) {
 	_, head, at := cutHead(c.In.B)
 	switch {
 	case at > 0 && c.HeadAt == 0:
@@ -115,13 +115,13 @@
 	s.conns.Work(c)
 }
 
-func (s *Sidecar) bodyDue(c *state.Conn) {
+func (s *Sidecar) bodyDue(c *connstate.Conn) {
 	s.Timers.Set(&c.Timer, c.HeadAt+bodyIn+policy.Time(len(c.In.B))*policy.Second/bodyRate)
 }
 
 // reads tells whether the client has taken its last answer. Until it has, its next request waits: answers that nobody reads
 // must not pile up. clientDue looks again.
-func (s *Sidecar) reads(now policy.Time, c *state.Conn) bool {
+func (s *Sidecar) reads(now policy.Time, c *connstate.Conn) bool {
 	c.Waits = !c.Flushed()
 	if c.Waits {
 		s.Timers.Set(&c.Timer, now+flushEvery)
@@ -130,7 +130,7 @@
 }
 
 // request admits a request that has come whole, or answers it.
-func (s *Sidecar) request(now, at policy.Time, c *state.Conn, buf *state.Buffer, a asked, body []byte) {
+func (s *Sidecar) request(now, at policy.Time, c *connstate.Conn, buf *connstate.Buffer, a asked, body []byte) {
 	method, target, head, last := a.method, a.target, a.head, a.last
 	if strings.HasPrefix(text(target), "/_") && s.aside(now, c, target, last) {
 		s.buffers.Put(buf)
@@ -147,7 +147,7 @@
 		if known {
 			s.Count(offering, engine.Failed)
 		}
-		c.Upload = state.NoUpload
+		c.Upload = connstate.NoUpload
 		s.bad(now, c, status, why)
 		s.buffers.Put(buf)
 	}
@@ -186,11 +186,11 @@
 	if !known {
 		franchise = policy.NoTenant
 	}
-	t := state.Of(s.Take(s.no))
+	t := connstate.Of(s.Take(s.no))
 	t.Client, t.Received, t.Method, t.Target, t.Head, t.Body, t.Last = c, buf, method, target, head, body, last
 	t.Bodiless = string(method) == "HEAD"
 	t.Old, t.Left = a.old, left
-	t.Uploads, t.Size = c.Upload == state.Passed, a.size
+	t.Uploads, t.Size = c.Upload == connstate.Passed, a.size
 	c.Request = t
 	if named {
 		s.requests.Mark(t, mark)
@@ -218,13 +218,13 @@
 }
 
 // overflow answers a request for which there is no room.
-func (s *Sidecar) overflow(now policy.Time, c *state.Conn) {
+func (s *Sidecar) overflow(now policy.Time, c *connstate.Conn) {
 	s.Counters.Overflow++
 	s.own(now, c, 503, "out of room\n", 0, true)
 }
 
 // aside answers what is asked of the instance itself.
-func (s *Sidecar) aside(now policy.Time, c *state.Conn, target []byte, last bool) bool {
+func (s *Sidecar) aside(now policy.Time, c *connstate.Conn, target []byte, last bool) bool {
 	switch string(target) {
 	case "/_health":
 		if heard, _ := s.Heard(); heard {
@@ -261,14 +261,14 @@
 }
 
 // bad answers what cannot be served, and ends the connection: where the next request begins is not known.
-func (s *Sidecar) bad(now policy.Time, c *state.Conn, status int, why string) {
+func (s *Sidecar) bad(now policy.Time, c *connstate.Conn, status int, why string) {
 	s.Counters.Bad++
 	s.own(now, c, status, why, 0, true)
 	s.Timers.Set(&c.Timer, now+lingerFor)
 }
 
 // own sends an answer that no endpoint made.
-func (s *Sidecar) own(now policy.Time, c *state.Conn, status int, body string, retryIn policy.Time, last bool) {
+func (s *Sidecar) own(now policy.Time, c *connstate.Conn, status int, body string, retryIn policy.Time, last bool) {
 	last = last || s.ending()
 	s.scratch = AppendOwn(s.scratch[:0], status, body, retryIn, last)
 	s.write(c, s.scratch)
@@ -283,10 +283,10 @@
 }
 
 // free lets a client's connection go on to its next request, or closes it once the answer is out.
-func (s *Sidecar) free(now policy.Time, c *state.Conn, last bool) {
+func (s *Sidecar) free(now policy.Time, c *connstate.Conn, last bool) {
 	c.Request, c.Since, c.Used, c.MovedAt = nil, now, true, 0
 	switch {
-	case c.Upload == state.Passed:
+	case c.Upload == connstate.Passed:
 		// Its sender goes on with a body that nobody needs any more, and may read the answer only after that.
 		c.After = last
 		s.goOn(c)
@@ -305,10 +305,10 @@
 }
 
 // clientDue is the one timer of a client's connection: for a request to come whole, then for the last answer to go.
-func (s *Sidecar) clientDue(now policy.Time, c *state.Conn) {
+func (s *Sidecar) clientDue(now policy.Time, c *connstate.Conn) {
 	switch {
 	case c.Dead:
-	case c.Upload != state.NoUpload:
+	case c.Upload != connstate.NoUpload:
 		s.uploadDue(now, c)
 	case !c.Last && !c.Flushed() && c.Moves(now, c.Written.Load(), flushIn):
 		s.Timers.Set(&c.Timer, now+flushEvery)
@@ -342,7 +342,7 @@
 }
 
 // clientLeft is told that the client's connection is gone, and so its request over.
-func (s *Sidecar) clientLeft(now policy.Time, c *state.Conn) {
+func (s *Sidecar) clientLeft(now policy.Time, c *connstate.Conn) {
 	t := c.Request
 	if t == nil {
 		return
@@ -355,7 +355,7 @@
 }
 
 // leaves ends a request whose client is gone, or has not sent it whole.
-func (s *Sidecar) leaves(now policy.Time, c *state.Conn, t *state.Request) {
+func (s *Sidecar) leaves(now policy.Time, c *connstate.Conn, t *connstate.Request) {
 	c.Request, t.Client = nil, nil
 	s.requests.Unmark(t)
 	s.ClientLeft(now, t.Request)
@@ -367,7 +367,7 @@
 }
 
 // skipLines leaves out empty lines before a request, as some clients send them behind a body.
-func skipLines(in *state.Buffer) {
+func skipLines(in *connstate.Buffer) {
 	n := 0
 	for n+1 < len(in.B) && n < 8 && in.B[n] == '\r' && in.B[n+1] == '\n' {
 		n += 2
--- a/internal/httpproxy/crossing_test.go
+++ b/internal/httpproxy/crossing_test.go
@@ -14,8 +14,8 @@
 
 	logrustest "github.com/sirupsen/logrus/hooks/test"
 
+	"pepperlead/internal/connstate"
 	"pepperlead/internal/discovery"
-	"pepperlead/internal/state"
 	"pepperlead/policy"
 )
 
@@ -118,7 +118,7 @@
 	} {
 		s, _ := still(t)
 		far, nb, conn := pair(t)
-		conn.Side, conn.Up = state.Client, true
+		conn.Side, conn.Up = connstate.Client, true
 		s.conns.Add(conn)
 		fmt.Fprint(far, "GET /step/a HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Timeout: 1\r\n\r\n")
 		leave(far.(*net.TCPConn))
@@ -159,13 +159,13 @@
 		{left: true, slips: true, none: true}} {
 		s, connect := still(t)
 		s.Engine.Settings.MayCancel = false
-		client, _ := connect(state.Client)
-		server, plain := connect(state.ToServer)
+		client, _ := connect(connstate.Client)
+		server, plain := connect(connstate.ToServer)
 		for _, one := range s.Endpoints {
 			server.Endpoint = s.part(one)
 			s.park(1, server)
 		}
-		buf := s.buffers.Get(state.Small)
+		buf := s.buffers.Get(connstate.Small)
 		buf.B = append(buf.B, "GET /step/a HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Timeout: 1\r\n\r\n"...)
 		client.In = buf
 		now := s.Clock.Now()
@@ -198,7 +198,7 @@
 	first.receive()
 	most := r.sockets.most.Swap(0) // whoever accepts takes one more, and then has no room
 	r.client()
-	r.until("the last with room", func() bool { return r.conns.Count(state.Client) == 2 })
+	r.until("the last with room", func() bool { return r.conns.Count(connstate.Client) == 2 })
 	waits := r.client()
 	waits.send("step/echo", "b", "")
 	r.stop <- syscall.SIGTERM
@@ -400,14 +400,14 @@
 	c.send("step/echo", "b", "")
 	c.receive()
 	r.Inside(func() {
-		sides := map[state.Side]int{}
+		sides := map[connstate.Side]int{}
 		for c := range r.conns.Open {
 			on, err := unix.GetsockoptInt(c.Link.(*link).fd, unix.IPPROTO_TCP, unix.TCP_NODELAY)
 			if sides[c.Side]++; err != nil || on == 0 {
 				t.Errorf("side %d: TCP_NODELAY %d, %v", c.Side, on, err)
 			}
 		}
-		if sides[state.Client] == 0 || sides[state.ToServer] == 0 {
+		if sides[connstate.Client] == 0 || sides[connstate.ToServer] == 0 {
 			t.Errorf("connections by side: %v", sides)
 		}
 	})
--- a/internal/httpproxy/dial.go
+++ b/internal/httpproxy/dial.go
@@ -8,7 +8,7 @@
 	"github.com/lesismal/nbio"
 	"golang.org/x/sys/unix"
 
-	"pepperlead/internal/state"
+	"pepperlead/internal/connstate"
 	"pepperlead/policy"
 )
 
@@ -28,7 +28,7 @@
 
 // dial opens the connection and tells the loop; dialling waits in a goroutine, as nbio's own neither says which
 // connection failed nor lets one be told apart before it is up.
-func (s *sockets) dial(conn *state.Conn, addr string, within policy.Time) {
+func (s *sockets) dial(conn *connstate.Conn, addr string, within policy.Time) {
 	go func() {
 		up, err := s.connect(addr, within)
 		if err != nil {
--- a/internal/httpproxy/frame.go
+++ b/internal/httpproxy/frame.go
@@ -1,6 +1,6 @@
 package httpproxy
 
-import "pepperlead/internal/state"
+import "pepperlead/internal/connstate"
 
 // How a body is framed.
 const (
@@ -27,19 +27,19 @@
 // mostStream is what a body may hold that is handed on as it comes.
 const mostStream = 64 << 20
 
-func frameOf(size int, chunked bool) state.Frame {
+func frameOf(size int, chunked bool) connstate.Frame {
 	switch {
 	case chunked:
-		return state.Frame{Kind: inChunks}
+		return connstate.Frame{Kind: inChunks}
 	case size >= 0:
-		return state.Frame{Kind: sized, Left: int64(size)}
+		return connstate.Frame{Kind: sized, Left: int64(size)}
 	}
-	return state.Frame{Kind: untilEnd}
+	return connstate.Frame{Kind: untilEnd}
 }
 
 // takeBody takes what b has of a body: b[:n] is the body's own from then on, used is how much of b belonged to it. All of b is used
 // unless the body is done. What chunks and measures by the whole in CutRequest is read here byte by byte, by the same rules.
-func takeBody(f *state.Frame, b []byte) (n, used int, done, ok bool) {
+func takeBody(f *connstate.Frame, b []byte) (n, used int, done, ok bool) {
 	switch f.Kind {
 	case sized:
 		n = int(min(f.Left, int64(len(b))))
@@ -76,7 +76,7 @@
 }
 
 // framed goes on by one byte that is not the body's own.
-func framed(f *state.Frame, c byte) bool {
+func framed(f *connstate.Frame, c byte) bool {
 	next := func(phase uint8, want byte) bool {
 		f.Phase, f.Line = phase, 0
 		return c == want
--- a/internal/httpproxy/leave.go
+++ b/internal/httpproxy/leave.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"pepperlead/internal/state"
+	"pepperlead/internal/connstate"
 	"pepperlead/policy"
 )
 
@@ -42,9 +42,9 @@
 		waiting = true
 	}
 	for c := range s.conns.Open {
-		if c.Side == state.Client && !c.Dead {
+		if c.Side == connstate.Client && !c.Dead {
 			stays := s.post.Inherited > 0 && now-c.Since < lookedFor && now < leaveBy // its next answer ends it
-			if c.Request == nil && c.In == nil && !c.Last && c.Upload == state.NoUpload && !stays && c.Link.Cut(c) {
+			if c.Request == nil && c.In == nil && !c.Last && c.Upload == connstate.NoUpload && !stays && c.Link.Cut(c) {
 				s.conns.End(c)
 			}
 			waiting = true
--- a/internal/httpproxy/limits_test.go
+++ b/internal/httpproxy/limits_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/lesismal/nbio"
 
-	"pepperlead/internal/state"
+	"pepperlead/internal/connstate"
 )
 
 // With few descriptors all clients are still answered: the long idle are cut, and while room is short each answer ends its
@@ -256,7 +256,7 @@
 }
 
 // pair is a connection as the instance holds it, and its other end.
-func pair(t *testing.T) (far net.Conn, nb *nbio.Conn, conn *state.Conn) {
+func pair(t *testing.T) (far net.Conn, nb *nbio.Conn, conn *connstate.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", here)
 	if err != nil {
@@ -274,7 +274,7 @@
 	if nb, err = nbio.NBConn(near); err != nil {
 		t.Fatal(err)
 	}
-	conn = &state.Conn{Link: newLink(nb)}
+	conn = &connstate.Conn{Link: newLink(nb)}
 	nb.SetSession(conn)
 	return far, nb, conn
 }
@@ -282,16 +282,16 @@
 // Where memory is full and more, whoever has sent much that nobody has looked at yet sends no more.
 func TestFloodsEndWhereMemoryIsFull(t *testing.T) {
 	far, nb, conn := pair(t)
-	s := &sockets{buffers: &state.Buffers{Most: state.Small}, signal: func() {}}
+	s := &sockets{buffers: &connstate.Buffers{Most: connstate.Small}, signal: func() {}}
 	s.ahead.Store(mostAhead)
-	held := s.buffers.Get(state.Large)
+	held := s.buffers.Get(connstate.Large)
 	fmt.Fprint(far, "GET")
 	time.Sleep(20 * time.Millisecond)
 	s.read(nb) // a little is always taken, to be rejected
 	if conn.Link.(*link).cut || conn.Unread.Load() != 3 {
 		t.Errorf("cut at its first bytes, or they were not read: %d", conn.Unread.Load())
 	}
-	fmt.Fprint(far, strings.Repeat("x", 2*state.Small))
+	fmt.Fprint(far, strings.Repeat("x", 2*connstate.Small))
 	time.Sleep(20 * time.Millisecond)
 	s.read(nb)
 	if !conn.Link.(*link).cut {
@@ -303,7 +303,7 @@
 // A connection with bytes on it is not cut: their sender would have lost a request.
 func TestOnlyQuietConnectionsAreCut(t *testing.T) {
 	far, _, conn := pair(t)
-	buffers := &state.Buffers{}
+	buffers := &connstate.Buffers{}
 	if !conn.Link.Quiet(conn) {
 		t.Error("not quiet before anything came")
 	}
@@ -312,7 +312,7 @@
 	if conn.Link.Quiet(conn) || conn.Link.Cut(conn) {
 		t.Fatal("cut with bytes in the kernel")
 	}
-	buf := buffers.Get(state.Small)
+	buf := buffers.Get(connstate.Small)
 	if !conn.Link.(*link).read(conn, buf) || string(buf.B) != "GET" || conn.Link.Cut(conn) {
 		t.Error("cut with bytes that the loop has not looked at")
 	}
--- a/internal/httpproxy/link.go
+++ b/internal/httpproxy/link.go
@@ -9,7 +9,7 @@
 	"github.com/lesismal/nbio"
 	"golang.org/x/sys/unix"
 
-	"pepperlead/internal/state"
+	"pepperlead/internal/connstate"
 )
 
 // link is a connection as the loop uses it. Its descriptor is closed in one place, by nbio's poller, when the socket has
@@ -35,7 +35,7 @@
 }
 
 // read takes what is there, false if that is nothing. It is called with the lock held.
-func (l *link) read(conn *state.Conn, buf *state.Buffer) bool {
+func (l *link) read(conn *connstate.Conn, buf *connstate.Buffer) bool {
 	if l.cut {
 		l.gone = true
 		return false
@@ -77,7 +77,7 @@
 
 // Cut ends a connection on which nothing is under way. It refuses where bytes have come: their sender would take the end
 // for the loss of a request. What comes later is left unread, and so reset by the kernel: the client sends it again.
-func (l *link) Cut(conn *state.Conn) bool {
+func (l *link) Cut(conn *connstate.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.quiet(conn) {
@@ -89,13 +89,13 @@
 
 // Quiet tells whether nothing has come that the loop has not heard of. What stands there before a request is sent is no
 // answer to it.
-func (l *link) Quiet(conn *state.Conn) bool {
+func (l *link) Quiet(conn *connstate.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.quiet(conn)
 }
 
-func (l *link) quiet(conn *state.Conn) bool {
+func (l *link) quiet(conn *connstate.Conn) bool {
 	if l.gone || conn.Unread.Load() > 0 {
 		return false
 	}
@@ -120,7 +120,7 @@
 	if l.gone {
 		return 0, net.ErrClosed
 	}
-	conn := l.nb.Session().(*state.Conn)
+	conn := l.nb.Session().(*connstate.Conn)
 	if conn.Flushed() {
 		n, err := syscall.Write(l.fd, b)
 		if n > 0 {
--- a/internal/httpproxy/replies.go
+++ b/internal/httpproxy/replies.go
@@ -1,13 +1,13 @@
 package httpproxy
 
 import (
+	"pepperlead/internal/connstate"
 	"pepperlead/internal/engine"
-	"pepperlead/internal/state"
 	"pepperlead/policy"
 )
 
 // answer takes the client off a request that is being answered; nil if it has left.
-func (s *Sidecar) answer(now policy.Time, t *state.Request, kind int) *state.Conn {
+func (s *Sidecar) answer(now policy.Time, t *connstate.Request, kind int) *connstate.Conn {
 	c := t.Client
 	t.Client = nil
 	s.requests.Unmark(t)
@@ -25,7 +25,7 @@
 
 // Succeed passes an endpoint's answer on, also one that declines.
 func (s *Sidecar) Succeed(now policy.Time, of *engine.Request) {
-	t, kind := state.Of(of), 0
+	t, kind := connstate.Of(of), 0
 	if t.Status != 200 {
 		kind = 1
 	}
@@ -39,7 +39,7 @@
 			last = true
 		}
 		s.scratch = AppendSuccess(s.scratch[:0], t.Status, t.AnswerHead, len(t.AnswerBody), last)
-		if len(t.AnswerBody) <= state.Small {
+		if len(t.AnswerBody) <= connstate.Small {
 			s.scratch = append(s.scratch, t.AnswerBody...)
 			s.write(c, s.scratch)
 		} else {
@@ -52,7 +52,7 @@
 
 // Reject and Fail answer for the module.
 func (s *Sidecar) Reject(now policy.Time, of *engine.Request, retryIn policy.Time) {
-	t := state.Of(of)
+	t := connstate.Of(of)
 	if c := s.answer(now, t, 2); c != nil {
 		s.Counters.TurnedBack++
 		s.own(now, c, 503, "turned back\n", retryIn, t.Last)
@@ -60,7 +60,7 @@
 }
 
 func (s *Sidecar) Fail(now policy.Time, of *engine.Request) {
-	t := state.Of(of)
+	t := connstate.Of(of)
 	if c := s.answer(now, t, 3); c != nil {
 		s.Counters.GivenUp++
 		s.own(now, c, 502, "given up\n", 0, t.Last)
--- a/internal/httpproxy/rig_test.go
+++ b/internal/httpproxy/rig_test.go
@@ -17,8 +17,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"pepperlead/internal/connstate"
 	"pepperlead/internal/discovery"
-	"pepperlead/internal/state"
 	"pepperlead/policy"
 )
 
@@ -274,7 +274,7 @@
 	}
 	r.done <- nil
 	if r.Held != 0 || r.Timers.Len() != 0 || r.buffers.Lent() != 0 || len(r.conns.Open) != 0 ||
-		r.conns.Count(state.Client) != 0 || r.conns.Count(state.ToServer) != 0 {
+		r.conns.Count(connstate.Client) != 0 || r.conns.Count(connstate.ToServer) != 0 {
 		r.t.Errorf("held at the end: %s", r.Report())
 	}
 }
--- a/internal/httpproxy/sidecar.go
+++ b/internal/httpproxy/sidecar.go
@@ -7,9 +7,9 @@
 
 	"github.com/sirupsen/logrus"
 
+	"pepperlead/internal/connstate"
 	"pepperlead/internal/discovery"
 	"pepperlead/internal/engine"
-	"pepperlead/internal/state"
 	"pepperlead/internal/trace"
 	"pepperlead/policy"
 )
@@ -47,14 +47,14 @@
 	no       int // of the front, in the engine
 	post     Config
 	sockets  *sockets
-	buffers  *state.Buffers
-	conns    *state.Conns
-	requests *state.Requests
+	buffers  *connstate.Buffers
+	conns    *connstate.Conns
+	requests *connstate.Requests
 
 	classes  map[string]policy.ClassID
 	tenants  map[string]policy.TenantID
-	fallback policy.ClassID // of requests that name none
-	again    []*state.Conn  // clients whose next request may be in already
+	fallback policy.ClassID    // of requests that name none
+	again    []*connstate.Conn // clients whose next request may be in already
 	scratch  []byte
 	begin    engine.Timer // to look whether clients may come in
 	room     engine.Timer // to look for connections of clients to close
@@ -71,8 +71,8 @@
 
 // New makes an instance that does not serve yet.
 func New(post Config, log *logrus.Logger) *Sidecar {
-	s := &Sidecar{post: post, buffers: &state.Buffers{Most: post.Memory}, conns: state.NewConns(post.Descriptors - post.Aside),
-		requests: &state.Requests{}, classes: map[string]policy.ClassID{}, tenants: map[string]policy.TenantID{}}
+	s := &Sidecar{post: post, buffers: &connstate.Buffers{Most: post.Memory}, conns: connstate.NewConns(post.Descriptors - post.Aside),
+		requests: &connstate.Requests{}, classes: map[string]policy.ClassID{}, tenants: map[string]policy.TenantID{}}
 	s.Engine = engine.New(engine.Config{Seed: post.Seed, Settings: post.Settings, Source: post.Source, Known: post.Known,
 		Leave: post.Leave, Latency: post.Latency, Record: post.Record, Stall: post.Stall}, log)
 	s.no = s.Engine.Add(s)
@@ -160,12 +160,12 @@
 			return
 		}
 		switch {
-		case c.Upload != state.NoUpload:
+		case c.Upload != connstate.NoUpload:
 			s.uploadComes(now, e.at, c, e.buf)
-		case c.Side == state.ToServer && c.Request != nil && c.Request.Streams:
+		case c.Side == connstate.ToServer && c.Request != nil && c.Request.Streams:
 			s.passOn(now, e.at, c, c.Request, e.buf.B)
 			s.buffers.Put(e.buf)
-		case c.Side == state.Client:
+		case c.Side == connstate.Client:
 			c.In = s.buffers.Join(c.In, e.buf)
 			s.fromClient(now, e.at, c)
 		default:
@@ -183,7 +183,7 @@
 }
 
 // close ends a connection; closed, told of that later, gives back what it holds.
-func (s *Sidecar) close(c *state.Conn) {
+func (s *Sidecar) close(c *connstate.Conn) {
 	if !c.Dead {
 		s.conns.End(c)
 		if c.Up {
@@ -193,7 +193,7 @@
 }
 
 // spare makes room by ending the connection that has been without work for longest.
-func (s *Sidecar) spare(side state.Side, idle, fresh policy.Time) bool {
+func (s *Sidecar) spare(side connstate.Side, idle, fresh policy.Time) bool {
 	old := s.conns.Oldest(side, idle, fresh)
 	if old == nil || !old.Link.Cut(old) {
 		return false
@@ -203,16 +203,16 @@
 }
 
 // closed gives back all that a connection held.
-func (s *Sidecar) closed(now, at policy.Time, c *state.Conn) {
+func (s *Sidecar) closed(now, at policy.Time, c *connstate.Conn) {
 	if !s.conns.Remove(c) {
 		return
 	}
 	wasDead := c.Dead
 	c.Dead = true
 	switch c.Side {
-	case state.Client:
+	case connstate.Client:
 		s.clientLeft(now, c)
-	case state.ToServer:
+	case connstate.ToServer:
 		if !wasDead {
 			s.broke(at, c)
 		}
@@ -223,7 +223,7 @@
 }
 
 // write sends bytes on a connection. What the kernel does not take at once goes out later.
-func (s *Sidecar) write(c *state.Conn, b []byte) {
+func (s *Sidecar) write(c *connstate.Conn, b []byte) {
 	s.Counters.BytesOut += int64(len(b))
 	c.Link.Write(b) // a failure ends the connection, which is told like any other end
 	c.Queued += int64(len(b))
@@ -233,20 +233,20 @@
 
 // Unneeded gives back an answer that is not handed on.
 func (s *Sidecar) Unneeded(of *engine.Request) {
-	t := state.Of(of)
+	t := connstate.Of(of)
 	s.buffers.Put(t.Answer)
 	t.Answer = nil
 }
 
 // Given takes the request's buffers back.
-func (s *Sidecar) Given(of *engine.Request) { state.Of(of).Give(s.buffers) }
+func (s *Sidecar) Given(of *engine.Request) { connstate.Of(of).Give(s.buffers) }
 
 // part is what this front keeps of an endpoint.
-func (s *Sidecar) part(of *engine.Endpoint) *state.Endpoint {
+func (s *Sidecar) part(of *engine.Endpoint) *connstate.Endpoint {
 	if of.Parts[s.no] == nil {
-		of.Parts[s.no] = &state.Endpoint{Of: of}
+		of.Parts[s.no] = &connstate.Endpoint{Of: of}
 	}
-	return of.Parts[s.no].(*state.Endpoint)
+	return of.Parts[s.no].(*connstate.Endpoint)
 }
 
 // Retire closes the connections to an endpoint that stand idle.
--- a/internal/httpproxy/sidecar_test.go
+++ b/internal/httpproxy/sidecar_test.go
@@ -11,9 +11,9 @@
 	"testing/quick"
 	"time"
 
+	"pepperlead/internal/connstate"
 	"pepperlead/internal/discovery"
 	"pepperlead/internal/engine"
-	"pepperlead/internal/state"
 	"pepperlead/policy"
 )
 
@@ -220,7 +220,7 @@
 
 // sink is a socket that takes all and keeps the last of it.
 type sink struct {
-	conn  *state.Conn
+	conn  *connstate.Conn
 	last  []byte
 	noisy bool // something unasked has come
 }
@@ -230,14 +230,14 @@
 	k.conn.Written.Add(int64(len(b)))
 	return len(b), nil
 }
-func (k *sink) Close() error           { return nil }
-func (k *sink) Cut(*state.Conn) bool   { return true }
-func (k *sink) Hush()                  {}
-func (k *sink) Reset()                 {}
-func (k *sink) Quiet(*state.Conn) bool { return !k.noisy }
+func (k *sink) Close() error               { return nil }
+func (k *sink) Cut(*connstate.Conn) bool   { return true }
+func (k *sink) Hush()                      {}
+func (k *sink) Reset()                     {}
+func (k *sink) Quiet(*connstate.Conn) bool { return !k.noisy }
 
 // still is an instance that knows one endpoint and does not run, and a way to connect to it without sockets.
-func still(t *testing.T) (*Sidecar, func(side state.Side) (*state.Conn, *sink)) {
+func still(t *testing.T) (*Sidecar, func(side connstate.Side) (*connstate.Conn, *sink)) {
 	t.Helper()
 	r, _ := run(t, nil, "127.0.0.1:1")
 	r.end()
@@ -248,8 +248,8 @@
 		t.Fatal(err)
 	}
 	s.Apply(1, &discovery.List{Kind: policy.ListSaved, Entries: entries})
-	return s, func(side state.Side) (*state.Conn, *sink) {
-		c := &state.Conn{Side: side, Up: true, Timer: engine.Timer{Do: func(policy.Time) {}}}
+	return s, func(side connstate.Side) (*connstate.Conn, *sink) {
+		c := &connstate.Conn{Side: side, Up: true, Timer: engine.Timer{Do: func(policy.Time) {}}}
 		k := &sink{conn: c}
 		c.Link = k
 		s.conns.Add(c)
@@ -259,8 +259,8 @@
 
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
 	s, connect := still(t)
-	client, answers := connect(state.Client)
-	server, pushes := connect(state.ToServer)
+	client, answers := connect(connstate.Client)
+	server, pushes := connect(connstate.ToServer)
 	for _, one := range s.Endpoints {
 		server.Endpoint = s.part(one)
 		s.park(1, server)
@@ -270,12 +270,12 @@
 	now := s.Clock.Now()
 	once := func() {
 		now += restFor + 5*policy.Millisecond
-		buf := s.buffers.Get(state.Small)
+		buf := s.buffers.Get(connstate.Small)
 		buf.B = append(buf.B, request...)
 		client.In = s.buffers.Join(client.In, buf)
 		s.fromClient(now, now, client)
 		s.Round(now)
-		buf = s.buffers.Get(state.Small)
+		buf = s.buffers.Get(connstate.Small)
 		buf.B = append(buf.B, answer...)
 		server.In = s.buffers.Join(server.In, buf)
 		s.fromEndpoint(now+policy.Millisecond, now+policy.Millisecond, server)
@@ -296,12 +296,12 @@
 // A connection on which something unasked stands, or whose last answer is only just there, is not the one for the next attempt.
 func TestPushesGoOutOnQuietConnections(t *testing.T) {
 	s, connect := still(t)
-	client, _ := connect(state.Client)
+	client, _ := connect(connstate.Client)
 	now := s.Clock.Now()
 	var idle []*sink
-	var all []*state.Conn
+	var all []*connstate.Conn
 	for i := range 4 {
-		c, k := connect(state.ToServer)
+		c, k := connect(connstate.ToServer)
 		for _, one := range s.Endpoints {
 			c.Endpoint, c.Used = s.part(one), true
 		}
@@ -309,7 +309,7 @@
 		idle, all = append(idle, k), append(all, c)
 	}
 	idle[2].noisy = true
-	buf := s.buffers.Get(state.Small)
+	buf := s.buffers.Get(connstate.Small)
 	buf.B = append(buf.B, "GET /step/a HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Timeout: 1\r\n\r\n"...)
 	client.In = buf
 	now += 2*policy.Millisecond + restFor // the last is not rested yet, the one before is noisy
@@ -331,8 +331,8 @@
 	now := s.Clock.Now()
 	feed := func(seed int64) bool {
 		rnd := rand.New(rand.NewSource(seed))
-		client, _ := connect(state.Client)
-		server, _ := connect(state.ToServer)
+		client, _ := connect(connstate.Client)
+		server, _ := connect(connstate.ToServer)
 		client.Timer.Do = func(now policy.Time) { s.clientDue(now, client) }
 		for _, one := range s.Endpoints {
 			server.Endpoint, server.Life = s.part(one), one.Life // dialled to it as it stands now
@@ -362,14 +362,14 @@
 				}
 				s.Apply(now, &discovery.List{Kind: kind, Entries: entries})
 			}
-			c := []*state.Conn{client, server}[rnd.Intn(2)]
+			c := []*connstate.Conn{client, server}[rnd.Intn(2)]
 			buf := s.buffers.Get(len(in))
 			buf.B = append(buf.B, in...)
 			s.happened(now, event{what: arrived, conn: c, buf: buf, at: now})
 			s.Tell(now)
 			s.Round(now)
 		}
-		for _, c := range []*state.Conn{client, server} {
+		for _, c := range []*connstate.Conn{client, server} {
 			s.happened(now, event{what: closed, conn: c, at: now})
 			s.Tell(now)
 			s.Round(now)
--- a/internal/httpproxy/sockets.go
+++ b/internal/httpproxy/sockets.go
@@ -10,7 +10,7 @@
 	"github.com/lesismal/nbio/logging"
 
 	"pepperlead/internal/clock"
-	"pepperlead/internal/state"
+	"pepperlead/internal/connstate"
 	"pepperlead/policy"
 )
 
@@ -27,15 +27,15 @@
 
 type event struct {
 	what happening
-	conn *state.Conn
-	buf  *state.Buffer
+	conn *connstate.Conn
+	buf  *connstate.Buffer
 	at   policy.Time
 }
 
 // sockets serves all connections and queues what happens on them; the loop takes the queue.
 type sockets struct {
 	clock   clock.Clock
-	buffers *state.Buffers
+	buffers *connstate.Buffers
 	engine  *nbio.Engine
 	connect func(addr string, within policy.Time) (net.Conn, error)
 	mu      sync.Mutex
@@ -57,7 +57,7 @@
 	mostTaken  = 64 << 10  // asked of the kernel for what endpoints send: so much may have to be taken at once when one closes
 )
 
-func newSockets(clock clock.Clock, buffers *state.Buffers, post *Config, clients int, signal func()) *sockets {
+func newSockets(clock clock.Clock, buffers *connstate.Buffers, post *Config, clients int, signal func()) *sockets {
 	s := &sockets{clock: clock, buffers: buffers, connect: connect(post.From), signal: signal, room: make(chan struct{}, 1), ended: make(chan struct{})}
 	s.most.Store(int64(clients))
 	s.ahead.Store(mostAhead)
@@ -75,14 +75,14 @@
 			return s.gate, err
 		}})
 	s.engine.OnOpen(func(c *nbio.Conn) {
-		conn, dialled := c.Session().(*state.Conn)
+		conn, dialled := c.Session().(*connstate.Conn)
 		if dialled {
 			s.opened.Add(1)
 			s.post(event{what: connected, conn: conn})
 			return
 		}
 		s.clients.Add(1)
-		conn = &state.Conn{Link: newLink(c), Side: state.Client}
+		conn = &connstate.Conn{Link: newLink(c), Side: connstate.Client}
 		c.SetSession(conn)
 		s.opened.Add(1)
 		s.post(event{what: opened, conn: conn})
@@ -90,14 +90,14 @@
 	s.engine.OnRead(s.read)
 	s.engine.OnWrittenSize(func(c *nbio.Conn, _ []byte, n int) {
 		s.opened.Load()
-		if conn, ok := c.Session().(*state.Conn); ok {
+		if conn, ok := c.Session().(*connstate.Conn); ok {
 			s.took(conn, n)
 		}
 	})
 	s.engine.OnClose(func(c *nbio.Conn, _ error) {
 		s.opened.Load()
-		if conn, ok := c.Session().(*state.Conn); ok {
-			if conn.Side == state.Client {
+		if conn, ok := c.Session().(*connstate.Conn); ok {
+			if conn.Side == connstate.Client {
 				s.clients.Add(-1)
 				s.roomAgain()
 			}
@@ -117,7 +117,7 @@
 }
 
 // took notes what the kernel has taken, and tells the loop where that waits for it.
-func (s *sockets) took(conn *state.Conn, n int) {
+func (s *sockets) took(conn *connstate.Conn, n int) {
 	all := conn.Took(n)
 	if at := conn.Tell.Load(); at > 0 && all >= at && conn.Tell.CompareAndSwap(at, 0) {
 		s.post(event{what: drained, conn: conn})
@@ -153,38 +153,38 @@
 // read empties the socket, up to its end where that has come: nbio closes it after that, and the link must know before.
 func (s *sockets) read(c *nbio.Conn) {
 	s.opened.Load() // what OnOpen wrote was written before this
-	if conn, ok := c.Session().(*state.Conn); ok {
+	if conn, ok := c.Session().(*connstate.Conn); ok {
 		s.fill(conn, conn.Link.(*link))
 	}
 }
 
 // Resume reads on where reading was left, if it was. The poller is not told again of what stands there already.
-func (s *sockets) resume(conn *state.Conn) {
+func (s *sockets) resume(conn *connstate.Conn) {
 	if l, ok := conn.Link.(*link); ok && l.held.Load() && !conn.Stop.Load() {
 		s.fill(conn, l)
 	}
 }
 
 // enough tells whether no more should be read for now.
-func (s *sockets) enough(conn *state.Conn) bool {
-	return conn.Stop.Load() || conn.Ahead.Load() >= max(state.Small, s.ahead.Load())
+func (s *sockets) enough(conn *connstate.Conn) bool {
+	return conn.Stop.Load() || conn.Ahead.Load() >= max(connstate.Small, s.ahead.Load())
 }
 
 // fill takes what stands in the socket, until it is empty or enough is under way. The poller and the loop may both come to it; what
 // is read is posted in order, as both happens under the link's lock.
-func (s *sockets) fill(conn *state.Conn, l *link) {
+func (s *sockets) fill(conn *connstate.Conn, l *link) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.held.Store(false)
-	var got *state.Buffer // read and not told yet: whether its sender has left shows only behind it
+	var got *connstate.Buffer // read and not told yet: whether its sender has left shows only behind it
 	defer func() {
 		if got != nil {
 			s.post(event{what: arrived, conn: conn, buf: got})
 		}
 	}()
-	for size := state.Small; ; {
+	for size := connstate.Small; ; {
 		unread := conn.Unread.Load()
-		if unread > state.Small && conn.Side == state.Client && s.buffers.Flooded() {
+		if unread > connstate.Small && conn.Side == connstate.Client && s.buffers.Flooded() {
 			// Many at once may fill the memory before the loop comes to turn them back.
 			l.cutOff()
 			return
@@ -194,7 +194,7 @@
 			if !s.enough(conn) {
 				continue // the loop has come to it meanwhile, and may not have seen that this waits
 			}
-			if conn.Side == state.Client || !l.hungUp() {
+			if conn.Side == connstate.Client || !l.hungUp() {
 				return // what is more stands in the kernel, and so holds up its sender
 			}
 			// The endpoint has closed. nbio does so after this, and what it still had to say is to be had only now.
@@ -202,7 +202,7 @@
 		buf := s.buffers.Get(size)
 		if !l.read(conn, buf) {
 			s.buffers.Put(buf)
-			if l.gone && conn.Side == state.Client {
+			if l.gone && conn.Side == connstate.Client {
 				conn.Left.Store(true) // before its last request is told: nobody waits for the answer
 			}
 			return
@@ -212,8 +212,8 @@
 		}
 		got = buf
 		conn.Ahead.Add(int64(cap(buf.B)))
-		if size = state.Small; len(buf.B) == cap(buf.B) {
-			size = state.Large // there is much
+		if size = connstate.Small; len(buf.B) == cap(buf.B) {
+			size = connstate.Large // there is much
 		}
 	}
 }
--- a/internal/httpproxy/stream.go
+++ b/internal/httpproxy/stream.go
@@ -3,8 +3,8 @@
 import (
 	"strconv"
 
+	"pepperlead/internal/connstate"
 	"pepperlead/internal/engine"
-	"pepperlead/internal/state"
 	"pepperlead/policy"
 )
 
@@ -23,7 +23,7 @@
 // fault can only be shown to that; until then it costs an attempt. So a short one is held till it is whole or its attempt is over. One that may
 // turn out to be long goes on once it has taken its time and still comes: where its endpoint has fallen silent, nothing is gained by
 // that, and the attempt is lost. dealt: nothing else is to be done about it now.
-func (s *Sidecar) answerComes(now, at policy.Time, c *state.Conn, long bool) (dealt bool) {
+func (s *Sidecar) answerComes(now, at policy.Time, c *connstate.Conn, long bool) (dealt bool) {
 	t, b := c.Request, c.In.B
 	n, status, head, size, chunked, stays, ok := answerHead(b, false, t.Bodiless)
 	if !ok || n == 0 || size > mostStream || t.Client == nil || t.Settled {
@@ -59,7 +59,7 @@
 	return true
 }
 
-func (s *Sidecar) beginStream(now, at policy.Time, c *state.Conn, t *state.Request, status int, head, body []byte, stays bool) {
+func (s *Sidecar) beginStream(now, at policy.Time, c *connstate.Conn, t *connstate.Request, status int, head, body []byte, stays bool) {
 	// For the module the attempt ends with the first bytes, as the endpoint's work does; the rest is a matter of the sockets.
 	t.Settled = true
 	s.Ended(at, t.Request, outcomeOf(status, head))
@@ -87,7 +87,7 @@
 }
 
 // passOn hands on what has come of an answer.
-func (s *Sidecar) passOn(now, at policy.Time, c *state.Conn, t *state.Request, b []byte) {
+func (s *Sidecar) passOn(now, at policy.Time, c *connstate.Conn, t *connstate.Request, b []byte) {
 	c.MovedAt = at
 	n, used, done, ok := takeBody(&c.Frame, b)
 	if t.Client != nil {
@@ -102,7 +102,7 @@
 }
 
 // handOn writes a part of the body to the client; where that has much to take, the endpoint waits.
-func (s *Sidecar) handOn(c *state.Conn, t *state.Request, b []byte) {
+func (s *Sidecar) handOn(c *connstate.Conn, t *connstate.Request, b []byte) {
 	if len(b) == 0 {
 		return
 	}
@@ -118,7 +118,7 @@
 }
 
 // holdUp has the one who sends wait for the one who takes, until that has taken most of what waits.
-func (s *Sidecar) holdUp(from, to *state.Conn) {
+func (s *Sidecar) holdUp(from, to *connstate.Conn) {
 	ahead := s.sockets.ahead.Load()
 	if to.Waiting() <= ahead {
 		return
@@ -132,7 +132,7 @@
 }
 
 // goOn has a sender that waited go on.
-func (s *Sidecar) goOn(from *state.Conn) {
+func (s *Sidecar) goOn(from *connstate.Conn) {
 	from.Stop.Store(false)
 	if from.Up && !from.Dead {
 		s.sockets.resume(from)
@@ -140,12 +140,12 @@
 }
 
 // drained is told that a connection has taken most of what waited.
-func (s *Sidecar) drained(c *state.Conn) {
+func (s *Sidecar) drained(c *connstate.Conn) {
 	switch t := c.Request; {
 	case t == nil || c.Dead:
-	case c.Side == state.Client && t.Attempt != nil:
+	case c.Side == connstate.Client && t.Attempt != nil:
 		s.goOn(t.Attempt)
-	case c.Side == state.ToServer && t.Client != nil:
+	case c.Side == connstate.ToServer && t.Client != nil:
 		s.goOn(t.Client)
 	}
 }
@@ -156,7 +156,7 @@
 }
 
 // endStream is the end of an answer that has come whole.
-func (s *Sidecar) endStream(now policy.Time, t *state.Request, stays bool) {
+func (s *Sidecar) endStream(now policy.Time, t *connstate.Request, stays bool) {
 	kind := 0
 	if t.Status != 200 {
 		kind = 1
@@ -177,7 +177,7 @@
 }
 
 // breakStream is the end of one that stays a part. Its client is shown that by a close before the end that was announced.
-func (s *Sidecar) breakStream(now policy.Time, t *state.Request) {
+func (s *Sidecar) breakStream(now policy.Time, t *connstate.Request) {
 	s.Counters.StreamsBroken++
 	s.streamOver(now, t, false)
 	if c := t.Client; c != nil {
@@ -194,7 +194,7 @@
 	s.Done(t.Request)
 }
 
-func (s *Sidecar) streamOver(now policy.Time, t *state.Request, stays bool) {
+func (s *Sidecar) streamOver(now policy.Time, t *connstate.Request, stays bool) {
 	t.Streams = false
 	s.detach(now, t, stays)
 	s.streams--
@@ -202,7 +202,7 @@
 }
 
 // endpointDue is the one timer of a connection to an endpoint: idle for too long, or a stream that may move no more.
-func (s *Sidecar) endpointDue(now policy.Time, c *state.Conn) {
+func (s *Sidecar) endpointDue(now policy.Time, c *connstate.Conn) {
 	switch t := c.Request; {
 	case t == nil:
 		s.close(c)
@@ -212,7 +212,7 @@
 }
 
 // streamDue ends a stream in which nothing moves any more, and sets the next look.
-func (s *Sidecar) streamDue(now policy.Time, c *state.Conn, t *state.Request) {
+func (s *Sidecar) streamDue(now policy.Time, c *connstate.Conn, t *connstate.Request) {
 	if t.Client == nil {
 		s.breakStream(now, t)
 		return
@@ -238,7 +238,7 @@
 
 // streamBy is when a stream ends whose endpoint sends nothing more: its client knows by its deadline that it gets no more, or, where
 // some came just before that, soon after it.
-func streamBy(f state.Frame, movedAt, deadline policy.Time) policy.Time {
+func streamBy(f connstate.Frame, movedAt, deadline policy.Time) policy.Time {
 	if f.Kind == sized || f.Got > mostBody { // it is long: a short one of known size is never passed on before it is whole
 		return max(deadline, movedAt+silentIn)
 	}
--- a/internal/httpproxy/stream_test.go
+++ b/internal/httpproxy/stream_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"pepperlead/internal/state"
+	"pepperlead/internal/connstate"
 )
 
 // What is read byte by byte as it comes is what is measured whole, however it is cut.
@@ -146,7 +146,7 @@
 				if [32]byte(h.Sum(nil)) != sum(long) {
 					t.Error("not the bytes that the server sent")
 				}
-				if most > mostAhead+3*state.Large {
+				if most > mostAhead+3*connstate.Large {
 					t.Errorf("%d bytes were held", most)
 				}
 			}
--- a/internal/httpproxy/upload.go
+++ b/internal/httpproxy/upload.go
@@ -3,7 +3,7 @@
 import (
 	"strconv"
 
-	"pepperlead/internal/state"
+	"pepperlead/internal/connstate"
 	"pepperlead/policy"
 )
 
@@ -19,14 +19,14 @@
 }
 
 // uploads begins with the body of a request whose head is whole.
-func (s *Sidecar) uploads(now, at policy.Time, c *state.Conn, a asked) {
+func (s *Sidecar) uploads(now, at policy.Time, c *connstate.Conn, a asked) {
 	if !c.Asked && Continues(c.In.B) {
 		c.Asked = true
 		s.write(c, []byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 	s.conns.Work(c)
 	s.Counters.LongBodies++
-	c.Upload, c.Size, c.BodyAt, c.Need = state.Collected, a.size, a.at, 0
+	c.Upload, c.Size, c.BodyAt, c.Need = connstate.Collected, a.size, a.at, 0
 	if c.HeadAt == 0 {
 		c.HeadAt = now
 	}
@@ -38,9 +38,9 @@
 }
 
 // uploadComes takes what has come of it.
-func (s *Sidecar) uploadComes(now, at policy.Time, c *state.Conn, buf *state.Buffer) {
+func (s *Sidecar) uploadComes(now, at policy.Time, c *connstate.Conn, buf *connstate.Buffer) {
 	n, used, done, ok := takeBody(&c.Frame, buf.B)
-	var next *state.Buffer
+	var next *connstate.Buffer
 	if done && used < len(buf.B) {
 		next = s.buffers.Get(len(buf.B) - used)
 		next.B = append(next.B, buf.B[used:]...)
@@ -52,7 +52,7 @@
 		s.buffers.Put(buf)
 		s.uploadFails(now, c, 400, "the body cannot be read, or is too long\n")
 		return
-	case c.Upload == state.Collected:
+	case c.Upload == connstate.Collected:
 		c.In = s.buffers.Join(c.In, buf)
 		if hold := s.hold(); !done && (c.Size > hold || len(c.In.B)-c.BodyAt > hold) {
 			s.goesOn(now, at, c)
@@ -68,7 +68,7 @@
 		c.Stop.Store(true) // until an attempt takes it
 	}
 	if !done {
-		if c.Upload != state.NoUpload {
+		if c.Upload != connstate.NoUpload {
 			by := s.uploadBy(c)
 			if c.Stop.Load() {
 				by = min(by, now+lookAt) // it waits for its endpoint, which may take no more
@@ -81,23 +81,23 @@
 }
 
 // goesOn admits a request whose body has not come whole.
-func (s *Sidecar) goesOn(now, at policy.Time, c *state.Conn) {
+func (s *Sidecar) goesOn(now, at policy.Time, c *connstate.Conn) {
 	buf := c.In
 	s.Counters.PassedBodies++
-	c.In, c.Upload = nil, state.Passed
+	c.In, c.Upload = nil, connstate.Passed
 	a, _ := askedBy(buf.B)
 	s.request(now, at, c, buf, a, buf.B[a.at:])
 }
 
 // uploaded is told that the body is whole; next came behind it.
-func (s *Sidecar) uploaded(now, at policy.Time, c *state.Conn, next *state.Buffer) {
+func (s *Sidecar) uploaded(now, at policy.Time, c *connstate.Conn, next *connstate.Buffer) {
 	was, t := c.Upload, c.Request
 	s.Timers.Stop(&c.Timer)
-	c.Upload, c.Asked, c.HeadAt = state.NoUpload, false, 0
+	c.Upload, c.Asked, c.HeadAt = connstate.NoUpload, false, 0
 	buf := c.In
 	c.In = next
 	switch {
-	case was == state.Collected:
+	case was == connstate.Collected:
 		a, _ := askedBy(buf.B)
 		a.size, a.chunked = len(buf.B)-a.at, false
 		s.request(now, at, c, buf, a, buf.B[a.at:])
@@ -113,7 +113,7 @@
 }
 
 // sendPart writes a part of the body to the endpoint.
-func (s *Sidecar) sendPart(t *state.Request, b []byte) {
+func (s *Sidecar) sendPart(t *connstate.Request, b []byte) {
 	if len(b) == 0 {
 		return
 	}
@@ -128,7 +128,7 @@
 }
 
 // sendEnd says that all of it was written.
-func (s *Sidecar) sendEnd(t *state.Request) {
+func (s *Sidecar) sendEnd(t *connstate.Request) {
 	c := t.Attempt
 	if t.Size < 0 {
 		c.Due.Store(c.Queued + int64(len(lastChunk)))
@@ -140,12 +140,12 @@
 }
 
 // uploadBy is by when more must have come.
-func (s *Sidecar) uploadBy(c *state.Conn) policy.Time {
+func (s *Sidecar) uploadBy(c *connstate.Conn) policy.Time {
 	return c.HeadAt + bodyIn + policy.Time(c.Frame.Got)*policy.Second/bodyRate
 }
 
 // uploadDue looks whether a body still comes. While its client has to wait, it is the endpoint that must take something.
-func (s *Sidecar) uploadDue(now policy.Time, c *state.Conn) {
+func (s *Sidecar) uploadDue(now policy.Time, c *connstate.Conn) {
 	t := c.Request
 	switch {
 	case c.Stop.Load() && t != nil:
@@ -166,10 +166,10 @@
 }
 
 // uploadFails ends a request that does not come whole.
-func (s *Sidecar) uploadFails(now policy.Time, c *state.Conn, status int, why string) {
+func (s *Sidecar) uploadFails(now policy.Time, c *connstate.Conn, status int, why string) {
 	if t := c.Request; t != nil {
 		s.leaves(now, c, t)
 	}
-	c.Upload = state.NoUpload
+	c.Upload = connstate.NoUpload
 	s.bad(now, c, status, why)
 }
