--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -12,7 +12,6 @@
 	"time"
 
 	"pepperlead/internal/admin"
-	"pepperlead/internal/campaign"
 	"pepperlead/internal/clock"
 	"pepperlead/internal/discovery"
 	"pepperlead/internal/hotrestart"
@@ -20,6 +19,7 @@
 	"pepperlead/internal/installation"
 	"pepperlead/internal/listing"
 	"pepperlead/internal/membership"
+	"pepperlead/internal/platformsettings"
 	"pepperlead/policy"
 )
 
@@ -209,7 +209,7 @@
 	if !(told.Limits.Memory >= leastMemory) {
 		fault("limits.memory_mb: found %v, allowed a number from %d up", told.Limits.Memory, leastMemory)
 	}
-	values := &campaign.Values{Of: map[string]string{}}
+	values := &platformsettings.Values{Of: map[string]string{}}
 	if err := flatten(values.Of, "", told.Settings); err != nil {
 		return post, fmt.Errorf("%s: settings: %w", path, err)
 	}
@@ -235,7 +235,7 @@
 		post.First = policy.Time(at.AnswerIn())
 	}
 	post.Source = at
-	if post.Settings, err = campaign.Read(values); err != nil {
+	if post.Settings, err = platformsettings.Read(values); err != nil {
 		fault("settings: %s", strings.ReplaceAll(err.Error(), "\n", "\nsettings: "))
 	} else {
 		at.Hold = discovery.HoldFor(at.Grace > 0, post.Settings.Instances)
--- a/internal/campaign/campaign.go
+++ b/internal/platformsettings/campaign.go
@@ -1,6 +1,6 @@
 // Package campaign reads what an instance is told at its start, for every front alike: values under the paths
 // that they have as nested objects, as in offerings.0.name.
-package campaign
+package platformsettings
 
 import (
 	"errors"
--- a/internal/simprotocol/fields.go
+++ b/internal/simprotocol/fields.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"strconv"
 
-	"pepperlead/internal/campaign"
+	"pepperlead/internal/platformsettings"
 	"pepperlead/policy"
 )
 
@@ -65,7 +65,7 @@
 	if err != nil {
 		return false, err
 	}
-	return campaign.Boolean(name, string(v))
+	return platformsettings.Boolean(name, string(v))
 }
 
 func (a *Adapter) time(name string) (policy.Time, error) {
@@ -73,7 +73,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return campaign.Span(name, string(v))
+	return platformsettings.Span(name, string(v))
 }
 
 // ---- events ----
--- a/internal/simprotocol/start.go
+++ b/internal/simprotocol/start.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"strings"
 
-	"pepperlead/internal/campaign"
+	"pepperlead/internal/platformsettings"
 	"pepperlead/policy"
 )
 
@@ -22,11 +22,11 @@
 	if !bytes.Contains(rest, []byte("offerings.count=")) {
 		return fmt.Errorf("offerings.count is missing")
 	}
-	p := &campaign.Values{Of: make(map[string]string, len(a.fields))}
+	p := &platformsettings.Values{Of: make(map[string]string, len(a.fields))}
 	for _, f := range a.fields {
 		p.Of[string(f.name)] = string(f.value)
 	}
-	c, err := campaign.Read(p)
+	c, err := platformsettings.Read(p)
 	if err != nil {
 		return errors.New(strings.ReplaceAll(err.Error(), "\n", "; ")) // an answer on the wire is a line
 	}
