--- a/internal/installation/installation.go
+++ b/internal/config/installation.go
@@ -1,6 +1,6 @@
 // Package installation reads the product's own configuration: what an installation that stands alone is told in place of the
 // platform's JSON. It reads bytes and knows no files and no sockets. docs/configuration.md has every setting.
-package installation
+package config
 
 import (
 	"fmt"
--- a/internal/installation/version.go
+++ b/internal/config/version.go
@@ -1,4 +1,4 @@
-package installation
+package config
 
 import (
 	"fmt"
--- a/internal/daemon/agreed.go
+++ b/internal/daemon/agreed.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
+	"pepperlead/internal/config"
 	"pepperlead/internal/engine"
-	"pepperlead/internal/installation"
 	"pepperlead/internal/listing"
 	"pepperlead/internal/ruleset"
 	"pepperlead/policy"
@@ -43,7 +43,7 @@
 
 // readVersion makes a version of a page. The error has a line for each fault.
 func readVersion(p ruleset.Page) (*engine.Version, error) {
-	v, err := installation.ReadVersion("version", p.Text)
+	v, err := config.ReadVersion("version", p.Text)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/daemon/keep.go
+++ b/internal/daemon/keep.go
@@ -9,30 +9,30 @@
 
 	"github.com/sirupsen/logrus"
 
+	"pepperlead/internal/config"
 	"pepperlead/internal/coordinator"
-	"pepperlead/internal/installation"
 	"pepperlead/internal/membership"
 	"pepperlead/internal/ruleset"
 	"pepperlead/policy"
 )
 
 // ReadKeeping takes what a keeper is told from the file.
-func ReadKeeping(path string) (*installation.Keeping, error) {
+func ReadKeeping(path string) (*config.Keeping, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	return installation.ReadKeeping(path, b)
+	return config.ReadKeeping(path, b)
 }
 
 // CheckVersion tells why a text can be no version, or can none follow on the one that is in force, nil where there is none yet. The error has a
 // line for each fault.
 func CheckVersion(file string, text, inForce []byte) error {
-	next, err := installation.ReadVersion(file, text)
+	next, err := config.ReadVersion(file, text)
 	if err != nil || inForce == nil || next.Servers == nil {
 		return err
 	}
-	now, err := installation.ReadVersion("in force", inForce)
+	now, err := config.ReadVersion("in force", inForce)
 	if err != nil || now.Servers == nil {
 		return nil // what is in force was taken in by an older keeper
 	}
@@ -51,14 +51,14 @@
 
 // dealt gives the slots' owners of a version that follows on another.
 func dealt(text []byte, inForce *ruleset.Page) []byte {
-	next, err := installation.ReadVersion("version", text)
+	next, err := config.ReadVersion("version", text)
 	if err != nil || next.Servers == nil {
 		return nil
 	}
 	var was []policy.Member
 	var table []policy.EndpointID
 	if inForce != nil {
-		if v, err := installation.ReadVersion("in force", inForce.Text); err == nil {
+		if v, err := config.ReadVersion("in force", inForce.Text); err == nil {
 			was = members(v.Servers)
 			table = policy.Unpacked(inForce.Table, was)
 		}
@@ -67,7 +67,7 @@
 }
 
 // Keep runs a keeper of versions until it is told to end.
-func Keep(k *installation.Keeping, log *logrus.Logger) error {
+func Keep(k *config.Keeping, log *logrus.Logger) error {
 	stop := make(chan os.Signal, 2)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	key, err := membership.ReadKey(k.Peers.Key)
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -13,10 +13,10 @@
 
 	"pepperlead/internal/admin"
 	"pepperlead/internal/clock"
+	"pepperlead/internal/config"
 	"pepperlead/internal/discovery"
 	"pepperlead/internal/hotrestart"
 	"pepperlead/internal/httpproxy"
-	"pepperlead/internal/installation"
 	"pepperlead/internal/listing"
 	"pepperlead/internal/membership"
 	"pepperlead/internal/platformsettings"
@@ -97,7 +97,7 @@
 
 // product makes orders of the product's own configuration.
 func product(path string, b []byte) (Orders, error) {
-	in, err := installation.Read(path, b)
+	in, err := config.Read(path, b)
 	if err != nil {
 		return Orders{}, err
 	}
@@ -141,7 +141,7 @@
 
 // Client makes orders for a client of the product's configuration.
 func Client(name string, text []byte) (ClientOrders, error) {
-	in, err := installation.ReadClient(name, text)
+	in, err := config.ReadClient(name, text)
 	if err != nil {
 		return ClientOrders{}, err
 	}
@@ -155,15 +155,15 @@
 }
 
 // source makes the one that the configuration names, and tells how many descriptors it takes.
-func source(in *installation.Installation) (s discovery.Source, descriptors int) {
+func source(in *config.Installation) (s discovery.Source, descriptors int) {
 	now := clock.New().Now
 	switch in.Kind {
-	case installation.Files:
+	case config.Files:
 		s, descriptors = discovery.NewFiles(in.Patterns, in.Terms, now), watchDescriptors
-	case installation.Discovery:
+	case config.Discovery:
 		p := discovery.NewPlatform(in.Discovery, false)
 		p.From, s = in.From, p
-	case installation.Fixed:
+	case config.Fixed:
 		s = &discovery.Fixed{Entries: in.Servers, Called: fmt.Sprintf("fixed: %+v", in.Servers)}
 	}
 	if in.State != "" {
