--- a/internal/config/installation.go
+++ b/internal/config/installation.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
-	"pepperlead/internal/document"
 	"pepperlead/internal/listing"
+	"pepperlead/internal/tomlfile"
 	"pepperlead/policy"
 )
 
@@ -78,7 +78,7 @@
 func ReadClient(file string, text []byte) (*Installation, error) { return read(file, text, false) }
 
 func read(file string, text []byte, fronts bool) (*Installation, error) {
-	doc, root := document.Parse(file, text, most)
+	doc, root := tomlfile.Parse(file, text, most)
 	in := &Installation{}
 	if doc.Err() == nil {
 		if fronts {
@@ -92,7 +92,7 @@
 	return in, nil
 }
 
-func (in *Installation) read(root *document.Table, folder string) {
+func (in *Installation) read(root *tomlfile.Table, folder string) {
 	root.Require("offering", "source")
 	c := &policy.Settings{}
 	in.Campaign = c
@@ -146,7 +146,7 @@
 	root.Done()
 }
 
-func logging(root *document.Table) (level, format string) {
+func logging(root *tomlfile.Table) (level, format string) {
 	log := root.Table("log")
 	levels, formats := []string{"debug", "info", "warning", "error"}, []string{"text", "json"}
 	level, format = levels[log.OneOf("level", 1, levels...)], formats[log.OneOf("format", 0, formats...)]
@@ -161,7 +161,7 @@
 	return filepath.Join(folder, path)
 }
 
-func address(t *document.Table, key string, needed bool) string {
+func address(t *tomlfile.Table, key string, needed bool) string {
 	if needed {
 		t.Require(key)
 	}
@@ -173,7 +173,7 @@
 }
 
 // peers reads who is to be met. Each needs a name of its own, so there is none to fall back on.
-func (in *Installation) peers(root *document.Table, folder string, taken map[string]string) {
+func (in *Installation) peers(root *tomlfile.Table, folder string, taken map[string]string) {
 	t, p := root.Table("peers"), &in.Peers
 	if root.Has("peers") {
 		t.Require("listen", "cluster", "key_file")
@@ -199,7 +199,7 @@
 	t.Done()
 }
 
-func (in *Installation) cold(t *document.Table) {
+func (in *Installation) cold(t *tomlfile.Table) {
 	c := in.Campaign
 	c.ColdShare = t.Real("share", 0.2, 0.001, 1)
 	c.ColdTime = t.Span("time", 24*policy.Second, 0, 3600*policy.Second)
@@ -207,7 +207,7 @@
 	t.Done()
 }
 
-func (in *Installation) instance(t *document.Table) {
+func (in *Installation) instance(t *tomlfile.Table) {
 	c := in.Campaign
 	in.Name = t.Text("name", "pepperlead")
 	c.Zone = policy.Zone(t.Text("zone", ""))
@@ -233,7 +233,7 @@
 	t.Done()
 }
 
-func (in *Installation) limits(t *document.Table) {
+func (in *Installation) limits(t *tomlfile.Table) {
 	c := in.Campaign
 	in.Descriptors = int(t.Count("descriptors", 1024, 64, 1<<20))
 	in.MemoryMB = int(t.Count("memory_mb", 192, 32, 1<<16))
@@ -259,7 +259,7 @@
 // marginTicks is how long before a cut-off the module answers, in ticks; a shorter cut-off would leave no time at all.
 const marginTicks = 4
 
-func (in *Installation) offerings(tables []*document.Table) {
+func (in *Installation) offerings(tables []*tomlfile.Table) {
 	c := in.Campaign
 	first := map[string]int{}
 	for _, t := range tables {
@@ -319,7 +319,7 @@
 	}
 }
 
-func (in *Installation) franchises(root *document.Table) {
+func (in *Installation) franchises(root *tomlfile.Table) {
 	c := in.Campaign
 	terms := root.Table("franchises")
 	c.BeyondValue = terms.Real("beyond_credit", 0.05, 0, 1)
@@ -341,7 +341,7 @@
 // ofFiles are the keys that speak of list files alone.
 var ofFiles = []string{"files", "may_take_away", "settle", "missing_for", "remember", "sealed"}
 
-func (in *Installation) source(t *document.Table, folder string) {
+func (in *Installation) source(t *tomlfile.Table, folder string) {
 	t.Require("kind")
 	in.Kind = Kind(t.OneOf("kind", int(Files), "files", "discovery", "fixed"))
 	in.Discovery = address(t, "address", in.Kind == Discovery && t.Has("kind"))
@@ -368,7 +368,7 @@
 }
 
 // oneSource finds keys of other kinds of source, which would be read and do nothing.
-func (in *Installation) oneSource(t *document.Table) {
+func (in *Installation) oneSource(t *tomlfile.Table) {
 	kinds := []struct {
 		name   string
 		needed string
--- a/internal/config/version.go
+++ b/internal/config/version.go
@@ -5,8 +5,8 @@
 	"path/filepath"
 	"time"
 
-	"pepperlead/internal/document"
 	"pepperlead/internal/listing"
+	"pepperlead/internal/tomlfile"
 	"pepperlead/policy"
 )
 
@@ -23,7 +23,7 @@
 
 // ReadVersion reads a version. The error has a line for each fault.
 func ReadVersion(file string, text []byte) (*Version, error) {
-	doc, root := document.Parse(file, text, mostVersion)
+	doc, root := tomlfile.Parse(file, text, mostVersion)
 	in := &Installation{Campaign: &policy.Settings{Tick: 5 * policy.Millisecond}}
 	c := in.Campaign
 	var servers []listing.Entry
@@ -86,7 +86,7 @@
 
 // ReadKeeping reads a keeper's configuration. The error has a line for each fault. Paths in it are taken from the file's own folder.
 func ReadKeeping(file string, text []byte) (*Keeping, error) {
-	doc, root := document.Parse(file, text, most)
+	doc, root := tomlfile.Parse(file, text, most)
 	k := &Keeping{}
 	if doc.Err() == nil {
 		k.read(root, filepath.Dir(file))
@@ -97,7 +97,7 @@
 	return k, nil
 }
 
-func (k *Keeping) read(root *document.Table, folder string) {
+func (k *Keeping) read(root *tomlfile.Table, folder string) {
 	root.Require("instance", "keep", "keeper", "peers")
 	instance := root.Table("instance")
 	instance.Require("name")
--- a/internal/drill/script.go
+++ b/internal/drill/script.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"pepperlead/internal/document"
+	"pepperlead/internal/tomlfile"
 	"pepperlead/policy"
 )
 
@@ -67,7 +67,7 @@
 
 // ReadScript reads a drill. The error has a line for each fault.
 func ReadScript(file string, text []byte) (*Script, error) {
-	doc, root := document.Parse(file, text, mostScript)
+	doc, root := tomlfile.Parse(file, text, mostScript)
 	s := &Script{Clocks: map[string]string{}}
 	if doc.Err() == nil {
 		s.read(root)
@@ -75,11 +75,11 @@
 	return s, doc.Err()
 }
 
-func span(t *document.Table, key string, fallback time.Duration) time.Duration {
+func span(t *tomlfile.Table, key string, fallback time.Duration) time.Duration {
 	return time.Duration(t.Span(key, policy.Time(fallback), 0, 3600*policy.Second))
 }
 
-func (s *Script) read(root *document.Table) {
+func (s *Script) read(root *tomlfile.Table) {
 	root.Require("drill")
 	t := root.Table("drill")
 	s.About = t.Text("about", "")
@@ -121,7 +121,7 @@
 	root.Done()
 }
 
-func doing(t *document.Table, versions []string) Doing {
+func doing(t *tomlfile.Table, versions []string) Doing {
 	all := make([]string, 0, len(verbs))
 	for v := range verbs {
 		all = append(all, v)
--- a/internal/emulator/read.go
+++ b/internal/emulator/read.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"pepperlead/internal/document"
 	"pepperlead/internal/emulator/machine"
+	"pepperlead/internal/tomlfile"
 	"pepperlead/policy"
 )
 
@@ -27,14 +27,14 @@
 // Read reads a scenario. One that names a base says only what differs from that; load reads the base, by the name as it stands
 // in the scenario. The error has a line for each fault.
 func Read(file string, text []byte, load func(name string) ([]byte, error), sets ...Set) (*Scenario, error) {
-	doc, root := document.Parse(file, text, MostText)
+	doc, root := tomlfile.Parse(file, text, MostText)
 	if name := root.Text("base", ""); doc.Err() == nil && name != "" {
 		of, err := load(name)
 		if err != nil {
 			root.Fault("base", root.Found("base"), "a scenario: "+err.Error())
 			return nil, doc.Err()
 		}
-		below, base := document.Parse(name, of, MostText)
+		below, base := tomlfile.Parse(name, of, MostText)
 		if base.Has("base") {
 			base.Fault("base", base.Found("base"), "nothing: a base has none")
 		}
@@ -60,7 +60,7 @@
 	return sc, nil
 }
 
-func (sc *Scenario) read(root *document.Table) {
+func (sc *Scenario) read(root *tomlfile.Table) {
 	root.Require("name", "length", "fleet", "load", "offering", "kind")
 	sc.Name, sc.About = root.Text("name", ""), root.Text("about", "")
 	sc.Length = root.Span("length", 60*policy.Second, policy.Second, day)
@@ -76,7 +76,7 @@
 	root.Done()
 }
 
-func (sc *Scenario) fleet(root *document.Table) {
+func (sc *Scenario) fleet(root *tomlfile.Table) {
 	t := root.Table("fleet")
 	t.Require("servers", "sidecars")
 	sc.Servers = int(t.Count("servers", 8, 1, mostServers))
@@ -112,7 +112,7 @@
 	}
 }
 
-func (sc *Scenario) load(root *document.Table) {
+func (sc *Scenario) load(root *tomlfile.Table) {
 	t := root.Table("load")
 	sc.Load = Load{Rate: t.Real("rate", 0, 0, mostRate), Part: t.Real("part", 0, 0, 20), Swing: t.Real("swing", 0, 0, 1),
 		Period: t.Span("period", 60*policy.Second, policy.Second, day), Bursts: t.Real("bursts", 0, 0, 5),
@@ -128,7 +128,7 @@
 	t.Done()
 }
 
-func (sc *Scenario) surroundings(root *document.Table) {
+func (sc *Scenario) surroundings(root *tomlfile.Table) {
 	ms := policy.Millisecond
 	t := root.Table("network")
 	sc.Network = Network{Near: t.Span("near", ms/5, 0, policy.Second), Far: t.Span("far", 5*ms, 0, 5*policy.Second),
@@ -156,7 +156,7 @@
 	t.Done()
 }
 
-func (sc *Scenario) offerings(root *document.Table) {
+func (sc *Scenario) offerings(root *tomlfile.Table) {
 	for _, t := range root.Tables("offering") {
 		t.Require("name", "quoted_time", "cut_off", "work")
 		o := Offering{Share: t.Real("share", 1, 1e-6, 1e6), Work: t.Span("work", policy.Millisecond, 1000, 600*policy.Second),
@@ -179,7 +179,7 @@
 	}
 }
 
-func (sc *Scenario) franchises(root *document.Table) {
+func (sc *Scenario) franchises(root *tomlfile.Table) {
 	t := root.Table("franchises")
 	sc.Beyond = t.Real("beyond_credit", 0.05, 0, 1)
 	t.Done()
@@ -195,7 +195,7 @@
 	}
 }
 
-func (sc *Scenario) fault(t *document.Table) {
+func (sc *Scenario) fault(t *tomlfile.Table) {
 	t.Require("kind", "at")
 	f := Fault{Kind: FaultKind(t.OneOf("kind", 0, faultNames[:]...)), At: t.Span("at", 0, 0, day),
 		For: t.Span("for", 0, 0, day), Part: t.Real("part", 0, 0, 1), Count: int(t.Count("count", 0, 0, mostServers)),
--- a/internal/listing/text.go
+++ b/internal/listing/text.go
@@ -11,7 +11,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"pepperlead/internal/document"
+	"pepperlead/internal/tomlfile"
 	"pepperlead/policy"
 )
 
@@ -29,7 +29,7 @@
 		f.Problem = name + ":1: document: found bytes that are not UTF-8, allowed TOML"
 		return f
 	}
-	doc, root := document.Parse(name, text, MostText)
+	doc, root := tomlfile.Parse(name, text, MostText)
 	for _, t := range root.Tables("server") {
 		f.Entries = append(f.Entries, ReadServer(t))
 	}
@@ -61,7 +61,7 @@
 }
 
 // ReadServer reads a server from a table of its own.
-func ReadServer(t *document.Table) Entry {
+func ReadServer(t *tomlfile.Table) Entry {
 	t.Require("id", "address")
 	e := Entry{UID: t.Text("id", ""), Addr: t.Text("address", "")}
 	e.Member = policy.Member{ID: IDOf(e.UID),
@@ -97,7 +97,7 @@
 // Seal writes the closing table of a list file anew: the count of its servers, an issue, what it takes away and a digest over
 // all of that. What stands above stays as it is to the byte. issue 0: one more than the file has.
 func Seal(name string, text []byte, issue Issue, takesAway int) ([]byte, File, error) {
-	doc, root := document.Parse(name, text, MostText)
+	doc, root := tomlfile.Parse(name, text, MostText)
 	if err := doc.Err(); err != nil {
 		return nil, File{}, err
 	}
--- a/internal/migration/migration.go
+++ b/internal/migration/migration.go
@@ -13,8 +13,8 @@
 	"strings"
 
 	"pepperlead/internal/daemon"
-	"pepperlead/internal/document"
 	"pepperlead/internal/listing"
+	"pepperlead/internal/tomlfile"
 )
 
 // most is how long a configuration may be, in bytes.
@@ -84,7 +84,7 @@
 	if _, err = daemon.Parse(file, text, nobody); err != nil {
 		return m, err
 	}
-	doc, root := document.Parse(file, text, most)
+	doc, root := tomlfile.Parse(file, text, most)
 	lines := strings.Split(string(text), "\n")
 	var heads = map[string]int{} // table to the line of its header, from 1
 	for i, line := range lines {
@@ -93,7 +93,7 @@
 		}
 	}
 	added := map[int][]string{}
-	table := func(path string) *document.Table {
+	table := func(path string) *tomlfile.Table {
 		t := root
 		for _, name := range strings.Split(path, ".") {
 			t = t.Table(name)
--- a/internal/document/document.go
+++ b/internal/tomlfile/document.go
@@ -1,6 +1,6 @@
 // Package document reads TOML whose values know their lines, so that every fault can be told with its place: file, line, key,
 // what was found and what is allowed. All faults of a document are told at once. It reads bytes and knows no files.
-package document
+package tomlfile
 
 import (
 	"bytes"
--- a/internal/document/overlay.go
+++ b/internal/tomlfile/overlay.go
@@ -1,4 +1,4 @@
-package document
+package tomlfile
 
 import (
 	"fmt"
