--- a/cmd/pepperlead/list.go
+++ b/cmd/pepperlead/list.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 
 	"pepperlead/internal/discovery"
-	"pepperlead/internal/listing"
+	"pepperlead/internal/endpointfiles"
 	"pepperlead/internal/snapshot"
 	"pepperlead/policy"
 )
@@ -24,17 +24,17 @@
 
 // summary is what is told of a file that can be used.
 type summary struct {
-	File     string        `json:"file"`
-	Problem  string        `json:"problem,omitempty"`
-	Servers  int           `json:"servers"`
-	Ready    int           `json:"ready"`
-	Weight   float64       `json:"weight"`
-	Issue    listing.Issue `json:"issue,omitempty"`
-	Sealed   bool          `json:"sealed"`
-	TakeAway int           `json:"takes_away,omitempty"`
+	File     string              `json:"file"`
+	Problem  string              `json:"problem,omitempty"`
+	Servers  int                 `json:"servers"`
+	Ready    int                 `json:"ready"`
+	Weight   float64             `json:"weight"`
+	Issue    endpointfiles.Issue `json:"issue,omitempty"`
+	Sealed   bool                `json:"sealed"`
+	TakeAway int                 `json:"takes_away,omitempty"`
 }
 
-func sum(f listing.File) summary {
+func sum(f endpointfiles.File) summary {
 	s := summary{File: f.Name, Problem: f.Problem, Servers: len(f.Entries), Issue: f.Issue, Sealed: f.Sealed, TakeAway: f.TakesAway}
 	for _, e := range f.Entries {
 		if e.Standing == policy.Ready {
@@ -64,17 +64,17 @@
 		Example: "  pepperlead list check /etc/pepperlead/servers.d/*.toml"}
 	asJSON := c.Flags().Bool("json", false, "print one JSON object")
 	c.RunE = func(c *cobra.Command, names []string) error {
-		var files []listing.File
+		var files []endpointfiles.File
 		var all []summary
 		for _, name := range names {
 			text, err := discovery.ReadFile(name)
 			if err != nil {
 				return err
 			}
-			f := listing.Parse(name, text)
+			f := endpointfiles.Parse(name, text)
 			files, all = append(files, f), append(all, sum(f))
 		}
-		why := listing.Join(files)
+		why := endpointfiles.Join(files)
 		if *asJSON {
 			return errors.Join(json.NewEncoder(c.OutOrStdout()).Encode(map[string]any{"usable": why == "", "why": why, "files": all}),
 				unusable(why))
@@ -111,7 +111,7 @@
 		if err != nil {
 			return err
 		}
-		sealed, f, err := listing.Seal(names[0], text, listing.Issue(*issue), *away)
+		sealed, f, err := endpointfiles.Seal(names[0], text, endpointfiles.Issue(*issue), *away)
 		if err != nil {
 			return err
 		}
--- a/internal/config/installation.go
+++ b/internal/config/installation.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"pepperlead/internal/listing"
+	"pepperlead/internal/endpointfiles"
 	"pepperlead/internal/tomlfile"
 	"pepperlead/policy"
 )
@@ -50,11 +50,11 @@
 	KeyField    string        // RPC: or else in the request's field of this name
 
 	Kind      Kind
-	Discovery string          // address
-	Patterns  []string        // of list files
-	Terms     listing.Terms   // that they are held to
-	Servers   []listing.Entry // of the configuration itself
-	State     string          // folder; "": nothing is kept
+	Discovery string                // address
+	Patterns  []string              // of list files
+	Terms     endpointfiles.Terms   // that they are held to
+	Servers   []endpointfiles.Entry // of the configuration itself
+	State     string                // folder; "": nothing is kept
 
 	Peers Peers // sidecars that this one tells of itself
 
@@ -166,7 +166,7 @@
 		t.Require(key)
 	}
 	at := t.Text(key, "")
-	if at != "" && !listing.Address(at) {
+	if at != "" && !endpointfiles.Address(at) {
 		t.Fault(key, t.Found(key), "an IP address and port, as 127.0.0.1:9000 or [::1]:9000")
 	}
 	return at
@@ -190,7 +190,7 @@
 		p.Key = from(folder, p.Key)
 	}
 	for _, at := range t.Texts("join") {
-		if !listing.Address(at) {
+		if !endpointfiles.Address(at) {
 			t.Fault("join", at, "IP addresses and ports, as 10.0.0.7:9003")
 		}
 		p.Join = append(p.Join, at)
@@ -351,7 +351,7 @@
 		}
 		in.Patterns = append(in.Patterns, from(folder, p))
 	}
-	in.Terms = listing.Terms{
+	in.Terms = endpointfiles.Terms{
 		MayTakeAway: t.Real("may_take_away", 0.5, 0, 1),
 		Settle:      t.Span("settle", 200*policy.Millisecond, 0, 60*policy.Second),
 		MissingFor:  t.Span("missing_for", 5*policy.Second, 0, 3600*policy.Second),
@@ -359,7 +359,7 @@
 		Sealed:      t.Yes("sealed", false),
 	}
 	for _, s := range t.Tables("server") {
-		in.Servers = append(in.Servers, listing.ReadServer(s))
+		in.Servers = append(in.Servers, endpointfiles.ReadServer(s))
 	}
 	if t.Has("kind") {
 		in.oneSource(t)
@@ -389,7 +389,7 @@
 		}
 	}
 	if in.Kind == Fixed {
-		if why := listing.Join([]listing.File{{Name: "source", Entries: in.Servers}}); why != "" {
+		if why := endpointfiles.Join([]endpointfiles.File{{Name: "source", Entries: in.Servers}}); why != "" {
 			t.Fault("server", why, "each id once, and one ready server at an address")
 		}
 	}
--- a/internal/config/installation_test.go
+++ b/internal/config/installation_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"pepperlead/internal/listing"
+	"pepperlead/internal/endpointfiles"
 	"pepperlead/policy"
 )
 
@@ -33,7 +33,7 @@
 		t.Errorf("%+v\n%+v", in, c)
 	}
 	list, err := os.ReadFile(in.Patterns[0])
-	if f := listing.Parse("servers.toml", list); err != nil || f.Problem != "" || !f.Sealed || len(f.Entries) != 3 {
+	if f := endpointfiles.Parse("servers.toml", list); err != nil || f.Problem != "" || !f.Sealed || len(f.Entries) != 3 {
 		t.Errorf("%v %+v", err, f)
 	}
 }
@@ -127,7 +127,7 @@
 			return
 		}
 		c := in.Campaign
-		if len(c.Classes) == 0 || len(in.CutOffs) != len(c.Classes) || !listing.Address(in.Listen) || c.Instances < 1 ||
+		if len(c.Classes) == 0 || len(in.CutOffs) != len(c.Classes) || !endpointfiles.Address(in.Listen) || c.Instances < 1 ||
 			in.Leave <= 0 || in.Kind == Files && len(in.Patterns) == 0 || in.Kind == Fixed && len(in.Servers) == 0 {
 			t.Fatalf("%+v %+v", in, c)
 		}
--- a/internal/config/version.go
+++ b/internal/config/version.go
@@ -5,7 +5,7 @@
 	"path/filepath"
 	"time"
 
-	"pepperlead/internal/listing"
+	"pepperlead/internal/endpointfiles"
 	"pepperlead/internal/tomlfile"
 	"pepperlead/policy"
 )
@@ -15,10 +15,10 @@
 
 // Version is what a version of the rules says: what binds, by which all sidecars of a cluster go.
 type Version struct {
-	Campaign *policy.Settings    // offerings, franchises, instances, cold servers
-	CutOffs  []policy.Time       // by offering
-	Servers  []listing.Entry     // nil: it says nothing of servers
-	Bans     []policy.EndpointID // taken out, whoever lists them
+	Campaign *policy.Settings      // offerings, franchises, instances, cold servers
+	CutOffs  []policy.Time         // by offering
+	Servers  []endpointfiles.Entry // nil: it says nothing of servers
+	Bans     []policy.EndpointID   // taken out, whoever lists them
 }
 
 // ReadVersion reads a version. The error has a line for each fault.
@@ -26,7 +26,7 @@
 	doc, root := tomlfile.Parse(file, text, mostVersion)
 	in := &Installation{Campaign: &policy.Settings{Tick: 5 * policy.Millisecond}}
 	c := in.Campaign
-	var servers []listing.Entry
+	var servers []endpointfiles.Entry
 	var bans []policy.EndpointID
 	if doc.Err() == nil {
 		root.Require("fleet", "offering")
@@ -50,13 +50,13 @@
 		in.franchises(root)
 		banned := root.Table("bans")
 		for _, id := range banned.Texts("servers") {
-			bans = append(bans, listing.IDOf(id))
+			bans = append(bans, endpointfiles.IDOf(id))
 		}
 		banned.Done()
 		for _, t := range root.Tables("server") {
-			servers = append(servers, listing.ReadServer(t))
+			servers = append(servers, endpointfiles.ReadServer(t))
 		}
-		if why := listing.Join([]listing.File{{Name: file, Entries: servers}}); why != "" && len(servers) > 0 {
+		if why := endpointfiles.Join([]endpointfiles.File{{Name: file, Entries: servers}}); why != "" && len(servers) > 0 {
 			root.Fault("server", why, "each id once, and one ready server at an address")
 		}
 		root.Done()
--- a/internal/daemon/agreed.go
+++ b/internal/daemon/agreed.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"pepperlead/internal/config"
+	"pepperlead/internal/endpointfiles"
 	"pepperlead/internal/engine"
-	"pepperlead/internal/listing"
 	"pepperlead/internal/ruleset"
 	"pepperlead/policy"
 )
@@ -52,7 +52,7 @@
 		Campaign: v.Campaign, Servers: v.Servers, Table: policy.Unpacked(p.Table, servers)}, nil
 }
 
-func members(of []listing.Entry) (all []policy.Member) {
+func members(of []endpointfiles.Entry) (all []policy.Member) {
 	for _, e := range of {
 		all = append(all, e.Member)
 	}
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -15,9 +15,9 @@
 	"pepperlead/internal/clock"
 	"pepperlead/internal/config"
 	"pepperlead/internal/discovery"
+	"pepperlead/internal/endpointfiles"
 	"pepperlead/internal/hotrestart"
 	"pepperlead/internal/httpproxy"
-	"pepperlead/internal/listing"
 	"pepperlead/internal/membership"
 	"pepperlead/internal/platformsettings"
 	"pepperlead/policy"
@@ -73,7 +73,7 @@
 	if at := env("GW_ADMIN"); at != "" {
 		o.Door = at
 	}
-	if o.Door != "" && !listing.Address(o.Door) {
+	if o.Door != "" && !endpointfiles.Address(o.Door) {
 		return fmt.Errorf("admin: found %q, allowed an IP address and port, as 127.0.0.1:9002", o.Door)
 	}
 	if fd := env("GW_INHERITED_FD"); fd != "" {
--- a/internal/daemon/rewrite_test.go
+++ b/internal/daemon/rewrite_test.go
@@ -21,8 +21,8 @@
 	"github.com/sirupsen/logrus"
 
 	"pepperlead/internal/discovery"
+	"pepperlead/internal/endpointfiles"
 	"pepperlead/internal/httpproxy"
-	"pepperlead/internal/listing"
 	"pepperlead/internal/standin"
 )
 
@@ -96,7 +96,7 @@
 			}
 		}
 	}
-	out, _, err := listing.Seal("list", []byte(b.String()), listing.Issue(issue), 0)
+	out, _, err := endpointfiles.Seal("list", []byte(b.String()), endpointfiles.Issue(issue), 0)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -217,7 +217,7 @@
 	drains := []map[int]bool{{}, {}}
 	var truths [2][]truth // by file, in the order of their issues
 	note := func(file int, text []byte) {
-		parsed := listing.Parse("", text)
+		parsed := endpointfiles.Parse("", text)
 		if parsed.Problem != "" {
 			t.Fatal(parsed.Problem)
 		}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -15,8 +15,8 @@
 	"github.com/sirupsen/logrus"
 
 	"pepperlead/internal/discovery"
+	"pepperlead/internal/endpointfiles"
 	"pepperlead/internal/httpproxy"
-	"pepperlead/internal/listing"
 	"pepperlead/internal/standin"
 	"pepperlead/policy"
 )
@@ -63,7 +63,7 @@
 		defer s.Close()
 		servers = append(servers, s)
 		fixed.Entries = append(fixed.Entries, discovery.Entry{UID: traits.Name, Addr: s.Addr(),
-			Member: policy.Member{ID: listing.IDOf(traits.Name), Zone: "a", Weight: 1}})
+			Member: policy.Member{ID: endpointfiles.IDOf(traits.Name), Zone: "a", Weight: 1}})
 	}
 	second := policy.Second
 	daemon := httpproxy.New(httpproxy.Config{Listen: listen, Source: fixed, Seed: sc.Seed, Descriptors: 512, Memory: 32 << 20,
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -7,18 +7,18 @@
 	"context"
 	"sync"
 
-	"pepperlead/internal/listing"
+	"pepperlead/internal/endpointfiles"
 	"pepperlead/policy"
 )
 
 // Entry is a server and where it is.
-type Entry = listing.Entry
+type Entry = endpointfiles.Entry
 
 // List is a list of servers as a source has it. Whoever gets it may keep it, and must not change it.
 type List struct {
 	Kind    policy.ListKind
 	Entries []Entry
-	Memo    listing.Memo // what a source of files needs again after a restart
+	Memo    endpointfiles.Memo // what a source of files needs again after a restart
 }
 
 // News is what a source tells: a list, or else what went wrong.
--- a/internal/discovery/files.go
+++ b/internal/discovery/files.go
@@ -15,7 +15,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fsnotify/fsnotify"
 
-	"pepperlead/internal/listing"
+	"pepperlead/internal/endpointfiles"
 	"pepperlead/policy"
 )
 
@@ -29,22 +29,22 @@
 // Files watches list files and tells their servers as one list, whole or not at all.
 type Files struct {
 	patterns []string
-	keeper   *listing.Keeper
+	keeper   *endpointfiles.Keeper
 	name     string
 	now      func() policy.Time
-	parsed   map[string]listing.File // as last read, so that what has not changed is not parsed again
-	refused  string                  // why, while the files are not taken
-	looks    chan chan struct{}      // of whoever wants to know what there is now
+	parsed   map[string]endpointfiles.File // as last read, so that what has not changed is not parsed again
+	refused  string                        // why, while the files are not taken
+	looks    chan chan struct{}            // of whoever wants to know what there is now
 }
 
 // NewFiles makes a source of the files at the patterns, which are those of filepath.Glob; one without * or ? must be there.
-func NewFiles(patterns []string, terms listing.Terms, now func() policy.Time) *Files {
+func NewFiles(patterns []string, terms endpointfiles.Terms, now func() policy.Time) *Files {
 	for _, p := range patterns {
 		if !strings.ContainsAny(p, `*?[\`) {
 			terms.Named = append(terms.Named, p)
 		}
 	}
-	return &Files{patterns: patterns, keeper: listing.New(terms), now: now, parsed: map[string]listing.File{}, looks: make(chan chan struct{}),
+	return &Files{patterns: patterns, keeper: endpointfiles.New(terms), now: now, parsed: map[string]endpointfiles.File{}, looks: make(chan chan struct{}),
 		name: fmt.Sprintf("files %v, %+v", patterns, terms)}
 }
 
@@ -72,7 +72,7 @@
 }
 
 // Resume goes on from a list kept earlier. It is called before Run.
-func (f *Files) Resume(entries []Entry, memo listing.Memo) { f.keeper.Resume(entries, memo) }
+func (f *Files) Resume(entries []Entry, memo endpointfiles.Memo) { f.keeper.Resume(entries, memo) }
 
 // Run looks at the files when they change, and every second.
 func (f *Files) Run(ctx context.Context, say func(News)) {
@@ -122,20 +122,20 @@
 // look reads the files and tells what has become of them; again: when to look at the latest.
 func (f *Files) look(say func(News)) (again policy.Time) {
 	switch found := f.keeper.Weigh(f.now(), f.read()); found.Verdict {
-	case listing.Taken:
+	case endpointfiles.Taken:
 		f.refused = ""
 		say(News{List: &List{Kind: policy.ListFull, Entries: found.Entries, Memo: f.keeper.Memo()}})
-	case listing.Refused:
+	case endpointfiles.Refused:
 		if found.Why != f.refused {
 			f.refused = found.Why
 			say(News{Refused: found.Why})
 		}
-	case listing.Same:
+	case endpointfiles.Same:
 		if f.refused != "" {
 			f.refused = ""
 			say(News{Settled: true})
 		}
-	case listing.Wait:
+	case endpointfiles.Wait:
 		return found.Again
 	}
 	return 0
@@ -153,29 +153,29 @@
 }
 
 // read reads all the files. One that cannot be read is a problem of that file; one that has just gone is not there.
-func (f *Files) read() []listing.File {
+func (f *Files) read() []endpointfiles.File {
 	names := f.names()
 	if len(names) > mostFiles {
-		return []listing.File{{Name: names[0], Problem: fmt.Sprintf("%v: found %d files, allowed %d", f.patterns, len(names),
+		return []endpointfiles.File{{Name: names[0], Problem: fmt.Sprintf("%v: found %d files, allowed %d", f.patterns, len(names),
 			mostFiles)}}
 	}
-	var files []listing.File
+	var files []endpointfiles.File
 	for _, name := range names {
 		text, err := ReadFile(name)
 		switch {
 		case os.IsNotExist(err):
 		case err != nil:
-			files = append(files, listing.File{Name: name, Problem: err.Error(), Mark: listing.Mark(xxhash.Sum64String(err.Error()))})
+			files = append(files, endpointfiles.File{Name: name, Problem: err.Error(), Mark: endpointfiles.Mark(xxhash.Sum64String(err.Error()))})
 		default:
 			was, known := f.parsed[name]
-			if !known || was.Mark != listing.Mark(xxhash.Sum64(text)) {
-				was = listing.Parse(name, text)
+			if !known || was.Mark != endpointfiles.Mark(xxhash.Sum64(text)) {
+				was = endpointfiles.Parse(name, text)
 				f.parsed[name] = was
 			}
 			files = append(files, was)
 		}
 	}
-	maps.DeleteFunc(f.parsed, func(name string, _ listing.File) bool { return !slices.Contains(names, name) })
+	maps.DeleteFunc(f.parsed, func(name string, _ endpointfiles.File) bool { return !slices.Contains(names, name) })
 	return files
 }
 
@@ -193,12 +193,12 @@
 	if !info.Mode().IsRegular() {
 		return nil, fmt.Errorf("%s: found no plain file, allowed a list file", name)
 	}
-	text, err := io.ReadAll(io.LimitReader(in, listing.MostText+1))
+	text, err := io.ReadAll(io.LimitReader(in, endpointfiles.MostText+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(text) > listing.MostText {
-		return nil, fmt.Errorf("%s: found over %d bytes, allowed as many", name, listing.MostText)
+	if len(text) > endpointfiles.MostText {
+		return nil, fmt.Errorf("%s: found over %d bytes, allowed as many", name, endpointfiles.MostText)
 	}
 	return text, nil
 }
--- a/internal/discovery/files_test.go
+++ b/internal/discovery/files_test.go
@@ -11,19 +11,19 @@
 	"time"
 
 	"pepperlead/internal/clock"
-	"pepperlead/internal/listing"
+	"pepperlead/internal/endpointfiles"
 	"pepperlead/policy"
 )
 
-var terms = listing.Terms{MayTakeAway: 0.6, Settle: 40 * policy.Millisecond, MissingFor: 150 * policy.Millisecond,
+var terms = endpointfiles.Terms{MayTakeAway: 0.6, Settle: 40 * policy.Millisecond, MissingFor: 150 * policy.Millisecond,
 	Remember: 3600 * policy.Second}
 
 // text is a list file of the servers named; one with a ! drains. issue 0: neither numbered nor sealed.
-func text(issue listing.Issue, uids ...string) []byte {
+func text(issue endpointfiles.Issue, uids ...string) []byte {
 	var b bytes.Buffer
 	for _, uid := range uids {
 		name, drains := strings.CutSuffix(uid, "!")
-		fmt.Fprintf(&b, "[[server]]\nid = %q\naddress = \"127.0.0.1:%d\"\n", name, 9000+listing.IDOf(name)%900)
+		fmt.Fprintf(&b, "[[server]]\nid = %q\naddress = \"127.0.0.1:%d\"\n", name, 9000+endpointfiles.IDOf(name)%900)
 		if drains {
 			b.WriteString("state = \"draining\"\n")
 		}
@@ -32,7 +32,7 @@
 		fmt.Fprintf(&b, "[whole]\nservers = %d\n", len(uids))
 		return b.Bytes()
 	}
-	out, _, err := listing.Seal("f", b.Bytes(), issue, 0)
+	out, _, err := endpointfiles.Seal("f", b.Bytes(), issue, 0)
 	if err != nil {
 		panic(err)
 	}
@@ -210,7 +210,7 @@
 	w.want("c", "d", "e")
 	w.rename("2.toml", text(3, "c", "d!", "e!"))
 	w.want("refused", "takes away 2 of 3 ready servers, 67% of the weight, allowed 60%")
-	out, _, _ := listing.Seal("2", text(3, "c", "d!", "e!"), 4, 2)
+	out, _, _ := endpointfiles.Seal("2", text(3, "c", "d!", "e!"), 4, 2)
 	w.rename("2.toml", out)
 	w.want("c", "d!", "e!")
 	w.rename("2.toml", text(5))
@@ -223,7 +223,7 @@
 	for i, uids := range [][]string{{"a", "b", "c"}, {"a", "b", "d"}} {
 		dir := filepath.Join(w.dir, fmt.Sprint("v", i))
 		os.Mkdir(dir, 0o700)
-		os.WriteFile(filepath.Join(dir, "f.toml"), text(listing.Issue(i+1), uids...), 0o600)
+		os.WriteFile(filepath.Join(dir, "f.toml"), text(endpointfiles.Issue(i+1), uids...), 0o600)
 	}
 	swap := func(to string) {
 		os.Symlink(to, filepath.Join(w.dir, "next"))
--- a/internal/discovery/kept.go
+++ b/internal/discovery/kept.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"pepperlead/internal/listing"
+	"pepperlead/internal/endpointfiles"
 	"pepperlead/internal/snapshot"
 	"pepperlead/policy"
 )
@@ -23,7 +23,7 @@
 
 // resumer is a source that can go on from a list kept earlier.
 type resumer interface {
-	Resume(entries []Entry, memo listing.Memo)
+	Resume(entries []Entry, memo endpointfiles.Memo)
 }
 
 // Kept is a source whose last list is kept in a folder and told again, as a saved one, at the next start. Writing waits for
@@ -50,10 +50,10 @@
 
 // saved is what is kept.
 type saved struct {
-	Saved   policy.Time               `json:"saved"` // Unix time, ns
-	Servers []savedServer             `json:"servers"`
-	Issues  map[string]listing.Issue  `json:"issues,omitempty"`
-	Drains  map[string][2]policy.Time `json:"drains,omitempty"` // told, last named
+	Saved   policy.Time                    `json:"saved"` // Unix time, ns
+	Servers []savedServer                  `json:"servers"`
+	Issues  map[string]endpointfiles.Issue `json:"issues,omitempty"`
+	Drains  map[string][2]policy.Time      `json:"drains,omitempty"` // told, last named
 }
 
 type savedServer struct {
@@ -69,7 +69,7 @@
 // Run tells the list kept, then what the source has to tell.
 func (k *Kept) Run(ctx context.Context, say func(News)) {
 	in := map[string]Entry{}
-	memo := listing.Memo{}
+	memo := endpointfiles.Memo{}
 	switch entries, was, err := k.load(); {
 	case err == nil:
 		for _, e := range entries {
@@ -127,7 +127,7 @@
 	}
 }
 
-func (k *Kept) document(in map[string]Entry, memo listing.Memo) saved {
+func (k *Kept) document(in map[string]Entry, memo endpointfiles.Memo) saved {
 	doc := saved{Saved: k.now(), Issues: memo.Issues, Drains: map[string][2]policy.Time{}}
 	for uid, d := range memo.Drains {
 		doc.Drains[uid] = [2]policy.Time{d.Told, d.Named}
@@ -146,9 +146,9 @@
 	return k.store.Put(keptName, keptKind, keptVersion, body)
 }
 
-func (k *Kept) load() ([]Entry, listing.Memo, error) {
+func (k *Kept) load() ([]Entry, endpointfiles.Memo, error) {
 	var doc saved
-	memo := listing.Memo{Drains: map[string]listing.Drain{}}
+	memo := endpointfiles.Memo{Drains: map[string]endpointfiles.Drain{}}
 	body, err := k.store.Get(keptName, keptKind, keptVersion)
 	if err == nil {
 		err = json.Unmarshal(body, &doc)
@@ -158,14 +158,14 @@
 	}
 	memo.Issues = doc.Issues
 	for uid, d := range doc.Drains {
-		memo.Drains[uid] = listing.Drain{Told: d[0], Named: d[1]}
+		memo.Drains[uid] = endpointfiles.Drain{Told: d[0], Named: d[1]}
 	}
 	var entries []Entry
 	for _, s := range doc.Servers {
 		if s.UID == "" || s.Addr == "" || !(s.Weight >= 0 && s.Weight < 1e12) || s.Standing > policy.Draining {
 			return nil, memo, errors.New("a server in it cannot be used: " + s.UID)
 		}
-		entries = append(entries, Entry{UID: s.UID, Addr: s.Addr, Member: policy.Member{ID: listing.IDOf(s.UID),
+		entries = append(entries, Entry{UID: s.UID, Addr: s.Addr, Member: policy.Member{ID: endpointfiles.IDOf(s.UID),
 			Zone: s.Zone, Cell: s.Cell, Weight: s.Weight, Standing: s.Standing, Started: s.Started}})
 	}
 	return entries, memo, nil
--- a/internal/discovery/platformlist.go
+++ b/internal/discovery/platformlist.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"unicode/utf8"
 
-	"pepperlead/internal/listing"
+	"pepperlead/internal/endpointfiles"
 	"pepperlead/policy"
 )
 
@@ -88,7 +88,7 @@
 		return Entry{}, errList
 	}
 	e := Entry{UID: string(uid), Addr: string(addr)}
-	e.Member = policy.Member{ID: listing.IDOf(e.UID), Weight: weight, Cell: policy.Cell(cell), Zone: policy.Zone(zone),
+	e.Member = policy.Member{ID: endpointfiles.IDOf(e.UID), Weight: weight, Cell: policy.Cell(cell), Zone: policy.Zone(zone),
 		Standing: standing, Started: policy.Time(boot) * policy.Millisecond}
 	return e, nil
 }
--- a/internal/listing/listing.go
+++ b/internal/endpointfiles/listing.go
@@ -1,7 +1,7 @@
 // Package listing decides whether a list of servers that was read from files becomes the truth: whether it is whole, newer
 // than the one in force, and plausible. It does no I/O, has no clock and starts nothing; docs/watched-files.md gives the
 // reasons.
-package listing
+package endpointfiles
 
 import (
 	"cmp"
--- a/internal/listing/text.go
+++ b/internal/endpointfiles/text.go
@@ -1,4 +1,4 @@
-package listing
+package endpointfiles
 
 import (
 	"crypto/sha256"
--- a/internal/engine/members_test.go
+++ b/internal/engine/members_test.go
@@ -11,7 +11,7 @@
 	"github.com/sirupsen/logrus"
 
 	"pepperlead/internal/discovery"
-	"pepperlead/internal/listing"
+	"pepperlead/internal/endpointfiles"
 	"pepperlead/policy"
 )
 
@@ -69,7 +69,7 @@
 func TestIdsSeenPassOn(t *testing.T) {
 	old, next := New(Config{Settings: &policy.Settings{}}, logrus.New()), New(Config{Settings: &policy.Settings{}}, logrus.New())
 	for n := range mostSeen + 10 {
-		old.list.saw(listing.IDOf(fmt.Sprint("s-", n)))
+		old.list.saw(endpointfiles.IDOf(fmt.Sprint("s-", n)))
 	}
 	next.Saw(old.Seen())
 	if next.Listed("s-9") || !next.Listed("s-10") || !next.Listed(fmt.Sprint("s-", mostSeen+9)) || next.Listed("s-x") {
--- a/internal/migration/migration.go
+++ b/internal/migration/migration.go
@@ -13,7 +13,7 @@
 	"strings"
 
 	"pepperlead/internal/daemon"
-	"pepperlead/internal/listing"
+	"pepperlead/internal/endpointfiles"
 	"pepperlead/internal/tomlfile"
 )
 
@@ -37,7 +37,7 @@
 
 // Make makes the counterpart. The error has a line for each fault: file, line, key, what was found and what is allowed.
 func Make(file string, text []byte, to Pool) (Made, error) {
-	if !listing.Address(to.Listen) {
+	if !endpointfiles.Address(to.Listen) {
 		return Made{}, fmt.Errorf("listen: found %q, allowed an IP address and port, as 10.0.0.7:9000", to.Listen)
 	}
 	if to.Sidecar < 1 || to.Sidecar > 1<<16 || to.Streams < 2 || to.Streams > 1<<16 {
--- a/internal/rehearsal/sidecars.go
+++ b/internal/rehearsal/sidecars.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"pepperlead/internal/emulator/judge"
-	"pepperlead/internal/listing"
+	"pepperlead/internal/endpointfiles"
 	"pepperlead/policy"
 )
 
@@ -173,7 +173,7 @@
 		return nil // a list of none is never taken
 	}
 	s.issue++
-	text, _, err := listing.Seal("list", []byte(b.String()), listing.Issue(s.issue), 10000)
+	text, _, err := endpointfiles.Seal("list", []byte(b.String()), endpointfiles.Issue(s.issue), 10000)
 	if err != nil {
 		return err
 	}
--- a/internal/yardstick/lists.go
+++ b/internal/yardstick/lists.go
@@ -11,13 +11,13 @@
 	"syscall"
 	"time"
 
-	"pepperlead/internal/listing"
+	"pepperlead/internal/endpointfiles"
 	"pepperlead/internal/standin"
 	"pepperlead/policy"
 )
 
 // ListText is a list file of so many servers, the first ones at the addresses, the others at addresses where nobody is.
-func ListText(servers int, addrs []string, issue listing.Issue, seal bool) []byte {
+func ListText(servers int, addrs []string, issue endpointfiles.Issue, seal bool) []byte {
 	var b strings.Builder
 	for i := range servers {
 		addr := fmt.Sprintf("127.1.%d.%d:9000", i/250, 1+i%250)
@@ -31,7 +31,7 @@
 		fmt.Fprintf(&b, "[whole]\nservers = %d\n", servers)
 		return []byte(b.String())
 	}
-	out, _, err := listing.Seal("list", []byte(b.String()), issue, 0)
+	out, _, err := endpointfiles.Seal("list", []byte(b.String()), issue, 0)
 	if err != nil {
 		panic(err)
 	}
@@ -60,13 +60,13 @@
 	for range rounds {
 		runtime.GC()
 		at := time.Now()
-		f := listing.Parse("list", text)
+		f := endpointfiles.Parse("list", text)
 		least(&out.Parse, at)
-		keeper := listing.New(listing.Terms{MayTakeAway: 0.5, Remember: policy.Second})
+		keeper := endpointfiles.New(endpointfiles.Terms{MayTakeAway: 0.5, Remember: policy.Second})
 		at = time.Now()
-		found := keeper.Weigh(1, []listing.File{f})
+		found := keeper.Weigh(1, []endpointfiles.File{f})
 		least(&out.Weigh, at)
-		if found.Verdict != listing.Taken {
+		if found.Verdict != endpointfiles.Taken {
 			panic(found.Why)
 		}
 		members := make([]policy.Member, 0, servers)
@@ -162,7 +162,7 @@
 		var text []byte
 		if seal {
 			var err error
-			if text, _, err = listing.Seal("list", []byte(b.String()), listing.Issue(issue), 2); err != nil {
+			if text, _, err = endpointfiles.Seal("list", []byte(b.String()), endpointfiles.Issue(issue), 2); err != nil {
 				return err
 			}
 		} else {
--- a/rpc/standin_test.go
+++ b/rpc/standin_test.go
@@ -20,7 +20,7 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"pepperlead/internal/listing"
+	"pepperlead/internal/endpointfiles"
 )
 
 // server is a stand-in for a gRPC server: any method, with texts for messages. What a message says is done: "code N" ends with
@@ -131,7 +131,7 @@
 			b.WriteString("state = \"draining\"\n")
 		}
 	}
-	out, _, err := listing.Seal("list", []byte(b.String()), listing.Issue(issue), 1000)
+	out, _, err := endpointfiles.Seal("list", []byte(b.String()), endpointfiles.Issue(issue), 1000)
 	if err != nil {
 		panic(err)
 	}
