--- a/cmd/pepperlead/descriptors_test.go
+++ b/cmd/pepperlead/descriptors_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"pepperlead/internal/standin"
+	"pepperlead/internal/fakebackend"
 )
 
 // agentAt is a stand-in for discovery's agent that gives this list to whoever asks for all, and lets watches wait; asked is told of calls.
@@ -44,9 +44,9 @@
 	dir := t.TempDir()
 	program, config := filepath.Join(dir, "pepperlead"), filepath.Join(dir, "config.json")
 	build(t, program)
-	var servers [2]*standin.Server
+	var servers [2]*fakebackend.Server
 	for i := range servers {
-		s, err := standin.Start("127.0.0.1:0", standin.Traits{Cores: 4, Queue: 16, Work: time.Millisecond})
+		s, err := fakebackend.Start("127.0.0.1:0", fakebackend.Traits{Cores: 4, Queue: 16, Work: time.Millisecond})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/pepperlead/main_test.go
+++ b/cmd/pepperlead/main_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"pepperlead/internal/standin"
+	"pepperlead/internal/fakebackend"
 )
 
 func TestCommands(t *testing.T) {
@@ -114,7 +114,7 @@
 	var out bytes.Buffer
 	var addrs []string
 	for range 2 {
-		s, err := standin.Start("127.0.0.1:0", standin.Traits{Cores: 4, Queue: 16, Work: time.Millisecond})
+		s, err := fakebackend.Start("127.0.0.1:0", fakebackend.Traits{Cores: 4, Queue: 16, Work: time.Millisecond})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/daemon/rewrite_test.go
+++ b/internal/daemon/rewrite_test.go
@@ -22,8 +22,8 @@
 
 	"pepperlead/internal/discovery"
 	"pepperlead/internal/endpointfiles"
+	"pepperlead/internal/fakebackend"
 	"pepperlead/internal/httpproxy"
-	"pepperlead/internal/standin"
 )
 
 // here is an address of this run's own, so that runs side by side never meet on a port that one has just left.
@@ -54,7 +54,7 @@
 	addr     string
 	sidecar  *httpproxy.Sidecar
 	tap      *tap
-	servers  []*standin.Server
+	servers  []*fakebackend.Server
 	mu       sync.Mutex
 	drained  map[int]time.Time // since when the file, whole, has a server drain
 	late     []string          // requests that came to one of these over a second after
@@ -107,11 +107,11 @@
 	t.Helper()
 	f := &fleet{t: t, dir: t.TempDir(), drained: map[int]time.Time{}}
 	for i := range servers {
-		s, err := standin.Start(here+":0", standin.Traits{Name: fmt.Sprintf("s-%d", i), Cores: 4, Queue: 64,
+		s, err := fakebackend.Start(here+":0", fakebackend.Traits{Name: fmt.Sprintf("s-%d", i), Cores: 4, Queue: 64,
 			Work: time.Millisecond, Seed: uint64(i), Seen: func(id, _ string, at time.Time) {
 				f.mu.Lock()
 				defer f.mu.Unlock()
-				if since, drains := f.drained[i]; drains && at.Sub(since) > standin.Grace {
+				if since, drains := f.drained[i]; drains && at.Sub(since) > fakebackend.Grace {
 					f.late = append(f.late, fmt.Sprintf("%s at s-%d, %v after", id, i, at.Sub(since)))
 				}
 			}})
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -16,8 +16,8 @@
 
 	"pepperlead/internal/discovery"
 	"pepperlead/internal/endpointfiles"
+	"pepperlead/internal/fakebackend"
 	"pepperlead/internal/httpproxy"
-	"pepperlead/internal/standin"
 	"pepperlead/policy"
 )
 
@@ -50,13 +50,13 @@
 		return err
 	}
 	fixed := &discovery.Fixed{Called: "stand-ins of the demo"}
-	var servers []*standin.Server
+	var servers []*fakebackend.Server
 	for i := range sc.Servers {
 		// Three in a hundred requests go wrong, so that there is something to see.
-		traits := standin.Traits{Name: fmt.Sprintf("s-%d", i+1), Cores: 2, Queue: 8, Work: 20 * time.Millisecond,
+		traits := fakebackend.Traits{Name: fmt.Sprintf("s-%d", i+1), Cores: 2, Queue: 8, Work: 20 * time.Millisecond,
 			Warm: 2 * time.Second, Cold: 4, Seed: sc.Seed + uint64(i),
-			Faults: standin.Faults{Errors: 0.01, Resets: 0.01, Slow: 0.01}}
-		s, err := standin.Start("127.0.0.1:0", traits)
+			Faults: fakebackend.Faults{Errors: 0.01, Resets: 0.01, Slow: 0.01}}
+		s, err := fakebackend.Start("127.0.0.1:0", traits)
 		if err != nil {
 			return err
 		}
--- a/internal/drill/cluster.go
+++ b/internal/drill/cluster.go
@@ -14,8 +14,8 @@
 
 	"pepperlead/internal/clock"
 	"pepperlead/internal/drill/judge"
+	"pepperlead/internal/fakebackend"
 	"pepperlead/internal/links"
-	"pepperlead/internal/standin"
 )
 
 // Cluster is a stage with sidecars, keepers of versions, servers and clients.
@@ -24,8 +24,8 @@
 	script   *Script
 	sidecars []*Process
 	keepers  []*Process
-	servers  []*standin.Server
-	catalog  *standin.Catalog // nil: each sidecar has its servers in its file
+	servers  []*fakebackend.Server
+	catalog  *fakebackend.Catalog // nil: each sidecar has its servers in its file
 	doors    map[string]string
 	chance   *rand.Rand
 	front    int
@@ -172,7 +172,7 @@
 	var all []string
 	for i := range c.script.Servers {
 		name := fmt.Sprint("s", i+1)
-		s, err := standin.Start("127.8.0.1:0", standin.Traits{Name: name, Cores: 64, Queue: 1000, Work: work, Faults: standin.Faults{Resets: c.script.Resets},
+		s, err := fakebackend.Start("127.8.0.1:0", fakebackend.Traits{Name: name, Cores: 64, Queue: 1000, Work: work, Faults: fakebackend.Faults{Resets: c.script.Resets},
 			Seed: seed + uint64(i), Seen: func(id, _ string, _ time.Time) {
 				c.mu.Lock()
 				defer c.mu.Unlock()
@@ -202,7 +202,7 @@
 
 // discovered starts the stand-in of discovery, which knows of all servers, and says where sidecars reach it.
 func (c *Cluster) discovered() (source string, err error) {
-	if c.catalog, err = standin.StartCatalog("127.8.0.1:0"); err != nil {
+	if c.catalog, err = fakebackend.StartCatalog("127.8.0.1:0"); err != nil {
 		return "", err
 	}
 	var all []string
@@ -216,10 +216,10 @@
 
 // list has discovery tell of these servers and no others.
 func (c *Cluster) list(ready, leaving []string) {
-	var all []standin.Target
+	var all []fakebackend.Target
 	for i, names := range [][]string{ready, leaving} {
 		for _, name := range names {
-			all = append(all, standin.Target{UID: name, Endpoint: c.doors[name], Zone: "a", State: []string{"Ready", "Terminating"}[i], Weight: 1})
+			all = append(all, fakebackend.Target{UID: name, Endpoint: c.doors[name], Zone: "a", State: []string{"Ready", "Terminating"}[i], Weight: 1})
 		}
 	}
 	c.catalog.Tell(all)
--- a/internal/standin/catalog.go
+++ b/internal/fakebackend/catalog.go
@@ -1,4 +1,4 @@
-package standin
+package fakebackend
 
 import (
 	"encoding/json"
--- a/internal/standin/standin.go
+++ b/internal/fakebackend/standin.go
@@ -1,7 +1,7 @@
 // Package standin is a server of the project's own that speaks as the platform's endpoints do: cores that work on one request
 // each, a queue before them, warm-up after a start, draining, and faults drawn from a seed. It serves demos, experiments and
 // tests; nothing that decides or carries tickets imports it.
-package standin
+package fakebackend
 
 import (
 	"errors"
--- a/internal/rehearsal/rehearsal.go
+++ b/internal/rehearsal/rehearsal.go
@@ -19,7 +19,7 @@
 	"pepperlead/internal/clock"
 	"pepperlead/internal/emulator"
 	"pepperlead/internal/emulator/judge"
-	"pepperlead/internal/standin"
+	"pepperlead/internal/fakebackend"
 	"pepperlead/policy"
 )
 
@@ -73,7 +73,7 @@
 }
 
 type server struct {
-	*standin.Modelled
+	*fakebackend.Modelled
 	no       judge.Server
 	uid      string
 	zone     policy.Zone
--- a/internal/rehearsal/servers.go
+++ b/internal/rehearsal/servers.go
@@ -7,7 +7,7 @@
 	"pepperlead/internal/emulator"
 	"pepperlead/internal/emulator/judge"
 	"pepperlead/internal/emulator/machine"
-	"pepperlead/internal/standin"
+	"pepperlead/internal/fakebackend"
 	"pepperlead/policy"
 )
 
@@ -23,7 +23,7 @@
 
 func (s *stage) startServer(v *server, traits machine.Traits, started policy.Time) error {
 	roll := rand.New(rand.NewPCG(s.Seed, uint64(v.no)+100))
-	m, err := standin.StartModelled("127.0.0.1:0", traits, started, s.clock, roll.Float64, &eye{s, v})
+	m, err := fakebackend.StartModelled("127.0.0.1:0", traits, started, s.clock, roll.Float64, &eye{s, v})
 	if err != nil {
 		return err
 	}
--- a/internal/yardstick/lists.go
+++ b/internal/yardstick/lists.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"pepperlead/internal/endpointfiles"
-	"pepperlead/internal/standin"
+	"pepperlead/internal/fakebackend"
 	"pepperlead/policy"
 )
 
@@ -101,7 +101,7 @@
 
 // ServerHere serves as a stand-in at the address until the process is told to end.
 func ServerHere(addr string) error {
-	s, err := standin.Start(addr, standin.Traits{Name: addr, Cores: 64, Queue: 1024, Work: 100 * time.Microsecond})
+	s, err := fakebackend.Start(addr, fakebackend.Traits{Name: addr, Cores: 64, Queue: 1024, Work: 100 * time.Microsecond})
 	if err != nil {
 		return err
 	}
@@ -138,9 +138,9 @@
 // to the first request at the server that was draining until then.
 func Follow(listen, list string, rounds int, seal bool) ([]time.Duration, error) {
 	var at [2]atomic.Int64 // of the first request at each since it was reset
-	var servers [2]*standin.Server
+	var servers [2]*fakebackend.Server
 	for i := range servers {
-		s, err := standin.Start("127.0.0.1:0", standin.Traits{Cores: 64, Queue: 1024, Seen: func(string, string, time.Time) {
+		s, err := fakebackend.Start("127.0.0.1:0", fakebackend.Traits{Cores: 64, Queue: 1024, Seen: func(string, string, time.Time) {
 			at[i].CompareAndSwap(0, time.Now().UnixNano())
 		}})
 		if err != nil {
--- a/rpc/rpc_test.go
+++ b/rpc/rpc_test.go
@@ -29,8 +29,8 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
 	"pepperlead/internal/daemon"
+	"pepperlead/internal/fakebackend"
 	"pepperlead/internal/httpproxy"
-	"pepperlead/internal/standin"
 )
 
 // TestMain is also the host process that is stopped: see TestAPauseInADrain.
@@ -53,7 +53,7 @@
 	for i := range 9 {
 		name := fmt.Sprintf("s-%d", i)
 		s := newServer(t, name)
-		h, err := standin.Start("127.0.0.1:0", standin.Traits{Name: name, Cores: 8, Queue: 100})
+		h, err := fakebackend.Start("127.0.0.1:0", fakebackend.Traits{Name: name, Cores: 8, Queue: 100})
 		if err != nil {
 			t.Fatal(err)
 		}
