--- a/cmd/pepperlead-sim/yardsticks.go
+++ b/cmd/pepperlead-sim/yardsticks.go
@@ -16,16 +16,16 @@
 
 	"github.com/spf13/cobra"
 
-	"pepperlead/internal/yardstick"
+	"pepperlead/internal/benchmark"
 )
 
 // hidden are the processes that measurements start.
 func hidden() []*cobra.Command {
 	return []*cobra.Command{
 		{Use: "backend ADDRESS", Hidden: true, Args: cobra.ExactArgs(1),
-			RunE: func(_ *cobra.Command, args []string) error { return yardstick.Backend(args[0]) }},
+			RunE: func(_ *cobra.Command, args []string) error { return benchmark.Backend(args[0]) }},
 		{Use: "plain ADDRESS SERVER...", Hidden: true, Args: cobra.MinimumNArgs(2),
-			RunE: func(_ *cobra.Command, args []string) error { return yardstick.Plain(args[0], args[1:]) }},
+			RunE: func(_ *cobra.Command, args []string) error { return benchmark.Plain(args[0], args[1:]) }},
 	}
 }
 
@@ -66,12 +66,12 @@
 			return err
 		}
 		defer os.RemoveAll(dir)
-		subjects := []yardstick.Subject{{Label: "plain proxy", Start: func(listen string, servers []string) (*exec.Cmd, error) {
+		subjects := []benchmark.Subject{{Label: "plain proxy", Start: func(listen string, servers []string) (*exec.Cmd, error) {
 			p := exec.CommandContext(ctx, self, append([]string{"plain", listen}, servers...)...)
 			return p, p.Start()
 		}}}
 		subject := func(label, program string, text func(listen string, servers []string) []byte) {
-			subjects = append(subjects, yardstick.Subject{Label: label, Start: func(listen string, servers []string) (*exec.Cmd, error) {
+			subjects = append(subjects, benchmark.Subject{Label: label, Start: func(listen string, servers []string) (*exec.Cmd, error) {
 				path := filepath.Join(dir, label)
 				if err := os.WriteFile(path, text(listen, servers), 0o600); err != nil {
 					return nil, err
@@ -87,7 +87,7 @@
 			if !ok {
 				return fmt.Errorf("--daemon: found %q, allowed label=program", d)
 			}
-			subject(label, program, yardstick.PlatformJSON)
+			subject(label, program, benchmark.PlatformJSON)
 		}
 		for _, d := range *products {
 			parts := strings.Split(d, "=")
@@ -99,12 +99,12 @@
 				return err
 			}
 			subject(parts[0], parts[1], func(listen string, servers []string) []byte {
-				return yardstick.ProductTOML(listen, servers, string(more))
+				return benchmark.ProductTOML(listen, servers, string(more))
 			})
 		}
-		var all []yardstick.Cost
+		var all []benchmark.Cost
 		for _, n := range *clients {
-			got, err := yardstick.Run(ctx, self, subjects, n, *rounds, *each)
+			got, err := benchmark.Run(ctx, self, subjects, n, *rounds, *each)
 			if err != nil {
 				return err
 			}
@@ -146,9 +146,9 @@
 	rounds := c.Flags().Int("rounds", 5, "rounds, of which the least is told")
 	asJSON := c.Flags().Bool("json", false, "print JSON")
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		var all []yardstick.ListCost
+		var all []benchmark.ListCost
 		for _, n := range *servers {
-			one := yardstick.ReadLists(n, *rounds)
+			one := benchmark.ReadLists(n, *rounds)
 			all = append(all, one)
 			if !*asJSON {
 				fmt.Fprintf(c.OutOrStdout(), "%6d servers, %8d bytes: parse %v, weigh %v, deal %v on the loop, the same again %v\n", one.Servers,
@@ -165,11 +165,11 @@
 
 // standalone starts a daemon on a list of its own and gives the folder.
 func standalone(program string, servers int, addrs []string, extra string) (p *exec.Cmd, listen, dir string, err error) {
-	listen = yardstick.Free()
+	listen = benchmark.Free()
 	if dir, err = os.MkdirTemp("", "pepperlead-sim"); err != nil {
 		return nil, "", "", err
 	}
-	path, err := yardstick.Standalone(dir, listen, servers, addrs, extra)
+	path, err := benchmark.Standalone(dir, listen, servers, addrs, extra)
 	if err != nil {
 		return nil, "", dir, err
 	}
@@ -189,7 +189,7 @@
 			if err != nil {
 				return err
 			}
-			all, err := yardstick.Follow(listen, filepath.Join(dir, "servers.toml"), *rounds, seal)
+			all, err := benchmark.Follow(listen, filepath.Join(dir, "servers.toml"), *rounds, seal)
 			p.Process.Kill()
 			p.Wait()
 			os.RemoveAll(dir)
@@ -215,14 +215,14 @@
 		if err != nil {
 			return err
 		}
-		backend := yardstick.Free()
+		backend := benchmark.Free()
 		b := exec.Command(self, "backend", backend)
 		if err := b.Start(); err != nil {
 			return err
 		}
 		defer func() { b.Process.Kill(); b.Wait() }()
 		for _, n := range *servers {
-			extra, at := "", yardstick.Free()
+			extra, at := "", benchmark.Free()
 			if *admin {
 				extra = fmt.Sprintf("[pages]\nlisten = %q\n", at)
 			}
@@ -235,9 +235,9 @@
 			if err != nil {
 				return err
 			}
-			err = yardstick.Ready(listen, 10*time.Second)
+			err = benchmark.Ready(listen, 10*time.Second)
 			time.Sleep(2 * time.Second)
-			rss, err2 := yardstick.RSS(p.Process.Pid)
+			rss, err2 := benchmark.RSS(p.Process.Pid)
 			p.Process.Kill()
 			p.Wait()
 			os.RemoveAll(dir)
--- a/internal/yardstick/cost.go
+++ b/internal/benchmark/cost.go
@@ -1,6 +1,6 @@
 // Package yardstick measures whole processes on loopback, side by side in one run: what a ticket costs the daemon next to a
 // plain proxy, how long a change of a list file takes to show, how much memory a list takes.
-package yardstick
+package benchmark
 
 import (
 	"bufio"
--- a/internal/yardstick/lists.go
+++ b/internal/benchmark/lists.go
@@ -1,4 +1,4 @@
-package yardstick
+package benchmark
 
 import (
 	"fmt"
