--- a/internal/drill/cluster.go
+++ b/internal/drill/cluster.go
@@ -15,7 +15,7 @@
 	"pepperlead/internal/clock"
 	"pepperlead/internal/drill/judge"
 	"pepperlead/internal/fakebackend"
-	"pepperlead/internal/links"
+	"pepperlead/internal/faultproxy"
 )
 
 // Cluster is a stage with sidecars, keepers of versions, servers and clients.
@@ -54,7 +54,7 @@
 	quoted = 500 * time.Millisecond
 	work   = 20 * time.Millisecond
 
-	discovery = links.Place("discovery")
+	discovery = faultproxy.Place("discovery")
 	// How long after the way to discovery is open again a sidecar may not have heard it: a call is given up after 2 s, the next one is made
 	// within 2 s, and what was held in the link comes at once (internal/discovery). A watch waits longer than drills cut it off.
 	hearsIn  = 5 * time.Second
@@ -73,7 +73,7 @@
 
 // beginCluster gives what it has started, also with an error.
 func beginCluster(program, dir string, script *Script, seed uint64) (*Cluster, error) {
-	c := &Cluster{Stage: &Stage{Links: links.New(seed), dir: dir, program: program, asks: http.Client{Timeout: 2 * time.Second}}, script: script,
+	c := &Cluster{Stage: &Stage{Links: faultproxy.New(seed), dir: dir, program: program, asks: http.Client{Timeout: 2 * time.Second}}, script: script,
 		chance: rand.New(rand.NewPCG(seed, 1)), quiet: make(chan struct{}), over: make(chan struct{}), since: map[*Process]int64{}, unheard: map[*Process]int64{}}
 	c.client = http.Client{Timeout: answerIn, Transport: &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Second}}
 	key := base64.StdEncoding.EncodeToString([]byte(fmt.Sprintf("%016x", seed)))
@@ -182,7 +182,7 @@
 			return nil, err
 		}
 		c.servers = append(c.servers, s)
-		door, err := c.Links.TCP(fmt.Sprintf("127.9.%d.%d:0", i/250, i%250+1), links.Place(name), s.Addr())
+		door, err := c.Links.TCP(fmt.Sprintf("127.9.%d.%d:0", i/250, i%250+1), faultproxy.Place(name), s.Addr())
 		if err != nil {
 			return nil, err
 		}
--- a/internal/drill/peers.go
+++ b/internal/drill/peers.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"pepperlead/internal/links"
+	"pepperlead/internal/faultproxy"
 )
 
 // Step is what was done in a drill, and how long it took until all that are left knew.
@@ -64,8 +64,8 @@
 	after, share := sums(all), 1/idleIn.Seconds()/float64(count)
 	c.Packets, c.Bytes, c.CPU, c.FalseAlarms = (after[0]-before[0])*share, (after[1]-before[1])*share, (after[2]-before[2])*share, after[3]-before[3]
 
-	one := links.Way{From: all[0].Name, To: all[1].Name}
-	s.Links.Set(one, links.State{Cut: true})
+	one := faultproxy.Way{From: all[0].Name, To: all[1].Name}
+	s.Links.Set(one, faultproxy.State{Cut: true})
 	select {
 	case <-ctx.Done():
 	case <-time.After(3 * time.Second):
@@ -75,7 +75,7 @@
 
 	half := 2 * count / 5
 	all[half+1].Kill()
-	var some, others []links.Place
+	var some, others []faultproxy.Place
 	for i, p := range all {
 		if i < half {
 			some = append(some, p.Name)
@@ -87,7 +87,7 @@
 	left := append(append([]*Process{}, all[:half+1]...), all[half+2:]...)
 	know("one killed, the company cut in two: the smaller part", left[:half], half)
 	know("the larger part", left[half:], count-half-1)
-	lost := func(c links.Count) uint64 { return c.Lost }
+	lost := func(c faultproxy.Count) uint64 { return c.Lost }
 	if err == nil && (s.count(some, others, lost) == 0 || s.count(others, some, lost) == 0) {
 		err = fmt.Errorf("one side has not tried to pass the cut")
 	}
@@ -107,7 +107,7 @@
 	}
 	know("the killed one is back", append(left[1:], all[half+1]), count-1)
 	for _, p := range strangers {
-		if n := p.Alive(); err == nil && (n != 1 || s.count([]links.Place{p.Name}, some, func(c links.Count) uint64 { return c.Connections }) == 0) {
+		if n := p.Alive(); err == nil && (n != 1 || s.count([]faultproxy.Place{p.Name}, some, func(c faultproxy.Count) uint64 { return c.Connections }) == 0) {
 			err = fmt.Errorf("stranger %s holds %d to be there, or has not tried", p.Name, n)
 		}
 	}
@@ -116,10 +116,10 @@
 }
 
 // count adds up what was tried from some to others.
-func (s *Stage) count(some, others []links.Place, of func(links.Count) uint64) (n uint64) {
+func (s *Stage) count(some, others []faultproxy.Place, of func(faultproxy.Count) uint64) (n uint64) {
 	for _, a := range some {
 		for _, b := range others {
-			n += of(s.Links.Counted(links.Way{From: a, To: b}))
+			n += of(s.Links.Counted(faultproxy.Way{From: a, To: b}))
 		}
 	}
 	return n
--- a/internal/drill/stage.go
+++ b/internal/drill/stage.go
@@ -20,12 +20,12 @@
 	"syscall"
 	"time"
 
-	"pepperlead/internal/links"
+	"pepperlead/internal/faultproxy"
 )
 
 // Stage holds the processes of a drill. Its folder holds their configurations and logs.
 type Stage struct {
-	Links     *links.Net
+	Links     *faultproxy.Net
 	Processes []*Process
 	dir       string
 	program   string
@@ -34,7 +34,7 @@
 
 // Process is one sidecar.
 type Process struct {
-	Name   links.Place
+	Name   faultproxy.Place
 	Log    string // file
 	stage  *Stage
 	verb   string // serve or keep
@@ -72,7 +72,7 @@
 
 // begin gives what it has started, also with an error.
 func begin(p Post) (*Stage, error) {
-	s := &Stage{Links: links.New(p.Seed), dir: p.Dir, program: p.Program, asks: http.Client{Timeout: 2 * time.Second}}
+	s := &Stage{Links: faultproxy.New(p.Seed), dir: p.Dir, program: p.Program, asks: http.Client{Timeout: 2 * time.Second}}
 	if p.Count < 1 || p.Count+p.Strangers > most {
 		return s, fmt.Errorf("drill: found %d processes, allowed 1 to %d", p.Count+p.Strangers, most)
 	}
@@ -120,13 +120,13 @@
 
 // process adds one that does not run yet.
 func (s *Stage) process(name, verb, pages string) *Process {
-	one := &Process{Name: links.Place(name), Log: filepath.Join(s.dir, name+".log"), stage: s, verb: verb, pages: pages}
+	one := &Process{Name: faultproxy.Place(name), Log: filepath.Join(s.dir, name+".log"), stage: s, verb: verb, pages: pages}
 	s.Processes = append(s.Processes, one)
 	return one
 }
 
 // meet opens the links to where a process meets others: it listens at the one address, and is reached at the other.
-func (s *Stage) meet(name links.Place, i, port int) (listen, door string, err error) {
+func (s *Stage) meet(name faultproxy.Place, i, port int) (listen, door string, err error) {
 	listen, door = fmt.Sprintf("%s:%d", own(i), port), fmt.Sprintf("%s:%d", reached(i), port)
 	at := netip.MustParseAddrPort(listen)
 	s.Links.At(name, at.Addr())
--- a/internal/drill/steps.go
+++ b/internal/drill/steps.go
@@ -14,7 +14,7 @@
 
 	"pepperlead/internal/clock"
 	"pepperlead/internal/drill/judge"
-	"pepperlead/internal/links"
+	"pepperlead/internal/faultproxy"
 )
 
 // await waits for the moment of a doing, which differs a little by seed.
@@ -99,13 +99,13 @@
 }
 
 // places are the processes and servers that a script means.
-func (c *Cluster) places(names []string, half []int) (all []links.Place) {
+func (c *Cluster) places(names []string, half []int) (all []faultproxy.Place) {
 	for _, p := range c.who(names, half) {
 		all = append(all, p.Name)
 	}
 	for i := range c.servers {
 		if name := fmt.Sprint("s", i+1); slices.Contains(names, name) || slices.Contains(names, "servers") {
-			all = append(all, links.Place(name))
+			all = append(all, faultproxy.Place(name))
 		}
 	}
 	if slices.Contains(names, string(discovery)) {
@@ -135,14 +135,14 @@
 	case "cut":
 		for _, a := range c.places(d.From, half) {
 			for _, b := range c.places(d.To, half) {
-				c.Links.Set(links.Way{From: a, To: b}, links.State{Cut: true})
+				c.Links.Set(faultproxy.Way{From: a, To: b}, faultproxy.State{Cut: true})
 			}
 		}
 	case "weather":
 		for _, a := range c.Processes {
 			for _, b := range c.Processes {
 				if a != b {
-					c.Links.Set(links.Way{From: a.Name, To: b.Name}, links.State{Drop: d.Drop, Twice: d.Twice, Delay: d.Delay, Spread: d.Spread})
+					c.Links.Set(faultproxy.Way{From: a.Name, To: b.Name}, faultproxy.State{Drop: d.Drop, Twice: d.Twice, Delay: d.Delay, Spread: d.Spread})
 				}
 			}
 		}
@@ -188,7 +188,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, p := range c.sidecars {
-		open := c.Links.Open(links.Way{From: p.Name, To: discovery}) && c.Links.Open(links.Way{From: discovery, To: p.Name})
+		open := c.Links.Open(faultproxy.Way{From: p.Name, To: discovery}) && c.Links.Open(faultproxy.Way{From: discovery, To: p.Name})
 		from, deaf := c.unheard[p]
 		switch now := int64(clock.True()); {
 		case open && deaf:
--- a/internal/links/links.go
+++ b/internal/faultproxy/links.go
@@ -1,7 +1,7 @@
 // Package links stands between the processes of a drill: relays for TCP and UDP that know from whom and to whom, and drop, delay,
 // reorder or cut what passes, each way by itself, without privileges. Who calls is known by the address that it calls from, so each
 // process has a loopback address of its own. What the relays themselves cost in time is measured.
-package links
+package faultproxy
 
 import (
 	"fmt"
--- a/internal/links/tcp.go
+++ b/internal/faultproxy/tcp.go
@@ -1,4 +1,4 @@
-package links
+package faultproxy
 
 import (
 	"errors"
