--- a/cmd/pepperlead-sim/sockets.go
+++ b/cmd/pepperlead-sim/sockets.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 
 	"pepperlead/internal/experiment"
-	"pepperlead/internal/rehearsal"
+	"pepperlead/internal/livetest"
 )
 
 func socketsCommand() *cobra.Command {
@@ -41,7 +41,7 @@
 		if *verbose {
 			log = os.Stderr
 		}
-		v, err := rehearsal.Run(ctx, rehearsal.Play{Scenario: sc, Seed: *seed, Daemon: *daemon, Record: *record, Log: log})
+		v, err := livetest.Run(ctx, livetest.Play{Scenario: sc, Seed: *seed, Daemon: *daemon, Record: *record, Log: log})
 		if err != nil {
 			return err
 		}
--- a/internal/rehearsal/rehearsal.go
+++ b/internal/livetest/rehearsal.go
@@ -1,7 +1,7 @@
 // Package rehearsal plays a scenario on sockets in real time, at a small size: daemons as processes of their own, stand-in
 // servers whose inside is the emulator's model, clients that ask for what the emulator's would, and the same judge. It shows
 // whether the daemon, sockets and all, does what the module does in virtual time.
-package rehearsal
+package livetest
 
 import (
 	"context"
--- a/internal/rehearsal/script.go
+++ b/internal/livetest/script.go
@@ -1,4 +1,4 @@
-package rehearsal
+package livetest
 
 import (
 	"fmt"
