--- a/cmd/pepperlead-sim/drill.go
+++ b/cmd/pepperlead-sim/drill.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"pepperlead/internal/drill"
+	"pepperlead/internal/faulttest"
 )
 
 func drillCommand() *cobra.Command {
@@ -36,12 +36,12 @@
 			return err
 		}
 		defer os.RemoveAll(dir)
-		s, err := drill.Begin(drill.Post{Program: *daemon, Dir: dir, Count: *count, Strangers: 2, Instances: *count, Seed: *seed})
+		s, err := faulttest.Begin(faulttest.Post{Program: *daemon, Dir: dir, Count: *count, Strangers: 2, Instances: *count, Seed: *seed})
 		if err != nil {
 			return err
 		}
 		defer s.Close()
-		of, err := drill.Peers(ctx, s, *count)
+		of, err := faulttest.Peers(ctx, s, *count)
 		if *asJSON {
 			if shown := printJSON(c.OutOrStdout(), of); shown != nil {
 				return shown
--- a/cmd/pepperlead-sim/drillplay.go
+++ b/cmd/pepperlead-sim/drillplay.go
@@ -14,7 +14,7 @@
 	"github.com/vbauerster/mpb/v8"
 	"github.com/vbauerster/mpb/v8/decor"
 
-	"pepperlead/internal/drill"
+	"pepperlead/internal/faulttest"
 )
 
 func drillPlayCommand() *cobra.Command {
@@ -34,13 +34,13 @@
 	c.RunE = func(c *cobra.Command, files []string) error {
 		ctx, end := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 		defer end()
-		var scripts []*drill.Script
+		var scripts []*faulttest.Script
 		for _, file := range files {
 			text, err := os.ReadFile(file)
 			if err != nil {
 				return err
 			}
-			s, err := drill.ReadScript(file, text)
+			s, err := faulttest.ReadScript(file, text)
 			if err != nil {
 				return err
 			}
@@ -75,7 +75,7 @@
 					printPlay(c.OutOrStdout(), s, r)
 				}
 				if err == nil && *report != "" {
-					err = drill.Report(*report, s, r)
+					err = faulttest.Report(*report, s, r)
 				}
 				if err != nil {
 					return err
@@ -92,19 +92,19 @@
 }
 
 // playOne plays in a folder of its own, which stays where a failed play is to be kept.
-func playOne(ctx context.Context, daemon, keep string, s *drill.Script, seed uint64) (*drill.Result, error) {
+func playOne(ctx context.Context, daemon, keep string, s *faulttest.Script, seed uint64) (*faulttest.Result, error) {
 	dir, err := os.MkdirTemp(keep, "drill")
 	if err != nil {
 		return nil, err
 	}
-	r, err := drill.Play(ctx, daemon, dir, s, seed)
+	r, err := faulttest.Play(ctx, daemon, dir, s, seed)
 	if keep == "" || err == nil && r.Good(s) {
 		os.RemoveAll(dir)
 	}
 	return r, err
 }
 
-func printPlay(out io.Writer, s *drill.Script, r *drill.Result) {
+func printPlay(out io.Writer, s *faulttest.Script, r *faulttest.Result) {
 	v, word := r.Verdict, "good"
 	if !r.Good(s) {
 		word = "FAILED"
--- a/internal/drill/play.go
+++ b/internal/faulttest/play.go
@@ -1,4 +1,4 @@
-package drill
+package faulttest
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"time"
 
 	"pepperlead/internal/clock"
-	"pepperlead/internal/drill/judge"
+	"pepperlead/internal/faulttest/judge"
 )
 
 // Applied is one change that a drill made.
--- a/internal/drill/read.go
+++ b/internal/faulttest/read.go
@@ -1,4 +1,4 @@
-package drill
+package faulttest
 
 import (
 	"bufio"
@@ -8,7 +8,7 @@
 	"strconv"
 	"strings"
 
-	"pepperlead/internal/drill/judge"
+	"pepperlead/internal/faulttest/judge"
 )
 
 // written reads what the sidecars have written down. A last line that a killed process left half is left out.
--- a/internal/drill/script_test.go
+++ b/internal/faulttest/script_test.go
@@ -1,4 +1,4 @@
-package drill
+package faulttest
 
 import (
 	"fmt"
--- a/internal/drill/stage.go
+++ b/internal/faulttest/stage.go
@@ -1,6 +1,6 @@
 // Package drill starts several processes of the program on loopback, each at an address of its own, with links between them that can be cut,
 // and does to them what happens to processes: kills, stalls, partitions. docs/rehearsing.md, "Drills".
-package drill
+package faulttest
 
 import (
 	"bufio"
--- a/internal/drill/steps.go
+++ b/internal/faulttest/steps.go
@@ -1,4 +1,4 @@
-package drill
+package faulttest
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"time"
 
 	"pepperlead/internal/clock"
-	"pepperlead/internal/drill/judge"
+	"pepperlead/internal/faulttest/judge"
 	"pepperlead/internal/faultproxy"
 )
 
