--- /dev/null
+++ b/internal/daemon/golden_test.go
@@ -0,0 +1,74 @@
+package daemon
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"pepperlead/policy"
+)
+
+var writeGolden = flag.Bool("write-golden", false, "write golden files that do not exist yet; those that do are never changed")
+
+// golden gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the encoding first.
+func golden(t *testing.T, name string, encoded []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if _, err := os.Stat(path); os.IsNotExist(err) && *writeGolden {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, encoded, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return want
+}
+
+// filledHeritage has a distinct value in every field, so that a key that is lost, renamed or swapped with another changes the encoding.
+func filledHeritage() heritage {
+	return heritage{
+		Knowledge: policy.Knowledge{
+			Calm: 1.5, PerHeld: 2.5, Pace: 3.5, InUse: 4.5, Late: 5.5, Pushes: 6.5, NearPart: 7.5,
+			Sides:    [2]float64{8.5, 9.5},
+			Usual:    []float64{10.5, 11.5},
+			Patience: []policy.Patience{{Most: 12, Odd: 13.5}},
+			Use:      []float64{14.5, 15.5},
+			Arrivals: 16.5, Done: 17.5, Borne: 18.5,
+			Recent: []uint64{19, 20},
+			Servers: []policy.Learned{{ID: 21, Started: 22, Weight: 23.5, Limit: 24.5, Ratio: 25.5, Served: 26.5, Row: 27, Trickle: 28,
+				AsideTill: 29, Skip: 30, Budget: 31.5}},
+		},
+		Seen: []policy.EndpointID{32, 33},
+	}
+}
+
+// A process of an earlier build reads these bytes, and tells what it has learned in them.
+func TestHeritageKeepsItsKeys(t *testing.T) {
+	encoded, err := json.Marshal(filledHeritage())
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := golden(t, "heritage.json", encoded)
+	if !bytes.Equal(encoded, want) {
+		t.Errorf("encoded\n%s\nwant\n%s", encoded, want)
+	}
+	var decoded heritage
+	if err := json.Unmarshal(want, &decoded); err != nil {
+		t.Fatal(err)
+	}
+	again, err := json.Marshal(decoded)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(again, want) {
+		t.Errorf("decoded and encoded again\n%s\nwant\n%s", again, want)
+	}
+}
