--- /dev/null
+++ b/internal/peers/golden_test.go
@@ -0,0 +1,57 @@
+package peers
+
+import (
+	"bytes"
+	"flag"
+	"io"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/hashicorp/memberlist"
+	"github.com/sirupsen/logrus"
+)
+
+var writeGolden = flag.Bool("write-golden", false, "write golden files that do not exist yet; those that do are never changed")
+
+// golden gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the encoding first.
+func golden(t *testing.T, name string, encoded []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if _, err := os.Stat(path); os.IsNotExist(err) && *writeGolden {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, encoded, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return want
+}
+
+// What a sidecar tells of itself is read by sidecars of an earlier build, and told by them in the same bytes.
+func TestSaysKeepsItsKeys(t *testing.T) {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	sender := newCompany(Post{Name: "sender"}, log)
+	sender.says = Says{Zone: "zone", Since: 1_700_000_000_000_000_001, Version: 2, Table: 1 << 63, Keeper: true}
+	encoded := sender.NodeMeta(memberlist.MetaMaxSize)
+	want := golden(t, "says.cbor", encoded)
+	if !bytes.Equal(encoded, want) {
+		t.Errorf("encoded\n%x\nwant\n%x", encoded, want)
+	}
+	receiver := newCompany(Post{Name: "receiver"}, log)
+	receiver.NotifyJoin(&memberlist.Node{Name: "sender", Meta: want})
+	received := receiver.peers["sender"].Says
+	if received != sender.says {
+		t.Errorf("decoded %+v, want %+v", received, sender.says)
+	}
+	receiver.says = received
+	if again := receiver.NodeMeta(memberlist.MetaMaxSize); !bytes.Equal(again, want) {
+		t.Errorf("decoded and encoded again\n%x\nwant\n%x", again, want)
+	}
+}
