--- /dev/null
+++ b/internal/snapshot/golden_test.go
@@ -0,0 +1,71 @@
+package snapshot
+
+import (
+	"bytes"
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+var writeGolden = flag.Bool("write-golden", false, "write golden files that do not exist yet; those that do are never changed")
+
+// golden gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the encoding first.
+func golden(t *testing.T, name string, encoded []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if _, err := os.Stat(path); os.IsNotExist(err) && *writeGolden {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, encoded, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return want
+}
+
+// A file that an earlier build has kept is read, and written again in the same bytes, for its owner alone.
+func TestFileKeepsItsLayout(t *testing.T) {
+	const name, kind, version = "name", "kind", 7
+	dir := t.TempDir()
+	store := Store{Dir: dir}
+	put := func(body []byte) []byte {
+		t.Helper()
+		if err := store.Put(name, kind, version, body); err != nil {
+			t.Fatal(err)
+		}
+		file, err := os.ReadFile(filepath.Join(dir, name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		return file
+	}
+	encoded := put([]byte("first line\nsecond line\x00\xff"))
+	want := golden(t, "file", encoded)
+	if !bytes.Equal(encoded, want) {
+		t.Errorf("encoded\n%q\nwant\n%q", encoded, want)
+	}
+	if info, err := os.Stat(filepath.Join(dir, name)); err != nil {
+		t.Error(err)
+	} else if info.Mode() != 0o600 {
+		t.Errorf("found mode %v, want 0600", info.Mode())
+	}
+	if files, err := os.ReadDir(dir); err != nil || len(files) != 1 {
+		t.Errorf("found files %v, %v, want %s alone", files, err, name)
+	}
+	if err := os.WriteFile(filepath.Join(dir, name), want, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	body, err := store.Get(name, kind, version)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if again := put(body); !bytes.Equal(again, want) {
+		t.Errorf("decoded and encoded again\n%q\nwant\n%q", again, want)
+	}
+}
