--- /dev/null
+++ b/internal/discovery/golden_test.go
@@ -0,0 +1,80 @@
+package discovery
+
+import (
+	"bytes"
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"pepperlead/internal/listing"
+	"pepperlead/policy"
+)
+
+var writeGolden = flag.Bool("write-golden", false, "write golden files that do not exist yet; those that do are never changed")
+
+// golden gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the encoding first.
+func golden(t *testing.T, name string, encoded []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if _, err := os.Stat(path); os.IsNotExist(err) && *writeGolden {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, encoded, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return want
+}
+
+// A list that an earlier build has kept is read, and kept again in the same bytes.
+func TestKeptListKeepsItsBytes(t *testing.T) {
+	dir := t.TempDir()
+	path := filepath.Join(dir, "servers")
+	kept := Keep(&Fixed{}, dir, func() policy.Time { return 1 })
+	save := func(entries []Entry, memo listing.Memo) []byte {
+		t.Helper()
+		byUID := map[string]Entry{}
+		merge(byUID, List{Kind: policy.ListFull, Entries: entries})
+		if err := kept.save(kept.document(byUID, memo)); err != nil {
+			t.Fatal(err)
+		}
+		file, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return file
+	}
+	// A distinct value in every field, so that a key that is lost, renamed or swapped with another changes the encoding.
+	server := func(uid, address string, member policy.Member) Entry {
+		member.ID = listing.IDOf(uid)
+		return Entry{UID: uid, Addr: address, Member: member}
+	}
+	encoded := save([]Entry{
+		server("server-1", "10.0.0.1:80", policy.Member{Weight: 2.5, Cell: 3, Zone: "zone-1", Standing: policy.Draining, Started: 4}),
+		server("server-2", "10.0.0.2:80", policy.Member{Weight: 5.5, Cell: 6, Zone: "zone-2", Standing: policy.Ready, Started: 7}),
+		server("server-3", "10.0.0.3:80", policy.Member{}),
+	}, listing.Memo{
+		Issues: map[string]listing.Issue{"file-1": 8, "file-2": 9},
+		Drains: map[string]listing.Drain{"server-1": {Told: 10, Named: 11}, "server-4": {Told: 12, Named: 13}},
+	})
+	want := golden(t, "servers", encoded)
+	if !bytes.Equal(encoded, want) {
+		t.Errorf("encoded\n%s\nwant\n%s", encoded, want)
+	}
+	if err := os.WriteFile(path, want, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	entries, memo, err := kept.load()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if again := save(entries, memo); !bytes.Equal(again, want) {
+		t.Errorf("decoded and encoded again\n%s\nwant\n%s", again, want)
+	}
+}
