--- /dev/null
+++ b/internal/handover/golden_test.go
@@ -0,0 +1,258 @@
+package handover
+
+import (
+	"bufio"
+	"bytes"
+	"flag"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+)
+
+var writeGolden = flag.Bool("write-golden", false, "write golden files that do not exist yet; those that do are never changed")
+
+// golden gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the encoding first.
+func golden(t *testing.T, name string, encoded []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if _, err := os.Stat(path); os.IsNotExist(err) && *writeGolden {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, encoded, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return want
+}
+
+// quietLog keeps the log of a test to itself.
+func quietLog() *logrus.Logger {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	return log
+}
+
+// earlierBuild stands for a process of an earlier build at the other end of a connection, line by line. It notes both sides' lines.
+type earlierBuild struct {
+	t          *testing.T
+	connection net.Conn
+	lines      *bufio.Reader
+	transcript *strings.Builder
+}
+
+func newEarlierBuild(t *testing.T, connection net.Conn, transcript *strings.Builder) *earlierBuild {
+	t.Helper()
+	t.Cleanup(func() { connection.Close() })
+	if err := connection.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	return &earlierBuild{t, connection, bufio.NewReader(connection), transcript}
+}
+
+// says sends a line.
+func (e *earlierBuild) says(line string) {
+	e.t.Helper()
+	fmt.Fprintf(e.transcript, "earlier build: %s\n", line)
+	if _, err := fmt.Fprintln(e.connection, line); err != nil {
+		e.t.Fatal(err)
+	}
+}
+
+// hears takes the next line.
+func (e *earlierBuild) hears() {
+	e.t.Helper()
+	line, err := e.lines.ReadString('\n')
+	if err != nil {
+		e.t.Fatal(err)
+	}
+	fmt.Fprintf(e.transcript, "this build: %s", line)
+}
+
+// transcriptMatches compares what was said with the golden transcript.
+func transcriptMatches(t *testing.T, file, transcript string) {
+	t.Helper()
+	if want := golden(t, file, []byte(transcript)); transcript != string(want) {
+		t.Errorf("said\n%s\nwant\n%s", transcript, want)
+	}
+}
+
+// serve has the process obey whatever it is told, and tell a fixed line.
+func serve(k *Kin) {
+	k.Serve(func([]string) bool { return true }, func() []byte { return []byte(`{"learned":1}`) }, func(int) {})
+}
+
+// A process of an earlier build that comes later asks in these lines, and is answered in them.
+func TestAnswersKeepTheirLines(t *testing.T) {
+	dir := filepath.Join(t.TempDir(), "folder")
+	process, err := Join(dir, quietLog())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer process.Close()
+	serve(process)
+	connection, err := net.Dial("unix", process.at(process.name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var transcript strings.Builder
+	earlier := newEarlierBuild(t, connection, &transcript)
+	for _, line := range []string{"here", "look 17", "tell"} {
+		earlier.says(line)
+		earlier.hears()
+	}
+	transcriptMatches(t, "answers.txt", transcript.String())
+}
+
+// A process of an earlier build that is there already is asked in these lines, and its answers are understood.
+func TestQuestionsKeepTheirLines(t *testing.T) {
+	dir := filepath.Join(t.TempDir(), "folder")
+	if err := os.Mkdir(dir, 0o700); err != nil {
+		t.Fatal(err)
+	}
+	root, err := os.Open(dir) // the path by its descriptor is short enough for a socket's, whatever the folder's name
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer root.Close()
+	listener, err := net.Listen("unix", fmt.Sprintf("/proc/self/fd/%d/1-a.sock", root.Fd()))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	var transcript strings.Builder
+	joined := make(chan *Kin, 1)
+	go func() {
+		process, err := Join(dir, quietLog())
+		if err != nil {
+			t.Error(err)
+		}
+		joined <- process
+	}()
+	connection, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	earlier := newEarlierBuild(t, connection, &transcript)
+	earlier.hears()
+	earlier.says("met")
+	process := <-joined
+	if process == nil {
+		t.FailNow()
+	}
+	defer process.Close()
+	serve(process)
+
+	changed := make(chan error, 1)
+	go func() { changed <- process.Change("server-1", true) }()
+	earlier.hears()
+	earlier.says("done 1")
+	if err := <-changed; err != nil {
+		t.Error(err)
+	}
+
+	learned := make(chan [][]byte, 1)
+	go func() { learned <- process.Learned() }()
+	earlier.hears()
+	earlier.says(`told {"learned": 2}`)
+	if texts := <-learned; len(texts) != 1 || string(texts[0]) != `{"learned": 2}` {
+		t.Errorf("learned %q", texts)
+	}
+	transcriptMatches(t, "questions.txt", transcript.String())
+}
+
+// The servers that an earlier build has taken out by hand stay out, and are kept again in the same bytes.
+func TestServersOutByHandKeepTheirFile(t *testing.T) {
+	dir := filepath.Join(t.TempDir(), "folder")
+	process, err := Join(dir, quietLog())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer process.Close()
+	serve(process)
+	uids := []string{"server-2", "server-1"}
+	for _, uid := range uids {
+		if err := process.Change(uid, true); err != nil {
+			t.Fatal(err)
+		}
+	}
+	path := filepath.Join(dir, "out-by-hand")
+	encoded, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := golden(t, "out-by-hand", encoded)
+	if !bytes.Equal(encoded, want) {
+		t.Errorf("encoded\n%q\nwant\n%q", encoded, want)
+	}
+
+	if err := os.WriteFile(path, want, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if out, err := process.Out(); err != nil || !slices.Equal(out, uids) {
+		t.Errorf("decoded %q, %v, want %q", out, err, uids)
+	}
+	// The last one once more: the file is read and written again, and the order stays.
+	if err := process.Change("server-1", true); err != nil {
+		t.Fatal(err)
+	}
+	if again, err := os.ReadFile(path); err != nil || !bytes.Equal(again, want) {
+		t.Errorf("decoded and encoded again\n%q, %v\nwant\n%q", again, err, want)
+	}
+}
+
+// Processes of two builds meet by these names.
+func TestFolderKeepsItsNames(t *testing.T) {
+	folder := []byte(filepath.Base(Folder("name", "127.0.0.1:80")) + "\n")
+	if want := golden(t, "folder.txt", folder); !bytes.Equal(folder, want) {
+		t.Errorf("found the folder %q, want %q", folder, want)
+	}
+	dir := filepath.Join(t.TempDir(), "folder")
+	process, err := Join(dir, quietLog())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer process.Close()
+	serve(process)
+	if err := process.Change("server-1", true); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(filepath.Join(dir, "out-by-hand"), []byte("damaged"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := process.Out(); err != nil {
+		t.Fatal(err)
+	}
+	if err := process.Change("server-1", true); err != nil {
+		t.Fatal(err)
+	}
+	entries, err := os.ReadDir(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var names strings.Builder
+	socket := regexp.MustCompile(fmt.Sprintf(`^%d-[0-9a-f]+\.sock$`, os.Getpid()))
+	for _, entry := range entries {
+		name := entry.Name()
+		if socket.MatchString(name) {
+			name = "PROCESS-TIME.sock"
+		}
+		fmt.Fprintf(&names, "%s %v\n", name, entry.Type())
+	}
+	if want := golden(t, "names.txt", []byte(names.String())); names.String() != string(want) {
+		t.Errorf("found\n%s\nwant\n%s", names.String(), want)
+	}
+}
