--- /dev/null
+++ b/internal/group/golden_test.go
@@ -0,0 +1,225 @@
+package group
+
+import (
+	"bytes"
+	"encoding/binary"
+	"flag"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/hashicorp/raft"
+	"github.com/sirupsen/logrus"
+
+	"pepperlead/internal/agreement"
+	"pepperlead/policy"
+)
+
+var writeGolden = flag.Bool("write-golden", false, "write golden files that do not exist yet; those that do are never changed")
+
+// golden gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the encoding first,
+// if there is one.
+func golden(t *testing.T, name string, encoded []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if _, err := os.Stat(path); os.IsNotExist(err) && *writeGolden && encoded != nil {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, encoded, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return want
+}
+
+// quietLog keeps the log of a test to itself.
+func quietLog() *logrus.Logger {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	return log
+}
+
+// The commands of the golden log, in their order: each has a file of its own.
+var goldenCommands = []string{"command-1-apply", "command-2-drop", "command-3-apply", "command-4-withdraw", "command-5-apply",
+	"command-6-withdraw", "command-7-apply-back"}
+
+// goldenTime stands in golden files where a command has the time at which it was given, in Unix nanoseconds.
+const goldenTime = 1_700_000_000_000_000_007
+
+// fixTime puts goldenTime in the place of a command's time, its last part. Commands without a time stay as they are. What is not written as
+// CBOR writes a number of eight bytes is an error.
+func fixTime(t *testing.T, command []byte) []byte {
+	t.Helper()
+	var parts []cbor.RawMessage
+	var verb string
+	if err := cbor.Unmarshal(command, &parts); err != nil {
+		t.Fatal(err)
+	}
+	if err := cbor.Unmarshal(parts[0], &verb); err != nil {
+		t.Fatal(err)
+	}
+	if verb != "apply" {
+		return command
+	}
+	const eightBytes = 0x1b // RFC 8949, section 3: an unsigned integer in the eight bytes that follow
+	last := len(command) - 9
+	if !bytes.Equal(parts[len(parts)-1], command[last:]) || command[last] != eightBytes {
+		t.Fatalf("found %x at the end of a command, want a time", parts[len(parts)-1])
+	}
+	return binary.BigEndian.AppendUint64(bytes.Clone(command[:last+1]), goldenTime)
+}
+
+// single is a group of one keeper. Its lease is long enough for a change to be withdrawn before it is over.
+func single(t *testing.T) *Keeper {
+	t.Helper()
+	ip := fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()>>14%64, os.Getpid()>>7%128, 1+os.Getpid()%128)
+	listener, err := net.Listen("tcp", ip+":0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	address := listener.Addr().String()
+	listener.Close()
+	keeper, err := Open(Post{Name: "keeper", Folder: t.TempDir(), Listen: address, Cluster: "cluster", Key: []byte("0123456789abcdef"),
+		Members: []Member{{Name: "keeper", Raft: address}}, Lease: 2000 * policy.Millisecond, Drift: 0.01,
+		Check: func([]byte, []byte) error { return nil },
+		Deal:  func(text []byte, _ *agreement.Page) []byte { return append([]byte("table of "), text...) }}, quietLog())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(keeper.Close)
+	return keeper
+}
+
+// commandsOf reads the log as it lies on disk.
+func commandsOf(t *testing.T, keeper *Keeper) (commands [][]byte) {
+	t.Helper()
+	first, err := keeper.kept.FirstIndex()
+	if err != nil {
+		t.Fatal(err)
+	}
+	last, err := keeper.kept.LastIndex()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for at := first; at <= last; at++ {
+		var line raft.Log
+		if err := keeper.kept.GetLog(at, &line); err != nil {
+			t.Fatal(err)
+		}
+		if line.Type == raft.LogCommand {
+			commands = append(commands, line.Data)
+		}
+	}
+	return commands
+}
+
+// Keepers of an earlier build read what this one writes into the log.
+func TestCommandsKeepTheirBytes(t *testing.T) {
+	keeper := single(t)
+	eventually(t, "the keeper leads", func() bool {
+		keeper.mu.Lock()
+		defer keeper.mu.Unlock()
+		return keeper.granter != nil
+	})
+	applied := func(text string, back, last agreement.Number, author string) {
+		t.Helper()
+		if _, err := keeper.Apply([]byte(text), back, last, author); err != nil {
+			t.Fatal(err)
+		}
+	}
+	withdrawn := func(n agreement.Number) {
+		t.Helper()
+		if err := keeper.Withdraw(n); err != nil {
+			t.Fatal(err)
+		}
+	}
+	applied("first text", 0, 0, "first author")
+	eventually(t, "the first version is in force alone", alone(keeper, 1))
+	applied("second text", 0, 1, "second author")
+	withdrawn(2)
+	applied("third text", 0, 2, "third author")
+	withdrawn(3)
+	// Gone back to version 2, with 3 as the latest, on top of 1: three numbers that differ.
+	applied("", 2, 3, "fourth author")
+
+	commands := commandsOf(t, keeper)
+	if len(commands) != len(goldenCommands) {
+		t.Fatalf("found %d commands, want %d", len(commands), len(goldenCommands))
+	}
+	for i, file := range goldenCommands {
+		command := fixTime(t, commands[i])
+		if want := golden(t, file+".cbor", command); !bytes.Equal(command, want) {
+			t.Errorf("%s: encoded\n%x\nwant\n%x", file, command, want)
+		}
+	}
+}
+
+// sink takes a snapshot.
+type sink struct{ bytes.Buffer }
+
+func (*sink) ID() string    { return "golden" }
+func (*sink) Cancel() error { return nil }
+func (*sink) Close() error  { return nil }
+
+// snapshotOf gives what the keeper has written into a snapshot.
+func snapshotOf(t *testing.T, keeper *Keeper) []byte {
+	t.Helper()
+	snapshot, err := (*pen)(keeper).Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer snapshot.Release()
+	var to sink
+	if err := snapshot.Persist(&to); err != nil {
+		t.Fatal(err)
+	}
+	return to.Bytes()
+}
+
+// The log and the snapshots of an earlier build are read, and written again in the same bytes.
+func TestLogAndSnapshotOfAnEarlierBuild(t *testing.T) {
+	keeper := &Keeper{log: quietLog()}
+	for i, file := range goldenCommands {
+		if result := (*pen)(keeper).Apply(&raft.Log{Index: uint64(i + 1), Type: raft.LogCommand, Data: golden(t, file+".cbor", nil)}); result != nil {
+			t.Fatalf("%s: %v", file, result)
+		}
+	}
+	encoded := snapshotOf(t, keeper)
+	want := golden(t, "snapshot.cbor", encoded)
+	if !bytes.Equal(encoded, want) {
+		t.Errorf("encoded\n%x\nwant\n%x", encoded, want)
+	}
+	restored := &Keeper{log: quietLog()}
+	if err := (*pen)(restored).Restore(io.NopCloser(bytes.NewReader(want))); err != nil {
+		t.Fatal(err)
+	}
+	if again := snapshotOf(t, restored); !bytes.Equal(again, want) {
+		t.Errorf("decoded and encoded again\n%x\nwant\n%x", again, want)
+	}
+	book := restored.book
+	if book.Old != 1 || book.New != 4 || book.Last != 4 || len(book.Pages) != 4 {
+		t.Fatalf("found versions %d, %d and %d in %d pages, want 1, 4 and 4 in 4 pages", book.Old, book.New, book.Last, len(book.Pages))
+	}
+	for i, page := range []struct{ author, text, table, over string }{
+		{"first author", "first text", "table of first text", ""},
+		{"second author", "second text", "table of second text", "withdrawn"},
+		{"third author", "third text", "table of third text", "withdrawn"},
+		{"fourth author", "second text", "table of second text", ""},
+	} {
+		found := book.Pages[i]
+		if found.Author != page.author || string(found.Text) != page.text || string(found.Table) != page.table || found.Over != page.over ||
+			found.At != goldenTime {
+			t.Errorf("page %d: found %+v, want %+v at %v", i+1, found, page, time.Unix(0, goldenTime))
+		}
+	}
+}
