--- a/policy/knowledge.go
+++ b/policy/knowledge.go
@@ -2,30 +2,43 @@
 
 // Knowledge is what an instance has learned, for one that goes on in its place. Nothing is decided here.
 type Knowledge struct {
-	Calm, PerHeld, Pace, InUse, Late, Pushes, NearPart float64
-	Sides                                              [2]float64
-	Usual                                              []float64 // by class
-	Patience                                           []Patience
-	Use                                                []float64 // rates, by tenant
-	Arrivals, Done, Borne                              float64
-	Recent                                             []uint64 // the latest first
-	Servers                                            []Learned
+	Calm     float64    `json:"Calm"`
+	PerHeld  float64    `json:"PerHeld"`
+	Pace     float64    `json:"Pace"`
+	InUse    float64    `json:"InUse"`
+	Late     float64    `json:"Late"`
+	Pushes   float64    `json:"Pushes"`
+	NearPart float64    `json:"NearPart"`
+	Sides    [2]float64 `json:"Sides"`
+	Usual    []float64  `json:"Usual"` // by class
+	Patience []Patience `json:"Patience"`
+	Use      []float64  `json:"Use"` // rates, by tenant
+	Arrivals float64    `json:"Arrivals"`
+	Done     float64    `json:"Done"`
+	Borne    float64    `json:"Borne"`
+	Recent   []uint64   `json:"Recent"` // the latest first
+	Servers  []Learned  `json:"Servers"`
 }
 
 // Patience is the time that first tries of a class come with, and the part that came with less.
 type Patience struct {
-	Most Time
-	Odd  float64
+	Most Time    `json:"Most"`
+	Odd  float64 `json:"Odd"`
 }
 
 // Learned is what was learned of one endpoint.
 type Learned struct {
-	ID                           EndpointID
-	Started                      Time
-	Weight, Limit, Ratio, Served float64
-	Row, Trickle                 int
-	AsideTill, Skip              Time
-	Budget                       float64
+	ID        EndpointID `json:"ID"`
+	Started   Time       `json:"Started"`
+	Weight    float64    `json:"Weight"`
+	Limit     float64    `json:"Limit"`
+	Ratio     float64    `json:"Ratio"`
+	Served    float64    `json:"Served"`
+	Row       int        `json:"Row"`
+	Trickle   int        `json:"Trickle"`
+	AsideTill Time       `json:"AsideTill"`
+	Skip      Time       `json:"Skip"`
+	Budget    float64    `json:"Budget"`
 }
 
 // Tell gives what was learned. What cold endpoints may be sent passes with it: what is saved up, and the rate by which more is saved,
