--- a/internal/daemon/operated.go
+++ b/internal/daemon/operated.go
@@ -34,8 +34,8 @@
 
 // heritage is what a process tells the one that follows it.
 type heritage struct {
-	policy.Knowledge
-	Seen []policy.EndpointID // ids that lists have named: also one that has gone can be taken out by hand
+	policy.Knowledge                     // without a tag: its keys stand beside the others
+	Seen             []policy.EndpointID `json:"Seen"` // ids that lists have named: also one that has gone can be taken out by hand
 }
 
 // tell gives what this process has learned.
