--- a/internal/agreement/book.go
+++ b/internal/agreement/book.go
@@ -23,9 +23,11 @@
 // Book is the agreed order of versions. The group's log is made of calls of its methods, in one order everywhere; the zero value is a book
 // without a version, by which each sidecar goes by its own file's rules, number 0.
 type Book struct {
-	Pages    []Page `cbor:"1,keyasint"` // the latest, in order; also such as were withdrawn
-	Old, New Number // in force, and coming into force; equal where no change is under way
-	Last     Number // given out
+	Pages []Page `cbor:"1,keyasint"` // the latest, in order; also such as were withdrawn
+	// In force, and coming into force; equal where no change is under way.
+	Old  Number `cbor:"Old"`
+	New  Number `cbor:"New"`
+	Last Number `cbor:"Last"` // given out
 }
 
 // Errors of a book.
