--- a/internal/agreement/golden_test.go
+++ b/internal/agreement/golden_test.go
@@ -13,8 +13,8 @@
 
 var writeGolden = flag.Bool("write-golden", false, "write golden files that do not exist yet; those that do are never changed")
 
-// golden gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the encoding first.
-func golden(t *testing.T, name string, encoded []byte) []byte {
+// goldenFile gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the encoding first.
+func goldenFile(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if _, err := os.Stat(path); os.IsNotExist(err) && *writeGolden {
@@ -60,7 +60,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			want := golden(t, c.file, encoded)
+			want := goldenFile(t, c.file, encoded)
 			if !bytes.Equal(encoded, want) {
 				t.Errorf("encoded\n%x\nwant\n%x", encoded, want)
 			}
@@ -102,7 +102,7 @@
 	for _, c := range cases {
 		t.Run(c.file, func(t *testing.T) {
 			encoded := c.say(c.sent)
-			want := golden(t, c.file, encoded)
+			want := goldenFile(t, c.file, encoded)
 			if !bytes.Equal(encoded, want) {
 				t.Errorf("encoded\n%x\nwant\n%x", encoded, want)
 			}
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -13,8 +13,8 @@
 
 var writeGolden = flag.Bool("write-golden", false, "write golden files that do not exist yet; those that do are never changed")
 
-// golden gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the encoding first.
-func golden(t *testing.T, name string, encoded []byte) []byte {
+// goldenFile gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the encoding first.
+func goldenFile(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if _, err := os.Stat(path); os.IsNotExist(err) && *writeGolden {
@@ -56,7 +56,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := golden(t, "heritage.json", encoded)
+	want := goldenFile(t, "heritage.json", encoded)
 	if !bytes.Equal(encoded, want) {
 		t.Errorf("encoded\n%s\nwant\n%s", encoded, want)
 	}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -13,8 +13,8 @@
 
 var writeGolden = flag.Bool("write-golden", false, "write golden files that do not exist yet; those that do are never changed")
 
-// golden gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the encoding first.
-func golden(t *testing.T, name string, encoded []byte) []byte {
+// goldenFile gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the encoding first.
+func goldenFile(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if _, err := os.Stat(path); os.IsNotExist(err) && *writeGolden {
@@ -63,7 +63,7 @@
 		Issues: map[string]listing.Issue{"file-1": 8, "file-2": 9},
 		Drains: map[string]listing.Drain{"server-1": {Told: 10, Named: 11}, "server-4": {Told: 12, Named: 13}},
 	})
-	want := golden(t, "servers", encoded)
+	want := goldenFile(t, "servers", encoded)
 	if !bytes.Equal(encoded, want) {
 		t.Errorf("encoded\n%s\nwant\n%s", encoded, want)
 	}
--- a/internal/group/golden_test.go
+++ b/internal/group/golden_test.go
@@ -22,9 +22,9 @@
 
 var writeGolden = flag.Bool("write-golden", false, "write golden files that do not exist yet; those that do are never changed")
 
-// golden gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the encoding first,
+// goldenFile gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the encoding first,
 // if there is one.
-func golden(t *testing.T, name string, encoded []byte) []byte {
+func goldenFile(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if _, err := os.Stat(path); os.IsNotExist(err) && *writeGolden && encoded != nil {
@@ -158,7 +158,7 @@
 	}
 	for i, file := range goldenCommands {
 		command := fixTime(t, commands[i])
-		if want := golden(t, file+".cbor", command); !bytes.Equal(command, want) {
+		if want := goldenFile(t, file+".cbor", command); !bytes.Equal(command, want) {
 			t.Errorf("%s: encoded\n%x\nwant\n%x", file, command, want)
 		}
 	}
@@ -190,12 +190,12 @@
 func TestLogAndSnapshotOfAnEarlierBuild(t *testing.T) {
 	keeper := &Keeper{log: quietLog()}
 	for i, file := range goldenCommands {
-		if result := (*pen)(keeper).Apply(&raft.Log{Index: uint64(i + 1), Type: raft.LogCommand, Data: golden(t, file+".cbor", nil)}); result != nil {
+		if result := (*pen)(keeper).Apply(&raft.Log{Index: uint64(i + 1), Type: raft.LogCommand, Data: goldenFile(t, file+".cbor", nil)}); result != nil {
 			t.Fatalf("%s: %v", file, result)
 		}
 	}
 	encoded := snapshotOf(t, keeper)
-	want := golden(t, "snapshot.cbor", encoded)
+	want := goldenFile(t, "snapshot.cbor", encoded)
 	if !bytes.Equal(encoded, want) {
 		t.Errorf("encoded\n%x\nwant\n%x", encoded, want)
 	}
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -20,8 +20,8 @@
 
 var writeGolden = flag.Bool("write-golden", false, "write golden files that do not exist yet; those that do are never changed")
 
-// golden gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the encoding first.
-func golden(t *testing.T, name string, encoded []byte) []byte {
+// goldenFile gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the encoding first.
+func goldenFile(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if _, err := os.Stat(path); os.IsNotExist(err) && *writeGolden {
@@ -85,7 +85,7 @@
 // transcriptMatches compares what was said with the golden transcript.
 func transcriptMatches(t *testing.T, file, transcript string) {
 	t.Helper()
-	if want := golden(t, file, []byte(transcript)); transcript != string(want) {
+	if want := goldenFile(t, file, []byte(transcript)); transcript != string(want) {
 		t.Errorf("said\n%s\nwant\n%s", transcript, want)
 	}
 }
@@ -194,7 +194,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := golden(t, "out-by-hand", encoded)
+	want := goldenFile(t, "out-by-hand", encoded)
 	if !bytes.Equal(encoded, want) {
 		t.Errorf("encoded\n%q\nwant\n%q", encoded, want)
 	}
@@ -217,7 +217,7 @@
 // Processes of two builds meet by these names.
 func TestFolderKeepsItsNames(t *testing.T) {
 	folder := []byte(filepath.Base(Folder("name", "127.0.0.1:80")) + "\n")
-	if want := golden(t, "folder.txt", folder); !bytes.Equal(folder, want) {
+	if want := goldenFile(t, "folder.txt", folder); !bytes.Equal(folder, want) {
 		t.Errorf("found the folder %q, want %q", folder, want)
 	}
 	dir := filepath.Join(t.TempDir(), "folder")
@@ -252,7 +252,7 @@
 		}
 		fmt.Fprintf(&names, "%s %v\n", name, entry.Type())
 	}
-	if want := golden(t, "names.txt", []byte(names.String())); names.String() != string(want) {
+	if want := goldenFile(t, "names.txt", []byte(names.String())); names.String() != string(want) {
 		t.Errorf("found\n%s\nwant\n%s", names.String(), want)
 	}
 }
--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -14,8 +14,8 @@
 
 var writeGolden = flag.Bool("write-golden", false, "write golden files that do not exist yet; those that do are never changed")
 
-// golden gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the encoding first.
-func golden(t *testing.T, name string, encoded []byte) []byte {
+// goldenFile gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the encoding first.
+func goldenFile(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if _, err := os.Stat(path); os.IsNotExist(err) && *writeGolden {
@@ -40,7 +40,7 @@
 	sender := newCompany(Post{Name: "sender"}, log)
 	sender.says = Says{Zone: "zone", Since: 1_700_000_000_000_000_001, Version: 2, Table: 1 << 63, Keeper: true}
 	encoded := sender.NodeMeta(memberlist.MetaMaxSize)
-	want := golden(t, "says.cbor", encoded)
+	want := goldenFile(t, "says.cbor", encoded)
 	if !bytes.Equal(encoded, want) {
 		t.Errorf("encoded\n%x\nwant\n%x", encoded, want)
 	}
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -10,8 +10,8 @@
 
 var writeGolden = flag.Bool("write-golden", false, "write golden files that do not exist yet; those that do are never changed")
 
-// golden gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the encoding first.
-func golden(t *testing.T, name string, encoded []byte) []byte {
+// goldenFile gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the encoding first.
+func goldenFile(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if _, err := os.Stat(path); os.IsNotExist(err) && *writeGolden {
@@ -46,7 +46,7 @@
 		return file
 	}
 	encoded := put([]byte("first line\nsecond line\x00\xff"))
-	want := golden(t, "file", encoded)
+	want := goldenFile(t, "file", encoded)
 	if !bytes.Equal(encoded, want) {
 		t.Errorf("encoded\n%q\nwant\n%q", encoded, want)
 	}
