--- /dev/null
+++ b/internal/knownred/run.go
@@ -0,0 +1,155 @@
+package knownred
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"io/fs"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strings"
+)
+
+// File is the list's name in the root of the module.
+const File = "KNOWN-RED.txt"
+
+// A Runner runs the tests of one module.
+type Runner struct {
+	// Dir is the root of the module.
+	Dir string
+	// Flags are for go test, as -race.
+	Flags []string
+	// Stdout and Stderr get what go test writes.
+	Stdout, Stderr io.Writer
+}
+
+// Run runs all tests but those that the module's list has, which it prints. Without a list it is
+// go test ./... and nothing else. A wrong list is an error, and then no test runs.
+func (r *Runner) Run() error {
+	entries, err := r.read()
+	if err != nil {
+		return err
+	}
+	if len(entries) == 0 {
+		return r.test("./...")
+	}
+	packages, err := r.packages()
+	if err != nil {
+		return err
+	}
+	skip, err := r.check(entries, packages)
+	if err != nil {
+		return err
+	}
+	if err := r.print(entries); err != nil {
+		return err
+	}
+	return r.testWithout(packages, skip)
+}
+
+// read reads the module's list, which is empty where there is no file.
+func (r *Runner) read() ([]Entry, error) {
+	text, err := os.ReadFile(filepath.Join(r.Dir, File))
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil, nil
+	}
+	if err != nil {
+		return nil, fmt.Errorf("reading known failures: %w", err)
+	}
+	return Parse(File, bytes.NewReader(text))
+}
+
+// packages are the import paths of the module's packages.
+func (r *Runner) packages() ([]string, error) {
+	out, err := r.output("list", "./...")
+	return strings.Fields(out), err
+}
+
+// check looks for the test of each entry and gives the tests to pass over by package.
+func (r *Runner) check(entries []Entry, packages []string) (map[string][]string, error) {
+	skip := map[string][]string{}
+	existing := map[string][]string{}
+	for _, e := range entries {
+		if !slices.Contains(packages, e.Package) {
+			return nil, fmt.Errorf("%s:%d: found package %q, want one of this module", File, e.Line, e.Package)
+		}
+		if existing[e.Package] == nil {
+			tests, err := r.tests(e.Package)
+			if err != nil {
+				return nil, err
+			}
+			existing[e.Package] = tests
+		}
+		if !slices.Contains(existing[e.Package], e.Test) {
+			return nil, fmt.Errorf("%s:%d: found test %q, want one of package %s", File, e.Line, e.Test, e.Package)
+		}
+		skip[e.Package] = append(skip[e.Package], e.Test)
+	}
+	return skip, nil
+}
+
+// tests are the lines of go test -list: the names of a package's tests, and how long listing them took.
+func (r *Runner) tests(pkg string) ([]string, error) {
+	out, err := r.output(slices.Concat([]string{"test", "-list", "."}, r.Flags, []string{pkg})...)
+	return strings.Split(out, "\n"), err
+}
+
+// print says which tests are passed over.
+func (r *Runner) print(entries []Entry) error {
+	for _, e := range entries {
+		_, err := fmt.Fprintf(r.Stdout, "known red, passed over: %s %s (%s): %s\n", e.Package, e.Test, e.Issue, e.Seen)
+		if err != nil {
+			return fmt.Errorf("printing known failures: %w", err)
+		}
+	}
+	return nil
+}
+
+// testWithout tests the packages, first those without a known failure. It goes on where one fails.
+func (r *Runner) testWithout(packages []string, skip map[string][]string) error {
+	var clean, red []string
+	for _, pkg := range packages {
+		if skip[pkg] == nil {
+			clean = append(clean, pkg)
+		} else {
+			red = append(red, pkg)
+		}
+	}
+	var failures []error
+	if len(clean) > 0 {
+		failures = append(failures, r.test(clean...))
+	}
+	for _, pkg := range red {
+		failures = append(failures, r.test("-skip", skipPattern(skip[pkg]), pkg))
+	}
+	return errors.Join(failures...)
+}
+
+// skipPattern matches exactly the tests named.
+func skipPattern(tests []string) string {
+	return "^(" + strings.Join(tests, "|") + ")$"
+}
+
+// test runs go test with the runner's flags and the arguments.
+func (r *Runner) test(args ...string) error {
+	cmd := exec.Command("go", slices.Concat([]string{"test"}, r.Flags, args)...)
+	cmd.Dir, cmd.Stdout, cmd.Stderr = r.Dir, r.Stdout, r.Stderr
+	if err := cmd.Run(); err != nil {
+		return fmt.Errorf("go test: %w", err)
+	}
+	return nil
+}
+
+// output is what the go command writes to its standard output.
+func (r *Runner) output(args ...string) (string, error) {
+	cmd := exec.Command("go", args...)
+	cmd.Dir, cmd.Stderr = r.Dir, r.Stderr
+	out, err := cmd.Output()
+	if err != nil {
+		return "", fmt.Errorf("go %s: %w", strings.Join(args, " "), err)
+	}
+	return string(out), nil
+}
