--- a/cmd/pepperlead/list.go
+++ b/cmd/pepperlead/list.go
@@ -37,7 +37,7 @@
 func sum(f endpointfiles.File) summary {
 	s := summary{File: f.Name, Problem: f.Problem, Servers: len(f.Entries), Issue: f.Issue, Sealed: f.Sealed, TakeAway: f.TakesAway}
 	for _, e := range f.Entries {
-		if e.Standing == policy.Ready {
+		if e.Status == policy.Ready {
 			s.Ready++
 			s.Weight += e.Weight
 		}
--- a/internal/benchmark/lists.go
+++ b/internal/benchmark/lists.go
@@ -73,13 +73,13 @@
 		for _, e := range found.Entries {
 			members = append(members, e.Member)
 		}
-		module := policy.New(nobody{}, &policy.Settings{Instances: 1, Zone: "a", Zones: 3, Weighted: true, Tick: 5 * policy.Millisecond,
+		module := policy.New(nobody{}, &policy.Settings{Instances: 1, Zone: "a", Zones: 3, FixedWeights: true, Tick: 5 * policy.Millisecond,
 			Classes: []policy.Class{{Name: "step", Value: 1, Target: policy.Second}}}, 1, 1)
 		at = time.Now()
-		module.List(1, policy.ListFull, members)
+		module.UpdateEndpoints(1, policy.ListFull, members)
 		least(&out.Deal, at)
 		at = time.Now()
-		module.List(2, policy.ListFull, members)
+		module.UpdateEndpoints(2, policy.ListFull, members)
 		least(&out.Again, at)
 	}
 	return out
--- a/internal/config/installation.go
+++ b/internal/config/installation.go
@@ -201,9 +201,9 @@
 
 func (in *Installation) cold(t *tomlfile.Table) {
 	c := in.Campaign
-	c.ColdShare = t.Real("share", 0.2, 0.001, 1)
+	c.ColdCapacity = t.Real("share", 0.2, 0.001, 1)
 	c.ColdTime = t.Span("time", 24*policy.Second, 0, 3600*policy.Second)
-	c.FallMultiple = t.Real("fall", 3, 1, 1000)
+	c.OverloadMultiple = t.Real("fall", 3, 1, 1000)
 	t.Done()
 }
 
@@ -221,8 +221,8 @@
 		t.Fault("zone", t.Found("zone"), "one of the zones, "+strings.Join(zones, ", "))
 	}
 	c.Instances = int(t.Count("instances", 1, 1, 1<<16))
-	c.CrossPrice = t.Real("cross_price", 0, 0, 1)
-	c.Weighted = t.OneOf("weights", 0, "nominal", "live") == 0
+	c.CrossZonePrice = t.Real("cross_price", 0, 0, 1)
+	c.FixedWeights = t.OneOf("weights", 0, "nominal", "live") == 0
 	if seed := t.Text("seed", ""); seed != "" {
 		var err error
 		if in.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
@@ -246,7 +246,7 @@
 	in.IdleFor = t.Span("idle", 60*policy.Second, policy.Second/10, 3600*policy.Second)
 	in.Leave = t.Span("leave", 0, policy.Second/10, 3600*policy.Second)
 	c.MaxAttempts = int(t.Count("pushes", 3, 1, 8))
-	c.Streams = int(t.Count("streams", 1, 1, 1<<16))
+	c.StreamsPerConnection = int(t.Count("streams", 1, 1, 1<<16))
 	c.MayCancel = t.Yes("cancel", true)
 	c.MaxRetryAfter = t.Span("advice", 3*policy.Second, 0, 3600*policy.Second)
 	c.Tick = t.Span("tick", 5*policy.Millisecond, policy.Millisecond, 100*policy.Millisecond)
@@ -322,7 +322,7 @@
 func (in *Installation) franchises(root *tomlfile.Table) {
 	c := in.Campaign
 	terms := root.Table("franchises")
-	c.BeyondValue = terms.Real("beyond_credit", 0.05, 0, 1)
+	c.OverQuotaValue = terms.Real("beyond_credit", 0.05, 0, 1)
 	terms.Done()
 	first := map[string]int{}
 	for _, t := range root.Tables("franchise") {
@@ -333,7 +333,7 @@
 		}
 		first[f.Name] = t.Line("name")
 		t.Done()
-		c.Quotas += f.Quota
+		c.TotalQuota += f.Quota
 		c.Tenants = append(c.Tenants, f)
 	}
 }
--- a/internal/config/installation_test.go
+++ b/internal/config/installation_test.go
@@ -28,7 +28,7 @@
 	if in.Listen != "127.0.0.1:9000" || in.Admin != "127.0.0.1:9002" || in.Pages != "127.0.0.1:9001" || !in.Anonymous || in.MemoryMB != 192 || c.Zones != 2 ||
 		c.Zone != "a" || len(c.Classes) != 3 || c.Classes[1].Idempotency != policy.Keyed ||
 		c.Classes[1].Group != policy.GroupZone || c.Classes[1].Window != 2*policy.Second || in.Default != "step" ||
-		in.CutOffs[0] != 2*policy.Second || c.Classes[0].Deadline != 2*policy.Second || !c.Weighted || c.Streams != 1 || in.Leave != 3*policy.Second || c.Quotas != 250 || c.ColdTime != 24*policy.Second ||
+		in.CutOffs[0] != 2*policy.Second || c.Classes[0].Deadline != 2*policy.Second || !c.FixedWeights || c.StreamsPerConnection != 1 || in.Leave != 3*policy.Second || c.TotalQuota != 250 || c.ColdTime != 24*policy.Second ||
 		in.Patterns[0] != "../../deploy/servers.toml" || in.Terms.Settle != 200*policy.Millisecond {
 		t.Errorf("%+v\n%+v", in, c)
 	}
--- a/internal/config/version_test.go
+++ b/internal/config/version_test.go
@@ -29,8 +29,8 @@
 
 func TestVersionsAreRead(t *testing.T) {
 	v, err := ReadVersion("v", []byte(version))
-	if err != nil || v.Campaign.Instances != 7 || v.Campaign.ColdShare != 0.3 || len(v.Servers) != 1 || v.CutOffs[0] != 2*policy.Second ||
-		v.Campaign.Classes[0].Window != 1500*policy.Millisecond || v.Campaign.Quotas != 3 {
+	if err != nil || v.Campaign.Instances != 7 || v.Campaign.ColdCapacity != 0.3 || len(v.Servers) != 1 || v.CutOffs[0] != 2*policy.Second ||
+		v.Campaign.Classes[0].Window != 1500*policy.Millisecond || v.Campaign.TotalQuota != 3 {
 		t.Fatalf("%+v %v", v, err)
 	}
 	for _, change := range [][2]string{{"instances = 7", ""}, {`"1500ms"`, `"3s"`}, {"[fleet]", "[flet]"}, {`group = "zone"`, `group = "town"`},
--- a/internal/daemon/agreed.go
+++ b/internal/daemon/agreed.go
@@ -49,7 +49,7 @@
 	}
 	servers := members(v.Servers)
 	return &engine.Version{Version: ruleset.Version{Number: p.Number, Digest: p.Digest, Rules: ruleset.RulesOf(v.Campaign, v.CutOffs, servers, v.Bans)},
-		Campaign: v.Campaign, Servers: v.Servers, Table: policy.Unpacked(p.Table, servers)}, nil
+		Campaign: v.Campaign, Servers: v.Servers, Table: policy.DecodeTable(p.Table, servers)}, nil
 }
 
 func members(of []endpointfiles.Entry) (all []policy.Member) {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -43,8 +43,8 @@
 	c := post.Settings
 	if post.Listen != "127.9.9.9:1" || post.Discovery != "127.2.0.1:8500" || post.Seed != 0x8c1f30d27a5be964 ||
 		post.Descriptors != 1024 || post.ConnectIn != policy.Second/5 || post.IdleFor != 60*policy.Second ||
-		post.Leave != longest+acceptFor || c.Zones != 2 || c.Instances != 3 || len(c.Classes) != 2 || c.Quotas != 30 ||
-		c.Streams != 1 || c.Classes[1].Deadline != 4*policy.Second || c.Classes[0].Name != "step, first" || c.Classes[1].Group != policy.GroupCell || !c.Weighted {
+		post.Leave != longest+acceptFor || c.Zones != 2 || c.Instances != 3 || len(c.Classes) != 2 || c.TotalQuota != 30 ||
+		c.StreamsPerConnection != 1 || c.Classes[1].Deadline != 4*policy.Second || c.Classes[0].Name != "step, first" || c.Classes[1].Group != policy.GroupCell || !c.FixedWeights {
 		t.Errorf("%+v\n%+v", post, c)
 	}
 }
@@ -52,7 +52,7 @@
 func TestPoolsAreRead(t *testing.T) {
 	text := strings.NewReplacer(`"rough"`, `"live"`, `"max_pushes":3`, `"max_pushes":3,"streams_per_conn":100`).Replace(told)
 	post, err := Read(write(t, text), func(string) string { return "" })
-	if err != nil || post.Settings.Weighted || post.Settings.Streams != 100 {
+	if err != nil || post.Settings.FixedWeights || post.Settings.StreamsPerConnection != 100 {
 		t.Errorf("%v %+v", err, post.Settings)
 	}
 }
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -35,16 +35,16 @@
 // filledHeritage has a distinct value in every field, so that a key that is lost, renamed or swapped with another changes the encoding.
 func filledHeritage() heritage {
 	return heritage{
-		Knowledge: policy.Knowledge{
-			Calm: 1.5, PerHeld: 2.5, Pace: 3.5, InUse: 4.5, Late: 5.5, Pushes: 6.5, NearPart: 7.5,
-			Sides:    [2]float64{8.5, 9.5},
-			Usual:    []float64{10.5, 11.5},
-			Patience: []policy.Patience{{Most: 12, Odd: 13.5}},
-			Use:      []float64{14.5, 15.5},
-			Arrivals: 16.5, Done: 17.5, Borne: 18.5,
-			Recent: []uint64{19, 20},
-			Servers: []policy.Learned{{ID: 21, Started: 22, Weight: 23.5, Limit: 24.5, Ratio: 25.5, Served: 26.5, Row: 27, Trickle: 28,
-				AsideTill: 29, Skip: 30, Budget: 31.5}},
+		LearnedState: policy.LearnedState{
+			Baseline: 1.5, LatencyPerReported: 2.5, Limit: 3.5, InUse: 4.5, Lateness: 5.5, RetryBudget: 6.5, NearShare: 7.5,
+			ZoneLatency:   [2]float64{8.5, 9.5},
+			MeanLatency:   []float64{10.5, 11.5},
+			FirstAttempts: []policy.FirstAttemptTimes{{Longest: 12, ShorterShare: 13.5}},
+			TenantRates:   []float64{14.5, 15.5},
+			ArrivalRate:   16.5, SuccessRate: 17.5, WarmRate: 18.5,
+			RecentKeys: []uint64{19, 20},
+			Endpoints: []policy.LearnedEndpoint{{ID: 21, Started: 22, Weight: 23.5, Limit: 24.5, Ratio: 25.5, Served: 26.5, Failures: 27, SlowStart: 28,
+				EjectedUntil: 29, Ejection: 30, Budget: 31.5}},
 		},
 		Seen: []policy.EndpointID{32, 33},
 	}
--- a/internal/daemon/keep.go
+++ b/internal/daemon/keep.go
@@ -38,10 +38,10 @@
 	}
 	ready := map[policy.EndpointID]bool{}
 	for _, s := range now.Servers {
-		ready[s.ID] = s.Standing == policy.Ready
+		ready[s.ID] = s.Status == policy.Ready
 	}
 	for _, s := range next.Servers {
-		if s.Standing == policy.Ready && ready[s.ID] && !slices.Contains(next.Bans, s.ID) && !slices.Contains(now.Bans, s.ID) {
+		if s.Status == policy.Ready && ready[s.ID] && !slices.Contains(next.Bans, s.ID) && !slices.Contains(now.Bans, s.ID) {
 			return nil
 		}
 	}
@@ -60,10 +60,10 @@
 	if inForce != nil {
 		if v, err := config.ReadVersion("in force", inForce.Text); err == nil {
 			was = members(v.Servers)
-			table = policy.Unpacked(inForce.Table, was)
+			table = policy.DecodeTable(inForce.Table, was)
 		}
 	}
-	return policy.Packed(policy.Deal(table, was, members(next.Servers)), members(next.Servers))
+	return policy.EncodeTable(policy.AssignSlots(table, was, members(next.Servers)), members(next.Servers))
 }
 
 // Keep runs a keeper of versions until it is told to end.
--- a/internal/daemon/operated.go
+++ b/internal/daemon/operated.go
@@ -34,14 +34,14 @@
 
 // heritage is what a process tells the one that follows it.
 type heritage struct {
-	policy.Knowledge                     // without a tag: its keys stand beside the others
-	Seen             []policy.EndpointID `json:"Seen"` // ids that lists have named: also one that has gone can be taken out by hand
+	policy.LearnedState                     // without a tag: its keys stand beside the others
+	Seen                []policy.EndpointID `json:"Seen"` // ids that lists have named: also one that has gone can be taken out by hand
 }
 
 // tell gives what this process has learned.
 func (o operated) tell() []byte {
 	var h heritage
-	if !o.Within(loopIn, func() { h = heritage{o.Module.Tell(o.Clock.Now()), o.Seen()} }) {
+	if !o.Within(loopIn, func() { h = heritage{o.Module.ExportState(o.Clock.Now()), o.Seen()} }) {
 		return nil
 	}
 	text, _ := json.Marshal(h)
@@ -58,9 +58,9 @@
 		}
 		o.Within(loopIn, func() {
 			o.Saw(h.Seen)
-			o.Module.Learn(o.Clock.Now(), h.Knowledge)
+			o.Module.ImportState(o.Clock.Now(), h.LearnedState)
 		})
-		o.Logger.WithField("servers", len(h.Servers)).Info("handover: goes on from what the other process has learned")
+		o.Logger.WithField("servers", len(h.Endpoints)).Info("handover: goes on from what the other process has learned")
 	}
 }
 
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -69,8 +69,8 @@
 	daemon := httpproxy.New(httpproxy.Config{Listen: listen, Source: fixed, Seed: sc.Seed, Descriptors: 512, Memory: 32 << 20,
 		ConnectIn: second / 5, IdleFor: 60 * second, Accept: second / 20, Leave: 2 * second, Anonymous: true, DefaultClass: "step",
 		Deadlines: []policy.Time{2 * second, 3 * second, 3 * second},
-		Settings: &policy.Settings{Instances: 1, Zone: "a", Zones: 1, Weighted: true, MayCancel: true, MaxAttempts: 3,
-			MaxRetryAfter: 3 * second, Tick: 5 * policy.Millisecond, ColdShare: 0.2, ColdTime: 2 * second, FallMultiple: 3,
+		Settings: &policy.Settings{Instances: 1, Zone: "a", Zones: 1, FixedWeights: true, MayCancel: true, MaxAttempts: 3,
+			MaxRetryAfter: 3 * second, Tick: 5 * policy.Millisecond, ColdCapacity: 0.2, ColdTime: 2 * second, OverloadMultiple: 3,
 			Classes: Offerings}}, log)
 	stop, ended := make(chan os.Signal, 1), make(chan error, 1)
 	go func() { ended <- daemon.Run(stop, nil) }()
--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -143,7 +143,7 @@
 	go func() {
 		defer close(over)
 		p.Run(ctx, func(n News) {
-			if n.List != nil && len(n.List.Entries) > 0 && n.List.Entries[0].Standing == policy.Draining {
+			if n.List != nil && len(n.List.Entries) > 0 && n.List.Entries[0].Status == policy.Draining {
 				select {
 				case told <- time.Now():
 				default:
--- a/internal/discovery/files_test.go
+++ b/internal/discovery/files_test.go
@@ -92,7 +92,7 @@
 			var uids []string
 			for _, e := range n.List.Entries {
 				uid := e.UID
-				if e.Standing == policy.Draining {
+				if e.Status == policy.Draining {
 					uid += "!"
 				}
 				uids = append(uids, uid)
@@ -288,10 +288,12 @@
 	w.end()
 	// Changes are kept as what they come to.
 	in := map[string]Entry{}
-	e := func(uid string, s policy.Standing) Entry { return Entry{UID: uid, Member: policy.Member{Standing: s}} }
+	e := func(uid string, s policy.EndpointStatus) Entry {
+		return Entry{UID: uid, Member: policy.Member{Status: s}}
+	}
 	merge(in, List{Kind: policy.ListFull, Entries: []Entry{e("a", 0), e("b", 0)}})
 	merge(in, List{Kind: policy.ListChanges, Entries: []Entry{e("b", policy.Draining), e("a", policy.Gone), e("c", 0)}})
-	if len(in) != 2 || in["b"].Standing != policy.Draining || in["c"].UID != "c" {
+	if len(in) != 2 || in["b"].Status != policy.Draining || in["c"].UID != "c" {
 		t.Errorf("%v", in)
 	}
 }
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -56,8 +56,8 @@
 		return Entry{UID: uid, Addr: address, Member: member}
 	}
 	encoded := save([]Entry{
-		server("server-1", "10.0.0.1:80", policy.Member{Weight: 2.5, Cell: 3, Zone: "zone-1", Standing: policy.Draining, Started: 4}),
-		server("server-2", "10.0.0.2:80", policy.Member{Weight: 5.5, Cell: 6, Zone: "zone-2", Standing: policy.Ready, Started: 7}),
+		server("server-1", "10.0.0.1:80", policy.Member{Weight: 2.5, Cell: 3, Zone: "zone-1", Status: policy.Draining, Started: 4}),
+		server("server-2", "10.0.0.2:80", policy.Member{Weight: 5.5, Cell: 6, Zone: "zone-2", Status: policy.Ready, Started: 7}),
 		server("server-3", "10.0.0.3:80", policy.Member{}),
 	}, endpointfiles.Memo{
 		Issues: map[string]endpointfiles.Issue{"file-1": 8, "file-2": 9},
--- a/internal/discovery/kept.go
+++ b/internal/discovery/kept.go
@@ -57,13 +57,13 @@
 }
 
 type savedServer struct {
-	UID      string          `json:"id"`
-	Addr     string          `json:"address"`
-	Zone     policy.Zone     `json:"zone,omitempty"`
-	Cell     policy.Cell     `json:"pod,omitempty"`
-	Weight   float64         `json:"weight"`
-	Standing policy.Standing `json:"standing,omitempty"`
-	Started  policy.Time     `json:"started,omitempty"`
+	UID      string                `json:"id"`
+	Addr     string                `json:"address"`
+	Zone     policy.Zone           `json:"zone,omitempty"`
+	Cell     policy.Cell           `json:"pod,omitempty"`
+	Weight   float64               `json:"weight"`
+	Standing policy.EndpointStatus `json:"standing,omitempty"`
+	Started  policy.Time           `json:"started,omitempty"`
 }
 
 // Run tells the list kept, then what the source has to tell.
@@ -119,7 +119,7 @@
 		clear(in)
 	}
 	for _, e := range l.Entries {
-		if e.Standing == policy.Gone {
+		if e.Status == policy.Gone {
 			delete(in, e.UID)
 		} else {
 			in[e.UID] = e
@@ -133,7 +133,7 @@
 		doc.Drains[uid] = [2]policy.Time{d.Told, d.Named}
 	}
 	for _, e := range slices.SortedFunc(maps.Values(in), func(a, b Entry) int { return cmp.Compare(a.UID, b.UID) }) {
-		doc.Servers = append(doc.Servers, savedServer{e.UID, e.Addr, e.Zone, e.Cell, e.Weight, e.Standing, e.Started})
+		doc.Servers = append(doc.Servers, savedServer{e.UID, e.Addr, e.Zone, e.Cell, e.Weight, e.Status, e.Started})
 	}
 	return doc
 }
@@ -166,7 +166,7 @@
 			return nil, memo, errors.New("a server in it cannot be used: " + s.UID)
 		}
 		entries = append(entries, Entry{UID: s.UID, Addr: s.Addr, Member: policy.Member{ID: endpointfiles.IDOf(s.UID),
-			Zone: s.Zone, Cell: s.Cell, Weight: s.Weight, Standing: s.Standing, Started: s.Started}})
+			Zone: s.Zone, Cell: s.Cell, Weight: s.Weight, Status: s.Standing, Started: s.Started}})
 	}
 	return entries, memo, nil
 }
--- a/internal/discovery/platform_test.go
+++ b/internal/discovery/platform_test.go
@@ -15,7 +15,7 @@
 	var out strings.Builder
 	version, full, all, err := ReadList([]byte(in))
 	for _, e := range all {
-		fmt.Fprintln(&out, e.UID, e.Addr, e.Zone, e.Cell, e.Standing, e.Weight, e.Started)
+		fmt.Fprintln(&out, e.UID, e.Addr, e.Zone, e.Cell, e.Status, e.Weight, e.Started)
 	}
 	return fmt.Sprintf("%d %v\n%s", version, full, out.String()), err
 }
--- a/internal/discovery/platformlist.go
+++ b/internal/discovery/platformlist.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		return Entry{}, err
 	}
-	var standing policy.Standing
+	var standing policy.EndpointStatus
 	switch string(state) {
 	case "Ready":
 		standing = policy.Ready
@@ -89,7 +89,7 @@
 	}
 	e := Entry{UID: string(uid), Addr: string(addr)}
 	e.Member = policy.Member{ID: endpointfiles.IDOf(e.UID), Weight: weight, Cell: policy.Cell(cell), Zone: policy.Zone(zone),
-		Standing: standing, Started: policy.Time(boot) * policy.Millisecond}
+		Status: standing, Started: policy.Time(boot) * policy.Millisecond}
 	return e, nil
 }
 
--- a/internal/emulator/baseline/baseline.go
+++ b/internal/emulator/baseline/baseline.go
@@ -84,11 +84,11 @@
 // none is no server.
 const none policy.EndpointID = 0
 
-func (b *base) List(now policy.Time, kind policy.ListKind, members []policy.Member) {
+func (b *base) UpdateEndpoints(now policy.Time, kind policy.ListKind, members []policy.Member) {
 	if kind != policy.ListChanges {
 		for id, s := range b.servers {
 			if !slices.ContainsFunc(members, func(m policy.Member) bool { return m.ID == id }) {
-				s.Standing = policy.Gone
+				s.Status = policy.Gone
 			}
 		}
 	}
@@ -101,7 +101,7 @@
 	}
 	b.ready = b.ready[:0]
 	for id, s := range b.servers {
-		if s.Standing == policy.Ready {
+		if s.Status == policy.Ready {
 			b.ready = append(b.ready, id)
 		}
 	}
@@ -112,12 +112,12 @@
 		}
 		sorted := slices.SortedFunc(slices.Values(members), func(x, y policy.Member) int { return cmp.Compare(x.ID, y.ID) })
 		for _, m := range sorted {
-			if m.Standing != policy.Gone {
+			if m.Status != policy.Gone {
 				b.slots.Join(m.ID, m.Weight)
 			}
 		}
 	}
-	if b.c.MustAsk && len(b.ready) == 0 {
+	if b.c.PollList && len(b.ready) == 0 {
 		b.front.FollowList(true)
 	}
 }
@@ -253,7 +253,7 @@
 // allowed keeps the rules on drains and repeats, and sends no ticket twice to one server.
 func (b *base) allowed(t *ticket, id policy.EndpointID) bool {
 	s := b.servers[id]
-	if s == nil || s.Standing != policy.Ready || slices.Contains(t.tried, id) {
+	if s == nil || s.Status != policy.Ready || slices.Contains(t.tried, id) {
 		return false
 	}
 	o := &b.c.Classes[t.o]
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -5,11 +5,11 @@
 )
 
 func (w *World) member(v *server) policy.Member {
-	return policy.Member{ID: v.id, Weight: v.weight, Cell: v.cell, Zone: v.zone, Standing: v.standing, Started: v.started}
+	return policy.Member{ID: v.id, Weight: v.weight, Cell: v.cell, Zone: v.zone, Status: v.standing, Started: v.started}
 }
 
 // noticed has discovery learn how a server now stands: from itself, or by its silence.
-func (w *World) noticed(v *server, standing policy.Standing, own bool) {
+func (w *World) noticed(v *server, standing policy.EndpointStatus, own bool) {
 	d := w.sc.Discovery.Silent
 	if own {
 		d = w.sc.Discovery.Delay
@@ -22,7 +22,7 @@
 // learned is discovery as it knows of a change; what has changed again meanwhile is not said any more.
 func (w *World) learned(e *event) {
 	v := w.servers[e.a]
-	standing := policy.Standing(e.b)
+	standing := policy.EndpointStatus(e.b)
 	if uint64(v.life) != e.c || v.known == standing && v.knownStart == v.started {
 		return
 	}
@@ -73,13 +73,13 @@
 			continue
 		}
 		m := w.member(v)
-		m.Standing, m.Started = v.known, v.knownStart
+		m.Status, m.Started = v.known, v.knownStart
 		w.members = append(w.members, m)
 		s.list[v] = view{v.known, v.knownStart}
 		w.judge.Told(w.day(w.now), s.no, v.no, v.known, v.knownStart)
 	}
 	s.version = w.version
-	s.decider.List(w.now, kind, w.members)
+	s.decider.UpdateEndpoints(w.now, kind, w.members)
 }
 
 // catchUp sends a sidecar the whole list after a while.
--- a/internal/emulator/judge/judge.go
+++ b/internal/emulator/judge/judge.go
@@ -363,7 +363,7 @@
 // ---- lists and cold servers ----
 
 // Told is told that a list has come to a sidecar that names, or no longer names, a server.
-func (j *Judge) Told(at policy.Time, s Sidecar, of Server, standing policy.Standing, started policy.Time) {
+func (j *Judge) Told(at policy.Time, s Sidecar, of Server, standing policy.EndpointStatus, started policy.Time) {
 	w := j.told[s][of]
 	if standing == policy.Ready {
 		w.leaving = 0
--- a/internal/emulator/plan.go
+++ b/internal/emulator/plan.go
@@ -5,7 +5,7 @@
 // idle decides nothing: a day that is only planned has no tickets.
 type idle struct{}
 
-func (idle) List(policy.Time, policy.ListKind, []policy.Member) {}
+func (idle) UpdateEndpoints(policy.Time, policy.ListKind, []policy.Member) {}
 func (idle) ListFailed(policy.Time)                             {}
 func (idle) Admit(policy.Time, policy.ClassID, policy.TenantID, string, bool, policy.Time) policy.Handle {
 	return 0
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -22,7 +22,7 @@
 	weight     float64
 	machine    *machine.Machine
 	started    policy.Time
-	standing   policy.Standing
+	standing   policy.EndpointStatus
 	down       bool // its process is not there
 	silent     int  // faults under which it says nothing
 	lost       bool // its process ended while it was silent: what comes is not answered
@@ -32,8 +32,8 @@
 	nextAt     policy.Time
 	ticket     uint32 // of its latest event; earlier ones are void
 	pod        *pod
-	out        int             // pushes out to it
-	known      policy.Standing // by discovery, and what else it knows
+	out        int                   // pushes out to it
+	known      policy.EndpointStatus // by discovery, and what else it knows
 	knownStart policy.Time
 	knownAt    int64
 	noise      *rand.Rand
--- a/internal/emulator/sidecar.go
+++ b/internal/emulator/sidecar.go
@@ -79,7 +79,7 @@
 
 // view is what a sidecar was told of a server.
 type view struct {
-	standing policy.Standing
+	standing policy.EndpointStatus
 	started  policy.Time
 }
 
@@ -126,12 +126,12 @@
 		for _, v := range s.w.servers {
 			if is, known := s.list[v]; known {
 				m := s.w.member(v)
-				m.Standing, m.Started = is.standing, is.started
+				m.Status, m.Started = is.standing, is.started
 				all = append(all, m)
 			}
 		}
 		if len(all) > 0 {
-			s.decider.List(s.w.now, policy.ListSaved, all)
+			s.decider.UpdateEndpoints(s.w.now, policy.ListSaved, all)
 			for v, is := range s.list {
 				s.w.judge.Told(s.w.day(s.w.now), s.no, v.no, is.standing, is.started)
 			}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -14,7 +14,7 @@
 
 // Decider is what decides for a sidecar: the module, or a baseline.
 type Decider interface {
-	List(now policy.Time, kind policy.ListKind, members []policy.Member)
+	UpdateEndpoints(now policy.Time, kind policy.ListKind, members []policy.Member)
 	ListFailed(now policy.Time)
 	Admit(now policy.Time, o policy.ClassID, f policy.TenantID, key string, repeat bool, left policy.Time) policy.Handle
 	Begin(now policy.Time, h policy.Handle)
@@ -110,17 +110,17 @@
 		factor: 1, sample: sample, noise: stream(seed, "network", 0)}
 	w.draws.faults, w.draws.retries = stream(seed, "faults", 0), stream(seed, "retries", 0)
 	w.draws.errors = stream(seed, "errors", 0)
-	w.campaign = policy.Settings{Instances: sc.Sidecars, Zones: len(sc.Zones), Weighted: sc.weighs(), MustAsk: sc.Discovery.Asked,
-		MustAskIn: 10 * policy.Second, MayCancel: sc.Allow.Cancel, MaxAttempts: sc.Allow.Pushes, MaxRetryAfter: sc.Allow.Advice,
-		CrossPrice: sc.Allow.CrossPrice, Tick: sc.Tick, ColdShare: 1, BeyondValue: sc.Beyond, FallMultiple: 3}
+	w.campaign = policy.Settings{Instances: sc.Sidecars, Zones: len(sc.Zones), FixedWeights: sc.weighs(), PollList: sc.Discovery.Asked,
+		PollWithin: 10 * policy.Second, MayCancel: sc.Allow.Cancel, MaxAttempts: sc.Allow.Pushes, MaxRetryAfter: sc.Allow.Advice,
+		CrossZonePrice: sc.Allow.CrossPrice, Tick: sc.Tick, ColdCapacity: 1, OverQuotaValue: sc.Beyond, OverloadMultiple: 3}
 	facts := judge.Facts{Sidecars: sc.Sidecars, MaxPushes: sc.Allow.Pushes, Grace: sc.Allow.Grace, Length: sc.Length}
 	for _, k := range sc.Kinds {
 		if k.WarmIn > 0 {
-			w.campaign.ColdShare = min(w.campaign.ColdShare, k.ColdPart)
+			w.campaign.ColdCapacity = min(w.campaign.ColdCapacity, k.ColdPart)
 			w.campaign.ColdTime = max(w.campaign.ColdTime, k.WarmIn)
 		}
 		if k.Fall > 0 && (facts.Fall == 0 || k.Fall < facts.Fall) {
-			facts.Fall, facts.FallIn, w.campaign.FallMultiple = k.Fall, k.FallIn, k.Fall
+			facts.Fall, facts.FallIn, w.campaign.OverloadMultiple = k.Fall, k.FallIn, k.Fall
 		}
 	}
 	for _, o := range sc.Offerings {
@@ -140,7 +140,7 @@
 			quota = f.Part * w.rate
 		}
 		w.campaign.Tenants = append(w.campaign.Tenants, policy.Tenant{Name: f.Name, Quota: quota})
-		w.campaign.Quotas += quota
+		w.campaign.TotalQuota += quota
 		names = append(names, f.Name)
 		w.cumFr = append(w.cumFr, f.Share)
 	}
@@ -308,7 +308,7 @@
 		if of, says := c.decider.(interface{ Gauges() policy.Gauges }); says && c.alive {
 			g := of.Gauges()
 			n++
-			s.Pace += min(g.OutLimit, 1e4)
+			s.Pace += min(g.TotalLimit, 1e4)
 			s.Limit += g.Limit
 			s.Aside += float64(g.Ejected)
 		}
--- a/internal/endpointfiles/listing.go
+++ b/internal/endpointfiles/listing.go
@@ -224,7 +224,7 @@
 				return fmt.Sprintf("%s: servers %q and %q have one hash: give one another id", f.Name, e.UID, other)
 			}
 			byUID[e.UID], byID[e.ID] = f.Name, e.UID
-			if e.Standing != policy.Ready {
+			if e.Status != policy.Ready {
 				continue
 			}
 			if other, twice := byAddr[e.Addr]; twice {
@@ -245,7 +245,7 @@
 		}
 		for _, e := range f.Entries {
 			d, drained := k.memo.Drains[e.UID]
-			if drained && e.Standing == policy.Ready && e.Started <= d.Told && now-d.Named < k.terms.Remember {
+			if drained && e.Status == policy.Ready && e.Started <= d.Told && now-d.Named < k.terms.Remember {
 				return fmt.Sprintf("%s: server %q was told draining and is ready again: allowed with a later start (started) "+
 					"or in a list of a higher issue", f.Name, e.UID)
 			}
@@ -265,13 +265,13 @@
 			says += f.TakesAway // one that is in force already has had its say
 		}
 		for _, e := range f.Entries {
-			stays[e.UID] = e.Standing == policy.Ready
+			stays[e.UID] = e.Status == policy.Ready
 		}
 	}
 	count, before, weight, lost := 0, 0, 0.0, 0.0
 	for _, uid := range slices.Sorted(maps.Keys(k.in)) {
 		e := k.in[uid]
-		if e.Standing != policy.Ready {
+		if e.Status != policy.Ready {
 			continue
 		}
 		before++
@@ -292,7 +292,7 @@
 	n := 0
 	for _, f := range files {
 		for _, e := range f.Entries {
-			if e.Standing == policy.Ready {
+			if e.Status == policy.Ready {
 				n++
 			}
 		}
@@ -312,7 +312,7 @@
 			k.in[e.UID] = e
 			d, drained := k.memo.Drains[e.UID]
 			switch {
-			case e.Standing == policy.Ready:
+			case e.Status == policy.Ready:
 				delete(k.memo.Drains, e.UID)
 			case drained:
 				k.memo.Drains[e.UID] = Drain{d.Told, now}
--- a/internal/endpointfiles/listing_test.go
+++ b/internal/endpointfiles/listing_test.go
@@ -104,7 +104,7 @@
 		}
 		for _, e := range f.Entries {
 			ids[e.UID]++
-			if e.Standing == policy.Ready {
+			if e.Status == policy.Ready {
 				addrs[e.Addr]++
 				ready[e.UID] = true
 				if f.Issue <= issue && m.drained(now, e) {
@@ -127,7 +127,7 @@
 	if last != nil {
 		for _, f := range last.files {
 			for _, e := range f.Entries {
-				if e.Standing == policy.Ready {
+				if e.Status == policy.Ready {
 					before++
 					weight += e.Weight
 					if !ready[e.UID] {
@@ -162,7 +162,7 @@
 			for _, x := range f.Entries {
 				switch {
 				case x.UID != e.UID:
-				case x.Standing == policy.Ready:
+				case x.Status == policy.Ready:
 					told = -1
 				default:
 					if named = r.now; told < 0 {
@@ -200,7 +200,7 @@
 		f.Entries = slices.Delete(f.Entries, i, i+1)
 	case act < 8 && len(f.Entries) > 0:
 		e := &f.Entries[rnd.IntN(len(f.Entries))]
-		if e.Standing = policy.Standing(rnd.IntN(2)); rnd.IntN(3) == 0 {
+		if e.Status = policy.EndpointStatus(rnd.IntN(2)); rnd.IntN(3) == 0 {
 			e.Started = now
 		}
 	case act < 9 && len(f.Entries) > 0:
@@ -280,11 +280,11 @@
 
 // What is resumed counts like what was taken: drains and issues, and the part that may be taken away.
 func TestResumedListsCount(t *testing.T) {
-	file := func(issue Issue, standings ...policy.Standing) File {
+	file := func(issue Issue, standings ...policy.EndpointStatus) File {
 		f := File{Name: "f", Mark: Mark(issue)<<8 + Mark(len(standings)), Sealed: true, Issue: issue}
 		for i, s := range standings {
 			uid := fmt.Sprint("s", i)
-			f.Entries = append(f.Entries, Entry{UID: uid, Addr: uid, Member: policy.Member{ID: IDOf(uid), Weight: 1, Standing: s}})
+			f.Entries = append(f.Entries, Entry{UID: uid, Addr: uid, Member: policy.Member{ID: IDOf(uid), Weight: 1, Status: s}})
 		}
 		return f
 	}
--- a/internal/endpointfiles/text.go
+++ b/internal/endpointfiles/text.go
@@ -65,11 +65,11 @@
 	t.Require("id", "address")
 	e := Entry{UID: t.Text("id", ""), Addr: t.Text("address", "")}
 	e.Member = policy.Member{ID: IDOf(e.UID),
-		Zone:     policy.Zone(t.Text("zone", "")),
-		Cell:     policy.Cell(t.Count("pod", 0, 0, 1<<31-1)),
-		Weight:   t.Real("weight", 1, 1e-6, 1e9),
-		Standing: policy.Standing(t.OneOf("state", int(policy.Ready), "ready", "draining")),
-		Started:  t.Moment("started")}
+		Zone:    policy.Zone(t.Text("zone", "")),
+		Cell:    policy.Cell(t.Count("pod", 0, 0, 1<<31-1)),
+		Weight:  t.Real("weight", 1, 1e-6, 1e9),
+		Status:  policy.EndpointStatus(t.OneOf("state", int(policy.Ready), "ready", "draining")),
+		Started: t.Moment("started")}
 	if e.Addr != "" && !Address(e.Addr) {
 		t.Fault("address", t.Found("address"), "an IP address and port, as 10.0.0.4:9000 or [::1]:9000")
 	}
--- a/internal/engine/byhand.go
+++ b/internal/engine/byhand.go
@@ -53,8 +53,8 @@
 // back was restarted meanwhile, whether or not the list tells so yet.
 func (f *members) shown(e discovery.Entry) discovery.Entry {
 	h := f.byHand[e.UID]
-	if _, banned := slices.BinarySearch(f.banned, e.ID); (h.out || banned) && e.Standing == policy.Ready {
-		e.Standing = policy.Draining
+	if _, banned := slices.BinarySearch(f.banned, e.ID); (h.out || banned) && e.Status == policy.Ready {
+		e.Status = policy.Draining
 	}
 	e.Started = max(e.Started, h.back)
 	return e
@@ -95,7 +95,7 @@
 		}
 	}
 	if len(changed) > 0 {
-		e.Module.List(now, policy.ListChanges, changed)
+		e.Module.UpdateEndpoints(now, policy.ListChanges, changed)
 	}
 	e.publish(now)
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -198,7 +198,7 @@
 		}
 	}
 	e.publish(now)
-	if !e.Settings.MustAsk {
+	if !e.Settings.PollList {
 		e.list.follow(true)
 	}
 	e.list.start(e.Source)
--- a/internal/engine/leave.go
+++ b/internal/engine/leave.go
@@ -15,7 +15,7 @@
 	}
 	e.Logger.WithField("tickets", e.Held).Info("leaving: answering what is in hand")
 	e.leaving, e.leaveBy = true, now+e.Config.Leave
-	e.Module.Leave(now, e.leaveBy)
+	e.Module.Shutdown(now, e.leaveBy)
 	for _, f := range e.fronts {
 		f.Leave(now)
 	}
--- a/internal/engine/members.go
+++ b/internal/engine/members.go
@@ -107,7 +107,7 @@
 		if f.failed++; f.failed == 1 {
 			f.e.Logger.WithField("why", n.Failed).Warn("list: calls fail")
 		}
-		if f.e.Settings.MustAsk {
+		if f.e.Settings.PollList {
 			f.e.Module.ListFailed(now)
 		}
 	case n.Refused != "":
@@ -147,7 +147,7 @@
 		f.missing(kept)
 	}
 	if list.Kind != policy.ListChanges || len(kept) > 0 {
-		f.e.Module.List(now, list.Kind, kept)
+		f.e.Module.UpdateEndpoints(now, list.Kind, kept)
 	}
 	f.e.publish(now)
 }
@@ -156,7 +156,7 @@
 // second is then left out.
 func (f *members) know(e discovery.Entry) bool {
 	server := f.e.Endpoints[e.ID]
-	if server == nil && e.Standing == policy.Gone {
+	if server == nil && e.Status == policy.Gone {
 		return false
 	}
 	if server == nil {
@@ -168,12 +168,12 @@
 		return false
 	}
 	f.saw(e.ID)
-	server.Zone, server.Listed = e.Zone, e.Standing != policy.Gone
-	if e.Standing != policy.Ready || e.Started > server.Started || e.Addr != server.Addr {
+	server.Zone, server.Listed = e.Zone, e.Status != policy.Gone
+	if e.Status != policy.Ready || e.Started > server.Started || e.Addr != server.Addr {
 		// Nothing more goes to one that leaves; one that has started anew knows nothing of old connections.
 		f.e.retire(server)
 	}
-	server.Leaving = e.Standing != policy.Ready
+	server.Leaving = e.Status != policy.Ready
 	if server.Started = e.Started; e.Addr != "" {
 		server.Addr = e.Addr
 	}
--- a/internal/engine/members_test.go
+++ b/internal/engine/members_test.go
@@ -53,7 +53,7 @@
 func TestListsWithoutEndHoldUpNothing(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	e := New(Config{Settings: &policy.Settings{Instances: 1, Weighted: true}, Source: flood{}}, log)
+	e := New(Config{Settings: &policy.Settings{Instances: 1, FixedWeights: true}, Source: flood{}}, log)
 	e.list.start(e.Source)
 	defer e.list.end()
 	for n := 0; len(e.list.news) < mostNews; n++ {
--- a/internal/engine/record.go
+++ b/internal/engine/record.go
@@ -50,7 +50,7 @@
 
 func (e *Engine) recordListed(now policy.Time, of discovery.Entry) {
 	if r := e.Record; r != nil {
-		r.Put(trace.Record{Kind: trace.Listed, At: now, No: uint64(r.ServerNo(now, of.Member, of.UID)), A: int64(of.Standing),
+		r.Put(trace.Record{Kind: trace.Listed, At: now, No: uint64(r.ServerNo(now, of.Member, of.UID)), A: int64(of.Status),
 			B: int64(of.Started)})
 	}
 }
--- a/internal/engine/renew.go
+++ b/internal/engine/renew.go
@@ -36,7 +36,7 @@
 // sameShape tells whether the module may go on with the one in place of the other: what it has counted by class,
 // tenant and zone must stay true.
 func sameShape(a, b *policy.Settings) bool {
-	return a.Zone == b.Zone && a.Zones == b.Zones && a.MustAsk == b.MustAsk && a.Weighted == b.Weighted &&
+	return a.Zone == b.Zone && a.Zones == b.Zones && a.PollList == b.PollList && a.FixedWeights == b.FixedWeights &&
 		slices.EqualFunc(a.Classes, b.Classes, func(x, y policy.Class) bool {
 			return x.Name == y.Name && x.Idempotency == y.Idempotency && x.Group == y.Group
 		}) &&
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -52,7 +52,7 @@
 // Comes says that the last byte of an admitted request is still to come: it has no deadline until Whole.
 func (e *Engine) Comes(t *Request) {
 	if !t.Settled {
-		e.Module.Coming(t.Handle, false, 0)
+		e.Module.BodyPending(t.Handle, false, 0)
 	}
 }
 
@@ -62,7 +62,7 @@
 		return
 	}
 	t.Since = now
-	e.Module.Coming(t.Handle, true, now+left)
+	e.Module.BodyPending(t.Handle, true, now+left)
 	if t.Out {
 		t.SentAt = now
 		e.Timers.Set(&t.Wait, now+max(0, left-BeforeDeadline*e.Settings.Tick))
--- a/internal/engine/tally.go
+++ b/internal/engine/tally.go
@@ -56,7 +56,7 @@
 			continue
 		}
 		members++
-		if e.list.byHand[s.UID].out || e.Module.Avoids(now, s.ID) {
+		if e.list.byHand[s.UID].out || e.Module.Ejected(now, s.ID) {
 			avoided++
 		}
 	}
--- a/internal/engine/terms.go
+++ b/internal/engine/terms.go
@@ -129,14 +129,14 @@
 // Stands tells whether an attempt that was decided on may be written now. A dial, or a loop that stood still, may have taken a request that is
 // sent again out of the window in which its repeat is dropped.
 func (e *Engine) Stands(now policy.Time, t *Request) bool {
-	if t.Attempts > 1 && !e.Module.Stands(e.Clock.Now(), t.Handle) {
+	if t.Attempts > 1 && !e.Module.AttemptAllowed(e.Clock.Now(), t.Handle) {
 		return false
 	}
 	if e.terms == nil {
 		return true
 	}
 	e.obey()
-	return t.decided == e.acted() || e.Module.Stands(now, t.Handle)
+	return t.decided == e.acted() || e.Module.AttemptAllowed(now, t.Handle)
 }
 
 // act has the module go by these rules from its next decision on.
@@ -159,7 +159,7 @@
 			e.agreeing(func(f Agreeing) { f.Offers(name, policy.NoClass, 0) })
 		}
 	}
-	c.ColdShare, c.ColdTime, c.FallMultiple, e.configured = r.ColdShare, r.ColdTime, r.Fall, r.Instances
+	c.ColdCapacity, c.ColdTime, c.OverloadMultiple, e.configured = r.ColdShare, r.ColdTime, r.Fall, r.Instances
 	e.Among(e.there)
 	e.quotas(r)
 	if t.leased != leased || !slices.Equal(t.last, t.holder.InForce()) {
@@ -186,7 +186,7 @@
 // Table is the digest of the table as it stands. One that was agreed on is taken again where the module has left it: an endpoint whose time
 // after its end is over may have moved slots.
 func (e *Engine) Table() uint64 {
-	table := e.Module.Table()
+	table := e.Module.TableDigest()
 	if e.terms != nil && table != e.terms.table && e.adopt() {
 		table = e.terms.table
 	}
@@ -203,8 +203,8 @@
 	if v == nil || v.Table == nil {
 		return false
 	}
-	if e.Module.Adopt(v.Table) {
-		t.table = e.Module.Table()
+	if e.Module.AdoptTable(v.Table) {
+		t.table = e.Module.TableDigest()
 		return true
 	}
 	if t.unfit != v.Number {
@@ -262,7 +262,7 @@
 		if like < 0 {
 			like = int(at)
 		}
-		e.Module.Placed(at, policy.ClassID(like))
+		e.Module.AddClass(at, policy.ClassID(like))
 		if e.Latency != nil {
 			e.Latency.Named(at, name)
 		}
@@ -290,7 +290,7 @@
 // quotas takes over those of the tenants. One that is not named any more has none, and its requests come as nobody's.
 func (e *Engine) quotas(r *ruleset.Rules) {
 	c := e.Settings
-	c.Quotas = 0
+	c.TotalQuota = 0
 	for i, f := range c.Tenants {
 		if !slices.ContainsFunc(r.Franchises, func(now ruleset.Franchise) bool { return now.Name == f.Name }) {
 			e.agreeing(func(front Agreeing) { front.Quotes(f.Name, policy.NoTenant) })
@@ -302,10 +302,10 @@
 		if at < 0 {
 			at = len(c.Tenants)
 			c.Tenants = append(c.Tenants, policy.Tenant{Name: f.Name})
-			e.Module.Quoted()
+			e.Module.GrowTenants()
 		}
 		c.Tenants[at].Quota = f.Quota
-		c.Quotas += f.Quota
+		c.TotalQuota += f.Quota
 		e.agreeing(func(front Agreeing) { front.Quotes(f.Name, policy.TenantID(at)) })
 	}
 }
@@ -334,8 +334,8 @@
 				e.Started = max(e.Started, r.Servers[i].Started)
 			} else if f.e.Endpoints[e.ID] == nil && (table == nil || v != table) {
 				continue
-			} else if e.Standing == policy.Ready {
-				e.Standing = policy.Draining
+			} else if e.Status == policy.Ready {
+				e.Status = policy.Draining
 			}
 			all = append(all, e)
 		}
@@ -352,13 +352,13 @@
 	var changed []policy.Member
 	for _, id := range slices.Sorted(maps.Keys(f.e.Endpoints)) {
 		if s := f.e.Endpoints[id]; s.Listed {
-			if shown := f.shown(s.Said); shown.Standing == policy.Ready == s.Leaving && f.know(shown) {
+			if shown := f.shown(s.Said); shown.Status == policy.Ready == s.Leaving && f.know(shown) {
 				changed = append(changed, shown.Member)
 			}
 		}
 	}
 	if len(changed) > 0 {
-		f.e.Module.List(f.e.Clock.Now(), policy.ListChanges, changed)
+		f.e.Module.UpdateEndpoints(f.e.Clock.Now(), policy.ListChanges, changed)
 	}
 }
 
@@ -370,11 +370,11 @@
 	for _, e := range l.Entries {
 		at := slices.IndexFunc(f.own, func(was discovery.Entry) bool { return was.ID == e.ID })
 		switch {
-		case at >= 0 && e.Standing == policy.Gone:
+		case at >= 0 && e.Status == policy.Gone:
 			f.own = slices.Delete(f.own, at, at+1)
 		case at >= 0:
 			f.own[at] = e
-		case e.Standing != policy.Gone:
+		case e.Status != policy.Gone:
 			f.own = append(f.own, e)
 		}
 	}
--- a/internal/engine/terms_test.go
+++ b/internal/engine/terms_test.go
@@ -34,7 +34,7 @@
 func (f *frontless) Quotes(name string, at policy.TenantID)               { f.quotes[name] = at }
 
 func versionOf(n ruleset.Number, servers []discovery.Entry, franchises []policy.Tenant, offerings ...policy.Class) *Version {
-	c := &policy.Settings{Instances: 4, Weighted: true, FallMultiple: 3, ColdShare: 0.5, MaxAttempts: 3, Tick: policy.Millisecond, Classes: offerings, Tenants: franchises}
+	c := &policy.Settings{Instances: 4, FixedWeights: true, OverloadMultiple: 3, ColdCapacity: 0.5, MaxAttempts: 3, Tick: policy.Millisecond, Classes: offerings, Tenants: franchises}
 	var cutOffs []policy.Time
 	for _, o := range offerings {
 		cutOffs = append(cutOffs, o.Deadline)
@@ -66,12 +66,12 @@
 			t.Fatal("a grant is not taken")
 		}
 	}
-	if a := f.offers["a"]; campaign.Classes[a].Idempotency != policy.NonIdempotent || campaign.FallMultiple != 0 {
+	if a := f.offers["a"]; campaign.Classes[a].Idempotency != policy.NonIdempotent || campaign.OverloadMultiple != 0 {
 		t.Fatalf("without a lease: %+v", campaign)
 	}
 	grant(policy.Second*100, 0)
 	a := f.offers["a"]
-	if campaign.Classes[a].Idempotency != policy.Idempotent || campaign.FallMultiple != 3 {
+	if campaign.Classes[a].Idempotency != policy.Idempotent || campaign.OverloadMultiple != 3 {
 		t.Fatalf("by its own file: %+v", campaign)
 	}
 	e.list.take(0, told{news: discovery.News{List: &discovery.List{Kind: policy.ListFull, Entries: []discovery.Entry{{Member: policy.Member{ID: 9}, UID: "own"}}}}})
@@ -91,7 +91,7 @@
 		t.Fatalf("by both: %+v %v", campaign.Classes, f.offers)
 	}
 	grant(policy.Second*100, 1)
-	if o := campaign.Classes[f.offers["b"]]; o.Name != "b" || o.Idempotency != policy.Keyed || campaign.Quotas != 5 || f.quotes["f"] != 0 || !e.list.closed ||
+	if o := campaign.Classes[f.offers["b"]]; o.Name != "b" || o.Idempotency != policy.Keyed || campaign.TotalQuota != 5 || f.quotes["f"] != 0 || !e.list.closed ||
 		len(e.Endpoints) != 3 || e.Endpoints[9].Listed || !e.Endpoints[1].Listed {
 		t.Fatalf("by the new: %+v %+v %+v", campaign, f, e.Endpoints)
 	}
@@ -138,8 +138,8 @@
 	if len(e.steps) != 1 || !e.Stands(now, second) {
 		t.Fatal("no push was decided on, or it does not stand")
 	}
-	e.Endpoints[9].Said.Standing = policy.Draining
-	e.list.apply(now, &discovery.List{Kind: policy.ListChanges, Entries: []discovery.Entry{{Member: policy.Member{ID: 9, Standing: policy.Draining}, UID: "own"}}})
+	e.Endpoints[9].Said.Status = policy.Draining
+	e.list.apply(now, &discovery.List{Kind: policy.ListChanges, Entries: []discovery.Entry{{Member: policy.Member{ID: 9, Status: policy.Draining}, UID: "own"}}})
 	time.Sleep(40 * time.Millisecond)
 	if e.Stands(now, second) || e.terms.leased {
 		t.Error("what was decided under a lease is written without it, to a server that has gone")
--- a/internal/engine/write_test.go
+++ b/internal/engine/write_test.go
@@ -19,7 +19,7 @@
 	}{{200 * policy.Millisecond, 2}, {1500 * policy.Millisecond, 1}} {
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		e := New(Config{Settings: &policy.Settings{Instances: 1, Weighted: true, FallMultiple: 3, MaxAttempts: 3, Tick: policy.Millisecond,
+		e := New(Config{Settings: &policy.Settings{Instances: 1, FixedWeights: true, OverloadMultiple: 3, MaxAttempts: 3, Tick: policy.Millisecond,
 			Classes: []policy.Class{{Name: "a", Value: 1, Target: 5 * policy.Second, Deadline: 9 * policy.Second,
 				Idempotency: policy.Keyed, Window: policy.Second}}}}, log)
 		f := &frontless{}
--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -13,9 +13,9 @@
 	"time"
 
 	"pepperlead/internal/clock"
-	"pepperlead/internal/faulttest/judge"
 	"pepperlead/internal/fakebackend"
 	"pepperlead/internal/faultproxy"
+	"pepperlead/internal/faulttest/judge"
 )
 
 // Cluster is a stage with sidecars, keepers of versions, servers and clients.
--- a/internal/faulttest/steps.go
+++ b/internal/faulttest/steps.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"pepperlead/internal/clock"
-	"pepperlead/internal/faulttest/judge"
 	"pepperlead/internal/faultproxy"
+	"pepperlead/internal/faulttest/judge"
 )
 
 // await waits for the moment of a doing, which differs a little by seed.
--- a/internal/httpproxy/crossing_test.go
+++ b/internal/httpproxy/crossing_test.go
@@ -98,7 +98,7 @@
 			held := <-begun
 			k.meets(s)
 			close(release)
-			s.until("no push out", func() bool { return s.Module.Gauges().Out == 0 })
+			s.until("no push out", func() bool { return s.Module.Gauges().InFlight == 0 })
 			time.Sleep(30 * time.Millisecond)
 			for _, to := range []*standIn{s.one, s.two} {
 				if n, _ := to.count(s.id); to.Addr().String() == held && n != 0 {
--- a/internal/httpproxy/rig_test.go
+++ b/internal/httpproxy/rig_test.go
@@ -231,7 +231,7 @@
 	post := Config{Listen: free.Addr().String(), Source: discovery.NewPlatform(a.Addr().String(), false), Seed: 5, Descriptors: 256, Memory: 32 << 20,
 		ConnectIn: policy.Time(s / 5), IdleFor: policy.Time(s * 60), Leave: policy.Time(s), Accept: policy.Time(s / 20),
 		Known: []byte(told), Settings: &policy.Settings{Instances: 1, Zone: "a", Zones: 1, MayCancel: true, MaxAttempts: 3,
-			MaxRetryAfter: policy.Second, Tick: 5 * policy.Millisecond, ColdShare: 0.2, ColdTime: policy.Second, FallMultiple: 3,
+			MaxRetryAfter: policy.Second, Tick: 5 * policy.Millisecond, ColdCapacity: 0.2, ColdTime: policy.Second, OverloadMultiple: 3,
 			Classes: []policy.Class{{Name: "step", Value: 1, Target: policy.Second / 4},
 				{Name: "note", Value: 1, Target: policy.Second / 4, Idempotency: policy.Keyed, Group: policy.GroupCell,
 					Window: policy.Second},
--- a/internal/livetest/rehearsal.go
+++ b/internal/livetest/rehearsal.go
@@ -79,7 +79,7 @@
 	zone     policy.Zone
 	cell     policy.Cell
 	weight   float64
-	standing policy.Standing // as discovery knows it
+	standing policy.EndpointStatus // as discovery knows it
 	began    policy.Time
 	gone     atomic.Bool
 }
--- a/internal/livetest/sidecars.go
+++ b/internal/livetest/sidecars.go
@@ -128,11 +128,11 @@
 		zones = append(zones, strconv.Quote(string(z)))
 	}
 	line("[instance]\nname = \"n%d\"\nzone = %q\nzones = [%s]\ninstances = %d\ncross_price = %g\nseed = \"%x\"", c.no, c.zone,
-		strings.Join(zones, ", "), sc.Sidecars, k.CrossPrice, s.Seed*1000+uint64(c.no)+1)
+		strings.Join(zones, ", "), sc.Sidecars, k.CrossZonePrice, s.Seed*1000+uint64(c.no)+1)
 	line("[front.http]\nlisten = %q\nrequest_id = \"demanded\"", c.addr)
 	line("[limits]\ndescriptors = 4096\nmemory_mb = 192\npushes = %d\ncancel = %v\nadvice = %q\nconnect = %q\nidle = %q\ntick = %q",
 		k.MaxAttempts, k.MayCancel, span(k.MaxRetryAfter), span(sc.Network.ConnectIn), span(sc.Network.IdleFor), span(k.Tick))
-	line("[cold]\nshare = %g\ntime = %q\nfall = %g", max(0.001, k.ColdShare), span(k.ColdTime), max(1, k.FallMultiple))
+	line("[cold]\nshare = %g\ntime = %q\nfall = %g", max(0.001, k.ColdCapacity), span(k.ColdTime), max(1, k.OverloadMultiple))
 	repeats, groups := []string{"reissuable", "numbered", "at-most-once"}, []string{"all", "zone", "pod"}
 	for _, o := range sc.Offerings {
 		line("[[offering]]\nname = %q\ncredit = %g\nlate_credit = %g\nquoted_time = %q\ncut_off = %q\nrepeats = %q", o.Name, o.Value, o.LateValue,
@@ -141,7 +141,7 @@
 			line("group = %q\nwindow = %q", groups[o.Group], span(o.Window))
 		}
 	}
-	line("[franchises]\nbeyond_credit = %g", k.BeyondValue)
+	line("[franchises]\nbeyond_credit = %g", k.OverQuotaValue)
 	for _, f := range k.Tenants {
 		line("[[franchise]]\nname = %q\nquota = %g", f.Name, f.Quota)
 	}
@@ -190,7 +190,7 @@
 }
 
 // noticed has discovery learn how a server stands, and tells every sidecar.
-func (s *stage) noticed(v *server, standing policy.Standing, own bool) {
+func (s *stage) noticed(v *server, standing policy.EndpointStatus, own bool) {
 	d := s.Scenario.Discovery.Silent
 	if own {
 		d = s.Scenario.Discovery.Delay
--- a/internal/migration/migration.go
+++ b/internal/migration/migration.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return Made{}, fmt.Errorf("what was made of it cannot be served, and was thrown away:\n%w", err)
 	}
-	if c := o.Settings; c.Weighted || c.Streams != to.Streams || c.Instances != to.Sidecar || o.Listen != to.Listen {
+	if c := o.Settings; c.FixedWeights || c.StreamsPerConnection != to.Streams || c.Instances != to.Sidecar || o.Listen != to.Listen {
 		return Made{}, fmt.Errorf("%s: its tables are written in a way that cannot be edited: give each table its own header", file)
 	}
 	return m, nil
--- a/internal/migration/migration_test.go
+++ b/internal/migration/migration_test.go
@@ -42,11 +42,11 @@
 			t.Fatal(err)
 		}
 		c := *is.Settings
-		if c.Weighted || c.Streams != 100 || c.Instances != 12 || is.Listen != to.Listen || len(m.Changed) != 4 || len(m.Left) < 3 {
+		if c.FixedWeights || c.StreamsPerConnection != 100 || c.Instances != 12 || is.Listen != to.Listen || len(m.Changed) != 4 || len(m.Left) < 3 {
 			t.Errorf("%s: %+v\n%q\n%q", name, c, m.Changed, m.Left)
 		}
 		a := *was.Settings
-		if c.Classes[0] != a.Classes[0] || len(c.Classes) != len(a.Classes) || c.Quotas != a.Quotas || c.ColdTime != a.ColdTime ||
+		if c.Classes[0] != a.Classes[0] || len(c.Classes) != len(a.Classes) || c.TotalQuota != a.TotalQuota || c.ColdTime != a.ColdTime ||
 			c.MaxRetryAfter != a.MaxRetryAfter || c.Zones != a.Zones || is.Leave != was.Leave || is.Descriptors != was.Descriptors {
 			t.Errorf("%s: something else has changed:\n%s", name, m.Text)
 		}
--- a/internal/platformsettings/campaign.go
+++ b/internal/platformsettings/campaign.go
@@ -89,30 +89,30 @@
 // Read decodes the values that decisions are made by.
 func Read(p *Values) (*policy.Settings, error) {
 	c := &policy.Settings{
-		Instances:    max(1, p.Count("balancers")),
-		Zone:         policy.Zone(p.Text("zone")),
-		Zones:        1 + strings.Count(p.Text("zones"), ","),
-		Weighted:     p.OneOf("weight_kind", "nominal", "rough", "silent", "live") < 2,
-		MustAsk:      p.OneOf("membership_mode", "pushed", "on_request") == 1,
-		MayCancel:    p.Yes("limits.cancel"),
-		MaxAttempts:  max(1, p.Count("limits.max_pushes")),
-		CrossPrice:   p.Real("prices.cross_zone"),
-		Tick:         p.Span("tick_s"),
-		ColdShare:    p.Real("rules.cold_from"),
-		ColdTime:     p.Span("rules.cold_s"),
-		FallMultiple: p.Real("rules.fall_multiple"),
+		Instances:        max(1, p.Count("balancers")),
+		Zone:             policy.Zone(p.Text("zone")),
+		Zones:            1 + strings.Count(p.Text("zones"), ","),
+		FixedWeights:     p.OneOf("weight_kind", "nominal", "rough", "silent", "live") < 2,
+		PollList:         p.OneOf("membership_mode", "pushed", "on_request") == 1,
+		MayCancel:        p.Yes("limits.cancel"),
+		MaxAttempts:      max(1, p.Count("limits.max_pushes")),
+		CrossZonePrice:   p.Real("prices.cross_zone"),
+		Tick:             p.Span("tick_s"),
+		ColdCapacity:     p.Real("rules.cold_from"),
+		ColdTime:         p.Span("rules.cold_s"),
+		OverloadMultiple: p.Real("rules.fall_multiple"),
 	}
 	if _, told := p.Of["rules.fall_s"]; told {
-		c.FallTime = p.Span("rules.fall_s")
+		c.OverloadWindow = p.Span("rules.fall_s")
 	}
-	c.Streams = 1
+	c.StreamsPerConnection = 1
 	if v, ok := p.Of["limits.streams_per_conn"]; ok {
-		if c.Streams = p.Count("limits.streams_per_conn"); c.Streams == 0 {
+		if c.StreamsPerConnection = p.Count("limits.streams_per_conn"); c.StreamsPerConnection == 0 {
 			p.fail("limits.streams_per_conn", v, "a whole number from 1 to 65535")
 		}
 	}
-	if c.MustAsk {
-		c.MustAskIn = p.Span("rules.must_ask_in_s")
+	if c.PollList {
+		c.PollWithin = p.Span("rules.must_ask_in_s")
 	}
 	if p.Yes("limits.retry_after") {
 		c.MaxRetryAfter = p.Span("limits.max_retry_after_s")
@@ -134,11 +134,11 @@
 		c.Classes = append(c.Classes, o)
 	}
 	if v, ok := p.Of["realms.count"]; ok && strings.Trim(v, "0") != "" {
-		c.BeyondValue = p.Real("beyond_share_credit")
+		c.OverQuotaValue = p.Real("beyond_share_credit")
 		for n := range p.Count("realms.count") {
 			at := "realms." + strconv.Itoa(n) + "."
 			f := policy.Tenant{Name: p.Text(at + "name"), Quota: p.Real(at + "quota_per_s")}
-			c.Quotas += f.Quota
+			c.TotalQuota += f.Quota
 			c.Tenants = append(c.Tenants, f)
 		}
 	}
--- a/internal/ruleset/rules.go
+++ b/internal/ruleset/rules.go
@@ -61,7 +61,7 @@
 
 // RulesOf is what binds of a campaign whose offerings are cut off at these times. servers: nil where it says nothing of them.
 func RulesOf(c *policy.Settings, cutOffs []policy.Time, servers []policy.Member, bans []policy.EndpointID) Rules {
-	r := Rules{Open: servers == nil, Bans: slices.Sorted(slices.Values(bans)), Instances: c.Instances, ColdShare: c.ColdShare, ColdTime: c.ColdTime, Fall: c.FallMultiple}
+	r := Rules{Open: servers == nil, Bans: slices.Sorted(slices.Values(bans)), Instances: c.Instances, ColdShare: c.ColdCapacity, ColdTime: c.ColdTime, Fall: c.OverloadMultiple}
 	for i, o := range c.Classes {
 		one := Offering{CutOff: cutOffs[i]}
 		switch o.Idempotency {
@@ -76,7 +76,7 @@
 		r.Franchises = append(r.Franchises, Franchise{f.Name, f.Quota})
 	}
 	for _, m := range servers {
-		if m.Standing == policy.Ready {
+		if m.Status == policy.Ready {
 			r.Servers = append(r.Servers, Server{m.ID, m.Started})
 		}
 	}
--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -44,11 +44,11 @@
 	}
 	switch string(state) {
 	case "Ready":
-		m.Standing = policy.Ready
+		m.Status = policy.Ready
 	case "Terminating":
-		m.Standing = policy.Draining
+		m.Status = policy.Draining
 	case "Gone":
-		m.Standing = policy.Gone
+		m.Status = policy.Gone
 	default:
 		return fmt.Errorf("readiness=%s is not known", state)
 	}
@@ -104,7 +104,7 @@
 		return fmt.Errorf("table=%d is out of range", n)
 	}
 	if i != nil {
-		i.balancer.List(a.now, kind, a.lists[n])
+		i.balancer.UpdateEndpoints(a.now, kind, a.lists[n])
 	}
 	return nil
 }
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -12,11 +12,11 @@
 // roots of N and two more for chance.
 func coldBoundBroken(sent []Time, started Time, c *Settings, capacity float64) (worst float64) {
 	for first, last := 0, 0; last < len(sent); last++ {
-		for sent[first] <= sent[last]-c.FallTime {
+		for sent[first] <= sent[last]-c.OverloadWindow {
 			first++
 		}
-		share := c.ColdShare + (1-c.ColdShare)*float64(sent[last]-started)/float64(c.ColdTime)
-		n := c.FallMultiple * share * capacity * float64(c.FallTime) / float64(Second)
+		share := c.ColdCapacity + (1-c.ColdCapacity)*float64(sent[last]-started)/float64(c.ColdTime)
+		n := c.OverloadMultiple * share * capacity * float64(c.OverloadWindow) / float64(Second)
 		worst = max(worst, float64(last-first+1)/(n+2*math.Sqrt(n)+2))
 	}
 	return worst
@@ -31,7 +31,7 @@
 		capacity                  = instances * each / servers
 	)
 	c := campaign()
-	c.Instances, c.ColdShare, c.ColdTime, c.FallTime = instances, 0.4, 6*Second, 3*Second/2
+	c.Instances, c.ColdCapacity, c.ColdTime, c.OverloadWindow = instances, 0.4, 6*Second, 3*Second/2
 	members := fleet(servers, "a")
 	for i := range members {
 		members[i].Weight = 1
@@ -39,7 +39,7 @@
 	all, fronts := make([]*Balancer, instances), make([]quiet, instances)
 	for i := range all {
 		all[i] = New(&fronts[i], c, uint64(i), Second)
-		all[i].List(Second, ListFull, members[fresh:])
+		all[i].UpdateEndpoints(Second, ListFull, members[fresh:])
 	}
 	sent := map[EndpointID][]Time{}
 	for now := Second; now < known+c.ColdTime; now += step {
@@ -48,7 +48,7 @@
 				for m := range members[:fresh] {
 					members[m].Started = known
 				}
-				b.List(now, ListChanges, members[:fresh])
+				b.UpdateEndpoints(now, ListChanges, members[:fresh])
 			}
 			if to := push(b, &fronts[i], now, "", Succeeded, 100*Millisecond); to <= fresh {
 				sent[to] = append(sent[to], now)
@@ -73,13 +73,13 @@
 	const now = 30 * Second
 	for name, change := range map[string]func(s *endpoint){
 		"may be sent one": func(*endpoint) {},
-		"draining":        func(s *endpoint) { s.Standing = Draining },
+		"draining":        func(s *endpoint) { s.Status = Draining },
 		"without budget":  func(s *endpoint) { s.budget = 0 },
 		"ejected":         func(s *endpoint) { s.ejectedTill = now + Second },
 		"full":            func(s *endpoint) { s.limit = 0 },
 	} {
 		b, w := started(fleet(50, "a"))
-		b.List(now, ListChanges, []Member{{ID: 7, Weight: 1, Zone: "a", Started: now}})
+		b.UpdateEndpoints(now, ListChanges, []Member{{ID: 7, Weight: 1, Zone: "a", Started: now}})
 		cold := &b.endpoints[b.places[7]]
 		for i := range 100 {
 			cold.budget, cold.budgetAt = 1, now
--- a/policy/coldfleet_test.go
+++ b/policy/coldfleet_test.go
@@ -24,8 +24,8 @@
 }
 
 func newColdFleet(n int, capacity, used float64, fall Time, from float64, seed uint64) *coldFleet {
-	f := &coldFleet{capacity: capacity, used: used, Settings: &Settings{Instances: n, Weighted: true, MaxAttempts: 3, Tick: 5 * Millisecond,
-		ColdShare: from, ColdTime: 20 * Second, FallMultiple: 3, FallTime: fall, Classes: []Class{{Name: "r", Target: Second}}}}
+	f := &coldFleet{capacity: capacity, used: used, Settings: &Settings{Instances: n, FixedWeights: true, MaxAttempts: 3, Tick: 5 * Millisecond,
+		ColdCapacity: from, ColdTime: 20 * Second, OverloadMultiple: 3, OverloadWindow: fall, Classes: []Class{{Name: "r", Target: Second}}}}
 	for i := range n {
 		b := &Balancer{settings: f.Settings, chance: newChance((seed*1000 + uint64(i)) * 0x9e3779b97f4a7c15), warmRate: used * capacity / float64(n)}
 		f.all, f.cold = append(f.all, b), append(f.cold, nil)
@@ -49,17 +49,17 @@
 			f.sent, f.queue = append(f.sent, now), append(f.queue, i)
 		}
 	}
-	share := min(1, f.ColdShare+(1-f.ColdShare)*float64(now-f.started)/float64(f.ColdTime))
+	share := min(1, f.ColdCapacity+(1-f.ColdCapacity)*float64(now-f.started)/float64(f.ColdTime))
 	for f.works += f.capacity * share * float64(step) / float64(Second); f.works >= 1; f.works-- {
 		if len(f.queue) > 0 {
 			f.cold[f.queue[0]].served.count(now)
 			f.queue = f.queue[1:]
 		}
 	}
-	for len(f.sent) > 0 && f.sent[0] <= now-f.FallTime {
+	for len(f.sent) > 0 && f.sent[0] <= now-f.OverloadWindow {
 		f.sent = f.sent[1:]
 	}
-	n := f.FallMultiple * share * f.capacity * float64(f.FallTime) / float64(Second)
+	n := f.OverloadMultiple * share * f.capacity * float64(f.OverloadWindow) / float64(Second)
 	if sum := float64(len(f.sent)) / (n + 2*math.Sqrt(n) + 2); sum > f.worst {
 		f.worst, f.at = sum, now
 	}
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -31,18 +31,18 @@
 }
 
 // filledKnowledge has a distinct value in every field, so that a key that is lost, renamed or swapped with another changes the encoding.
-func filledKnowledge() Knowledge {
-	return Knowledge{
-		Calm: 1.5, PerHeld: 2.5, Pace: 3.5, InUse: 4.5, Late: 5.5, Pushes: 6.5, NearPart: 7.5,
-		Sides:    [2]float64{8.5, 9.5},
-		Usual:    []float64{10.5, 11.5},
-		Patience: []Patience{{Most: 12, Odd: 13.5}, {Most: 14, Odd: 15.5}},
-		Use:      []float64{16.5, 17.5},
-		Arrivals: 18.5, Done: 19.5, Borne: 20.5,
-		Recent: []uint64{21, 22},
-		Servers: []Learned{
-			{ID: 23, Started: 24, Weight: 25.5, Limit: 26.5, Ratio: 27.5, Served: 28.5, Row: 29, Trickle: 30, AsideTill: 31, Skip: 32, Budget: 33.5},
-			{ID: 34, Started: 35, Weight: 36.5, Limit: 37.5, Ratio: 38.5, Served: 39.5, Row: 40, Trickle: 41, AsideTill: 42, Skip: 43, Budget: 44.5},
+func filledKnowledge() LearnedState {
+	return LearnedState{
+		Baseline: 1.5, LatencyPerReported: 2.5, Limit: 3.5, InUse: 4.5, Lateness: 5.5, RetryBudget: 6.5, NearShare: 7.5,
+		ZoneLatency:   [2]float64{8.5, 9.5},
+		MeanLatency:   []float64{10.5, 11.5},
+		FirstAttempts: []FirstAttemptTimes{{Longest: 12, ShorterShare: 13.5}, {Longest: 14, ShorterShare: 15.5}},
+		TenantRates:   []float64{16.5, 17.5},
+		ArrivalRate:   18.5, SuccessRate: 19.5, WarmRate: 20.5,
+		RecentKeys: []uint64{21, 22},
+		Endpoints: []LearnedEndpoint{
+			{ID: 23, Started: 24, Weight: 25.5, Limit: 26.5, Ratio: 27.5, Served: 28.5, Failures: 29, SlowStart: 30, EjectedUntil: 31, Ejection: 32, Budget: 33.5},
+			{ID: 34, Started: 35, Weight: 36.5, Limit: 37.5, Ratio: 38.5, Served: 39.5, Failures: 40, SlowStart: 41, EjectedUntil: 42, Ejection: 43, Budget: 44.5},
 		},
 	}
 }
@@ -57,7 +57,7 @@
 	if !bytes.Equal(encoded, want) {
 		t.Errorf("encoded\n%s\nwant\n%s", encoded, want)
 	}
-	var decoded Knowledge
+	var decoded LearnedState
 	if err := json.Unmarshal(want, &decoded); err != nil {
 		t.Fatal(err)
 	}
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -126,10 +126,10 @@
 func (w *world) coldPush(id EndpointID, s Member) {
 	w.colds[id] = append(w.colds[id], w.now)
 	c := w.campaign
-	share := c.ColdShare + (1-c.ColdShare)*float64(w.now-s.Started)/float64(c.ColdTime)
+	share := c.ColdCapacity + (1-c.ColdCapacity)*float64(w.now-s.Started)/float64(c.ColdTime)
 	rate := max(share*0.25*float64(busiest(w.honoured))/float64(max(1, w.fewest)), 0.8*float64(busiest(w.byCold[id])))
 	// A rate that forgets over three seconds is at most 1.2 times its busiest second.
-	most := 1 + 1/float64(c.Instances) + c.FallMultiple*1.2*rate
+	most := 1 + 1/float64(c.Instances) + c.OverloadMultiple*1.2*rate
 	n := 0
 	for _, at := range w.colds[id] {
 		if at > w.now-Second {
@@ -204,7 +204,7 @@
 	w.kinds["released"]++
 	for _, r := range w.requests {
 		for _, p := range r.pushes {
-			if p.out && p.server == id || w.campaign.Streams <= 1 {
+			if p.out && p.server == id || w.campaign.StreamsPerConnection <= 1 {
 				w.fail("connections to endpoint %d released: an attempt is out, or they carry one request each", id)
 			}
 		}
@@ -223,7 +223,7 @@
 
 // load is a weight: 1, or where it falls with load what an endpoint holding up to nine requests a core has left.
 func (w *world) load() float64 {
-	if w.campaign.Weighted {
+	if w.campaign.FixedWeights {
 		return 1
 	}
 	return 1 / float64(1+w.Intn(10))
@@ -236,14 +236,14 @@
 		m := w.fleet[id]
 		switch w.Intn(12) {
 		case 0:
-			m.Standing = Draining
+			m.Status = Draining
 		case 1:
-			m.Standing = Gone
+			m.Status = Gone
 		case 2:
-			m.Standing, m.Started = Ready, w.now
+			m.Status, m.Started = Ready, w.now
 			delete(w.byCold, id)
 		case 3:
-			m.Standing = Ready
+			m.Status = Ready
 		}
 		m.ID, m.Weight, m.Zone, m.Cell = id, w.load(), Zone([]string{"a", "b"}[id%2]), Cell(id%4)
 		w.fleet[id] = m
@@ -256,8 +256,8 @@
 	listed := map[EndpointID]bool{}
 	warm := 0
 	for _, m := range all {
-		listed[m.ID] = m.Standing == Ready
-		if m.Standing == Ready && (m.Started == 0 || w.now >= m.Started+w.campaign.ColdTime) {
+		listed[m.ID] = m.Status == Ready
+		if m.Status == Ready && (m.Started == 0 || w.now >= m.Started+w.campaign.ColdTime) {
 			warm++
 		}
 	}
@@ -269,7 +269,7 @@
 			w.told[id] = w.now
 		}
 	}
-	w.b.List(w.now, kind, all)
+	w.b.UpdateEndpoints(w.now, kind, all)
 }
 
 // start begins a life of the instance; requests of an earlier one are the clients' to retry.
@@ -287,7 +287,7 @@
 // leave lets the instance end a little later: whatever is open must be answered by then.
 func (w *world) leave() {
 	by := w.now + 300*Millisecond
-	w.b.Leave(w.now, by)
+	w.b.Shutdown(w.now, by)
 	for _, r := range w.requests {
 		r.cutOff = min(r.cutOff, by)
 	}
@@ -325,12 +325,12 @@
 	r := rand.New(rand.NewSource(seed))
 	w := &world{Rand: r, now: 100 * Second, fleet: map[EndpointID]Member{}, colds: map[EndpointID][]Time{}, byCold: map[EndpointID][]Time{},
 		kinds: map[string]int{}, fewest: 8, campaign: &Settings{
-			Instances: 1 + r.Intn(4), Zone: "a", Tenants: []Tenant{{"x", 20}, {"y", 20}}, BeyondValue: 0.05,
-			Quotas: 40, Zones: 2,
-			MustAsk: r.Intn(2) == 0, MustAskIn: 10 * Second, MayCancel: true, MaxAttempts: 3, MaxRetryAfter: Second,
-			Weighted: r.Intn(2) == 0, Streams: 1 + 99*r.Intn(2),
-			CrossPrice: 0.1 * float64(r.Intn(2)), Tick: 5 * Millisecond, ColdShare: 0.1 + r.Float64()/4,
-			ColdTime: 20 * Second, FallMultiple: 3, Classes: []Class{
+			Instances: 1 + r.Intn(4), Zone: "a", Tenants: []Tenant{{"x", 20}, {"y", 20}}, OverQuotaValue: 0.05,
+			TotalQuota: 40, Zones: 2,
+			PollList: r.Intn(2) == 0, PollWithin: 10 * Second, MayCancel: true, MaxAttempts: 3, MaxRetryAfter: Second,
+			FixedWeights: r.Intn(2) == 0, StreamsPerConnection: 1 + 99*r.Intn(2),
+			CrossZonePrice: 0.1 * float64(r.Intn(2)), Tick: 5 * Millisecond, ColdCapacity: 0.1 + r.Float64()/4,
+			ColdTime: 20 * Second, OverloadMultiple: 3, Classes: []Class{
 				{Name: "r", Value: 5, Target: Second / 2, Deadline: 2 * Second},
 				{Name: "n", LateValue: 0.2, Target: Second / 2, Idempotency: Keyed, Window: Second / 2},
 				{Name: "z", LateValue: 0.2, Target: Second / 2, Idempotency: Keyed, Group: GroupZone, Window: Second / 2},
@@ -363,10 +363,10 @@
 		switch k := w.Intn(200); {
 		case k == 0 && w.Intn(2) == 0:
 			// A new version follows, and goes on from what this one has learned.
-			old := w.b.Tell(w.now)
+			old := w.b.ExportState(w.now)
 			w.start()
 			w.list(ListFull)
-			w.b.Learn(w.now, old)
+			w.b.ImportState(w.now, old)
 			w.kinds["follow"]++
 		case k == 0:
 			w.start()
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -46,7 +46,7 @@
 func TestPaceLeavesLongWorkItsTime(t *testing.T) {
 	for streams, cut := range map[int]bool{1: false, 100: true} {
 		b, q := started(fleet(20, "a"))
-		b.settings.Instances, b.settings.Streams = 100, streams
+		b.settings.Instances, b.settings.StreamsPerConnection = 100, streams
 		quoted := b.settings.Classes[0].Target
 		b.tooLate = lostBound
 		for i := range 400 {
@@ -136,7 +136,7 @@
 	for range 3 * firstLimit {
 		h := b.Admit(now, 0, NoTenant, "", false, Second)
 		b.Begin(now, h)
-		b.Coming(h, false, 0)
+		b.BodyPending(h, false, 0)
 		slow = append(slow, h)
 	}
 	if len(q.to) != len(slow) || b.out != len(slow) || b.idle != len(slow) || b.endpoints[0].busy() != 0 {
@@ -147,8 +147,8 @@
 	}
 	now += 10 * Second
 	for _, h := range slow {
-		b.Coming(h, true, now+Second)
-		b.Coming(h, true, now+Second)
+		b.BodyPending(h, true, now+Second)
+		b.BodyPending(h, true, now+Second)
 	}
 	h := b.Admit(now, 0, NoTenant, "", false, Second)
 	if b.Begin(now, h); b.busyAt(0) != len(slow) || len(q.to) != len(slow) {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -46,24 +46,24 @@
 		places: map[EndpointID]int32{}, meanLatency: make([]float64, len(c.Classes)), tooLate: lostBound,
 		patience: make([]firstTries, len(c.Classes)), use: make([]meter, len(c.Tenants)), baseline: 0.25,
 		perReported: 0.15, retryBudget: retryCap / 2, limit: math.MaxInt32, endAt: math.MaxInt64,
-		nearPart: min(1, 2*splitWorth*c.CrossPrice)}
+		nearPart: min(1, 2*splitWorth*c.CrossZonePrice)}
 	for i, o := range c.Classes {
 		b.meanLatency[i] = float64(o.Target) / 4
 		if o.LateValue > 0 {
 			b.tooLate = lateBound
 		}
 	}
-	if c.MustAsk {
-		b.askWait = min(Time(c.Instances)*askEach, c.MustAskIn/4)
+	if c.PollList {
+		b.askWait = min(Time(c.Instances)*askEach, c.PollWithin/4)
 		b.askAt = now + Time(b.chance.part()*float64(b.askWait)) + 1
 		b.wake(now, b.askAt)
 	}
 	return b
 }
 
-// List applies what the list says.
-func (b *Balancer) List(now Time, kind ListKind, members []Member) {
-	if b.settings.MustAsk && kind != ListSaved {
+// UpdateEndpoints applies what the list says.
+func (b *Balancer) UpdateEndpoints(now Time, kind ListKind, members []Member) {
+	if b.settings.PollList && kind != ListSaved {
 		b.askAt, b.askWait = 0, 0
 	}
 	b.maintain(now)
@@ -78,15 +78,15 @@
 		b.assign(nil, b.byID)
 	}
 	for i := range b.endpoints {
-		if s := &b.endpoints[i]; kind != ListChanges && s.seen != b.epoch && s.Standing != Gone {
-			s.Standing = Gone
+		if s := &b.endpoints[i]; kind != ListChanges && s.seen != b.epoch && s.Status != Gone {
+			s.Status = Gone
 		}
 	}
 	var size, held [2]float64 // of all, and of this zone
 	for _, p := range b.byID {
 		s := &b.endpoints[p]
 		for i := range size {
-			if s.Standing == Ready && now >= s.ejectedTill && (i == 0 || s.Zone == b.settings.Zone) {
+			if s.Status == Ready && now >= s.ejectedTill && (i == 0 || s.Zone == b.settings.Zone) {
 				size[i], held[i] = size[i]+s.Weight, held[i]+s.Weight*s.reported
 			}
 		}
@@ -127,7 +127,7 @@
 	p, known := b.places[m.ID]
 	b.coldTill = max(b.coldTill, m.Started+b.settings.ColdTime)
 	if !known {
-		if m.Standing == Gone {
+		if m.Status == Gone {
 			return false
 		}
 		if p = int32(slices.IndexFunc(b.endpoints, func(s endpoint) bool { return !s.inTable })); p < 0 {
@@ -142,7 +142,7 @@
 	}
 	s := &b.endpoints[p]
 	s.seen = b.epoch
-	if !b.settings.Weighted {
+	if !b.settings.FixedWeights {
 		// The weight falls with load, so the most that was seen is the size; slots move only for a clear change.
 		s.reported = max(0, s.Weight/m.Weight-1)
 		if m.Weight < s.Weight*resized {
@@ -236,7 +236,7 @@
 
 // ListFailed is told when asking failed or following broke. Asked in step, its service would stay swamped.
 func (b *Balancer) ListFailed(now Time) {
-	b.askWait = min(max(2*b.askWait, Time(b.settings.Instances)*askEach, Second/4), b.settings.MustAskIn/4)
+	b.askWait = min(max(2*b.askWait, Time(b.settings.Instances)*askEach, Second/4), b.settings.PollWithin/4)
 	b.askAt = now + Time(float64(b.askWait)*(0.5+b.chance.part()))
 	b.front.Log(fmt.Sprintf("list: failed, asking again in %dms", (b.askAt-now)/Millisecond))
 	b.wake(now, b.askAt)
@@ -304,13 +304,13 @@
 	if f >= 0 {
 		b.use[f].count(now)
 		// Others' traffic is unseen: our part of the quotas is taken for our part of all, at least an equal one.
-		part := min(1, max(1/float64(b.settings.Instances), b.arrivals.rate/b.settings.Quotas))
+		part := min(1, max(1/float64(b.settings.Instances), b.arrivals.rate/b.settings.TotalQuota))
 		most := 1.1 * part * b.settings.Tenants[f].Quota
-		if b.settings.Streams > 1 { // a pool's instance counts too few of each to tell a share from chance
+		if b.settings.StreamsPerConnection > 1 { // a pool's instance counts too few of each to tell a share from chance
 			most += sureBeyond * math.Sqrt(most/float64(2*rateSpan/Second))
 		}
 		if b.use[f].rate > most {
-			v *= max(b.settings.BeyondValue, 0.01)
+			v *= max(b.settings.OverQuotaValue, 0.01)
 		}
 	}
 	return v
@@ -485,8 +485,8 @@
 	}
 }
 
-// Leave brings all deadlines, also those still to come, forward to the instance's own end.
-func (b *Balancer) Leave(now, by Time) {
+// Shutdown brings all deadlines, also those still to come, forward to the instance's own end.
+func (b *Balancer) Shutdown(now, by Time) {
 	b.endAt = by
 	for i := range b.slab {
 		t := &b.slab[i]
@@ -584,7 +584,7 @@
 // allowed keeps the second rule, and sends no request twice to one endpoint.
 func (b *Balancer) allowed(now Time, t *request, p int32) bool {
 	s, o := &b.endpoints[p], &b.settings.Classes[t.class]
-	if s.Standing != Ready {
+	if s.Status != Ready {
 		return false
 	}
 	if t.mayHaveRun && o.Idempotency != Idempotent {
@@ -623,7 +623,7 @@
 
 // worksAs is what an endpoint is taken to do. A size learned from falling weights is small until it was idle.
 func (b *Balancer) worksAs(s *endpoint) float64 {
-	if b.settings.Weighted {
+	if b.settings.FixedWeights {
 		return s.Weight
 	}
 	return 1
@@ -632,12 +632,12 @@
 // saveBudget lets a cold endpoint's budget grow, by one part at all instances of what warm ones bear.
 func (b *Balancer) saveBudget(now Time, s *endpoint) float64 {
 	c := b.settings
-	share := c.ColdShare + (1-c.ColdShare)*float64(now-s.Started)/float64(c.ColdTime)
-	grow := max(0.25/float64(c.Instances), c.FallMultiple*share*shortOfHit*b.warmRate*b.worksAs(s),
-		c.FallMultiple*coldEarns*s.served.now(now)) / float64(Second)
-	sum, kept := s.budget+grow*float64(now-s.budgetAt), grow*coldKeeps*float64(cmp.Or(c.FallTime, Second))
+	share := c.ColdCapacity + (1-c.ColdCapacity)*float64(now-s.Started)/float64(c.ColdTime)
+	grow := max(0.25/float64(c.Instances), c.OverloadMultiple*share*shortOfHit*b.warmRate*b.worksAs(s),
+		c.OverloadMultiple*coldEarns*s.served.now(now)) / float64(Second)
+	sum, kept := s.budget+grow*float64(now-s.budgetAt), grow*coldKeeps*float64(cmp.Or(c.OverloadWindow, Second))
 	sum -= max(0, math.Ceil(sum-1-kept)) // one at most is kept, and for no longer
-	s.budget, s.budgetAt = min(2-math.Floor(min(1, kept)), c.FallMultiple, sum), now
+	s.budget, s.budgetAt = min(2-math.Floor(min(1, kept)), c.OverloadMultiple, sum), now
 	return s.budget
 }
 
@@ -716,7 +716,7 @@
 	b.late += max(0.1, min(0.5, float64(now-b.heardAt)/float64(4*quoted))) * (late - b.late)
 	b.heardAt, b.inUse = now, b.inUse+0.1*(float64(b.out-b.idle+1)-b.inUse)
 	mean, tooLate := b.late, b.tooLate
-	if b.settings.Streams <= 1 { // half of what an unloaded answer leaves: some take long by themselves
+	if b.settings.StreamsPerConnection <= 1 { // half of what an unloaded answer leaves: some take long by themselves
 		tooLate = max(tooLate, (1+b.baseline)/2)
 	}
 	if b.meanReported > 0 && now-b.listAt < listFresh {
@@ -757,7 +757,7 @@
 	if b.late < 0.5 && b.recentAt > frequencyPrior || s.reported > b.meanReported {
 		need, skip = 1+int((ejectAfter-1)*min(1, each)), max(skip, Time(float64(Second)/max(each, 0.01)))
 	}
-	if o == NotConnected && b.settings.Streams > 1 {
+	if o == NotConnected && b.settings.StreamsPerConnection > 1 {
 		need = 1 // where connections last, one that fails tells more than an attempt
 	}
 	if s.failures < need && s.slowStart == 0 || now < s.ejectedTill || shared {
@@ -776,23 +776,23 @@
 	}
 	b.maintainAt, b.ejected = now+maintainEvery, 0
 	// An empty list is more likely a fault of the list than the end of the fleet, and moves nothing.
-	empty := !slices.ContainsFunc(b.endpoints, func(s endpoint) bool { return s.Standing != Gone })
+	empty := !slices.ContainsFunc(b.endpoints, func(s endpoint) bool { return s.Status != Gone })
 	warm, expected := 0.0, max(0.2, b.expected()) // a place kept costs most where endpoints are busy
 	idle := Time(float64(idleKeep) / float64(b.settings.Instances) / (expected * expected))
 	for i := range b.endpoints {
 		s := &b.endpoints[i]
-		if s.Standing == Ready && !b.cold(now, s) {
+		if s.Status == Ready && !b.cold(now, s) {
 			warm += b.worksAs(s)
 		}
 		s.ratio += 0.01 * (b.baseline - s.ratio) // what has not been heard of for long fades
 		if now < s.ejectedTill && s.inTable {
 			b.ejected++
 		}
-		if b.settings.Streams > 1 && s.usedAt > 0 && s.out == 0 && now-s.usedAt >= idle {
+		if b.settings.StreamsPerConnection > 1 && s.usedAt > 0 && s.out == 0 && now-s.usedAt >= idle {
 			s.usedAt = 0
 			b.front.Release(s.ID)
 		}
-		if s.Standing != Gone {
+		if s.Status != Gone {
 			s.leftAt = now
 		} else if s.inTable && now-s.leftAt >= holdTime && !empty && s.out == 0 && !b.bound(int32(i)) {
 			// Its place is free for another: endpoints that come under ever new ids must not fill the memory.
@@ -815,11 +815,11 @@
 	if b.meanReported > 0 {
 		near, far, rise = b.nearReported/(1+b.meanReported), b.meanReported/(1+b.meanReported), 0.03
 	} else if near < roomy {
-		rise = max(rise, min(0.03, b.settings.CrossPrice/4)) // what answers as if idle is not jammed by it
+		rise = max(rise, min(0.03, b.settings.CrossZonePrice/4)) // what answers as if idle is not jammed by it
 	}
 	switch {
-	case b.settings.CrossPrice == 0, b.meanReported > 0 && now-b.listAt >= listFresh:
-	case near-far > nearAway, b.settings.Streams <= 1 && near > splitWorth*b.settings.CrossPrice:
+	case b.settings.CrossZonePrice == 0, b.meanReported > 0 && now-b.listAt >= listFresh:
+	case near-far > nearAway, b.settings.StreamsPerConnection <= 1 && near > splitWorth*b.settings.CrossZonePrice:
 		b.nearPart = max(0, b.nearPart-0.05)
 	case near-far < nearBack:
 		b.nearPart = min(1, b.nearPart+rise)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -64,14 +64,14 @@
 }
 
 func campaign() *Settings {
-	return &Settings{Instances: 1, Zone: "a", Weighted: true, MaxAttempts: 3, Tick: 5 * Millisecond, ColdShare: 0.1,
-		ColdTime: 20 * Second, FallMultiple: 3, Classes: []Class{{Name: "r", Value: 1, Target: Second}}}
+	return &Settings{Instances: 1, Zone: "a", FixedWeights: true, MaxAttempts: 3, Tick: 5 * Millisecond, ColdCapacity: 0.1,
+		ColdTime: 20 * Second, OverloadMultiple: 3, Classes: []Class{{Name: "r", Value: 1, Target: Second}}}
 }
 
 func started(members []Member) (*Balancer, *quiet) {
 	q := &quiet{}
 	b := New(q, campaign(), 7, Second)
-	b.List(Second, ListFull, members)
+	b.UpdateEndpoints(Second, ListFull, members)
 	return b, q
 }
 
@@ -118,7 +118,7 @@
 	all := fleet(9, "a")
 	b, _ := started(all[:8])
 	before := owners(b)
-	b.List(Second, ListChanges, all[8:])
+	b.UpdateEndpoints(Second, ListChanges, all[8:])
 	within(t, b)
 	joined := owners(b)
 	for i := range before {
@@ -127,8 +127,8 @@
 		}
 	}
 	gone := all[3]
-	gone.Standing = Gone
-	b.List(Second, ListChanges, []Member{gone})
+	gone.Status = Gone
+	b.UpdateEndpoints(Second, ListChanges, []Member{gone})
 	if !slices.Equal(owners(b), joined) {
 		t.Fatal("an endpoint listed gone lost slots before the hold time")
 	}
@@ -139,7 +139,7 @@
 			t.Fatalf("slot %d went from %d to %d when 4 left", i, joined[i], id)
 		}
 	}
-	b.List(Second+holdTime, ListFull, nil)
+	b.UpdateEndpoints(Second+holdTime, ListFull, nil)
 	after := owners(b)
 	b.Woken(Second + 3*holdTime)
 	if !slices.Equal(owners(b), after) {
@@ -152,7 +152,7 @@
 	b, q := started(all)
 	before := owners(b)
 	all[0].Started = 2 * Second
-	b.List(2*Second, ListChanges, all[:1])
+	b.UpdateEndpoints(2*Second, ListChanges, all[:1])
 	if !slices.Equal(before, owners(b)) {
 		t.Error("a restart moved slots")
 	}
@@ -218,7 +218,7 @@
 func TestGrownFleetHasOneTable(t *testing.T) {
 	all := fleet(300, "a")
 	b, _ := started(all[:60])
-	b.List(2*Second, ListChanges, all[60:])
+	b.UpdateEndpoints(2*Second, ListChanges, all[60:])
 	if whole, _ := started(all); !slices.Equal(owners(b), owners(whole)) {
 		t.Error("instances started before and after the growth lay different tables")
 	}
@@ -233,13 +233,13 @@
 		c := campaign()
 		c.Instances = sidecars
 		all[i] = New(&fronts[i], c, uint64(i)*7919+3, Second)
-		all[i].List(Second, ListFull, fleet(10, "a"))
+		all[i].UpdateEndpoints(Second, ListFull, fleet(10, "a"))
 	}
 	r, sends := rand.New(rand.NewSource(4)), [20]float64{}
 	for now := Second; now < start+20*Second; now += Second / 2 {
 		for i, b := range all {
 			if now == start {
-				b.List(now, ListChanges, []Member{{ID: 1, Weight: 2, Zone: "a", Started: now}})
+				b.UpdateEndpoints(now, ListChanges, []Member{{ID: 1, Weight: 2, Zone: "a", Started: now}})
 			}
 			to := push(b, &fronts[i], now, fmt.Sprint(r.Intn(500)), Succeeded, 100*Millisecond)
 			if now >= start && to == 1 {
@@ -297,7 +297,7 @@
 		for i := range next {
 			next[i].ID += EndpointID(1000 * day)
 		}
-		b.List(now, ListFull, next)
+		b.UpdateEndpoints(now, ListFull, next)
 		push(b, q, now, fmt.Sprint(day), Succeeded, Millisecond)
 		if id := q.to[len(q.to)-1]; id/1000 != EndpointID(day) {
 			t.Fatalf("attempted to endpoint %d on day %d", id, day)
@@ -332,17 +332,17 @@
 	members[3].Started = 100 * Second
 	old, _ := started(members)
 	now := 102 * Second
-	old.List(now, ListFull, members)
+	old.UpdateEndpoints(now, ListFull, members)
 	for i := range old.endpoints {
 		old.endpoints[i].limit, old.endpoints[i].failures, old.endpoints[i].budget = 9, i, 0.8
 	}
 	old.successes, old.warmRate, old.meanLatency[0], old.recent[0], old.recentAt = meter{40, now}, 10, 7e6, 77, 1
 	next, _ := started(members)
-	next.List(now, ListFull, members)
-	told := old.Tell(now)
+	next.UpdateEndpoints(now, ListFull, members)
+	told := old.ExportState(now)
 	members[1].Started = now // it has started anew meanwhile
-	next.List(now, ListFull, members)
-	next.Learn(now, told)
+	next.UpdateEndpoints(now, ListFull, members)
+	next.ImportState(now, told)
 	for i := range next.endpoints {
 		if s := &next.endpoints[i]; i != 1 && (s.limit != 9 || s.failures != i) || i == 1 && (s.limit != firstLimit || s.failures != 0) {
 			t.Errorf("endpoint %d: %+v", i, s)
@@ -353,9 +353,9 @@
 		t.Errorf("%v saved up, %v and %v successful a second, %v", cold, old.successes.rate, next.successes.rate, next.meanLatency)
 	}
 	now += Second // a longer row of classes: nothing is taken over
-	told.Usual = append(told.Usual, 1)
+	told.MeanLatency = append(told.MeanLatency, 1)
 	other, _ := started(members)
-	if other.Learn(now, told); other.meanLatency[0] == 7e6 {
+	if other.ImportState(now, told); other.meanLatency[0] == 7e6 {
 		t.Error("taken over from another shape")
 	}
 }
@@ -395,7 +395,7 @@
 	for i := range all {
 		all[i].Started = Second
 	}
-	b.List(Second, ListFull, all)
+	b.UpdateEndpoints(Second, ListFull, all)
 	for second := range Time(last) {
 		k.sends = map[EndpointID]int{}
 		for i := range Time(each) {
@@ -444,7 +444,7 @@
 		c.MayCancel = mayCancel
 		front := &waits{}
 		b := New(front, c, 7, Second)
-		b.List(Second, ListFull, fleet(10, "a"))
+		b.UpdateEndpoints(Second, ListFull, fleet(10, "a"))
 		b.Begin(2*Second, b.Admit(2*Second, 0, NoTenant, "k", false, 10*Second))
 		if early := front.wait < 9*Second; early != mayCancel {
 			t.Errorf("cancel %v: an attempt is given %v of 10 s", mayCancel, front.wait)
--- a/policy/pool_test.go
+++ b/policy/pool_test.go
@@ -7,10 +7,10 @@
 
 // pool is an instance among 100 instances before ten endpoints whose weights fall with load.
 func pool(w *quiet, late float64) *Balancer {
-	b := New(w, &Settings{Instances: 100, Zone: "a", Zones: 1, MaxAttempts: 3, Tick: 5 * Millisecond, Streams: 100,
-		ColdShare: 0.2, ColdTime: 10 * Second, FallMultiple: 3, Classes: []Class{{Name: "r", Value: 1,
+	b := New(w, &Settings{Instances: 100, Zone: "a", Zones: 1, MaxAttempts: 3, Tick: 5 * Millisecond, StreamsPerConnection: 100,
+		ColdCapacity: 0.2, ColdTime: 10 * Second, OverloadMultiple: 3, Classes: []Class{{Name: "r", Value: 1,
 			LateValue: late, Target: Second, Deadline: 2 * Second}}}, 7, Second)
-	b.List(Second, ListFull, loaded(nil))
+	b.UpdateEndpoints(Second, ListFull, loaded(nil))
 	return b
 }
 
@@ -34,8 +34,8 @@
 	w := &quiet{}
 	b := pool(w, 0)
 	table := fmt.Sprint(b.table)
-	b.List(2*Second, ListChanges, loaded(map[int]float64{3: -0.05})[3:4]) // noise: a little over its size
-	b.List(2*Second, ListChanges, loaded(map[int]float64{3: 30})[3:4])
+	b.UpdateEndpoints(2*Second, ListChanges, loaded(map[int]float64{3: -0.05})[3:4]) // noise: a little over its size
+	b.UpdateEndpoints(2*Second, ListChanges, loaded(map[int]float64{3: 30})[3:4])
 	if fmt.Sprint(b.table) != table {
 		t.Error("slots have moved for load")
 	}
@@ -48,7 +48,7 @@
 	if to[4] > 50 || to[1]+to[2]+to[3]+to[5] < 300 {
 		t.Errorf("requests by endpoint: %v", to)
 	}
-	b.List(3*Second, ListChanges, loaded(nil)[3:4])
+	b.UpdateEndpoints(3*Second, ListChanges, loaded(nil)[3:4])
 	if s := b.endpoints[b.places[4]]; s.reported != 0 || s.Weight != 2 {
 		t.Errorf("%+v", s)
 	}
@@ -64,7 +64,7 @@
 	}{{1, 0, 0, Second}, {100, 1, 0, idleKeep / 100 * 25}, {100, 1, 9, idleKeep / 100 * 4 / 9}} {
 		w := &quiet{}
 		b := pool(w, 0)
-		b.settings.Streams, b.meanReported = c.streams, c.held
+		b.settings.StreamsPerConnection, b.meanReported = c.streams, c.held
 		h := w.ask(b, 2*Second, "k", false, 2*Second)
 		b.Woken(3 * Second)
 		before := w.released
@@ -115,19 +115,19 @@
 	for i := range 10 {
 		all[i] = 1
 	}
-	b.List(2*Second, ListChanges, loaded(all))
+	b.UpdateEndpoints(2*Second, ListChanges, loaded(all))
 	if b.limit != 5 {
 		t.Errorf("pace %v while one request a core is held", b.limit)
 	}
 	for i := range all {
 		all[i] = 20
 	}
-	b.List(3*Second, ListChanges, loaded(all))
+	b.UpdateEndpoints(3*Second, ListChanges, loaded(all))
 	if b.limit > 2.5 {
 		t.Errorf("pace %v while twenty are", b.limit)
 	}
 	for n := range Time(20) {
-		b.List((4+n)*Second, ListChanges, loaded(all))
+		b.UpdateEndpoints((4+n)*Second, ListChanges, loaded(all))
 	}
 	if b.limit != 0.1 {
 		t.Errorf("pace %v at last", b.limit)
@@ -135,7 +135,7 @@
 	// What was learned wrongly, under a list that stood still, does not keep the limit down for ever.
 	b.perReported, b.late = 2, 0.3
 	for n := range Time(300) {
-		b.List((30+n/4)*Second, ListChanges, loaded(map[int]float64{0: 1}))
+		b.UpdateEndpoints((30+n/4)*Second, ListChanges, loaded(map[int]float64{0: 1}))
 	}
 	if b.perReported > 0.9 {
 		t.Errorf("%v expected for each request held after 300 lists", b.perReported)
@@ -144,7 +144,7 @@
 	b.late, b.limit = 1, 0.1
 	for n := range Time(6) {
 		at := (200 + 10*n) * Second
-		b.List(at, ListChanges, loaded(map[int]float64{0: 0.1}))
+		b.UpdateEndpoints(at, ListChanges, loaded(map[int]float64{0: 0.1}))
 		h := w.ask(b, at, fmt.Sprint(n), false, 2*Second)
 		b.AttemptEnded(at+100*Millisecond, h, 0, w.to[len(w.to)-1], Succeeded, 100*Millisecond, true)
 	}
@@ -165,7 +165,7 @@
 		b.late = 0.6
 		h := w.ask(b, 2*Second, "k", false, 2*Second)
 		at := int(w.to[0]) - 1
-		b.List(2*Second, ListChanges, loaded(map[int]float64{at: c.held, (at + 1) % 10: 0.1})[at:at+1])
+		b.UpdateEndpoints(2*Second, ListChanges, loaded(map[int]float64{at: c.held, (at + 1) % 10: 0.1})[at:at+1])
 		b.AttemptEnded(3*Second, h, 0, w.to[0], c.o, Second, false)
 		if aside := b.endpoints[b.places[w.to[0]]].ejectedTill > 3*Second; aside != c.aside {
 			t.Errorf("%+v: aside %v", c, aside)
@@ -176,7 +176,7 @@
 // A tenant's share is a few requests in ten seconds at one of a hundred instances: two at once are chance, thirty are not.
 func TestChanceIsNotTakenForMoreThanAShare(t *testing.T) {
 	b := pool(&quiet{}, 0)
-	b.settings.Tenants, b.settings.Quotas, b.settings.BeyondValue = []Tenant{{"x", 60}, {"y", 60}}, 120, 0.05
+	b.settings.Tenants, b.settings.TotalQuota, b.settings.OverQuotaValue = []Tenant{{"x", 60}, {"y", 60}}, 120, 0.05
 	b.use = make([]meter, 2)
 	first := b.valueRate(2*Second, &request{}, 0, false)
 	if second := b.valueRate(2*Second, &request{}, 0, false); second != first {
--- a/policy/spread_test.go
+++ b/policy/spread_test.go
@@ -134,7 +134,7 @@
 	for i := range instances {
 		w := &quiet{}
 		b := New(w, campaign(), uint64(i+1), Second)
-		b.List(Second, ListFull, fleet(servers, "a"))
+		b.UpdateEndpoints(Second, ListFull, fleet(servers, "a"))
 		for range each {
 			h := w.ask(b, 2*Second, "", false, 2*Second)
 			b.AttemptEnded(2*Second, h, 0, w.to[len(w.to)-1], Cancelled, 0, true)
--- a/policy/state.go
+++ b/policy/state.go
@@ -154,17 +154,17 @@
 
 // Gauges are figures that an instance goes by, for reports; nothing is decided on them elsewhere.
 type Gauges struct {
-	OutLimit float64 // attempts that may be out in all
-	Limit    float64 // mean over the endpoints in the table of the attempts that may be out to one
-	Late     float64 // mean of answer time over target latency
-	Out      int     // attempts
-	Waiting  int     // requests
-	Ejected  int     // endpoints
+	TotalLimit float64 // attempts that may be out in all
+	Limit      float64 // mean over the endpoints in the table of the attempts that may be out to one
+	Lateness   float64 // mean of answer time over target latency
+	InFlight   int     // attempts
+	Waiting    int     // requests
+	Ejected    int     // endpoints
 }
 
 // Gauges gives the figures as they stand.
 func (b *Balancer) Gauges() Gauges {
-	g := Gauges{OutLimit: b.limit, Late: b.late, Out: b.out, Waiting: len(b.queue), Ejected: b.ejected}
+	g := Gauges{TotalLimit: b.limit, Lateness: b.late, InFlight: b.out, Waiting: len(b.queue), Ejected: b.ejected}
 	for _, p := range b.byID {
 		g.Limit += b.endpoints[p].limit / float64(len(b.byID))
 	}
@@ -181,9 +181,9 @@
 	}
 }
 
-// Coming is told that the body of a request in hand is still coming, or (over) has come: what may be out is counted without it until
+// BodyPending is told that the body of a request in hand is still coming, or (over) has come: what may be out is counted without it until
 // then, and it has no deadline.
-func (b *Balancer) Coming(h Handle, over bool, cutOff Time) {
+func (b *Balancer) BodyPending(h Handle, over bool, cutOff Time) {
 	t := b.lookup(h)
 	if t == nil || t.answered || t.coming != over {
 		return
@@ -196,8 +196,8 @@
 	b.idles(t, p, t.out)
 }
 
-// Table is a digest of who has which slot, alike in all instances that assign the same, for reports.
-func (b *Balancer) Table() uint64 {
+// TableDigest is a digest of who has which slot, alike in all instances that assign the same, for reports.
+func (b *Balancer) TableDigest() uint64 {
 	d, text := xxhash.New(), [8]byte{}
 	for _, p := range b.table {
 		binary.LittleEndian.PutUint64(text[:], uint64(b.endpoints[p].ID))
@@ -206,8 +206,8 @@
 	return d.Sum64()
 }
 
-// Avoids tells whether the endpoint is ejected, for reports.
-func (b *Balancer) Avoids(now Time, id EndpointID) bool {
+// Ejected tells whether the endpoint is ejected, for reports.
+func (b *Balancer) Ejected(now Time, id EndpointID) bool {
 	p, known := b.places[id]
 	return known && now < b.endpoints[p].ejectedTill
 }
--- a/policy/table.go
+++ b/policy/table.go
@@ -19,27 +19,27 @@
 func (nobody) Forget(EndpointID)                {}
 func (nobody) Log(string)                       {}
 
-// Deal gives the owner of each slot after a list has followed on another, by the module's own joins, leaves and moves of surplus slots alone: who
+// AssignSlots gives the owner of each slot after a list has followed on another, by the module's own joins, leaves and moves of surplus slots alone: who
 // assigns the same lists in the same order has the same table, whenever it began. table and was are what stood before, nil at the first list. Nil
 // where there is no endpoint.
-func Deal(table []EndpointID, was, now []Member) []EndpointID {
-	b := New(nobody{}, &Settings{Instances: 1, Weighted: true}, 0, 0)
+func AssignSlots(table []EndpointID, was, now []Member) []EndpointID {
+	b := New(nobody{}, &Settings{Instances: 1, FixedWeights: true}, 0, 0)
 	listed := func(all []Member) (kept []Member) {
 		for _, m := range all {
-			if m.Standing != Gone {
+			if m.Status != Gone {
 				kept = append(kept, m)
 			}
 		}
 		return kept
 	}
 	if len(table) == slots {
-		b.List(0, ListFull, listed(was))
-		if !b.Adopt(table) {
+		b.UpdateEndpoints(0, ListFull, listed(was))
+		if !b.AdoptTable(table) {
 			b = New(nobody{}, b.settings, 0, 0) // the table of another list: assigned as the first
 		}
 	}
-	b.List(0, ListFull, listed(now))
-	gone := slices.DeleteFunc(slices.Clone(b.byID), func(p int32) bool { return b.endpoints[p].Standing != Gone })
+	b.UpdateEndpoints(0, ListFull, listed(now))
+	gone := slices.DeleteFunc(slices.Clone(b.byID), func(p int32) bool { return b.endpoints[p].Status != Gone })
 	if len(gone) == len(b.byID) {
 		return nil
 	}
@@ -57,8 +57,8 @@
 	return all
 }
 
-// Adopt takes over who has which slot. False, and nothing is changed, where an endpoint in it is not in the list.
-func (b *Balancer) Adopt(table []EndpointID) bool {
+// AdoptTable takes over who has which slot. False, and nothing is changed, where an endpoint in it is not in the list.
+func (b *Balancer) AdoptTable(table []EndpointID) bool {
 	if len(table) != len(b.table) || slices.ContainsFunc(table, func(id EndpointID) bool {
 		p, known := b.places[id]
 		return !known || !b.endpoints[p].inTable
@@ -76,8 +76,8 @@
 	return true
 }
 
-// Packed writes a table as the places of the owners among the endpoints of its list, two bytes a slot. Nil: one of them is not in it.
-func Packed(table []EndpointID, list []Member) (b []byte) {
+// EncodeTable writes a table as the places of the owners among the endpoints of its list, two bytes a slot. Nil: one of them is not in it.
+func EncodeTable(table []EndpointID, list []Member) (b []byte) {
 	ids := sortedIDs(list)
 	for _, id := range table {
 		i, known := slices.BinarySearch(ids, id)
@@ -89,8 +89,8 @@
 	return b
 }
 
-// Unpacked reads it. Nil: it is not one of that list.
-func Unpacked(b []byte, list []Member) (table []EndpointID) {
+// DecodeTable reads it. Nil: it is not one of that list.
+func DecodeTable(b []byte, list []Member) (table []EndpointID) {
 	ids := sortedIDs(list)
 	if len(b) != 2*slots {
 		return nil
--- a/policy/table_test.go
+++ b/policy/table_test.go
@@ -20,15 +20,15 @@
 	}
 	var table []EndpointID
 	var was []Member
-	live := New(nobody{}, &Settings{Instances: 3, Weighted: true, Classes: []Class{{Target: Second, Deadline: Second}}}, 9, 0)
+	live := New(nobody{}, &Settings{Instances: 3, FixedWeights: true, Classes: []Class{{Target: Second, Deadline: Second}}}, 9, 0)
 	now := Time(0)
 	for range 20 {
 		next := list()
 		if chance.IntN(4) == 0 && was != nil && was[len(was)-1].ID != 5 {
 			next = append(slices.Clone(was), Member{ID: 5, Weight: 2})
 		}
-		dealt := Deal(table, was, next)
-		if again := Deal(Unpacked(Packed(table, was), was), was, slices.Clone(next)); !slices.Equal(dealt, again) {
+		dealt := AssignSlots(table, was, next)
+		if again := AssignSlots(DecodeTable(EncodeTable(table, was), was), was, slices.Clone(next)); !slices.Equal(dealt, again) {
 			t.Fatal("two assigned alike and have two tables")
 		}
 		total, share := 0.0, map[EndpointID]float64{}
@@ -56,24 +56,24 @@
 		if table != nil && float64(moved) > 1.5*needed+float64(len(next)) {
 			t.Errorf("%d slots moved, %v had to", moved, needed)
 		}
-		live.List(now, ListFull, next)
-		if !live.Adopt(dealt) {
+		live.UpdateEndpoints(now, ListFull, next)
+		if !live.AdoptTable(dealt) {
 			t.Fatal("the table of its own list is not taken")
 		}
 		for range 200 { // past holdTime
 			now += Second / 4
-			live.List(now, ListFull, next)
+			live.UpdateEndpoints(now, ListFull, next)
 			live.Woken(now)
 		}
 		if !slices.Equal(live.owners(), dealt) {
 			t.Error("it has left the table that it took")
 		}
-		if live.Adopt(append([]EndpointID{1}, dealt[1:]...)) || !slices.Equal(live.owners(), dealt) {
+		if live.AdoptTable(append([]EndpointID{1}, dealt[1:]...)) || !slices.Equal(live.owners(), dealt) {
 			t.Error("a table with a stranger in it is taken")
 		}
 		table, was = dealt, next
 	}
-	if Deal(table, was, nil) != nil || Deal(nil, nil, nil) != nil {
+	if AssignSlots(table, was, nil) != nil || AssignSlots(nil, nil, nil) != nil {
 		t.Error("nobody has slots")
 	}
 }
--- a/policy/types.go
+++ b/policy/types.go
@@ -59,11 +59,11 @@
 	GroupCell
 )
 
-// Standing is what the list says of an endpoint.
-type Standing uint8
+// EndpointStatus is what the list says of an endpoint.
+type EndpointStatus uint8
 
 const (
-	Ready Standing = iota
+	Ready EndpointStatus = iota
 	Draining
 	Gone
 )
@@ -79,12 +79,12 @@
 
 // Member is an endpoint as the list names it.
 type Member struct {
-	ID       EndpointID
-	Weight   float64
-	Cell     Cell
-	Zone     Zone
-	Standing Standing
-	Started  Time // 0: long ago
+	ID      EndpointID
+	Weight  float64
+	Cell    Cell
+	Zone    Zone
+	Status  EndpointStatus
+	Started Time // 0: long ago
 }
 
 // Class is a kind of request.
@@ -107,26 +107,26 @@
 
 // Settings is all that an instance is told at its start.
 type Settings struct {
-	Instances     int
-	Zone          Zone
-	Zones         int
-	Classes       []Class
-	Tenants       []Tenant
-	Quotas        float64 // of all tenants
-	BeyondValue   float64 // part of the value left beyond a tenant's share
-	Weighted      bool    // weights hold still and mean size
-	MustAsk       bool    // the list comes only when asked for
-	MustAskIn     Time
-	MayCancel     bool
-	MaxAttempts   int
-	Streams       int  // attempts that one connection carries at once
-	MaxRetryAfter Time // longest retry advice that is heeded; 0 where none is allowed
-	CrossPrice    float64
-	Tick          Time
-	ColdShare     float64
-	ColdTime      Time
-	FallMultiple  float64
-	FallTime      Time // over which what is sent to a cold endpoint counts; 0: a second
+	Instances            int
+	Zone                 Zone
+	Zones                int
+	Classes              []Class
+	Tenants              []Tenant
+	TotalQuota           float64 // of all tenants
+	OverQuotaValue       float64 // part of the value left beyond a tenant's share
+	FixedWeights         bool    // weights hold still and mean size
+	PollList             bool    // the list comes only when asked for
+	PollWithin           Time
+	MayCancel            bool
+	MaxAttempts          int
+	StreamsPerConnection int  // attempts that one connection carries at once
+	MaxRetryAfter        Time // longest retry advice that is heeded; 0 where none is allowed
+	CrossZonePrice       float64
+	Tick                 Time
+	ColdCapacity         float64
+	ColdTime             Time
+	OverloadMultiple     float64
+	OverloadWindow       Time // over which what is sent to a cold endpoint counts; 0: a second
 }
 
 // Front is what the module asks of its surroundings.
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -9,9 +9,9 @@
 func TestLoadedNearSideGivesKeysAway(t *testing.T) {
 	q := &quiet{}
 	c := campaign()
-	c.CrossPrice = 0.1
+	c.CrossZonePrice = 0.1
 	b := New(q, c, 7, Second)
-	b.List(Second, ListFull, fleet(6, "a", "b"))
+	b.UpdateEndpoints(Second, ListFull, fleet(6, "a", "b"))
 	near := push(b, q, 2*Second, "k", Succeeded, Millisecond)
 	if b.endpoints[b.places[near]].Zone != "a" {
 		t.Error("an unloaded near side was passed over")
@@ -33,9 +33,9 @@
 func TestNearPartStartsAtTheNearServersPart(t *testing.T) {
 	for _, zones := range []int{2, 5} {
 		c := campaign()
-		c.CrossPrice, c.Zones = 0.2, zones
+		c.CrossZonePrice, c.Zones = 0.2, zones
 		b := New(&quiet{}, c, 7, Second)
-		b.List(Second, ListFull, fleet(10, "a", "b", "b", "b", "b"))
+		b.UpdateEndpoints(Second, ListFull, fleet(10, "a", "b", "b", "b", "b"))
 		if b.nearPart < 0.19 || b.nearPart > 0.21 {
 			t.Errorf("near part %.2f with a fifth of the endpoints in one of %d zones", b.nearPart, zones)
 		}
@@ -68,9 +68,9 @@
 		{0.01, 0, 0.01}, {0.08, 0, 0.02}, {0.12, 0, 0.03}, {0.5, 0, 0.03}, {0.12, 0.2, 0.01}, {0, 0, 0},
 	} {
 		s := campaign()
-		s.CrossPrice = c.price
+		s.CrossZonePrice = c.price
 		b := New(&quiet{}, s, 7, Second)
-		b.List(Second, ListFull, fleet(10, "a", "b"))
+		b.UpdateEndpoints(Second, ListFull, fleet(10, "a", "b"))
 		b.nearPart = 0.25
 		b.sides = [2]float64{b.baseline + c.load, b.baseline + c.load}
 		if b.adjustNearPart(2 * Second); math.Abs(b.nearPart-0.25-c.want) > 1e-9 {
