--- a/cmd/pepperlead/versions.go
+++ b/cmd/pepperlead/versions.go
@@ -63,7 +63,7 @@
 		}
 		text, err := io.ReadAll(answer.Body)
 		answer.Body.Close()
-		switch leader := answer.Header.Get(coordinator.LeaderAt); {
+		switch leader := answer.Header.Get(coordinator.LeaderHeader); {
 		case err != nil:
 			return "", err
 		case answer.StatusCode == http.StatusOK:
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -26,8 +26,8 @@
 	Ready() bool
 	Report() string
 	ServersReport() string
-	// Figures hands over each counter, and each figure that goes up and down.
-	Figures(each func(name string, value float64, rises bool))
+	// EachMetric hands over each counter, and each figure that goes up and down.
+	EachMetric(each func(name string, value float64, rises bool))
 	// Each hands over what the door shows, by the same names.
 	Each(one func(name, labels string, n int64, rises bool))
 }
@@ -136,7 +136,7 @@
 func (figures) Describe(chan<- *prometheus.Desc) {} // unchecked: which there are is known only when asked
 
 func (f figures) Collect(to chan<- prometheus.Metric) {
-	f.of.Figures(Metric(to, "See docs/oncall.md."))
+	f.of.EachMetric(Metric(to, "See docs/oncall.md."))
 	f.of.Each(func(name, labels string, n int64, rises bool) {
 		kind := prometheus.GaugeValue
 		if rises {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -17,7 +17,7 @@
 func (s *sidecar) Ready() bool           { return s.ready }
 func (s *sidecar) Report() string        { return "tickets 7\n" }
 func (s *sidecar) ServersReport() string { return "s-1\n" }
-func (s *sidecar) Figures(each func(string, float64, bool)) {
+func (s *sidecar) EachMetric(each func(string, float64, bool)) {
 	each("tickets", 7, true)
 	each("tickets_in_hand", 2, false)
 }
--- a/internal/coordinator/golden_test.go
+++ b/internal/coordinator/golden_test.go
@@ -80,7 +80,7 @@
 }
 
 // single is a group of one keeper. Its lease is long enough for a change to be withdrawn before it is over.
-func single(t *testing.T) *Keeper {
+func single(t *testing.T) *Coordinator {
 	t.Helper()
 	ip := fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()>>14%64, os.Getpid()>>7%128, 1+os.Getpid()%128)
 	listener, err := net.Listen("tcp", ip+":0")
@@ -89,10 +89,10 @@
 	}
 	address := listener.Addr().String()
 	listener.Close()
-	keeper, err := Open(Post{Name: "keeper", Folder: t.TempDir(), Listen: address, Cluster: "cluster", Key: []byte("0123456789abcdef"),
-		Members: []Member{{Name: "keeper", Raft: address}}, Lease: 2000 * policy.Millisecond, Drift: 0.01,
-		Check: func([]byte, []byte) error { return nil },
-		Deal:  func(text []byte, _ *ruleset.Page) []byte { return append([]byte("table of "), text...) }}, quietLog())
+	keeper, err := Open(Config{Name: "keeper", Directory: t.TempDir(), Listen: address, Cluster: "cluster", Key: []byte("0123456789abcdef"),
+		Members: []Member{{Name: "keeper", RaftAddress: address}}, Lease: 2000 * policy.Millisecond, Drift: 0.01,
+		Validate:    func([]byte, []byte) error { return nil },
+		AssignSlots: func(text []byte, _ *ruleset.Revision) []byte { return append([]byte("table of "), text...) }}, quietLog())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,7 +101,7 @@
 }
 
 // commandsOf reads the log as it lies on disk.
-func commandsOf(t *testing.T, keeper *Keeper) (commands [][]byte) {
+func commandsOf(t *testing.T, keeper *Coordinator) (commands [][]byte) {
 	t.Helper()
 	first, err := keeper.kept.FirstIndex()
 	if err != nil {
@@ -131,13 +131,13 @@
 		defer keeper.mu.Unlock()
 		return keeper.granter != nil
 	})
-	applied := func(text string, back, last ruleset.Number, author string) {
+	applied := func(text string, back, last ruleset.RevisionNumber, author string) {
 		t.Helper()
 		if _, err := keeper.Apply([]byte(text), back, last, author); err != nil {
 			t.Fatal(err)
 		}
 	}
-	withdrawn := func(n ruleset.Number) {
+	withdrawn := func(n ruleset.RevisionNumber) {
 		t.Helper()
 		if err := keeper.Withdraw(n); err != nil {
 			t.Fatal(err)
@@ -172,7 +172,7 @@
 func (*sink) Close() error  { return nil }
 
 // snapshotOf gives what the keeper has written into a snapshot.
-func snapshotOf(t *testing.T, keeper *Keeper) []byte {
+func snapshotOf(t *testing.T, keeper *Coordinator) []byte {
 	t.Helper()
 	snapshot, err := (*pen)(keeper).Snapshot()
 	if err != nil {
@@ -188,7 +188,7 @@
 
 // The log and the snapshots of an earlier build are read, and written again in the same bytes.
 func TestLogAndSnapshotOfAnEarlierBuild(t *testing.T) {
-	keeper := &Keeper{log: quietLog()}
+	keeper := &Coordinator{log: quietLog()}
 	for i, file := range goldenCommands {
 		if result := (*pen)(keeper).Apply(&raft.Log{Index: uint64(i + 1), Type: raft.LogCommand, Data: goldenFile(t, file+".cbor", nil)}); result != nil {
 			t.Fatalf("%s: %v", file, result)
@@ -199,7 +199,7 @@
 	if !bytes.Equal(encoded, want) {
 		t.Errorf("encoded\n%x\nwant\n%x", encoded, want)
 	}
-	restored := &Keeper{log: quietLog()}
+	restored := &Coordinator{log: quietLog()}
 	if err := (*pen)(restored).Restore(io.NopCloser(bytes.NewReader(want))); err != nil {
 		t.Fatal(err)
 	}
@@ -207,8 +207,8 @@
 		t.Errorf("decoded and encoded again\n%x\nwant\n%x", again, want)
 	}
 	book := restored.book
-	if book.Old != 1 || book.New != 4 || book.Last != 4 || len(book.Pages) != 4 {
-		t.Fatalf("found versions %d, %d and %d in %d pages, want 1, 4 and 4 in 4 pages", book.Old, book.New, book.Last, len(book.Pages))
+	if book.Active != 1 || book.Next != 4 || book.LastNumber != 4 || len(book.Revisions) != 4 {
+		t.Fatalf("found versions %d, %d and %d in %d pages, want 1, 4 and 4 in 4 pages", book.Active, book.Next, book.LastNumber, len(book.Revisions))
 	}
 	for i, page := range []struct{ author, text, table, over string }{
 		{"first author", "first text", "table of first text", ""},
@@ -216,9 +216,9 @@
 		{"third author", "third text", "table of third text", "withdrawn"},
 		{"fourth author", "second text", "table of second text", ""},
 	} {
-		found := book.Pages[i]
-		if found.Author != page.author || string(found.Text) != page.text || string(found.Table) != page.table || found.Over != page.over ||
-			found.At != goldenTime {
+		found := book.Revisions[i]
+		if found.Author != page.author || string(found.Text) != page.text || string(found.Table) != page.table || found.Outcome != page.over ||
+			found.ProposedAt != goldenTime {
 			t.Errorf("page %d: found %+v, want %+v at %v", i+1, found, page, time.Unix(0, goldenTime))
 		}
 	}
--- a/internal/coordinator/group.go
+++ b/internal/coordinator/group.go
@@ -21,24 +21,24 @@
 
 // Member is one keeper, as all of them are told.
 type Member struct {
-	Name  string
-	Raft  string // address of its log
-	Pages string // address at which versions are applied and shown
+	Name         string
+	RaftAddress  string // address of its log
+	AdminAddress string // address at which versions are applied and shown
 }
 
-// Post is what a keeper is told.
-type Post struct {
-	Name    string
-	Folder  string
-	Listen  string // for other keepers
-	Cluster string
-	Key     []byte
-	Members []Member // this one too
-	Lease   policy.Time
-	Drift   float64
-	Check   func(text, inForce []byte) error // whether a version can follow on another; nil: there is none
-	// Deal gives the slots' owners of a text that follows on a version, nil: there is none; nothing where it names no servers.
-	Deal func(text []byte, inForce *ruleset.Page) []byte
+// Config is what a keeper is told.
+type Config struct {
+	Name      string
+	Directory string
+	Listen    string // for other keepers
+	Cluster   string
+	Key       []byte
+	Members   []Member // this one too
+	Lease     policy.Time
+	Drift     float64
+	Validate  func(text, inForce []byte) error // whether a version can follow on another; nil: there is none
+	// AssignSlots gives the slots' owners of a text that follows on a version, nil: there is none; nothing where it names no servers.
+	AssignSlots func(text []byte, inForce *ruleset.Revision) []byte
 }
 
 const (
@@ -58,21 +58,21 @@
 
 // Errors of what a keeper is asked.
 var (
-	ErrNotLeading = errors.New("another keeper leads")
-	errUnknown    = errors.New("it is not known whether the group has agreed, see what is in force")
-	errNoLeader   = errors.New("no keeper leads: most of them are not there, or cannot reach each other")
+	ErrNotLeader = errors.New("another keeper leads")
+	errUnknown   = errors.New("it is not known whether the group has agreed, see what is in force")
+	errNoLeader  = errors.New("no keeper leads: most of them are not there, or cannot reach each other")
 )
 
 type question struct {
 	from  string
 	ask   uint64
-	knows []ruleset.Number
+	knows []ruleset.RevisionNumber
 	came  policy.Time
 }
 
-// Keeper is one of the group.
-type Keeper struct {
-	post   Post
+// Coordinator is one of the group.
+type Coordinator struct {
+	post   Config
 	log    *logrus.Logger
 	raft   *raft.Raft
 	kept   kept
@@ -83,8 +83,8 @@
 	company atomic.Pointer[membership.Company]
 
 	mu      sync.Mutex
-	book    ruleset.Book
-	granter *ruleset.Granter // nil: it does not lead
+	book    ruleset.RevisionLog
+	granter *ruleset.LeaseIssuer // nil: it does not lead
 	asked   []question
 	told    map[string]time.Time // when a sidecar was last sent pages
 	begun   policy.Time          // of the change under way
@@ -96,12 +96,12 @@
 }
 
 // Open begins to keep. Errors: the address or the folder cannot be used.
-func Open(p Post, log *logrus.Logger) (k *Keeper, err error) {
-	k = &Keeper{post: p, log: log, stop: make(chan struct{}), told: map[string]time.Time{}, rung: make(chan struct{}, 1),
+func Open(p Config, log *logrus.Logger) (k *Coordinator, err error) {
+	k = &Coordinator{post: p, log: log, stop: make(chan struct{}), told: map[string]time.Time{}, rung: make(chan struct{}, 1),
 		room: make(chan struct{}, mostPages)}
 	quiet := quietly(log)
 	var beside string
-	if k.kept, beside, err = open(p.Folder, log, quiet); err != nil {
+	if k.kept, beside, err = open(p.Directory, log, quiet); err != nil {
 		return nil, err
 	}
 	if beside != "" {
@@ -120,7 +120,7 @@
 	if k.kept.fresh && beside == "" {
 		var servers []raft.Server
 		for _, m := range p.Members {
-			servers = append(servers, raft.Server{ID: raft.ServerID(m.Name), Address: raft.ServerAddress(m.Raft)})
+			servers = append(servers, raft.Server{ID: raft.ServerID(m.Name), Address: raft.ServerAddress(m.RaftAddress)})
 		}
 		if err := raft.BootstrapCluster(c, k.kept, k.kept, k.kept.snaps, transport, raft.Configuration{Servers: servers}); err != nil {
 			return nil, errors.Join(err, transport.Close(), k.kept.Close())
@@ -135,16 +135,16 @@
 	return k, nil
 }
 
-func (k *Keeper) own() string {
+func (k *Coordinator) own() string {
 	i := slices.IndexFunc(k.post.Members, func(m Member) bool { return m.Name == k.post.Name })
-	return k.post.Members[i].Raft
+	return k.post.Members[i].RaftAddress
 }
 
-// Meet tells the company by which sidecars are answered.
-func (k *Keeper) Meet(c *membership.Company) { k.company.Store(c) }
+// JoinCluster tells the company by which sidecars are answered.
+func (k *Coordinator) JoinCluster(c *membership.Company) { k.company.Store(c) }
 
 // Close ends it; who leads hands that over first, so that nobody need find out.
-func (k *Keeper) Close() {
+func (k *Coordinator) Close() {
 	close(k.stop)
 	if k.raft.State() == raft.Leader && len(k.post.Members) > 1 {
 		k.raft.LeadershipTransfer().Error() // if none can take it, the others find out
@@ -155,9 +155,9 @@
 	k.kept.Close()
 }
 
-// Heard takes what a sidecar has sent; it does not wait.
-func (k *Keeper) Heard(b []byte) {
-	ears := ruleset.Ears{Asked: func(from string, ask uint64, knows []ruleset.Number) {
+// HandleMessage takes what a sidecar has sent; it does not wait.
+func (k *Coordinator) HandleMessage(b []byte) {
+	ears := ruleset.MessageHandler{LeaseRequest: func(from string, ask uint64, knows []ruleset.RevisionNumber) {
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		if k.granter == nil || len(k.asked) >= mostAsked {
@@ -166,13 +166,13 @@
 		k.asked = append(k.asked, question{from, ask, knows, clock.Awake()})
 		k.ring()
 	}}
-	if !ears.Hear(b) {
+	if !ears.Handle(b) {
 		k.unreadable.Add(1)
 	}
 }
 
 // write has the group agree on a line of the log.
-func (k *Keeper) write(verb string, of ...any) error {
+func (k *Coordinator) write(verb string, of ...any) error {
 	b, err := cbor.Marshal(append([]any{verb}, of...))
 	if err != nil {
 		return err
@@ -180,7 +180,7 @@
 	f := k.raft.Apply(b, applyIn)
 	switch err := f.Error(); {
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress):
-		return ErrNotLeading
+		return ErrNotLeader
 	case err != nil:
 		return errors.Join(errUnknown, err)
 	}
@@ -191,7 +191,7 @@
 }
 
 // Leader is who leads, as far as this one knows.
-func (k *Keeper) Leader() (Member, error) {
+func (k *Coordinator) Leader() (Member, error) {
 	_, id := k.raft.LeaderWithID()
 	i := slices.IndexFunc(k.post.Members, func(m Member) bool { return m.Name == string(id) })
 	if i < 0 {
@@ -202,73 +202,73 @@
 
 // Apply proposes a text on top of the latest version that its author saw; back is the number of a version that it has the text of, or 0.
 // Errors: ErrNotLeading, why it is refused, or that its fate is not known.
-func (k *Keeper) Apply(text []byte, back, last ruleset.Number, author string) (ruleset.Number, error) {
+func (k *Coordinator) Apply(text []byte, back, last ruleset.RevisionNumber, author string) (ruleset.RevisionNumber, error) {
 	if _, err := k.Leader(); err != nil {
 		return 0, err
 	}
 	if k.raft.State() != raft.Leader {
-		return 0, ErrNotLeading
+		return 0, ErrNotLeader
 	}
 	text, inForce, on, err := k.check(text, back)
 	if err != nil {
 		return 0, err
 	}
-	if err := k.write("apply", text, k.post.Deal(text, inForce), uint64(back), uint64(last), uint64(on), author, time.Now().UnixNano()); err != nil {
+	if err := k.write("apply", text, k.post.AssignSlots(text, inForce), uint64(back), uint64(last), uint64(on), author, time.Now().UnixNano()); err != nil {
 		return 0, err
 	}
 	return last + 1, nil
 }
 
 // check tells why the text, or that of the version gone back to, cannot follow on what is in force; and gives the text and what that is.
-func (k *Keeper) check(text []byte, back ruleset.Number) ([]byte, *ruleset.Page, ruleset.Number, error) {
-	b := k.Book()
-	var inForce *ruleset.Page
+func (k *Coordinator) check(text []byte, back ruleset.RevisionNumber) ([]byte, *ruleset.Revision, ruleset.RevisionNumber, error) {
+	b := k.RevisionLog()
+	var inForce *ruleset.Revision
 	var follows []byte
-	for i, p := range b.Pages {
-		if p.Number == b.Old {
-			inForce, follows = &b.Pages[i], p.Text
+	for i, p := range b.Revisions {
+		if p.Number == b.Active {
+			inForce, follows = &b.Revisions[i], p.Text
 		}
 		if back > 0 && p.Number == back {
 			text = p.Text
 		}
 	}
-	return text, inForce, b.Old, k.post.Check(text, follows)
+	return text, inForce, b.Active, k.post.Validate(text, follows)
 }
 
 // dry tells why it would be refused.
-func (k *Keeper) dry(text []byte, back, last ruleset.Number) error {
+func (k *Coordinator) dry(text []byte, back, last ruleset.RevisionNumber) error {
 	text, _, on, err := k.check(text, back)
 	if err != nil {
 		return err
 	}
-	b := k.Book()
+	b := k.RevisionLog()
 	if back > 0 {
-		return b.Back(back, ruleset.Page{}, last, on)
+		return b.ProposeRollback(back, ruleset.Revision{}, last, on)
 	}
-	return b.Propose(ruleset.Page{Text: text}, last, on)
+	return b.Propose(ruleset.Revision{Text: text}, last, on)
 }
 
 // Withdraw ends the change to that version while it is under way.
-func (k *Keeper) Withdraw(n ruleset.Number) error {
+func (k *Coordinator) Withdraw(n ruleset.RevisionNumber) error {
 	if k.raft.State() != raft.Leader {
-		return ErrNotLeading
+		return ErrNotLeader
 	}
 	return k.write("withdraw", uint64(n))
 }
 
-// Book is what this keeper knows to be agreed on.
-func (k *Keeper) Book() ruleset.Book {
+// RevisionLog is what this keeper knows to be agreed on.
+func (k *Coordinator) RevisionLog() ruleset.RevisionLog {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	b := k.book
-	b.Pages = slices.Clone(b.Pages)
+	b.Revisions = slices.Clone(b.Revisions)
 	return b
 }
 
-// Figures hands over what is counted.
-func (k *Keeper) Figures(each func(name string, value float64, rises bool)) {
+// EachMetric hands over what is counted.
+func (k *Coordinator) EachMetric(each func(name string, value float64, rises bool)) {
 	k.mu.Lock()
-	old, coming, leads := k.book.Old, k.book.New, k.granter != nil
+	old, coming, leads := k.book.Active, k.book.Next, k.granter != nil
 	k.mu.Unlock()
 	each("keep_version", float64(old), false)
 	each("keep_coming", float64(coming), false)
--- a/internal/coordinator/group_test.go
+++ b/internal/coordinator/group_test.go
@@ -20,7 +20,7 @@
 )
 
 // three keepers in one process, at addresses of this run's own.
-func three(t *testing.T, log *logrus.Logger) (posts []Post, all []*Keeper) {
+func three(t *testing.T, log *logrus.Logger) (posts []Config, all []*Coordinator) {
 	t.Helper()
 	ip := fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()>>14%64, os.Getpid()>>7%128, 1+os.Getpid()%128)
 	var members []Member
@@ -37,13 +37,13 @@
 	}
 	dir := t.TempDir()
 	for _, m := range members {
-		p := Post{Name: m.Name, Folder: filepath.Join(dir, m.Name), Listen: m.Raft, Cluster: "c", Key: []byte("0123456789abcdef"), Members: members,
-			Lease: 600 * policy.Millisecond, Drift: 0.01, Check: func(text, _ []byte) error {
+		p := Config{Name: m.Name, Directory: filepath.Join(dir, m.Name), Listen: m.RaftAddress, Cluster: "c", Key: []byte("0123456789abcdef"), Members: members,
+			Lease: 600 * policy.Millisecond, Drift: 0.01, Validate: func(text, _ []byte) error {
 				if bytes.HasPrefix(text, []byte("bad")) {
 					return errors.New("it is bad")
 				}
 				return nil
-			}, Deal: func([]byte, *ruleset.Page) []byte { return nil }}
+			}, AssignSlots: func([]byte, *ruleset.Revision) []byte { return nil }}
 		k, err := Open(p, log)
 		if err != nil {
 			t.Fatal(err)
@@ -64,12 +64,12 @@
 }
 
 // apply applies at whoever leads.
-func apply(t *testing.T, all []*Keeper, text string, back ruleset.Number) (n ruleset.Number) {
+func apply(t *testing.T, all []*Coordinator, text string, back ruleset.RevisionNumber) (n ruleset.RevisionNumber) {
 	t.Helper()
 	eventually(t, "apply "+text, func() bool {
 		for _, k := range all {
-			b := k.Book()
-			got, err := k.Apply([]byte(text), back, b.Last, "me")
+			b := k.RevisionLog()
+			got, err := k.Apply([]byte(text), back, b.LastNumber, "me")
 			if n = got; err == nil {
 				return true
 			}
@@ -79,8 +79,8 @@
 	return n
 }
 
-func alone(k *Keeper, n ruleset.Number) func() bool {
-	return func() bool { b := k.Book(); return b.Old == n && b.New == n }
+func alone(k *Coordinator, n ruleset.RevisionNumber) func() bool {
+	return func() bool { b := k.RevisionLog(); return b.Active == n && b.Next == n }
 }
 
 func TestKeepersAgree(t *testing.T) {
@@ -109,15 +109,15 @@
 		if leader, err := k.Leader(); err != nil || leader.Name == k.post.Name {
 			continue
 		}
-		pages, err := Listen(k)
+		pages, err := ListenAdmin(k)
 		if err != nil {
 			t.Fatal(err)
 		}
-		answer, err := http.Post("http://"+pages.At+"/_apply?last=1&author=me", "", strings.NewReader("two"))
-		if err != nil || answer.StatusCode != http.StatusMisdirectedRequest || answer.Header.Get(LeaderAt) == "" {
+		answer, err := http.Post("http://"+pages.Address+"/_apply?last=1&author=me", "", strings.NewReader("two"))
+		if err != nil || answer.StatusCode != http.StatusMisdirectedRequest || answer.Header.Get(LeaderHeader) == "" {
 			t.Errorf("%v %v", answer, err)
 		}
-		answer, err = http.Get("http://" + pages.At + "/_versions/1")
+		answer, err = http.Get("http://" + pages.Address + "/_versions/1")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -135,22 +135,22 @@
 		}
 	}
 	all[leads].Close()
-	rest := append(append([]*Keeper{}, all[:leads]...), all[leads+1:]...)
+	rest := append(append([]*Coordinator{}, all[:leads]...), all[leads+1:]...)
 	n = apply(t, rest, "two", 0)
 	eventually(t, "the second alone", alone(rest[0], n))
 	if back := apply(t, rest, "", 1); back != n+1 {
 		t.Errorf("gone back as version %d", back)
 	}
 	eventually(t, "the first again", alone(rest[1], n+1))
-	path := filepath.Join(posts[leads].Folder, storeFile)
+	path := filepath.Join(posts[leads].Directory, storeFile)
 	if err := os.WriteFile(path, bytes.Repeat([]byte("no page"), 3000), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	store, beside, err := open(posts[leads].Folder, logger, quietly(logger))
+	store, beside, err := open(posts[leads].Directory, logger, quietly(logger))
 	if err != nil || beside == "" || !store.fresh {
 		t.Fatalf("%v %q", err, beside)
 	}
-	if _, _, err := open(posts[leads].Folder, logger, quietly(logger)); err == nil || errors.Is(err, errDamaged) {
+	if _, _, err := open(posts[leads].Directory, logger, quietly(logger)); err == nil || errors.Is(err, errDamaged) {
 		t.Errorf("a store that another process has: %v", err)
 	}
 	store.Close()
--- a/internal/coordinator/leader.go
+++ b/internal/coordinator/leader.go
@@ -9,7 +9,7 @@
 	"pepperlead/policy"
 )
 
-func (k *Keeper) ring() {
+func (k *Coordinator) ring() {
 	select {
 	case k.rung <- struct{}{}:
 	default:
@@ -17,7 +17,7 @@
 }
 
 // lead begins and ends this keeper's terms.
-func (k *Keeper) lead() {
+func (k *Coordinator) lead() {
 	for {
 		select {
 		case <-k.stop:
@@ -35,15 +35,15 @@
 				continue
 			}
 			k.mu.Lock()
-			k.granter = ruleset.NewGranter(ruleset.Term(k.raft.CurrentTerm()), k.post.Lease, k.post.Drift, k.book.Old, k.book.New, clock.Awake())
-			k.log.Infof("keep: leads in term %d, version %d in force, %d coming", k.raft.CurrentTerm(), k.book.Old, k.book.New)
+			k.granter = ruleset.NewLeaseIssuer(ruleset.Term(k.raft.CurrentTerm()), k.post.Lease, k.post.Drift, k.book.Active, k.book.Next, clock.Awake())
+			k.log.Infof("keep: leads in term %d, version %d in force, %d coming", k.raft.CurrentTerm(), k.book.Active, k.book.Next)
 			k.mu.Unlock()
 		}
 	}
 }
 
 // answer answers questions, all that wait by one round that confirms the term.
-func (k *Keeper) answer() {
+func (k *Coordinator) answer() {
 	for {
 		select {
 		case <-k.stop:
@@ -69,7 +69,7 @@
 	}
 }
 
-func (k *Keeper) reply(q question, begun policy.Time) {
+func (k *Coordinator) reply(q question, begun policy.Time) {
 	c := k.company.Load()
 	if c == nil {
 		return
@@ -80,9 +80,9 @@
 		k.mu.Unlock()
 		return
 	}
-	k.granter.Confirmed(begun)
-	g, given := k.granter.Grant(q.ask, q.knows, q.came)
-	var lacks []ruleset.Page
+	k.granter.ConfirmTerm(begun)
+	g, given := k.granter.Issue(q.ask, q.knows, q.came)
+	var lacks []ruleset.Revision
 	if !given && time.Since(k.told[q.from]) > tellEvery {
 		for _, p := range k.book.InForce() {
 			if !slices.Contains(q.knows, p.Number) {
@@ -97,7 +97,7 @@
 	k.mu.Unlock()
 	if given {
 		k.grants.Add(1)
-		c.Send(q.from, ruleset.SayGrant(c.Own(), g)) // lost: it is asked again
+		c.Send(q.from, ruleset.EncodeLease(c.Own(), g)) // lost: it is asked again
 		return
 	}
 	if len(lacks) == 0 {
@@ -111,7 +111,7 @@
 	go func() {
 		defer func() { <-k.room }()
 		for _, p := range lacks {
-			b := ruleset.SayPage(c.Own(), p)
+			b := ruleset.EncodeRevision(c.Own(), p)
 			k.sent.Add(1)
 			k.sentBytes.Add(uint64(len(b)))
 			if c.SendWhole(q.from, b) != nil {
@@ -122,7 +122,7 @@
 }
 
 // drop ends a change once no grant of the old version alone can hold.
-func (k *Keeper) drop() {
+func (k *Coordinator) drop() {
 	tick := time.NewTicker(dropEvery)
 	defer tick.Stop()
 	for {
@@ -132,7 +132,7 @@
 		case <-tick.C:
 		}
 		k.mu.Lock()
-		ready, n := k.granter != nil && k.granter.Ready(clock.Awake()), k.book.New
+		ready, n := k.granter != nil && k.granter.ChangeReady(clock.Awake()), k.book.Next
 		k.mu.Unlock()
 		if ready {
 			k.write("drop", uint64(n)) // in vain: it is tried again
--- a/internal/coordinator/pages.go
+++ b/internal/coordinator/pages.go
@@ -21,22 +21,22 @@
 
 const mostText = 4 << 20
 
-// LeaderAt is the header that names the pages of the keeper that leads, in an answer 421 (Misdirected Request, RFC 9110) of one that does not.
-const LeaderAt = "Leader"
+// LeaderHeader is the header that names the pages of the keeper that leads, in an answer 421 (Misdirected Request, RFC 9110) of one that does not.
+const LeaderHeader = "Leader"
 
-// Pages are a keeper's, over HTTP: /_versions and /_versions/N show; POST to /_apply?last=N&author=A, with &dry=yes to check alone, and with
+// AdminServer are a keeper's, over HTTP: /_versions and /_versions/N show; POST to /_apply?last=N&author=A, with &dry=yes to check alone, and with
 // &back=N for the text of a kept version; POST to /_withdraw?n=N; /metrics, /_health, /_peers.
-type Pages struct {
-	At   string
-	http http.Server
+type AdminServer struct {
+	Address string
+	http    http.Server
 }
 
-// Listen serves them at the address that all keepers are told.
-func Listen(k *Keeper) (*Pages, error) {
+// ListenAdmin serves them at the address that all keepers are told.
+func ListenAdmin(k *Coordinator) (*AdminServer, error) {
 	var at string
 	for _, m := range k.post.Members {
 		if m.Name == k.post.Name {
-			at = m.Pages
+			at = m.AdminAddress
 		}
 	}
 	l, err := net.Listen("tcp", at)
@@ -67,29 +67,29 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	p := &Pages{At: at, http: http.Server{Handler: mux, ReadTimeout: 10 * time.Second, WriteTimeout: 20 * time.Second, MaxHeaderBytes: 16 << 10}}
+	p := &AdminServer{Address: at, http: http.Server{Handler: mux, ReadTimeout: 10 * time.Second, WriteTimeout: 20 * time.Second, MaxHeaderBytes: 16 << 10}}
 	go p.http.Serve(l)
 	return p, nil
 }
 
 // Close ends them.
-func (p *Pages) Close() error { return p.http.Close() }
+func (p *AdminServer) Close() error { return p.http.Close() }
 
-func number(r *http.Request, of string) (ruleset.Number, error) {
+func number(r *http.Request, of string) (ruleset.RevisionNumber, error) {
 	text := r.URL.Query().Get(of)
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
 		return 0, fmt.Errorf("%s: found %q, allowed the number of a version", of, text)
 	}
-	return ruleset.Number(n), nil
+	return ruleset.RevisionNumber(n), nil
 }
 
 // apply proposes a version.
-func (k *Keeper) apply(w http.ResponseWriter, r *http.Request) {
+func (k *Coordinator) apply(w http.ResponseWriter, r *http.Request) {
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, mostText))
 	last, wrong := number(r, "last")
 	err = errors.Join(err, wrong)
-	var back ruleset.Number
+	var back ruleset.RevisionNumber
 	if r.URL.Query().Has("back") {
 		back, wrong = number(r, "back")
 		err = errors.Join(err, wrong)
@@ -98,23 +98,23 @@
 		k.result(w, k.dry(text, back, last), "it could be applied on top of version %d\n", last)
 		return
 	}
-	var n ruleset.Number
+	var n ruleset.RevisionNumber
 	if err == nil {
 		n, err = k.Apply(text, back, last, r.URL.Query().Get("author"))
 	}
 	k.result(w, err, "version %d is agreed on\n", n)
 }
 
-func (k *Keeper) result(w http.ResponseWriter, err error, good string, of ...any) {
+func (k *Coordinator) result(w http.ResponseWriter, err error, good string, of ...any) {
 	switch leader, unknown := k.Leader(); {
 	case err == nil:
 		fmt.Fprintf(w, good, of...)
-	case errors.Is(err, ErrNotLeading) && unknown == nil && leader.Name != k.post.Name:
-		w.Header().Set(LeaderAt, leader.Pages)
+	case errors.Is(err, ErrNotLeader) && unknown == nil && leader.Name != k.post.Name:
+		w.Header().Set(LeaderHeader, leader.AdminAddress)
 		http.Error(w, err.Error(), http.StatusMisdirectedRequest)
 	case errors.Is(err, errUnknown):
 		http.Error(w, err.Error(), http.StatusGatewayTimeout)
-	case errors.Is(err, ErrNotLeading), errors.Is(err, errNoLeader):
+	case errors.Is(err, ErrNotLeader), errors.Is(err, errNoLeader):
 		http.Error(w, err.Error(), http.StatusServiceUnavailable) // nothing was done: it may be tried again
 	default:
 		http.Error(w, err.Error(), http.StatusConflict)
@@ -122,34 +122,34 @@
 }
 
 // Report is the versions, one a line, the latest last.
-func (k *Keeper) Report() string {
-	b := k.Book()
+func (k *Coordinator) Report() string {
+	b := k.RevisionLog()
 	var out strings.Builder
 	leader, err := k.Leader()
-	fmt.Fprintf(&out, "in force %d, coming %d, last %d, leader %q, lease %v\n", b.Old, b.New, b.Last, leader.Name, time.Duration(k.post.Lease))
+	fmt.Fprintf(&out, "in force %d, coming %d, last %d, leader %q, lease %v\n", b.Active, b.Next, b.LastNumber, leader.Name, time.Duration(k.post.Lease))
 	if err != nil {
 		fmt.Fprintln(&out, err)
 	}
-	for _, p := range b.Pages {
-		state := p.Over
+	for _, p := range b.Revisions {
+		state := p.Outcome
 		switch {
-		case p.Number == b.Old:
+		case p.Number == b.Active:
 			state = "in force"
-		case p.Number == b.New:
+		case p.Number == b.Next:
 			state = "coming"
 		}
 		from := ""
-		if p.From > 0 {
-			from = fmt.Sprintf(" (the text of %d)", p.From)
+		if p.RollbackOf > 0 {
+			from = fmt.Sprintf(" (the text of %d)", p.RollbackOf)
 		}
-		fmt.Fprintf(&out, "%d %s by %q at %s, %d bytes, sha256 %s%s\n", p.Number, state, p.Author, time.Unix(0, p.At).UTC().Format(time.RFC3339), len(p.Text),
+		fmt.Fprintf(&out, "%d %s by %q at %s, %d bytes, sha256 %s%s\n", p.Number, state, p.Author, time.Unix(0, p.ProposedAt).UTC().Format(time.RFC3339), len(p.Text),
 			hex.EncodeToString(p.Digest[:8]), from)
 	}
 	return out.String()
 }
 
-func (k *Keeper) page(w http.ResponseWriter, r *http.Request) {
-	for _, p := range k.Book().Pages {
+func (k *Coordinator) page(w http.ResponseWriter, r *http.Request) {
+	for _, p := range k.RevisionLog().Revisions {
 		if strconv.FormatUint(uint64(p.Number), 10) == r.PathValue("n") {
 			w.Write(p.Text)
 			return
@@ -159,14 +159,14 @@
 }
 
 // figures gives what is counted to Prometheus.
-type figures struct{ of *Keeper }
+type figures struct{ of *Coordinator }
 
 func (figures) Describe(chan<- *prometheus.Desc) {} // unchecked: which there are is known only when asked
 
 func (f figures) Collect(to chan<- prometheus.Metric) {
 	one := admin.Metric(to, "See docs/agreement.md.")
-	f.of.Figures(one)
+	f.of.EachMetric(one)
 	if c := f.of.company.Load(); c != nil {
-		c.Figures(one)
+		c.EachMetric(one)
 	}
 }
--- a/internal/coordinator/statemachine.go
+++ b/internal/coordinator/statemachine.go
@@ -14,7 +14,7 @@
 )
 
 // pen is the keeper as raft writes by it: each line of the log in its order.
-type pen Keeper
+type pen Coordinator
 
 // Apply takes one line of the log.
 func (p *pen) Apply(l *raft.Log) any {
@@ -39,11 +39,11 @@
 	now := clock.Awake()
 	switch verb {
 	case "apply":
-		var page ruleset.Page
-		var back, last, on ruleset.Number
-		err := read(&page.Text, &page.Table, &back, &last, &on, &page.Author, &page.At)
+		var page ruleset.Revision
+		var back, last, on ruleset.RevisionNumber
+		err := read(&page.Text, &page.Table, &back, &last, &on, &page.Author, &page.ProposedAt)
 		if err == nil && back > 0 {
-			err = p.book.Back(back, page, last, on)
+			err = p.book.ProposeRollback(back, page, last, on)
 		} else if err == nil {
 			err = p.book.Propose(page, last, on)
 		}
@@ -52,23 +52,23 @@
 		}
 		p.begun = now
 		if p.granter != nil {
-			p.granter.Propose(p.book.New, now)
+			p.granter.BeginChange(p.book.Next, now)
 		}
-		p.log.Infof("keep: version %d is agreed on, %d is in force too until no lease is left of it alone", p.book.New, p.book.Old)
+		p.log.Infof("keep: version %d is agreed on, %d is in force too until no lease is left of it alone", p.book.Next, p.book.Active)
 	case "drop":
-		var n ruleset.Number
+		var n ruleset.RevisionNumber
 		if err := read(&n); err != nil {
 			return err
 		}
-		if !p.book.Drop(n) {
+		if !p.book.Complete(n) {
 			return errors.New("not the change under way")
 		}
 		if p.granter != nil {
-			p.granter.Dropped()
+			p.granter.CompleteChange()
 		}
 		p.log.Infof("keep: version %d is in force alone, %dms after it was agreed on", n, (now-p.begun)/policy.Millisecond)
 	case "withdraw":
-		var n ruleset.Number
+		var n ruleset.RevisionNumber
 		if err := read(&n); err != nil {
 			return err
 		}
@@ -76,9 +76,9 @@
 			return err
 		}
 		if p.granter != nil {
-			p.granter.Withdrawn()
+			p.granter.WithdrawChange()
 		}
-		p.log.Infof("keep: version %d is withdrawn, %d stays in force", n, p.book.Old)
+		p.log.Infof("keep: version %d is withdrawn, %d stays in force", n, p.book.Active)
 	default:
 		return fmt.Errorf("a line of the log that is not known, %q: a newer keeper wrote it", verb)
 	}
@@ -96,7 +96,7 @@
 // Restore goes on from a snapshot.
 func (p *pen) Restore(from io.ReadCloser) error {
 	defer from.Close()
-	var book ruleset.Book
+	var book ruleset.RevisionLog
 	if err := cbor.NewDecoder(from).Decode(&book); err != nil {
 		return err
 	}
--- a/internal/coordinator/stream.go
+++ b/internal/coordinator/stream.go
@@ -33,7 +33,7 @@
 	accepted chan error
 }
 
-func listen(p Post) (*stream, error) {
+func listen(p Config) (*stream, error) {
 	l, err := net.Listen("tcp", p.Listen)
 	if err != nil {
 		return nil, err
--- a/internal/daemon/agreed.go
+++ b/internal/daemon/agreed.go
@@ -38,17 +38,17 @@
 func ownVersion(c *policy.Settings, cutOffs []policy.Time) *engine.Version {
 	own := *c
 	own.Classes, own.Tenants = slices.Clone(c.Classes), slices.Clone(c.Tenants)
-	return &engine.Version{Version: ruleset.Version{Rules: ruleset.RulesOf(&own, cutOffs, nil, nil)}, Campaign: &own}
+	return &engine.Version{RuleSet: ruleset.RuleSet{Rules: ruleset.NewRules(&own, cutOffs, nil, nil)}, Campaign: &own}
 }
 
 // readVersion makes a version of a page. The error has a line for each fault.
-func readVersion(p ruleset.Page) (*engine.Version, error) {
+func readVersion(p ruleset.Revision) (*engine.Version, error) {
 	v, err := config.ReadVersion("version", p.Text)
 	if err != nil {
 		return nil, err
 	}
 	servers := members(v.Servers)
-	return &engine.Version{Version: ruleset.Version{Number: p.Number, Digest: p.Digest, Rules: ruleset.RulesOf(v.Campaign, v.CutOffs, servers, v.Bans)},
+	return &engine.Version{RuleSet: ruleset.RuleSet{Number: p.Number, Digest: p.Digest, Rules: ruleset.NewRules(v.Campaign, v.CutOffs, servers, v.Bans)},
 		Campaign: v.Campaign, Servers: v.Servers, Table: policy.DecodeTable(p.Table, servers)}, nil
 }
 
@@ -68,14 +68,14 @@
 
 // run asks for leases and takes in what is said, until the sidecar ends.
 func (g *agreed) run(stop <-chan struct{}) {
-	ears := ruleset.Ears{Granted: g.grantedBy, Told: g.told}
+	ears := ruleset.MessageHandler{Lease: g.grantedBy, Revision: g.told}
 	next := time.NewTimer(0)
 	for {
 		select {
 		case <-stop:
 			return
 		case b := <-g.heard:
-			if !ears.Hear(b) {
+			if !ears.Handle(b) {
 				g.unread.Add(1)
 			}
 			if g.soon {
@@ -102,7 +102,7 @@
 	var b []byte
 	if len(keepers) == 0 || !g.Within(countIn, func() {
 		ask, knows := g.Ask()
-		b = ruleset.SayAsk(c.Own(), ask, knows)
+		b = ruleset.EncodeLeaseRequest(c.Own(), ask, knows)
 		g.note()
 	}) {
 		return
@@ -124,7 +124,7 @@
 	}
 }
 
-func (g *agreed) grantedBy(from string, by ruleset.Grant) {
+func (g *agreed) grantedBy(from string, by ruleset.Lease) {
 	g.Within(countIn, func() {
 		if g.Granted(by) {
 			g.from, g.fromAt = from, time.Now()
@@ -134,7 +134,7 @@
 	})
 }
 
-func (g *agreed) told(from string, p ruleset.Page) {
+func (g *agreed) told(from string, p ruleset.Revision) {
 	if sha256.Sum256(p.Text) != p.Digest {
 		g.refuse(p, "its digest is that of another text")
 		return
@@ -155,7 +155,7 @@
 	})
 }
 
-func (g *agreed) refuse(p ruleset.Page, why string) {
+func (g *agreed) refuse(p ruleset.Revision, why string) {
 	g.refused.Add(1)
 	g.Logger.WithField("why", why).Errorf("rules: version %d is left out, what is in force stays", p.Number)
 }
--- a/internal/daemon/company.go
+++ b/internal/daemon/company.go
@@ -83,9 +83,9 @@
 
 // Figures are the sidecar's, and those of its company.
 func (a *among) Figures(each func(name string, value float64, rises bool)) {
-	a.Sidecar.Figures(each)
+	a.Sidecar.EachMetric(each)
 	if c := a.of.Load(); c != nil {
-		c.Figures(each)
+		c.EachMetric(each)
 	}
 	if a.rules != nil {
 		a.rules.figures(each)
--- a/internal/daemon/keep.go
+++ b/internal/daemon/keep.go
@@ -50,7 +50,7 @@
 }
 
 // dealt gives the slots' owners of a version that follows on another.
-func dealt(text []byte, inForce *ruleset.Page) []byte {
+func dealt(text []byte, inForce *ruleset.Revision) []byte {
 	next, err := config.ReadVersion("version", text)
 	if err != nil || next.Servers == nil {
 		return nil
@@ -74,29 +74,29 @@
 	if err != nil {
 		return fmt.Errorf("peers.key_file: %w", err)
 	}
-	post := coordinator.Post{Name: k.Name, Folder: k.Folder, Listen: k.Listen, Cluster: k.Peers.Cluster, Key: key, Lease: k.Lease, Drift: k.Drift,
-		Check: func(text, inForce []byte) error { return CheckVersion("version", text, inForce) }, Deal: dealt}
+	post := coordinator.Config{Name: k.Name, Directory: k.Folder, Listen: k.Listen, Cluster: k.Peers.Cluster, Key: key, Lease: k.Lease, Drift: k.Drift,
+		Validate: func(text, inForce []byte) error { return CheckVersion("version", text, inForce) }, AssignSlots: dealt}
 	for _, m := range k.Members {
-		post.Members = append(post.Members, coordinator.Member(m))
+		post.Members = append(post.Members, coordinator.Member{Name: m.Name, RaftAddress: m.Raft, AdminAddress: m.Pages})
 	}
 	keeper, err := coordinator.Open(post, log)
 	if err != nil {
 		return fmt.Errorf("keep: %w", err)
 	}
 	defer keeper.Close()
-	pages, err := coordinator.Listen(keeper)
+	pages, err := coordinator.ListenAdmin(keeper)
 	if err != nil {
 		return fmt.Errorf("pages: %w", err)
 	}
 	defer pages.Close()
 	company, err := membership.Open(membership.Post{Name: k.Name, Cluster: k.Peers.Cluster, Listen: k.Peers.Listen, Advertise: k.Peers.Advertise,
-		Join: k.Peers.Join, Key: key, Keeper: true, Heard: keeper.Heard}, log)
+		Join: k.Peers.Join, Key: key, Keeper: true, Heard: keeper.HandleMessage}, log)
 	if err != nil {
 		return fmt.Errorf("peers: %w", err)
 	}
 	defer company.Close()
-	keeper.Meet(company)
-	log.WithField("pages", pages.At).Info("keeping")
+	keeper.JoinCluster(company)
+	log.WithField("pages", pages.Address).Info("keeping")
 	<-stop
 	log.Info("keep: ends")
 	return nil
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -128,7 +128,7 @@
 }
 
 func (s *script) UpdateEndpoints(_ policy.Time, _ policy.ListKind, m []policy.Member) { s.id = m[0].ID }
-func (s *script) ListFailed(policy.Time)                                   {}
+func (s *script) ListFailed(policy.Time)                                              {}
 func (s *script) Admit(policy.Time, policy.ClassID, policy.TenantID, string, bool, policy.Time) policy.Handle {
 	return 0
 }
--- a/internal/emulator/plan.go
+++ b/internal/emulator/plan.go
@@ -6,7 +6,7 @@
 type idle struct{}
 
 func (idle) UpdateEndpoints(policy.Time, policy.ListKind, []policy.Member) {}
-func (idle) ListFailed(policy.Time)                             {}
+func (idle) ListFailed(policy.Time)                                        {}
 func (idle) Admit(policy.Time, policy.ClassID, policy.TenantID, string, bool, policy.Time) policy.Handle {
 	return 0
 }
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -32,7 +32,7 @@
 	}
 	t.Handle, e.byPlace[h.Place()] = h, t
 	if e.terms != nil {
-		e.terms.places.Took(o)
+		e.terms.places.Acquire(o)
 	}
 	e.Module.Begin(now, h)
 }
@@ -101,7 +101,7 @@
 		e.byPlace[at] = nil
 	}
 	if e.terms != nil {
-		e.terms.places.Gave(t.Class)
+		e.terms.places.Release(t.Class)
 	}
 	t.Front.Given(t)
 	*t = Request{Front: t.Front, front: t.front, Part: t.Part, Wait: Timer{Do: t.Wait.Do}}
--- a/internal/engine/terms.go
+++ b/internal/engine/terms.go
@@ -16,7 +16,7 @@
 
 // Version is one as this instance can act by it: what binds, and all else that it says.
 type Version struct {
-	ruleset.Version
+	ruleset.RuleSet
 	Campaign *policy.Settings
 	Servers  []discovery.Entry   // nil: those of the instance's own source
 	Table    []policy.EndpointID // who has which slot; nil: as assigned here
@@ -27,18 +27,18 @@
 
 // terms are the rules that this instance agrees on with others. The loop's own.
 type terms struct {
-	holder  *ruleset.Holder
-	places  ruleset.Places
-	of      map[ruleset.Number]*Version
+	holder  *ruleset.LeaseClient
+	places  ruleset.ClassTable
+	of      map[ruleset.RevisionNumber]*Version
 	named   []string // by place
 	rows    []int    // by place: where its figures are
 	offered []string
 	turns   uint64
 	leased  bool
-	last    []ruleset.Number
-	unfit   ruleset.Number // version whose table could not be taken
-	table   uint64         // digest of the table that was taken last
-	acts    uint64         // changes
+	last    []ruleset.RevisionNumber
+	unfit   ruleset.RevisionNumber // version whose table could not be taken
+	table   uint64                 // digest of the table that was taken last
+	acts    uint64                 // changes
 }
 
 // Agreeing is a front that can go on while classes and tenants come and go. With NoClass and NoTenant they go.
@@ -50,14 +50,14 @@
 // Agree has the engine go by versions from now on: by its own file's as number 0, and until there is a lease by the floor of that. life tells
 // this process's lives apart. To be called before Run.
 func (e *Engine) Agree(own *Version, life uint32) {
-	t := &terms{holder: ruleset.NewHolder(life), of: map[ruleset.Number]*Version{}, turns: 1 << 63}
-	t.places.Most = mostPlaces
+	t := &terms{holder: ruleset.NewLeaseClient(life), of: map[ruleset.RevisionNumber]*Version{}, turns: 1 << 63}
+	t.places.Capacity = mostPlaces
 	e.terms = t
 	e.Tally.Answered = make([][Results]atomic.Int64, mostPlaces)
 	names := len(e.labels)
 	e.names.Store(int64(names))
 	e.labels = append(e.labels, make([][Results]string, mostPlaces-names)...)
-	t.holder.Learn(own.Version)
+	t.holder.Add(own.RuleSet)
 	t.of[own.Number] = own
 	t.leased = true // its classes are there from the first moment, by the floor of what it says: nothing has changed that is worth a line
 	e.act(&own.Rules, true)
@@ -67,7 +67,7 @@
 // Learn takes in a version, if it can come into force. False: its number is known with another digest, or it is too old.
 func (e *Engine) Learn(v *Version) bool {
 	t := e.terms
-	if !t.holder.Learn(v.Version) {
+	if !t.holder.Add(v.RuleSet) {
 		return false
 	}
 	t.of[v.Number] = v
@@ -81,25 +81,25 @@
 }
 
 // Ask numbers a question for a lease that is sent now.
-func (e *Engine) Ask() (ask uint64, knows []ruleset.Number) {
-	return e.terms.holder.Ask(clock.Awake())
+func (e *Engine) Ask() (ask uint64, knows []ruleset.RevisionNumber) {
+	return e.terms.holder.NewRequest(clock.Awake())
 }
 
 // Granted takes a lease.
-func (e *Engine) Granted(g ruleset.Grant) bool {
-	granted := e.terms.holder.Granted(g)
+func (e *Engine) Granted(g ruleset.Lease) bool {
+	granted := e.terms.holder.Accept(g)
 	e.obey()
 	return granted
 }
 
 // Standing tells by which versions this instance acts, and whether it has a lease on them.
-func (e *Engine) Standing() (of []ruleset.Number, leased bool) {
-	return e.terms.holder.InForce(), e.terms.leased
+func (e *Engine) Standing() (of []ruleset.RevisionNumber, leased bool) {
+	return e.terms.holder.Leased(), e.terms.leased
 }
 
 // Acting is a line of the log with what this instance acts by, and when.
 func (e *Engine) Acting() *logrus.Entry {
-	return e.Logger.WithFields(logrus.Fields{"versions": e.terms.holder.InForce(), "leased": e.terms.leased, "awake_ns": int64(clock.True())})
+	return e.Logger.WithFields(logrus.Fields{"versions": e.terms.holder.Leased(), "leased": e.terms.leased, "awake_ns": int64(clock.True())})
 }
 
 // Tells whether each step of a request is to be written down: where rules are agreed on, and debug lines are wanted.
@@ -119,9 +119,9 @@
 	if t == nil {
 		return
 	}
-	r, leased := t.holder.Acts(clock.Awake())
-	if leased != t.leased || t.turns != t.holder.Turns() {
-		t.turns = t.holder.Turns()
+	r, leased := t.holder.Active(clock.Awake())
+	if leased != t.leased || t.turns != t.holder.Changes() {
+		t.turns = t.holder.Changes()
 		e.act(r, leased)
 	}
 }
@@ -144,40 +144,40 @@
 	t, c := e.terms, e.Settings
 	t.acts++
 	said := e.said()
-	t.places.Go(r, leased, func(at policy.ClassID, name string, now ruleset.Offering, admits bool) {
+	t.places.Update(r, leased, func(at policy.ClassID, name string, now ruleset.ClassRule, admits bool) {
 		e.place(at, name, now, said[0])
 		if admits {
-			e.agreeing(func(f Agreeing) { f.Offers(name, at, now.CutOff) })
+			e.agreeing(func(f Agreeing) { f.Offers(name, at, now.Deadline) })
 		}
 	})
 	was := t.offered
 	t.offered = nil
 	for _, name := range slices.Compact(slices.Sorted(slices.Values(append(was, t.named...)))) {
-		if _, offered := t.places.At(name); offered {
+		if _, offered := t.places.Lookup(name); offered {
 			t.offered = append(t.offered, name)
 		} else {
 			e.agreeing(func(f Agreeing) { f.Offers(name, policy.NoClass, 0) })
 		}
 	}
-	c.ColdCapacity, c.ColdTime, c.OverloadMultiple, e.configured = r.ColdShare, r.ColdTime, r.Fall, r.Instances
+	c.ColdCapacity, c.ColdTime, c.OverloadMultiple, e.configured = r.ColdCapacity, r.ColdTime, r.OverloadMultiple, r.Instances
 	e.Among(e.there)
 	e.quotas(r)
-	if t.leased != leased || !slices.Equal(t.last, t.holder.InForce()) {
-		t.leased, t.last = leased, slices.Clone(t.holder.InForce())
+	if t.leased != leased || !slices.Equal(t.last, t.holder.Leased()) {
+		t.leased, t.last = leased, slices.Clone(t.holder.Leased())
 		e.Acting().Infof("rules: %s", map[bool]string{true: "by what these versions allow", false: "no lease: nothing is repeated, nothing goes to cold servers"}[leased])
 	}
-	e.list.ban(r.Bans)
+	e.list.ban(r.Drained)
 	// What is older than the latest grant names nobody any more; what only may come does without a lease.
 	said = slices.DeleteFunc(said, func(v *Version) bool {
-		return v.Number < oldest(t.holder) || leased && !slices.Contains(t.holder.InForce(), v.Number)
+		return v.Number < oldest(t.holder) || leased && !slices.Contains(t.holder.Leased(), v.Number)
 	})
 	e.list.agreed(r, said, t.of[oldest(t.holder)])
 	e.adopt()
 }
 
 // oldest is the version whose table is gone by: the one in force, and while a change is under way the one before it.
-func oldest(h *ruleset.Holder) (n ruleset.Number) {
-	if of := h.InForce(); len(of) > 0 {
+func oldest(h *ruleset.LeaseClient) (n ruleset.RevisionNumber) {
+	if of := h.Leased(); len(of) > 0 {
 		n = of[0]
 	}
 	return n
@@ -221,7 +221,7 @@
 		all = append(all, v)
 	}
 	inForce := func(v *Version) int {
-		if slices.Contains(t.holder.InForce(), v.Number) {
+		if slices.Contains(t.holder.Leased(), v.Number) {
 			return 1
 		}
 		return 0
@@ -241,7 +241,7 @@
 }
 
 // place writes what binds a place's requests to where the module reads it.
-func (e *Engine) place(at policy.ClassID, name string, now ruleset.Offering, latest *Version) {
+func (e *Engine) place(at policy.ClassID, name string, now ruleset.ClassRule, latest *Version) {
 	t, c := e.terms, e.Settings
 	for len(t.named) <= int(at) {
 		t.named, t.rows = append(t.named, ""), append(t.rows, 0)
@@ -256,7 +256,7 @@
 	} else if t.named[at] != name && like >= 0 {
 		*o = c.Classes[like]
 	}
-	now.Bind(o)
+	now.ApplyTo(o)
 	if t.named[at] != name {
 		t.named[at], t.rows[at] = name, e.row(name)
 		if like < 0 {
@@ -292,12 +292,12 @@
 	c := e.Settings
 	c.TotalQuota = 0
 	for i, f := range c.Tenants {
-		if !slices.ContainsFunc(r.Franchises, func(now ruleset.Franchise) bool { return now.Name == f.Name }) {
+		if !slices.ContainsFunc(r.Tenants, func(now ruleset.TenantQuota) bool { return now.Name == f.Name }) {
 			e.agreeing(func(front Agreeing) { front.Quotes(f.Name, policy.NoTenant) })
 			c.Tenants[i].Quota = 0
 		}
 	}
-	for _, f := range r.Franchises {
+	for _, f := range r.Tenants {
 		at := slices.IndexFunc(c.Tenants, func(was policy.Tenant) bool { return was.Name == f.Name })
 		if at < 0 {
 			at = len(c.Tenants)
@@ -313,7 +313,7 @@
 // agreed has the endpoints that versions name in the place of the source's own. One that not all of those name that may be in force drains.
 // One that is only coming is not known yet, so that the table stays as it is in force; table is the version that it is of.
 func (f *members) agreed(r *ruleset.Rules, said []*Version, table *Version) {
-	if r.Open {
+	if r.AnyEndpoint {
 		if f.closed {
 			f.closed = false
 			f.apply(f.e.Clock.Now(), &discovery.List{Kind: policy.ListFull, Entries: f.own})
@@ -329,9 +329,9 @@
 				continue
 			}
 			named[e.ID] = true
-			i, byAll := slices.BinarySearchFunc(r.Servers, e.ID, func(s ruleset.Server, id policy.EndpointID) int { return cmp.Compare(s.ID, id) })
+			i, byAll := slices.BinarySearchFunc(r.Endpoints, e.ID, func(s ruleset.Endpoint, id policy.EndpointID) int { return cmp.Compare(s.ID, id) })
 			if byAll {
-				e.Started = max(e.Started, r.Servers[i].Started)
+				e.Started = max(e.Started, r.Endpoints[i].Started)
 			} else if f.e.Endpoints[e.ID] == nil && (table == nil || v != table) {
 				continue
 			} else if e.Status == policy.Ready {
--- a/internal/engine/terms_test.go
+++ b/internal/engine/terms_test.go
@@ -33,7 +33,7 @@
 func (f *frontless) Offers(name string, at policy.ClassID, _ policy.Time) { f.offers[name] = at }
 func (f *frontless) Quotes(name string, at policy.TenantID)               { f.quotes[name] = at }
 
-func versionOf(n ruleset.Number, servers []discovery.Entry, franchises []policy.Tenant, offerings ...policy.Class) *Version {
+func versionOf(n ruleset.RevisionNumber, servers []discovery.Entry, franchises []policy.Tenant, offerings ...policy.Class) *Version {
 	c := &policy.Settings{Instances: 4, FixedWeights: true, OverloadMultiple: 3, ColdCapacity: 0.5, MaxAttempts: 3, Tick: policy.Millisecond, Classes: offerings, Tenants: franchises}
 	var cutOffs []policy.Time
 	for _, o := range offerings {
@@ -43,7 +43,7 @@
 	for _, s := range servers {
 		members = append(members, s.Member)
 	}
-	return &Version{Version: ruleset.Version{Number: n, Digest: [32]byte{byte(n)}, Rules: ruleset.RulesOf(c, cutOffs, members, nil)}, Campaign: c, Servers: servers}
+	return &Version{RuleSet: ruleset.RuleSet{Number: n, Digest: [32]byte{byte(n)}, Rules: ruleset.NewRules(c, cutOffs, members, nil)}, Campaign: c, Servers: servers}
 }
 
 func TestRulesComeAndGoWithoutARestart(t *testing.T) {
@@ -59,10 +59,10 @@
 	f := &frontless{offers: map[string]policy.ClassID{}, quotes: map[string]policy.TenantID{}}
 	e.Add(f)
 	e.Agree(own, 1)
-	grant := func(span policy.Time, of ...ruleset.Number) {
+	grant := func(span policy.Time, of ...ruleset.RevisionNumber) {
 		t.Helper()
 		ask, _ := e.Ask()
-		if !e.Granted(ruleset.Grant{Term: 1, Ask: ask, Of: of, For: span}) {
+		if !e.Granted(ruleset.Lease{Term: 1, RequestID: ask, Revisions: of, Duration: span}) {
 			t.Fatal("a grant is not taken")
 		}
 	}
@@ -115,7 +115,7 @@
 		t.Fatalf("laxer than what is in hand was promised: %+v %+v", campaign.Classes, f)
 	}
 	ban := versionOf(4, nil, nil, offering("a", policy.Idempotent))
-	ban.Rules.Bans = []policy.EndpointID{9}
+	ban.Rules.Drained = []policy.EndpointID{9}
 	if !e.Learn(ban) {
 		t.Fatal("not learned")
 	}
--- a/internal/httpproxy/reports.go
+++ b/internal/httpproxy/reports.go
@@ -52,8 +52,8 @@
 // Ready tells whether this process can serve: it listens, a list of endpoints is known, and it is not about to end.
 func (s *Sidecar) Ready() bool { return s.serves.Load() && s.Tally.Heard.Load() }
 
-// Figures hands over each counter, and each figure that goes up and down.
-func (s *Sidecar) Figures(each func(name string, value float64, rises bool)) {
+// EachMetric hands over each counter, and each figure that goes up and down.
+func (s *Sidecar) EachMetric(each func(name string, value float64, rises bool)) {
 	type figure struct {
 		name  string
 		n     int64
--- a/internal/membership/peers.go
+++ b/internal/membership/peers.go
@@ -280,8 +280,8 @@
 	return b.String()
 }
 
-// Figures hands over what this costs and knows.
-func (c *Company) Figures(each func(name string, value float64, rises bool)) {
+// EachMetric hands over what this costs and knows.
+func (c *Company) EachMetric(each func(name string, value float64, rises bool)) {
 	c.mu.Lock()
 	known, joins, gone, tables := len(c.peers), c.joins, c.gone, map[uint64]bool{}
 	for _, p := range c.peers {
--- a/internal/ruleset/explore_test.go
+++ b/internal/ruleset/explore_test.go
@@ -38,12 +38,12 @@
 type question struct {
 	holder, leader int
 	ask            uint64
-	knows          []Number
+	knows          []RevisionNumber
 }
 
 type answer struct {
 	holder int
-	grant  Grant
+	grant  Lease
 }
 
 // scene is a state of all. Holders and granters are values, so a copy is a scene of its own.
@@ -51,9 +51,9 @@
 	now       policy.Time
 	lost      policy.Time // moments that the first sidecar's clock has not counted
 	lastLost  policy.Time
-	holders   []Holder
+	holders   []LeaseClient
 	lives     []uint32
-	leaders   []Granter
+	leaders   []LeaseIssuer
 	questions []question
 	answers   []answer
 	asks      int
@@ -85,7 +85,7 @@
 		k = append(k, 'q', byte(q.holder), byte(q.leader), byte(q.ask), byte(q.ask>>32))
 	}
 	for _, a := range s.answers {
-		k = append(k, 'a', byte(a.holder), byte(a.grant.Term), byte(a.grant.Ask), byte(a.grant.Ask>>32), byte(len(a.grant.Of)), byte(a.grant.Of[0]))
+		k = append(k, 'a', byte(a.holder), byte(a.grant.Term), byte(a.grant.RequestID), byte(a.grant.RequestID>>32), byte(len(a.grant.Revisions)), byte(a.grant.Revisions[0]))
 	}
 	return string(k)
 }
@@ -97,24 +97,24 @@
 	return s.now
 }
 
-func version(n Number) Version {
+func version(n RevisionNumber) RuleSet {
 	// 2 allows less of x and more of y than 1 does, so either way of acting by the wrong one shows.
-	r := Rules{Open: true, Instances: 1, ColdShare: 1, Fall: 1, Offerings: []Named{{"x", Reissuable(9)}, {"y", Offering{CutOff: 9}}}}
+	r := Rules{AnyEndpoint: true, Instances: 1, ColdCapacity: 1, OverloadMultiple: 1, Classes: []NamedClassRule{{"x", IdempotentRule(9)}, {"y", ClassRule{Deadline: 9}}}}
 	if n == 2 {
-		r.Offerings = []Named{{"x", Offering{CutOff: 9}}, {"y", Reissuable(9)}}
+		r.Classes = []NamedClassRule{{"x", ClassRule{Deadline: 9}}, {"y", IdempotentRule(9)}}
 	}
-	return Version{Number: n, Digest: [32]byte{byte(n)}, Rules: r}
+	return RuleSet{Number: n, Digest: [32]byte{byte(n)}, Rules: r}
 }
 
 // contradicts looks for a sidecar that acts by the new version alone, beside one that may do what it forbids, or the other way round.
 func (s *scene) contradicts() bool {
 	for i := range s.holders {
-		mine, leased := s.holders[i].Acts(s.clock(i))
+		mine, leased := s.holders[i].Active(s.clock(i))
 		if of := s.holders[i].of; !leased || len(of) != 1 || of[0] != 2 {
 			continue
 		}
 		for j := range s.holders {
-			if other, _ := s.holders[j].Acts(s.clock(j)); j != i && !version(2).Rules.Allows(*other) && !version(1).Rules.Allows(*mine) {
+			if other, _ := s.holders[j].Active(s.clock(j)); j != i && !version(2).Rules.Allows(*other) && !version(1).Rules.Allows(*mine) {
 				return true
 			}
 		}
@@ -141,7 +141,7 @@
 			for l := range s.leaders {
 				step(func(n *scene) bool {
 					n.asks++
-					ask, knows := n.holders[i].Ask(n.clock(i))
+					ask, knows := n.holders[i].NewRequest(n.clock(i))
 					n.questions = append(n.questions, question{i, l, ask, knows})
 					return true
 				})
@@ -150,7 +150,7 @@
 		if i == 0 && b.restart && s.lives[0] == 0 && s.asks > 0 {
 			step(func(n *scene) bool { // starts again, with what it kept of versions
 				n.lives[0]++
-				h := NewHolder(n.lives[0])
+				h := NewLeaseClient(n.lives[0])
 				h.known = n.holders[0].known
 				h.settle()
 				n.holders[0] = *h
@@ -163,12 +163,12 @@
 			n.questions = slices.Delete(n.questions, q, q+1)
 			g, came := &n.leaders[of.leader], n.now
 			if of.leader == last {
-				g.Confirmed(n.now) // a round of the group finds only the latest term confirmed
+				g.ConfirmTerm(n.now) // a round of the group finds only the latest term confirmed
 			}
 			if f == noConfirming {
 				came = -1
 			}
-			grant, given := g.Grant(of.ask, of.knows, came)
+			grant, given := g.Issue(of.ask, of.knows, came)
 			if given {
 				n.answers = append(n.answers, answer{of.holder, grant})
 			}
@@ -183,21 +183,21 @@
 				h.sentAt = n.clock(of.holder)
 			}
 			if f == anyAnswer {
-				h.asked = of.grant.Ask
+				h.asked = of.grant.RequestID
 			}
-			return h.Granted(of.grant)
+			return h.Accept(of.grant)
 		})
 	}
 	g := &s.leaders[last]
 	if g.new == 1 {
-		step(func(n *scene) bool { return n.leaders[last].Propose(2, n.now) })
+		step(func(n *scene) bool { return n.leaders[last].BeginChange(2, n.now) })
 	}
-	if g.Ready(s.now) || f == noWait && g.old != g.new {
-		step(func(n *scene) bool { n.leaders[last].Dropped(); return true })
+	if g.ChangeReady(s.now) || f == noWait && g.old != g.new {
+		step(func(n *scene) bool { n.leaders[last].CompleteChange(); return true })
 	}
 	if len(s.leaders) < b.leaders {
 		step(func(n *scene) bool {
-			n.leaders = append(n.leaders, *NewGranter(2, span, drift, g.old, g.new, n.now))
+			n.leaders = append(n.leaders, *NewLeaseIssuer(2, span, drift, g.old, g.new, n.now))
 			return true
 		})
 	}
@@ -206,11 +206,11 @@
 
 // explore looks at every scene that can be reached, and counts them. It ends at the first contradiction.
 func explore(f fault, b bounds, most int) (scenes int, whole, found bool) {
-	first := scene{holders: make([]Holder, max(2, b.holders)), lives: make([]uint32, 2), leaders: []Granter{*NewGranter(1, span, drift, 1, 1, 0)}}
+	first := scene{holders: make([]LeaseClient, max(2, b.holders)), lives: make([]uint32, 2), leaders: []LeaseIssuer{*NewLeaseIssuer(1, span, drift, 1, 1, 0)}}
 	for i := range first.holders {
-		h := NewHolder(0)
-		h.Learn(version(1))
-		h.Learn(version(2))
+		h := NewLeaseClient(0)
+		h.Add(version(1))
+		h.Add(version(2))
 		first.holders[i] = *h
 	}
 	seen, open := map[string]bool{first.key(): true}, []scene{first}
--- a/internal/ruleset/golden_test.go
+++ b/internal/ruleset/golden_test.go
@@ -33,15 +33,15 @@
 }
 
 // filledPage has a distinct value in every field, so that a key that is lost, renamed or swapped with another changes the encoding.
-func filledPage() Page {
-	return Page{Number: 1, Digest: [32]byte{2, 3, 31: 4}, Author: "author", At: 1_700_000_000_000_000_005, Text: []byte("text"), From: 6,
-		Over: "followed", Table: []byte{7, 8}}
+func filledPage() Revision {
+	return Revision{Number: 1, Digest: [32]byte{2, 3, 31: 4}, Author: "author", ProposedAt: 1_700_000_000_000_000_005, Text: []byte("text"), RollbackOf: 6,
+		Outcome: "followed", Table: []byte{7, 8}}
 }
 
-func filledBook() Book {
-	second := Page{Number: 9, Digest: [32]byte{10}, Author: "another author", At: 11, Text: []byte("another text"), From: 12, Over: "withdrawn",
+func filledBook() RevisionLog {
+	second := Revision{Number: 9, Digest: [32]byte{10}, Author: "another author", ProposedAt: 11, Text: []byte("another text"), RollbackOf: 12, Outcome: "withdrawn",
 		Table: []byte{13}}
-	return Book{Pages: []Page{filledPage(), second}, Old: 14, New: 15, Last: 16}
+	return RevisionLog{Revisions: []Revision{filledPage(), second}, Active: 14, Next: 15, LastNumber: 16}
 }
 
 // Snapshots of the keepers hold books in these bytes, and keepers of an earlier build read and write them.
@@ -51,8 +51,8 @@
 		filled  any
 		decoded any // a pointer to the zero value
 	}{
-		{"page.cbor", filledPage(), &Page{}},
-		{"book.cbor", filledBook(), &Book{}},
+		{"page.cbor", filledPage(), &Revision{}},
+		{"book.cbor", filledBook(), &RevisionLog{}},
 	}
 	for _, c := range cases {
 		t.Run(c.file, func(t *testing.T) {
@@ -83,21 +83,21 @@
 	type message struct {
 		from  string
 		ask   uint64
-		knows []Number
-		grant Grant
-		page  Page
+		knows []RevisionNumber
+		grant Lease
+		page  Revision
 	}
 	cases := []struct {
 		file string
 		sent message
 		say  func(message) []byte
 	}{
-		{"message-ask.cbor", message{from: "127.0.0.1:7001", ask: 1, knows: []Number{2, 3}},
-			func(m message) []byte { return SayAsk(m.from, m.ask, m.knows) }},
-		{"message-grant.cbor", message{from: "127.0.0.1:7002", grant: Grant{Term: 4, Ask: 5, Of: []Number{6, 7}, For: 8_000_000_009}},
-			func(m message) []byte { return SayGrant(m.from, m.grant) }},
+		{"message-ask.cbor", message{from: "127.0.0.1:7001", ask: 1, knows: []RevisionNumber{2, 3}},
+			func(m message) []byte { return EncodeLeaseRequest(m.from, m.ask, m.knows) }},
+		{"message-grant.cbor", message{from: "127.0.0.1:7002", grant: Lease{Term: 4, RequestID: 5, Revisions: []RevisionNumber{6, 7}, Duration: 8_000_000_009}},
+			func(m message) []byte { return EncodeLease(m.from, m.grant) }},
 		{"message-page.cbor", message{from: "127.0.0.1:7003", page: filledPage()},
-			func(m message) []byte { return SayPage(m.from, m.page) }},
+			func(m message) []byte { return EncodeRevision(m.from, m.page) }},
 	}
 	for _, c := range cases {
 		t.Run(c.file, func(t *testing.T) {
@@ -107,12 +107,14 @@
 				t.Errorf("encoded\n%x\nwant\n%x", encoded, want)
 			}
 			var heard message
-			ears := Ears{
-				Asked:   func(from string, ask uint64, knows []Number) { heard = message{from: from, ask: ask, knows: knows} },
-				Granted: func(from string, grant Grant) { heard = message{from: from, grant: grant} },
-				Told:    func(from string, page Page) { heard = message{from: from, page: page} },
+			ears := MessageHandler{
+				LeaseRequest: func(from string, ask uint64, knows []RevisionNumber) {
+					heard = message{from: from, ask: ask, knows: knows}
+				},
+				Lease:    func(from string, grant Lease) { heard = message{from: from, grant: grant} },
+				Revision: func(from string, page Revision) { heard = message{from: from, page: page} },
 			}
-			if !ears.Hear(want) {
+			if !ears.Handle(want) {
 				t.Fatal("the golden message cannot be read")
 			}
 			if !reflect.DeepEqual(heard, c.sent) {
--- a/internal/ruleset/rules.go
+++ b/internal/ruleset/rules.go
@@ -11,91 +11,93 @@
 	"pepperlead/policy"
 )
 
-// Offering is what binds of one offering. The zero value is the strictest: at-most-once.
-type Offering struct {
-	Repeats bool // it may run twice, within what follows
-	Zone    bool // only within the zone of the server that may have run it first
-	Cell    bool // only within its pod
-	Window  policy.Time
-	CutOff  policy.Time // longest; 0: none is stated
+// ClassRule is what binds of one offering. The zero value is the strictest: at-most-once.
+type ClassRule struct {
+	Repeatable bool // it may run twice, within what follows
+	Zone       bool // only within the zone of the server that may have run it first
+	Cell       bool // only within its pod
+	Window     policy.Time
+	Deadline   policy.Time // longest; 0: none is stated
 }
 
-// Server is one that may be pushed to.
-type Server struct {
+// Endpoint is one that may be pushed to.
+type Endpoint struct {
 	ID      policy.EndpointID
 	Started policy.Time
 }
 
-// Franchise is a tenant's quota, in tickets a second over all sidecars.
-type Franchise struct {
+// TenantQuota is a tenant's quota, in tickets a second over all sidecars.
+type TenantQuota struct {
 	Name  string
 	Quota float64
 }
 
 // Rules are what binds of a version. Offerings, franchises and servers are in the order of their names, each once.
 type Rules struct {
-	Offerings  []Named
-	Franchises []Franchise
-	Servers    []Server            // ready ones; Open: any that a list names
-	Open       bool                // the version says nothing of servers
-	Bans       []policy.EndpointID // taken out by hand, whoever lists them; in order
-	Instances  int                 // sidecars among which budgets are split
-	ColdShare  float64             // part of its work that a cold server can do
-	ColdTime   policy.Time
-	Fall       float64 // times what it can do that make a cold server fall over; 0: it gets nothing
-}
-
-// Named is an offering under its name.
-type Named struct {
+	Classes          []NamedClassRule
+	Tenants          []TenantQuota
+	Endpoints        []Endpoint          // ready ones; Open: any that a list names
+	AnyEndpoint      bool                // the version says nothing of servers
+	Drained          []policy.EndpointID // taken out by hand, whoever lists them; in order
+	Instances        int                 // sidecars among which budgets are split
+	ColdCapacity     float64             // part of its work that a cold server can do
+	ColdTime         policy.Time
+	OverloadMultiple float64 // times what it can do that make a cold server fall over; 0: it gets nothing
+}
+
+// NamedClassRule is an offering under its name.
+type NamedClassRule struct {
 	Name string
-	Offering
+	ClassRule
 }
 
-// Reissuable allows everything.
-func Reissuable(cutOff policy.Time) Offering {
-	return Offering{Repeats: true, Window: math.MaxInt64, CutOff: cutOff}
+// IdempotentRule allows everything.
+func IdempotentRule(cutOff policy.Time) ClassRule {
+	return ClassRule{Repeatable: true, Window: math.MaxInt64, Deadline: cutOff}
 }
 
-// Numbered tells whether tickets may run twice only where servers know them again by their number.
-func (o Offering) Numbered() bool { return o.Repeats && (o.Zone || o.Cell || o.Window < math.MaxInt64) }
+// NeedsKey tells whether tickets may run twice only where servers know them again by their number.
+func (o ClassRule) NeedsKey() bool {
+	return o.Repeatable && (o.Zone || o.Cell || o.Window < math.MaxInt64)
+}
 
-// RulesOf is what binds of a campaign whose offerings are cut off at these times. servers: nil where it says nothing of them.
-func RulesOf(c *policy.Settings, cutOffs []policy.Time, servers []policy.Member, bans []policy.EndpointID) Rules {
-	r := Rules{Open: servers == nil, Bans: slices.Sorted(slices.Values(bans)), Instances: c.Instances, ColdShare: c.ColdCapacity, ColdTime: c.ColdTime, Fall: c.OverloadMultiple}
+// NewRules is what binds of a campaign whose offerings are cut off at these times. servers: nil where it says nothing of them.
+func NewRules(c *policy.Settings, cutOffs []policy.Time, servers []policy.Member, bans []policy.EndpointID) Rules {
+	r := Rules{AnyEndpoint: servers == nil, Drained: slices.Sorted(slices.Values(bans)), Instances: c.Instances, ColdCapacity: c.ColdCapacity, ColdTime: c.ColdTime, OverloadMultiple: c.OverloadMultiple}
 	for i, o := range c.Classes {
-		one := Offering{CutOff: cutOffs[i]}
+		one := ClassRule{Deadline: cutOffs[i]}
 		switch o.Idempotency {
 		case policy.Idempotent:
-			one = Reissuable(cutOffs[i])
+			one = IdempotentRule(cutOffs[i])
 		case policy.Keyed:
-			one.Repeats, one.Window, one.Zone, one.Cell = true, o.Window, o.Group == policy.GroupZone, o.Group == policy.GroupCell
+			one.Repeatable, one.Window, one.Zone, one.Cell = true, o.Window, o.Group == policy.GroupZone, o.Group == policy.GroupCell
 		}
-		r.Offerings = append(r.Offerings, Named{o.Name, one})
+		r.Classes = append(r.Classes, NamedClassRule{o.Name, one})
 	}
 	for _, f := range c.Tenants {
-		r.Franchises = append(r.Franchises, Franchise{f.Name, f.Quota})
+		r.Tenants = append(r.Tenants, TenantQuota{f.Name, f.Quota})
 	}
 	for _, m := range servers {
 		if m.Status == policy.Ready {
-			r.Servers = append(r.Servers, Server{m.ID, m.Started})
+			r.Endpoints = append(r.Endpoints, Endpoint{m.ID, m.Started})
 		}
 	}
-	slices.SortFunc(r.Offerings, func(x, y Named) int { return cmp.Compare(x.Name, y.Name) })
-	slices.SortFunc(r.Franchises, func(x, y Franchise) int { return cmp.Compare(x.Name, y.Name) })
-	slices.SortFunc(r.Servers, func(x, y Server) int { return cmp.Compare(x.ID, y.ID) })
+	slices.SortFunc(r.Classes, func(x, y NamedClassRule) int { return cmp.Compare(x.Name, y.Name) })
+	slices.SortFunc(r.Tenants, func(x, y TenantQuota) int { return cmp.Compare(x.Name, y.Name) })
+	slices.SortFunc(r.Endpoints, func(x, y Endpoint) int { return cmp.Compare(x.ID, y.ID) })
 	return r
 }
 
-// Bind writes into an offering what binds of it. Where it may be repeated within a zone and within a pod alike it may not at all: the module
+// ApplyTo writes into an offering what binds of it. Where it may be repeated within a zone and within a pod alike it may not at all: the module
 // knows one group for each.
-func (o Offering) Bind(to *policy.Class) {
+func (o ClassRule) ApplyTo(to *policy.Class) {
 	to.Idempotency, to.Group, to.Window = policy.NonIdempotent, policy.GroupAll, 0
-	if o.CutOff > 0 {
-		to.Deadline = o.CutOff
+	if o.Deadline > 0 {
+		to.Deadline = o.Deadline
 	}
 	switch {
-	case !o.Repeats || o.Zone && o.Cell:
-	case !o.Numbered():
+	case !o.Repeatable || o.Zone && o.Cell:
+	case !o.NeedsKey():
 		to.Idempotency = policy.Idempotent
 	default:
 		to.Idempotency, to.Window = policy.Keyed, o.Window
@@ -112,19 +114,19 @@
 // a sidecar that cannot know which version is in force.
 func (r Rules) Floor() Rules {
 	f := r
-	f.Fall = 0
-	f.Offerings = slices.Clone(r.Offerings)
-	for i := range f.Offerings {
-		f.Offerings[i].Offering = Offering{CutOff: r.Offerings[i].CutOff}
+	f.OverloadMultiple = 0
+	f.Classes = slices.Clone(r.Classes)
+	for i := range f.Classes {
+		f.Classes[i].ClassRule = ClassRule{Deadline: r.Classes[i].Deadline}
 	}
 	return f
 }
 
 // strict is what both allow of an offering.
-func strict(a, b Offering) Offering {
-	o := Offering{CutOff: shorter(a.CutOff, b.CutOff)}
-	if a.Repeats && b.Repeats {
-		o.Repeats, o.Zone, o.Cell, o.Window = true, a.Zone || b.Zone, a.Cell || b.Cell, min(a.Window, b.Window)
+func strict(a, b ClassRule) ClassRule {
+	o := ClassRule{Deadline: shorter(a.Deadline, b.Deadline)}
+	if a.Repeatable && b.Repeatable {
+		o.Repeatable, o.Zone, o.Cell, o.Window = true, a.Zone || b.Zone, a.Cell || b.Cell, min(a.Window, b.Window)
 	}
 	return o
 }
@@ -140,36 +142,36 @@
 // Strictest is what both versions allow. It is commutative, associative and idempotent. An offering that one of them does not know is
 // at-most-once by the other; a franchise keeps the quota of the one that knows it.
 func Strictest(a, b Rules) Rules {
-	r := Rules{Instances: max(a.Instances, b.Instances), ColdShare: min(a.ColdShare, b.ColdShare), ColdTime: max(a.ColdTime, b.ColdTime),
-		Fall: min(a.Fall, b.Fall), Open: a.Open && b.Open}
-	r.Offerings = merge(a.Offerings, b.Offerings, func(x, y Named) int { return cmp.Compare(x.Name, y.Name) }, func(x, y *Named) (Named, bool) {
+	r := Rules{Instances: max(a.Instances, b.Instances), ColdCapacity: min(a.ColdCapacity, b.ColdCapacity), ColdTime: max(a.ColdTime, b.ColdTime),
+		OverloadMultiple: min(a.OverloadMultiple, b.OverloadMultiple), AnyEndpoint: a.AnyEndpoint && b.AnyEndpoint}
+	r.Classes = merge(a.Classes, b.Classes, func(x, y NamedClassRule) int { return cmp.Compare(x.Name, y.Name) }, func(x, y *NamedClassRule) (NamedClassRule, bool) {
 		switch {
 		case x == nil:
-			return Named{y.Name, Offering{CutOff: y.CutOff}}, true
+			return NamedClassRule{y.Name, ClassRule{Deadline: y.Deadline}}, true
 		case y == nil:
-			return Named{x.Name, Offering{CutOff: x.CutOff}}, true
+			return NamedClassRule{x.Name, ClassRule{Deadline: x.Deadline}}, true
 		}
-		return Named{x.Name, strict(x.Offering, y.Offering)}, true
+		return NamedClassRule{x.Name, strict(x.ClassRule, y.ClassRule)}, true
 	})
-	r.Franchises = merge(a.Franchises, b.Franchises, func(x, y Franchise) int { return cmp.Compare(x.Name, y.Name) },
-		func(x, y *Franchise) (Franchise, bool) {
+	r.Tenants = merge(a.Tenants, b.Tenants, func(x, y TenantQuota) int { return cmp.Compare(x.Name, y.Name) },
+		func(x, y *TenantQuota) (TenantQuota, bool) {
 			switch {
 			case x == nil:
 				return *y, true
 			case y == nil:
 				return *x, true
 			}
-			return Franchise{x.Name, min(x.Quota, y.Quota)}, true
+			return TenantQuota{x.Name, min(x.Quota, y.Quota)}, true
 		})
-	r.Bans = slices.Compact(slices.Sorted(slices.Values(slices.Concat(a.Bans, b.Bans))))
-	r.Servers = merge(a.Servers, b.Servers, func(x, y Server) int { return cmp.Compare(x.ID, y.ID) }, func(x, y *Server) (Server, bool) {
+	r.Drained = slices.Compact(slices.Sorted(slices.Values(slices.Concat(a.Drained, b.Drained))))
+	r.Endpoints = merge(a.Endpoints, b.Endpoints, func(x, y Endpoint) int { return cmp.Compare(x.ID, y.ID) }, func(x, y *Endpoint) (Endpoint, bool) {
 		switch {
 		case x == nil:
-			return *y, a.Open
+			return *y, a.AnyEndpoint
 		case y == nil:
-			return *x, b.Open
+			return *x, b.AnyEndpoint
 		}
-		return Server{x.ID, max(x.Started, y.Started)}, true
+		return Endpoint{x.ID, max(x.Started, y.Started)}, true
 	})
 	return r
 }
@@ -199,38 +201,38 @@
 
 // Allows tells whether all that other allows is allowed here too: nothing that r forbids.
 func (r Rules) Allows(other Rules) bool {
-	for _, o := range other.Offerings {
-		mine, known := r.Offering(o.Name)
-		if known && strict(mine, o.Offering) != o.Offering || !known && o.Repeats {
+	for _, o := range other.Classes {
+		mine, known := r.Class(o.Name)
+		if known && strict(mine, o.ClassRule) != o.ClassRule || !known && o.Repeatable {
 			return false
 		}
 	}
-	for _, f := range r.Franchises {
-		i := slices.IndexFunc(other.Franchises, func(g Franchise) bool { return g.Name == f.Name })
-		if i < 0 || other.Franchises[i].Quota > f.Quota {
+	for _, f := range r.Tenants {
+		i := slices.IndexFunc(other.Tenants, func(g TenantQuota) bool { return g.Name == f.Name })
+		if i < 0 || other.Tenants[i].Quota > f.Quota {
 			return false
 		}
 	}
-	for _, id := range r.Bans {
-		if _, banned := slices.BinarySearch(other.Bans, id); !banned {
+	for _, id := range r.Drained {
+		if _, banned := slices.BinarySearch(other.Drained, id); !banned {
 			return false
 		}
 	}
-	for _, s := range other.Servers {
-		i := slices.IndexFunc(r.Servers, func(mine Server) bool { return mine.ID == s.ID })
-		if i < 0 && !r.Open || i >= 0 && s.Started < r.Servers[i].Started {
+	for _, s := range other.Endpoints {
+		i := slices.IndexFunc(r.Endpoints, func(mine Endpoint) bool { return mine.ID == s.ID })
+		if i < 0 && !r.AnyEndpoint || i >= 0 && s.Started < r.Endpoints[i].Started {
 			return false
 		}
 	}
-	return (r.Open || !other.Open) && other.Instances >= r.Instances && other.ColdShare <= r.ColdShare && other.ColdTime >= r.ColdTime &&
-		other.Fall <= r.Fall
+	return (r.AnyEndpoint || !other.AnyEndpoint) && other.Instances >= r.Instances && other.ColdCapacity <= r.ColdCapacity && other.ColdTime >= r.ColdTime &&
+		other.OverloadMultiple <= r.OverloadMultiple
 }
 
-// Offering is what binds of the one under that name.
-func (r *Rules) Offering(name string) (Offering, bool) {
-	i, known := slices.BinarySearchFunc(r.Offerings, name, func(n Named, name string) int { return cmp.Compare(n.Name, name) })
+// Class is what binds of the one under that name.
+func (r *Rules) Class(name string) (ClassRule, bool) {
+	i, known := slices.BinarySearchFunc(r.Classes, name, func(n NamedClassRule, name string) int { return cmp.Compare(n.Name, name) })
 	if !known {
-		return Offering{}, false
+		return ClassRule{}, false
 	}
-	return r.Offerings[i].Offering, true
+	return r.Classes[i].ClassRule, true
 }
--- a/internal/ruleset/rules_test.go
+++ b/internal/ruleset/rules_test.go
@@ -13,32 +13,32 @@
 
 // Generate makes rules of few names and figures, so that any two have much in common.
 func (Rules) Generate(r *rand.Rand, _ int) reflect.Value {
-	v := Rules{Instances: 1 + r.Intn(3), ColdShare: float64(r.Intn(3)) / 2, ColdTime: policy.Time(r.Intn(3)), Fall: float64(r.Intn(3)), Open: r.Intn(3) == 0}
+	v := Rules{Instances: 1 + r.Intn(3), ColdCapacity: float64(r.Intn(3)) / 2, ColdTime: policy.Time(r.Intn(3)), OverloadMultiple: float64(r.Intn(3)), AnyEndpoint: r.Intn(3) == 0}
 	for _, name := range []string{"a", "b", "c"} {
-		o := Offering{CutOff: policy.Time(r.Intn(3))}
+		o := ClassRule{Deadline: policy.Time(r.Intn(3))}
 		switch r.Intn(4) {
 		case 0:
 			continue
 		case 1:
-			o = Reissuable(o.CutOff)
+			o = IdempotentRule(o.Deadline)
 		case 2:
-			o = Offering{true, r.Intn(2) == 0, r.Intn(2) == 0, policy.Time(1 + r.Intn(3)), o.CutOff}
+			o = ClassRule{true, r.Intn(2) == 0, r.Intn(2) == 0, policy.Time(1 + r.Intn(3)), o.Deadline}
 		}
-		v.Offerings = append(v.Offerings, Named{name, o})
+		v.Classes = append(v.Classes, NamedClassRule{name, o})
 	}
 	for _, name := range []string{"x", "y"} {
 		if r.Intn(2) == 0 {
-			v.Franchises = append(v.Franchises, Franchise{name, float64(r.Intn(3))})
+			v.Tenants = append(v.Tenants, TenantQuota{name, float64(r.Intn(3))})
 		}
 	}
 	for id := range policy.EndpointID(3) {
 		if r.Intn(3) == 0 {
-			v.Bans = append(v.Bans, id)
+			v.Drained = append(v.Drained, id)
 		}
 	}
 	for id := range 4 {
-		if !v.Open && r.Intn(3) > 0 {
-			v.Servers = append(v.Servers, Server{policy.EndpointID(id), policy.Time(r.Intn(3))})
+		if !v.AnyEndpoint && r.Intn(3) > 0 {
+			v.Endpoints = append(v.Endpoints, Endpoint{policy.EndpointID(id), policy.Time(r.Intn(3))})
 		}
 	}
 	return reflect.ValueOf(v)
@@ -62,8 +62,8 @@
 		"no more strict than it must be": func(a, b Rules) bool {
 			// What both allow of an offering that both know is allowed.
 			s := Strictest(a, b)
-			return !a.Allows(b) || !slices.EqualFunc(a.Offerings, b.Offerings, func(x, y Named) bool { return x.Name == y.Name }) ||
-				a.Open != b.Open || len(a.Franchises) != len(b.Franchises) || same(s, b)
+			return !a.Allows(b) || !slices.EqualFunc(a.Classes, b.Classes, func(x, y NamedClassRule) bool { return x.Name == y.Name }) ||
+				a.AnyEndpoint != b.AnyEndpoint || len(a.Tenants) != len(b.Tenants) || same(s, b)
 		},
 	}
 	for name, law := range laws {
@@ -75,27 +75,27 @@
 
 // Each kind of thing that a version can forbid, told apart from what it allows.
 func TestWhatIsForbidden(t *testing.T) {
-	base := Rules{Instances: 2, ColdShare: 0.2, ColdTime: 20, Fall: 3, Offerings: []Named{{"a", Offering{true, true, false, 5, 9}}},
-		Franchises: []Franchise{{"x", 5}}, Servers: []Server{{1, 0}, {2, 7}}}
+	base := Rules{Instances: 2, ColdCapacity: 0.2, ColdTime: 20, OverloadMultiple: 3, Classes: []NamedClassRule{{"a", ClassRule{true, true, false, 5, 9}}},
+		Tenants: []TenantQuota{{"x", 5}}, Endpoints: []Endpoint{{1, 0}, {2, 7}}}
 	for name, laxer := range map[string]func(r *Rules){
-		"reissuable":       func(r *Rules) { r.Offerings[0].Offering = Reissuable(9) },
-		"longer window":    func(r *Rules) { r.Offerings[0].Window++ },
-		"wider group":      func(r *Rules) { r.Offerings[0].Zone = false },
-		"later cut-off":    func(r *Rules) { r.Offerings[0].CutOff++ },
-		"no cut-off":       func(r *Rules) { r.Offerings[0].CutOff = 0 },
-		"another offering": func(r *Rules) { r.Offerings = append(r.Offerings, Named{"b", Reissuable(9)}) },
+		"reissuable":       func(r *Rules) { r.Classes[0].ClassRule = IdempotentRule(9) },
+		"longer window":    func(r *Rules) { r.Classes[0].Window++ },
+		"wider group":      func(r *Rules) { r.Classes[0].Zone = false },
+		"later cut-off":    func(r *Rules) { r.Classes[0].Deadline++ },
+		"no cut-off":       func(r *Rules) { r.Classes[0].Deadline = 0 },
+		"another offering": func(r *Rules) { r.Classes = append(r.Classes, NamedClassRule{"b", IdempotentRule(9)}) },
 		"fewer instances":  func(r *Rules) { r.Instances-- },
-		"less cold":        func(r *Rules) { r.ColdShare += 0.1 },
+		"less cold":        func(r *Rules) { r.ColdCapacity += 0.1 },
 		"warm sooner":      func(r *Rules) { r.ColdTime-- },
-		"higher fall":      func(r *Rules) { r.Fall++ },
-		"larger quota":     func(r *Rules) { r.Franchises[0].Quota++ },
-		"no quota":         func(r *Rules) { r.Franchises = nil },
-		"another server":   func(r *Rules) { r.Servers = append(r.Servers, Server{3, 0}) },
-		"an older start":   func(r *Rules) { r.Servers[1].Started = 0 },
-		"any server":       func(r *Rules) { r.Open = true },
+		"higher fall":      func(r *Rules) { r.OverloadMultiple++ },
+		"larger quota":     func(r *Rules) { r.Tenants[0].Quota++ },
+		"no quota":         func(r *Rules) { r.Tenants = nil },
+		"another server":   func(r *Rules) { r.Endpoints = append(r.Endpoints, Endpoint{3, 0}) },
+		"an older start":   func(r *Rules) { r.Endpoints[1].Started = 0 },
+		"any server":       func(r *Rules) { r.AnyEndpoint = true },
 	} {
 		r := base
-		r.Offerings, r.Franchises, r.Servers = slices.Clone(base.Offerings), slices.Clone(base.Franchises), slices.Clone(base.Servers)
+		r.Classes, r.Tenants, r.Endpoints = slices.Clone(base.Classes), slices.Clone(base.Tenants), slices.Clone(base.Endpoints)
 		if laxer(&r); base.Allows(r) {
 			t.Errorf("%s is allowed", name)
 		}
@@ -107,65 +107,65 @@
 
 // Versions told far ahead never push out the one that is granted: with it gone, nothing that it forbids would be known.
 func TestVersionsAheadKeepTheOneInForce(t *testing.T) {
-	h := NewHolder(1)
-	h.Learn(version(1))
-	ask, _ := h.Ask(0)
-	h.Granted(Grant{1, ask, []Number{1}, 100})
-	for n := Number(2); n < 2+2*keptVersions; n++ {
-		if h.Learn(version(n)) != (n <= keptVersions) {
+	h := NewLeaseClient(1)
+	h.Add(version(1))
+	ask, _ := h.NewRequest(0)
+	h.Accept(Lease{1, ask, []RevisionNumber{1}, 100})
+	for n := RevisionNumber(2); n < 2+2*keptVersions; n++ {
+		if h.Add(version(n)) != (n <= keptVersions) {
 			t.Errorf("version %d", n)
 		}
 	}
-	if r, leased := h.Acts(1); !leased || !r.Allows(version(1).Rules) || !version(1).Rules.Allows(*r) {
+	if r, leased := h.Active(1); !leased || !r.Allows(version(1).Rules) || !version(1).Rules.Allows(*r) {
 		t.Errorf("%+v", r)
 	}
 }
 
 // A sidecar whose lease has run out goes on, by the floor of what it knows; old answers, older terms and damaged versions change nothing.
 func TestHolderWithoutALease(t *testing.T) {
-	h := NewHolder(1)
-	if _, leased := h.Acts(0); leased {
+	h := NewLeaseClient(1)
+	if _, leased := h.Active(0); leased {
 		t.Error("leased from the first moment")
 	}
-	if learned, again := h.Learn(version(1)), h.Learn(version(1)); !learned || !again || h.Learn(Version{Number: 1, Digest: [32]byte{9}}) {
+	if learned, again := h.Add(version(1)), h.Add(version(1)); !learned || !again || h.Add(RuleSet{Number: 1, Digest: [32]byte{9}}) {
 		t.Error("one number with two digests")
 	}
-	first, _ := h.Ask(10)
-	ask, knows := h.Ask(20)
-	for _, g := range []Grant{{1, first, []Number{1}, 100}, {1, ask, []Number{1, 2}, 100}, {1, ask, nil, 100}} {
-		if h.Granted(g) {
+	first, _ := h.NewRequest(10)
+	ask, knows := h.NewRequest(20)
+	for _, g := range []Lease{{1, first, []RevisionNumber{1}, 100}, {1, ask, []RevisionNumber{1, 2}, 100}, {1, ask, nil, 100}} {
+		if h.Accept(g) {
 			t.Errorf("%+v was taken", g)
 		}
 	}
-	if !h.Granted(Grant{2, ask, []Number{1}, 100}) || !slices.Equal(knows, []Number{1}) || h.Granted(Grant{1, ask, []Number{1}, 500}) {
+	if !h.Accept(Lease{2, ask, []RevisionNumber{1}, 100}) || !slices.Equal(knows, []RevisionNumber{1}) || h.Accept(Lease{1, ask, []RevisionNumber{1}, 500}) {
 		t.Error("the answer was not taken, or an older term's was")
 	}
-	if r, leased := h.Acts(119); !leased || !r.Offerings[0].Repeats {
+	if r, leased := h.Active(119); !leased || !r.Classes[0].Repeatable {
 		t.Errorf("%+v", r)
 	}
-	if r, leased := h.Acts(120); leased || r.Offerings[0].Repeats || r.Fall != 0 || len(r.Offerings) != 2 {
+	if r, leased := h.Active(120); leased || r.Classes[0].Repeatable || r.OverloadMultiple != 0 || len(r.Classes) != 2 {
 		t.Errorf("%+v without a lease", r)
 	}
-	h.Learn(version(2))
-	ask, _ = h.Ask(130)
-	if !h.Granted(Grant{2, ask, []Number{1, 2}, 100}) {
+	h.Add(version(2))
+	ask, _ = h.NewRequest(130)
+	if !h.Accept(Lease{2, ask, []RevisionNumber{1, 2}, 100}) {
 		t.Error("not granted")
 	}
-	if r, _ := h.Acts(131); r.Offerings[0].Repeats || r.Offerings[1].Repeats {
+	if r, _ := h.Active(131); r.Classes[0].Repeatable || r.Classes[1].Repeatable {
 		t.Errorf("%+v while a change is under way", r)
 	}
-	ask, _ = h.Ask(140)
-	if !h.Granted(Grant{2, ask, []Number{2}, 100}) || h.Learn(version(1)) && len(h.known) > 2 {
+	ask, _ = h.NewRequest(140)
+	if !h.Accept(Lease{2, ask, []RevisionNumber{2}, 100}) || h.Add(version(1)) && len(h.known) > 2 {
 		t.Error("the change did not end")
 	}
-	if r, _ := h.Acts(141); r.Offerings[0].Repeats || !r.Offerings[1].Repeats {
+	if r, _ := h.Active(141); r.Classes[0].Repeatable || !r.Classes[1].Repeatable {
 		t.Errorf("%+v after the change", r)
 	}
-	ask, _ = h.Ask(150)
-	if h.Granted(Grant{3, ask, []Number{1}, 100}) {
+	ask, _ = h.NewRequest(150)
+	if h.Accept(Lease{3, ask, []RevisionNumber{1}, 100}) {
 		t.Error("back to a version that is over")
 	}
-	if n := testing.AllocsPerRun(100, func() { h.Acts(160) }); n > 0 {
+	if n := testing.AllocsPerRun(100, func() { h.Active(160) }); n > 0 {
 		t.Errorf("%.0f allocations a look", n)
 	}
 }
--- a/internal/ruleset/words.go
+++ b/internal/ruleset/words.go
@@ -9,11 +9,11 @@
 	pages  = 'p'
 )
 
-// Ears take in what was said. One that is nil hears nothing.
-type Ears struct {
-	Asked   func(from string, ask uint64, knows []Number) // by whom: where to answer
-	Granted func(from string, g Grant)
-	Told    func(from string, p Page)
+// MessageHandler take in what was said. One that is nil hears nothing.
+type MessageHandler struct {
+	LeaseRequest func(from string, ask uint64, knows []RevisionNumber) // by whom: where to answer
+	Lease        func(from string, g Lease)
+	Revision     func(from string, p Revision)
 }
 
 func say(kind byte, of ...any) []byte {
@@ -21,19 +21,21 @@
 	return append([]byte{kind}, b...)
 }
 
-// SayAsk asks for a grant.
-func SayAsk(from string, ask uint64, knows []Number) []byte { return say(asks, from, ask, knows) }
+// EncodeLeaseRequest asks for a grant.
+func EncodeLeaseRequest(from string, ask uint64, knows []RevisionNumber) []byte {
+	return say(asks, from, ask, knows)
+}
 
-// SayGrant answers.
-func SayGrant(from string, g Grant) []byte {
-	return say(grants, from, uint64(g.Term), g.Ask, g.Of, int64(g.For))
+// EncodeLease answers.
+func EncodeLease(from string, g Lease) []byte {
+	return say(grants, from, uint64(g.Term), g.RequestID, g.Revisions, int64(g.Duration))
 }
 
-// SayPage tells a version.
-func SayPage(from string, p Page) []byte { return say(pages, from, p) }
+// EncodeRevision tells a version.
+func EncodeRevision(from string, p Revision) []byte { return say(pages, from, p) }
 
-// Hear hands over what was said. False: it cannot be read, and nothing was handed over.
-func (e Ears) Hear(b []byte) bool {
+// Handle hands over what was said. False: it cannot be read, and nothing was handed over.
+func (e MessageHandler) Handle(b []byte) bool {
 	if len(b) == 0 {
 		return false
 	}
@@ -56,28 +58,28 @@
 	switch b[0] {
 	case asks:
 		var ask uint64
-		var knows []Number
+		var knows []RevisionNumber
 		if !read(&ask, &knows) {
 			return false
 		}
-		if e.Asked != nil {
-			e.Asked(from, ask, knows)
+		if e.LeaseRequest != nil {
+			e.LeaseRequest(from, ask, knows)
 		}
 	case grants:
-		var g Grant
-		if !read(&g.Term, &g.Ask, &g.Of, &g.For) || len(g.Of) == 0 || g.For < 0 {
+		var g Lease
+		if !read(&g.Term, &g.RequestID, &g.Revisions, &g.Duration) || len(g.Revisions) == 0 || g.Duration < 0 {
 			return false
 		}
-		if e.Granted != nil {
-			e.Granted(from, g)
+		if e.Lease != nil {
+			e.Lease(from, g)
 		}
 	case pages:
-		var p Page
+		var p Revision
 		if !read(&p) {
 			return false
 		}
-		if e.Told != nil {
-			e.Told(from, p)
+		if e.Revision != nil {
+			e.Revision(from, p)
 		}
 	default:
 		return false
