--- a/internal/drill/judge/judge.go
+++ b/internal/drill/judge/judge.go
@@ -77,19 +77,19 @@
 
 // Verdict is what the judge found.
 type Verdict struct {
-	Contradiction time.Duration // longest for which one acted by versions of which another had none any more
-	Between       string
-	Faults        []string // broken rules, the first of them
-	Broken        int      // how many there were
-	Pushes        int
-	Repeats       int // effects that came twice, all of them allowed if no fault says otherwise
-	Unleased      int // pushes without a lease
-	Asked         int
-	Honoured      int
-	TurnedBack    int
-	GivenUp       int
-	Lost          int    // no answer, of a process that was killed or stood still
-	CutOff        [2]int // of tickets that came in without a lease: all, and honoured
+	Contradiction time.Duration `json:"Contradiction"` // longest for which one acted by versions of which another had none any more
+	Between       string        `json:"Between"`
+	Faults        []string      `json:"Faults"` // broken rules, the first of them
+	Broken        int           `json:"Broken"` // how many there were
+	Pushes        int           `json:"Pushes"`
+	Repeats       int           `json:"Repeats"`  // effects that came twice, all of them allowed if no fault says otherwise
+	Unleased      int           `json:"Unleased"` // pushes without a lease
+	Asked         int           `json:"Asked"`
+	Honoured      int           `json:"Honoured"`
+	TurnedBack    int           `json:"TurnedBack"`
+	GivenUp       int           `json:"GivenUp"`
+	Lost          int           `json:"Lost"`   // no answer, of a process that was killed or stood still
+	CutOff        [2]int        `json:"CutOff"` // of tickets that came in without a lease: all, and honoured
 }
 
 const shown = 20
--- a/internal/drill/peers.go
+++ b/internal/drill/peers.go
@@ -11,20 +11,22 @@
 
 // Step is what was done in a drill, and how long it took until all that are left knew.
 type Step struct {
-	What    string
-	Seconds float64
-	Know    int // sidecars that had to know
-	Of      int // sidecars that they had to hold to be there
+	What    string  `json:"What"`
+	Seconds float64 `json:"Seconds"`
+	Know    int     `json:"Know"` // sidecars that had to know
+	Of      int     `json:"Of"`   // sidecars that they had to hold to be there
 }
 
 // Company is what a drill of peers showed.
 type Company struct {
-	Steps []Step
+	Steps []Step `json:"Steps"`
 	// Of one idle sidecar, the mean of all: sent in a second, and part of a core.
-	Packets, Bytes, CPU float64
-	FalseAlarms         float64 // counted gone while nothing was done, over all
-	OwnDelay            float64 // seconds that a relay took for itself, 99th percentile
-	LatestClock         float64 // seconds by which the latest look at the clock came late: above this no figure means anything
+	Packets     float64 `json:"Packets"`
+	Bytes       float64 `json:"Bytes"`
+	CPU         float64 `json:"CPU"`
+	FalseAlarms float64 `json:"FalseAlarms"` // counted gone while nothing was done, over all
+	OwnDelay    float64 `json:"OwnDelay"`    // seconds that a relay took for itself, 99th percentile
+	LatestClock float64 `json:"LatestClock"` // seconds by which the latest look at the clock came late: above this no figure means anything
 }
 
 const (
--- a/internal/drill/play.go
+++ b/internal/drill/play.go
@@ -17,35 +17,39 @@
 
 // Applied is one change that a drill made.
 type Applied struct {
-	Version string
-	Number  int
-	At      float64 // seconds since the begin
-	Agreed  float64 // seconds until the group had agreed on it
+	Version string  `json:"Version"`
+	Number  int     `json:"Number"`
+	At      float64 `json:"At"`     // seconds since the begin
+	Agreed  float64 `json:"Agreed"` // seconds until the group had agreed on it
 	// Seconds until sidecars acted by it, also by it and the one before, and until they acted by it alone; of those that were there.
-	P50, P99, Most, Alone float64
-	Failed                string
+	P50    float64 `json:"P50"`
+	P99    float64 `json:"P99"`
+	Most   float64 `json:"Most"`
+	Alone  float64 `json:"Alone"`
+	Failed string  `json:"Failed"`
 }
 
 // Result is what a play of a drill showed.
 type Result struct {
-	Drill      string
-	Seed       uint64
-	Verdict    *judge.Verdict
-	Applied    []Applied
-	Converged  float64 // seconds after all was healed until all acted by the same version with a lease
-	Unleased   float64 // seconds without a lease, over all sidecars
-	OwnDelay   float64 // seconds that a relay took for itself, 99th percentile
-	Late       float64 // seconds by which the latest look at the clock came late
-	Tables     int     // different slot tables at the end, where versions name the servers; they must be one
-	Busy       float64 // part of the machine's cores that was in use, by whomever
-	Void       bool    // the machine stood still for longer than the lease: no figure means anything
-	Failed     []string
-	Gone       float64 // times that a sidecar took another for gone, over all
-	Packets    float64 // a second, one sidecar
-	Bytes, CPU float64
-	History    *judge.History `json:"-"`
-	Begun      int64          `json:"-"`
-	Marks      []Mark         `json:"-"`
+	Drill     string         `json:"Drill"`
+	Seed      uint64         `json:"Seed"`
+	Verdict   *judge.Verdict `json:"Verdict"`
+	Applied   []Applied      `json:"Applied"`
+	Converged float64        `json:"Converged"` // seconds after all was healed until all acted by the same version with a lease
+	Unleased  float64        `json:"Unleased"`  // seconds without a lease, over all sidecars
+	OwnDelay  float64        `json:"OwnDelay"`  // seconds that a relay took for itself, 99th percentile
+	Late      float64        `json:"Late"`      // seconds by which the latest look at the clock came late
+	Tables    int            `json:"Tables"`    // different slot tables at the end, where versions name the servers; they must be one
+	Busy      float64        `json:"Busy"`      // part of the machine's cores that was in use, by whomever
+	Void      bool           `json:"Void"`      // the machine stood still for longer than the lease: no figure means anything
+	Failed    []string       `json:"Failed"`
+	Gone      float64        `json:"Gone"`    // times that a sidecar took another for gone, over all
+	Packets   float64        `json:"Packets"` // a second, one sidecar
+	Bytes     float64        `json:"Bytes"`
+	CPU       float64        `json:"CPU"`
+	History   *judge.History `json:"-"`
+	Begun     int64          `json:"-"`
+	Marks     []Mark         `json:"-"`
 }
 
 // Mark is something that was done.
--- a/internal/drill/read.go
+++ b/internal/drill/read.go
@@ -22,13 +22,13 @@
 		lines.Buffer(nil, 1<<20)
 		for lines.Scan() {
 			var line struct {
-				Msg      string
-				Versions []int
-				Leased   bool
-				Awake    int64 `json:"awake_ns"`
-				ID       string
-				Server   string
-				No       int
+				Msg      string `json:"msg"`
+				Versions []int  `json:"versions"`
+				Leased   bool   `json:"leased"`
+				Awake    int64  `json:"awake_ns"`
+				ID       string `json:"id"`
+				Server   string `json:"server"`
+				No       int    `json:"no"`
 			}
 			if json.Unmarshal(lines.Bytes(), &line) != nil {
 				continue
