--- /dev/null
+++ b/internal/daemon/golden_orders_test.go
@@ -0,0 +1,33 @@
+package daemon
+
+import (
+	"testing"
+
+	"pepperlead/internal/golden"
+)
+
+// TestConfigurationOfThePlatformIsReadAsBefore holds the values that the platform's JSON, with each of its keys, is read as to
+// those that it was read as before.
+func TestConfigurationOfThePlatformIsReadAsBefore(t *testing.T) {
+	reads := []struct {
+		path, golden string
+		environment  map[string]string
+	}{
+		{"testdata/every-key.json", "every-key.values", nil},
+		{"testdata/asked.json", "asked.values", nil},
+		{"testdata/every-key.json", "every-key-environment.values", map[string]string{"GW_LISTEN": "127.9.9.1:1",
+			"GW_DISCOVERY": "127.9.9.2:2", "GW_NAME": "named", "GW_ADMIN": "127.9.9.3:3", "GW_INHERITED_FD": "7"}},
+	}
+	for _, read := range reads {
+		orders, err := Read(read.path, func(name string) string { return read.environment[name] })
+		if err != nil {
+			t.Fatal(err)
+		}
+		if orders.Latency != nil || orders.Record != nil || orders.Learn != nil {
+			t.Errorf("%s: found what the platform's configuration does not say", read.golden)
+		}
+		source := orders.Source.Name()
+		orders.Source = nil
+		golden.Compare(t, read.golden, append(golden.Values(orders), golden.Values(source)...))
+	}
+}
