--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -177,12 +177,17 @@
 	var post Orders
 	var err error
 	var told struct {
-		Name, Listen, Discovery, Seed, Admin string
-		Limits                               struct {
+		Name      string `json:"name"`
+		Listen    string `json:"listen"`
+		Discovery string `json:"discovery"`
+		Seed      string `json:"seed"`
+		Admin     string `json:"admin"`
+		Limits    struct {
 			Memory  float64 `json:"memory_mb"`
-			Sockets int
-		}
-		Known, Settings json.RawMessage
+			Sockets int     `json:"sockets"`
+		} `json:"limits"`
+		Known    json.RawMessage `json:"known"`
+		Settings json.RawMessage `json:"settings"`
 	}
 	if err := json.Unmarshal(b, &told); err != nil {
 		return post, fmt.Errorf("%s: %w", path, err)
