--- /dev/null
+++ b/internal/admin/golden_test.go
@@ -0,0 +1,82 @@
+package admin
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+
+	"pepperlead/internal/golden"
+	"pepperlead/policy"
+)
+
+// sidecarAmongPeers is a stand-in that has a page of peers too.
+type sidecarAmongPeers struct{ sidecar }
+
+func (s *sidecarAmongPeers) PeersReport() string { return "n-1 alive\n" }
+
+// TestPagesAreAsBefore holds the paths, statuses, types and texts of the pages, and the names, kinds, helps and labels of the
+// metrics, to what they were before. Metrics of the Go runtime and of the process are left out.
+func TestPagesAreAsBefore(t *testing.T) {
+	of := &sidecarAmongPeers{}
+	latency := NewLatency([]policy.Class{{Name: "step"}, {Name: "call"}})
+	for answer := range Answers {
+		latency.Observe(1, answer, 30*policy.Millisecond)
+	}
+	latency.Named(0, "renamed")
+	server, err := Listen("127.0.0.1:0", of, latency)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer server.Close()
+	var pages bytes.Buffer
+	show := func(path string) {
+		answer, err := http.Get("http://" + server.Addr() + path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer answer.Body.Close()
+		body, err := io.ReadAll(answer.Body)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&pages, "GET %s: %s, %q\n%s\n", path, answer.Status, answer.Header["Content-Type"], ownMetrics(path, string(body)))
+	}
+	show("/_health")
+	of.ready = true
+	for _, path := range []string{"/_health", "/_counters", "/_servers", "/_peers", "/metrics", "/other"} {
+		show(path)
+	}
+	golden.Compare(t, "pages.txt", pages.Bytes())
+}
+
+// ownMetrics leaves the metrics of the Go runtime, of the process and of the handler out of that page.
+func ownMetrics(path, body string) string {
+	if path != "/metrics" {
+		return body
+	}
+	var own strings.Builder
+	for line := range strings.Lines(body) {
+		if strings.Contains(line, "pepperlead_") || strings.Contains(line, "edge_gw_") {
+			own.WriteString(line)
+		}
+	}
+	return own.String()
+}
+
+// TestDoorAnswersAsBefore holds the door's answer to each call to what it was before.
+func TestDoorAnswersAsBefore(t *testing.T) {
+	door, err := OpenDoor("127.0.0.1:0", &operated{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer door.Close()
+	var answers bytes.Buffer
+	for _, call := range []string{"ready", "ready now", "show-stat", "show-stat x", "disable-server s-1", "enable-server s-1",
+		"disable-server", "disable-server s-2", "enable-server s-1 s-2", " ready ", "Ready", "stat", ""} {
+		fmt.Fprintf(&answers, "%q: %q\n", call, ask(t, door, call+"\n"))
+	}
+	golden.Compare(t, "door.txt", answers.Bytes())
+}
