--- a/cmd/pepperlab/main.go
+++ b/cmd/pepperlab/main.go
@@ -9,11 +9,16 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "pepperlab", Short: "Measure and rehearse what pepperlead does", SilenceUsage: true, SilenceErrors: true}
-	root.AddCommand(runCommand(), replayCommand(), socketsCommand(), drillCommand(), sweepCommand(), compareCommand(), reportCommand(), costCommand(), listsCommand(), followCommand(), memoryCommand())
-	root.AddCommand(hidden()...)
-	if err := root.Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "pepperlab:", err)
 		os.Exit(1)
 	}
 }
+
+// rootCommand is the program's command with all commands below it.
+func rootCommand() *cobra.Command {
+	root := &cobra.Command{Use: "pepperlab", Short: "Measure and rehearse what pepperlead does", SilenceUsage: true, SilenceErrors: true}
+	root.AddCommand(runCommand(), replayCommand(), socketsCommand(), drillCommand(), sweepCommand(), compareCommand(), reportCommand(), costCommand(), listsCommand(), followCommand(), memoryCommand())
+	root.AddCommand(hidden()...)
+	return root
+}
--- a/cmd/pepperlead/main.go
+++ b/cmd/pepperlead/main.go
@@ -38,6 +38,14 @@
 			args = append(append(args[:i:i], "-"+a), args[i+1:]...)
 		}
 	}
+	root := rootCommand()
+	root.SetOut(out)
+	root.SetArgs(args)
+	return root.Execute()
+}
+
+// rootCommand is the program's command with all commands below it.
+func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "pepperlead",
 		Short: "A client-side load balancer that runs as a sidecar beside each calling process",
@@ -55,8 +63,6 @@
 		},
 		RunE: func(*cobra.Command, []string) error { return fmt.Errorf("no command; %w", errUsage) },
 	}
-	root.SetOut(out)
-	root.SetArgs(args)
 	root.SetFlagErrorFunc(func(c *cobra.Command, err error) error {
 		return fmt.Errorf("%s: %w; %w", c.CommandPath(), err, errUsage)
 	})
@@ -65,7 +71,7 @@
 		askCommand("servers", "Print the servers that a sidecar knows, and whether its list was refused"), callCommand(), listCommand(), keepCommand(), applyCommand(), rollbackCommand(), withdrawCommand(), versionsCommand(),
 		demoCommand(), migrateCommand(), &cobra.Command{Use: "version", Short: "Print the version", Args: exactly(0),
 			Run: func(c *cobra.Command, _ []string) { fmt.Fprintln(c.OutOrStdout(), version()) }})
-	return root.Execute()
+	return root
 }
 
 // exactly and atLeast bound the number of arguments.
