--- a/internal/drill/golden_test.go
+++ b/internal/drill/golden_test.go
@@ -6,6 +6,7 @@
 	"path/filepath"
 	"reflect"
 	"testing"
+	"time"
 
 	"pepperlead/internal/drill/judge"
 	"pepperlead/internal/golden"
@@ -63,3 +64,31 @@
 		golden.Compare(t, "scripts/"+filepath.Base(path)+".values", golden.Values(script))
 	}
 }
+
+// TestReportIsWrittenAsBefore holds the page about a play, whose template names fields that no compiler checks, to what was written
+// before.
+func TestReportIsWrittenAsBefore(t *testing.T) {
+	var result Result
+	var script Script
+	golden.Fill(&result)
+	golden.Fill(&script)
+	second := int64(time.Second)
+	result.Drill, result.Seed, result.Begun = "play", 7, 10*second
+	result.Applied = append(result.Applied, Applied{Version: "second", Number: 2, At: 1.5, P50: 2.5, P99: 3.5, Most: 4.5, Alone: 5.5})
+	result.Marks = []Mark{{At: 11 * second, What: "a thing was done"}}
+	result.History = &judge.History{
+		Changes: []judge.Acts{{Process: "n1", Of: []int{1, 2}, Leased: true, At: 10 * second}, {Process: "n1", Of: []int{2}, Leased: true, At: 12 * second},
+			{Process: "n2", Of: []int{1}, At: 11 * second}},
+		Down:  []judge.Down{{Process: "n2", From: 12 * second, To: 13*second + int64(answerIn)}},
+		Asked: []judge.Asked{{Status: 200, Ended: 11 * second}, {Status: 503, Ended: 14 * second}},
+	}
+	folder := t.TempDir()
+	if err := Report(folder, &script, &result); err != nil {
+		t.Fatal(err)
+	}
+	page, err := os.ReadFile(filepath.Join(folder, "play-7.html"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, "report.html", page)
+}
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -5,6 +5,7 @@
 	"os"
 	"path/filepath"
 	"reflect"
+	"regexp"
 	"testing"
 
 	"pepperlead/internal/golden"
@@ -60,3 +61,30 @@
 		golden.Compare(t, name, written)
 	}
 }
+
+// picture is a plot within a report; how it is drawn is the library's.
+var picture = regexp.MustCompile(`(?s)<svg.*?</svg>`)
+
+// TestReportIsWrittenAsBefore holds the page about a day, whose template names fields that no compiler checks, to what was written
+// before. Its pictures are left out.
+func TestReportIsWrittenAsBefore(t *testing.T) {
+	var result Result
+	var series Series
+	golden.Fill(&result)
+	golden.Fill(&series)
+	result.Verdict.Broken[1] = 0 // one rule that was kept
+	series.Curves = map[string][]Points{result.Latency[0].Offering: {{X: 50, Y: 1}, {X: 99, Y: 2}}}
+	folder := t.TempDir()
+	if err := Write(folder, &result, &series); err != nil {
+		t.Fatal(err)
+	}
+	path, err := Report(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	page, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, "report.html", picture.ReplaceAll(page, []byte("PICTURE")))
+}
