--- /dev/null
+++ b/internal/faulttest/golden_test.go
@@ -0,0 +1,94 @@
+package faulttest
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"pepperlead/internal/faulttest/judge"
+	"pepperlead/internal/golden"
+)
+
+// TestResultsHaveTheirKeys holds what pepperlab drill prints as JSON, with a value in each field, to what it printed before.
+func TestResultsHaveTheirKeys(t *testing.T) {
+	for name, document := range map[string]any{"play.json": &Result{}, "peers.json": &Company{}} {
+		golden.Fill(document)
+		written, err := json.MarshalIndent(document, "", "  ")
+		if err != nil {
+			t.Fatal(err)
+		}
+		golden.Compare(t, name, append(written, '\n'))
+	}
+}
+
+// TestLinesOfSidecarsAreRead reads lines as sidecars write them during a drill.
+func TestLinesOfSidecarsAreRead(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "log")
+	if err := os.WriteFile(path, golden.Read(t, "sidecar.log"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	stage := &Stage{}
+	cluster := &Cluster{Stage: stage, sidecars: []*Process{{Name: "n1", Log: path}}}
+	var history judge.History
+	if err := cluster.written(&history); err != nil {
+		t.Fatal(err)
+	}
+	acts := func(at int64, leased bool, versions ...int) judge.Acts {
+		return judge.Acts{Process: "n1", Of: versions, Leased: leased, At: at}
+	}
+	changes := []judge.Acts{acts(11, true, 4, 5), acts(12, false, 4, 5)}
+	steps := []judge.Step{{Acts: acts(13, true, 5), ID: "a-1"}, {Acts: acts(14, true, 5), ID: "a-1", Server: "s-2", No: 3}}
+	if !reflect.DeepEqual(history.Changes, changes) || !reflect.DeepEqual(history.Steps, steps) {
+		t.Errorf("got %+v and %+v", history.Changes, history.Steps)
+	}
+}
+
+// TestDrillsAreReadAsBefore holds the values that each drill of the repository is read as to those that it was read as before.
+func TestDrillsAreReadAsBefore(t *testing.T) {
+	paths, err := filepath.Glob("../../drills/*.toml")
+	if err != nil || len(paths) == 0 {
+		t.Fatal(err, len(paths))
+	}
+	for _, path := range append(paths, "testdata/every-key.toml") {
+		text, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		script, err := ReadScript(path, text)
+		if err != nil {
+			t.Fatal(err)
+		}
+		golden.Compare(t, "scripts/"+filepath.Base(path)+".values", golden.Values(script))
+	}
+}
+
+// TestReportIsWrittenAsBefore holds the page about a play, whose template names fields that no compiler checks, to what was written
+// before.
+func TestReportIsWrittenAsBefore(t *testing.T) {
+	var result Result
+	var script Script
+	golden.Fill(&result)
+	golden.Fill(&script)
+	second := int64(time.Second)
+	result.Drill, result.Seed, result.Begun = "play", 7, 10*second
+	result.Applied = append(result.Applied, Applied{Version: "second", Number: 2, At: 1.5, P50: 2.5, P99: 3.5, Most: 4.5, Alone: 5.5})
+	result.Marks = []Mark{{At: 11 * second, What: "a thing was done"}}
+	result.History = &judge.History{
+		Changes: []judge.Acts{{Process: "n1", Of: []int{1, 2}, Leased: true, At: 10 * second}, {Process: "n1", Of: []int{2}, Leased: true, At: 12 * second},
+			{Process: "n2", Of: []int{1}, At: 11 * second}},
+		Down:  []judge.Down{{Process: "n2", From: 12 * second, To: 13*second + int64(answerIn)}},
+		Asked: []judge.Asked{{Status: 200, Ended: 11 * second}, {Status: 503, Ended: 14 * second}},
+	}
+	folder := t.TempDir()
+	if err := Report(folder, &script, &result); err != nil {
+		t.Fatal(err)
+	}
+	page, err := os.ReadFile(filepath.Join(folder, "play-7.html"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, "report.html", page)
+}
