--- a/cmd/pepperlead/serve.go
+++ b/cmd/pepperlead/serve.go
@@ -62,7 +62,7 @@
 			return err
 		}
 		fmt.Fprintf(c.OutOrStdout(), "can be served: %d offerings, %d franchises, %d sidecars, %d descriptors, %d MB\n",
-			len(o.Settings.Classes), len(o.Settings.Tenants), o.Settings.Instances, o.Descriptors, o.Memory>>20)
+			len(o.Settings.Classes), len(o.Settings.Tenants), o.Settings.Instances, o.Descriptors, o.MessageMemory>>20)
 		return nil
 	}
 	return c
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -28,8 +28,8 @@
 	ServersReport() string
 	// EachMetric hands over each counter, and each figure that goes up and down.
 	EachMetric(each func(name string, value float64, rises bool))
-	// Each hands over what the door shows, by the same names.
-	Each(one func(name, labels string, n int64, rises bool))
+	// EachFigure hands over what the door shows, by the same names.
+	EachFigure(one func(name, labels string, n int64, rises bool))
 }
 
 // Buckets are the upper bounds of the latency histograms, in seconds.
@@ -58,8 +58,8 @@
 	return l
 }
 
-// Named has the answers at that place count under that offering's name.
-func (l *Latency) Named(o policy.ClassID, name string) {
+// SetClassName has the answers at that place count under that offering's name.
+func (l *Latency) SetClassName(o policy.ClassID, name string) {
 	for len(l.by) <= int(o) {
 		l.by = append(l.by, nil)
 	}
@@ -137,7 +137,7 @@
 
 func (f figures) Collect(to chan<- prometheus.Metric) {
 	f.of.EachMetric(Metric(to, "See docs/oncall.md."))
-	f.of.Each(func(name, labels string, n int64, rises bool) {
+	f.of.EachFigure(func(name, labels string, n int64, rises bool) {
 		kind := prometheus.GaugeValue
 		if rises {
 			kind = prometheus.CounterValue
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -21,7 +21,7 @@
 	each("tickets", 7, true)
 	each("tickets_in_hand", 2, false)
 }
-func (s *sidecar) Each(one func(string, string, int64, bool)) {
+func (s *sidecar) EachFigure(one func(string, string, int64, bool)) {
 	one("edge_gw_downstream_requests_total", `{lane="a\"b,c",result="failed"}`, 3, true)
 	one("edge_gw_pending", "", 2, false)
 }
--- a/internal/admin/door.go
+++ b/internal/admin/door.go
@@ -25,8 +25,8 @@
 // Operated is what the door works on. Calls may come from any goroutine; Out has an answer within a second.
 type Operated interface {
 	Ready() bool
-	Stat(to []byte) []byte
-	Out(uid string, out bool) error
+	AppendFigures(to []byte) []byte
+	SetDrained(uid string, out bool) error
 }
 
 // Door answers operators: one line in, an answer out, and the connection closes. It never waits for the loop but to change
@@ -161,12 +161,12 @@
 		}
 		return []byte("ERR not ready to serve\n")
 	case "show-stat":
-		return append(d.of.Stat(make([]byte, 0, 2<<10)), "END\n"...)
+		return append(d.of.AppendFigures(make([]byte, 0, 2<<10)), "END\n"...)
 	case "disable-server", "enable-server":
 		if id == "" || strings.ContainsAny(id, " \t") {
 			return []byte("ERR " + call + ": found no id of a server, allowed one\n")
 		}
-		if err := d.of.Out(id, call == "disable-server"); err != nil {
+		if err := d.of.SetDrained(id, call == "disable-server"); err != nil {
 			return []byte("ERR " + call + ": " + strings.ReplaceAll(err.Error(), "\n", "; ") + "\n")
 		}
 		return []byte("OK " + id + "\n")
--- a/internal/admin/door_test.go
+++ b/internal/admin/door_test.go
@@ -13,10 +13,10 @@
 type operated struct{ out atomic.Value }
 
 func (o *operated) Ready() bool { return true }
-func (o *operated) Stat(to []byte) []byte {
+func (o *operated) AppendFigures(to []byte) []byte {
 	return append(to, "edge_gw_pending 2\n"...)
 }
-func (o *operated) Out(uid string, out bool) error {
+func (o *operated) SetDrained(uid string, out bool) error {
 	if uid != "s-1" {
 		return errors.New("no list has\never named this id")
 	}
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -25,7 +25,7 @@
 	for answer := range Answers {
 		latency.Observe(1, answer, 30*policy.Millisecond)
 	}
-	latency.Named(0, "renamed")
+	latency.SetClassName(0, "renamed")
 	server, err := Listen("127.0.0.1:0", of, latency)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/connstate/requests.go
+++ b/internal/connstate/requests.go
@@ -63,10 +63,10 @@
 
 // Of gives the front's side of a request, made the first time that its place is used.
 func Of(t *engine.Request) *Request {
-	if t.Part == nil {
-		t.Part = &Request{Request: t}
+	if t.FrontData == nil {
+		t.FrontData = &Request{Request: t}
 	}
-	return t.Part.(*Request)
+	return t.FrontData.(*Request)
 }
 
 // Give empties it and gives its buffers back.
@@ -74,5 +74,5 @@
 	p.Put(t.Received)
 	p.Put(t.Answer)
 	p.Put(t.More)
-	*t = Request{Request: t.Request, Rest: engine.Timer{Do: t.Rest.Do}}
+	*t = Request{Request: t.Request, Rest: engine.Timer{Run: t.Rest.Run}}
 }
--- a/internal/coordinator/group.go
+++ b/internal/coordinator/group.go
@@ -80,7 +80,7 @@
 	stop   chan struct{}
 	ended  sync.WaitGroup
 
-	company atomic.Pointer[membership.Company]
+	company atomic.Pointer[membership.Cluster]
 
 	mu      sync.Mutex
 	book    ruleset.RevisionLog
@@ -141,7 +141,7 @@
 }
 
 // JoinCluster tells the company by which sidecars are answered.
-func (k *Coordinator) JoinCluster(c *membership.Company) { k.company.Store(c) }
+func (k *Coordinator) JoinCluster(c *membership.Cluster) { k.company.Store(c) }
 
 // Close ends it; who leads hands that over first, so that nobody need find out.
 func (k *Coordinator) Close() {
--- a/internal/daemon/agreed.go
+++ b/internal/daemon/agreed.go
@@ -35,21 +35,21 @@
 }
 
 // ownVersion is what the sidecar's own file says, as the version that is in force where the cluster has none.
-func ownVersion(c *policy.Settings, cutOffs []policy.Time) *engine.Version {
+func ownVersion(c *policy.Settings, cutOffs []policy.Time) *engine.RuleSet {
 	own := *c
 	own.Classes, own.Tenants = slices.Clone(c.Classes), slices.Clone(c.Tenants)
-	return &engine.Version{RuleSet: ruleset.RuleSet{Rules: ruleset.NewRules(&own, cutOffs, nil, nil)}, Campaign: &own}
+	return &engine.RuleSet{RuleSet: ruleset.RuleSet{Rules: ruleset.NewRules(&own, cutOffs, nil, nil)}, Settings: &own}
 }
 
 // readVersion makes a version of a page. The error has a line for each fault.
-func readVersion(p ruleset.Revision) (*engine.Version, error) {
+func readVersion(p ruleset.Revision) (*engine.RuleSet, error) {
 	v, err := config.ReadVersion("version", p.Text)
 	if err != nil {
 		return nil, err
 	}
 	servers := members(v.Servers)
-	return &engine.Version{RuleSet: ruleset.RuleSet{Number: p.Number, Digest: p.Digest, Rules: ruleset.NewRules(v.Campaign, v.CutOffs, servers, v.Bans)},
-		Campaign: v.Campaign, Servers: v.Servers, Table: policy.DecodeTable(p.Table, servers)}, nil
+	return &engine.RuleSet{RuleSet: ruleset.RuleSet{Number: p.Number, Digest: p.Digest, Rules: ruleset.NewRules(v.Campaign, v.CutOffs, servers, v.Bans)},
+		Settings: v.Campaign, Endpoints: v.Servers, Table: policy.DecodeTable(p.Table, servers)}, nil
 }
 
 func members(of []endpointfiles.Entry) (all []policy.Member) {
@@ -95,14 +95,14 @@
 	if c == nil {
 		return
 	}
-	keepers := c.Keepers()
+	keepers := c.Coordinators()
 	if time.Since(g.fromAt) < loyalFor && slices.Contains(keepers, g.from) {
 		keepers = []string{g.from}
 	}
 	var b []byte
-	if len(keepers) == 0 || !g.Within(countIn, func() {
-		ask, knows := g.Ask()
-		b = ruleset.EncodeLeaseRequest(c.Own(), ask, knows)
+	if len(keepers) == 0 || !g.RunOnLoopWithin(countIn, func() {
+		ask, knows := g.NewLeaseRequest()
+		b = ruleset.EncodeLeaseRequest(c.Address(), ask, knows)
 		g.note()
 	}) {
 		return
@@ -114,7 +114,7 @@
 
 // note keeps what others are told. The loop calls it.
 func (g *agreed) note() {
-	of, leased := g.Standing()
+	of, leased := g.LeasedRevisions()
 	if len(of) > 0 {
 		g.version.Store(uint64(of[len(of)-1]))
 	}
@@ -125,8 +125,8 @@
 }
 
 func (g *agreed) grantedBy(from string, by ruleset.Lease) {
-	g.Within(countIn, func() {
-		if g.Granted(by) {
+	g.RunOnLoopWithin(countIn, func() {
+		if g.AcceptLease(by) {
 			g.from, g.fromAt = from, time.Now()
 			g.granted.Add(1)
 		}
@@ -144,9 +144,9 @@
 		g.refuse(p, strings.ReplaceAll(err.Error(), "\n", "; "))
 		return
 	}
-	g.Within(countIn, func() {
+	g.RunOnLoopWithin(countIn, func() {
 		switch {
-		case g.Learn(v):
+		case g.AddRuleSet(v):
 			g.learned.Add(1)
 			g.soon = true
 		default:
--- a/internal/daemon/company.go
+++ b/internal/daemon/company.go
@@ -19,8 +19,8 @@
 // among is a sidecar among peers.
 type among struct {
 	*httpproxy.Sidecar
-	post  membership.Post
-	of    atomic.Pointer[membership.Company] // nil until it could be opened
+	post  membership.Config
+	of    atomic.Pointer[membership.Cluster] // nil until it could be opened
 	stop  chan struct{}
 	ended sync.WaitGroup
 	rules *agreed // nil: the file's own
@@ -28,12 +28,12 @@
 
 // meet opens the company, and keeps what this sidecar tells of itself, and how many it shares budgets with, as it is. An address that is
 // still the process's before this one is tried again: serving never waits for peers. own: what its file says, where rules are agreed on; else nil.
-func meet(s *httpproxy.Sidecar, post membership.Post, own *engine.Version) *among {
+func meet(s *httpproxy.Sidecar, post membership.Config, own *engine.RuleSet) *among {
 	a := &among{Sidecar: s, post: post, stop: make(chan struct{})}
 	if own != nil {
-		s.Agree(own, rand.Uint32())
+		s.UseAgreedRules(own, rand.Uint32())
 		a.rules = &agreed{among: a, heard: make(chan []byte, mostHeard)}
-		a.post.Heard = a.rules.hear
+		a.post.OnMessage = a.rules.hear
 		post = a.post
 		a.ended.Go(func() { a.rules.run(a.stop) })
 	}
@@ -58,8 +58,8 @@
 				a.of.Store(c)
 			}
 			table, there := uint64(0), c.Alive()
-			if a.Within(countIn, func() { a.Among(there); table = a.Table() }) {
-				c.Say(a.version(), table)
+			if a.RunOnLoopWithin(countIn, func() { a.SetInstances(there); table = a.TableDigest() }) {
+				c.Announce(a.version(), table)
 			}
 		}
 	})
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -59,8 +59,8 @@
 	// One thread may stand in the kernel waiting for sockets while another works, also where there is one core: with
 	// one alone the loop would start only when the runtime notices, up to 10 ms later.
 	runtime.GOMAXPROCS(max(2, runtime.GOMAXPROCS(0)))
-	debug.SetMemoryLimit(int64(float64(o.Memory) * heapPart))
-	o.Memory = o.Memory * bufferPercent / 100
+	debug.SetMemoryLimit(int64(float64(o.MessageMemory) * heapPart))
+	o.MessageMemory = o.MessageMemory * bufferPercent / 100
 	// What the sidecar may hold is kept by itself; the kernel keeps it where clients come faster than they are told so.
 	limit := syscall.Rlimit{Cur: uint64(o.Descriptors), Max: uint64(o.Descriptors)}
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -79,7 +79,7 @@
 		if err != nil {
 			return fmt.Errorf("record: %w", err)
 		}
-		o.Record = r
+		o.Recorder = r
 		defer func() {
 			if err := r.Close(); err != nil || r.Dropped() > 0 {
 				log.WithError(err).WithField("dropped", r.Dropped()).Warn("the trace is not whole")
@@ -88,18 +88,18 @@
 	}
 	of := operated{}
 	if o.together() {
-		kin, err := hotrestart.Join(hotrestart.Folder(o.Name, o.Listen), log)
+		kin, err := hotrestart.Join(hotrestart.Directory(o.Name, o.Listen), log)
 		if err != nil {
 			// Serving goes on without: what is done by hand ends with this process, and a new version does not know of it.
 			log.WithError(err).Error("handover: left out")
-			kin = hotrestart.Alone(err, log)
+			kin = hotrestart.Standalone(err, log)
 		}
 		defer kin.Close()
-		of.kin, o.Follows = kin, kin.Processes() > 1
+		of.kin, o.Successor = kin, kin.Processes() > 1
 	}
-	o.Learn = func() { of.learn() }
+	o.ImportState = func() { of.learn() }
 	s := httpproxy.New(o.Config, log)
-	go reread(path, o, again, fresh, s.Over(), log)
+	go reread(path, o, again, fresh, s.Stopped(), log)
 	of.Sidecar = s
 	if of.kin != nil {
 		if err := of.begin(); err != nil {
@@ -108,7 +108,7 @@
 	}
 	var asked admin.Sidecar = s
 	if o.Peers != nil {
-		var own *engine.Version
+		var own *engine.RuleSet
 		if o.Agree {
 			own = ownVersion(o.Settings, o.Deadlines)
 		}
@@ -171,8 +171,8 @@
 		if now.Agree {
 			next.Settings = &policy.Settings{} // of another shape: it stays as the cluster's versions say
 		}
-		next.Latency, next.Record = now.Latency, now.Record
-		next.Memory = next.Memory * bufferPercent / 100
+		next.Latency, next.Recorder = now.Latency, now.Recorder
+		next.MessageMemory = next.MessageMemory * bufferPercent / 100
 		select {
 		case fresh <- next.Config:
 		case <-over: // it was told to end as well, and has
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -42,8 +42,8 @@
 	}
 	c := post.Settings
 	if post.Listen != "127.9.9.9:1" || post.Discovery != "127.2.0.1:8500" || post.Seed != 0x8c1f30d27a5be964 ||
-		post.Descriptors != 1024 || post.ConnectIn != policy.Second/5 || post.IdleFor != 60*policy.Second ||
-		post.Leave != longest+acceptFor || c.Zones != 2 || c.Instances != 3 || len(c.Classes) != 2 || c.TotalQuota != 30 ||
+		post.Descriptors != 1024 || post.ConnectTimeout != policy.Second/5 || post.IdleTimeout != 60*policy.Second ||
+		post.ShutdownTime != longest+acceptFor || c.Zones != 2 || c.Instances != 3 || len(c.Classes) != 2 || c.TotalQuota != 30 ||
 		c.StreamsPerConnection != 1 || c.Classes[1].Deadline != 4*policy.Second || c.Classes[0].Name != "step, first" || c.Classes[1].Group != policy.GroupCell || !c.FixedWeights {
 		t.Errorf("%+v\n%+v", post, c)
 	}
@@ -143,8 +143,8 @@
 				t.Errorf("for %.20q: %s", k.in, line)
 			}
 		case next := <-fresh:
-			if next.Source.Name() != "discovery at "+k.discovery || next.Memory != post.Memory*bufferPercent/100 {
-				t.Errorf("%s, %d bytes; want %s", next.Source.Name(), next.Memory, k.discovery)
+			if next.Source.Name() != "discovery at "+k.discovery || next.MessageMemory != post.MessageMemory*bufferPercent/100 {
+				t.Errorf("%s, %d bytes; want %s", next.Source.Name(), next.MessageMemory, k.discovery)
 			}
 		case <-time.After(5 * time.Second):
 			t.Fatal("not read")
@@ -166,7 +166,7 @@
 func TestDoorAndListenerAreTold(t *testing.T) {
 	with := strings.Replace(told, `"name":"n3",`, `"name":"n3","admin":"127.0.0.4:9100",`, 1)
 	plain, err := Read(write(t, told), func(string) string { return "" })
-	if err != nil || plain.Door != "" || plain.Aside != 0 || plain.together() {
+	if err != nil || plain.Door != "" || plain.ReservedDescriptors != 0 || plain.together() {
 		t.Errorf("%v %+v", err, plain)
 	}
 	for _, c := range []struct{ text, admin, fd, door, fault string }{
@@ -182,7 +182,7 @@
 			}
 			continue
 		}
-		if err != nil || o.Door != c.door || (o.Inherited == 7) != (c.fd == "7") || o.Aside == 0 || !o.together() || o.Name != "n3" {
+		if err != nil || o.Door != c.door || (o.InheritedListener == 7) != (c.fd == "7") || o.ReservedDescriptors == 0 || !o.together() || o.Name != "n3" {
 			t.Errorf("%q %q: %v %+v", c.admin, c.fd, err, o)
 		}
 	}
--- a/internal/daemon/golden_orders_test.go
+++ b/internal/daemon/golden_orders_test.go
@@ -23,7 +23,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if orders.Latency != nil || orders.Record != nil || orders.Learn != nil {
+		if orders.Latency != nil || orders.Recorder != nil || orders.ImportState != nil {
 			t.Errorf("%s: found what the platform's configuration does not say", read.golden)
 		}
 		source := orders.Source.Name()
--- a/internal/daemon/keep.go
+++ b/internal/daemon/keep.go
@@ -89,8 +89,8 @@
 		return fmt.Errorf("pages: %w", err)
 	}
 	defer pages.Close()
-	company, err := membership.Open(membership.Post{Name: k.Name, Cluster: k.Peers.Cluster, Listen: k.Peers.Listen, Advertise: k.Peers.Advertise,
-		Join: k.Peers.Join, Key: key, Keeper: true, Heard: keeper.HandleMessage}, log)
+	company, err := membership.Open(membership.Config{Name: k.Name, Cluster: k.Peers.Cluster, Listen: k.Peers.Listen, Advertise: k.Peers.Advertise,
+		Join: k.Peers.Join, Key: key, Coordinator: true, OnMessage: keeper.HandleMessage}, log)
 	if err != nil {
 		return fmt.Errorf("peers: %w", err)
 	}
--- a/internal/daemon/operated.go
+++ b/internal/daemon/operated.go
@@ -16,18 +16,18 @@
 // operated is the sidecar as the door has it.
 type operated struct {
 	*httpproxy.Sidecar
-	kin *hotrestart.Kin
+	kin *hotrestart.ProcessGroup
 }
 
 // begin takes over what was done by hand before this process, and obeys what is done from now on. It is called before Run.
 func (o operated) begin() error {
-	uids, err := o.kin.Out()
+	uids, err := o.kin.Drained()
 	if err != nil {
 		return err
 	}
-	o.Engine.Out(o.Clock.Now(), uids)
+	o.Engine.SetDrained(o.Clock.Now(), uids)
 	o.kin.Serve(func(uids []string) bool {
-		return o.Within(loopIn, func() { o.Engine.Out(o.Clock.Now(), uids) })
+		return o.RunOnLoopWithin(loopIn, func() { o.Engine.SetDrained(o.Clock.Now(), uids) })
 	}, o.tell, o.Share)
 	return nil
 }
@@ -41,7 +41,7 @@
 // tell gives what this process has learned.
 func (o operated) tell() []byte {
 	var h heritage
-	if !o.Within(loopIn, func() { h = heritage{o.Module.ExportState(o.Clock.Now()), o.Seen()} }) {
+	if !o.RunOnLoopWithin(loopIn, func() { h = heritage{o.Module.ExportState(o.Clock.Now()), o.SeenEndpoints()} }) {
 		return nil
 	}
 	text, _ := json.Marshal(h)
@@ -50,14 +50,14 @@
 
 // learn takes over what the process before this one tells. It must know the list by then.
 func (o operated) learn() {
-	for _, text := range o.kin.Learned() {
+	for _, text := range o.kin.LearnedStates() {
 		var h heritage
 		if err := json.Unmarshal(text, &h); err != nil {
 			o.Logger.WithError(err).Warn("handover: what the other process has learned cannot be read, and is left out")
 			continue
 		}
-		o.Within(loopIn, func() {
-			o.Saw(h.Seen)
+		o.RunOnLoopWithin(loopIn, func() {
+			o.ImportSeen(h.Seen)
 			o.Module.ImportState(o.Clock.Now(), h.LearnedState)
 		})
 		o.Logger.WithField("servers", len(h.Endpoints)).Info("handover: goes on from what the other process has learned")
@@ -65,13 +65,13 @@
 }
 
 // Out takes a server out by hand, or calls it back.
-func (o operated) Out(uid string, out bool) error {
+func (o operated) SetDrained(uid string, out bool) error {
 	listed := false
-	if !o.Within(loopIn, func() { listed = o.Listed(uid) }) {
+	if !o.RunOnLoopWithin(loopIn, func() { listed = o.Listed(uid) }) {
 		return errors.New("the loop has not come to it in time, or is ending")
 	}
 	if !listed {
 		return engine.ErrNeverListed
 	}
-	return o.kin.Change(uid, out)
+	return o.kin.SetDrained(uid, out)
 }
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -33,8 +33,8 @@
 	Pages     string // address of counters and metrics over HTTP; "": none
 	LogLevel  string // "": as the command line says
 	LogFormat string
-	Peers     *membership.Post // nil: none
-	Agree     bool             // rules come from the peers' keepers
+	Peers     *membership.Config // nil: none
+	Agree     bool               // rules come from the peers' keepers
 }
 
 // Read takes orders from the configuration in the file, and from what the environment says of the same. One that begins with
@@ -81,19 +81,19 @@
 		if err != nil || n < 3 {
 			return fmt.Errorf("GW_INHERITED_FD: found %q, allowed the number of a descriptor", fd)
 		}
-		o.Inherited = n
+		o.InheritedListener = n
 	}
 	if o.Door != "" {
-		o.Aside += admin.DoorDescriptors
+		o.ReservedDescriptors += admin.DoorDescriptors
 	}
 	if o.together() {
-		o.Aside += hotrestart.Descriptors
+		o.ReservedDescriptors += hotrestart.Descriptors
 	}
 	return nil
 }
 
 // together tells whether other processes may be one sidecar with this one, or something is to be kept for the next.
-func (o *Orders) together() bool { return o.Door != "" || o.Inherited > 0 }
+func (o *Orders) together() bool { return o.Door != "" || o.InheritedListener > 0 }
 
 // product makes orders of the product's own configuration.
 func product(path string, b []byte) (Orders, error) {
@@ -102,27 +102,27 @@
 		return Orders{}, err
 	}
 	o := Orders{Name: in.Name, Door: in.Admin, Pages: in.Pages, Discovery: in.Discovery, LogLevel: in.LogLevel, LogFormat: in.LogFormat,
-		Config: httpproxy.Config{Listen: in.Listen, Descriptors: in.Descriptors, Memory: in.MemoryMB << 20,
-			ConnectIn: in.ConnectIn, From: in.From, IdleFor: in.IdleFor, Accept: acceptFor, Settings: in.Campaign, Deadlines: in.CutOffs,
-			DefaultClass: in.Default, Anonymous: in.Anonymous, Stall: Stall}}
+		Config: httpproxy.Config{Listen: in.Listen, Descriptors: in.Descriptors, MessageMemory: in.MemoryMB << 20,
+			ConnectTimeout: in.ConnectIn, SourceIP: in.From, IdleTimeout: in.IdleFor, AcceptTime: acceptFor, Settings: in.Campaign, Deadlines: in.CutOffs,
+			DefaultClass: in.Default, Anonymous: in.Anonymous, StallAfter: Stall}}
 	if o.Seed = rand.Uint64(); in.Seeded {
 		o.Seed = instanceSeed(in.Seed, in.Listen)
 	}
-	o.Leave = in.Leave + acceptFor
-	o.Source, o.Aside = source(in)
+	o.ShutdownTime = in.Leave + acceptFor
+	o.Source, o.ReservedDescriptors = source(in)
 	if at := in.Peers; at.Listen != "" {
 		key, err := membership.ReadKey(at.Key)
 		if err != nil {
 			return o, fmt.Errorf("%s: peers.key_file: %w", path, err)
 		}
-		o.Peers = &membership.Post{Name: in.Name, Cluster: at.Cluster, Listen: at.Listen, Advertise: at.Advertise, Join: at.Join, Key: key,
+		o.Peers = &membership.Config{Name: in.Name, Cluster: at.Cluster, Listen: at.Listen, Advertise: at.Advertise, Join: at.Join, Key: key,
 			Zone: string(in.Campaign.Zone)}
 		o.Agree = at.Agree
-		o.Aside += membership.Descriptors
+		o.ReservedDescriptors += membership.Descriptors
 	}
 	if in.Pages != "" {
 		o.Latency = admin.NewLatency(in.Campaign.Classes)
-		o.Aside += admin.Most + 2
+		o.ReservedDescriptors += admin.Most + 2
 	}
 	return o, nil
 }
@@ -177,17 +177,17 @@
 	var post Orders
 	var err error
 	var told struct {
-		Name      string `json:"name"`
-		Listen    string `json:"listen"`
-		Discovery string `json:"discovery"`
-		Seed      string `json:"seed"`
-		Admin     string `json:"admin"`
+		Name      string `json:"Name"`
+		Listen    string `json:"Listen"`
+		Discovery string `json:"Discovery"`
+		Seed      string `json:"Seed"`
+		Admin     string `json:"Admin"`
 		Limits    struct {
 			Memory  float64 `json:"memory_mb"`
-			Sockets int     `json:"sockets"`
-		} `json:"limits"`
-		Known    json.RawMessage `json:"known"`
-		Settings json.RawMessage `json:"settings"`
+			Sockets int     `json:"Sockets"`
+		} `json:"Limits"`
+		Known    json.RawMessage `json:"Known"`
+		Settings json.RawMessage `json:"Settings"`
 	}
 	if err := json.Unmarshal(b, &told); err != nil {
 		return post, fmt.Errorf("%s: %w", path, err)
@@ -219,16 +219,16 @@
 		return post, fmt.Errorf("%s: settings: %w", path, err)
 	}
 	post.Descriptors = told.Limits.Sockets
-	post.Memory = int(told.Limits.Memory * (1 << 20))
-	post.ConnectIn = values.Span("limits.connect_timeout_s")
-	post.IdleFor = values.Span("limits.conn_idle_s")
-	post.Accept = acceptFor
+	post.MessageMemory = int(told.Limits.Memory * (1 << 20))
+	post.ConnectTimeout = values.Span("limits.connect_timeout_s")
+	post.IdleTimeout = values.Span("limits.conn_idle_s")
+	post.AcceptTime = acceptFor
 	for n := range values.Count("offerings.count") {
-		post.Leave = max(post.Leave, values.Span("offerings."+strconv.Itoa(n)+".cut_off_s"))
+		post.ShutdownTime = max(post.ShutdownTime, values.Span("offerings."+strconv.Itoa(n)+".cut_off_s"))
 	}
 	// SIGKILL comes 0.7 s after the longest cut-off, so this leaves 250 ms.
-	post.Leave = min(post.Leave, longest) + acceptFor
-	post.Known = told.Known
+	post.ShutdownTime = min(post.ShutdownTime, longest) + acceptFor
+	post.SavedList = told.Known
 	post.Name = first("GW_NAME", told.Name)
 	if err := post.operators(told.Admin, env); err != nil {
 		fault("%w", err)
@@ -237,7 +237,7 @@
 	if _, told := values.Of["rules.drain_grace_s"]; told && values.Of["membership_mode"] == "pushed" {
 		// Discovery is an agent on this machine that has what is told: a process that starts hears it before its first push.
 		at.Grace = max(time.Millisecond, time.Duration(values.Span("rules.drain_grace_s")))
-		post.First = policy.Time(at.AnswerIn())
+		post.FirstListTimeout = policy.Time(at.AnswerIn())
 	}
 	post.Source = at
 	if post.Settings, err = platformsettings.Read(values); err != nil {
--- a/internal/daemon/rewrite_test.go
+++ b/internal/daemon/rewrite_test.go
@@ -142,7 +142,7 @@
 	orders.Source = f.tap
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	orders.Memory /= 4
+	orders.MessageMemory /= 4
 	f.sidecar = httpproxy.New(orders.Config, log)
 	stop, ended := make(chan os.Signal, 1), make(chan error, 1)
 	fresh = make(chan httpproxy.Config)
@@ -359,7 +359,7 @@
 	if bad := f.answered[1].Load() + f.answered[2].Load(); bad*100 > f.asked.Load() {
 		t.Errorf("of %d tickets %d were turned back and %d given up", f.asked.Load(), f.answered[1].Load(), f.answered[2].Load())
 	}
-	if c := f.sidecar.Counters; c.ListsRefused == 0 || c.Renewals == 0 || broken < 300 {
+	if c := f.sidecar.Counters; c.ListsRefused == 0 || c.Reconfigurations == 0 || broken < 300 {
 		t.Errorf("too little was provoked: %v, %d refused", kinds, c.ListsRefused)
 	}
 	t.Logf("%v: %d lists applied, %d refusals told, %d tickets, %d turned back, %d given up", kinds, len(lists),
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -66,8 +66,8 @@
 			Member: policy.Member{ID: endpointfiles.IDOf(traits.Name), Zone: "a", Weight: 1}})
 	}
 	second := policy.Second
-	daemon := httpproxy.New(httpproxy.Config{Listen: listen, Source: fixed, Seed: sc.Seed, Descriptors: 512, Memory: 32 << 20,
-		ConnectIn: second / 5, IdleFor: 60 * second, Accept: second / 20, Leave: 2 * second, Anonymous: true, DefaultClass: "step",
+	daemon := httpproxy.New(httpproxy.Config{Listen: listen, Source: fixed, Seed: sc.Seed, Descriptors: 512, MessageMemory: 32 << 20,
+		ConnectTimeout: second / 5, IdleTimeout: 60 * second, AcceptTime: second / 20, ShutdownTime: 2 * second, Anonymous: true, DefaultClass: "step",
 		Deadlines: []policy.Time{2 * second, 3 * second, 3 * second},
 		Settings: &policy.Settings{Instances: 1, Zone: "a", Zones: 1, FixedWeights: true, MayCancel: true, MaxAttempts: 3,
 			MaxRetryAfter: 3 * second, Tick: 5 * policy.Millisecond, ColdCapacity: 0.2, ColdTime: 2 * second, OverloadMultiple: 3,
--- a/internal/discovery/kept.go
+++ b/internal/discovery/kept.go
@@ -80,7 +80,7 @@
 			r.Resume(entries, memo)
 		}
 		say(News{List: &List{Kind: policy.ListSaved, Entries: entries, Memo: memo}})
-	case !errors.Is(err, snapshot.ErrNone):
+	case !errors.Is(err, snapshot.ErrNotFound):
 		// A damaged list is no reason not to serve: the source has a newer one.
 		say(News{Note: "kept list: left out: " + err.Error()})
 	}
--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -6,14 +6,14 @@
 
 func (e *Engine) want(h policy.Handle, n step) *Request {
 	n.request = e.byPlace[h.Place()]
-	n.request.Pending++
+	n.request.PendingSteps++
 	e.steps = append(e.steps, n)
 	return n.request
 }
 
 func (e *Engine) Attempt(h policy.Handle, to policy.EndpointID, wait policy.Time) {
 	t := e.want(h, step{do: (*Engine).send, endpoint: to, span: wait})
-	t.Out, t.Endpoint, t.AttemptNo, t.decided = true, to, policy.AttemptNo(t.Attempts), e.acted()
+	t.InFlight, t.Endpoint, t.AttemptNo, t.decided = true, to, policy.AttemptNo(t.Attempts), e.acted()
 	t.Attempts++
 }
 
@@ -22,19 +22,19 @@
 }
 
 func (e *Engine) Succeed(h policy.Handle, _ policy.AttemptNo) {
-	e.want(h, step{do: func(_ *Engine, now policy.Time, t *Request, _ step) { t.Front.Succeed(now, t) }}).Settled = true
+	e.want(h, step{do: func(_ *Engine, now policy.Time, t *Request, _ step) { t.Front.Succeed(now, t) }}).Decided = true
 }
 
 func (e *Engine) Reject(h policy.Handle, retryIn policy.Time) {
-	e.want(h, step{do: func(_ *Engine, now policy.Time, t *Request, n step) { t.Front.Reject(now, t, n.span) }, span: retryIn}).Settled = true
+	e.want(h, step{do: func(_ *Engine, now policy.Time, t *Request, n step) { t.Front.Reject(now, t, n.span) }, span: retryIn}).Decided = true
 }
 
 func (e *Engine) Fail(h policy.Handle) {
-	e.want(h, step{do: func(_ *Engine, now policy.Time, t *Request, _ step) { t.Front.Fail(now, t) }}).Settled = true
+	e.want(h, step{do: func(_ *Engine, now policy.Time, t *Request, _ step) { t.Front.Fail(now, t) }}).Decided = true
 }
 
 func (e *Engine) Wake(in policy.Time) {
-	if at := e.Clock.Now() + in; !e.wake.On() || at < e.wake.At() {
+	if at := e.Clock.Now() + in; !e.wake.Active() || at < e.wake.At() {
 		e.Timers.Set(&e.wake, at)
 	}
 }
@@ -47,7 +47,7 @@
 func (e *Engine) Release(id policy.EndpointID) {
 	if s := e.Endpoints[id]; s != nil {
 		for _, f := range e.fronts {
-			f.Retire(s)
+			f.CloseIdle(s)
 		}
 	}
 }
@@ -65,28 +65,28 @@
 
 // retire has no connection to the endpoint kept for later.
 func (e *Engine) retire(s *Endpoint) {
-	s.Leaving = true
-	s.Life++
+	s.Draining = true
+	s.Generation++
 	for _, f := range e.fronts {
-		f.Retire(s)
+		f.CloseIdle(s)
 	}
 }
 
 func (e *Engine) send(now policy.Time, t *Request, n step) {
 	t.SentAt = now
 	s := e.Endpoints[n.endpoint]
-	if t.Settled || s == nil || !e.Stands(now, t) {
-		e.Ended(now, t, policy.NotSent)
+	if t.Decided || s == nil || !e.AttemptStillValid(now, t) {
+		e.AttemptEnded(now, t, policy.NotSent)
 		return
 	}
-	e.Counters.Pushes++
+	e.Counters.Attempts++
 	e.recordAttempt(now, t, s)
-	e.Timers.Set(&t.Wait, now+n.span)
+	e.Timers.Set(&t.AttemptTimer, now+n.span)
 	t.Front.Send(now, t, s)
 }
 
 func (e *Engine) cancel(now policy.Time, t *Request, n step) {
-	if t.Out && t.AttemptNo == n.attempt {
+	if t.InFlight && t.AttemptNo == n.attempt {
 		t.Front.CancelAttempt(now, t)
 	}
 }
--- a/internal/engine/byhand.go
+++ b/internal/engine/byhand.go
@@ -36,14 +36,14 @@
 	f.seen[id] = struct{}{}
 }
 
-// Seen are the ids that lists have named, the latest last, for the process that follows.
-func (e *Engine) Seen() []policy.EndpointID {
+// SeenEndpoints are the ids that lists have named, the latest last, for the process that follows.
+func (e *Engine) SeenEndpoints() []policy.EndpointID {
 	f := &e.list
 	return append(slices.Clone(f.order[f.oldest:]), f.order[:f.oldest]...)
 }
 
-// Saw takes over what another process has seen.
-func (e *Engine) Saw(ids []policy.EndpointID) {
+// ImportSeen takes over what another process has seen.
+func (e *Engine) ImportSeen(ids []policy.EndpointID) {
 	for _, id := range ids {
 		e.list.saw(id)
 	}
@@ -66,8 +66,8 @@
 	return seen || e.list.byHand[uid].out
 }
 
-// Out makes these endpoints the ones that are out by hand. Those that were and are not any more are called back.
-func (e *Engine) Out(now policy.Time, uids []string) {
+// SetDrained makes these endpoints the ones that are out by hand. Those that were and are not any more are called back.
+func (e *Engine) SetDrained(now policy.Time, uids []string) {
 	f := &e.list
 	wanted := make(map[string]bool, len(uids))
 	for _, uid := range uids {
@@ -77,7 +77,7 @@
 	change := func(uid string, to hand) {
 		f.byHand[uid] = to
 		if s := e.Endpoints[endpointfiles.IDOf(uid)]; s != nil && s.UID == uid && s.Listed {
-			if shown := f.shown(s.Said); f.know(shown) {
+			if shown := f.shown(s.Entry); f.know(shown) {
 				changed = append(changed, shown.Member)
 			}
 		}
--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -9,41 +9,41 @@
 
 // Counters count what is taken in, sent and answered.
 type Counters struct {
-	ClientConns, ClientConnsCut   int
-	ClientsSilent                 int // closed as nothing came
-	Requests, Bad, Overflow, Gone int
-	Honoured, TurnedBack, GivenUp int
-	Declined                      int // requests that an endpoint could not use
-	Unsent                        int // final answers that found no client
-	LongBodies, PassedBodies      int // of requests; of these, such as went on to an endpoint before they were whole
-	Streams, StreamsBroken        int // answers handed on as they came; of these, such as stayed a part
-	Pushes, Dials, Reused         int
-	Outcomes                      [policy.Declined + 1]int
-	Lists, ListEntries, ListFails int
-	ListsRefused                  int // by the checks on files: the last good one stayed
-	Renewals                      int // new configurations gone over to
-	BytesIn, BytesOut             int64
+	ClientConns, ClientConnsBroken                 int
+	ClientsSilent                                  int // closed as nothing came
+	Requests, BadRequests, Overflowed, ClientsGone int
+	Succeeded, Rejected, Failed                    int
+	Declined                                       int // requests that an endpoint could not use
+	Unsent                                         int // final answers that found no client
+	LargeBodies, StreamedBodies                    int // of requests; of these, such as went on to an endpoint before they were whole
+	Streams, StreamsBroken                         int // answers handed on as they came; of these, such as stayed a part
+	Attempts, Dials, Reused                        int
+	Outcomes                                       [policy.Declined + 1]int
+	Lists, ListEntries, ListFailures               int
+	ListsRefused                                   int // by the checks on files: the last good one stayed
+	Reconfigurations                               int // new configurations gone over to
+	BytesIn, BytesOut                              int64
 }
 
 // Each hands over every counter, in the order in which they are shown.
 func (c *Counters) Each(line func(name string, n int64)) {
 	line("client_connections", int64(c.ClientConns))
-	line("client_connections_cut", int64(c.ClientConnsCut))
+	line("client_connections_cut", int64(c.ClientConnsBroken))
 	line("clients_silent", int64(c.ClientsSilent))
 	line("tickets", int64(c.Requests))
-	line("tickets_bad", int64(c.Bad))
-	line("tickets_overflow", int64(c.Overflow))
-	line("clients_left", int64(c.Gone))
-	line("honoured", int64(c.Honoured))
-	line("turned_back", int64(c.TurnedBack))
-	line("given_up", int64(c.GivenUp))
+	line("tickets_bad", int64(c.BadRequests))
+	line("tickets_overflow", int64(c.Overflowed))
+	line("clients_left", int64(c.ClientsGone))
+	line("honoured", int64(c.Succeeded))
+	line("turned_back", int64(c.Rejected))
+	line("given_up", int64(c.Failed))
 	line("declined", int64(c.Declined))
 	line("answers_unsent", int64(c.Unsent))
-	line("long_bodies", int64(c.LongBodies))
-	line("long_bodies_passed_on", int64(c.PassedBodies))
+	line("long_bodies", int64(c.LargeBodies))
+	line("long_bodies_passed_on", int64(c.StreamedBodies))
 	line("streams", int64(c.Streams))
 	line("streams_broken", int64(c.StreamsBroken))
-	line("pushes", int64(c.Pushes))
+	line("pushes", int64(c.Attempts))
 	line("dials", int64(c.Dials))
 	line("pushes_on_kept_connections", int64(c.Reused))
 	for i, name := range []string{"honoured", "errors", "turned_away", "timed_out", "not_connected", "broken",
@@ -52,9 +52,9 @@
 	}
 	line("lists", int64(c.Lists))
 	line("list_entries", int64(c.ListEntries))
-	line("list_failures", int64(c.ListFails))
+	line("list_failures", int64(c.ListFailures))
 	line("lists_refused", int64(c.ListsRefused))
-	line("configurations_renewed", int64(c.Renewals))
+	line("configurations_renewed", int64(c.Reconfigurations))
 	line("bytes_in", int64(c.BytesIn))
 	line("bytes_out", int64(c.BytesOut))
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -32,76 +32,76 @@
 	Succeed(now policy.Time, t *Request)
 	Reject(now policy.Time, t *Request, retryIn policy.Time)
 	Fail(now policy.Time, t *Request)
-	// Unneeded says that the answer of the last attempt is not handed on.
-	Unneeded(t *Request)
-	// Given says that nothing refers to the request any more: its part can be used again.
-	Given(t *Request)
-	// Retire keeps no connection to the endpoint for later; Forget lets it go for good.
-	Retire(s *Endpoint)
+	// DiscardResponse says that the answer of the last attempt is not handed on.
+	DiscardResponse(t *Request)
+	// Released says that nothing refers to the request any more: its part can be used again.
+	Released(t *Request)
+	// CloseIdle keeps no connection to the endpoint for later; Forget lets it go for good.
+	CloseIdle(s *Endpoint)
 	Forget(s *Endpoint)
-	// Leave begins the end; Left tells whether no request can come any more.
-	Leave(now policy.Time)
-	Left(now policy.Time) bool
-	// Shut gives back what is still held.
-	Shut()
+	// BeginShutdown begins the end; Left tells whether no request can come any more.
+	BeginShutdown(now policy.Time)
+	Drained(now policy.Time) bool
+	// Close gives back what is still held.
+	Close()
 }
 
 // Latency counts final answers by class and by how they ended: 0 successful, 1 declined, 2 rejected, 3 failed.
 type Latency interface {
 	Observe(o policy.ClassID, answer int, spent policy.Time)
-	// Named says that this place is that class's from now on.
-	Named(o policy.ClassID, name string)
+	// SetClassName says that this place is that class's from now on.
+	SetClassName(o policy.ClassID, name string)
 }
 
 // Config is what an engine is told at its start.
 type Config struct {
-	Seed     uint64
-	Settings *policy.Settings
-	Source   discovery.Source // of endpoints
-	Known    []byte           // a list saved earlier, as discovery gives it
-	Leave    policy.Time      // from the first sign of the end to the last answer
-	Latency  Latency          // of final answers; nil: not measured
-	Record   *trace.Recorder  // of what comes in and how it ends; nil: none
-	Stall    policy.Time      // a loop that has not turned for so long may have stood still: it looks at its list first; 0: never
+	Seed         uint64
+	Settings     *policy.Settings
+	Source       discovery.Source // of endpoints
+	SavedList    []byte           // a list saved earlier, as discovery gives it
+	ShutdownTime policy.Time      // from the first sign of the end to the last answer
+	Latency      Latency          // of final answers; nil: not measured
+	Recorder     *trace.Recorder  // of what comes in and how it ends; nil: none
+	StallAfter   policy.Time      // a loop that has not turned for so long may have stood still: it looks at its list first; 0: never
 }
 
 // Request is a request as the engine has it. Part is the front's own, and stays with the place.
 type Request struct {
-	Handle    policy.Handle
-	Front     Front
-	front     int // its place
-	Part      any
-	No        uint64 // counts requests
-	Class     policy.ClassID
-	Since     policy.Time // when its last byte came
-	Owed      bool        // to a client that is still there
-	Out       bool        // an attempt is out, or about to be
-	AttemptNo policy.AttemptNo
-	Attempts  int
-	Endpoint  policy.EndpointID
-	SentAt    policy.Time
-	Wait      Timer
-	Settled   bool   // the final answer is decided on
-	decided   uint64 // changes of the rules before its latest attempt was decided on
-	Pending   int    // steps decided on and not yet carried out
+	Handle        policy.Handle
+	Front         Front
+	front         int // its place
+	FrontData     any
+	No            uint64 // counts requests
+	Class         policy.ClassID
+	ReceivedAt    policy.Time // when its last byte came
+	ClientWaiting bool        // to a client that is still there
+	InFlight      bool        // an attempt is out, or about to be
+	AttemptNo     policy.AttemptNo
+	Attempts      int
+	Endpoint      policy.EndpointID
+	SentAt        policy.Time
+	AttemptTimer  Timer
+	Decided       bool   // the final answer is decided on
+	decided       uint64 // changes of the rules before its latest attempt was decided on
+	PendingSteps  int    // steps decided on and not yet carried out
 }
 
 // Endpoint is an endpoint as lists tell of it. Parts are the fronts' own, by the order in which these were added.
 type Endpoint struct {
-	ID      policy.EndpointID
-	UID     string
-	Addr    string
-	Zone    policy.Zone
-	Started policy.Time
-	Leaving bool
-	Life    int             // counts what makes its connections worthless: that it leaves, starts anew, or moves to another address
-	Listed  bool            // the latest list names it
-	Said    discovery.Entry // what that says of it
-	Parts   [MostFronts]any
+	ID         policy.EndpointID
+	UID        string
+	Addr       string
+	Zone       policy.Zone
+	Started    policy.Time
+	Draining   bool
+	Generation int             // counts what makes its connections worthless: that it leaves, starts anew, or moves to another address
+	Listed     bool            // the latest list names it
+	Entry      discovery.Entry // what that says of it
+	FrontData  [MaxFronts]any
 }
 
-// MostFronts is how many fronts an engine may have.
-const MostFronts = 4
+// MaxFronts is how many fronts an engine may have.
+const MaxFronts = 4
 
 // Engine owns the module and all state around it.
 type Engine struct {
@@ -114,10 +114,10 @@
 	Tally     Tally
 	labels    [][Results]string // of what is shown, by class
 	Endpoints map[policy.EndpointID]*Endpoint
-	Held      int // requests
+	InFlight  int // requests
 
 	fronts  []Front
-	free    [MostFronts][]*Request
+	free    [MaxFronts][]*Request
 	byPlace []*Request
 	steps   []step       // decided on by the module, to be carried out
 	ends    []attemptEnd // of attempts, to be told to the module
@@ -158,8 +158,8 @@
 func New(post Config, log *logrus.Logger) *Engine {
 	e := &Engine{Config: post, Logger: log, Clock: clock.New(), Endpoints: map[policy.EndpointID]*Endpoint{}, signal: make(chan struct{}, 1),
 		asks: make(chan func()), over: make(chan struct{})}
-	e.wake.Do = func(now policy.Time) { e.Module.Woken(now) }
-	e.show.Do = e.publish
+	e.wake.Run = func(now policy.Time) { e.Module.Woken(now) }
+	e.show.Run = e.publish
 	e.list = members{e: e, news: make(chan told, mostNews), byHand: map[string]hand{}, seen: map[policy.EndpointID]struct{}{}}
 	e.Tally.Answered = make([][Results]atomic.Int64, len(post.Settings.Classes))
 	for _, o := range post.Settings.Classes {
@@ -189,9 +189,9 @@
 func (e *Engine) Run(stop <-chan os.Signal) {
 	defer close(e.over)
 	now := e.Clock.Now()
-	if len(e.Known) > 0 {
+	if len(e.SavedList) > 0 {
 		// A saved list that cannot be read is no reason not to serve: discovery has a newer one.
-		if _, _, entries, err := discovery.ReadList(e.Known); err != nil {
+		if _, _, entries, err := discovery.ReadList(e.SavedList); err != nil {
 			e.Logger.WithError(err).Warn("known list: left out")
 		} else {
 			e.list.apply(now, &discovery.List{Kind: policy.ListSaved, Entries: entries})
@@ -225,7 +225,7 @@
 		case ask := <-e.asks:
 			ask()
 		case <-stop:
-			e.Leave(e.Clock.Now())
+			e.BeginShutdown(e.Clock.Now())
 		}
 	}
 }
@@ -241,7 +241,7 @@
 
 // Round gathers what is ready, hands it to the module, and carries out what came back.
 func (e *Engine) Round(now policy.Time) {
-	if e.Stall > 0 && e.turned > 0 && now-e.turned > e.Stall {
+	if e.StallAfter > 0 && e.turned > 0 && now-e.turned > e.StallAfter {
 		e.list.look()
 		now = e.Clock.Now()
 	}
@@ -250,14 +250,14 @@
 	e.hear(now)
 	for _, f := range e.fronts {
 		f.Gather(now)
-		e.Tell(now)
+		e.RunSteps(now)
 	}
 	e.Timers.Run(now)
-	e.Tell(now)
+	e.RunSteps(now)
 	for i := 0; i < len(e.steps); i++ {
 		n := e.steps[i]
 		n.do(e, now, n.request, n)
-		n.request.Pending--
+		n.request.PendingSteps--
 		e.release(n.request)
 	}
 	clear(e.steps)
@@ -286,8 +286,8 @@
 	}
 }
 
-// Tell hands the module the ends of attempts.
-func (e *Engine) Tell(now policy.Time) {
+// RunSteps hands the module the ends of attempts.
+func (e *Engine) RunSteps(now policy.Time) {
 	for i := 0; i < len(e.ends); i++ {
 		n := e.ends[i]
 		t := n.request
@@ -295,13 +295,13 @@
 		if e.Logger.IsLevelEnabled(logrus.DebugLevel) {
 			e.Logger.Debugf("push %d to server %d: outcome %d after %d us", t.AttemptNo, t.Endpoint, n.outcome, n.spent/1000)
 		}
-		t.Out = false
+		t.InFlight = false
 		e.recordEnd(now, t, n.outcome, n.spent)
-		t.Pending++
-		e.Module.AttemptEnded(now, t.Handle, t.AttemptNo, t.Endpoint, n.outcome, n.spent, t.Settled)
-		t.Pending--
-		if !t.Settled || t.Pending == 0 {
-			t.Front.Unneeded(t)
+		t.PendingSteps++
+		e.Module.AttemptEnded(now, t.Handle, t.AttemptNo, t.Endpoint, n.outcome, n.spent, t.Decided)
+		t.PendingSteps--
+		if !t.Decided || t.PendingSteps == 0 {
+			t.Front.DiscardResponse(t)
 		}
 		e.release(t)
 	}
@@ -309,12 +309,14 @@
 	e.ends = e.ends[:0]
 }
 
-// Inside has the loop do something between two rounds; false: it runs no more. What is done must be short and must not call
+// RunOnLoop has the loop do something between two rounds; false: it runs no more. What is done must be short and must not call
 // Inside.
-func (e *Engine) Inside(do func()) bool { return e.inside(nil, do) }
+func (e *Engine) RunOnLoop(do func()) bool { return e.inside(nil, do) }
 
-// Within does the same, but waits no longer for the loop to come to it; false: it has not been done, and will not be.
-func (e *Engine) Within(span time.Duration, do func()) bool { return e.inside(time.After(span), do) }
+// RunOnLoopWithin does the same, but waits no longer for the loop to come to it; false: it has not been done, and will not be.
+func (e *Engine) RunOnLoopWithin(span time.Duration, do func()) bool {
+	return e.inside(time.After(span), do)
+}
 
 func (e *Engine) inside(late <-chan time.Time, do func()) bool {
 	done := make(chan struct{})
@@ -328,5 +330,5 @@
 	return false
 }
 
-// Over is closed once Run has ended.
-func (e *Engine) Over() <-chan struct{} { return e.over }
+// Stopped is closed once Run has ended.
+func (e *Engine) Stopped() <-chan struct{} { return e.over }
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -29,9 +29,9 @@
 	}
 	engine.Tally.Written.Store(1)
 	engine.Tally.Pending.Store(2)
-	engine.Tally.Members.Store(3)
+	engine.Tally.Endpoints.Store(3)
 	engine.Tally.Unavailable.Store(4)
-	golden.Compare(t, "figures.txt", engine.Stat(nil))
+	golden.Compare(t, "figures.txt", engine.AppendFigures(nil))
 }
 
 // TestResultsOfAnswersAreShownAsBefore counts one request of each end, and holds the figures to what they were before.
@@ -41,8 +41,8 @@
 	engine := New(Config{Settings: &policy.Settings{Instances: 1, Classes: []policy.Class{{Name: "step"}}}}, log)
 	for answer, times := range []int{1, 10, 100, 1000, 10000} {
 		for range times {
-			engine.owedNoMore(&Request{Owed: true}, answer)
+			engine.owedNoMore(&Request{ClientWaiting: true}, answer)
 		}
 	}
-	golden.Compare(t, "results.txt", engine.Stat(nil))
+	golden.Compare(t, "results.txt", engine.AppendFigures(nil))
 }
--- a/internal/engine/leave.go
+++ b/internal/engine/leave.go
@@ -8,32 +8,32 @@
 
 const keepIn = 500 * policy.Millisecond // for the last list to be kept, where it is
 
-// Leave begins the end: the module answers all in time, and fronts let no more in.
-func (e *Engine) Leave(now policy.Time) {
+// BeginShutdown begins the end: the module answers all in time, and fronts let no more in.
+func (e *Engine) BeginShutdown(now policy.Time) {
 	if e.leaving {
 		return
 	}
-	e.Logger.WithField("tickets", e.Held).Info("leaving: answering what is in hand")
-	e.leaving, e.leaveBy = true, now+e.Config.Leave
+	e.Logger.WithField("tickets", e.InFlight).Info("leaving: answering what is in hand")
+	e.leaving, e.leaveBy = true, now+e.Config.ShutdownTime
 	e.Module.Shutdown(now, e.leaveBy)
 	for _, f := range e.fronts {
-		f.Leave(now)
+		f.BeginShutdown(now)
 	}
-	e.look.Do = func(now policy.Time) { e.Timers.Set(&e.look, now+10*policy.Millisecond) }
-	e.look.Do(now)
+	e.look.Run = func(now policy.Time) { e.Timers.Set(&e.look, now+10*policy.Millisecond) }
+	e.look.Run(now)
 }
 
-// Leaving tells whether the end has begun, and by when the last answer must be out.
-func (e *Engine) Leaving() (policy.Time, bool) { return e.leaveBy, e.leaving }
+// ShuttingDown tells whether the end has begun, and by when the last answer must be out.
+func (e *Engine) ShuttingDown() (policy.Time, bool) { return e.leaveBy, e.leaving }
 
 // left tells whether all is answered and none can come any more.
 func (e *Engine) left(now policy.Time) bool {
-	if e.Held > 0 && now < e.leaveBy {
+	if e.InFlight > 0 && now < e.leaveBy {
 		return false
 	}
 	all := true
 	for _, f := range e.fronts {
-		all = f.Left(now) && all
+		all = f.Drained(now) && all
 	}
 	return all
 }
@@ -45,7 +45,7 @@
 	case <-time.After(time.Duration(keepIn)):
 	}
 	for _, f := range e.fronts {
-		f.Shut()
+		f.Close()
 	}
 	e.Timers.Stop(&e.wake)
 	e.Timers.Stop(&e.look)
--- a/internal/engine/members.go
+++ b/internal/engine/members.go
@@ -103,7 +103,7 @@
 			f.apply(now, n.List)
 		}
 	case n.Failed != "":
-		f.e.Counters.ListFails++
+		f.e.Counters.ListFailures++
 		if f.failed++; f.failed == 1 {
 			f.e.Logger.WithField("why", n.Failed).Warn("list: calls fail")
 		}
@@ -138,7 +138,7 @@
 	for _, said := range list.Entries {
 		e := f.shown(said)
 		if f.know(e) {
-			f.e.Endpoints[e.ID].Said = said
+			f.e.Endpoints[e.ID].Entry = said
 			kept = append(kept, e.Member)
 			f.e.recordListed(now, e)
 		}
@@ -173,7 +173,7 @@
 		// Nothing more goes to one that leaves; one that has started anew knows nothing of old connections.
 		f.e.retire(server)
 	}
-	server.Leaving = e.Status != policy.Ready
+	server.Draining = e.Status != policy.Ready
 	if server.Started = e.Started; e.Addr != "" {
 		server.Addr = e.Addr
 	}
--- a/internal/engine/members_test.go
+++ b/internal/engine/members_test.go
@@ -71,7 +71,7 @@
 	for n := range mostSeen + 10 {
 		old.list.saw(endpointfiles.IDOf(fmt.Sprint("s-", n)))
 	}
-	next.Saw(old.Seen())
+	next.ImportSeen(old.SeenEndpoints())
 	if next.Listed("s-9") || !next.Listed("s-10") || !next.Listed(fmt.Sprint("s-", mostSeen+9)) || next.Listed("s-x") {
 		t.Error("not those that were seen")
 	}
@@ -91,10 +91,10 @@
 	e := New(Config{Settings: campaign(3), Source: source}, log)
 	for i, k := range []struct{ there, renewed, want int }{{5, 0, 5}, {1, 0, 3}, {0, 8, 8}, {9, 0, 9}, {0, 2, 9}, {1, 0, 2}} {
 		if k.there > 0 {
-			e.Among(k.there)
+			e.SetInstances(k.there)
 		}
 		if k.renewed > 0 {
-			e.Renew(Config{Settings: campaign(k.renewed), Source: source})
+			e.Reconfigure(Config{Settings: campaign(k.renewed), Source: source})
 		}
 		if e.Settings.Instances != k.want {
 			t.Errorf("step %d: shared among %d, not %d", i, e.Settings.Instances, k.want)
--- a/internal/engine/record.go
+++ b/internal/engine/record.go
@@ -14,15 +14,15 @@
 // observe measures a final answer, and records it.
 func (e *Engine) observe(now policy.Time, t *Request, answer int) {
 	if e.Latency != nil && answer != left {
-		e.Latency.Observe(t.Class, answer, max(0, now-t.Since))
+		e.Latency.Observe(t.Class, answer, max(0, now-t.ReceivedAt))
 	}
-	if r := e.Record; r != nil {
-		r.Put(trace.Record{Kind: trace.Answer, At: now, No: t.No, A: int64(answer), C: max(0, now-t.Since)})
+	if r := e.Recorder; r != nil {
+		r.Put(trace.Record{Kind: trace.Answer, At: now, No: t.No, A: int64(answer), C: max(0, now-t.ReceivedAt)})
 	}
 }
 
 func (e *Engine) recordRequest(now policy.Time, t *Request, f policy.TenantID, key string, repeat bool, span policy.Time) {
-	r := e.Record
+	r := e.Recorder
 	if r == nil {
 		return
 	}
@@ -37,19 +37,19 @@
 }
 
 func (e *Engine) recordAttempt(now policy.Time, t *Request, to *Endpoint) {
-	if r := e.Record; r != nil {
+	if r := e.Recorder; r != nil {
 		r.Put(trace.Record{Kind: trace.Push, At: now, No: t.No, A: r.Known(to.ID)})
 	}
 }
 
 func (e *Engine) recordEnd(now policy.Time, t *Request, o policy.Outcome, spent policy.Time) {
-	if r := e.Record; r != nil {
+	if r := e.Recorder; r != nil {
 		r.Put(trace.Record{Kind: trace.Ended, At: now, No: t.No, A: r.Known(t.Endpoint), B: int64(o), C: spent})
 	}
 }
 
 func (e *Engine) recordListed(now policy.Time, of discovery.Entry) {
-	if r := e.Record; r != nil {
+	if r := e.Recorder; r != nil {
 		r.Put(trace.Record{Kind: trace.Listed, At: now, No: uint64(r.ServerNo(now, of.Member, of.UID)), A: int64(of.Status),
 			B: int64(of.Started)})
 	}
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -4,17 +4,17 @@
 	"pepperlead/policy"
 )
 
-// Take gives an empty place for a request of the front with that place; its Part may be one that the front left there earlier, or
+// NewRequest gives an empty place for a request of the front with that place; its Part may be one that the front left there earlier, or
 // nil.
-func (e *Engine) Take(no int) *Request {
-	e.Held++
+func (e *Engine) NewRequest(no int) *Request {
+	e.InFlight++
 	if n := len(e.free[no]); n > 0 {
 		t := e.free[no][n-1]
 		e.free[no] = e.free[no][:n-1]
 		return t
 	}
 	t := &Request{Front: e.fronts[no], front: no}
-	t.Wait.Do = func(now policy.Time) { t.Front.TimedOut(now, t) }
+	t.AttemptTimer.Run = func(now policy.Time) { t.Front.TimedOut(now, t) }
 	return t
 }
 
@@ -22,7 +22,7 @@
 func (e *Engine) Admit(now, at policy.Time, t *Request, o policy.ClassID, f policy.TenantID, key string, repeat bool,
 	left policy.Time) {
 	e.Counters.Requests++
-	t.No, t.Class, t.Since, t.Owed = uint64(e.Counters.Requests), o, at, true
+	t.No, t.Class, t.ReceivedAt, t.ClientWaiting = uint64(e.Counters.Requests), o, at, true
 	e.Tally.Pending.Add(1)
 	left -= now - at
 	e.recordRequest(now, t, f, key, repeat, left)
@@ -37,9 +37,9 @@
 	e.Module.Begin(now, h)
 }
 
-// Ended notes how the attempt that is out ended. The module is told before the next step.
-func (e *Engine) Ended(at policy.Time, t *Request, o policy.Outcome) {
-	e.Timers.Stop(&t.Wait)
+// AttemptEnded notes how the attempt that is out ended. The module is told before the next step.
+func (e *Engine) AttemptEnded(at policy.Time, t *Request, o policy.Outcome) {
+	e.Timers.Stop(&t.AttemptTimer)
 	e.ends = append(e.ends, attemptEnd{t, o, max(0, at-t.SentAt)})
 }
 
@@ -49,23 +49,23 @@
 	e.observe(now, t, answer)
 }
 
-// Comes says that the last byte of an admitted request is still to come: it has no deadline until Whole.
-func (e *Engine) Comes(t *Request) {
-	if !t.Settled {
+// BodyBegun says that the last byte of an admitted request is still to come: it has no deadline until Whole.
+func (e *Engine) BodyBegun(t *Request) {
+	if !t.Decided {
 		e.Module.BodyPending(t.Handle, false, 0)
 	}
 }
 
-// Whole says that it has come, and how long the client waits from now on.
-func (e *Engine) Whole(now policy.Time, t *Request, left policy.Time) {
-	if t.Settled {
+// BodyComplete says that it has come, and how long the client waits from now on.
+func (e *Engine) BodyComplete(now policy.Time, t *Request, left policy.Time) {
+	if t.Decided {
 		return
 	}
-	t.Since = now
+	t.ReceivedAt = now
 	e.Module.BodyPending(t.Handle, true, now+left)
-	if t.Out {
+	if t.InFlight {
 		t.SentAt = now
-		e.Timers.Set(&t.Wait, now+max(0, left-BeforeDeadline*e.Settings.Tick))
+		e.Timers.Set(&t.AttemptTimer, now+max(0, left-BeforeDeadline*e.Settings.Tick))
 	}
 }
 
@@ -82,10 +82,10 @@
 // ClientLeft says that the request's client is gone.
 func (e *Engine) ClientLeft(now policy.Time, t *Request) {
 	e.owedNoMore(t, left)
-	if !t.Settled {
-		e.Counters.Gone++
+	if !t.Decided {
+		e.Counters.ClientsGone++
 		e.observe(now, t, left)
-		t.Settled = true
+		t.Decided = true
 		e.Module.ClientLeft(now, t.Handle)
 	}
 	e.release(t)
@@ -93,18 +93,18 @@
 
 // release gives back a request that nothing refers to any more.
 func (e *Engine) release(t *Request) {
-	if !t.Settled || t.Out || t.Pending != 0 || t.Owed {
+	if !t.Decided || t.InFlight || t.PendingSteps != 0 || t.ClientWaiting {
 		return
 	}
-	e.Timers.Stop(&t.Wait)
+	e.Timers.Stop(&t.AttemptTimer)
 	if at := t.Handle.Place(); at < len(e.byPlace) && e.byPlace[at] == t {
 		e.byPlace[at] = nil
 	}
 	if e.terms != nil {
 		e.terms.places.Release(t.Class)
 	}
-	t.Front.Given(t)
-	*t = Request{Front: t.Front, front: t.front, Part: t.Part, Wait: Timer{Do: t.Wait.Do}}
+	t.Front.Released(t)
+	*t = Request{Front: t.Front, front: t.front, FrontData: t.FrontData, AttemptTimer: Timer{Run: t.AttemptTimer.Run}}
 	e.free[t.front] = append(e.free[t.front], t)
-	e.Held--
+	e.InFlight--
 }
--- a/internal/engine/tally.go
+++ b/internal/engine/tally.go
@@ -24,9 +24,9 @@
 	Answered    [][Results]atomic.Int64 // by class; where these change, by name
 	Written     atomic.Int64            // attempts of which the kernel has the last byte
 	Pending     atomic.Int64            // requests taken and not answered
-	Members     atomic.Int64            // endpoints in the list
+	Endpoints   atomic.Int64            // endpoints in the list
 	Unavailable atomic.Int64            // of these, taken out by hand or ejected by the module
-	Heard       atomic.Bool             // some list is there
+	HasList     atomic.Bool             // some list is there
 }
 
 const figuresEvery = 200 * policy.Millisecond // between looks at who is avoided
@@ -41,8 +41,8 @@
 
 // owedNoMore counts a request's end, once.
 func (e *Engine) owedNoMore(t *Request, answer int) {
-	if t.Owed {
-		t.Owed = false
+	if t.ClientWaiting {
+		t.ClientWaiting = false
 		e.Tally.Pending.Add(-1)
 		e.Count(t.Class, resultOf[answer])
 	}
@@ -60,8 +60,8 @@
 			avoided++
 		}
 	}
-	e.Tally.Heard.Store(e.list.heard)
-	e.Tally.Members.Store(members)
+	e.Tally.HasList.Store(e.list.heard)
+	e.Tally.Endpoints.Store(members)
 	e.Tally.Unavailable.Store(avoided)
 	e.Timers.Set(&e.show, now+figuresEvery)
 }
--- a/internal/engine/terms.go
+++ b/internal/engine/terms.go
@@ -14,12 +14,12 @@
 	"pepperlead/policy"
 )
 
-// Version is one as this instance can act by it: what binds, and all else that it says.
-type Version struct {
+// RuleSet is one as this instance can act by it: what binds, and all else that it says.
+type RuleSet struct {
 	ruleset.RuleSet
-	Campaign *policy.Settings
-	Servers  []discovery.Entry   // nil: those of the instance's own source
-	Table    []policy.EndpointID // who has which slot; nil: as assigned here
+	Settings  *policy.Settings
+	Endpoints []discovery.Entry   // nil: those of the instance's own source
+	Table     []policy.EndpointID // who has which slot; nil: as assigned here
 }
 
 // mostPlaces is how many classes there may be, with those that requests in hand were admitted to before a change.
@@ -29,7 +29,7 @@
 type terms struct {
 	holder  *ruleset.LeaseClient
 	places  ruleset.ClassTable
-	of      map[ruleset.RevisionNumber]*Version
+	of      map[ruleset.RevisionNumber]*RuleSet
 	named   []string // by place
 	rows    []int    // by place: where its figures are
 	offered []string
@@ -41,16 +41,16 @@
 	acts    uint64                 // changes
 }
 
-// Agreeing is a front that can go on while classes and tenants come and go. With NoClass and NoTenant they go.
-type Agreeing interface {
-	Offers(name string, at policy.ClassID, cutOff policy.Time)
-	Quotes(name string, at policy.TenantID)
+// RulesFront is a front that can go on while classes and tenants come and go. With NoClass and NoTenant they go.
+type RulesFront interface {
+	SetClass(name string, at policy.ClassID, cutOff policy.Time)
+	SetTenant(name string, at policy.TenantID)
 }
 
-// Agree has the engine go by versions from now on: by its own file's as number 0, and until there is a lease by the floor of that. life tells
+// UseAgreedRules has the engine go by versions from now on: by its own file's as number 0, and until there is a lease by the floor of that. life tells
 // this process's lives apart. To be called before Run.
-func (e *Engine) Agree(own *Version, life uint32) {
-	t := &terms{holder: ruleset.NewLeaseClient(life), of: map[ruleset.RevisionNumber]*Version{}, turns: 1 << 63}
+func (e *Engine) UseAgreedRules(own *RuleSet, life uint32) {
+	t := &terms{holder: ruleset.NewLeaseClient(life), of: map[ruleset.RevisionNumber]*RuleSet{}, turns: 1 << 63}
 	t.places.Capacity = mostPlaces
 	e.terms = t
 	e.Tally.Answered = make([][Results]atomic.Int64, mostPlaces)
@@ -64,8 +64,8 @@
 	e.obey()
 }
 
-// Learn takes in a version, if it can come into force. False: its number is known with another digest, or it is too old.
-func (e *Engine) Learn(v *Version) bool {
+// AddRuleSet takes in a version, if it can come into force. False: its number is known with another digest, or it is too old.
+func (e *Engine) AddRuleSet(v *RuleSet) bool {
 	t := e.terms
 	if !t.holder.Add(v.RuleSet) {
 		return false
@@ -80,30 +80,32 @@
 	return true
 }
 
-// Ask numbers a question for a lease that is sent now.
-func (e *Engine) Ask() (ask uint64, knows []ruleset.RevisionNumber) {
+// NewLeaseRequest numbers a question for a lease that is sent now.
+func (e *Engine) NewLeaseRequest() (ask uint64, knows []ruleset.RevisionNumber) {
 	return e.terms.holder.NewRequest(clock.Awake())
 }
 
-// Granted takes a lease.
-func (e *Engine) Granted(g ruleset.Lease) bool {
+// AcceptLease takes a lease.
+func (e *Engine) AcceptLease(g ruleset.Lease) bool {
 	granted := e.terms.holder.Accept(g)
 	e.obey()
 	return granted
 }
 
-// Standing tells by which versions this instance acts, and whether it has a lease on them.
-func (e *Engine) Standing() (of []ruleset.RevisionNumber, leased bool) {
+// LeasedRevisions tells by which versions this instance acts, and whether it has a lease on them.
+func (e *Engine) LeasedRevisions() (of []ruleset.RevisionNumber, leased bool) {
 	return e.terms.holder.Leased(), e.terms.leased
 }
 
-// Acting is a line of the log with what this instance acts by, and when.
-func (e *Engine) Acting() *logrus.Entry {
+// RulesLog is a line of the log with what this instance acts by, and when.
+func (e *Engine) RulesLog() *logrus.Entry {
 	return e.Logger.WithFields(logrus.Fields{"versions": e.terms.holder.Leased(), "leased": e.terms.leased, "awake_ns": int64(clock.True())})
 }
 
-// Tells whether each step of a request is to be written down: where rules are agreed on, and debug lines are wanted.
-func (e *Engine) Tells() bool { return e.terms != nil && e.Logger.IsLevelEnabled(logrus.DebugLevel) }
+// TracesRequests whether each step of a request is to be written down: where rules are agreed on, and debug lines are wanted.
+func (e *Engine) TracesRequests() bool {
+	return e.terms != nil && e.Logger.IsLevelEnabled(logrus.DebugLevel)
+}
 
 // acted counts changes of what may be done, so that what was decided before one is looked at again.
 func (e *Engine) acted() uint64 {
@@ -126,9 +128,9 @@
 	}
 }
 
-// Stands tells whether an attempt that was decided on may be written now. A dial, or a loop that stood still, may have taken a request that is
+// AttemptStillValid tells whether an attempt that was decided on may be written now. A dial, or a loop that stood still, may have taken a request that is
 // sent again out of the window in which its repeat is dropped.
-func (e *Engine) Stands(now policy.Time, t *Request) bool {
+func (e *Engine) AttemptStillValid(now policy.Time, t *Request) bool {
 	if t.Attempts > 1 && !e.Module.AttemptAllowed(e.Clock.Now(), t.Handle) {
 		return false
 	}
@@ -147,7 +149,7 @@
 	t.places.Update(r, leased, func(at policy.ClassID, name string, now ruleset.ClassRule, admits bool) {
 		e.place(at, name, now, said[0])
 		if admits {
-			e.agreeing(func(f Agreeing) { f.Offers(name, at, now.Deadline) })
+			e.agreeing(func(f RulesFront) { f.SetClass(name, at, now.Deadline) })
 		}
 	})
 	was := t.offered
@@ -156,19 +158,19 @@
 		if _, offered := t.places.Lookup(name); offered {
 			t.offered = append(t.offered, name)
 		} else {
-			e.agreeing(func(f Agreeing) { f.Offers(name, policy.NoClass, 0) })
+			e.agreeing(func(f RulesFront) { f.SetClass(name, policy.NoClass, 0) })
 		}
 	}
 	c.ColdCapacity, c.ColdTime, c.OverloadMultiple, e.configured = r.ColdCapacity, r.ColdTime, r.OverloadMultiple, r.Instances
-	e.Among(e.there)
+	e.SetInstances(e.there)
 	e.quotas(r)
 	if t.leased != leased || !slices.Equal(t.last, t.holder.Leased()) {
 		t.leased, t.last = leased, slices.Clone(t.holder.Leased())
-		e.Acting().Infof("rules: %s", map[bool]string{true: "by what these versions allow", false: "no lease: nothing is repeated, nothing goes to cold servers"}[leased])
+		e.RulesLog().Infof("rules: %s", map[bool]string{true: "by what these versions allow", false: "no lease: nothing is repeated, nothing goes to cold servers"}[leased])
 	}
 	e.list.ban(r.Drained)
 	// What is older than the latest grant names nobody any more; what only may come does without a lease.
-	said = slices.DeleteFunc(said, func(v *Version) bool {
+	said = slices.DeleteFunc(said, func(v *RuleSet) bool {
 		return v.Number < oldest(t.holder) || leased && !slices.Contains(t.holder.Leased(), v.Number)
 	})
 	e.list.agreed(r, said, t.of[oldest(t.holder)])
@@ -183,9 +185,9 @@
 	return n
 }
 
-// Table is the digest of the table as it stands. One that was agreed on is taken again where the module has left it: an endpoint whose time
+// TableDigest is the digest of the table as it stands. One that was agreed on is taken again where the module has left it: an endpoint whose time
 // after its end is over may have moved slots.
-func (e *Engine) Table() uint64 {
+func (e *Engine) TableDigest() uint64 {
 	table := e.Module.TableDigest()
 	if e.terms != nil && table != e.terms.table && e.adopt() {
 		table = e.terms.table
@@ -215,33 +217,33 @@
 }
 
 // said are the versions that say what does not bind: those in force, the newest first, then the others that are known.
-func (e *Engine) said() (all []*Version) {
+func (e *Engine) said() (all []*RuleSet) {
 	t := e.terms
 	for _, v := range t.of {
 		all = append(all, v)
 	}
-	inForce := func(v *Version) int {
+	inForce := func(v *RuleSet) int {
 		if slices.Contains(t.holder.Leased(), v.Number) {
 			return 1
 		}
 		return 0
 	}
-	slices.SortFunc(all, func(x, y *Version) int {
+	slices.SortFunc(all, func(x, y *RuleSet) int {
 		return cmp.Or(inForce(y)-inForce(x), cmp.Compare(y.Number, x.Number))
 	})
 	return all
 }
 
-func (e *Engine) agreeing(do func(Agreeing)) {
+func (e *Engine) agreeing(do func(RulesFront)) {
 	for _, f := range e.fronts {
-		if one, does := f.(Agreeing); does {
+		if one, does := f.(RulesFront); does {
 			do(one)
 		}
 	}
 }
 
 // place writes what binds a place's requests to where the module reads it.
-func (e *Engine) place(at policy.ClassID, name string, now ruleset.ClassRule, latest *Version) {
+func (e *Engine) place(at policy.ClassID, name string, now ruleset.ClassRule, latest *RuleSet) {
 	t, c := e.terms, e.Settings
 	for len(t.named) <= int(at) {
 		t.named, t.rows = append(t.named, ""), append(t.rows, 0)
@@ -251,8 +253,8 @@
 	}
 	o := &c.Classes[at]
 	like := slices.Index(t.named, name)
-	if i := slices.IndexFunc(latest.Campaign.Classes, func(o policy.Class) bool { return o.Name == name }); i >= 0 {
-		*o = latest.Campaign.Classes[i]
+	if i := slices.IndexFunc(latest.Settings.Classes, func(o policy.Class) bool { return o.Name == name }); i >= 0 {
+		*o = latest.Settings.Classes[i]
 	} else if t.named[at] != name && like >= 0 {
 		*o = c.Classes[like]
 	}
@@ -264,7 +266,7 @@
 		}
 		e.Module.AddClass(at, policy.ClassID(like))
 		if e.Latency != nil {
-			e.Latency.Named(at, name)
+			e.Latency.SetClassName(at, name)
 		}
 	}
 }
@@ -293,7 +295,7 @@
 	c.TotalQuota = 0
 	for i, f := range c.Tenants {
 		if !slices.ContainsFunc(r.Tenants, func(now ruleset.TenantQuota) bool { return now.Name == f.Name }) {
-			e.agreeing(func(front Agreeing) { front.Quotes(f.Name, policy.NoTenant) })
+			e.agreeing(func(front RulesFront) { front.SetTenant(f.Name, policy.NoTenant) })
 			c.Tenants[i].Quota = 0
 		}
 	}
@@ -306,13 +308,13 @@
 		}
 		c.Tenants[at].Quota = f.Quota
 		c.TotalQuota += f.Quota
-		e.agreeing(func(front Agreeing) { front.Quotes(f.Name, policy.TenantID(at)) })
+		e.agreeing(func(front RulesFront) { front.SetTenant(f.Name, policy.TenantID(at)) })
 	}
 }
 
 // agreed has the endpoints that versions name in the place of the source's own. One that not all of those name that may be in force drains.
 // One that is only coming is not known yet, so that the table stays as it is in force; table is the version that it is of.
-func (f *members) agreed(r *ruleset.Rules, said []*Version, table *Version) {
+func (f *members) agreed(r *ruleset.Rules, said []*RuleSet, table *RuleSet) {
 	if r.AnyEndpoint {
 		if f.closed {
 			f.closed = false
@@ -324,7 +326,7 @@
 	var all []discovery.Entry
 	named := map[policy.EndpointID]bool{}
 	for _, v := range said {
-		for _, e := range v.Servers {
+		for _, e := range v.Endpoints {
 			if named[e.ID] {
 				continue
 			}
@@ -352,7 +354,7 @@
 	var changed []policy.Member
 	for _, id := range slices.Sorted(maps.Keys(f.e.Endpoints)) {
 		if s := f.e.Endpoints[id]; s.Listed {
-			if shown := f.shown(s.Said); shown.Status == policy.Ready == s.Leaving && f.know(shown) {
+			if shown := f.shown(s.Entry); shown.Status == policy.Ready == s.Draining && f.know(shown) {
 				changed = append(changed, shown.Member)
 			}
 		}
--- a/internal/engine/terms_test.go
+++ b/internal/engine/terms_test.go
@@ -26,14 +26,14 @@
 func (f *frontless) TimedOut(policy.Time, *Request)                       {}
 func (f *frontless) Fail(now policy.Time, t *Request)                     { f.answers++ }
 func (f *frontless) Reject(now policy.Time, t *Request, _ policy.Time)    { f.answers++ }
-func (f *frontless) Unneeded(*Request)                                    {}
-func (f *frontless) Given(*Request)                                       {}
-func (f *frontless) Retire(*Endpoint)                                     {}
+func (f *frontless) DiscardResponse(*Request)                             {}
+func (f *frontless) Released(*Request)                                    {}
+func (f *frontless) CloseIdle(*Endpoint)                                  {}
 func (f *frontless) Forget(*Endpoint)                                     {}
 func (f *frontless) Offers(name string, at policy.ClassID, _ policy.Time) { f.offers[name] = at }
 func (f *frontless) Quotes(name string, at policy.TenantID)               { f.quotes[name] = at }
 
-func versionOf(n ruleset.RevisionNumber, servers []discovery.Entry, franchises []policy.Tenant, offerings ...policy.Class) *Version {
+func versionOf(n ruleset.RevisionNumber, servers []discovery.Entry, franchises []policy.Tenant, offerings ...policy.Class) *RuleSet {
 	c := &policy.Settings{Instances: 4, FixedWeights: true, OverloadMultiple: 3, ColdCapacity: 0.5, MaxAttempts: 3, Tick: policy.Millisecond, Classes: offerings, Tenants: franchises}
 	var cutOffs []policy.Time
 	for _, o := range offerings {
@@ -43,7 +43,7 @@
 	for _, s := range servers {
 		members = append(members, s.Member)
 	}
-	return &Version{RuleSet: ruleset.RuleSet{Number: n, Digest: [32]byte{byte(n)}, Rules: ruleset.NewRules(c, cutOffs, members, nil)}, Campaign: c, Servers: servers}
+	return &RuleSet{RuleSet: ruleset.RuleSet{Number: n, Digest: [32]byte{byte(n)}, Rules: ruleset.NewRules(c, cutOffs, members, nil)}, Settings: c, Endpoints: servers}
 }
 
 func TestRulesComeAndGoWithoutARestart(t *testing.T) {
@@ -53,16 +53,16 @@
 		return policy.Class{Name: name, Value: 1, Target: policy.Second, Deadline: 2 * policy.Second, Idempotency: r, Window: policy.Second}
 	}
 	own := versionOf(0, nil, nil, offering("a", policy.Idempotent))
-	campaign := *own.Campaign
-	campaign.Classes = append([]policy.Class{}, own.Campaign.Classes...)
+	campaign := *own.Settings
+	campaign.Classes = append([]policy.Class{}, own.Settings.Classes...)
 	e := New(Config{Settings: &campaign}, log)
 	f := &frontless{offers: map[string]policy.ClassID{}, quotes: map[string]policy.TenantID{}}
 	e.Add(f)
-	e.Agree(own, 1)
+	e.UseAgreedRules(own, 1)
 	grant := func(span policy.Time, of ...ruleset.RevisionNumber) {
 		t.Helper()
-		ask, _ := e.Ask()
-		if !e.Granted(ruleset.Lease{Term: 1, RequestID: ask, Revisions: of, Duration: span}) {
+		ask, _ := e.NewLeaseRequest()
+		if !e.AcceptLease(ruleset.Lease{Term: 1, RequestID: ask, Revisions: of, Duration: span}) {
 			t.Fatal("a grant is not taken")
 		}
 	}
@@ -76,14 +76,14 @@
 	}
 	e.list.take(0, told{news: discovery.News{List: &discovery.List{Kind: policy.ListFull, Entries: []discovery.Entry{{Member: policy.Member{ID: 9}, UID: "own"}}}}})
 	now := e.Clock.Now()
-	first := e.Take(0)
+	first := e.NewRequest(0)
 	e.Admit(now, now, first, a, policy.NoTenant, "k", false, 2*policy.Second) // idempotent, and stays so or stricter
 	e.Round(now)
 	if f.pushed != 1 || len(e.Endpoints) != 1 {
 		t.Fatalf("%d pushes, %d servers", f.pushed, len(e.Endpoints))
 	}
 	servers := []discovery.Entry{{Member: policy.Member{ID: 1, Weight: 1}, UID: "x"}, {Member: policy.Member{ID: 2, Weight: 1}, UID: "y"}}
-	if !e.Learn(versionOf(1, servers, []policy.Tenant{{Name: "f", Quota: 5}}, offering("a", policy.NonIdempotent), offering("b", policy.Keyed))) {
+	if !e.AddRuleSet(versionOf(1, servers, []policy.Tenant{{Name: "f", Quota: 5}}, offering("a", policy.NonIdempotent), offering("b", policy.Keyed))) {
 		t.Fatal("not learned")
 	}
 	grant(policy.Second*100, 0, 1)
@@ -95,18 +95,18 @@
 		len(e.Endpoints) != 3 || e.Endpoints[9].Listed || !e.Endpoints[1].Listed {
 		t.Fatalf("by the new: %+v %+v %+v", campaign, f, e.Endpoints)
 	}
-	if !e.Learn(versionOf(2, servers[:1], nil, offering("a", policy.Idempotent))) {
+	if !e.AddRuleSet(versionOf(2, servers[:1], nil, offering("a", policy.Idempotent))) {
 		t.Fatal("not learned")
 	}
 	grant(policy.Second*100, 1, 2)
-	if y := e.Endpoints[2]; !y.Listed || !y.Leaving || e.Endpoints[1].Leaving {
+	if y := e.Endpoints[2]; !y.Listed || !y.Draining || e.Endpoints[1].Draining {
 		t.Fatalf("while a server is taken away: %+v", y)
 	}
 	grant(policy.Second*100, 2)
 	if e.Endpoints[2].Listed {
 		t.Fatalf("a server that was taken away: %+v", e.Endpoints[2])
 	}
-	if !e.Learn(versionOf(3, nil, nil, offering("a", policy.Idempotent))) {
+	if !e.AddRuleSet(versionOf(3, nil, nil, offering("a", policy.Idempotent))) {
 		t.Fatal("not learned")
 	}
 	grant(policy.Second*100, 3)
@@ -116,32 +116,32 @@
 	}
 	ban := versionOf(4, nil, nil, offering("a", policy.Idempotent))
 	ban.Rules.Drained = []policy.EndpointID{9}
-	if !e.Learn(ban) {
+	if !e.AddRuleSet(ban) {
 		t.Fatal("not learned")
 	}
 	grant(policy.Second*100, 3, 4)
-	if !e.Endpoints[9].Leaving {
+	if !e.Endpoints[9].Draining {
 		t.Error("a banned server is used")
 	}
 	grant(policy.Second*100, 4)
-	if !e.Learn(versionOf(5, nil, nil, offering("a", policy.Idempotent))) {
+	if !e.AddRuleSet(versionOf(5, nil, nil, offering("a", policy.Idempotent))) {
 		t.Fatal("not learned")
 	}
-	if grant(policy.Second*100, 5); e.Endpoints[9].Leaving {
+	if grant(policy.Second*100, 5); e.Endpoints[9].Draining {
 		t.Error("a server that is banned no more is not used")
 	}
 	// The lease runs out between a decision and its write.
 	grant(30*policy.Millisecond, 5)
-	second := e.Take(0)
+	second := e.NewRequest(0)
 	now = e.Clock.Now()
 	e.Admit(now, now, second, f.offers["a"], policy.NoTenant, "k", false, 2*policy.Second)
-	if len(e.steps) != 1 || !e.Stands(now, second) {
+	if len(e.steps) != 1 || !e.AttemptStillValid(now, second) {
 		t.Fatal("no push was decided on, or it does not stand")
 	}
-	e.Endpoints[9].Said.Status = policy.Draining
+	e.Endpoints[9].Entry.Status = policy.Draining
 	e.list.apply(now, &discovery.List{Kind: policy.ListChanges, Entries: []discovery.Entry{{Member: policy.Member{ID: 9, Status: policy.Draining}, UID: "own"}}})
 	time.Sleep(40 * time.Millisecond)
-	if e.Stands(now, second) || e.terms.leased {
+	if e.AttemptStillValid(now, second) || e.terms.leased {
 		t.Error("what was decided under a lease is written without it, to a server that has gone")
 	}
 }
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -8,13 +8,13 @@
 
 // Timer is owned by what it stands in; Do is what happens when it is due.
 type Timer struct {
-	Do    func(now policy.Time)
+	Run   func(now policy.Time)
 	at    policy.Time
 	place int // in the heap, from 1; 0: not set
 }
 
-// On tells whether the timer is set.
-func (t *Timer) On() bool { return t.place > 0 }
+// Active tells whether the timer is set.
+func (t *Timer) Active() bool { return t.place > 0 }
 
 // At is when the timer is due.
 func (t *Timer) At() policy.Time { return t.at }
@@ -52,7 +52,7 @@
 	for len(q.set) > 0 && q.set[0].at <= now {
 		t := q.set[0]
 		heap.Pop(&q.set)
-		t.Do(now)
+		t.Run(now)
 	}
 }
 
--- a/internal/engine/timers_test.go
+++ b/internal/engine/timers_test.go
@@ -17,7 +17,7 @@
 		var ran []policy.Time
 		timers, want := make([]Timer, 20), map[int]policy.Time{}
 		for i := range timers {
-			timers[i].Do = func(policy.Time) { ran = append(ran, timers[i].At()) }
+			timers[i].Run = func(policy.Time) { ran = append(ran, timers[i].At()) }
 		}
 		for range 100 {
 			i, at := r.Intn(len(timers)), policy.Time(r.Intn(50))
@@ -28,7 +28,7 @@
 				q.Set(&timers[i], at)
 				want[i] = at
 			}
-			if timers[i].On() != has(want, i) {
+			if timers[i].Active() != has(want, i) {
 				return false
 			}
 		}
--- a/internal/engine/write_test.go
+++ b/internal/engine/write_test.go
@@ -28,18 +28,18 @@
 		then := now - k.ago
 		e.Apply(then, &discovery.List{Kind: policy.ListFull, Entries: []discovery.Entry{{Member: policy.Member{ID: 1, Weight: 1}, UID: "x"},
 			{Member: policy.Member{ID: 2, Weight: 1}, UID: "y"}}})
-		ticket := e.Take(0)
+		ticket := e.NewRequest(0)
 		e.Admit(then, then, ticket, 0, policy.NoTenant, "k", false, 9*policy.Second)
 		e.Round(then)
-		e.Ended(then+10*policy.Millisecond, ticket, policy.ConnectionLost)
-		e.Tell(then + 10*policy.Millisecond) // within the window: attempted again, says the module
+		e.AttemptEnded(then+10*policy.Millisecond, ticket, policy.ConnectionLost)
+		e.RunSteps(then + 10*policy.Millisecond) // within the window: attempted again, says the module
 		if ticket.Attempts != 2 || f.pushed != 1 {
 			t.Fatalf("%d pushes decided on, %d written", ticket.Attempts, f.pushed)
 		}
 		if e.Round(then + 10*policy.Millisecond); f.pushed != k.want {
 			t.Errorf("%d ms after the first push: %d written, want %d", k.ago/policy.Millisecond, f.pushed, k.want)
 		}
-		if e.Tell(now); k.want == 1 && (f.answers != 0 || len(e.steps) != 1) {
+		if e.RunSteps(now); k.want == 1 && (f.answers != 0 || len(e.steps) != 1) {
 			t.Errorf("not answered in place of it: %d steps", len(e.steps))
 		}
 	}
--- a/internal/hotrestart/byhand.go
+++ b/internal/hotrestart/byhand.go
@@ -14,8 +14,8 @@
 	"pepperlead/internal/snapshot"
 )
 
-// Out are the servers that are out by hand. What cannot be read is left beside, and none is out by it.
-func (k *Kin) Out() ([]string, error) {
+// Drained are the servers that are out by hand. What cannot be read is left beside, and none is out by it.
+func (k *ProcessGroup) Drained() ([]string, error) {
 	uids, err := k.read()
 	if err == nil {
 		return uids, nil
@@ -30,12 +30,12 @@
 }
 
 // read gives what is kept.
-func (k *Kin) read() ([]string, error) {
+func (k *ProcessGroup) read() ([]string, error) {
 	if k.why != nil {
 		return nil, nil
 	}
 	body, err := k.store.Get(kept, keptKind, keptVersion)
-	if errors.Is(err, snapshot.ErrNone) {
+	if errors.Is(err, snapshot.ErrNotFound) {
 		return nil, nil
 	}
 	return strings.Fields(string(body)), err
@@ -43,7 +43,7 @@
 
 // readOrLeave is read by whoever holds the lock: damaged, or of another version, the file is put beside for whoever wants to
 // look, so that it is not in the way of the next change, and what is told counts in its place.
-func (k *Kin) readOrLeave(stand []string) ([]string, error) {
+func (k *ProcessGroup) readOrLeave(stand []string) ([]string, error) {
 	uids, err := k.read()
 	if err == nil {
 		return uids, nil
@@ -52,9 +52,9 @@
 	return stand, os.Rename(filepath.Join(k.dir, kept), filepath.Join(k.dir, kept+".unread"))
 }
 
-// Change takes a server out or back, for all processes: it is kept, then obeyed here, then by the others. An error says how far
+// SetDrained takes a server out or back, for all processes: it is kept, then obeyed here, then by the others. An error says how far
 // that came.
-func (k *Kin) Change(uid string, out bool) error {
+func (k *ProcessGroup) SetDrained(uid string, out bool) error {
 	k.change.Lock()
 	defer k.change.Unlock()
 	err := k.keep(uid, out)
@@ -63,7 +63,7 @@
 		// The disk is full, say: a server that must not be used is still taken out, here.
 		k.alone[uid] = out
 		k.mu.Unlock()
-		if errors.Is(k.look(), ErrLate) {
+		if errors.Is(k.look(), ErrNotConfirmed) {
 			return fmt.Errorf("neither kept nor in force yet: it will be in this process once its loop comes to it: %w", err)
 		}
 		return fmt.Errorf("in force in this process alone, until it ends, as it cannot be kept: %w", err)
@@ -81,21 +81,21 @@
 	}
 	late := time.After(obeyIn)
 	if k.look() != nil {
-		return ErrLate
+		return ErrNotConfirmed
 	}
 	for o, done := range waits {
 		select {
 		case <-done:
 		case <-o.gone:
 		case <-late:
-			return ErrLate
+			return ErrNotConfirmed
 		}
 	}
 	return nil
 }
 
 // lock keeps other processes from the file, until it is closed.
-func (k *Kin) lock() (*os.File, error) {
+func (k *ProcessGroup) lock() (*os.File, error) {
 	lock, err := os.OpenFile(filepath.Join(k.dir, "lock"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
@@ -111,7 +111,7 @@
 }
 
 // keep changes the file, with no other process at it. A file that has come to harm loses no ban that is in force here.
-func (k *Kin) keep(uid string, out bool) error {
+func (k *ProcessGroup) keep(uid string, out bool) error {
 	if k.why != nil {
 		return k.why
 	}
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -91,7 +91,7 @@
 }
 
 // serve has the process obey whatever it is told, and tell a fixed line.
-func serve(k *Kin) {
+func serve(k *ProcessGroup) {
 	k.Serve(func([]string) bool { return true }, func() []byte { return []byte(`{"learned":1}`) }, func(int) {})
 }
 
@@ -134,7 +134,7 @@
 	}
 	defer listener.Close()
 	var transcript strings.Builder
-	joined := make(chan *Kin, 1)
+	joined := make(chan *ProcessGroup, 1)
 	go func() {
 		process, err := Join(dir, quietLog())
 		if err != nil {
@@ -157,7 +157,7 @@
 	serve(process)
 
 	changed := make(chan error, 1)
-	go func() { changed <- process.Change("server-1", true) }()
+	go func() { changed <- process.SetDrained("server-1", true) }()
 	earlier.hears()
 	earlier.says("done 1")
 	if err := <-changed; err != nil {
@@ -165,7 +165,7 @@
 	}
 
 	learned := make(chan [][]byte, 1)
-	go func() { learned <- process.Learned() }()
+	go func() { learned <- process.LearnedStates() }()
 	earlier.hears()
 	earlier.says(`told {"learned": 2}`)
 	if texts := <-learned; len(texts) != 1 || string(texts[0]) != `{"learned": 2}` {
@@ -185,7 +185,7 @@
 	serve(process)
 	uids := []string{"server-2", "server-1"}
 	for _, uid := range uids {
-		if err := process.Change(uid, true); err != nil {
+		if err := process.SetDrained(uid, true); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -202,11 +202,11 @@
 	if err := os.WriteFile(path, want, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if out, err := process.Out(); err != nil || !slices.Equal(out, uids) {
+	if out, err := process.Drained(); err != nil || !slices.Equal(out, uids) {
 		t.Errorf("decoded %q, %v, want %q", out, err, uids)
 	}
 	// The last one once more: the file is read and written again, and the order stays.
-	if err := process.Change("server-1", true); err != nil {
+	if err := process.SetDrained("server-1", true); err != nil {
 		t.Fatal(err)
 	}
 	if again, err := os.ReadFile(path); err != nil || !bytes.Equal(again, want) {
@@ -216,7 +216,7 @@
 
 // Processes of two builds meet by these names.
 func TestFolderKeepsItsNames(t *testing.T) {
-	folder := []byte(filepath.Base(Folder("name", "127.0.0.1:80")) + "\n")
+	folder := []byte(filepath.Base(Directory("name", "127.0.0.1:80")) + "\n")
 	if want := goldenFile(t, "folder.txt", folder); !bytes.Equal(folder, want) {
 		t.Errorf("found the folder %q, want %q", folder, want)
 	}
@@ -227,16 +227,16 @@
 	}
 	defer process.Close()
 	serve(process)
-	if err := process.Change("server-1", true); err != nil {
+	if err := process.SetDrained("server-1", true); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "out-by-hand"), []byte("damaged"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := process.Out(); err != nil {
+	if _, err := process.Drained(); err != nil {
 		t.Fatal(err)
 	}
-	if err := process.Change("server-1", true); err != nil {
+	if err := process.SetDrained("server-1", true); err != nil {
 		t.Fatal(err)
 	}
 	entries, err := os.ReadDir(dir)
--- a/internal/hotrestart/handover.go
+++ b/internal/hotrestart/handover.go
@@ -37,11 +37,11 @@
 	Descriptors = 6
 )
 
-// ErrLate says that a process of this sidecar has not obeyed in time. It will as soon as its loop comes to it.
-var ErrLate = errors.New("kept, but not every process of this sidecar has said in time that it is in force")
+// ErrNotConfirmed says that a process of this sidecar has not obeyed in time. It will as soon as its loop comes to it.
+var ErrNotConfirmed = errors.New("kept, but not every process of this sidecar has said in time that it is in force")
 
-// Kin is this process among those of its sidecar.
-type Kin struct {
+// ProcessGroup is this process among those of its sidecar.
+type ProcessGroup struct {
 	why    error // there is no folder, and nothing is kept nor met
 	dir    string
 	root   *os.File // the folder: paths of sockets are short, whatever its name
@@ -75,13 +75,13 @@
 	gone chan struct{}
 }
 
-// Folder is where the processes of the sidecar of that name and address meet.
-func Folder(name, listen string) string {
+// Directory is where the processes of the sidecar of that name and address meet.
+func Directory(name, listen string) string {
 	return filepath.Join(os.TempDir(), fmt.Sprintf("pepperlead-%016x", xxhash.Sum64String(name+"\x00"+listen)))
 }
 
 // Join opens the folder, and meets those that are there. obey and share are called from now on, obey never before Serve.
-func Join(dir string, log *logrus.Logger) (*Kin, error) {
+func Join(dir string, log *logrus.Logger) (*ProcessGroup, error) {
 	if err := os.Mkdir(dir, 0o700); err != nil && !errors.Is(err, os.ErrExist) {
 		return nil, err
 	}
@@ -97,7 +97,7 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &Kin{dir: dir, root: root, name: fmt.Sprintf("%d-%x%s", os.Getpid(), time.Now().UnixNano(), linkEnd), store: snapshot.Store{Dir: dir},
+	k := &ProcessGroup{dir: dir, root: root, name: fmt.Sprintf("%d-%x%s", os.Getpid(), time.Now().UnixNano(), linkEnd), store: snapshot.Store{Dir: dir},
 		log: log, others: map[*other]struct{}{}, alone: map[string]bool{}, obey: func([]string) bool { return true }, share: func(int) {},
 		tell: func() []byte { return nil }}
 	if k.socket, err = net.Listen("unix", k.at(k.name)); err != nil {
@@ -125,15 +125,17 @@
 	return k, nil
 }
 
-// Alone is a process that found no folder, for that reason: what is done by hand is in force in it, and said not to be kept.
-func Alone(why error, log *logrus.Logger) *Kin {
-	return &Kin{why: why, log: log, alone: map[string]bool{}}
+// Standalone is a process that found no folder, for that reason: what is done by hand is in force in it, and said not to be kept.
+func Standalone(why error, log *logrus.Logger) *ProcessGroup {
+	return &ProcessGroup{why: why, log: log, alone: map[string]bool{}}
 }
 
-func (k *Kin) at(name string) string { return fmt.Sprintf("/proc/self/fd/%d/%s", k.root.Fd(), name) }
+func (k *ProcessGroup) at(name string) string {
+	return fmt.Sprintf("/proc/self/fd/%d/%s", k.root.Fd(), name)
+}
 
 // sockets are those of the others.
-func (k *Kin) sockets() (names []string) {
+func (k *ProcessGroup) sockets() (names []string) {
 	entries, _ := os.ReadDir(k.dir)
 	for _, e := range entries {
 		if strings.HasSuffix(e.Name(), linkEnd) && e.Name() != k.name {
@@ -144,7 +146,7 @@
 }
 
 // Serve obeys from now on, and tells others what was learned here. obey and tell may wait for the loop, share must not.
-func (k *Kin) Serve(obey func(uids []string) bool, tell func() []byte, share func(processes int)) {
+func (k *ProcessGroup) Serve(obey func(uids []string) bool, tell func() []byte, share func(processes int)) {
 	k.mu.Lock()
 	k.obey, k.tell, k.share = obey, tell, share
 	k.mu.Unlock()
@@ -165,14 +167,14 @@
 }
 
 // Processes is how many there are, this one among them.
-func (k *Kin) Processes() int {
+func (k *ProcessGroup) Processes() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return 1 + len(k.others)
 }
 
-// Learned is what the others have learned, of each that tells it in time.
-func (k *Kin) Learned() (all [][]byte) {
+// LearnedStates is what the others have learned, of each that tells it in time.
+func (k *ProcessGroup) LearnedStates() (all [][]byte) {
 	k.mu.Lock()
 	others := slices.Collect(maps.Keys(k.others))
 	k.mu.Unlock()
@@ -193,7 +195,7 @@
 }
 
 // Close leaves the others.
-func (k *Kin) Close() {
+func (k *ProcessGroup) Close() {
 	if k.why != nil {
 		return
 	}
@@ -208,7 +210,7 @@
 	k.root.Close()
 }
 
-func (k *Kin) say(o *other, line string) {
+func (k *ProcessGroup) say(o *other, line string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.conn.SetWriteDeadline(time.Now().Add(meetIn))
@@ -216,7 +218,7 @@
 }
 
 // meet takes another process in and hears it until it ends.
-func (k *Kin) meet(c net.Conn) *other {
+func (k *ProcessGroup) meet(c net.Conn) *other {
 	o := &other{conn: c, met: make(chan struct{}), told: make(chan []byte, 1), done: map[uint64]chan struct{}{}, gone: make(chan struct{})}
 	k.mu.Lock()
 	k.others[o] = struct{}{}
@@ -237,7 +239,7 @@
 	return o
 }
 
-func (k *Kin) heard(o *other, line string) {
+func (k *ProcessGroup) heard(o *other, line string) {
 	word, rest, _ := strings.Cut(line, " ")
 	no, _ := strconv.ParseUint(rest, 10, 64)
 	switch word {
@@ -270,7 +272,7 @@
 }
 
 // look obeys what is kept, and what could not be. Where the file cannot be read, what is in force stays.
-func (k *Kin) look() error {
+func (k *ProcessGroup) look() error {
 	k.obeying.Lock()
 	defer k.obeying.Unlock()
 	uids, err := k.read()
@@ -286,13 +288,13 @@
 	k.mu.Unlock()
 	k.inForce = uids
 	if !obey(uids) {
-		return ErrLate
+		return ErrNotConfirmed
 	}
 	return err
 }
 
 // counted has the process keep to its part.
-func (k *Kin) counted() {
+func (k *ProcessGroup) counted() {
 	k.mu.Lock()
 	share, n, closed := k.share, 1+len(k.others), k.closed
 	k.mu.Unlock()
--- a/internal/hotrestart/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -16,7 +16,7 @@
 
 // process is one of a sidecar, without the sidecar.
 type process struct {
-	*Kin
+	*ProcessGroup
 	mu    sync.Mutex
 	out   []string
 	looks int
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(k.Close)
-	p := &process{Kin: k}
+	p := &process{ProcessGroup: k}
 	k.Serve(func(uids []string) bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -78,19 +78,19 @@
 func TestProcessesObeyBeforeTheAnswer(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "a name far longer than the path of a socket may be, which is some hundred bytes on this system, or less")
 	old := join(t, dir)
-	if err := old.Change("s-1", true); err != nil || !old.obeys("s-1") || old.Processes() != 1 {
+	if err := old.SetDrained("s-1", true); err != nil || !old.obeys("s-1") || old.Processes() != 1 {
 		t.Fatal(err, old.out)
 	}
 	fresh := join(t, dir)
 	within(t, "not shared", func() bool { return old.shares(2) && fresh.shares(2) })
 	within(t, "not taken over", func() bool { return fresh.obeys("s-1") })
-	if told := fresh.Learned(); len(told) != 1 || string(told[0]) != `{"of":"`+old.name+`"}` {
+	if told := fresh.LearnedStates(); len(told) != 1 || string(told[0]) != `{"of":"`+old.name+`"}` {
 		t.Errorf("told %q", told)
 	}
-	if err := fresh.Change("s-2", true); err != nil || !old.obeys("s-1", "s-2") || !fresh.obeys("s-1", "s-2") {
+	if err := fresh.SetDrained("s-2", true); err != nil || !old.obeys("s-1", "s-2") || !fresh.obeys("s-1", "s-2") {
 		t.Error(err, old.out, fresh.out)
 	}
-	if err := old.Change("s-1", false); err != nil || !old.obeys("s-2") || !fresh.obeys("s-2") {
+	if err := old.SetDrained("s-1", false); err != nil || !old.obeys("s-2") || !fresh.obeys("s-2") {
 		t.Error(err, old.out, fresh.out)
 	}
 	// One that hears nothing holds nobody up, and is named.
@@ -98,7 +98,7 @@
 	old.deaf = true
 	old.mu.Unlock()
 	begun := time.Now()
-	if err := fresh.Change("s-3", true); !errors.Is(err, ErrLate) || time.Since(begun) > time.Second || !fresh.obeys("s-2", "s-3") {
+	if err := fresh.SetDrained("s-3", true); !errors.Is(err, ErrNotConfirmed) || time.Since(begun) > time.Second || !fresh.obeys("s-2", "s-3") {
 		t.Error(err, time.Since(begun), fresh.out)
 	}
 	// Killed: its socket stays in the folder, and a third one still comes.
@@ -106,11 +106,11 @@
 	old.deaf = false
 	old.mu.Unlock()
 	old.socket.Close()
-	old.Kin.mu.Lock()
+	old.ProcessGroup.mu.Lock()
 	for o := range old.others {
 		o.conn.Close()
 	}
-	old.Kin.mu.Unlock()
+	old.ProcessGroup.mu.Unlock()
 	within(t, "the rest is not taken", func() bool { return fresh.shares(1) })
 	third := join(t, dir)
 	within(t, "not met", func() bool { return third.shares(2) && fresh.shares(2) && third.obeys("s-2", "s-3") })
@@ -120,7 +120,7 @@
 func TestManyFindOneDamagedFile(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "x")
 	a, b := join(t, dir), join(t, dir)
-	if err := a.Change("s-1", true); err != nil {
+	if err := a.SetDrained("s-1", true); err != nil {
 		t.Fatal(err)
 	}
 	for range 50 {
@@ -130,18 +130,18 @@
 		var all sync.WaitGroup
 		for i := range 8 {
 			all.Go(func() {
-				if _, err := []*process{a, b}[i%2].Out(); err != nil {
+				if _, err := []*process{a, b}[i%2].Drained(); err != nil {
 					t.Error(err)
 				}
 			})
 		}
 		all.Go(func() {
-			if err := a.Change("s-9", true); err != nil {
+			if err := a.SetDrained("s-9", true); err != nil {
 				t.Error(err)
 			}
 		})
 		all.Wait()
-		if uids, err := b.Out(); err != nil || !slices.Contains(uids, "s-9") || !b.obeys(uids...) {
+		if uids, err := b.Drained(); err != nil || !slices.Contains(uids, "s-9") || !b.obeys(uids...) {
 			t.Fatal(uids, err, b.out)
 		}
 	}
@@ -151,14 +151,14 @@
 func TestHarmLosesNoBan(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "x")
 	p := join(t, dir)
-	if err := p.Change("s-1", true); err != nil {
+	if err := p.SetDrained("s-1", true); err != nil {
 		t.Fatal(err)
 	}
 	os.WriteFile(filepath.Join(dir, kept), []byte("harmed"), 0o600)
-	if err := p.Change("s-2", true); err != nil || !p.obeys("s-1", "s-2") {
+	if err := p.SetDrained("s-2", true); err != nil || !p.obeys("s-1", "s-2") {
 		t.Error(err, p.out)
 	}
-	if uids, err := join(t, dir).Out(); err != nil || !slices.Equal(uids, []string{"s-1", "s-2"}) {
+	if uids, err := join(t, dir).Drained(); err != nil || !slices.Equal(uids, []string{"s-1", "s-2"}) {
 		t.Error(uids, err)
 	}
 }
@@ -166,14 +166,14 @@
 func TestBadFoldersAndFiles(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "x")
 	p := join(t, dir)
-	if err := p.Change("s-1", true); err != nil {
+	if err := p.SetDrained("s-1", true); err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(dir, kept)
 	text, _ := os.ReadFile(path)
 	text[len(text)-1]++
 	os.WriteFile(path, text, 0o600)
-	if uids, err := p.Out(); err != nil || len(uids) != 0 {
+	if uids, err := p.Drained(); err != nil || len(uids) != 0 {
 		t.Error(uids, err)
 	}
 	if left, err := os.ReadFile(path + ".unread"); err != nil || string(left) != string(text) {
@@ -182,17 +182,17 @@
 	// What cannot be kept is in force all the same, and said not to be kept.
 	os.Mkdir(path, 0o700)
 	os.WriteFile(filepath.Join(path, "full"), nil, 0o600)
-	if err := p.Change("s-4", true); err == nil || !p.obeys("s-1", "s-4") {
+	if err := p.SetDrained("s-4", true); err == nil || !p.obeys("s-1", "s-4") {
 		t.Error(err, p.out)
 	}
 	os.RemoveAll(path)
 	// Nor does it end with the next that can be kept, nor what was done through another door by what cannot.
-	if err := join(t, dir).Change("s-5", true); err != nil || !p.obeys("s-5", "s-4") {
+	if err := join(t, dir).SetDrained("s-5", true); err != nil || !p.obeys("s-5", "s-4") {
 		t.Error(err, p.out)
 	}
 	os.Remove(filepath.Join(dir, "lock"))
 	os.Mkdir(filepath.Join(dir, "lock"), 0o700)
-	if err := p.Change("s-6", true); err == nil || !p.obeys("s-5", "s-4", "s-6") {
+	if err := p.SetDrained("s-6", true); err == nil || !p.obeys("s-5", "s-4", "s-6") {
 		t.Error(err, p.out)
 	}
 	// One that answers in another tongue, or not at all, holds up nobody for long.
@@ -212,9 +212,9 @@
 		t.Fatal("a folder that all may write to was taken")
 	}
 	var out []string
-	k := Alone(err, logrus.New())
+	k := Standalone(err, logrus.New())
 	k.Serve(func(uids []string) bool { out = uids; return true }, nil, func(int) {})
-	if told := k.Change("s-1", true); !errors.Is(told, err) || !slices.Equal(out, []string{"s-1"}) || k.Processes() != 1 {
+	if told := k.SetDrained("s-1", true); !errors.Is(told, err) || !slices.Equal(out, []string{"s-1"}) || k.Processes() != 1 {
 		t.Error("with no folder:", told, out)
 	}
 }
--- a/internal/httpproxy/agreed.go
+++ b/internal/httpproxy/agreed.go
@@ -2,9 +2,9 @@
 
 import "pepperlead/policy"
 
-// Offers has requests for that class come in at that place of the settings, cut off at that time; NoClass: they are refused from now on.
+// SetClass has requests for that class come in at that place of the settings, cut off at that time; NoClass: they are refused from now on.
 // What is in hand stays where it is.
-func (s *Sidecar) Offers(name string, at policy.ClassID, cutOff policy.Time) {
+func (s *Sidecar) SetClass(name string, at policy.ClassID, cutOff policy.Time) {
 	if at == policy.NoClass {
 		delete(s.classes, name)
 	} else {
@@ -19,8 +19,8 @@
 	}
 }
 
-// Quotes has requests of that tenant count at that place; NoTenant: as nobody's.
-func (s *Sidecar) Quotes(name string, at policy.TenantID) {
+// SetTenant has requests of that tenant count at that place; NoTenant: as nobody's.
+func (s *Sidecar) SetTenant(name string, at policy.TenantID) {
 	if s.tenants[name] = at; at == policy.NoTenant {
 		delete(s.tenants, name)
 	}
--- a/internal/httpproxy/answers_test.go
+++ b/internal/httpproxy/answers_test.go
@@ -123,8 +123,8 @@
 					case !passed && (!is || status != k.status || status == 200 && got != body):
 						t.Errorf("%d %q, %v; want %d", status, got, ended, k.status)
 					}
-					r.until("ended", func() bool { return r.Held == 0 })
-					r.Inside(func() {
+					r.until("ended", func() bool { return r.InFlight == 0 })
+					r.RunOnLoop(func() {
 						want := int64(1)
 						if !passed {
 							want = 0
@@ -310,5 +310,5 @@
 	if _, err := io.ReadAll(c.in); time.Since(began) > 4*time.Second {
 		t.Errorf("ended after %v, %v", time.Since(began), err)
 	}
-	r.until("ended", func() bool { return r.Held == 0 })
+	r.until("ended", func() bool { return r.InFlight == 0 })
 }
--- a/internal/httpproxy/attempts.go
+++ b/internal/httpproxy/attempts.go
@@ -21,10 +21,10 @@
 func (s *Sidecar) Send(now policy.Time, of *engine.Request, to *engine.Endpoint) {
 	t, server := connstate.Of(of), s.part(to)
 	if t.Uploads {
-		s.Timers.Stop(&t.Wait) // its time begins when its body is whole
+		s.Timers.Stop(&t.AttemptTimer) // its time begins when its body is whole
 	}
 	if t.Sent {
-		s.Ended(now, of, policy.NotSent) // a part of its body went with an earlier attempt, and is gone
+		s.AttemptEnded(now, of, policy.NotSent) // a part of its body went with an earlier attempt, and is gone
 		return
 	}
 	for c := s.conns.Take(server, now-restFor); c != nil; c = s.conns.Take(server, now-restFor) {
@@ -44,15 +44,15 @@
 	}
 	if s.conns.Count(connstate.ToServer) >= s.conns.Most[connstate.ToServer] && !s.spare(connstate.ToServer, now, now) {
 		// Every descriptor carries an attempt: nothing was sent, and that is no fault of the endpoint.
-		s.Ended(now, of, policy.NotSent)
+		s.AttemptEnded(now, of, policy.NotSent)
 		return
 	}
-	c := &connstate.Conn{Side: connstate.ToServer, Endpoint: server, Life: to.Life, Request: t, Whole: &s.Tally.Written}
-	c.Timer.Do = func(now policy.Time) { s.endpointDue(now, c) }
+	c := &connstate.Conn{Side: connstate.ToServer, Endpoint: server, Life: to.Generation, Request: t, Whole: &s.Tally.Written}
+	c.Timer.Run = func(now policy.Time) { s.endpointDue(now, c) }
 	t.Attempt = c
 	s.conns.Add(c)
 	s.Counters.Dials++
-	s.sockets.dial(c, to.Addr, s.post.ConnectIn)
+	s.sockets.dial(c, to.Addr, s.post.ConnectTimeout)
 }
 
 // awaits has an attempt wait for the connection that will have rested next, once, if that is soon.
@@ -65,8 +65,8 @@
 	if in > s.post.Settings.Classes[t.Class].Target/aRest {
 		return false
 	}
-	if t.Rest.Do == nil {
-		t.Rest.Do = func(now policy.Time) { s.rested(now, t) }
+	if t.Rest.Run == nil {
+		t.Rest.Run = func(now policy.Time) { s.rested(now, t) }
 	}
 	t.Waited, t.To = true, server.Of
 	server.Awaited++
@@ -78,9 +78,9 @@
 func (s *Sidecar) rested(now policy.Time, t *connstate.Request) {
 	s.part(t.To).Awaited--
 	switch {
-	case t.To.Leaving:
+	case t.To.Draining:
 		s.endAttempt(now, t, policy.NotConnected, false)
-	case t.Settled || !s.Stands(now, t.Request):
+	case t.Decided || !s.AttemptStillValid(now, t.Request):
 		s.endAttempt(now, t, policy.NotSent, false)
 	default:
 		s.Send(now, t.Request, t.To)
@@ -92,10 +92,10 @@
 	switch {
 	case c.Request == nil:
 		s.park(now, c) // its request did not wait for it
-	case c.Endpoint.Of.Leaving || c.Life != c.Endpoint.Of.Life:
+	case c.Endpoint.Of.Draining || c.Life != c.Endpoint.Of.Generation:
 		// The endpoint was ready when this was dialled and is not any more, or another process stands there: it gets nothing new.
 		s.endAttempt(now, c.Request, policy.NotConnected, false)
-	case c.Request.Settled || !s.Stands(now, c.Request.Request):
+	case c.Request.Decided || !s.AttemptStillValid(now, c.Request.Request):
 		// The request has its answer, or its client has left; or the rules or the list have changed since, or the window in which it may
 		// be sent again has closed: what was decided then may not be done now.
 		s.endAttempt(now, c.Request, policy.NotSent, true)
@@ -106,11 +106,11 @@
 
 // send writes the request. Nothing of it is sent again by itself.
 func (s *Sidecar) send(now policy.Time, t *connstate.Request) {
-	if s.Tells() {
-		s.Acting().WithFields(logrus.Fields{"id": text(field(t.Head, "X-Request-ID")), "no": int(t.Request.AttemptNo),
+	if s.TracesRequests() {
+		s.RulesLog().WithFields(logrus.Fields{"id": text(field(t.Head, "X-Request-ID")), "no": int(t.Request.AttemptNo),
 			"server": t.Attempt.Endpoint.Of.UID}).Debug("drill: push")
 	}
-	size, wait := len(t.Body), t.Wait.At()-now
+	size, wait := len(t.Body), t.AttemptTimer.At()-now
 	if t.More != nil {
 		size += len(t.More.B)
 	}
@@ -148,12 +148,12 @@
 // park keeps a connection for the next attempt to its endpoint, but closes it well before the endpoint would: what is
 // written as the endpoint closes may have run or not.
 func (s *Sidecar) park(now policy.Time, c *connstate.Conn) {
-	if c.Endpoint.Of.Leaving || c.Life != c.Endpoint.Of.Life {
+	if c.Endpoint.Of.Draining || c.Life != c.Endpoint.Of.Generation {
 		s.close(c) // an answer that came after the list: where it leads, nothing new goes, or another process stands
 		return
 	}
 	s.conns.Park(c, now)
-	s.Timers.Set(&c.Timer, now+s.post.IdleFor*3/4)
+	s.Timers.Set(&c.Timer, now+s.post.IdleTimeout*3/4)
 }
 
 // fromEndpoint takes the answer once it is whole.
@@ -240,7 +240,7 @@
 
 // CancelAttempt ends an attempt that nobody waits for any more.
 func (s *Sidecar) CancelAttempt(now policy.Time, of *engine.Request) {
-	if t := connstate.Of(of); (t.Attempt != nil || t.Rest.On()) && !t.Streams {
+	if t := connstate.Of(of); (t.Attempt != nil || t.Rest.Active()) && !t.Streams {
 		s.endAttempt(now, t, policy.Cancelled, false)
 	}
 }
@@ -248,12 +248,12 @@
 // endAttempt ends the attempt that is out.
 func (s *Sidecar) endAttempt(at policy.Time, t *connstate.Request, o policy.Outcome, stays bool) {
 	s.detach(at, t, stays)
-	s.Ended(at, t.Request, o)
+	s.AttemptEnded(at, t.Request, o)
 }
 
 // detach takes the request off its connection to an endpoint, which is kept or closed.
 func (s *Sidecar) detach(at policy.Time, t *connstate.Request, stays bool) {
-	if t.Waited = false; t.Rest.On() {
+	if t.Waited = false; t.Rest.Active() {
 		s.Timers.Stop(&t.Rest)
 		s.part(t.To).Awaited--
 	}
--- a/internal/httpproxy/attempts_test.go
+++ b/internal/httpproxy/attempts_test.go
@@ -164,15 +164,15 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	s := New(Config{Listen: "127.0.0.1:0", Descriptors: 64, Memory: 1 << 20, Settings: &policy.Settings{Instances: 1}}, logrus.New())
+	s := New(Config{Listen: "127.0.0.1:0", Descriptors: 64, MessageMemory: 1 << 20, Settings: &policy.Settings{Instances: 1}}, logrus.New())
 	for queued, want := range map[int64]policy.Outcome{10: policy.ConnectionLost, 11: policy.NotConnected} {
 		c := &connstate.Conn{Side: connstate.ToServer, Up: true, Queued: queued, Endpoint: &connstate.Endpoint{Of: &engine.Endpoint{}}}
 		c.Written.Store(10)
-		ticket := connstate.Of(s.Take(s.no))
+		ticket := connstate.Of(s.NewRequest(s.no))
 		ticket.Attempt, c.Request = c, ticket
 		s.conns.Add(c)
 		s.closed(1, 1, c)
-		if s.Tell(1); s.Counters.Outcomes[want] != 1 {
+		if s.RunSteps(1); s.Counters.Outcomes[want] != 1 {
 			t.Errorf("10 of %d bytes written: outcomes %v, want %d", queued, s.Counters.Outcomes, want)
 		}
 	}
@@ -194,7 +194,7 @@
 	}
 	time.Sleep(50 * time.Millisecond)
 	r.end()
-	if r.Counters.Gone != 5 || r.Counters.Outcomes[policy.Cancelled] != 5 {
-		t.Errorf("left %d, outcomes %v", r.Counters.Gone, r.Counters.Outcomes)
+	if r.Counters.ClientsGone != 5 || r.Counters.Outcomes[policy.Cancelled] != 5 {
+		t.Errorf("left %d, outcomes %v", r.Counters.ClientsGone, r.Counters.Outcomes)
 	}
 }
--- a/internal/httpproxy/clients.go
+++ b/internal/httpproxy/clients.go
@@ -27,7 +27,7 @@
 
 func (s *Sidecar) opened(now policy.Time, c *connstate.Conn) {
 	c.Up, c.Since = true, now
-	c.Timer.Do = func(now policy.Time) { s.clientDue(now, c) }
+	c.Timer.Run = func(now policy.Time) { s.clientDue(now, c) }
 	// Whoever connects and says nothing, or only a part, must not hold a place for long.
 	s.Timers.Set(&c.Timer, now+headIn)
 	s.conns.Add(c)
@@ -41,7 +41,7 @@
 	s.pressed = false
 	for s.conns.Over(connstate.Client) && !s.pressed {
 		if s.spare(connstate.Client, 0, now-cutFresh) || s.spare(connstate.Client, now-cutAfter, 0) {
-			s.Counters.ClientConnsCut++
+			s.Counters.ClientConnsBroken++
 			continue
 		}
 		s.pressed = true
@@ -109,7 +109,7 @@
 		fallthrough
 	case at > 0:
 		s.bodyDue(c)
-	case !c.Timer.On() || c.Rests:
+	case !c.Timer.Active() || c.Rests:
 		s.Timers.Set(&c.Timer, now+headIn)
 	}
 	s.conns.Work(c)
@@ -186,7 +186,7 @@
 	if !known {
 		franchise = policy.NoTenant
 	}
-	t := connstate.Of(s.Take(s.no))
+	t := connstate.Of(s.NewRequest(s.no))
 	t.Client, t.Received, t.Method, t.Target, t.Head, t.Body, t.Last = c, buf, method, target, head, body, last
 	t.Bodiless = string(method) == "HEAD"
 	t.Old, t.Left = a.old, left
@@ -195,12 +195,12 @@
 	if named {
 		s.requests.Mark(t, mark)
 	}
-	if s.Tells() {
-		s.Acting().WithField("id", string(id)).Debug("drill: ticket")
+	if s.TracesRequests() {
+		s.RulesLog().WithField("id", string(id)).Debug("drill: ticket")
 	}
 	s.Admit(now, at, t.Request, offering, franchise, text(field(head, "X-Route-Key")), string(field(head, "X-Retried")) == "1", left)
 	if t.Uploads {
-		s.Comes(t.Request)
+		s.BodyBegun(t.Request)
 	}
 }
 
@@ -219,7 +219,7 @@
 
 // overflow answers a request for which there is no room.
 func (s *Sidecar) overflow(now policy.Time, c *connstate.Conn) {
-	s.Counters.Overflow++
+	s.Counters.Overflowed++
 	s.own(now, c, 503, "out of room\n", 0, true)
 }
 
@@ -227,7 +227,7 @@
 func (s *Sidecar) aside(now policy.Time, c *connstate.Conn, target []byte, last bool) bool {
 	switch string(target) {
 	case "/_health":
-		if heard, _ := s.Heard(); heard {
+		if heard, _ := s.ListStatus(); heard {
 			s.own(now, c, 200, "ready\n", 0, last)
 		} else {
 			s.own(now, c, 503, "no list of servers yet\n", 0, last)
@@ -247,14 +247,14 @@
 	var lines []string
 	for id, one := range s.Endpoints {
 		standing := "ready"
-		if one.Leaving {
+		if one.Draining {
 			standing = "leaving"
 		}
 		lines = append(lines, fmt.Sprintf("%s id %d at %s in %s %s, %d connections idle\n", one.UID, id, one.Addr, one.Zone,
 			standing, len(s.part(one).Idle)))
 	}
 	slices.Sort(lines)
-	if _, refused := s.Heard(); refused != "" {
+	if _, refused := s.ListStatus(); refused != "" {
 		lines = append([]string{"list refused, the last good one stays: " + refused + "\n"}, lines...)
 	}
 	return strings.Join(lines, "")
@@ -262,7 +262,7 @@
 
 // bad answers what cannot be served, and ends the connection: where the next request begins is not known.
 func (s *Sidecar) bad(now policy.Time, c *connstate.Conn, status int, why string) {
-	s.Counters.Bad++
+	s.Counters.BadRequests++
 	s.own(now, c, status, why, 0, true)
 	s.Timers.Set(&c.Timer, now+lingerFor)
 }
@@ -278,7 +278,7 @@
 // ending tells whether a client's connection ends with its next answer. When room is short that is the one moment at which
 // no request can be on its way.
 func (s *Sidecar) ending() bool {
-	_, leaving := s.Leaving()
+	_, leaving := s.ShuttingDown()
 	return leaving || s.pressed || s.conns.Resting > s.conns.Idle
 }
 
@@ -320,7 +320,7 @@
 		// Clients that ask once and stay hold places that others of theirs wait for.
 		if 2*s.conns.Resting > s.conns.Idle && c.Link.Cut(c) {
 			s.conns.End(c)
-			s.Counters.ClientConnsCut++
+			s.Counters.ClientConnsBroken++
 		} else {
 			s.Timers.Set(&c.Timer, now+cutAfter/8)
 		}
@@ -359,7 +359,7 @@
 	c.Request, t.Client = nil, nil
 	s.requests.Unmark(t)
 	s.ClientLeft(now, t.Request)
-	if (t.Attempt != nil || t.Rest.On()) && s.unwritten(t) {
+	if (t.Attempt != nil || t.Rest.Active()) && s.unwritten(t) {
 		// What is missing of its body never comes; and an attempt that no endpoint has whole is none yet, so ending it is allowed also where
 		// attempts may not be cancelled.
 		s.endAttempt(now, t, policy.Cancelled, false)
--- a/internal/httpproxy/crossing_test.go
+++ b/internal/httpproxy/crossing_test.go
@@ -26,7 +26,7 @@
 	r.t.Helper()
 	for i := 0; ; i++ {
 		so := false
-		r.Inside(func() { so = is() })
+		r.RunOnLoop(func() { so = is() })
 		if so {
 			return
 		}
@@ -40,7 +40,7 @@
 // dials holds the connections to endpoints that are opened from the nth on, until they are let go.
 func (r *running) dials(from int) (begun chan string, release chan struct{}) {
 	begun, release = make(chan string, 8), make(chan struct{})
-	r.Inside(func() {
+	r.RunOnLoop(func() {
 		really, n := r.sockets.connect, 0
 		r.sockets.connect = func(addr string, within policy.Time) (net.Conn, error) {
 			if n++; n >= from {
@@ -69,8 +69,8 @@
 		cancel bool
 		meets  func(s *scene) // the other event
 	}{
-		"client left":            {"step/echo", 1, true, func(s *scene) { s.client.Close(); s.until("left", func() bool { return s.Counters.Gone == 1 }) }},
-		"client left, no cancel": {"step/echo", 1, false, func(s *scene) { s.client.Close(); s.until("left", func() bool { return s.Counters.Gone == 1 }) }},
+		"client left":            {"step/echo", 1, true, func(s *scene) { s.client.Close(); s.until("left", func() bool { return s.Counters.ClientsGone == 1 }) }},
+		"client left, no cancel": {"step/echo", 1, false, func(s *scene) { s.client.Close(); s.until("left", func() bool { return s.Counters.ClientsGone == 1 }) }},
 		"server drains": {"step/echo", 1, true, func(s *scene) {
 			s.tell(listOf(s.one.Addr().String()+" Terminating", s.two.Addr().String()))
 			s.until("told", func() bool { return s.Counters.Lists > 2 })
@@ -88,7 +88,7 @@
 				addrs[1] = s.two.Addr().String()
 			}
 			s.running, s.agent = run(t, func(p *Config) {
-				p.Settings.MayCancel, p.ConnectIn = k.cancel, 2*policy.Second
+				p.Settings.MayCancel, p.ConnectTimeout = k.cancel, 2*policy.Second
 				p.Settings.Classes[1].Target, p.Settings.Classes[1].Window = 2*policy.Second, 300*policy.Millisecond
 			}, addrs...)
 			s.until("told", func() bool { return s.Counters.Lists == 2 })
@@ -182,7 +182,7 @@
 		} else {
 			s.TimedOut(now, ticket.Request)
 		}
-		s.Tell(now)
+		s.RunSteps(now)
 		if n := s.Counters.Outcomes[k.want]; !k.none && n != 1 || k.none && ticket.Attempt == nil {
 			t.Errorf("%+v: outcomes %v", k, s.Counters.Outcomes)
 		}
@@ -192,7 +192,7 @@
 // At the end one still waits in the kernel to be accepted, with its request: it counts as taken, and is answered.
 func TestWhoWaitsToBeAcceptedAtTheEndIsAnswered(t *testing.T) {
 	server := newStandIn(t)
-	r, _ := run(t, func(p *Config) { p.Leave = 2 * policy.Second }, server.Addr().String())
+	r, _ := run(t, func(p *Config) { p.ShutdownTime = 2 * policy.Second }, server.Addr().String())
 	first := r.client()
 	first.send("step/echo", "a", "")
 	first.receive()
@@ -202,7 +202,7 @@
 	waits := r.client()
 	waits.send("step/echo", "b", "")
 	r.stop <- syscall.SIGTERM
-	time.Sleep(time.Duration(r.post.Accept+straggle) + 100*time.Millisecond)
+	time.Sleep(time.Duration(r.post.AcceptTime+straggle) + 100*time.Millisecond)
 	r.sockets.most.Store(most)
 	r.sockets.roomAgain()
 	if answer, got := waits.receive(); answer.StatusCode != 200 || got != "b" || !answer.Close {
@@ -243,7 +243,7 @@
 		r, _ := run(t, func(p *Config) {
 			source := discovery.NewPlatform(addr, false)
 			source.Grace = time.Second
-			p.Source, p.First = source, 300*policy.Millisecond
+			p.Source, p.FirstListTimeout = source, 300*policy.Millisecond
 		}, drained.Addr().String())
 		log := logrustest.NewLocal(r.Logger)
 		began, c := time.Now(), r.client()
@@ -387,7 +387,7 @@
 				if n := int(seen.Load()); n != k.seen {
 					t.Errorf("%d attempts, want %d", n, k.seen)
 				}
-				r.until("ended", func() bool { return r.Held == 0 })
+				r.until("ended", func() bool { return r.InFlight == 0 })
 			})
 		}
 	}
@@ -399,7 +399,7 @@
 	c := r.client()
 	c.send("step/echo", "b", "")
 	c.receive()
-	r.Inside(func() {
+	r.RunOnLoop(func() {
 		sides := map[connstate.Side]int{}
 		for c := range r.conns.Open {
 			on, err := unix.GetsockoptInt(c.Link.(*link).fd, unix.IPPROTO_TCP, unix.TCP_NODELAY)
--- a/internal/httpproxy/golden_test.go
+++ b/internal/httpproxy/golden_test.go
@@ -95,7 +95,7 @@
 	address := server.Addr().String()
 	sidecar, _ := run(t, nil, address)
 	empty, _ := run(t, func(config *Config) {
-		config.Known, config.Source = nil, discovery.NewPlatform("127.0.0.1:1", false)
+		config.SavedList, config.Source = nil, discovery.NewPlatform("127.0.0.1:1", false)
 	})
 	chunked := "Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n"
 	var answers bytes.Buffer
--- a/internal/httpproxy/leave.go
+++ b/internal/httpproxy/leave.go
@@ -15,35 +15,35 @@
 	straggle  = 50 * policy.Millisecond  // for a client to come again that had its connection closed as it sent
 )
 
-// Leave begins the end: for a while clients may still come, and every answer now closes its connection.
-func (s *Sidecar) Leave(now policy.Time) {
+// BeginShutdown begins the end: for a while clients may still come, and every answer now closes its connection.
+func (s *Sidecar) BeginShutdown(now policy.Time) {
 	if s.waits {
 		s.open(now) // whoever came before the first list is owed an answer too
 	}
 	s.serves.Store(false)
-	s.acceptTo = now + s.post.Accept
-	if s.post.Inherited > 0 {
+	s.acceptTo = now + s.post.AcceptTime
+	if s.post.InheritedListener > 0 {
 		// The queue stays, and whoever else has it takes from it. What this process has taken is its own.
 		s.acceptTo = now
 		s.sockets.gate.Close()
 	}
 }
 
-// Left tells whether none can come any more.
-func (s *Sidecar) Left(now policy.Time) bool {
-	leaveBy, _ := s.Leaving()
+// Drained tells whether none can come any more.
+func (s *Sidecar) Drained(now policy.Time) bool {
+	leaveBy, _ := s.ShuttingDown()
 	if now < s.acceptTo {
 		return false
 	}
 	// One may have been taken from the queue and not have come to the loop yet: its request is this process's to answer.
-	waiting := s.post.Inherited > 0 && !s.sockets.gate.ended.Load()
-	if s.post.Inherited == 0 && s.sockets.gate.queued() {
+	waiting := s.post.InheritedListener > 0 && !s.sockets.gate.ended.Load()
+	if s.post.InheritedListener == 0 && s.sockets.gate.queued() {
 		// It was let in by the kernel, and what it asks counts as taken. Whoever accepts may have stood still, or had no room till now.
 		waiting = true
 	}
 	for c := range s.conns.Open {
 		if c.Side == connstate.Client && !c.Dead {
-			stays := s.post.Inherited > 0 && now-c.Since < lookedFor && now < leaveBy // its next answer ends it
+			stays := s.post.InheritedListener > 0 && now-c.Since < lookedFor && now < leaveBy // its next answer ends it
 			if c.Request == nil && c.In == nil && !c.Last && c.Upload == connstate.NoUpload && !stays && c.Link.Cut(c) {
 				s.conns.End(c)
 			}
@@ -56,8 +56,8 @@
 	return now >= min(max(s.emptyAt, s.acceptTo), leaveBy+lastWrite)
 }
 
-// Shut gives back what is still held: connections, their buffers.
-func (s *Sidecar) Shut() {
+// Close gives back what is still held: connections, their buffers.
+func (s *Sidecar) Close() {
 	for c := range s.conns.Open {
 		s.close(c)
 	}
--- a/internal/httpproxy/limits_test.go
+++ b/internal/httpproxy/limits_test.go
@@ -53,7 +53,7 @@
 		t.Errorf("after them: %d", answer.StatusCode)
 	}
 	r.end()
-	if r.Counters.ClientConnsCut == 0 {
+	if r.Counters.ClientConnsBroken == 0 {
 		t.Errorf("the limits were not reached: %s", r.Report())
 	}
 }
@@ -96,7 +96,7 @@
 	}
 	ask(usual)
 	r.end()
-	if k := r.Counters; k.ClientConnsCut+k.ClientsSilent != 95 || k.ClientsSilent == 0 || k.ClientConnsCut == 0 {
+	if k := r.Counters; k.ClientConnsBroken+k.ClientsSilent != 95 || k.ClientsSilent == 0 || k.ClientConnsBroken == 0 {
 		t.Errorf("%s", k.String())
 	}
 }
@@ -173,7 +173,7 @@
 
 // Full memory is answered, not filled further.
 func TestFullMemoryTurnsBack(t *testing.T) {
-	r, _ := run(t, func(p *Config) { p.Memory = 0 }, newStandIn(t).Addr().String())
+	r, _ := run(t, func(p *Config) { p.MessageMemory = 0 }, newStandIn(t).Addr().String())
 	for i := range 3 {
 		c := r.client()
 		if i < 2 {
@@ -219,7 +219,7 @@
 	c.Close()
 	r.end()
 	// What the kernel took at either end is not the instance's.
-	if r.Counters.BytesOut > 24<<20 || r.Counters.Honoured > 200 {
+	if r.Counters.BytesOut > 24<<20 || r.Counters.Succeeded > 200 {
 		t.Errorf("%d bytes were sent to one that reads nothing: %s", r.Counters.BytesOut, r.Report())
 	}
 }
--- a/internal/httpproxy/operated_test.go
+++ b/internal/httpproxy/operated_test.go
@@ -16,7 +16,7 @@
 
 func (r *running) byHand(uids ...string) {
 	r.t.Helper()
-	if !r.Within(time.Second, func() { r.Out(r.Clock.Now(), uids) }) {
+	if !r.RunOnLoopWithin(time.Second, func() { r.SetDrained(r.Clock.Now(), uids) }) {
 		r.t.Fatal("the loop does not come")
 	}
 }
@@ -56,13 +56,13 @@
 	}
 	var listed, never bool
 	var started policy.Time
-	r.Inside(func() { listed, never = r.Listed("s-0"), r.Listed("s-9") })
-	if !listed || never || r.Tally.Members.Load() != 2 || r.Tally.Unavailable.Load() != 1 {
-		t.Error(listed, never, r.Tally.Members.Load(), r.Tally.Unavailable.Load())
+	r.RunOnLoop(func() { listed, never = r.Listed("s-0"), r.Listed("s-9") })
+	if !listed || never || r.Tally.Endpoints.Load() != 2 || r.Tally.Unavailable.Load() != 1 {
+		t.Error(listed, never, r.Tally.Endpoints.Load(), r.Tally.Unavailable.Load())
 	}
 	before := r.Clock.Now()
 	r.byHand()
-	r.Inside(func() {
+	r.RunOnLoop(func() {
 		for _, s := range r.Endpoints {
 			if s.UID == "s-0" {
 				started = s.Started
@@ -101,7 +101,7 @@
 		want[fmt.Sprintf(`edge_gw_downstream_requests_total{lane="%s",result="%s"}`, path[:4], result)]++
 		c.Close()
 	}
-	stat := string(r.Stat(nil))
+	stat := string(r.AppendFigures(nil))
 	for line, n := range want {
 		if !strings.Contains(stat, fmt.Sprintf("%s %d\n", line, n)) {
 			t.Errorf("no %s %d in\n%s", line, n, stat)
@@ -120,7 +120,7 @@
 		}
 	}
 	buf := make([]byte, 0, 4<<10)
-	if n := testing.AllocsPerRun(100, func() { r.Stat(buf[:0]) }); n > 1 {
+	if n := testing.AllocsPerRun(100, func() { r.AppendFigures(buf[:0]) }); n > 1 {
 		t.Errorf("%v allocations to read the figures", n)
 	}
 }
@@ -140,8 +140,8 @@
 	defer f.Close()
 	next := func(follows bool) *running {
 		r, _ := run(t, func(p *Config) {
-			p.Listen, p.Follows, p.Learn = l.Addr().String(), follows, func() {}
-			if p.Inherited, err = syscall.Dup(int(f.Fd())); err != nil {
+			p.Listen, p.Successor, p.ImportState = l.Addr().String(), follows, func() {}
+			if p.InheritedListener, err = syscall.Dup(int(f.Fd())); err != nil {
 				t.Fatal(err)
 			}
 		}, one.Addr().String())
@@ -174,7 +174,7 @@
 	for range 3 {
 		time.Sleep(150 * time.Millisecond)
 		fresh := next(true)
-		if fresh.Ready() && !fresh.Tally.Heard.Load() {
+		if fresh.Ready() && !fresh.Tally.HasList.Load() {
 			t.Error("ready with no list")
 		}
 		time.Sleep(100 * time.Millisecond)
--- a/internal/httpproxy/renew.go
+++ b/internal/httpproxy/renew.go
@@ -16,16 +16,16 @@
 		}
 	}
 	keep("listen", post.Listen == s.post.Listen)
-	keep("limits", post.Descriptors == s.post.Descriptors && post.Memory == s.post.Memory)
+	keep("limits", post.Descriptors == s.post.Descriptors && post.MessageMemory == s.post.MessageMemory)
 	if post.DefaultClass != s.post.DefaultClass {
 		post.Settings = &policy.Settings{} // of another shape: who names nothing would get another class under a request in hand
 	}
-	alike := s.Renew(engine.Config{Settings: post.Settings, Source: post.Source, Leave: post.Leave})
+	alike := s.Reconfigure(engine.Config{Settings: post.Settings, Source: post.Source, ShutdownTime: post.ShutdownTime})
 	keep("settings", alike)
 	if alike {
 		s.post.Deadlines, s.post.Anonymous = post.Deadlines, post.Anonymous
 	}
-	s.post.Source, s.post.ConnectIn, s.post.IdleFor, s.post.Accept = post.Source, post.ConnectIn, post.IdleFor, post.Accept
+	s.post.Source, s.post.ConnectTimeout, s.post.IdleTimeout, s.post.AcceptTime = post.Source, post.ConnectTimeout, post.IdleTimeout, post.AcceptTime
 	log := s.Logger.WithField("servers", post.Source.Name())
 	if len(late) > 0 {
 		log = log.WithField("from the next start on", strings.Join(late, " "))
--- a/internal/httpproxy/replies.go
+++ b/internal/httpproxy/replies.go
@@ -32,7 +32,7 @@
 	if c := s.answer(now, t, kind); c != nil {
 		last := t.Last || s.ending()
 		if kind == 0 {
-			s.Counters.Honoured++
+			s.Counters.Succeeded++
 		} else {
 			// The endpoint cannot use the request. What else its sender has ready is not taken for better.
 			s.Counters.Declined++
@@ -54,7 +54,7 @@
 func (s *Sidecar) Reject(now policy.Time, of *engine.Request, retryIn policy.Time) {
 	t := connstate.Of(of)
 	if c := s.answer(now, t, 2); c != nil {
-		s.Counters.TurnedBack++
+		s.Counters.Rejected++
 		s.own(now, c, 503, "turned back\n", retryIn, t.Last)
 	}
 }
@@ -62,7 +62,7 @@
 func (s *Sidecar) Fail(now policy.Time, of *engine.Request) {
 	t := connstate.Of(of)
 	if c := s.answer(now, t, 3); c != nil {
-		s.Counters.GivenUp++
+		s.Counters.Failed++
 		s.own(now, c, 502, "given up\n", 0, t.Last)
 	}
 }
--- a/internal/httpproxy/reports.go
+++ b/internal/httpproxy/reports.go
@@ -11,14 +11,14 @@
 func (s *Sidecar) each(line func(name string, n int64, rises bool)) {
 	s.Counters.Each(func(name string, n int64) { line(name, n, true) })
 	refused := int64(0)
-	if _, why := s.Heard(); why != "" {
+	if _, why := s.ListStatus(); why != "" {
 		refused = 1
 	}
 	decides := s.Module.Gauges()
 	for _, g := range []struct {
 		name string
 		n    int64
-	}{{"tickets_in_hand", int64(s.Held)}, {"client_connections_open", int64(s.conns.Count(connstate.Client))},
+	}{{"tickets_in_hand", int64(s.InFlight)}, {"client_connections_open", int64(s.conns.Count(connstate.Client))},
 		{"server_connections_open", int64(s.conns.Count(connstate.ToServer))}, {"buffer_bytes_lent", int64(s.buffers.Lent())},
 		{"timers_set", int64(s.Timers.Len())}, {"servers_known", int64(len(s.Endpoints))}, {"list_refused", refused},
 		{"pushes_out", int64(decides.InFlight)}, {"tickets_waiting", int64(decides.Waiting)}, {"servers_aside", int64(decides.Ejected)},
@@ -37,7 +37,7 @@
 
 // Report is the counters, and what is held now, a line each; also once the instance has ended.
 func (s *Sidecar) Report() (report string) {
-	if !s.Inside(func() { report = s.report() }) {
+	if !s.RunOnLoop(func() { report = s.report() }) {
 		report = s.report()
 	}
 	return report
@@ -45,12 +45,12 @@
 
 // ServersReport is the list as it stands.
 func (s *Sidecar) ServersReport() (report string) {
-	s.Inside(func() { report = s.endpoints() })
+	s.RunOnLoop(func() { report = s.endpoints() })
 	return report
 }
 
 // Ready tells whether this process can serve: it listens, a list of endpoints is known, and it is not about to end.
-func (s *Sidecar) Ready() bool { return s.serves.Load() && s.Tally.Heard.Load() }
+func (s *Sidecar) Ready() bool { return s.serves.Load() && s.Tally.HasList.Load() }
 
 // EachMetric hands over each counter, and each figure that goes up and down.
 func (s *Sidecar) EachMetric(each func(name string, value float64, rises bool)) {
@@ -60,7 +60,7 @@
 		rises bool
 	}
 	var all []figure
-	s.Inside(func() { s.each(func(name string, n int64, rises bool) { all = append(all, figure{name, n, rises}) }) })
+	s.RunOnLoop(func() { s.each(func(name string, n int64, rises bool) { all = append(all, figure{name, n, rises}) }) })
 	for _, f := range all {
 		each(f.name, float64(f.n), f.rises)
 	}
--- a/internal/httpproxy/rig_test.go
+++ b/internal/httpproxy/rig_test.go
@@ -228,9 +228,9 @@
 	}
 	free.Close()
 	s := time.Second.Nanoseconds()
-	post := Config{Listen: free.Addr().String(), Source: discovery.NewPlatform(a.Addr().String(), false), Seed: 5, Descriptors: 256, Memory: 32 << 20,
-		ConnectIn: policy.Time(s / 5), IdleFor: policy.Time(s * 60), Leave: policy.Time(s), Accept: policy.Time(s / 20),
-		Known: []byte(told), Settings: &policy.Settings{Instances: 1, Zone: "a", Zones: 1, MayCancel: true, MaxAttempts: 3,
+	post := Config{Listen: free.Addr().String(), Source: discovery.NewPlatform(a.Addr().String(), false), Seed: 5, Descriptors: 256, MessageMemory: 32 << 20,
+		ConnectTimeout: policy.Time(s / 5), IdleTimeout: policy.Time(s * 60), ShutdownTime: policy.Time(s), AcceptTime: policy.Time(s / 20),
+		SavedList: []byte(told), Settings: &policy.Settings{Instances: 1, Zone: "a", Zones: 1, MayCancel: true, MaxAttempts: 3,
 			MaxRetryAfter: policy.Second, Tick: 5 * policy.Millisecond, ColdCapacity: 0.2, ColdTime: policy.Second, OverloadMultiple: 3,
 			Classes: []policy.Class{{Name: "step", Value: 1, Target: policy.Second / 4},
 				{Name: "note", Value: 1, Target: policy.Second / 4, Idempotency: policy.Keyed, Group: policy.GroupCell,
@@ -273,7 +273,7 @@
 		r.t.Fatalf("does not end:\n%s", where[:runtime.Stack(where, true)])
 	}
 	r.done <- nil
-	if r.Held != 0 || r.Timers.Len() != 0 || r.buffers.Lent() != 0 || len(r.conns.Open) != 0 ||
+	if r.InFlight != 0 || r.Timers.Len() != 0 || r.buffers.Lent() != 0 || len(r.conns.Open) != 0 ||
 		r.conns.Count(connstate.Client) != 0 || r.conns.Count(connstate.ToServer) != 0 {
 		r.t.Errorf("held at the end: %s", r.Report())
 	}
--- a/internal/httpproxy/share.go
+++ b/internal/httpproxy/share.go
@@ -15,8 +15,8 @@
 		return
 	}
 	s.shared = n
-	s.conns.Share(s.post.Descriptors-s.post.Aside, n)
-	s.buffers.SetMost(s.post.Memory / n)
+	s.conns.Share(s.post.Descriptors-s.post.ReservedDescriptors, n)
+	s.buffers.SetMost(s.post.MessageMemory / n)
 	s.sockets.most.Store(int64(s.conns.Accept))
 	s.sockets.roomAgain()
 	s.makeRoom(now)
--- a/internal/httpproxy/sidecar.go
+++ b/internal/httpproxy/sidecar.go
@@ -16,29 +16,29 @@
 
 // Config is what an instance is told of its place: where it listens and asks, and what it may use.
 type Config struct {
-	Listen       string
-	Source       discovery.Source // of endpoints
-	Seed         uint64
-	Descriptors  int
-	Aside        int // of these, for what stands beside the instance
-	Memory       int // bytes that messages in hand may take
-	ConnectIn    policy.Time
-	From         net.IP      // connections to endpoints leave from there; nil: from whichever address the kernel picks
-	IdleFor      policy.Time // endpoints close connections that stood idle for so long
-	Accept       policy.Time // for so long after the first sign of the end clients may come
-	Leave        policy.Time // from that sign to the last answer
-	Settings     *policy.Settings
-	Deadlines    []policy.Time   // by class, for requests that say nothing of it or more; nil: they must say
-	DefaultClass string          // the class of requests that name none; "": they must
-	Anonymous    bool            // requests may come without X-Request-ID
-	Latency      engine.Latency  // of final answers; nil: not measured
-	Record       *trace.Recorder // of what comes in and how it ends; nil: none
-	Stall        policy.Time     // as the engine has it
-	Inherited    int             // descriptor of a listener that others have too; 0: the instance listens by itself
-	Follows      bool            // another process of this instance serves already
-	First        policy.Time     // for so long at most clients wait at the start until the source has told its list; 0: they do not
-	Learn        func()          // takes over what that has learned; called beside the loop
-	Known        []byte          // a list saved earlier, as discovery gives it
+	Listen              string
+	Source              discovery.Source // of endpoints
+	Seed                uint64
+	Descriptors         int
+	ReservedDescriptors int // of these, for what stands beside the instance
+	MessageMemory       int // bytes that messages in hand may take
+	ConnectTimeout      policy.Time
+	SourceIP            net.IP      // connections to endpoints leave from there; nil: from whichever address the kernel picks
+	IdleTimeout         policy.Time // endpoints close connections that stood idle for so long
+	AcceptTime          policy.Time // for so long after the first sign of the end clients may come
+	ShutdownTime        policy.Time // from that sign to the last answer
+	Settings            *policy.Settings
+	Deadlines           []policy.Time   // by class, for requests that say nothing of it or more; nil: they must say
+	DefaultClass        string          // the class of requests that name none; "": they must
+	Anonymous           bool            // requests may come without X-Request-ID
+	Latency             engine.Latency  // of final answers; nil: not measured
+	Recorder            *trace.Recorder // of what comes in and how it ends; nil: none
+	StallAfter          policy.Time     // as the engine has it
+	InheritedListener   int             // descriptor of a listener that others have too; 0: the instance listens by itself
+	Successor           bool            // another process of this instance serves already
+	FirstListTimeout    policy.Time     // for so long at most clients wait at the start until the source has told its list; 0: they do not
+	ImportState         func()          // takes over what that has learned; called beside the loop
+	SavedList           []byte          // a list saved earlier, as discovery gives it
 }
 
 // Sidecar is the HTTP front on sockets, and the engine that decides for it. The engine's loop owns all of its state.
@@ -71,10 +71,10 @@
 
 // New makes an instance that does not serve yet.
 func New(post Config, log *logrus.Logger) *Sidecar {
-	s := &Sidecar{post: post, buffers: &connstate.Buffers{Most: post.Memory}, conns: connstate.NewConns(post.Descriptors - post.Aside),
+	s := &Sidecar{post: post, buffers: &connstate.Buffers{Most: post.MessageMemory}, conns: connstate.NewConns(post.Descriptors - post.ReservedDescriptors),
 		requests: &connstate.Requests{}, classes: map[string]policy.ClassID{}, tenants: map[string]policy.TenantID{}}
-	s.Engine = engine.New(engine.Config{Seed: post.Seed, Settings: post.Settings, Source: post.Source, Known: post.Known,
-		Leave: post.Leave, Latency: post.Latency, Record: post.Record, Stall: post.Stall}, log)
+	s.Engine = engine.New(engine.Config{Seed: post.Seed, Settings: post.Settings, Source: post.Source, SavedList: post.SavedList,
+		ShutdownTime: post.ShutdownTime, Latency: post.Latency, Recorder: post.Recorder, StallAfter: post.StallAfter}, log)
 	s.no = s.Engine.Add(s)
 	for i, o := range post.Settings.Classes {
 		s.classes[o.Name] = policy.ClassID(i)
@@ -89,7 +89,7 @@
 	s.processes.Store(1)
 	s.shared = 1
 	s.sockets = newSockets(s.Clock, s.buffers, &post, s.conns.Accept, s.Signal)
-	s.room.Do = s.makeRoom
+	s.room.Run = s.makeRoom
 	return s
 }
 
@@ -101,7 +101,7 @@
 	}
 	s.start(s.Clock.Now())
 	s.Logger.WithFields(logrus.Fields{"listen": s.post.Listen, "descriptors": s.post.Descriptors,
-		"buffers_mb": s.post.Memory >> 20}).Info("serving")
+		"buffers_mb": s.post.MessageMemory >> 20}).Info("serving")
 	go func() {
 		for {
 			select {
@@ -109,8 +109,8 @@
 				if !more {
 					return
 				}
-				s.Inside(func() { s.renew(post) })
-			case <-s.Over():
+				s.RunOnLoop(func() { s.renew(post) })
+			case <-s.Stopped():
 				return
 			}
 		}
@@ -122,12 +122,12 @@
 // Gather takes what has happened on the sockets, and requests that came with others before them.
 func (s *Sidecar) Gather(now policy.Time) {
 	s.keepToShare(now)
-	if s.waits && s.Fresh() {
+	if s.waits && s.ListFresh() {
 		s.open(now)
 	}
 	for _, e := range s.sockets.take() {
 		s.happened(now, e)
-		s.Tell(now)
+		s.RunSteps(now)
 	}
 	again := s.again
 	s.again = nil
@@ -231,26 +231,26 @@
 
 // ---- what the engine asks for ----
 
-// Unneeded gives back an answer that is not handed on.
-func (s *Sidecar) Unneeded(of *engine.Request) {
+// DiscardResponse gives back an answer that is not handed on.
+func (s *Sidecar) DiscardResponse(of *engine.Request) {
 	t := connstate.Of(of)
 	s.buffers.Put(t.Answer)
 	t.Answer = nil
 }
 
-// Given takes the request's buffers back.
-func (s *Sidecar) Given(of *engine.Request) { connstate.Of(of).Give(s.buffers) }
+// Released takes the request's buffers back.
+func (s *Sidecar) Released(of *engine.Request) { connstate.Of(of).Give(s.buffers) }
 
 // part is what this front keeps of an endpoint.
 func (s *Sidecar) part(of *engine.Endpoint) *connstate.Endpoint {
-	if of.Parts[s.no] == nil {
-		of.Parts[s.no] = &connstate.Endpoint{Of: of}
+	if of.FrontData[s.no] == nil {
+		of.FrontData[s.no] = &connstate.Endpoint{Of: of}
 	}
-	return of.Parts[s.no].(*connstate.Endpoint)
+	return of.FrontData[s.no].(*connstate.Endpoint)
 }
 
-// Retire closes the connections to an endpoint that stand idle.
-func (s *Sidecar) Retire(of *engine.Endpoint) {
+// CloseIdle closes the connections to an endpoint that stand idle.
+func (s *Sidecar) CloseIdle(of *engine.Endpoint) {
 	server := s.part(of)
 	for len(server.Idle) > 0 {
 		c := server.Idle[len(server.Idle)-1]
--- a/internal/httpproxy/sidecar_test.go
+++ b/internal/httpproxy/sidecar_test.go
@@ -51,7 +51,7 @@
 }
 
 func TestOwnPages(t *testing.T) {
-	r, a := run(t, func(p *Config) { p.Known = nil }, newStandIn(t).Addr().String())
+	r, a := run(t, func(p *Config) { p.SavedList = nil }, newStandIn(t).Addr().String())
 	ready := func() int {
 		c := r.client()
 		io.WriteString(c, "GET /_health HTTP/1.1\r\nHost: o\r\n\r\n")
@@ -181,14 +181,14 @@
 	}
 	second.mu.Unlock()
 	r.end()
-	if r.Counters.Renewals != 3 || r.post.Settings.MaxRetryAfter != 2*policy.Second {
-		t.Errorf("renewed %d times, advice %d", r.Counters.Renewals, r.post.Settings.MaxRetryAfter)
+	if r.Counters.Reconfigurations != 3 || r.post.Settings.MaxRetryAfter != 2*policy.Second {
+		t.Errorf("renewed %d times, advice %d", r.Counters.Reconfigurations, r.post.Settings.MaxRetryAfter)
 	}
 }
 
 func TestLeaving(t *testing.T) {
 	server := newStandIn(t)
-	r, _ := run(t, func(p *Config) { p.Accept, p.Leave = 200*policy.Millisecond, 600*policy.Millisecond }, server.Addr().String())
+	r, _ := run(t, func(p *Config) { p.AcceptTime, p.ShutdownTime = 200*policy.Millisecond, 600*policy.Millisecond }, server.Addr().String())
 	idle, slow, silent := r.client(), r.client(), r.client()
 	idle.send("step/echo", "b", "")
 	idle.receive()
@@ -243,13 +243,13 @@
 	r.end()
 	s := New(r.post, r.Logger)
 	s.sockets.connect = func(string, policy.Time) (net.Conn, error) { return nil, net.ErrClosed }
-	_, _, entries, err := discovery.ReadList(s.post.Known)
+	_, _, entries, err := discovery.ReadList(s.post.SavedList)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Apply(1, &discovery.List{Kind: policy.ListSaved, Entries: entries})
 	return s, func(side connstate.Side) (*connstate.Conn, *sink) {
-		c := &connstate.Conn{Side: side, Up: true, Timer: engine.Timer{Do: func(policy.Time) {}}}
+		c := &connstate.Conn{Side: side, Up: true, Timer: engine.Timer{Run: func(policy.Time) {}}}
 		k := &sink{conn: c}
 		c.Link = k
 		s.conns.Add(c)
@@ -288,7 +288,7 @@
 		t.Errorf("%v allocations a ticket", n)
 	}
 	if !bytes.HasSuffix(answers.last, []byte("\r\n\r\nok")) || !bytes.HasPrefix(pushes.last, []byte("GET /step/a ")) ||
-		s.Counters.Honoured < 700 {
+		s.Counters.Succeeded < 700 {
 		t.Errorf("%q %q %s", answers.last, pushes.last, s.report())
 	}
 }
@@ -333,9 +333,9 @@
 		rnd := rand.New(rand.NewSource(seed))
 		client, _ := connect(connstate.Client)
 		server, _ := connect(connstate.ToServer)
-		client.Timer.Do = func(now policy.Time) { s.clientDue(now, client) }
+		client.Timer.Run = func(now policy.Time) { s.clientDue(now, client) }
 		for _, one := range s.Endpoints {
-			server.Endpoint, server.Life = s.part(one), one.Life // dialled to it as it stands now
+			server.Endpoint, server.Life = s.part(one), one.Generation // dialled to it as it stands now
 			s.park(now, server)
 			break
 		}
@@ -366,12 +366,12 @@
 			buf := s.buffers.Get(len(in))
 			buf.B = append(buf.B, in...)
 			s.happened(now, event{what: arrived, conn: c, buf: buf, at: now})
-			s.Tell(now)
+			s.RunSteps(now)
 			s.Round(now)
 		}
 		for _, c := range []*connstate.Conn{client, server} {
 			s.happened(now, event{what: closed, conn: c, at: now})
-			s.Tell(now)
+			s.RunSteps(now)
 			s.Round(now)
 		}
 		now += 2 * policy.Second
@@ -381,12 +381,12 @@
 				time.Sleep(100 * time.Microsecond)
 			}
 		}
-		return s.Held == 0 && s.buffers.Lent() == 0 && len(s.conns.Open) == 0
+		return s.InFlight == 0 && s.buffers.Lent() == 0 && len(s.conns.Open) == 0
 	}
 	if err := quick.Check(feed, &quick.Config{MaxCount: 5000, Rand: rand.New(rand.NewSource(9))}); err != nil {
 		t.Error(err, s.report())
 	}
-	if k := s.Counters; k.Honoured == 0 || k.Bad == 0 || k.Outcomes[policy.ConnectionLost] == 0 || k.Lists < 100 {
+	if k := s.Counters; k.Succeeded == 0 || k.BadRequests == 0 || k.Outcomes[policy.ConnectionLost] == 0 || k.Lists < 100 {
 		t.Errorf("too little was reached: %s", k.String())
 	}
 }
--- a/internal/httpproxy/sockets.go
+++ b/internal/httpproxy/sockets.go
@@ -58,7 +58,7 @@
 )
 
 func newSockets(clock clock.Clock, buffers *connstate.Buffers, post *Config, clients int, signal func()) *sockets {
-	s := &sockets{clock: clock, buffers: buffers, connect: connect(post.From), signal: signal, room: make(chan struct{}, 1), ended: make(chan struct{})}
+	s := &sockets{clock: clock, buffers: buffers, connect: connect(post.SourceIP), signal: signal, room: make(chan struct{}, 1), ended: make(chan struct{})}
 	s.most.Store(int64(clients))
 	s.ahead.Store(mostAhead)
 	s.gate = &gate{s: s, begun: make(chan struct{}), over: make(chan struct{})}
@@ -70,7 +70,7 @@
 		// connection comes up, that bytes are still to be written.
 		EpollMod: nbio.EPOLLET,
 		Listen: func(network, addr string) (net.Listener, error) {
-			l, err := listen(network, addr, post.Inherited)
+			l, err := listen(network, addr, post.InheritedListener)
 			s.gate.Listener = l
 			return s.gate, err
 		}})
--- a/internal/httpproxy/stream.go
+++ b/internal/httpproxy/stream.go
@@ -26,7 +26,7 @@
 func (s *Sidecar) answerComes(now, at policy.Time, c *connstate.Conn, long bool) (dealt bool) {
 	t, b := c.Request, c.In.B
 	n, status, head, size, chunked, stays, ok := answerHead(b, false, t.Bodiless)
-	if !ok || n == 0 || size > mostStream || t.Client == nil || t.Settled {
+	if !ok || n == 0 || size > mostStream || t.Client == nil || t.Decided {
 		return false
 	}
 	if c.HeadAt == 0 {
@@ -61,8 +61,8 @@
 
 func (s *Sidecar) beginStream(now, at policy.Time, c *connstate.Conn, t *connstate.Request, status int, head, body []byte, stays bool) {
 	// For the module the attempt ends with the first bytes, as the endpoint's work does; the rest is a matter of the sockets.
-	t.Settled = true
-	s.Ended(at, t.Request, outcomeOf(status, head))
+	t.Decided = true
+	s.AttemptEnded(at, t.Request, outcomeOf(status, head))
 	s.Counters.Streams++
 	s.streams++
 	s.setAhead()
@@ -167,7 +167,7 @@
 	s.streamOver(now, t, stays)
 	if c := s.answer(now, t, kind); c != nil {
 		if kind == 0 {
-			s.Counters.Honoured++
+			s.Counters.Succeeded++
 		} else {
 			s.Counters.Declined++
 		}
@@ -227,7 +227,7 @@
 	case t.Uploads: // its time has not begun
 		by = c.MovedAt + unreadIn
 	default:
-		by = streamBy(c.Frame, c.MovedAt, t.Since+t.Left-engine.BeforeDeadline*s.Settings.Tick)
+		by = streamBy(c.Frame, c.MovedAt, t.ReceivedAt+t.Left-engine.BeforeDeadline*s.Settings.Tick)
 	}
 	if now >= by {
 		s.breakStream(now, t)
--- a/internal/httpproxy/stream_test.go
+++ b/internal/httpproxy/stream_test.go
@@ -182,9 +182,9 @@
 			if n, err := io.Copy(io.Discard, a.Body); err == nil || n > long/2 {
 				t.Errorf("%d bytes came, %v", n, err)
 			}
-			r.Inside(func() {
-				if r.Counters.Pushes != 1 || r.Counters.StreamsBroken != 1 || r.Tally.Answered[0][2].Load() != 1 {
-					t.Error(r.Counters.Pushes, r.Counters.StreamsBroken)
+			r.RunOnLoop(func() {
+				if r.Counters.Attempts != 1 || r.Counters.StreamsBroken != 1 || r.Tally.Answered[0][2].Load() != 1 {
+					t.Error(r.Counters.Attempts, r.Counters.StreamsBroken)
 				}
 			})
 		})
@@ -253,7 +253,7 @@
 }
 
 // little is memory for messages of which one body may take 1 MiB.
-func little(p *Config) { p.Memory = 6 << 20 }
+func little(p *Config) { p.MessageMemory = 6 << 20 }
 
 // Long bodies come to the endpoint as they were sent, collected or passed on, and the connection goes on to its next request.
 func TestLongBodiesComeAsTheyAre(t *testing.T) {
--- a/internal/httpproxy/upload.go
+++ b/internal/httpproxy/upload.go
@@ -25,7 +25,7 @@
 		s.write(c, []byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 	s.conns.Work(c)
-	s.Counters.LongBodies++
+	s.Counters.LargeBodies++
 	c.Upload, c.Size, c.BodyAt, c.Need = connstate.Collected, a.size, a.at, 0
 	if c.HeadAt == 0 {
 		c.HeadAt = now
@@ -83,7 +83,7 @@
 // goesOn admits a request whose body has not come whole.
 func (s *Sidecar) goesOn(now, at policy.Time, c *connstate.Conn) {
 	buf := c.In
-	s.Counters.PassedBodies++
+	s.Counters.StreamedBodies++
 	c.In, c.Upload = nil, connstate.Passed
 	a, _ := askedBy(buf.B)
 	s.request(now, at, c, buf, a, buf.B[a.at:])
@@ -108,7 +108,7 @@
 		if t.Sent && t.Attempt != nil {
 			s.sendEnd(t)
 		}
-		s.Whole(now, t.Request, t.Left)
+		s.BodyComplete(now, t.Request, t.Left)
 	}
 }
 
--- a/internal/membership/events.go
+++ b/internal/membership/events.go
@@ -9,7 +9,7 @@
 )
 
 // NodeMeta is what is told of this sidecar.
-func (c *Company) NodeMeta(limit int) []byte {
+func (c *Cluster) NodeMeta(limit int) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	b, err := cbor.Marshal(c.says)
@@ -20,15 +20,15 @@
 }
 
 // NotifyJoin is told of one that is there.
-func (c *Company) NotifyJoin(n *memberlist.Node) { c.heard(n, true, true) }
+func (c *Cluster) NotifyJoin(n *memberlist.Node) { c.heard(n, true, true) }
 
 // NotifyUpdate is told of one that says something else now.
-func (c *Company) NotifyUpdate(n *memberlist.Node) { c.heard(n, true, false) }
+func (c *Cluster) NotifyUpdate(n *memberlist.Node) { c.heard(n, true, false) }
 
 // NotifyLeave is told of one that is gone.
-func (c *Company) NotifyLeave(n *memberlist.Node) { c.heard(n, false, true) }
+func (c *Cluster) NotifyLeave(n *memberlist.Node) { c.heard(n, false, true) }
 
-func (c *Company) heard(n *memberlist.Node, alive, moved bool) {
+func (c *Cluster) heard(n *memberlist.Node, alive, moved bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.peers[n.Name]
@@ -36,11 +36,11 @@
 		p = &Peer{Name: n.Name}
 		c.peers[n.Name] = p
 	}
-	var says Says
+	var says Metadata
 	if cbor.Unmarshal(n.Meta, &says) == nil { // else of a newer kind: it is there all the same
-		p.Says = says
+		p.Metadata = says
 	}
-	p.Address, p.Alive, p.Heard = n.Address(), alive, time.Now()
+	p.Address, p.Alive, p.LastHeard = n.Address(), alive, time.Now()
 	if !moved || n.Name == c.post.Name {
 		return
 	}
@@ -60,27 +60,27 @@
 }
 
 // NotifyPingComplete is told of one that has answered.
-func (c *Company) NotifyPingComplete(n *memberlist.Node, _ time.Duration, _ []byte) {
+func (c *Cluster) NotifyPingComplete(n *memberlist.Node, _ time.Duration, _ []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if p := c.peers[n.Name]; p != nil {
-		p.Heard = time.Now()
+		p.LastHeard = time.Now()
 	}
 }
 
 // NotifyConflict is told of two under one name: the one that was there first stays.
-func (c *Company) NotifyConflict(is, other *memberlist.Node) {
+func (c *Cluster) NotifyConflict(is, other *memberlist.Node) {
 	c.log.Warnf("peers: %s is the name of %s, and of %s, which is left out", is.Name, is.Address(), other.Address())
 }
 
 // NotifyMsg is told of what another has sent. The bytes are memberlist's again after it.
-func (c *Company) NotifyMsg(b []byte) {
-	if c.post.Heard != nil {
-		c.post.Heard(slices.Clone(b))
+func (c *Cluster) NotifyMsg(b []byte) {
+	if c.post.OnMessage != nil {
+		c.post.OnMessage(slices.Clone(b))
 	}
 }
 
-func (c *Company) AckPayload() []byte              { return nil }
-func (c *Company) GetBroadcasts(_, _ int) [][]byte { return nil }
-func (c *Company) LocalState(bool) []byte          { return nil }
-func (c *Company) MergeRemoteState([]byte, bool)   {}
+func (c *Cluster) AckPayload() []byte              { return nil }
+func (c *Cluster) GetBroadcasts(_, _ int) [][]byte { return nil }
+func (c *Cluster) LocalState(bool) []byte          { return nil }
+func (c *Cluster) MergeRemoteState([]byte, bool)   {}
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -37,16 +37,16 @@
 func TestSaysKeepsItsKeys(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	sender := newCompany(Post{Name: "sender"}, log)
-	sender.says = Says{Zone: "zone", Since: 1_700_000_000_000_000_001, Version: 2, Table: 1 << 63, Keeper: true}
+	sender := newCompany(Config{Name: "sender"}, log)
+	sender.says = Metadata{Zone: "zone", StartedAt: 1_700_000_000_000_000_001, Revision: 2, TableDigest: 1 << 63, Coordinator: true}
 	encoded := sender.NodeMeta(memberlist.MetaMaxSize)
 	want := goldenFile(t, "says.cbor", encoded)
 	if !bytes.Equal(encoded, want) {
 		t.Errorf("encoded\n%x\nwant\n%x", encoded, want)
 	}
-	receiver := newCompany(Post{Name: "receiver"}, log)
+	receiver := newCompany(Config{Name: "receiver"}, log)
 	receiver.NotifyJoin(&memberlist.Node{Name: "sender", Meta: want})
-	received := receiver.peers["sender"].Says
+	received := receiver.peers["sender"].Metadata
 	if received != sender.says {
 		t.Errorf("decoded %+v, want %+v", received, sender.says)
 	}
--- a/internal/membership/peers.go
+++ b/internal/membership/peers.go
@@ -24,34 +24,34 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Post is what a sidecar is told of its peers.
-type Post struct {
-	Name      string // in the cluster, of this one alone
-	Cluster   string // packets of others are dropped
-	Listen    string // TCP and UDP
-	Advertise string // where others reach it; "": Listen
-	Join      []string
-	Key       []byte // 16, 24 or 32 bytes; every packet is sealed with it
-	Zone      string
-	Keeper    bool         // it keeps versions
-	Heard     func([]byte) // what another has sent to this one; must not wait. nil: nothing is heard
+// Config is what a sidecar is told of its peers.
+type Config struct {
+	Name        string // in the cluster, of this one alone
+	Cluster     string // packets of others are dropped
+	Listen      string // TCP and UDP
+	Advertise   string // where others reach it; "": Listen
+	Join        []string
+	Key         []byte // 16, 24 or 32 bytes; every packet is sealed with it
+	Zone        string
+	Coordinator bool         // it keeps versions
+	OnMessage   func([]byte) // what another has sent to this one; must not wait. nil: nothing is heard
 }
 
-// Says is what each sidecar tells all others of itself.
-type Says struct {
-	Zone    string `cbor:"1,keyasint"`
-	Since   int64  `cbor:"2,keyasint"` // Unix time of its start, in nanoseconds
-	Version uint64 `cbor:"3,keyasint"` // of the rules in force; 0: its own file's
-	Table   uint64 `cbor:"4,keyasint"` // digest of its slot table
-	Keeper  bool   `cbor:"5,keyasint"` // it keeps versions, and serves nobody
+// Metadata is what each sidecar tells all others of itself.
+type Metadata struct {
+	Zone        string `cbor:"1,keyasint"`
+	StartedAt   int64  `cbor:"2,keyasint"` // Unix time of its start, in nanoseconds
+	Revision    uint64 `cbor:"3,keyasint"` // of the rules in force; 0: its own file's
+	TableDigest uint64 `cbor:"4,keyasint"` // digest of its slot table
+	Coordinator bool   `cbor:"5,keyasint"` // it keeps versions, and serves nobody
 }
 
 // Peer is one sidecar as this one knows it.
 type Peer struct {
-	Says
+	Metadata
 	Name, Address string
 	Alive         bool
-	Heard         time.Time // latest word of it: joined, changed, or answered a probe of this one
+	LastHeard     time.Time // latest word of it: joined, changed, or answered a probe of this one
 }
 
 const (
@@ -70,9 +70,9 @@
 	keyFile   = 1 << 10
 )
 
-// Company is this sidecar among its peers.
-type Company struct {
-	post  Post
+// Cluster is this sidecar among its peers.
+type Cluster struct {
+	post  Config
 	list  *memberlist.Memberlist
 	wire  *wire
 	log   *logrus.Logger
@@ -80,7 +80,7 @@
 	ended sync.WaitGroup
 
 	mu    sync.Mutex
-	says  Says
+	says  Metadata
 	sayAt time.Time        // when what is new in it is told; zero: nothing is
 	peers map[string]*Peer // by name, also such that have gone
 	next  int              // whom to seek next
@@ -105,13 +105,13 @@
 
 // newCompany makes one that knows nobody yet. It begins anywhere among those that are to be joined: hundreds that start at once with one
 // list would otherwise all join the same process.
-func newCompany(p Post, log *logrus.Logger) *Company {
-	return &Company{post: p, log: log, stop: make(chan struct{}), peers: map[string]*Peer{}, next: rand.IntN(1 << 16),
-		says: Says{Zone: p.Zone, Since: time.Now().UnixNano(), Keeper: p.Keeper}}
+func newCompany(p Config, log *logrus.Logger) *Cluster {
+	return &Cluster{post: p, log: log, stop: make(chan struct{}), peers: map[string]*Peer{}, next: rand.IntN(1 << 16),
+		says: Metadata{Zone: p.Zone, StartedAt: time.Now().UnixNano(), Coordinator: p.Coordinator}}
 }
 
 // Open listens, and seeks those that are to be joined from then on. It waits for none of them.
-func Open(p Post, log *logrus.Logger) (*Company, error) {
+func Open(p Config, log *logrus.Logger) (*Cluster, error) {
 	c := newCompany(p, log)
 	conf := memberlist.DefaultLANConfig()
 	conf.Name, conf.Label, conf.SecretKey = p.Name, p.Cluster, p.Key
@@ -153,7 +153,7 @@
 
 // seek tries to meet those that are to be joined and those that were there before, one at a time. memberlist alone gives up on the dead
 // after half a minute, so two sides of a network that was parted for longer would stay apart for ever.
-func (c *Company) seek() {
+func (c *Cluster) seek() {
 	for wait := time.Duration(0); ; wait = seekEvery/2 + rand.N(seekEvery) {
 		select {
 		case <-c.stop:
@@ -167,15 +167,15 @@
 }
 
 // missing is the next address at which nobody is known to be there.
-func (c *Company) missing(now time.Time) string {
+func (c *Cluster) missing(now time.Time) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	wanted, there := slices.Clone(c.post.Join), map[string]bool{c.Own(): true}
+	wanted, there := slices.Clone(c.post.Join), map[string]bool{c.Address(): true}
 	for _, name := range slices.Sorted(maps.Keys(c.peers)) {
 		switch p := c.peers[name]; {
 		case p.Alive:
 			there[p.Address] = true
-		case now.Sub(p.Heard) > forgetIn:
+		case now.Sub(p.LastHeard) > forgetIn:
 			delete(c.peers, name)
 		default:
 			wanted = append(wanted, p.Address)
@@ -189,16 +189,16 @@
 	return wanted[c.next%len(wanted)]
 }
 
-// Say changes what is told of this sidecar; it is called again and again. Each word of one goes to all, and a change of the rules is one for all
+// Announce changes what is told of this sidecar; it is called again and again. Each word of one goes to all, and a change of the rules is one for all
 // at once: hundreds that told it in the same second filled the network by their square, late answers cost leases, and that was to be told again.
 // So what is new is told within a time that grows with the company, each at a moment of its own.
-func (c *Company) Say(version, table uint64) {
+func (c *Cluster) Announce(version, table uint64) {
 	alive, now := c.Alive(), time.Now()
 	c.mu.Lock()
-	if changed := c.says.Version != version || c.says.Table != table; changed && c.sayAt.IsZero() {
+	if changed := c.says.Revision != version || c.says.TableDigest != table; changed && c.sayAt.IsZero() {
 		c.sayAt = now.Add(rand.N(time.Duration(max(1, alive)) * sayEach))
 	}
-	c.says.Version, c.says.Table = version, table
+	c.says.Revision, c.says.TableDigest = version, table
 	due := !c.sayAt.IsZero() && !now.Before(c.sayAt)
 	if due {
 		c.sayAt = time.Time{}
@@ -210,37 +210,37 @@
 }
 
 // Alive is how many sidecars are there, this one among them.
-func (c *Company) Alive() (n int) {
+func (c *Cluster) Alive() (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, p := range c.peers {
-		if p.Alive && !p.Keeper {
+		if p.Alive && !p.Coordinator {
 			n++
 		}
 	}
 	return n
 }
 
-// Keepers are the addresses of those that keep versions, also such as are held to be gone: that may be a mistake.
-func (c *Company) Keepers() (at []string) {
-	for _, p := range c.All() {
-		if p.Keeper {
+// Coordinators are the addresses of those that keep versions, also such as are held to be gone: that may be a mistake.
+func (c *Cluster) Coordinators() (at []string) {
+	for _, p := range c.Peers() {
+		if p.Coordinator {
 			at = append(at, p.Address)
 		}
 	}
 	return at
 }
 
-// Own is where others reach this one.
-func (c *Company) Own() string { return cmp.Or(c.post.Advertise, c.post.Listen) }
+// Address is where others reach this one.
+func (c *Cluster) Address() string { return cmp.Or(c.post.Advertise, c.post.Listen) }
 
 // Send sends a few bytes to the one at that address; they may be lost, or come twice.
-func (c *Company) Send(to string, b []byte) error {
+func (c *Cluster) Send(to string, b []byte) error {
 	return c.list.SendToAddress(memberlist.Address{Addr: to}, b)
 }
 
-// SendWhole sends any number of bytes, and waits until they are on their way.
-func (c *Company) SendWhole(to string, b []byte) error {
+// SendReliable sends any number of bytes, and waits until they are on their way.
+func (c *Cluster) SendReliable(to string, b []byte) error {
 	at, err := net.ResolveTCPAddr("tcp", to)
 	if err != nil {
 		return err
@@ -248,8 +248,8 @@
 	return c.list.SendReliable(&memberlist.Node{Addr: at.IP, Port: uint16(at.Port)}, b)
 }
 
-// All are the sidecars known, this one too, by name; those that have gone for a while longer.
-func (c *Company) All() (all []Peer) {
+// Peers are the sidecars known, this one too, by name; those that have gone for a while longer.
+func (c *Cluster) Peers() (all []Peer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(c.peers)) {
@@ -259,34 +259,34 @@
 }
 
 // Report is the peers, one a line.
-func (c *Company) Report() string {
+func (c *Cluster) Report() string {
 	var b strings.Builder
 	now := time.Now()
-	for _, p := range c.All() {
+	for _, p := range c.Peers() {
 		state := "alive"
 		if !p.Alive {
 			state = "gone"
 		}
-		heard := now.Sub(p.Heard)
+		heard := now.Sub(p.LastHeard)
 		if p.Name == c.post.Name {
 			heard = 0
 		}
-		if p.Keeper {
+		if p.Coordinator {
 			state += " keeper"
 		}
 		fmt.Fprintf(&b, "%s %s zone=%q %s up=%.0fs heard=%.0fs version=%d table=%016x\n", p.Name, p.Address, p.Zone, state,
-			now.Sub(time.Unix(0, p.Since)).Seconds(), heard.Seconds(), p.Version, p.Table)
+			now.Sub(time.Unix(0, p.StartedAt)).Seconds(), heard.Seconds(), p.Revision, p.TableDigest)
 	}
 	return b.String()
 }
 
 // EachMetric hands over what this costs and knows.
-func (c *Company) EachMetric(each func(name string, value float64, rises bool)) {
+func (c *Cluster) EachMetric(each func(name string, value float64, rises bool)) {
 	c.mu.Lock()
 	known, joins, gone, tables := len(c.peers), c.joins, c.gone, map[uint64]bool{}
 	for _, p := range c.peers {
-		if p.Alive && !p.Keeper {
-			tables[p.Table] = true
+		if p.Alive && !p.Coordinator {
+			tables[p.TableDigest] = true
 		}
 	}
 	c.mu.Unlock()
@@ -302,7 +302,7 @@
 }
 
 // Close leaves, so that the others need not find out, and ends.
-func (c *Company) Close() {
+func (c *Cluster) Close() {
 	close(c.stop)
 	c.list.Leave(leaveIn)
 	c.list.Shutdown()
--- a/internal/membership/peers_test.go
+++ b/internal/membership/peers_test.go
@@ -22,7 +22,7 @@
 
 // Hundreds that start at once with one list of whom to join must not all join the same one.
 func TestThoseThatStartAtOnceJoinDifferentOnes(t *testing.T) {
-	post := Post{Name: "own", Listen: "127.0.0.1:1"}
+	post := Config{Name: "own", Listen: "127.0.0.1:1"}
 	for i := range 10 {
 		post.Join = append(post.Join, fmt.Sprintf("127.0.0.1:%d", 100+i))
 	}
--- a/internal/migration/migration_test.go
+++ b/internal/migration/migration_test.go
@@ -47,7 +47,7 @@
 		}
 		a := *was.Settings
 		if c.Classes[0] != a.Classes[0] || len(c.Classes) != len(a.Classes) || c.TotalQuota != a.TotalQuota || c.ColdTime != a.ColdTime ||
-			c.MaxRetryAfter != a.MaxRetryAfter || c.Zones != a.Zones || is.Leave != was.Leave || is.Descriptors != was.Descriptors {
+			c.MaxRetryAfter != a.MaxRetryAfter || c.Zones != a.Zones || is.ShutdownTime != was.ShutdownTime || is.Descriptors != was.Descriptors {
 			t.Errorf("%s: something else has changed:\n%s", name, m.Text)
 		}
 		told := strings.Join(m.Left, "\n")
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -12,16 +12,16 @@
 	"path/filepath"
 )
 
-// Most is how many bytes one thing may have.
-const Most = 64 << 20
+// MaxSize is how many bytes one thing may have.
+const MaxSize = 64 << 20
 
-// ErrNone says that nothing is kept under the name.
-var ErrNone = errors.New("nothing is kept")
+// ErrNotFound says that nothing is kept under the name.
+var ErrNotFound = errors.New("nothing is kept")
 
 // Store is a folder. The zero value of Step is ready to use; tests have it called before each step of a write.
 type Store struct {
-	Dir  string
-	Step func(name string)
+	Dir        string
+	BeforeStep func(name string)
 }
 
 // Put keeps the body under the name, in place of what was there. kind and version say what it is.
@@ -30,7 +30,7 @@
 	if err := os.MkdirAll(s.Dir, 0o700); err != nil {
 		return err
 	}
-	return replace(filepath.Join(s.Dir, name), 0o600, append([]byte(head), body...), s.Step)
+	return replace(filepath.Join(s.Dir, name), 0o600, append([]byte(head), body...), s.BeforeStep)
 }
 
 // Get gives what was last kept under the name, if it is whole and of that kind and version.
@@ -38,13 +38,13 @@
 	path := filepath.Join(s.Dir, name)
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
-		return nil, ErrNone
+		return nil, ErrNotFound
 	}
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	all, err := io.ReadAll(io.LimitReader(f, Most+1))
+	all, err := io.ReadAll(io.LimitReader(f, MaxSize+1))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -17,7 +17,7 @@
 	if dir == "" {
 		os.Exit(m.Run())
 	}
-	s := &Store{Dir: dir, Step: func(at string) {
+	s := &Store{Dir: dir, BeforeStep: func(at string) {
 		if at == step {
 			syscall.Kill(os.Getpid(), syscall.SIGKILL)
 			select {}
@@ -57,7 +57,7 @@
 // A write that fails at any step says so, and what was there stays.
 func TestDamageIsKnown(t *testing.T) {
 	s := &Store{Dir: t.TempDir()}
-	if _, err := s.Get("x", "kind", 1); !errors.Is(err, ErrNone) {
+	if _, err := s.Get("x", "kind", 1); !errors.Is(err, ErrNotFound) {
 		t.Error(err)
 	}
 	if err := s.Put("x", "kind", 1, []byte("a body")); err != nil {
--- a/rpc/conn.go
+++ b/rpc/conn.go
@@ -90,7 +90,7 @@
 	if seed == 0 {
 		seed = rand.Uint64()
 	}
-	c.engine = engine.New(engine.Config{Seed: seed, Settings: o.Campaign, Source: o.Source, Leave: policy.Second, Stall: daemon.Stall}, log)
+	c.engine = engine.New(engine.Config{Seed: seed, Settings: o.Campaign, Source: o.Source, ShutdownTime: policy.Second, StallAfter: daemon.Stall}, log)
 	c.front = &front{engine: c.engine, dial: opts}
 	c.front.calls.New = newCall
 	c.front.no = c.engine.Add(c.front)
@@ -101,7 +101,7 @@
 // Close turns new calls back, lets those under way end for a second at most, and closes all connections.
 func (c *Conn) Close() error {
 	c.close.Do(func() { c.stop <- os.Interrupt })
-	<-c.engine.Over()
+	<-c.engine.Stopped()
 	return nil
 }
 
@@ -122,7 +122,7 @@
 func (c *Conn) Servers() (all []Server) {
 	c.inside(func() {
 		for _, s := range c.engine.Endpoints {
-			all = append(all, Server{s.UID, s.Addr, string(s.Zone), s.Leaving})
+			all = append(all, Server{s.UID, s.Addr, string(s.Zone), s.Draining})
 		}
 	})
 	return all
@@ -130,7 +130,7 @@
 
 // inside runs on the loop, or where that has ended in its place.
 func (c *Conn) inside(do func()) {
-	if !c.engine.Inside(do) {
+	if !c.engine.RunOnLoop(do) {
 		do()
 	}
 }
@@ -219,7 +219,7 @@
 		return o, nil
 	case <-ctx.Done():
 		err = status.FromContextError(ctx.Err()).Err()
-	case <-c.engine.Over():
+	case <-c.engine.Stopped():
 		err = errClosed
 	}
 	c.front.post(posting{do: (*front).leaves, call: k, last: true})
@@ -367,6 +367,6 @@
 
 // Open is how many calls the loop has in hand.
 func (c *Conn) Open() (n int) {
-	c.inside(func() { n = c.engine.Held })
+	c.inside(func() { n = c.engine.InFlight })
 	return n
 }
--- a/rpc/front.go
+++ b/rpc/front.go
@@ -111,7 +111,7 @@
 	for i := range got {
 		p := got[i]
 		p.do(f, now, p.call, p)
-		f.engine.Tell(now)
+		f.engine.RunSteps(now)
 	}
 	clear(got)
 }
@@ -120,26 +120,26 @@
 
 // begins is a call that came.
 func (f *front) begins(now policy.Time, c *call, p posting) {
-	if _, leaving := f.engine.Leaving(); leaving {
+	if _, leaving := f.engine.ShuttingDown(); leaving {
 		c.gone = true
 		c.orders <- order{final: turnedBack}
 		return
 	}
-	t := f.engine.Take(f.no)
-	t.Part, c.ticket = c, t
+	t := f.engine.NewRequest(f.no)
+	t.FrontData, c.ticket = c, t
 	f.engine.Admit(now, p.at, t, c.offering, c.franchise, c.key, false, c.left)
 }
 
 // ended is how a push ended for its caller. What the loop has called off meanwhile has been told already.
 func (f *front) ended(now policy.Time, c *call, p posting) {
 	t := c.ticket
-	current := t != nil && t.Out && c.seq == p.seq
+	current := t != nil && t.InFlight && c.seq == p.seq
 	if p.last && t != nil && (!current || c.stream && p.outcome != policy.Succeeded && p.outcome != policy.Declined) {
 		// Its caller has an answer that nothing can change any more.
 		f.engine.ClientLeft(now, t)
 	}
 	if current {
-		f.engine.Ended(p.at, t, p.outcome)
+		f.engine.AttemptEnded(p.at, t, p.outcome)
 	}
 	f.used(p.to)
 	if p.last {
@@ -149,16 +149,16 @@
 
 // opened is a stream that is open: it has no cut-off any more.
 func (f *front) opened(_ policy.Time, c *call, p posting) {
-	if t := c.ticket; t != nil && t.Out && c.seq == p.seq {
-		f.engine.Timers.Stop(&t.Wait)
+	if t := c.ticket; t != nil && t.InFlight && c.seq == p.seq {
+		f.engine.Timers.Stop(&t.AttemptTimer)
 		f.engine.Module.Until(t.Handle, 0)
 	}
 }
 
 // streams is the first message of a stream's server: its opening was honoured. The stream goes on.
 func (f *front) streams(_ policy.Time, c *call, p posting) {
-	if t := c.ticket; t != nil && t.Out && c.seq == p.seq {
-		f.engine.Ended(p.at, t, policy.Succeeded)
+	if t := c.ticket; t != nil && t.InFlight && c.seq == p.seq {
+		f.engine.AttemptEnded(p.at, t, policy.Succeeded)
 	}
 }
 
@@ -203,14 +203,14 @@
 
 // Send has the caller send its call to the server.
 func (f *front) Send(now policy.Time, t *engine.Request, to *engine.Endpoint) {
-	c := t.Part.(*call)
+	c := t.FrontData.(*call)
 	b, err := f.backend(to)
 	if err != nil {
-		f.engine.Ended(now, t, policy.NotSent)
+		f.engine.AttemptEnded(now, t, policy.NotSent)
 		return
 	}
 	if c.gone {
-		f.engine.Ended(now, t, policy.NotSent)
+		f.engine.AttemptEnded(now, t, policy.NotSent)
 		return
 	}
 	c.seq++
@@ -219,7 +219,7 @@
 }
 
 func (f *front) backend(to *engine.Endpoint) (*backend, error) {
-	if b, is := to.Parts[f.no].(*backend); is && !b.retired {
+	if b, is := to.FrontData[f.no].(*backend); is && !b.retired {
 		return b, nil
 	}
 	// One address, no retries, no configuration from a resolver: nothing may be sent again behind the module's back.
@@ -233,7 +233,7 @@
 		return nil, err
 	}
 	b := &backend{conn: conn, begun: begun}
-	to.Parts[f.no] = b
+	to.FrontData[f.no] = b
 	return b, nil
 }
 
@@ -247,55 +247,55 @@
 }
 
 func (f *front) TimedOut(now policy.Time, t *engine.Request) {
-	c := t.Part.(*call)
+	c := t.FrontData.(*call)
 	o := policy.TimedOut
 	if c.attempts.Load() == 0 {
 		o = policy.NotConnected // no stream was ever begun
 	}
 	c.stop()
-	f.engine.Ended(now, t, o)
+	f.engine.AttemptEnded(now, t, o)
 }
 
 func (f *front) CancelAttempt(now policy.Time, t *engine.Request) {
-	t.Part.(*call).stop()
-	f.engine.Ended(now, t, policy.Cancelled)
+	t.FrontData.(*call).stop()
+	f.engine.AttemptEnded(now, t, policy.Cancelled)
 }
 
 // Succeed: the caller has the reply already.
 func (f *front) Succeed(now policy.Time, t *engine.Request) {
-	f.engine.Counters.Honoured++
+	f.engine.Counters.Succeeded++
 	f.engine.Answered(now, t, 0)
 }
 
 func (f *front) Reject(now policy.Time, t *engine.Request, retryIn policy.Time) {
-	f.engine.Counters.TurnedBack++
+	f.engine.Counters.Rejected++
 	f.answer(now, t, order{final: turnedBack, retryIn: retryIn}, 2)
 }
 
 func (f *front) Fail(now policy.Time, t *engine.Request) {
-	f.engine.Counters.GivenUp++
+	f.engine.Counters.Failed++
 	f.answer(now, t, order{final: givenUp}, 3)
 }
 
 func (f *front) answer(now policy.Time, t *engine.Request, o order, kind int) {
-	if c := t.Part.(*call); !c.gone {
+	if c := t.FrontData.(*call); !c.gone {
 		c.gone = true
 		c.orders <- o
 	}
 	f.engine.Answered(now, t, kind)
 }
 
-func (f *front) Unneeded(*engine.Request) {}
+func (f *front) DiscardResponse(*engine.Request) {}
 
-// Given has the call's place used again, once its caller is through with it too.
-func (f *front) Given(t *engine.Request) {
-	c := t.Part.(*call)
-	t.Part, c.ticket = nil, nil
+// Released has the call's place used again, once its caller is through with it too.
+func (f *front) Released(t *engine.Request) {
+	c := t.FrontData.(*call)
+	t.FrontData, c.ticket = nil, nil
 	f.free(c)
 }
 
-func (f *front) Retire(s *engine.Endpoint) {
-	if b, is := s.Parts[f.no].(*backend); is && !b.retired {
+func (f *front) CloseIdle(s *engine.Endpoint) {
+	if b, is := s.FrontData[f.no].(*backend); is && !b.retired {
 		// Calls and streams that are open go on; a connection that nobody uses must not come up again by itself.
 		b.retired = true
 		if b.uses == 0 {
@@ -306,13 +306,13 @@
 
 func (f *front) Forget(*engine.Endpoint) {}
 
-func (f *front) Leave(policy.Time)     {}
-func (f *front) Left(policy.Time) bool { return true }
+func (f *front) BeginShutdown(policy.Time) {}
+func (f *front) Drained(policy.Time) bool  { return true }
 
-// Shut closes what is still open.
-func (f *front) Shut() {
+// Close closes what is still open.
+func (f *front) Close() {
 	for _, s := range f.engine.Endpoints {
-		if b, is := s.Parts[f.no].(*backend); is {
+		if b, is := s.FrontData[f.no].(*backend); is {
 			b.conn.Close()
 		}
 	}
