--- a/cmd/pepperlead/demo.go
+++ b/cmd/pepperlead/demo.go
@@ -21,7 +21,7 @@
 	c.Flags().Uint64Var(&sc.Seed, "seed", 1, "of all chance: one seed, one sequence of faults at each server")
 	c.Flags().DurationVar(&sc.For, "for", 0, "how long it runs (default until Ctrl-C)")
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		log, err := daemon.Logger("warning", "text")
+		log, err := daemon.NewLogger("warning", "text")
 		if err != nil {
 			return err
 		}
--- a/cmd/pepperlead/list.go
+++ b/cmd/pepperlead/list.go
@@ -35,7 +35,7 @@
 }
 
 func sum(f endpointfiles.File) summary {
-	s := summary{File: f.Name, Problem: f.Problem, Servers: len(f.Entries), Issue: f.Issue, Sealed: f.Sealed, TakeAway: f.TakesAway}
+	s := summary{File: f.Name, Problem: f.Problem, Servers: len(f.Entries), Issue: f.Issue, Sealed: f.Sealed, TakeAway: f.Removes}
 	for _, e := range f.Entries {
 		if e.Status == policy.Ready {
 			s.Ready++
--- a/cmd/pepperlead/serve.go
+++ b/cmd/pepperlead/serve.go
@@ -34,7 +34,7 @@
 		if err != nil {
 			return err
 		}
-		log, err := daemon.Logger(first(*level, orders.LogLevel, "info"), first(*format, orders.LogFormat, "text"))
+		log, err := daemon.NewLogger(first(*level, orders.LogLevel, "info"), first(*format, orders.LogFormat, "text"))
 		if err != nil {
 			return err
 		}
--- a/cmd/pepperlead/versions.go
+++ b/cmd/pepperlead/versions.go
@@ -26,15 +26,15 @@
 		Example: "  pepperlead keep --config keeper.toml"}
 	path := configFlag(c)
 	c.RunE = func(*cobra.Command, []string) error {
-		k, err := daemon.ReadKeeping(*path)
+		k, err := daemon.ReadCoordinatorConfig(*path)
 		if err != nil {
 			return err
 		}
-		log, err := daemon.Logger(k.LogLevel, k.LogFormat)
+		log, err := daemon.NewLogger(k.LogLevel, k.LogFormat)
 		if err != nil {
 			return err
 		}
-		return daemon.Keep(k, log)
+		return daemon.RunCoordinator(k, log)
 	}
 	return c
 }
@@ -101,7 +101,7 @@
 		if err != nil {
 			return err
 		}
-		if err := daemon.CheckVersion(names[0], text, nil); err != nil {
+		if err := daemon.ValidateRules(names[0], text, nil); err != nil {
 			return err
 		}
 		return change(c.OutOrStdout(), *to, *on, "", text, *author, *dry, *wait)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -18,11 +18,11 @@
 	"pepperlead/policy"
 )
 
-// Most is how many connections are open at once; further ones wait to be accepted.
-const Most = 8
+// MaxConnections is how many connections are open at once; further ones wait to be accepted.
+const MaxConnections = 8
 
-// Sidecar is what is asked. Each call may be made from any goroutine, and answers while the sidecar runs.
-type Sidecar interface {
+// Reporter is what is asked. Each call may be made from any goroutine, and answers while the sidecar runs.
+type Reporter interface {
 	Ready() bool
 	Report() string
 	ServersReport() string
@@ -32,11 +32,11 @@
 	EachFigure(one func(name, labels string, n int64, rises bool))
 }
 
-// Buckets are the upper bounds of the latency histograms, in seconds.
-var Buckets = []float64{.001, .0025, .005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5, 10}
+// LatencyBuckets are the upper bounds of the latency histograms, in seconds.
+var LatencyBuckets = []float64{.001, .0025, .005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5, 10}
 
-// Answers are how a ticket can end, as labels.
-var Answers = []string{"honoured", "declined", "turned_back", "given_up"}
+// AnswerNames are how a ticket can end, as labels.
+var AnswerNames = []string{"honoured", "declined", "turned_back", "given_up"}
 
 // Latency measures final answers by offering and kind. Observing allocates nothing.
 type Latency struct {
@@ -47,10 +47,10 @@
 // NewLatency makes the histograms, all of them empty.
 func NewLatency(offerings []policy.Class) *Latency {
 	l := &Latency{vec: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "pepperlead_answer_seconds",
-		Help: "From the last byte of a ticket to its final answer.", Buckets: Buckets}, []string{"offering", "answer"})}
+		Help: "From the last byte of a ticket to its final answer.", Buckets: LatencyBuckets}, []string{"offering", "answer"})}
 	for _, o := range offerings {
 		var row []prometheus.Observer
-		for _, a := range Answers {
+		for _, a := range AnswerNames {
 			row = append(row, l.vec.WithLabelValues(o.Name, a))
 		}
 		l.by = append(l.by, row)
@@ -64,7 +64,7 @@
 		l.by = append(l.by, nil)
 	}
 	l.by[o] = nil
-	for _, a := range Answers {
+	for _, a := range AnswerNames {
 		l.by[o] = append(l.by[o], l.vec.WithLabelValues(name, a))
 	}
 }
@@ -74,14 +74,14 @@
 	l.by[o][answer].Observe(float64(spent) / float64(policy.Second))
 }
 
-// Server is the admin address while it is served.
-type Server struct {
+// MetricsServer is the admin address while it is served.
+type MetricsServer struct {
 	http http.Server
 	at   net.Addr
 }
 
-// Listen serves at the address until Close.
-func Listen(addr string, of Sidecar, latency *Latency) (*Server, error) {
+// ListenMetrics serves at the address until Close.
+func ListenMetrics(addr string, of Reporter, latency *Latency) (*MetricsServer, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
@@ -90,7 +90,7 @@
 	metrics.MustRegister(figures{of}, latency.vec, collectors.NewGoCollector(),
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	mux := http.NewServeMux()
-	mux.Handle("/metrics", promhttp.HandlerFor(metrics, promhttp.HandlerOpts{MaxRequestsInFlight: Most}))
+	mux.Handle("/metrics", promhttp.HandlerFor(metrics, promhttp.HandlerOpts{MaxRequestsInFlight: MaxConnections}))
 	page := func(path string, text func() string) {
 		mux.HandleFunc(path, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "text/plain; charset=utf-8")
@@ -107,17 +107,17 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	s := &Server{at: l.Addr(), http: http.Server{Handler: mux, ReadTimeout: 5 * time.Second, WriteTimeout: 10 * time.Second,
+	s := &MetricsServer{at: l.Addr(), http: http.Server{Handler: mux, ReadTimeout: 5 * time.Second, WriteTimeout: 10 * time.Second,
 		IdleTimeout: 30 * time.Second, MaxHeaderBytes: 16 << 10}}
-	go s.http.Serve(&narrow{Listener: l, room: make(chan struct{}, Most)})
+	go s.http.Serve(&narrow{Listener: l, room: make(chan struct{}, MaxConnections)})
 	return s, nil
 }
 
 // Addr is where it listens.
-func (s *Server) Addr() string { return s.at.String() }
+func (s *MetricsServer) Addr() string { return s.at.String() }
 
 // Close ends all connections.
-func (s *Server) Close() error { return s.http.Close() }
+func (s *MetricsServer) Close() error { return s.http.Close() }
 
 // Metric hands each figure on as a metric of ours, under that help.
 func Metric(to chan<- prometheus.Metric, help string) func(name string, value float64, rises bool) {
@@ -131,7 +131,7 @@
 }
 
 // figures gives the counters to Prometheus, made anew at each call.
-type figures struct{ of Sidecar }
+type figures struct{ of Reporter }
 
 func (figures) Describe(chan<- *prometheus.Desc) {} // unchecked: which there are is known only when asked
 
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -33,7 +33,7 @@
 	if n := testing.AllocsPerRun(100, func() { l.Observe(0, 0, policy.Millisecond/2) }); n > 0 {
 		t.Errorf("%v allocations an observation", n)
 	}
-	s, err := Listen("127.0.0.1:0", of, l)
+	s, err := ListenMetrics("127.0.0.1:0", of, l)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +69,7 @@
 	}
 	// Whoever holds connections open keeps others waiting, and takes no more than was set aside.
 	var held []net.Conn
-	for range Most + 4 {
+	for range MaxConnections + 4 {
 		c, err := net.Dial("tcp", s.Addr())
 		if err != nil {
 			t.Fatal(err)
@@ -85,7 +85,7 @@
 			answered++
 		}
 	}
-	if answered > Most {
+	if answered > MaxConnections {
 		t.Errorf("%d were answered at once", answered)
 	}
 	for _, c := range held {
--- a/internal/admin/door.go
+++ b/internal/admin/door.go
@@ -18,22 +18,22 @@
 	doorTakes            = 2 * time.Second                   // to read an answer
 	doorLinger, doorMore = 200 * time.Millisecond, 256 << 10 // for what follows a call, which is thrown away
 
-	// DoorDescriptors are those that the door may hold.
-	DoorDescriptors = doorMost + 4
+	// CommandDescriptors are those that the door may hold.
+	CommandDescriptors = doorMost + 4
 )
 
-// Operated is what the door works on. Calls may come from any goroutine; Out has an answer within a second.
-type Operated interface {
+// Operations is what the door works on. Calls may come from any goroutine; Out has an answer within a second.
+type Operations interface {
 	Ready() bool
 	AppendFigures(to []byte) []byte
 	SetDrained(uid string, out bool) error
 }
 
-// Door answers operators: one line in, an answer out, and the connection closes. It never waits for the loop but to change
+// CommandServer answers operators: one line in, an answer out, and the connection closes. It never waits for the loop but to change
 // something.
-type Door struct {
+type CommandServer struct {
 	at net.Listener
-	of Operated
+	of Operations
 
 	mu     sync.Mutex
 	silent list.List // callers with no whole call yet, the oldest first
@@ -42,13 +42,13 @@
 	closed bool
 }
 
-// OpenDoor answers at the address until Close.
-func OpenDoor(addr string, of Operated) (*Door, error) {
+// ListenCommands answers at the address until Close.
+func ListenCommands(addr string, of Operations) (*CommandServer, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	d := &Door{at: l, of: of}
+	d := &CommandServer{at: l, of: of}
 	d.room = sync.NewCond(&d.mu)
 	go d.accept()
 	return d, nil
@@ -61,10 +61,10 @@
 }
 
 // Addr is where it listens.
-func (d *Door) Addr() string { return d.at.Addr().String() }
+func (d *CommandServer) Addr() string { return d.at.Addr().String() }
 
 // Close ends it.
-func (d *Door) Close() error {
+func (d *CommandServer) Close() error {
 	d.mu.Lock()
 	d.closed = true
 	for e := d.silent.Front(); e != nil; e = e.Next() {
@@ -75,7 +75,7 @@
 	return d.at.Close()
 }
 
-func (d *Door) accept() {
+func (d *CommandServer) accept() {
 	for {
 		c, err := d.at.Accept()
 		if err != nil {
@@ -102,7 +102,7 @@
 }
 
 // shed closes the connection that has been silent for longest. Callers that hold theirs must not keep others out.
-func (d *Door) shed() bool {
+func (d *CommandServer) shed() bool {
 	first := d.silent.Front()
 	if first == nil {
 		return false
@@ -114,7 +114,7 @@
 	return true
 }
 
-func (d *Door) serve(c *caller) {
+func (d *CommandServer) serve(c *caller) {
 	defer c.Close()
 	c.SetReadDeadline(time.Now().Add(doorStays))
 	line, whole := readLine(c)
@@ -151,7 +151,7 @@
 }
 
 // answer carries a call out.
-func (d *Door) answer(line string) []byte {
+func (d *CommandServer) answer(line string) []byte {
 	call, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
 	id := strings.TrimSpace(rest)
 	switch call {
--- a/internal/admin/door_test.go
+++ b/internal/admin/door_test.go
@@ -25,7 +25,7 @@
 }
 
 // ask sends bytes to the door and gives all that comes back.
-func ask(t *testing.T, d *Door, in string) string {
+func ask(t *testing.T, d *CommandServer, in string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", d.Addr())
 	if err != nil {
@@ -44,7 +44,7 @@
 // Each call gets its one answer, whatever was sent, also beside callers that hold more connections than there may be.
 func TestDoorAnswersBesideThoseThatHoldIt(t *testing.T) {
 	of := &operated{}
-	d, err := OpenDoor("127.0.0.1:0", of)
+	d, err := ListenCommands("127.0.0.1:0", of)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -22,11 +22,11 @@
 func TestPagesAreAsBefore(t *testing.T) {
 	of := &sidecarAmongPeers{}
 	latency := NewLatency([]policy.Class{{Name: "step"}, {Name: "call"}})
-	for answer := range Answers {
+	for answer := range AnswerNames {
 		latency.Observe(1, answer, 30*policy.Millisecond)
 	}
 	latency.SetClassName(0, "renamed")
-	server, err := Listen("127.0.0.1:0", of, latency)
+	server, err := ListenMetrics("127.0.0.1:0", of, latency)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 
 // TestDoorAnswersAsBefore holds the door's answer to each call to what it was before.
 func TestDoorAnswersAsBefore(t *testing.T) {
-	door, err := OpenDoor("127.0.0.1:0", &operated{})
+	door, err := ListenCommands("127.0.0.1:0", &operated{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/benchmark/lists.go
+++ b/internal/benchmark/lists.go
@@ -62,12 +62,12 @@
 		at := time.Now()
 		f := endpointfiles.Parse("list", text)
 		least(&out.Parse, at)
-		keeper := endpointfiles.New(endpointfiles.Terms{MayTakeAway: 0.5, Remember: policy.Second})
+		keeper := endpointfiles.New(endpointfiles.Limits{MaxRemovedShare: 0.5, DrainMemory: policy.Second})
 		at = time.Now()
-		found := keeper.Weigh(1, []endpointfiles.File{f})
+		found := keeper.Evaluate(1, []endpointfiles.File{f})
 		least(&out.Weigh, at)
-		if found.Verdict != endpointfiles.Taken {
-			panic(found.Why)
+		if found.Verdict != endpointfiles.Accepted {
+			panic(found.Reason)
 		}
 		members := make([]policy.Member, 0, servers)
 		for _, e := range found.Entries {
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -15,8 +15,8 @@
 func TestDocumentsAreReadAsBefore(t *testing.T) {
 	daemon := func(path string, text []byte) (any, error) { return Read(path, text) }
 	client := func(path string, text []byte) (any, error) { return ReadClient(path, text) }
-	version := func(path string, text []byte) (any, error) { return ReadVersion(path, text) }
-	keeper := func(path string, text []byte) (any, error) { return ReadKeeping(path, text) }
+	version := func(path string, text []byte) (any, error) { return ReadRules(path, text) }
+	keeper := func(path string, text []byte) (any, error) { return ReadCoordinator(path, text) }
 	for _, document := range []struct {
 		path, golden string
 		read         readAs
--- a/internal/config/installation_test.go
+++ b/internal/config/installation_test.go
@@ -24,12 +24,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := in.Campaign
-	if in.Listen != "127.0.0.1:9000" || in.Admin != "127.0.0.1:9002" || in.Pages != "127.0.0.1:9001" || !in.Anonymous || in.MemoryMB != 192 || c.Zones != 2 ||
+	c := in.Settings
+	if in.Listen != "127.0.0.1:9000" || in.AdminAddress != "127.0.0.1:9002" || in.MetricsAddress != "127.0.0.1:9001" || !in.Anonymous || in.MemoryMB != 192 || c.Zones != 2 ||
 		c.Zone != "a" || len(c.Classes) != 3 || c.Classes[1].Idempotency != policy.Keyed ||
-		c.Classes[1].Group != policy.GroupZone || c.Classes[1].Window != 2*policy.Second || in.Default != "step" ||
-		in.CutOffs[0] != 2*policy.Second || c.Classes[0].Deadline != 2*policy.Second || !c.FixedWeights || c.StreamsPerConnection != 1 || in.Leave != 3*policy.Second || c.TotalQuota != 250 || c.ColdTime != 24*policy.Second ||
-		in.Patterns[0] != "../../deploy/servers.toml" || in.Terms.Settle != 200*policy.Millisecond {
+		c.Classes[1].Group != policy.GroupZone || c.Classes[1].Window != 2*policy.Second || in.DefaultClass != "step" ||
+		in.Deadlines[0] != 2*policy.Second || c.Classes[0].Deadline != 2*policy.Second || !c.FixedWeights || c.StreamsPerConnection != 1 || in.ShutdownTime != 3*policy.Second || c.TotalQuota != 250 || c.ColdTime != 24*policy.Second ||
+		in.Patterns[0] != "../../deploy/servers.toml" || in.Terms.SettleTime != 200*policy.Millisecond {
 		t.Errorf("%+v\n%+v", in, c)
 	}
 	list, err := os.ReadFile(in.Patterns[0])
@@ -101,7 +101,7 @@
 func TestPeersAreReadOrFaultsTold(t *testing.T) {
 	good := "[peers]\nlisten = \"127.0.0.1:9003\"\ncluster = \"c\"\nkey_file = \"k\"\njoin = [\"10.0.0.8:9003\"]\n[limits]"
 	in, err := Read(example, []byte(strings.Replace(text(t), "[limits]", good, 1)))
-	if err != nil || in.Peers.Listen != "127.0.0.1:9003" || in.Peers.Key != "../../deploy/k" || len(in.Peers.Join) != 1 {
+	if err != nil || in.Peers.Listen != "127.0.0.1:9003" || in.Peers.KeyFile != "../../deploy/k" || len(in.Peers.Join) != 1 {
 		t.Errorf("%v %+v", err, in)
 	}
 	for _, k := range [][2]string{{"9003\"\nc", "9000\"\nc"}, {"10.0.0.8:9003", "host:9003"}, {"cluster", "name"}, {`key_file = "k"`, ""},
@@ -126,13 +126,13 @@
 			}
 			return
 		}
-		c := in.Campaign
-		if len(c.Classes) == 0 || len(in.CutOffs) != len(c.Classes) || !endpointfiles.Address(in.Listen) || c.Instances < 1 ||
-			in.Leave <= 0 || in.Kind == Files && len(in.Patterns) == 0 || in.Kind == Fixed && len(in.Servers) == 0 {
+		c := in.Settings
+		if len(c.Classes) == 0 || len(in.Deadlines) != len(c.Classes) || !endpointfiles.ValidAddress(in.Listen) || c.Instances < 1 ||
+			in.ShutdownTime <= 0 || in.SourceKind == Files && len(in.Patterns) == 0 || in.SourceKind == Fixed && len(in.Endpoints) == 0 {
 			t.Fatalf("%+v %+v", in, c)
 		}
 		for i, o := range c.Classes {
-			if o.Target <= 0 || in.CutOffs[i] < o.Target || o.Name == "" || (o.Idempotency == policy.Keyed) != (o.Window > 0) {
+			if o.Target <= 0 || in.Deadlines[i] < o.Target || o.Name == "" || (o.Idempotency == policy.Keyed) != (o.Window > 0) {
 				t.Fatalf("%+v", o)
 			}
 		}
--- a/internal/config/version.go
+++ b/internal/config/version.go
@@ -13,19 +13,19 @@
 // mostVersion is how long a version may be, in bytes: it is sent whole to each sidecar.
 const mostVersion = 4 << 20
 
-// Version is what a version of the rules says: what binds, by which all sidecars of a cluster go.
-type Version struct {
-	Campaign *policy.Settings      // offerings, franchises, instances, cold servers
-	CutOffs  []policy.Time         // by offering
-	Servers  []endpointfiles.Entry // nil: it says nothing of servers
-	Bans     []policy.EndpointID   // taken out, whoever lists them
+// Rules is what a version of the rules says: what binds, by which all sidecars of a cluster go.
+type Rules struct {
+	Settings  *policy.Settings      // offerings, franchises, instances, cold servers
+	Deadlines []policy.Time         // by offering
+	Endpoints []endpointfiles.Entry // nil: it says nothing of servers
+	Drained   []policy.EndpointID   // taken out, whoever lists them
 }
 
-// ReadVersion reads a version. The error has a line for each fault.
-func ReadVersion(file string, text []byte) (*Version, error) {
+// ReadRules reads a version. The error has a line for each fault.
+func ReadRules(file string, text []byte) (*Rules, error) {
 	doc, root := tomlfile.Parse(file, text, mostVersion)
-	in := &Installation{Campaign: &policy.Settings{Tick: 5 * policy.Millisecond}}
-	c := in.Campaign
+	in := &Config{Settings: &policy.Settings{Tick: 5 * policy.Millisecond}}
+	c := in.Settings
 	var servers []endpointfiles.Entry
 	var bans []policy.EndpointID
 	if doc.Err() == nil {
@@ -33,8 +33,8 @@
 		fleet := root.Table("fleet")
 		fleet.Require("instances")
 		c.Instances = int(fleet.Count("instances", 1, 1, 1<<16))
-		kept := fleet.Span("servers_keep", 0, policy.Millisecond, 24*3600*policy.Second)
-		fleet.Done()
+		kept := fleet.Duration("servers_keep", 0, policy.Millisecond, 24*3600*policy.Second)
+		fleet.RejectUnknown()
 		in.cold(root.Table("cold"))
 		tables := root.Tables("offering")
 		if root.Has("offering") && len(tables) == 0 {
@@ -49,45 +49,45 @@
 		}
 		in.franchises(root)
 		banned := root.Table("bans")
-		for _, id := range banned.Texts("servers") {
-			bans = append(bans, endpointfiles.IDOf(id))
+		for _, id := range banned.Strings("servers") {
+			bans = append(bans, endpointfiles.EndpointID(id))
 		}
-		banned.Done()
+		banned.RejectUnknown()
 		for _, t := range root.Tables("server") {
-			servers = append(servers, endpointfiles.ReadServer(t))
+			servers = append(servers, endpointfiles.ReadEndpoint(t))
 		}
 		if why := endpointfiles.Join([]endpointfiles.File{{Name: file, Entries: servers}}); why != "" && len(servers) > 0 {
 			root.Fault("server", why, "each id once, and one ready server at an address")
 		}
-		root.Done()
+		root.RejectUnknown()
 	}
 	if err := doc.Err(); err != nil {
 		return nil, err
 	}
-	return &Version{Campaign: c, CutOffs: in.CutOffs, Servers: servers, Bans: bans}, nil
+	return &Rules{Settings: c, Deadlines: in.Deadlines, Endpoints: servers, Drained: bans}, nil
 }
 
-// Keeping is what a keeper of versions is told.
-type Keeping struct {
-	Name    string
-	Folder  string
-	Listen  string // for other keepers; "": where they reach it
-	Members []Keeper
-	Lease   policy.Time
-	Drift   float64
-	Peers   Peers
+// CoordinatorConfig is what a keeper of versions is told.
+type CoordinatorConfig struct {
+	Name      string
+	Directory string
+	Listen    string // for other keepers; "": where they reach it
+	Members   []Coordinator
+	Lease     policy.Time
+	Drift     float64
+	Peers     Peers
 
 	LogLevel  string
 	LogFormat string
 }
 
-// Keeper is one of the group.
-type Keeper struct{ Name, Raft, Pages string }
+// Coordinator is one of the group.
+type Coordinator struct{ Name, RaftAddress, AdminAddress string }
 
-// ReadKeeping reads a keeper's configuration. The error has a line for each fault. Paths in it are taken from the file's own folder.
-func ReadKeeping(file string, text []byte) (*Keeping, error) {
+// ReadCoordinator reads a keeper's configuration. The error has a line for each fault. Paths in it are taken from the file's own folder.
+func ReadCoordinator(file string, text []byte) (*CoordinatorConfig, error) {
 	doc, root := tomlfile.Parse(file, text, most)
-	k := &Keeping{}
+	k := &CoordinatorConfig{}
 	if doc.Err() == nil {
 		k.read(root, filepath.Dir(file))
 	}
@@ -97,28 +97,28 @@
 	return k, nil
 }
 
-func (k *Keeping) read(root *tomlfile.Table, folder string) {
+func (k *CoordinatorConfig) read(root *tomlfile.Table, folder string) {
 	root.Require("instance", "keep", "keeper", "peers")
 	instance := root.Table("instance")
 	instance.Require("name")
-	k.Name = instance.Text("name", "")
-	instance.Done()
+	k.Name = instance.String("name", "")
+	instance.RejectUnknown()
 	t := root.Table("keep")
 	t.Require("folder")
-	k.Folder = from(folder, t.Text("folder", ""))
+	k.Directory = from(folder, t.String("folder", ""))
 	k.Listen = address(t, "listen", false)
-	k.Lease = t.Span("lease", 1500*policy.Millisecond, 500*policy.Millisecond, 60*policy.Second)
-	k.Drift = t.Real("drift", 0.01, 0, 0.5)
-	t.Done()
+	k.Lease = t.Duration("lease", 1500*policy.Millisecond, 500*policy.Millisecond, 60*policy.Second)
+	k.Drift = t.Float("drift", 0.01, 0, 0.5)
+	t.RejectUnknown()
 	seen := map[string]bool{}
 	for _, t := range root.Tables("keeper") {
 		t.Require("name", "log", "pages")
-		one := Keeper{t.Text("name", ""), address(t, "log", true), address(t, "pages", true)}
+		one := Coordinator{t.String("name", ""), address(t, "log", true), address(t, "pages", true)}
 		if seen[one.Name] {
 			t.Fault("name", t.Found("name"), "a name of its own")
 		}
 		seen[one.Name] = true
-		t.Done()
+		t.RejectUnknown()
 		k.Members = append(k.Members, one)
 	}
 	if n := len(k.Members); root.Has("keeper") && n%2 == 0 {
@@ -129,12 +129,12 @@
 	}
 	for _, m := range k.Members {
 		if k.Listen == "" && m.Name == k.Name {
-			k.Listen = m.Raft
+			k.Listen = m.RaftAddress
 		}
 	}
-	in := Installation{}
+	in := Config{}
 	in.peers(root, folder, map[string]string{k.Listen: "the log's"})
 	k.Peers = in.Peers
 	k.LogLevel, k.LogFormat = logging(root)
-	root.Done()
+	root.RejectUnknown()
 }
--- a/internal/config/version_test.go
+++ b/internal/config/version_test.go
@@ -28,15 +28,15 @@
 `
 
 func TestVersionsAreRead(t *testing.T) {
-	v, err := ReadVersion("v", []byte(version))
-	if err != nil || v.Campaign.Instances != 7 || v.Campaign.ColdCapacity != 0.3 || len(v.Servers) != 1 || v.CutOffs[0] != 2*policy.Second ||
-		v.Campaign.Classes[0].Window != 1500*policy.Millisecond || v.Campaign.TotalQuota != 3 {
+	v, err := ReadRules("v", []byte(version))
+	if err != nil || v.Settings.Instances != 7 || v.Settings.ColdCapacity != 0.3 || len(v.Endpoints) != 1 || v.Deadlines[0] != 2*policy.Second ||
+		v.Settings.Classes[0].Window != 1500*policy.Millisecond || v.Settings.TotalQuota != 3 {
 		t.Fatalf("%+v %v", v, err)
 	}
 	for _, change := range [][2]string{{"instances = 7", ""}, {`"1500ms"`, `"3s"`}, {"[fleet]", "[flet]"}, {`group = "zone"`, `group = "town"`},
 		{"quota = 3", "quota = -3"}, {`"10.0.0.1:80"`, `"nowhere"`}, {`name = "x"`, `nam = "x"`}, {"[cold]", "[cold"}} {
 		text := strings.Replace(version, change[0], change[1], 1)
-		if _, err := ReadVersion("v", []byte(text)); text == version || err == nil || !strings.Contains(err.Error(), "v:") {
+		if _, err := ReadRules("v", []byte(text)); text == version || err == nil || !strings.Contains(err.Error(), "v:") {
 			t.Errorf("%q for %q: %v", change[1], change[0], err)
 		}
 	}
@@ -47,14 +47,14 @@
 	for _, name := range []string{"k1", "k2", "k3"} {
 		text += "[[keeper]]\nname = \"" + name + "\"\nlog = \"10.0.0." + name[1:] + ":4\"\npages = \"10.0.0." + name[1:] + ":5\"\n"
 	}
-	k, err := ReadKeeping("/etc/x/k.toml", []byte(text))
-	if err != nil || k.Folder != "/etc/x/f" || k.Listen != "10.0.0.2:4" || len(k.Members) != 3 || k.Lease != 1500*policy.Millisecond {
+	k, err := ReadCoordinator("/etc/x/k.toml", []byte(text))
+	if err != nil || k.Directory != "/etc/x/f" || k.Listen != "10.0.0.2:4" || len(k.Members) != 3 || k.Lease != 1500*policy.Millisecond {
 		t.Fatalf("%+v %v", k, err)
 	}
 	for _, change := range [][2]string{{`name = "k2"`, `name = "k9"`}, {`name = "k3"`, `name = "k1"`}, {"[[keeper]]\nname = \"k3\"", "[[keper]]\nname = \"k3\""},
 		{`folder = "f"`, `lease = "1ms"`}, {"[peers]", "[peer]"}} {
 		bad := strings.Replace(text, change[0], change[1], 1)
-		if _, err := ReadKeeping("k", []byte(bad)); bad == text || err == nil {
+		if _, err := ReadCoordinator("k", []byte(bad)); bad == text || err == nil {
 			t.Errorf("%q for %q: %v", change[1], change[0], err)
 		}
 	}
--- a/internal/connstate/buffers.go
+++ b/internal/connstate/buffers.go
@@ -15,7 +15,7 @@
 
 // Buffers lends buffers and takes them back.
 type Buffers struct {
-	Most  int // bytes that may be lent before Full says so
+	Limit int // bytes that may be lent before Full says so
 	mu    sync.Mutex
 	small []*Buffer
 	large []*Buffer
@@ -60,11 +60,11 @@
 	}
 }
 
-// SetMost changes how much may be lent.
-func (p *Buffers) SetMost(bytes int) {
+// SetLimit changes how much may be lent.
+func (p *Buffers) SetLimit(bytes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.Most = bytes
+	p.Limit = bytes
 }
 
 // Lent is how many bytes are out.
@@ -78,14 +78,14 @@
 func (p *Buffers) Full() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.lent > p.Most
+	return p.lent > p.Limit
 }
 
-// Flooded says that no more should be read from whoever has sent something that is still to be looked at.
-func (p *Buffers) Flooded() bool {
+// Overcommitted says that no more should be read from whoever has sent something that is still to be looked at.
+func (p *Buffers) Overcommitted() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.lent > p.Most*3/2
+	return p.lent > p.Limit*3/2
 }
 
 // Join adds the bytes of a newly read buffer to those of an earlier one and gives back the one not needed. Without an
--- a/internal/connstate/conns.go
+++ b/internal/connstate/conns.go
@@ -7,14 +7,14 @@
 	"pepperlead/policy"
 )
 
-// Link is the socket under a connection.
-type Link interface {
+// Socket is the socket under a connection.
+type Socket interface {
 	Write(b []byte) (int, error)
 	Close() error
-	Cut(c *Conn) bool   // closes it if nothing has come; the loop has heard of all else
-	Quiet(c *Conn) bool // nothing has come, and the other end has not closed
-	Hush()              // what still comes is thrown away, up to a bound
-	Reset()             // closes it so that the other end sees no orderly end
+	CloseIfIdle(c *Conn) bool // closes it if nothing has come; the loop has heard of all else
+	Idle(c *Conn) bool        // nothing has come, and the other end has not closed
+	DiscardInput()            // what still comes is thrown away, up to a bound
+	Reset()                   // closes it so that the other end sees no orderly end
 }
 
 // Side is who is at the other end.
@@ -31,52 +31,52 @@
 const (
 	NoUpload  Upload = iota
 	Collected        // it is held until it is whole, as long as it fits
-	Passed           // it goes on to an endpoint as it comes, or nowhere if its request has ended
+	Streamed         // it goes on to an endpoint as it comes, or nowhere if its request has ended
 )
 
 // Conn is one connection. The loop owns it, but for what is atomic: that is told by whoever serves the socket.
 type Conn struct {
-	Link     Link
-	Side     Side
-	Timer    engine.Timer
-	In       *Buffer      // read and not yet used up
-	Request  *Request     // that it carries now
-	Endpoint *Endpoint    // ToServer: whose
-	Life     int          // of the endpoint, when this was dialled
-	Up       bool         // connected
-	Dead     bool         // closed, or about to be: nothing more is read or sent
-	Left     atomic.Bool  // the other end has closed behind what has come of it; its end will be told
-	EOF      atomic.Bool  // the other end has ended its sending in order; a connection that ends without that was reset
-	Last     bool         // closes once all is written; what still comes is dropped
-	Waits    bool         // with its next request for the last answer to be taken
-	Asked    bool         // the client has been asked for the body that it waits with
-	Rests    bool         // has had its answer, and nothing has come since
-	Used     bool         // has carried something
-	Since    policy.Time  // when it came, or last had work
-	No       uint64       // counts connections
-	Queued   int64        // bytes given to the socket
-	Written  atomic.Int64 // of these, what the kernel has taken
-	Unread   atomic.Int64 // bytes read that the loop has not looked at yet
-	Ahead    atomic.Int64 // memory that these take
-	Stop     atomic.Bool  // what has not been read stays where it is, until whoever gets it has taken what waits
-	Tell     atomic.Int64 // bytes written of which the loop wants to hear; 0: none
-	Frame    Frame        // of a body that is handed on as it comes
-	Upload   Upload       // what becomes of the body that is coming
-	Size     int          // of that body; -1: not told
-	BodyAt   int          // where it begins in In, while it is collected
-	After    bool         // the connection closes once that body has come
-	Need     int          // bytes with which what In holds is whole, where that is known
-	HeadAt   policy.Time  // when the head was whole, of what In holds
-	Moved    int64        // bytes at the latest look whether any had moved
-	MovedAt  policy.Time  // when they last had
-	Due      atomic.Int64 // bytes with which a request is whole; 0: none is being written
-	Whole    *atomic.Int64
-}
-
-// Took notes what the kernel has taken, and counts the request whose last byte was in it.
-func (c *Conn) Took(n int) (all int64) {
+	Socket           Socket
+	Side             Side
+	Timer            engine.Timer
+	In               *Buffer      // read and not yet used up
+	Request          *Request     // that it carries now
+	Endpoint         *Endpoint    // ToServer: whose
+	Generation       int          // of the endpoint, when this was dialled
+	Connected        bool         // connected
+	Closing          bool         // closed, or about to be: nothing more is read or sent
+	PeerClosed       atomic.Bool  // the other end has closed behind what has come of it; its end will be told
+	EOF              atomic.Bool  // the other end has ended its sending in order; a connection that ends without that was reset
+	CloseWhenFlushed bool         // closes once all is written; what still comes is dropped
+	AwaitingFlush    bool         // with its next request for the last answer to be taken
+	ContinueSent     bool         // the client has been asked for the body that it waits with
+	Resting          bool         // has had its answer, and nothing has come since
+	Used             bool         // has carried something
+	Since            policy.Time  // when it came, or last had work
+	No               uint64       // counts connections
+	Queued           int64        // bytes given to the socket
+	Written          atomic.Int64 // of these, what the kernel has taken
+	Unread           atomic.Int64 // bytes read that the loop has not looked at yet
+	UnreadMemory     atomic.Int64 // memory that these take
+	ReadPaused       atomic.Bool  // what has not been read stays where it is, until whoever gets it has taken what waits
+	NotifyAt         atomic.Int64 // bytes written of which the loop wants to hear; 0: none
+	Frame            Frame        // of a body that is handed on as it comes
+	Upload           Upload       // what becomes of the body that is coming
+	Size             int          // of that body; -1: not told
+	BodyAt           int          // where it begins in In, while it is collected
+	CloseAfterBody   bool         // the connection closes once that body has come
+	Need             int          // bytes with which what In holds is whole, where that is known
+	HeadAt           policy.Time  // when the head was whole, of what In holds
+	ProgressBytes    int64        // bytes at the latest look whether any had moved
+	ProgressAt       policy.Time  // when they last had
+	CompleteAt       atomic.Int64 // bytes with which a request is whole; 0: none is being written
+	Whole            *atomic.Int64
+}
+
+// RecordRead notes what the kernel has taken, and counts the request whose last byte was in it.
+func (c *Conn) RecordRead(n int) (all int64) {
 	all = c.Written.Add(int64(n))
-	if due := c.Due.Load(); due > 0 && all >= due && c.Due.CompareAndSwap(due, 0) {
+	if due := c.CompleteAt.Load(); due > 0 && all >= due && c.CompleteAt.CompareAndSwap(due, 0) {
 		c.Whole.Add(1)
 	}
 	return all
@@ -85,12 +85,12 @@
 // Waiting is how many bytes the kernel has not taken.
 func (c *Conn) Waiting() int64 { return c.Queued - c.Written.Load() }
 
-// Moves tells whether bytes have moved for so long; all counts them.
-func (c *Conn) Moves(now policy.Time, all int64, within policy.Time) bool {
-	if all != c.Moved || c.MovedAt == 0 {
-		c.Moved, c.MovedAt = all, now
+// Progressed tells whether bytes have moved for so long; all counts them.
+func (c *Conn) Progressed(now policy.Time, all int64, within policy.Time) bool {
+	if all != c.ProgressBytes || c.ProgressAt == 0 {
+		c.ProgressBytes, c.ProgressAt = all, now
 	}
-	return now-c.MovedAt <= within
+	return now-c.ProgressAt <= within
 }
 
 // Flushed tells whether the kernel has taken all that was sent.
@@ -98,21 +98,21 @@
 
 // Endpoint holds the connections to one endpoint.
 type Endpoint struct {
-	Of      *engine.Endpoint
-	Idle    []*Conn // last used last
-	Awaited int     // of these, for how many an attempt waits until they have rested
+	Endpoint *engine.Endpoint
+	Idle     []*Conn // last used last
+	Awaited  int     // of these, for how many an attempt waits until they have rested
 }
 
 // Conns counts connections against the descriptors allowed, and holds those to endpoints that stand idle.
 type Conns struct {
-	Open    map[*Conn]struct{}
-	Most    [2]int // by side; clients beyond it are let in, and room is made for them
-	Accept  int    // clients that may be open at once
-	Resting int    // clients that rest
-	Idle    int    // of these, more than are welcome
-	open    [2]int
-	made    uint64
-	ending  [2]int // of these, closed but not yet told so
+	Open          map[*Conn]struct{}
+	Limit         [2]int // by side; clients beyond it are let in, and room is made for them
+	AcceptLimit   int    // clients that may be open at once
+	RestingCount  int    // clients that rest
+	ExcessResting int    // of these, more than are welcome
+	open          [2]int
+	made          uint64
+	ending        [2]int // of these, closed but not yet told so
 }
 
 // The process's own: standard streams, listener, pollers, discovery, and sockets held twice while they change hands.
@@ -132,22 +132,22 @@
 	left := descriptors/processes - ownDescriptors
 	servers := max(4, left*2/5)
 	accept := max(8, left-servers)
-	k.Most, k.Accept, k.Idle = [2]int{accept - accept/8, servers}, accept, accept/4
+	k.Limit, k.AcceptLimit, k.ExcessResting = [2]int{accept - accept/8, servers}, accept, accept/4
 }
 
 // Rest notes that a client's connection has nothing to do.
 func (k *Conns) Rest(c *Conn) {
-	if !c.Rests && !c.Dead {
-		c.Rests = true
-		k.Resting++
+	if !c.Resting && !c.Closing {
+		c.Resting = true
+		k.RestingCount++
 	}
 }
 
 // Work notes that it has, or is gone.
 func (k *Conns) Work(c *Conn) {
-	if c.Rests {
-		c.Rests = false
-		k.Resting--
+	if c.Resting {
+		c.Resting = false
+		k.RestingCount--
 	}
 }
 
@@ -162,13 +162,13 @@
 	k.open[c.Side]++
 }
 
-// Over tells whether more are open on that side than should be.
-func (k *Conns) Over(side Side) bool { return k.Count(side) > k.Most[side] }
+// OverLimit tells whether more are open on that side than should be.
+func (k *Conns) OverLimit(side Side) bool { return k.Count(side) > k.Limit[side] }
 
-// End marks a connection that is being closed.
-func (k *Conns) End(c *Conn) {
+// CountEnd marks a connection that is being closed.
+func (k *Conns) CountEnd(c *Conn) {
 	k.Work(c)
-	c.Dead = true
+	c.Closing = true
 	k.ending[c.Side]++
 }
 
@@ -180,7 +180,7 @@
 	k.Work(c)
 	delete(k.Open, c)
 	k.open[c.Side]--
-	if c.Dead {
+	if c.Closing {
 		k.ending[c.Side]--
 	}
 	if c.Endpoint != nil {
@@ -228,7 +228,7 @@
 func (k *Conns) Oldest(side Side, idle, fresh policy.Time) *Conn {
 	var oldest *Conn
 	for c := range k.Open {
-		if c.Side != side || !c.Up || c.Dead || c.Request != nil || c.In != nil || c.Upload != NoUpload || c.Unread.Load() > 0 ||
+		if c.Side != side || !c.Connected || c.Closing || c.Request != nil || c.In != nil || c.Upload != NoUpload || c.Unread.Load() > 0 ||
 			c.Used && c.Since > idle || !c.Used && c.Since > fresh {
 			continue
 		}
--- a/internal/connstate/state_test.go
+++ b/internal/connstate/state_test.go
@@ -20,7 +20,7 @@
 // Buffers against a plain sum: what is joined is whole, and what is given back is no longer lent.
 func TestBuffersJoinAndComeBack(t *testing.T) {
 	check(t, 2, func(parts [][]byte, more uint16) bool {
-		p := &Buffers{Most: 1}
+		p := &Buffers{Limit: 1}
 		var all []byte
 		var b *Buffer
 		parts = append(parts, make([]byte, more), make([]byte, 2*int(more)))
@@ -46,10 +46,10 @@
 
 func TestTicketPlacesAreReused(t *testing.T) {
 	place, p := &engine.Request{}, &Buffers{}
-	first := Of(place)
+	first := AsRequest(place)
 	first.Received, first.Answer, first.Status = p.Get(1), p.Get(Large), 200
-	first.Give(p)
-	if again := Of(place); p.Lent() != 0 || again != first || again.Received != nil || again.Status != 0 || again.Request != place {
+	first.ReleaseBuffers(p)
+	if again := AsRequest(place); p.Lent() != 0 || again != first || again.Received != nil || again.Status != 0 || again.Request != place {
 		t.Error("not reused, or not emptied")
 	}
 }
@@ -59,7 +59,7 @@
 	k := NewConns(64)
 	var all []*Conn
 	for i := range 5 {
-		c := &Conn{Up: true, Used: true, Since: policy.Time(10 - i)}
+		c := &Conn{Connected: true, Used: true, Since: policy.Time(10 - i)}
 		k.Add(c)
 		all = append(all, c)
 	}
@@ -73,7 +73,7 @@
 	if got := k.Oldest(Client, 7, 5); got != nil {
 		t.Errorf("%+v", got)
 	}
-	k.End(all[4])
+	k.CountEnd(all[4])
 	if k.Count(Client) != 4 || !k.Remove(all[4]) || k.Remove(all[4]) || k.Count(Client) != 4 {
 		t.Error("counted wrongly")
 	}
--- a/internal/daemon/agreed.go
+++ b/internal/daemon/agreed.go
@@ -43,13 +43,13 @@
 
 // readVersion makes a version of a page. The error has a line for each fault.
 func readVersion(p ruleset.Revision) (*engine.RuleSet, error) {
-	v, err := config.ReadVersion("version", p.Text)
+	v, err := config.ReadRules("version", p.Text)
 	if err != nil {
 		return nil, err
 	}
-	servers := members(v.Servers)
-	return &engine.RuleSet{RuleSet: ruleset.RuleSet{Number: p.Number, Digest: p.Digest, Rules: ruleset.NewRules(v.Campaign, v.CutOffs, servers, v.Bans)},
-		Settings: v.Campaign, Endpoints: v.Servers, Table: policy.DecodeTable(p.Table, servers)}, nil
+	servers := members(v.Endpoints)
+	return &engine.RuleSet{RuleSet: ruleset.RuleSet{Number: p.Number, Digest: p.Digest, Rules: ruleset.NewRules(v.Settings, v.Deadlines, servers, v.Drained)},
+		Settings: v.Settings, Endpoints: v.Endpoints, Table: policy.DecodeTable(p.Table, servers)}, nil
 }
 
 func members(of []endpointfiles.Entry) (all []policy.Member) {
--- a/internal/daemon/company.go
+++ b/internal/daemon/company.go
@@ -18,7 +18,7 @@
 
 // among is a sidecar among peers.
 type among struct {
-	*httpproxy.Sidecar
+	*httpproxy.Proxy
 	post  membership.Config
 	of    atomic.Pointer[membership.Cluster] // nil until it could be opened
 	stop  chan struct{}
@@ -28,8 +28,8 @@
 
 // meet opens the company, and keeps what this sidecar tells of itself, and how many it shares budgets with, as it is. An address that is
 // still the process's before this one is tried again: serving never waits for peers. own: what its file says, where rules are agreed on; else nil.
-func meet(s *httpproxy.Sidecar, post membership.Config, own *engine.RuleSet) *among {
-	a := &among{Sidecar: s, post: post, stop: make(chan struct{})}
+func meet(s *httpproxy.Proxy, post membership.Config, own *engine.RuleSet) *among {
+	a := &among{Proxy: s, post: post, stop: make(chan struct{})}
 	if own != nil {
 		s.UseAgreedRules(own, rand.Uint32())
 		a.rules = &agreed{among: a, heard: make(chan []byte, mostHeard)}
@@ -83,7 +83,7 @@
 
 // Figures are the sidecar's, and those of its company.
 func (a *among) Figures(each func(name string, value float64, rises bool)) {
-	a.Sidecar.EachMetric(each)
+	a.Proxy.EachMetric(each)
 	if c := a.of.Load(); c != nil {
 		c.EachMetric(each)
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -29,16 +29,16 @@
 	acceptFor     = 450 * policy.Millisecond // after SIGTERM: 50 ms more than clients are said to come
 	longest       = 3 * policy.Second        // cut-off that is waited for after SIGTERM
 
-	// Stall is after how long without a turn a loop looks at its list again before it decides.
-	Stall = 400 * policy.Millisecond
+	// StallAfter is after how long without a turn a loop looks at its list again before it decides.
+	StallAfter = 400 * policy.Millisecond
 
 	leastSockets, leastMemory = 48, 24 // descriptors and MB without which nothing can be served
 
 	watchDescriptors = 6 // for word of changes, and for the file being read or written
 )
 
-// Logger makes a log of that level and format, text or json, on standard error.
-func Logger(level, format string) (*logrus.Logger, error) {
+// NewLogger makes a log of that level and format, text or json, on standard error.
+func NewLogger(level, format string) (*logrus.Logger, error) {
 	log := logrus.New()
 	const moment = "15:04:05.000"
 	switch format {
@@ -55,7 +55,7 @@
 }
 
 // Serve runs a sidecar from the configuration in the file until it is told to end. record: a file for a trace; "": none.
-func Serve(o Orders, path, record string, log *logrus.Logger) error {
+func Serve(o Config, path, record string, log *logrus.Logger) error {
 	// One thread may stand in the kernel waiting for sockets while another works, also where there is one core: with
 	// one alone the loop would start only when the runtime notices, up to 10 ms later.
 	runtime.GOMAXPROCS(max(2, runtime.GOMAXPROCS(0)))
@@ -71,7 +71,7 @@
 	again := make(chan os.Signal, 1)
 	signal.Notify(again, syscall.SIGHUP)
 	fresh := make(chan httpproxy.Config)
-	if record != "" && o.Agree {
+	if record != "" && o.AgreedRules {
 		return errors.New("record: a trace has one set of offerings, and with peers.agree these come and go")
 	}
 	if record != "" {
@@ -100,33 +100,33 @@
 	o.ImportState = func() { of.learn() }
 	s := httpproxy.New(o.Config, log)
 	go reread(path, o, again, fresh, s.Stopped(), log)
-	of.Sidecar = s
+	of.Proxy = s
 	if of.kin != nil {
 		if err := of.begin(); err != nil {
 			return err
 		}
 	}
-	var asked admin.Sidecar = s
-	if o.Peers != nil {
+	var asked admin.Reporter = s
+	if o.Membership != nil {
 		var own *engine.RuleSet
-		if o.Agree {
+		if o.AgreedRules {
 			own = ownVersion(o.Settings, o.Deadlines)
 		}
-		company := meet(s, *o.Peers, own)
+		company := meet(s, *o.Membership, own)
 		defer company.close()
 		asked = company
 	}
-	if o.Pages != "" {
-		at, err := admin.Listen(o.Pages, asked, o.Latency.(*admin.Latency))
+	if o.MetricsAddress != "" {
+		at, err := admin.ListenMetrics(o.MetricsAddress, asked, o.Latency.(*admin.Latency))
 		if err != nil {
 			return fmt.Errorf("pages: %w", err)
 		}
 		defer at.Close()
 	}
-	if o.Door != "" {
-		door, err := admin.OpenDoor(o.Door, of)
+	if o.AdminAddress != "" {
+		door, err := admin.ListenCommands(o.AdminAddress, of)
 		if err != nil {
-			return fmt.Errorf("admin: found %q, allowed an address that can be listened on: %w", o.Door, err)
+			return fmt.Errorf("admin: found %q, allowed an address that can be listened on: %w", o.AdminAddress, err)
 		}
 		defer door.Close()
 	}
@@ -137,7 +137,7 @@
 	return nil
 }
 
-func head(o Orders) trace.Head {
+func head(o Config) trace.Head {
 	h := trace.Head{Start: clock.New().Now(), Name: o.Name, Zone: o.Settings.Zone}
 	for _, f := range o.Settings.Classes {
 		h.Offerings = append(h.Offerings, f.Name)
@@ -150,7 +150,7 @@
 
 // reread reads the file anew at each signal and hands on what can be served. Reading takes its time, so the loop is not held
 // up by it.
-func reread(path string, now Orders, again <-chan os.Signal, fresh chan<- httpproxy.Config, over <-chan struct{}, log *logrus.Logger) {
+func reread(path string, now Config, again <-chan os.Signal, fresh chan<- httpproxy.Config, over <-chan struct{}, log *logrus.Logger) {
 	for range again {
 		next, err := Read(path, func(name string) string {
 			if name == "GW_DISCOVERY" {
@@ -168,7 +168,7 @@
 		} else {
 			now.inFile, now.Source = next.inFile, next.Source
 		}
-		if now.Agree {
+		if now.AgreedRules {
 			next.Settings = &policy.Settings{} // of another shape: it stays as the cluster's versions say
 		}
 		next.Latency, next.Recorder = now.Latency, now.Recorder
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -166,7 +166,7 @@
 func TestDoorAndListenerAreTold(t *testing.T) {
 	with := strings.Replace(told, `"name":"n3",`, `"name":"n3","admin":"127.0.0.4:9100",`, 1)
 	plain, err := Read(write(t, told), func(string) string { return "" })
-	if err != nil || plain.Door != "" || plain.ReservedDescriptors != 0 || plain.together() {
+	if err != nil || plain.AdminAddress != "" || plain.ReservedDescriptors != 0 || plain.together() {
 		t.Errorf("%v %+v", err, plain)
 	}
 	for _, c := range []struct{ text, admin, fd, door, fault string }{
@@ -182,7 +182,7 @@
 			}
 			continue
 		}
-		if err != nil || o.Door != c.door || (o.InheritedListener == 7) != (c.fd == "7") || o.ReservedDescriptors == 0 || !o.together() || o.Name != "n3" {
+		if err != nil || o.AdminAddress != c.door || (o.InheritedListener == 7) != (c.fd == "7") || o.ReservedDescriptors == 0 || !o.together() || o.Name != "n3" {
 			t.Errorf("%q %q: %v %+v", c.admin, c.fd, err, o)
 		}
 	}
--- a/internal/daemon/keep.go
+++ b/internal/daemon/keep.go
@@ -16,32 +16,32 @@
 	"pepperlead/policy"
 )
 
-// ReadKeeping takes what a keeper is told from the file.
-func ReadKeeping(path string) (*config.Keeping, error) {
+// ReadCoordinatorConfig takes what a keeper is told from the file.
+func ReadCoordinatorConfig(path string) (*config.CoordinatorConfig, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	return config.ReadKeeping(path, b)
+	return config.ReadCoordinator(path, b)
 }
 
-// CheckVersion tells why a text can be no version, or can none follow on the one that is in force, nil where there is none yet. The error has a
+// ValidateRules tells why a text can be no version, or can none follow on the one that is in force, nil where there is none yet. The error has a
 // line for each fault.
-func CheckVersion(file string, text, inForce []byte) error {
-	next, err := config.ReadVersion(file, text)
-	if err != nil || inForce == nil || next.Servers == nil {
+func ValidateRules(file string, text, inForce []byte) error {
+	next, err := config.ReadRules(file, text)
+	if err != nil || inForce == nil || next.Endpoints == nil {
 		return err
 	}
-	now, err := config.ReadVersion("in force", inForce)
-	if err != nil || now.Servers == nil {
+	now, err := config.ReadRules("in force", inForce)
+	if err != nil || now.Endpoints == nil {
 		return nil // what is in force was taken in by an older keeper
 	}
 	ready := map[policy.EndpointID]bool{}
-	for _, s := range now.Servers {
+	for _, s := range now.Endpoints {
 		ready[s.ID] = s.Status == policy.Ready
 	}
-	for _, s := range next.Servers {
-		if s.Status == policy.Ready && ready[s.ID] && !slices.Contains(next.Bans, s.ID) && !slices.Contains(now.Bans, s.ID) {
+	for _, s := range next.Endpoints {
+		if s.Status == policy.Ready && ready[s.ID] && !slices.Contains(next.Drained, s.ID) && !slices.Contains(now.Drained, s.ID) {
 			return nil
 		}
 	}
@@ -51,33 +51,33 @@
 
 // dealt gives the slots' owners of a version that follows on another.
 func dealt(text []byte, inForce *ruleset.Revision) []byte {
-	next, err := config.ReadVersion("version", text)
-	if err != nil || next.Servers == nil {
+	next, err := config.ReadRules("version", text)
+	if err != nil || next.Endpoints == nil {
 		return nil
 	}
 	var was []policy.Member
 	var table []policy.EndpointID
 	if inForce != nil {
-		if v, err := config.ReadVersion("in force", inForce.Text); err == nil {
-			was = members(v.Servers)
+		if v, err := config.ReadRules("in force", inForce.Text); err == nil {
+			was = members(v.Endpoints)
 			table = policy.DecodeTable(inForce.Table, was)
 		}
 	}
-	return policy.EncodeTable(policy.AssignSlots(table, was, members(next.Servers)), members(next.Servers))
+	return policy.EncodeTable(policy.AssignSlots(table, was, members(next.Endpoints)), members(next.Endpoints))
 }
 
-// Keep runs a keeper of versions until it is told to end.
-func Keep(k *config.Keeping, log *logrus.Logger) error {
+// RunCoordinator runs a keeper of versions until it is told to end.
+func RunCoordinator(k *config.CoordinatorConfig, log *logrus.Logger) error {
 	stop := make(chan os.Signal, 2)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
-	key, err := membership.ReadKey(k.Peers.Key)
+	key, err := membership.ReadKey(k.Peers.KeyFile)
 	if err != nil {
 		return fmt.Errorf("peers.key_file: %w", err)
 	}
-	post := coordinator.Config{Name: k.Name, Directory: k.Folder, Listen: k.Listen, Cluster: k.Peers.Cluster, Key: key, Lease: k.Lease, Drift: k.Drift,
-		Validate: func(text, inForce []byte) error { return CheckVersion("version", text, inForce) }, AssignSlots: dealt}
+	post := coordinator.Config{Name: k.Name, Directory: k.Directory, Listen: k.Listen, Cluster: k.Peers.Cluster, Key: key, Lease: k.Lease, Drift: k.Drift,
+		Validate: func(text, inForce []byte) error { return ValidateRules("version", text, inForce) }, AssignSlots: dealt}
 	for _, m := range k.Members {
-		post.Members = append(post.Members, coordinator.Member{Name: m.Name, RaftAddress: m.Raft, AdminAddress: m.Pages})
+		post.Members = append(post.Members, coordinator.Member{Name: m.Name, RaftAddress: m.RaftAddress, AdminAddress: m.AdminAddress})
 	}
 	keeper, err := coordinator.Open(post, log)
 	if err != nil {
--- a/internal/daemon/lines.go
+++ b/internal/daemon/lines.go
@@ -10,8 +10,8 @@
 	"strings"
 )
 
-// Lines notes the line of each key of a JSON document.
-func Lines(file string, text []byte) (map[string]int, error) {
+// JSONLines notes the line of each key of a JSON document.
+func JSONLines(file string, text []byte) (map[string]int, error) {
 	lines := map[string]int{}
 	in := json.NewDecoder(bytes.NewReader(text))
 	in.UseNumber()
--- a/internal/daemon/operated.go
+++ b/internal/daemon/operated.go
@@ -15,7 +15,7 @@
 
 // operated is the sidecar as the door has it.
 type operated struct {
-	*httpproxy.Sidecar
+	*httpproxy.Proxy
 	kin *hotrestart.ProcessGroup
 }
 
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -23,36 +23,36 @@
 	"pepperlead/policy"
 )
 
-// Orders are all that a configuration says: the sidecar's post, and what stands around it.
-type Orders struct {
+// Config are all that a configuration says: the sidecar's post, and what stands around it.
+type Config struct {
 	httpproxy.Config
-	Discovery string // address, where the platform's is followed
-	Name      string
-	inFile    string // the same as the file alone has it
-	Door      string // address for operators; "": none
-	Pages     string // address of counters and metrics over HTTP; "": none
-	LogLevel  string // "": as the command line says
-	LogFormat string
-	Peers     *membership.Config // nil: none
-	Agree     bool               // rules come from the peers' keepers
+	Discovery      string // address, where the platform's is followed
+	Name           string
+	inFile         string // the same as the file alone has it
+	AdminAddress   string // address for operators; "": none
+	MetricsAddress string // address of counters and metrics over HTTP; "": none
+	LogLevel       string // "": as the command line says
+	LogFormat      string
+	Membership     *membership.Config // nil: none
+	AgreedRules    bool               // rules come from the peers' keepers
 }
 
 // Read takes orders from the configuration in the file, and from what the environment says of the same. One that begins with
 // { is the platform's JSON, any other the product's own.
-func Read(path string, env func(string) string) (Orders, error) {
+func Read(path string, env func(string) string) (Config, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
-		return Orders{}, err
+		return Config{}, err
 	}
 	return Parse(path, b, env)
 }
 
 // Parse takes orders from the text of such a file.
-func Parse(path string, b []byte, env func(string) string) (Orders, error) {
+func Parse(path string, b []byte, env func(string) string) (Config, error) {
 	if bytes.HasPrefix(bytes.TrimSpace(b), []byte("{")) {
-		lines, err := Lines(path, b)
+		lines, err := JSONLines(path, b)
 		if err != nil {
-			return Orders{}, err
+			return Config{}, err
 		}
 		o, err := platform(path, b, env)
 		if err != nil {
@@ -64,17 +64,17 @@
 	if err != nil {
 		return o, err
 	}
-	return o, o.operators(o.Door, env)
+	return o, o.operators(o.AdminAddress, env)
 }
 
 // operators takes what the environment says of the door and of the listener, which goes first, and sets descriptors aside for them.
-func (o *Orders) operators(door string, env func(string) string) error {
-	o.Door = door
+func (o *Config) operators(door string, env func(string) string) error {
+	o.AdminAddress = door
 	if at := env("GW_ADMIN"); at != "" {
-		o.Door = at
+		o.AdminAddress = at
 	}
-	if o.Door != "" && !endpointfiles.Address(o.Door) {
-		return fmt.Errorf("admin: found %q, allowed an IP address and port, as 127.0.0.1:9002", o.Door)
+	if o.AdminAddress != "" && !endpointfiles.ValidAddress(o.AdminAddress) {
+		return fmt.Errorf("admin: found %q, allowed an IP address and port, as 127.0.0.1:9002", o.AdminAddress)
 	}
 	if fd := env("GW_INHERITED_FD"); fd != "" {
 		n, err := strconv.Atoi(fd)
@@ -83,8 +83,8 @@
 		}
 		o.InheritedListener = n
 	}
-	if o.Door != "" {
-		o.ReservedDescriptors += admin.DoorDescriptors
+	if o.AdminAddress != "" {
+		o.ReservedDescriptors += admin.CommandDescriptors
 	}
 	if o.together() {
 		o.ReservedDescriptors += hotrestart.Descriptors
@@ -93,45 +93,45 @@
 }
 
 // together tells whether other processes may be one sidecar with this one, or something is to be kept for the next.
-func (o *Orders) together() bool { return o.Door != "" || o.InheritedListener > 0 }
+func (o *Config) together() bool { return o.AdminAddress != "" || o.InheritedListener > 0 }
 
 // product makes orders of the product's own configuration.
-func product(path string, b []byte) (Orders, error) {
+func product(path string, b []byte) (Config, error) {
 	in, err := config.Read(path, b)
 	if err != nil {
-		return Orders{}, err
+		return Config{}, err
 	}
-	o := Orders{Name: in.Name, Door: in.Admin, Pages: in.Pages, Discovery: in.Discovery, LogLevel: in.LogLevel, LogFormat: in.LogFormat,
+	o := Config{Name: in.Name, AdminAddress: in.AdminAddress, MetricsAddress: in.MetricsAddress, Discovery: in.Discovery, LogLevel: in.LogLevel, LogFormat: in.LogFormat,
 		Config: httpproxy.Config{Listen: in.Listen, Descriptors: in.Descriptors, MessageMemory: in.MemoryMB << 20,
-			ConnectTimeout: in.ConnectIn, SourceIP: in.From, IdleTimeout: in.IdleFor, AcceptTime: acceptFor, Settings: in.Campaign, Deadlines: in.CutOffs,
-			DefaultClass: in.Default, Anonymous: in.Anonymous, StallAfter: Stall}}
+			ConnectTimeout: in.ConnectTimeout, SourceIP: in.SourceIP, IdleTimeout: in.IdleTimeout, AcceptTime: acceptFor, Settings: in.Settings, Deadlines: in.Deadlines,
+			DefaultClass: in.DefaultClass, Anonymous: in.Anonymous, StallAfter: StallAfter}}
 	if o.Seed = rand.Uint64(); in.Seeded {
 		o.Seed = instanceSeed(in.Seed, in.Listen)
 	}
-	o.ShutdownTime = in.Leave + acceptFor
+	o.ShutdownTime = in.ShutdownTime + acceptFor
 	o.Source, o.ReservedDescriptors = source(in)
 	if at := in.Peers; at.Listen != "" {
-		key, err := membership.ReadKey(at.Key)
+		key, err := membership.ReadKey(at.KeyFile)
 		if err != nil {
 			return o, fmt.Errorf("%s: peers.key_file: %w", path, err)
 		}
-		o.Peers = &membership.Config{Name: in.Name, Cluster: at.Cluster, Listen: at.Listen, Advertise: at.Advertise, Join: at.Join, Key: key,
-			Zone: string(in.Campaign.Zone)}
-		o.Agree = at.Agree
+		o.Membership = &membership.Config{Name: in.Name, Cluster: at.Cluster, Listen: at.Listen, Advertise: at.Advertise, Join: at.Join, Key: key,
+			Zone: string(in.Settings.Zone)}
+		o.AgreedRules = at.AgreedRules
 		o.ReservedDescriptors += membership.Descriptors
 	}
-	if in.Pages != "" {
-		o.Latency = admin.NewLatency(in.Campaign.Classes)
-		o.ReservedDescriptors += admin.Most + 2
+	if in.MetricsAddress != "" {
+		o.Latency = admin.NewLatency(in.Settings.Classes)
+		o.ReservedDescriptors += admin.MaxConnections + 2
 	}
 	return o, nil
 }
 
-// ClientOrders are what a client is told that has the decisions within.
-type ClientOrders struct {
+// ClientConfig are what a client is told that has the decisions within.
+type ClientConfig struct {
 	Seed                uint64 // 0: to be drawn
-	Campaign            *policy.Settings
-	CutOffs             []policy.Time
+	Settings            *policy.Settings
+	Deadlines           []policy.Time
 	Source              discovery.Source
 	Methods             [][]string // by offering
 	KeyMetadata         string
@@ -139,13 +139,13 @@
 	LogLevel, LogFormat string
 }
 
-// Client makes orders for a client of the product's configuration.
-func Client(name string, text []byte) (ClientOrders, error) {
+// ParseClient makes orders for a client of the product's configuration.
+func ParseClient(name string, text []byte) (ClientConfig, error) {
 	in, err := config.ReadClient(name, text)
 	if err != nil {
-		return ClientOrders{}, err
+		return ClientConfig{}, err
 	}
-	o := ClientOrders{Campaign: in.Campaign, CutOffs: in.CutOffs, Methods: in.Methods, KeyMetadata: in.KeyMetadata,
+	o := ClientConfig{Settings: in.Settings, Deadlines: in.Deadlines, Methods: in.Methods, KeyMetadata: in.KeyMetadata,
 		KeyField: in.KeyField, LogLevel: in.LogLevel, LogFormat: in.LogFormat}
 	if in.Seeded {
 		o.Seed = instanceSeed(in.Seed, "")
@@ -155,26 +155,26 @@
 }
 
 // source makes the one that the configuration names, and tells how many descriptors it takes.
-func source(in *config.Installation) (s discovery.Source, descriptors int) {
+func source(in *config.Config) (s discovery.Source, descriptors int) {
 	now := clock.New().Now
-	switch in.Kind {
+	switch in.SourceKind {
 	case config.Files:
 		s, descriptors = discovery.NewFiles(in.Patterns, in.Terms, now), watchDescriptors
 	case config.Discovery:
 		p := discovery.NewPlatform(in.Discovery, false)
-		p.From, s = in.From, p
+		p.SourceIP, s = in.SourceIP, p
 	case config.Fixed:
-		s = &discovery.Fixed{Entries: in.Servers, Called: fmt.Sprintf("fixed: %+v", in.Servers)}
+		s = &discovery.Fixed{Entries: in.Endpoints, Label: fmt.Sprintf("fixed: %+v", in.Endpoints)}
 	}
-	if in.State != "" {
-		s = discovery.Keep(s, in.State, now)
+	if in.StateDirectory != "" {
+		s = discovery.NewCached(s, in.StateDirectory, now)
 	}
 	return s, descriptors
 }
 
 // platform makes orders of the platform's configuration.
-func platform(path string, b []byte, env func(string) string) (Orders, error) {
-	var post Orders
+func platform(path string, b []byte, env func(string) string) (Config, error) {
+	var post Config
 	var err error
 	var told struct {
 		Name      string `json:"Name"`
@@ -214,17 +214,17 @@
 	if !(told.Limits.Memory >= leastMemory) {
 		fault("limits.memory_mb: found %v, allowed a number from %d up", told.Limits.Memory, leastMemory)
 	}
-	values := &platformsettings.Values{Of: map[string]string{}}
-	if err := flatten(values.Of, "", told.Settings); err != nil {
+	values := &platformsettings.Values{Text: map[string]string{}}
+	if err := flatten(values.Text, "", told.Settings); err != nil {
 		return post, fmt.Errorf("%s: settings: %w", path, err)
 	}
 	post.Descriptors = told.Limits.Sockets
 	post.MessageMemory = int(told.Limits.Memory * (1 << 20))
-	post.ConnectTimeout = values.Span("limits.connect_timeout_s")
-	post.IdleTimeout = values.Span("limits.conn_idle_s")
+	post.ConnectTimeout = values.Duration("limits.connect_timeout_s")
+	post.IdleTimeout = values.Duration("limits.conn_idle_s")
 	post.AcceptTime = acceptFor
 	for n := range values.Count("offerings.count") {
-		post.ShutdownTime = max(post.ShutdownTime, values.Span("offerings."+strconv.Itoa(n)+".cut_off_s"))
+		post.ShutdownTime = max(post.ShutdownTime, values.Duration("offerings."+strconv.Itoa(n)+".cut_off_s"))
 	}
 	// SIGKILL comes 0.7 s after the longest cut-off, so this leaves 250 ms.
 	post.ShutdownTime = min(post.ShutdownTime, longest) + acceptFor
@@ -233,17 +233,17 @@
 	if err := post.operators(told.Admin, env); err != nil {
 		fault("%w", err)
 	}
-	at := discovery.NewPlatform(post.Discovery, values.Of["membership_mode"] == "on_request")
-	if _, told := values.Of["rules.drain_grace_s"]; told && values.Of["membership_mode"] == "pushed" {
+	at := discovery.NewPlatform(post.Discovery, values.Text["membership_mode"] == "on_request")
+	if _, told := values.Text["rules.drain_grace_s"]; told && values.Text["membership_mode"] == "pushed" {
 		// Discovery is an agent on this machine that has what is told: a process that starts hears it before its first push.
-		at.Grace = max(time.Millisecond, time.Duration(values.Span("rules.drain_grace_s")))
-		post.FirstListTimeout = policy.Time(at.AnswerIn())
+		at.Grace = max(time.Millisecond, time.Duration(values.Duration("rules.drain_grace_s")))
+		post.FirstListTimeout = policy.Time(at.AnswerTimeout())
 	}
 	post.Source = at
 	if post.Settings, err = platformsettings.Read(values); err != nil {
 		fault("settings: %s", strings.ReplaceAll(err.Error(), "\n", "\nsettings: "))
 	} else {
-		at.Hold = discovery.HoldFor(at.Grace > 0, post.Settings.Instances)
+		at.WatchTimeout = discovery.WatchTimeout(at.Grace > 0, post.Settings.Instances)
 	}
 	return post, wrong
 }
--- a/internal/daemon/rewrite_test.go
+++ b/internal/daemon/rewrite_test.go
@@ -36,8 +36,8 @@
 	lists []*discovery.List
 }
 
-func (p *tap) Run(ctx context.Context, say func(discovery.News)) {
-	p.Source.Run(ctx, func(n discovery.News) {
+func (p *tap) Run(ctx context.Context, say func(discovery.Event)) {
+	p.Source.Run(ctx, func(n discovery.Event) {
 		if n.List != nil {
 			p.mu.Lock()
 			p.lists = append(p.lists, n.List)
@@ -52,7 +52,7 @@
 	t        *testing.T
 	dir      string
 	addr     string
-	sidecar  *httpproxy.Sidecar
+	sidecar  *httpproxy.Proxy
 	tap      *tap
 	servers  []*fakebackend.Server
 	mu       sync.Mutex
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	fixed := &discovery.Fixed{Called: "stand-ins of the demo"}
+	fixed := &discovery.Fixed{Label: "stand-ins of the demo"}
 	var servers []*fakebackend.Server
 	for i := range sc.Servers {
 		// Three in a hundred requests go wrong, so that there is something to see.
@@ -63,7 +63,7 @@
 		defer s.Close()
 		servers = append(servers, s)
 		fixed.Entries = append(fixed.Entries, discovery.Entry{UID: traits.Name, Addr: s.Addr(),
-			Member: policy.Member{ID: endpointfiles.IDOf(traits.Name), Zone: "a", Weight: 1}})
+			Member: policy.Member{ID: endpointfiles.EndpointID(traits.Name), Zone: "a", Weight: 1}})
 	}
 	second := policy.Second
 	daemon := httpproxy.New(httpproxy.Config{Listen: listen, Source: fixed, Seed: sc.Seed, Descriptors: 512, MessageMemory: 32 << 20,
--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -136,13 +136,13 @@
 // heard is how long after a moment the source tells that s-1 drains.
 func heard(t *testing.T, s *script, grace time.Duration, since func() time.Time) time.Duration {
 	p := NewPlatform(s.Addr().String(), false)
-	p.Grace, p.Hold = grace, HoldFor(true, 1)
+	p.Grace, p.WatchTimeout = grace, WatchTimeout(true, 1)
 	p.Follow(true)
 	ctx, end := context.WithCancel(context.Background())
 	told, over := make(chan time.Time, 1), make(chan struct{})
 	go func() {
 		defer close(over)
-		p.Run(ctx, func(n News) {
+		p.Run(ctx, func(n Event) {
 			if n.List != nil && len(n.List.Entries) > 0 && n.List.Entries[0].Status == policy.Draining {
 				select {
 				case told <- time.Now():
@@ -224,7 +224,7 @@
 		want     time.Duration
 	}{{true, 1, 2 * time.Second}, {true, 350, 2 * time.Second}, {false, 8, 2 * time.Second}, {false, 350, 3500 * time.Millisecond},
 		{false, 60000, 20 * time.Second}} {
-		if got := HoldFor(k.agent, k.sidecars); got != k.want {
+		if got := WatchTimeout(k.agent, k.sidecars); got != k.want {
 			t.Errorf("%+v: %v", k, got)
 		}
 	}
@@ -251,7 +251,7 @@
 	p.Follow(true)
 	ctx, end := context.WithTimeout(context.Background(), 5*time.Second)
 	defer end()
-	p.Run(ctx, func(news News) {
+	p.Run(ctx, func(news Event) {
 		if news.List == nil || len(news.List.Entries) != n {
 			t.Errorf("of %d servers in %d bytes: %v", n, b.Len(), news.Failed)
 		}
@@ -287,8 +287,8 @@
 			last = got
 		}
 	}
-	if p.AnswerIn() != answerIn {
-		t.Errorf("an answer may take %v", p.AnswerIn())
+	if p.AnswerTimeout() != answerIn {
+		t.Errorf("an answer may take %v", p.AnswerTimeout())
 	}
 }
 
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -16,18 +16,18 @@
 
 // List is a list of servers as a source has it. Whoever gets it may keep it, and must not change it.
 type List struct {
-	Kind    policy.ListKind
-	Entries []Entry
-	Memo    endpointfiles.Memo // what a source of files needs again after a restart
+	Kind      policy.ListKind
+	Entries   []Entry
+	FileState endpointfiles.State // what a source of files needs again after a restart
 }
 
-// News is what a source tells: a list, or else what went wrong.
-type News struct {
-	List    *List
-	Failed  string // a call failed; the source goes on by itself or waits for Follow
-	Refused string // what was read is not taken, and the last good list stays
-	Settled bool   // what had been refused is gone: the list in force is what the source has
-	Note    string // something that whoever is on call should know
+// Event is what a source tells: a list, or else what went wrong.
+type Event struct {
+	List      *List
+	Failed    string // a call failed; the source goes on by itself or waits for Follow
+	Rejected  string // what was read is not taken, and the last good list stays
+	Recovered bool   // what had been refused is gone: the list in force is what the source has
+	Note      string // something that whoever is on call should know
 }
 
 // Source tells of servers, whole lists and changes in the order in which they hold.
@@ -35,7 +35,7 @@
 	// Name tells one source from another: two with one name are alike in all that matters.
 	Name() string
 	// Run tells what there is until the context ends. It is called once.
-	Run(ctx context.Context, say func(News))
+	Run(ctx context.Context, say func(Event))
 	// Follow begins or ends to ask, for sources that cost somebody something. It never waits.
 	Follow(on bool)
 }
@@ -43,18 +43,18 @@
 // Fixed is a list that never changes.
 type Fixed struct {
 	Entries []Entry
-	Called  string // its name
+	Label   string // its name
 }
 
 // Name gives the name it was made with.
-func (f *Fixed) Name() string { return f.Called }
+func (f *Fixed) Name() string { return f.Label }
 
 // Follow has nothing to begin.
 func (f *Fixed) Follow(bool) {}
 
 // Run tells the list.
-func (f *Fixed) Run(ctx context.Context, say func(News)) {
-	say(News{List: &List{Kind: policy.ListFull, Entries: f.Entries}})
+func (f *Fixed) Run(ctx context.Context, say func(Event)) {
+	say(Event{List: &List{Kind: policy.ListFull, Entries: f.Entries}})
 	<-ctx.Done()
 }
 
--- a/internal/discovery/files.go
+++ b/internal/discovery/files.go
@@ -29,7 +29,7 @@
 // Files watches list files and tells their servers as one list, whole or not at all.
 type Files struct {
 	patterns []string
-	keeper   *endpointfiles.Keeper
+	keeper   *endpointfiles.Validator
 	name     string
 	now      func() policy.Time
 	parsed   map[string]endpointfiles.File // as last read, so that what has not changed is not parsed again
@@ -38,10 +38,10 @@
 }
 
 // NewFiles makes a source of the files at the patterns, which are those of filepath.Glob; one without * or ? must be there.
-func NewFiles(patterns []string, terms endpointfiles.Terms, now func() policy.Time) *Files {
+func NewFiles(patterns []string, terms endpointfiles.Limits, now func() policy.Time) *Files {
 	for _, p := range patterns {
 		if !strings.ContainsAny(p, `*?[\`) {
-			terms.Named = append(terms.Named, p)
+			terms.RequiredFiles = append(terms.RequiredFiles, p)
 		}
 	}
 	return &Files{patterns: patterns, keeper: endpointfiles.New(terms), now: now, parsed: map[string]endpointfiles.File{}, looks: make(chan chan struct{}),
@@ -54,8 +54,8 @@
 // Follow has nothing to begin: looking at files costs nobody else.
 func (f *Files) Follow(bool) {}
 
-// Look reads the files now, and comes back once what they say has been told, or when the time is over: false.
-func (f *Files) Look(within time.Duration) bool {
+// Refresh reads the files now, and comes back once what they say has been told, or when the time is over: false.
+func (f *Files) Refresh(within time.Duration) bool {
 	end := time.After(within)
 	looked := make(chan struct{})
 	select {
@@ -72,15 +72,15 @@
 }
 
 // Resume goes on from a list kept earlier. It is called before Run.
-func (f *Files) Resume(entries []Entry, memo endpointfiles.Memo) { f.keeper.Resume(entries, memo) }
+func (f *Files) Resume(entries []Entry, memo endpointfiles.State) { f.keeper.Resume(entries, memo) }
 
 // Run looks at the files when they change, and every second.
-func (f *Files) Run(ctx context.Context, say func(News)) {
+func (f *Files) Run(ctx context.Context, say func(Event)) {
 	var events chan fsnotify.Event
 	var faults chan error
 	watcher, err := fsnotify.NewWatcher()
 	if err != nil {
-		say(News{Note: "list files: no word of changes, looking every second: " + err.Error()})
+		say(Event{Note: "list files: no word of changes, looking every second: " + err.Error()})
 	} else {
 		defer watcher.Close()
 		events, faults = watcher.Events, watcher.Errors
@@ -120,23 +120,23 @@
 }
 
 // look reads the files and tells what has become of them; again: when to look at the latest.
-func (f *Files) look(say func(News)) (again policy.Time) {
-	switch found := f.keeper.Weigh(f.now(), f.read()); found.Verdict {
-	case endpointfiles.Taken:
+func (f *Files) look(say func(Event)) (again policy.Time) {
+	switch found := f.keeper.Evaluate(f.now(), f.read()); found.Verdict {
+	case endpointfiles.Accepted:
 		f.refused = ""
-		say(News{List: &List{Kind: policy.ListFull, Entries: found.Entries, Memo: f.keeper.Memo()}})
-	case endpointfiles.Refused:
-		if found.Why != f.refused {
-			f.refused = found.Why
-			say(News{Refused: found.Why})
+		say(Event{List: &List{Kind: policy.ListFull, Entries: found.Entries, FileState: f.keeper.State()}})
+	case endpointfiles.Rejected:
+		if found.Reason != f.refused {
+			f.refused = found.Reason
+			say(Event{Rejected: found.Reason})
 		}
-	case endpointfiles.Same:
+	case endpointfiles.Unchanged:
 		if f.refused != "" {
 			f.refused = ""
-			say(News{Settled: true})
+			say(Event{Recovered: true})
 		}
 	case endpointfiles.Wait:
-		return found.Again
+		return found.LookAgain
 	}
 	return 0
 }
@@ -165,10 +165,10 @@
 		switch {
 		case os.IsNotExist(err):
 		case err != nil:
-			files = append(files, endpointfiles.File{Name: name, Problem: err.Error(), Mark: endpointfiles.Mark(xxhash.Sum64String(err.Error()))})
+			files = append(files, endpointfiles.File{Name: name, Problem: err.Error(), Digest: endpointfiles.Digest(xxhash.Sum64String(err.Error()))})
 		default:
 			was, known := f.parsed[name]
-			if !known || was.Mark != endpointfiles.Mark(xxhash.Sum64(text)) {
+			if !known || was.Digest != endpointfiles.Digest(xxhash.Sum64(text)) {
 				was = endpointfiles.Parse(name, text)
 				f.parsed[name] = was
 			}
@@ -193,12 +193,12 @@
 	if !info.Mode().IsRegular() {
 		return nil, fmt.Errorf("%s: found no plain file, allowed a list file", name)
 	}
-	text, err := io.ReadAll(io.LimitReader(in, endpointfiles.MostText+1))
+	text, err := io.ReadAll(io.LimitReader(in, endpointfiles.MaxFileSize+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(text) > endpointfiles.MostText {
-		return nil, fmt.Errorf("%s: found over %d bytes, allowed as many", name, endpointfiles.MostText)
+	if len(text) > endpointfiles.MaxFileSize {
+		return nil, fmt.Errorf("%s: found over %d bytes, allowed as many", name, endpointfiles.MaxFileSize)
 	}
 	return text, nil
 }
--- a/internal/discovery/files_test.go
+++ b/internal/discovery/files_test.go
@@ -15,15 +15,15 @@
 	"pepperlead/policy"
 )
 
-var terms = endpointfiles.Terms{MayTakeAway: 0.6, Settle: 40 * policy.Millisecond, MissingFor: 150 * policy.Millisecond,
-	Remember: 3600 * policy.Second}
+var terms = endpointfiles.Limits{MaxRemovedShare: 0.6, SettleTime: 40 * policy.Millisecond, MissingTime: 150 * policy.Millisecond,
+	DrainMemory: 3600 * policy.Second}
 
 // text is a list file of the servers named; one with a ! drains. issue 0: neither numbered nor sealed.
 func text(issue endpointfiles.Issue, uids ...string) []byte {
 	var b bytes.Buffer
 	for _, uid := range uids {
 		name, drains := strings.CutSuffix(uid, "!")
-		fmt.Fprintf(&b, "[[server]]\nid = %q\naddress = \"127.0.0.1:%d\"\n", name, 9000+endpointfiles.IDOf(name)%900)
+		fmt.Fprintf(&b, "[[server]]\nid = %q\naddress = \"127.0.0.1:%d\"\n", name, 9000+endpointfiles.EndpointID(name)%900)
 		if drains {
 			b.WriteString("state = \"draining\"\n")
 		}
@@ -43,16 +43,16 @@
 type watch struct {
 	t    *testing.T
 	dir  string
-	news chan News
+	news chan Event
 	end  func()
 }
 
 func start(t *testing.T, dir string, s Source) *watch {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &watch{t: t, dir: dir, news: make(chan News, 64)}
+	w := &watch{t: t, dir: dir, news: make(chan Event, 64)}
 	ended := make(chan struct{})
-	go func() { defer close(ended); s.Run(ctx, func(n News) { w.news <- n }) }()
+	go func() { defer close(ended); s.Run(ctx, func(n Event) { w.news <- n }) }()
 	w.end = func() { cancel(); <-ended }
 	t.Cleanup(w.end)
 	return w
@@ -86,7 +86,7 @@
 	w.t.Helper()
 	select {
 	case n := <-w.news:
-		got := n.Refused
+		got := n.Rejected
 		switch {
 		case n.List != nil:
 			var uids []string
@@ -98,13 +98,13 @@
 				uids = append(uids, uid)
 			}
 			got = strings.Join(uids, " ")
-		case n.Settled:
+		case n.Recovered:
 			got = "settled"
 		case n.Note != "":
 			got = "note " + n.Note
 		}
 		want, refusal := strings.CutPrefix(strings.Join(words, " "), "refused ")
-		if refusal != (n.Refused != "") || got != want && !(refusal && strings.Contains(got, want)) &&
+		if refusal != (n.Rejected != "") || got != want && !(refusal && strings.Contains(got, want)) &&
 			!(n.Note != "" && strings.HasPrefix(got, want)) {
 			w.t.Errorf("told %q, want %v", got, words)
 		}
@@ -260,7 +260,7 @@
 	list, state := filepath.Join(dir, "f.toml"), filepath.Join(dir, "state")
 	os.WriteFile(list, text(6, "a", "b!", "c"), 0o600)
 	keep := func() *watch {
-		return start(t, dir, Keep(NewFiles([]string{list}, terms, clock.New().Now), state, clock.New().Now))
+		return start(t, dir, NewCached(NewFiles([]string{list}, terms, clock.New().Now), state, clock.New().Now))
 	}
 	w := keep()
 	w.want("a", "b!", "c")
--- a/internal/discovery/golden_kept_test.go
+++ b/internal/discovery/golden_kept_test.go
@@ -13,20 +13,20 @@
 )
 
 // keptOfBefore gives the list that is kept in the golden file, and its memo.
-func keptOfBefore() (map[string]Entry, endpointfiles.Memo) {
+func keptOfBefore() (map[string]Entry, endpointfiles.State) {
 	entries := map[string]Entry{
-		"s-1": {UID: "s-1", Addr: "127.0.0.1:9101", Member: policy.Member{ID: endpointfiles.IDOf("s-1"), Zone: "a", Cell: 3, Weight: 1.5,
+		"s-1": {UID: "s-1", Addr: "127.0.0.1:9101", Member: policy.Member{ID: endpointfiles.EndpointID("s-1"), Zone: "a", Cell: 3, Weight: 1.5,
 			Status: policy.Draining, Started: 7 * policy.Second}},
-		"s-2": {UID: "s-2", Addr: "127.0.0.1:9102", Member: policy.Member{ID: endpointfiles.IDOf("s-2"), Weight: 1}},
+		"s-2": {UID: "s-2", Addr: "127.0.0.1:9102", Member: policy.Member{ID: endpointfiles.EndpointID("s-2"), Weight: 1}},
 	}
-	return entries, endpointfiles.Memo{Issues: map[string]endpointfiles.Issue{"servers.toml": 5},
-		Drains: map[string]endpointfiles.Drain{"s-1": {Told: 8 * policy.Second, Named: 9 * policy.Second}}}
+	return entries, endpointfiles.State{Issues: map[string]endpointfiles.Issue{"servers.toml": 5},
+		Drains: map[string]endpointfiles.Drain{"s-1": {FirstListed: 8 * policy.Second, LastListed: 9 * policy.Second}}}
 }
 
 // TestKeptListIsWrittenAsBefore holds the file that keeps the last list to what was written before.
 func TestKeptListIsWrittenAsBefore(t *testing.T) {
 	folder := t.TempDir()
-	kept := Keep(&Fixed{}, folder, func() policy.Time { return 10 * policy.Second })
+	kept := NewCached(&Fixed{}, folder, func() policy.Time { return 10 * policy.Second })
 	if err := kept.save(kept.document(keptOfBefore())); err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 // TestKeptListOfBeforeIsRead reads the file that was written before, and has it told as a saved list.
 func TestKeptListOfBeforeIsRead(t *testing.T) {
 	entries, memo := keptOfBefore()
-	kept := &Kept{Source: &Fixed{}, store: &snapshot.Store{Dir: "testdata/kept"}, now: func() policy.Time { return 0 }}
+	kept := &Cached{Source: &Fixed{}, store: &snapshot.Store{Dir: "testdata/kept"}, now: func() policy.Time { return 0 }}
 	read, readMemo, err := kept.load()
 	if err != nil {
 		t.Fatal(err)
@@ -57,7 +57,7 @@
 // TestListsOfThePlatformAreReadAsBefore holds the values that the platform's list, with each of its keys, is read as to those that it
 // was read as before.
 func TestListsOfThePlatformAreReadAsBefore(t *testing.T) {
-	version, full, entries, err := ReadList(golden.Read(t, "platform.json"))
+	version, full, entries, err := DecodeList(golden.Read(t, "platform.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -36,8 +36,8 @@
 func TestKeptListKeepsItsBytes(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "servers")
-	kept := Keep(&Fixed{}, dir, func() policy.Time { return 1 })
-	save := func(entries []Entry, memo endpointfiles.Memo) []byte {
+	kept := NewCached(&Fixed{}, dir, func() policy.Time { return 1 })
+	save := func(entries []Entry, memo endpointfiles.State) []byte {
 		t.Helper()
 		byUID := map[string]Entry{}
 		merge(byUID, List{Kind: policy.ListFull, Entries: entries})
@@ -52,16 +52,16 @@
 	}
 	// A distinct value in every field, so that a key that is lost, renamed or swapped with another changes the encoding.
 	server := func(uid, address string, member policy.Member) Entry {
-		member.ID = endpointfiles.IDOf(uid)
+		member.ID = endpointfiles.EndpointID(uid)
 		return Entry{UID: uid, Addr: address, Member: member}
 	}
 	encoded := save([]Entry{
 		server("server-1", "10.0.0.1:80", policy.Member{Weight: 2.5, Cell: 3, Zone: "zone-1", Status: policy.Draining, Started: 4}),
 		server("server-2", "10.0.0.2:80", policy.Member{Weight: 5.5, Cell: 6, Zone: "zone-2", Status: policy.Ready, Started: 7}),
 		server("server-3", "10.0.0.3:80", policy.Member{}),
-	}, endpointfiles.Memo{
+	}, endpointfiles.State{
 		Issues: map[string]endpointfiles.Issue{"file-1": 8, "file-2": 9},
-		Drains: map[string]endpointfiles.Drain{"server-1": {Told: 10, Named: 11}, "server-4": {Told: 12, Named: 13}},
+		Drains: map[string]endpointfiles.Drain{"server-1": {FirstListed: 10, LastListed: 11}, "server-4": {FirstListed: 12, LastListed: 13}},
 	})
 	want := goldenFile(t, "servers", encoded)
 	if !bytes.Equal(encoded, want) {
--- a/internal/discovery/kept.go
+++ b/internal/discovery/kept.go
@@ -23,27 +23,27 @@
 
 // resumer is a source that can go on from a list kept earlier.
 type resumer interface {
-	Resume(entries []Entry, memo endpointfiles.Memo)
+	Resume(entries []Entry, memo endpointfiles.State)
 }
 
-// Kept is a source whose last list is kept in a folder and told again, as a saved one, at the next start. Writing waits for
+// Cached is a source whose last list is kept in a folder and told again, as a saved one, at the next start. Writing waits for
 // the disk beside the loop and beside the source.
-type Kept struct {
+type Cached struct {
 	Source
 	store *snapshot.Store
 	now   func() policy.Time
 }
 
-// Keep wraps a source.
-func Keep(s Source, dir string, now func() policy.Time) *Kept {
-	return &Kept{Source: s, store: &snapshot.Store{Dir: dir}, now: now}
+// NewCached wraps a source.
+func NewCached(s Source, dir string, now func() policy.Time) *Cached {
+	return &Cached{Source: s, store: &snapshot.Store{Dir: dir}, now: now}
 }
 
 // Name tells the folder too.
-func (k *Kept) Name() string { return k.Source.Name() + ", kept in " + k.store.Dir }
+func (k *Cached) Name() string { return k.Source.Name() + ", kept in " + k.store.Dir }
 
-// Look is the source's, where it has one.
-func (k *Kept) Look(within time.Duration) bool {
+// Refresh is the source's, where it has one.
+func (k *Cached) Refresh(within time.Duration) bool {
 	s, can := k.Source.(interface{ Look(time.Duration) bool })
 	return can && s.Look(within)
 }
@@ -67,9 +67,9 @@
 }
 
 // Run tells the list kept, then what the source has to tell.
-func (k *Kept) Run(ctx context.Context, say func(News)) {
+func (k *Cached) Run(ctx context.Context, say func(Event)) {
 	in := map[string]Entry{}
-	memo := endpointfiles.Memo{}
+	memo := endpointfiles.State{}
 	switch entries, was, err := k.load(); {
 	case err == nil:
 		for _, e := range entries {
@@ -79,29 +79,29 @@
 		if r, can := k.Source.(resumer); can {
 			r.Resume(entries, memo)
 		}
-		say(News{List: &List{Kind: policy.ListSaved, Entries: entries, Memo: memo}})
+		say(Event{List: &List{Kind: policy.ListSaved, Entries: entries, FileState: memo}})
 	case !errors.Is(err, snapshot.ErrNotFound):
 		// A damaged list is no reason not to serve: the source has a newer one.
-		say(News{Note: "kept list: left out: " + err.Error()})
+		say(Event{Note: "kept list: left out: " + err.Error()})
 	}
 	due, written := make(chan saved, 1), make(chan struct{})
 	go func() {
 		defer close(written)
 		for doc := range due {
 			if err := k.save(doc); err != nil {
-				say(News{Note: "the list cannot be kept: " + err.Error()})
+				say(Event{Note: "the list cannot be kept: " + err.Error()})
 			}
 			sleep(ctx, saveEvery)
 		}
 	}()
-	k.Source.Run(ctx, func(n News) {
+	k.Source.Run(ctx, func(n Event) {
 		say(n)
 		if n.List == nil {
 			return
 		}
 		merge(in, *n.List)
-		if n.List.Memo.Issues != nil {
-			memo = n.List.Memo
+		if n.List.FileState.Issues != nil {
+			memo = n.List.FileState
 		}
 		select {
 		case <-due: // a newer one takes its place
@@ -127,10 +127,10 @@
 	}
 }
 
-func (k *Kept) document(in map[string]Entry, memo endpointfiles.Memo) saved {
+func (k *Cached) document(in map[string]Entry, memo endpointfiles.State) saved {
 	doc := saved{Saved: k.now(), Issues: memo.Issues, Drains: map[string][2]policy.Time{}}
 	for uid, d := range memo.Drains {
-		doc.Drains[uid] = [2]policy.Time{d.Told, d.Named}
+		doc.Drains[uid] = [2]policy.Time{d.FirstListed, d.LastListed}
 	}
 	for _, e := range slices.SortedFunc(maps.Values(in), func(a, b Entry) int { return cmp.Compare(a.UID, b.UID) }) {
 		doc.Servers = append(doc.Servers, savedServer{e.UID, e.Addr, e.Zone, e.Cell, e.Weight, e.Status, e.Started})
@@ -138,7 +138,7 @@
 	return doc
 }
 
-func (k *Kept) save(doc saved) error {
+func (k *Cached) save(doc saved) error {
 	body, err := json.Marshal(doc)
 	if err != nil {
 		return err
@@ -146,9 +146,9 @@
 	return k.store.Put(keptName, keptKind, keptVersion, body)
 }
 
-func (k *Kept) load() ([]Entry, endpointfiles.Memo, error) {
+func (k *Cached) load() ([]Entry, endpointfiles.State, error) {
 	var doc saved
-	memo := endpointfiles.Memo{Drains: map[string]endpointfiles.Drain{}}
+	memo := endpointfiles.State{Drains: map[string]endpointfiles.Drain{}}
 	body, err := k.store.Get(keptName, keptKind, keptVersion)
 	if err == nil {
 		err = json.Unmarshal(body, &doc)
@@ -158,14 +158,14 @@
 	}
 	memo.Issues = doc.Issues
 	for uid, d := range doc.Drains {
-		memo.Drains[uid] = endpointfiles.Drain{Told: d[0], Named: d[1]}
+		memo.Drains[uid] = endpointfiles.Drain{FirstListed: d[0], LastListed: d[1]}
 	}
 	var entries []Entry
 	for _, s := range doc.Servers {
 		if s.UID == "" || s.Addr == "" || !(s.Weight >= 0 && s.Weight < 1e12) || s.Standing > policy.Draining {
 			return nil, memo, errors.New("a server in it cannot be used: " + s.UID)
 		}
-		entries = append(entries, Entry{UID: s.UID, Addr: s.Addr, Member: policy.Member{ID: endpointfiles.IDOf(s.UID),
+		entries = append(entries, Entry{UID: s.UID, Addr: s.Addr, Member: policy.Member{ID: endpointfiles.EndpointID(s.UID),
 			Zone: s.Zone, Cell: s.Cell, Weight: s.Weight, Status: s.Standing, Started: s.Started}})
 	}
 	return entries, memo, nil
--- a/internal/discovery/platform.go
+++ b/internal/discovery/platform.go
@@ -35,17 +35,17 @@
 // Platform follows the platform's discovery: the whole list, then one watch after another.
 type Platform struct {
 	gate
-	From  net.IP        // calls leave from there; nil: from whichever address the kernel picks
-	Grace time.Duration // discovery is an agent on this machine, and what it has been told binds so much later; 0: it is neither
-	Hold  time.Duration // for a watch to wait for news
-	addr  string
-	once  bool // after a failed call none is made until Follow says so
+	SourceIP     net.IP        // calls leave from there; nil: from whichever address the kernel picks
+	Grace        time.Duration // discovery is an agent on this machine, and what it has been told binds so much later; 0: it is neither
+	WatchTimeout time.Duration // for a watch to wait for news
+	addr         string
+	once         bool // after a failed call none is made until Follow says so
 
 	closes bool // the last answer said that its connection ends with it
 }
 
-// AnswerIn is how long an answer may take to begin, beyond what its call is to wait.
-func (p *Platform) AnswerIn() time.Duration {
+// AnswerTimeout is how long an answer may take to begin, beyond what its call is to wait.
+func (p *Platform) AnswerTimeout() time.Duration {
 	if p.Grace == 0 {
 		return answerIn
 	}
@@ -74,13 +74,13 @@
 
 // NewPlatform makes a source of the discovery at the address.
 func NewPlatform(addr string, once bool) *Platform {
-	return &Platform{gate: newGate(), addr: addr, once: once, Hold: longHold}
+	return &Platform{gate: newGate(), addr: addr, once: once, WatchTimeout: longHold}
 }
 
-// HoldFor is how long a watch may wait where so many sidecars watch. One that has fallen silent is given up after it, and what discovery had
+// WatchTimeout is how long a watch may wait where so many sidecars watch. One that has fallen silent is given up after it, and what discovery had
 // meanwhile binds 6 s after it had it: hold, answer, the next call and the grace have to fit in. An agent on the same machine costs
 // nothing; elsewhere calls are shared out.
-func HoldFor(agent bool, sidecars int) time.Duration {
+func WatchTimeout(agent bool, sidecars int) time.Duration {
 	if agent {
 		return agentHold
 	}
@@ -91,10 +91,10 @@
 func (p *Platform) Name() string { return "discovery at " + p.addr }
 
 // Run asks while Follow is on.
-func (p *Platform) Run(ctx context.Context, say func(News)) {
-	dialer := &net.Dialer{Timeout: p.AnswerIn(), KeepAlive: -1}
-	if p.From != nil {
-		dialer.LocalAddr = &net.TCPAddr{IP: p.From}
+func (p *Platform) Run(ctx context.Context, say func(Event)) {
+	dialer := &net.Dialer{Timeout: p.AnswerTimeout(), KeepAlive: -1}
+	if p.SourceIP != nil {
+		dialer.LocalAddr = &net.TCPAddr{IP: p.SourceIP}
 	}
 	transport := &http.Transport{DialContext: dialer.DialContext,
 		MaxIdleConnsPerHost: 1, DisableCompression: true, MaxResponseHeaderBytes: mostHead}
@@ -115,14 +115,14 @@
 			if failed++; p.once {
 				p.Follow(false)
 			}
-			say(News{Failed: err.Error()})
+			say(Event{Failed: err.Error()})
 			if !p.once {
 				sleep(ctx, p.spread(p.pause(failed)))
 			}
 			continue
 		}
 		failed = 0
-		say(News{List: list})
+		say(Event{List: list})
 		switch {
 		case next == version:
 			// Were nothing new answered at once, again and again, the calls would fill the core.
@@ -137,9 +137,9 @@
 
 // call asks for the whole list, or for what has changed since a version.
 func (p *Platform) call(ctx context.Context, by http.RoundTripper, since int64) (*List, int64, error) {
-	target, wait := "http://"+p.addr+"/catalog/members", p.AnswerIn()
+	target, wait := "http://"+p.addr+"/catalog/members", p.AnswerTimeout()
 	if since >= 0 {
-		target, wait = fmt.Sprintf("%s?from=%d&hold_ms=%d", target, since, p.Hold.Milliseconds()), wait+p.Hold
+		target, wait = fmt.Sprintf("%s?from=%d&hold_ms=%d", target, since, p.WatchTimeout.Milliseconds()), wait+p.WatchTimeout
 	}
 	ctx, end := context.WithCancelCause(ctx)
 	defer end(nil)
@@ -166,7 +166,7 @@
 	}
 	defer answer.Body.Close()
 	p.closes = answer.Close
-	late.Reset(p.AnswerIn()) // one that has begun must end, and is not given as long as a watch
+	late.Reset(p.AnswerTimeout()) // one that has begun must end, and is not given as long as a watch
 	if answer.StatusCode != http.StatusOK {
 		return nil, 0, fmt.Errorf("the answer cannot be used: status %d", answer.StatusCode)
 	}
@@ -177,7 +177,7 @@
 	if len(body) > mostList {
 		return nil, 0, fmt.Errorf("%w: over %d bytes", errList, mostList)
 	}
-	version, full, entries, err := ReadList(body)
+	version, full, entries, err := DecodeList(body)
 	if err != nil {
 		return nil, 0, err
 	}
--- a/internal/discovery/platform_test.go
+++ b/internal/discovery/platform_test.go
@@ -13,7 +13,7 @@
 // entries reads a list and writes down what was said.
 func entries(in string) (string, error) {
 	var out strings.Builder
-	version, full, all, err := ReadList([]byte(in))
+	version, full, all, err := DecodeList([]byte(in))
 	for _, e := range all {
 		fmt.Fprintln(&out, e.UID, e.Addr, e.Zone, e.Cell, e.Status, e.Weight, e.Started)
 	}
--- a/internal/discovery/platformlist.go
+++ b/internal/discovery/platformlist.go
@@ -13,9 +13,9 @@
 
 var errList = errors.New("the list cannot be read")
 
-// ReadList reads a list of servers as the platform's discovery gives it. full: it names all servers, else those that
+// DecodeList reads a list of servers as the platform's discovery gives it. full: it names all servers, else those that
 // changed since some version. A list that breaks off anywhere is an error.
-func ReadList(b []byte) (version int64, full bool, entries []Entry, err error) {
+func DecodeList(b []byte) (version int64, full bool, entries []Entry, err error) {
 	j := &jsonText{b: b}
 	seen := 0
 	err = j.object(func(name []byte) error {
@@ -88,7 +88,7 @@
 		return Entry{}, errList
 	}
 	e := Entry{UID: string(uid), Addr: string(addr)}
-	e.Member = policy.Member{ID: endpointfiles.IDOf(e.UID), Weight: weight, Cell: policy.Cell(cell), Zone: policy.Zone(zone),
+	e.Member = policy.Member{ID: endpointfiles.EndpointID(e.UID), Weight: weight, Cell: policy.Cell(cell), Zone: policy.Zone(zone),
 		Status: standing, Started: policy.Time(boot) * policy.Millisecond}
 	return e, nil
 }
--- a/internal/emulator/read.go
+++ b/internal/emulator/read.go
@@ -28,7 +28,7 @@
 // in the scenario. The error has a line for each fault.
 func Read(file string, text []byte, load func(name string) ([]byte, error), sets ...Set) (*Scenario, error) {
 	doc, root := tomlfile.Parse(file, text, MostText)
-	if name := root.Text("base", ""); doc.Err() == nil && name != "" {
+	if name := root.String("base", ""); doc.Err() == nil && name != "" {
 		of, err := load(name)
 		if err != nil {
 			root.Fault("base", root.Found("base"), "a scenario: "+err.Error())
@@ -41,7 +41,7 @@
 		if err := below.Err(); err != nil {
 			return nil, err
 		}
-		root.Over(base)
+		root.Overlay(base)
 	}
 	for _, set := range sets {
 		if doc.Err() == nil {
@@ -62,9 +62,9 @@
 
 func (sc *Scenario) read(root *tomlfile.Table) {
 	root.Require("name", "length", "fleet", "load", "offering", "kind")
-	sc.Name, sc.About = root.Text("name", ""), root.Text("about", "")
-	sc.Length = root.Span("length", 60*policy.Second, policy.Second, day)
-	sc.Tick = root.Span("tick", 5*policy.Millisecond, policy.Millisecond, 100*policy.Millisecond)
+	sc.Name, sc.About = root.String("name", ""), root.String("about", "")
+	sc.Length = root.Duration("length", 60*policy.Second, policy.Second, day)
+	sc.Tick = root.Duration("tick", 5*policy.Millisecond, policy.Millisecond, 100*policy.Millisecond)
 	sc.fleet(root)
 	sc.load(root)
 	sc.surroundings(root)
@@ -73,7 +73,7 @@
 	for _, t := range root.Tables("fault") {
 		sc.fault(t)
 	}
-	root.Done()
+	root.RejectUnknown()
 }
 
 func (sc *Scenario) fleet(root *tomlfile.Table) {
@@ -81,97 +81,97 @@
 	t.Require("servers", "sidecars")
 	sc.Servers = int(t.Count("servers", 8, 1, mostServers))
 	sc.Sidecars = int(t.Count("sidecars", 4, 1, mostSidecars))
-	for _, z := range t.Texts("zones") {
+	for _, z := range t.Strings("zones") {
 		sc.Zones = append(sc.Zones, policy.Zone(z))
 	}
 	if len(sc.Zones) == 0 {
 		sc.Zones = []policy.Zone{"a"}
 	}
 	sc.PodSize = int(t.Count("pod", 4, 1, mostServers))
-	sc.PodLimit = t.Real("pod_limit", 0, 0, 1)
-	t.Done()
+	sc.PodLimit = t.Float("pod_limit", 0, 0, 1)
+	t.RejectUnknown()
 	for _, t := range root.Tables("kind") {
 		t.Require("name", "cores")
-		k := Kind{Name: t.Text("name", ""), Share: t.Real("share", 1, 0.0001, 1), Spread: t.Real("spread", 0, 0, 2),
-			Weight: t.Yes("weighs", false), Errors: t.Real("errors", 0, 0, 1),
+		k := Kind{Name: t.String("name", ""), Share: t.Float("share", 1, 0.0001, 1), Spread: t.Float("spread", 0, 0, 2),
+			Weight: t.Bool("weighs", false), Errors: t.Float("errors", 0, 0, 1),
 			Cancel: Cancel(t.OneOf("cancel", int(CancelWaiting), "nothing", "waiting", "all"))}
-		k.Traits = machine.Traits{Cores: t.Real("cores", 2, 0.1, 1024), Speed: t.Real("speed", 1, 0.01, 100),
+		k.Traits = machine.Traits{Cores: t.Float("cores", 2, 0.1, 1024), Speed: t.Float("speed", 1, 0.01, 100),
 			Slots: int(t.Count("slots", 0, 0, 1e6)), Queue: int(t.Count("queue", 1000, 0, 1e6)),
-			ColdPart: t.Real("cold_part", 1, 0.01, 1), WarmIn: t.Span("warm_in", 0, 0, 3600*policy.Second),
-			Keys: int(t.Count("keys", 0, 0, 1e6)), Discount: t.Real("discount", 0, 0, 0.99),
-			Forgets: t.Span("forgets", 0, 0, 3600*policy.Second), ChokeAt: int(t.Count("choke_at", 0, 0, 1e6)),
-			Choked: t.Real("choked", 0.5, 0.01, 1), Fall: t.Real("fall", 0, 0, 1000),
-			FallIn:  t.Span("fall_in", policy.Second, policy.Millisecond, 60*policy.Second),
-			Connect: t.Span("connect", 0, 0, policy.Second), Conns: int(t.Count("connections", 0, 0, 1e6)), MaxConns: int(t.Count("max_connections", 0, 0, 1e6)),
-			Tax: t.Real("tax", 0, 0, 10)}
+			ColdPart: t.Float("cold_part", 1, 0.01, 1), WarmIn: t.Duration("warm_in", 0, 0, 3600*policy.Second),
+			Keys: int(t.Count("keys", 0, 0, 1e6)), Discount: t.Float("discount", 0, 0, 0.99),
+			Forgets: t.Duration("forgets", 0, 0, 3600*policy.Second), ChokeAt: int(t.Count("choke_at", 0, 0, 1e6)),
+			Choked: t.Float("choked", 0.5, 0.01, 1), Fall: t.Float("fall", 0, 0, 1000),
+			FallIn:  t.Duration("fall_in", policy.Second, policy.Millisecond, 60*policy.Second),
+			Connect: t.Duration("connect", 0, 0, policy.Second), Conns: int(t.Count("connections", 0, 0, 1e6)), MaxConns: int(t.Count("max_connections", 0, 0, 1e6)),
+			Tax: t.Float("tax", 0, 0, 10)}
 		if k.Slots == 0 && k.Queue == 0 {
 			t.Fault("queue", "0", "1 or more where cores are shared")
 		}
-		t.Done()
+		t.RejectUnknown()
 		sc.Kinds = append(sc.Kinds, k)
 	}
 }
 
 func (sc *Scenario) load(root *tomlfile.Table) {
 	t := root.Table("load")
-	sc.Load = Load{Rate: t.Real("rate", 0, 0, mostRate), Part: t.Real("part", 0, 0, 20), Swing: t.Real("swing", 0, 0, 1),
-		Period: t.Span("period", 60*policy.Second, policy.Second, day), Bursts: t.Real("bursts", 0, 0, 5),
-		ZoneSkew: t.Real("zone_skew", 0, 0, 0.99), Keys: int(t.Count("keys", 1000, 1, 1e8)),
-		Zipf: t.Real("zipf", 0.9, 0, 5), Keyless: t.Real("keyless", 0, 0, 1)}
+	sc.Load = Load{Rate: t.Float("rate", 0, 0, mostRate), Part: t.Float("part", 0, 0, 20), Swing: t.Float("swing", 0, 0, 1),
+		Period: t.Duration("period", 60*policy.Second, policy.Second, day), Bursts: t.Float("bursts", 0, 0, 5),
+		ZoneSkew: t.Float("zone_skew", 0, 0, 0.99), Keys: int(t.Count("keys", 1000, 1, 1e8)),
+		Zipf: t.Float("zipf", 0.9, 0, 5), Keyless: t.Float("keyless", 0, 0, 1)}
 	if (sc.Load.Rate == 0) == (sc.Load.Part == 0) {
 		t.Fault("rate", "rate "+t.Found("rate")+" and part "+t.Found("part"), "one of them over 0")
 	}
-	t.Done()
+	t.RejectUnknown()
 	t = root.Table("clients")
-	sc.Clients = Clients{Retries: int(t.Count("retries", 0, 0, 10)), Heed: t.Real("heed", 1, 0, 1),
-		Backoff: t.Span("backoff", 100*policy.Millisecond, policy.Millisecond, 60*policy.Second), Marks: t.Yes("marks", true)}
-	t.Done()
+	sc.Clients = Clients{Retries: int(t.Count("retries", 0, 0, 10)), Heed: t.Float("heed", 1, 0, 1),
+		Backoff: t.Duration("backoff", 100*policy.Millisecond, policy.Millisecond, 60*policy.Second), Marks: t.Bool("marks", true)}
+	t.RejectUnknown()
 }
 
 func (sc *Scenario) surroundings(root *tomlfile.Table) {
 	ms := policy.Millisecond
 	t := root.Table("network")
-	sc.Network = Network{Near: t.Span("near", ms/5, 0, policy.Second), Far: t.Span("far", 5*ms, 0, 5*policy.Second),
-		Client: t.Span("client", ms/20, 0, policy.Second), Jitter: t.Real("jitter", 0, 0, 3),
-		Handshakes: int(t.Count("handshakes", 1, 0, 10)), ConnectIn: t.Span("connect", 200*ms, ms, 60*policy.Second),
-		IdleFor: t.Span("idle", 60*policy.Second, 10*ms, 3600*policy.Second)}
-	t.Done()
+	sc.Network = Network{Near: t.Duration("near", ms/5, 0, policy.Second), Far: t.Duration("far", 5*ms, 0, 5*policy.Second),
+		Client: t.Duration("client", ms/20, 0, policy.Second), Jitter: t.Float("jitter", 0, 0, 3),
+		Handshakes: int(t.Count("handshakes", 1, 0, 10)), ConnectIn: t.Duration("connect", 200*ms, ms, 60*policy.Second),
+		IdleFor: t.Duration("idle", 60*policy.Second, 10*ms, 3600*policy.Second)}
+	t.RejectUnknown()
 	t = root.Table("discovery")
 	pair := func(key string, low, high policy.Time) [2]policy.Time {
 		p := t.Table(key)
-		out := [2]policy.Time{p.Span("from", low, 0, 600*policy.Second), p.Span("to", high, 0, 600*policy.Second)}
+		out := [2]policy.Time{p.Duration("from", low, 0, 600*policy.Second), p.Duration("to", high, 0, 600*policy.Second)}
 		if out[0] > out[1] {
 			p.Fault("from", p.Found("from"), "at most what to says, "+p.Found("to"))
 		}
-		p.Done()
+		p.RejectUnknown()
 		return out
 	}
 	sc.Discovery = Discovery{Delay: pair("delay", 200*ms, policy.Second), Silent: pair("silent", 5*policy.Second, 10*policy.Second),
-		Step: t.Span("step", 0, 0, 60*policy.Second), Asked: t.Yes("asked", false)}
-	t.Done()
+		Step: t.Duration("step", 0, 0, 60*policy.Second), Asked: t.Bool("asked", false)}
+	t.RejectUnknown()
 	t = root.Table("allow")
-	sc.Allow = Allow{Pushes: int(t.Count("pushes", 3, 1, 8)), Cancel: t.Yes("cancel", true),
-		Advice: t.Span("advice", 3*policy.Second, 0, 3600*policy.Second), CrossPrice: t.Real("cross_price", 0, 0, 1),
-		Grace: t.Span("grace", policy.Second, 0, 60*policy.Second)}
-	t.Done()
+	sc.Allow = Allow{Pushes: int(t.Count("pushes", 3, 1, 8)), Cancel: t.Bool("cancel", true),
+		Advice: t.Duration("advice", 3*policy.Second, 0, 3600*policy.Second), CrossPrice: t.Float("cross_price", 0, 0, 1),
+		Grace: t.Duration("grace", policy.Second, 0, 60*policy.Second)}
+	t.RejectUnknown()
 }
 
 func (sc *Scenario) offerings(root *tomlfile.Table) {
 	for _, t := range root.Tables("offering") {
 		t.Require("name", "quoted_time", "cut_off", "work")
-		o := Offering{Share: t.Real("share", 1, 1e-6, 1e6), Work: t.Span("work", policy.Millisecond, 1000, 600*policy.Second),
-			IO: t.Span("io", 0, 0, 600*policy.Second), Spread: t.Real("spread", 0, 0, 5)}
-		o.Class = policy.Class{Name: t.Text("name", ""), Value: t.Real("credit", 1, 1e-6, 1e9),
-			LateValue: t.Real("late_credit", 0, 0, 1), Target: t.Span("quoted_time", policy.Second, policy.Millisecond, day),
+		o := Offering{Share: t.Float("share", 1, 1e-6, 1e6), Work: t.Duration("work", policy.Millisecond, 1000, 600*policy.Second),
+			IO: t.Duration("io", 0, 0, 600*policy.Second), Spread: t.Float("spread", 0, 0, 5)}
+		o.Class = policy.Class{Name: t.String("name", ""), Value: t.Float("credit", 1, 1e-6, 1e9),
+			LateValue: t.Float("late_credit", 0, 0, 1), Target: t.Duration("quoted_time", policy.Second, policy.Millisecond, day),
 			Idempotency: policy.Idempotency(t.OneOf("repeats", 0, "reissuable", "numbered", "at-most-once")),
-			Group:       policy.Group(t.OneOf("group", 0, "all", "zone", "pod")), Window: t.Span("window", 0, 0, day)}
-		if o.Deadline = t.Span("cut_off", o.Target, policy.Millisecond, day); o.Deadline < o.Target {
+			Group:       policy.Group(t.OneOf("group", 0, "all", "zone", "pod")), Window: t.Duration("window", 0, 0, day)}
+		if o.Deadline = t.Duration("cut_off", o.Target, policy.Millisecond, day); o.Deadline < o.Target {
 			t.Fault("cut_off", t.Found("cut_off"), "at least the quoted time")
 		}
 		if o.Idempotency == policy.Keyed {
 			t.Require("window")
 		}
-		t.Done()
+		t.RejectUnknown()
 		sc.Offerings = append(sc.Offerings, o)
 	}
 	if len(sc.Offerings) == 0 && root.Has("offering") {
@@ -181,26 +181,26 @@
 
 func (sc *Scenario) franchises(root *tomlfile.Table) {
 	t := root.Table("franchises")
-	sc.Beyond = t.Real("beyond_credit", 0.05, 0, 1)
-	t.Done()
+	sc.Beyond = t.Float("beyond_credit", 0.05, 0, 1)
+	t.RejectUnknown()
 	for _, t := range root.Tables("franchise") {
 		t.Require("name")
-		f := Franchise{Name: t.Text("name", ""), Share: t.Real("share", 1, 1e-6, 1e6), Quota: t.Real("quota", 0, 0, mostRate),
-			Part: t.Real("quota_part", 0, 0, 20)}
+		f := Franchise{Name: t.String("name", ""), Share: t.Float("share", 1, 1e-6, 1e6), Quota: t.Float("quota", 0, 0, mostRate),
+			Part: t.Float("quota_part", 0, 0, 20)}
 		if (f.Quota == 0) == (f.Part == 0) {
 			t.Fault("quota", "quota "+t.Found("quota")+" and quota_part "+t.Found("quota_part"), "one of them over 0")
 		}
-		t.Done()
+		t.RejectUnknown()
 		sc.Franchise = append(sc.Franchise, f)
 	}
 }
 
 func (sc *Scenario) fault(t *tomlfile.Table) {
 	t.Require("kind", "at")
-	f := Fault{Kind: FaultKind(t.OneOf("kind", 0, faultNames[:]...)), At: t.Span("at", 0, 0, day),
-		For: t.Span("for", 0, 0, day), Part: t.Real("part", 0, 0, 1), Count: int(t.Count("count", 0, 0, mostServers)),
-		Zone: policy.Zone(t.Text("zone", "")), Pod: int(t.Count("pod", -1, 0, mostServers)), Size: t.Real("size", 0, 0, 1e6),
-		Every: t.Span("every", 0, 0, day), Cold: t.Yes("cold", true), Sidecars: t.Yes("sidecars", false)}
+	f := Fault{Kind: FaultKind(t.OneOf("kind", 0, faultNames[:]...)), At: t.Duration("at", 0, 0, day),
+		For: t.Duration("for", 0, 0, day), Part: t.Float("part", 0, 0, 1), Count: int(t.Count("count", 0, 0, mostServers)),
+		Zone: policy.Zone(t.String("zone", "")), Pod: int(t.Count("pod", -1, 0, mostServers)), Size: t.Float("size", 0, 0, 1e6),
+		Every: t.Duration("every", 0, 0, day), Cold: t.Bool("cold", true), Sidecars: t.Bool("sidecars", false)}
 	if t.Has("server") {
 		f.Server = []int{int(t.Count("server", 0, 0, int64(sc.Servers)-1))}
 	}
@@ -239,6 +239,6 @@
 	case Rolling:
 		need("every", "for")
 	}
-	t.Done()
+	t.RejectUnknown()
 	sc.Faults = append(sc.Faults, f)
 }
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -50,7 +50,7 @@
 	s := &server{w: w, no: judge.Server(no), kind: k, traits: k.Traits, zone: w.sc.Zones[no%len(w.sc.Zones)],
 		started: started, weight: 1, ticket: 0, noise: stream(w.seed, "work", no)}
 	s.uid = "s-" + name(no)
-	s.id = endpointfiles.IDOf(s.uid)
+	s.id = endpointfiles.EndpointID(s.uid)
 	// Pods are of one zone each: the servers of a zone in turn fill its pods.
 	s.cell = policy.Cell(no/len(w.sc.Zones)/w.sc.PodSize*len(w.sc.Zones) + no%len(w.sc.Zones))
 	s.traits.Speed *= spread(stream(w.seed, "speed", no), k.Spread)
--- a/internal/endpointfiles/listing.go
+++ b/internal/endpointfiles/listing.go
@@ -20,69 +20,69 @@
 	UID, Addr string
 }
 
-// IDOf gives the id under which the module knows a server.
-func IDOf(uid string) policy.EndpointID { return policy.EndpointID(xxhash.Sum64String(uid)) }
+// EndpointID gives the id under which the module knows a server.
+func EndpointID(uid string) policy.EndpointID { return policy.EndpointID(xxhash.Sum64String(uid)) }
 
-// Mark tells one content of a file from another.
-type Mark uint64
+// Digest tells one content of a file from another.
+type Digest uint64
 
 // Issue is the number that a list file gives itself; 0: it is not numbered.
 type Issue int64
 
 // File is one file of a list as it was read.
 type File struct {
-	Name      string
-	Mark      Mark
-	Problem   string // why it cannot be used; "": it is whole
-	Sealed    bool   // it carries a digest, which holds
-	Issue     Issue
-	TakesAway int // ready servers that it says it takes away
-	Entries   []Entry
+	Name    string
+	Digest  Digest
+	Problem string // why it cannot be used; "": it is whole
+	Sealed  bool   // it carries a digest, which holds
+	Issue   Issue
+	Removes int // ready servers that it says it takes away
+	Entries []Entry
 }
 
-// Terms are the bounds that lists are held to.
-type Terms struct {
-	MayTakeAway float64     // part of the ready weight that a list may take away without saying so
-	Settle      policy.Time // a file without a digest, or a spoilt one, must hold still for so long before it counts
-	MissingFor  policy.Time // a file must be gone for so long before its servers are
-	Sealed      bool        // a file without a digest is never taken
-	Named       []string    // files that must be there
-	Remember    policy.Time // a drain is remembered for so long after its server was last named
+// Limits are the bounds that lists are held to.
+type Limits struct {
+	MaxRemovedShare float64     // part of the ready weight that a list may take away without saying so
+	SettleTime      policy.Time // a file without a digest, or a spoilt one, must hold still for so long before it counts
+	MissingTime     policy.Time // a file must be gone for so long before its servers are
+	RequireDigest   bool        // a file without a digest is never taken
+	RequiredFiles   []string    // files that must be there
+	DrainMemory     policy.Time // a drain is remembered for so long after its server was last named
 }
 
 // Verdict is what becomes of a reading.
 type Verdict uint8
 
 const (
-	Same    Verdict = iota // it is in force already
-	Wait                   // it may still be in the making: look again
-	Refused                // the list in force stays
-	Taken
+	Unchanged Verdict = iota // it is in force already
+	Wait                     // it may still be in the making: look again
+	Rejected                 // the list in force stays
+	Accepted
 )
 
-// Finding is a verdict and the reasons for it.
-type Finding struct {
-	Verdict Verdict
-	Why     string      // Wait, Refused
-	Again   policy.Time // Wait: when to look at the latest
-	Entries []Entry     // Taken: the whole list, by id
+// Result is a verdict and the reasons for it.
+type Result struct {
+	Verdict   Verdict
+	Reason    string      // Wait, Refused
+	LookAgain policy.Time // Wait: when to look at the latest
+	Entries   []Entry     // Taken: the whole list, by id
 }
 
 // Drain is what is remembered of a server told to be draining.
 type Drain struct {
-	Told  policy.Time // when it was first told
-	Named policy.Time // when a list last named it
+	FirstListed policy.Time // when it was first told
+	LastListed  policy.Time // when a list last named it
 }
 
-// Memo is what must survive a restart for the rules to go on holding.
-type Memo struct {
+// State is what must survive a restart for the rules to go on holding.
+type State struct {
 	Issues map[string]Issue
 	Drains map[string]Drain // by uid
 }
 
 // seen is the content that a file was last found to have, and since when.
 type seen struct {
-	mark Mark
+	mark Digest
 	at   policy.Time
 }
 
@@ -92,24 +92,24 @@
 // mostNames bounds the memory of the issues of files; beyond it those of files that are gone are forgotten.
 const mostNames = 1 << 12
 
-// Keeper holds the list in force and judges what might follow it. The zero of in means that none is in force yet.
-type Keeper struct {
-	terms  Terms
-	marks  map[string]Mark // of the files in force; nil after a restart
+// Validator holds the list in force and judges what might follow it. The zero of in means that none is in force yet.
+type Validator struct {
+	terms  Limits
+	marks  map[string]Digest // of the files in force; nil after a restart
 	in     map[string]Entry
-	memo   Memo
+	memo   State
 	seen   map[string]seen
 	absent map[string]policy.Time
 }
 
 // New makes a keeper with no list in force.
-func New(terms Terms) *Keeper {
-	return &Keeper{terms: terms, in: map[string]Entry{}, seen: map[string]seen{}, absent: map[string]policy.Time{},
-		memo: Memo{Issues: map[string]Issue{}, Drains: map[string]Drain{}}}
+func New(terms Limits) *Validator {
+	return &Validator{terms: terms, in: map[string]Entry{}, seen: map[string]seen{}, absent: map[string]policy.Time{},
+		memo: State{Issues: map[string]Issue{}, Drains: map[string]Drain{}}}
 }
 
 // Resume puts a list saved earlier in force, with what was remembered beside it.
-func (k *Keeper) Resume(entries []Entry, memo Memo) {
+func (k *Validator) Resume(entries []Entry, memo State) {
 	for _, e := range entries {
 		k.in[e.UID] = e
 	}
@@ -117,27 +117,27 @@
 	maps.Copy(k.memo.Drains, memo.Drains)
 }
 
-// Memo gives a copy of what must survive.
-func (k *Keeper) Memo() Memo { return Memo{maps.Clone(k.memo.Issues), maps.Clone(k.memo.Drains)} }
+// State gives a copy of what must survive.
+func (k *Validator) State() State { return State{maps.Clone(k.memo.Issues), maps.Clone(k.memo.Drains)} }
 
-// Weigh judges a reading of all the files. Moments never go back.
-func (k *Keeper) Weigh(now policy.Time, files []File) Finding {
+// Evaluate judges a reading of all the files. Moments never go back.
+func (k *Validator) Evaluate(now policy.Time, files []File) Result {
 	slices.SortFunc(files, func(a, b File) int { return cmp.Compare(a.Name, b.Name) })
 	if why, again := k.settled(now, files); why != "" {
-		return Finding{Verdict: Wait, Why: why, Again: again}
+		return Result{Verdict: Wait, Reason: why, LookAgain: again}
 	}
 	if k.unchanged(files) {
-		return Finding{Verdict: Same}
+		return Result{Verdict: Unchanged}
 	}
 	if why := k.fault(now, files); why != "" {
-		return Finding{Verdict: Refused, Why: why}
+		return Result{Verdict: Rejected, Reason: why}
 	}
-	return Finding{Verdict: Taken, Entries: k.take(now, files)}
+	return Result{Verdict: Accepted, Entries: k.take(now, files)}
 }
 
 // settled tells why the files may still be in the making, and until when. An editor that writes in place shows a file that
 // is empty, cut short, or new at its head and old at its tail; one that renames shows for a moment that there is none.
-func (k *Keeper) settled(now policy.Time, files []File) (why string, again policy.Time) {
+func (k *Validator) settled(now policy.Time, files []File) (why string, again policy.Time) {
 	later := func(reason string, at policy.Time) {
 		if now < at && (why == "" || at < again) {
 			why, again = reason, at
@@ -147,11 +147,11 @@
 	for _, f := range files {
 		there[f.Name] = true
 		delete(k.absent, f.Name)
-		if was, known := k.seen[f.Name]; !known || was.mark != f.Mark {
-			k.seen[f.Name] = seen{f.Mark, now}
+		if was, known := k.seen[f.Name]; !known || was.mark != f.Digest {
+			k.seen[f.Name] = seen{f.Digest, now}
 		}
-		if (f.Problem != "" || !f.Sealed) && !(k.marks != nil && k.marks[f.Name] == f.Mark) {
-			later(f.Name+": changed just now", k.seen[f.Name].at+k.terms.Settle)
+		if (f.Problem != "" || !f.Sealed) && !(k.marks != nil && k.marks[f.Name] == f.Digest) {
+			later(f.Name+": changed just now", k.seen[f.Name].at+k.terms.SettleTime)
 		}
 	}
 	for name := range k.seen {
@@ -166,20 +166,20 @@
 		if _, known := k.absent[name]; !known {
 			k.absent[name] = now
 		}
-		later(name+": missing just now", k.absent[name]+k.terms.MissingFor)
+		later(name+": missing just now", k.absent[name]+k.terms.MissingTime)
 	}
 	return why, again
 }
 
-func (k *Keeper) unchanged(files []File) bool {
+func (k *Validator) unchanged(files []File) bool {
 	return k.marks != nil && len(files) == len(k.marks) && !slices.ContainsFunc(files, func(f File) bool {
 		mark, known := k.marks[f.Name]
-		return !known || mark != f.Mark || f.Problem != ""
+		return !known || mark != f.Digest || f.Problem != ""
 	})
 }
 
 // fault says what speaks against a reading that has settled; "" if nothing does.
-func (k *Keeper) fault(now policy.Time, files []File) string {
+func (k *Validator) fault(now policy.Time, files []File) string {
 	if len(files) == 0 {
 		return "no list file is there"
 	}
@@ -187,10 +187,10 @@
 		if f.Problem != "" {
 			return f.Problem
 		}
-		if k.terms.Sealed && !f.Sealed {
+		if k.terms.RequireDigest && !f.Sealed {
 			return f.Name + ": carries no digest, and only sealed lists are taken: seal it"
 		}
-		was, changed := k.memo.Issues[f.Name], k.marks == nil || k.marks[f.Name] != f.Mark
+		was, changed := k.memo.Issues[f.Name], k.marks == nil || k.marks[f.Name] != f.Digest
 		switch {
 		case f.Issue < was:
 			return fmt.Sprintf("%s: issue: found %d, allowed from %d on: an older list than the one in force", f.Name, f.Issue, was)
@@ -198,7 +198,7 @@
 			return fmt.Sprintf("%s: issue: found %d again with other content, allowed from %d on: seal it anew", f.Name, f.Issue, was+1)
 		}
 	}
-	for _, name := range k.terms.Named {
+	for _, name := range k.terms.RequiredFiles {
 		if !slices.ContainsFunc(files, func(f File) bool { return f.Name == name }) {
 			return name + ": missing"
 		}
@@ -238,14 +238,14 @@
 
 // returned finds a server that was told draining and is now ready without a reason: an old copy of the list put back would
 // look just so, and what drains must get nothing new. A later start is a reason, and so is a higher issue.
-func (k *Keeper) returned(now policy.Time, files []File) string {
+func (k *Validator) returned(now policy.Time, files []File) string {
 	for _, f := range files {
 		if f.Issue > k.memo.Issues[f.Name] {
 			continue
 		}
 		for _, e := range f.Entries {
 			d, drained := k.memo.Drains[e.UID]
-			if drained && e.Status == policy.Ready && e.Started <= d.Told && now-d.Named < k.terms.Remember {
+			if drained && e.Status == policy.Ready && e.Started <= d.FirstListed && now-d.LastListed < k.terms.DrainMemory {
 				return fmt.Sprintf("%s: server %q was told draining and is ready again: allowed with a later start (started) "+
 					"or in a list of a higher issue", f.Name, e.UID)
 			}
@@ -255,14 +255,14 @@
 }
 
 // shrunk finds a list that takes away more of what is ready than it may: more likely a slip than a wish.
-func (k *Keeper) shrunk(files []File) string {
+func (k *Validator) shrunk(files []File) string {
 	if ready(files) == 0 && k.marks == nil && len(k.in) == 0 {
 		return "the list names no ready server"
 	}
 	stays, says := map[string]bool{}, 0
 	for _, f := range files {
-		if k.marks == nil || k.marks[f.Name] != f.Mark {
-			says += f.TakesAway // one that is in force already has had its say
+		if k.marks == nil || k.marks[f.Name] != f.Digest {
+			says += f.Removes // one that is in force already has had its say
 		}
 		for _, e := range f.Entries {
 			stays[e.UID] = e.Status == policy.Ready
@@ -281,9 +281,9 @@
 			lost += e.Weight
 		}
 	}
-	if count > says && (lost > k.terms.MayTakeAway*weight || ready(files) == 0) {
+	if count > says && (lost > k.terms.MaxRemovedShare*weight || ready(files) == 0) {
 		return fmt.Sprintf("the list takes away %d of %d ready servers, %.0f%% of the weight, allowed %.0f%%: it must say so "+
-			"(takes_away = %d)", count, before, 100*lost/max(weight, 1e-300), 100*k.terms.MayTakeAway, count)
+			"(takes_away = %d)", count, before, 100*lost/max(weight, 1e-300), 100*k.terms.MaxRemovedShare, count)
 	}
 	return ""
 }
@@ -301,11 +301,11 @@
 }
 
 // take puts the files in force.
-func (k *Keeper) take(now policy.Time, files []File) []Entry {
-	k.marks, k.in = map[string]Mark{}, map[string]Entry{}
+func (k *Validator) take(now policy.Time, files []File) []Entry {
+	k.marks, k.in = map[string]Digest{}, map[string]Entry{}
 	var all []Entry
 	for _, f := range files {
-		k.marks[f.Name] = f.Mark
+		k.marks[f.Name] = f.Digest
 		k.memo.Issues[f.Name] = f.Issue
 		for _, e := range f.Entries {
 			all = append(all, e)
@@ -315,7 +315,7 @@
 			case e.Status == policy.Ready:
 				delete(k.memo.Drains, e.UID)
 			case drained:
-				k.memo.Drains[e.UID] = Drain{d.Told, now}
+				k.memo.Drains[e.UID] = Drain{d.FirstListed, now}
 			default:
 				k.memo.Drains[e.UID] = Drain{now, now}
 			}
@@ -327,10 +327,10 @@
 }
 
 // forget lets go of drains of servers that no list has named for long, and of the oldest where there are too many.
-func (k *Keeper) forget(now policy.Time) {
+func (k *Validator) forget(now policy.Time) {
 	maps.DeleteFunc(k.memo.Drains, func(uid string, d Drain) bool {
 		_, named := k.in[uid]
-		return !named && now-d.Named >= k.terms.Remember
+		return !named && now-d.LastListed >= k.terms.DrainMemory
 	})
 	if len(k.memo.Issues) > mostNames {
 		maps.DeleteFunc(k.memo.Issues, func(name string, _ Issue) bool { _, there := k.marks[name]; return !there })
@@ -340,7 +340,7 @@
 		return
 	}
 	uids := slices.SortedFunc(maps.Keys(k.memo.Drains), func(a, b string) int {
-		return cmp.Or(cmp.Compare(k.memo.Drains[a].Named, k.memo.Drains[b].Named), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(k.memo.Drains[a].LastListed, k.memo.Drains[b].LastListed), cmp.Compare(a, b))
 	})
 	for _, uid := range uids[:over] {
 		delete(k.memo.Drains, uid)
--- a/internal/endpointfiles/listing_test.go
+++ b/internal/endpointfiles/listing_test.go
@@ -15,7 +15,7 @@
 
 // The model knows the whole history and works everything out of it anew at each reading, by plain loops.
 type model struct {
-	terms   Terms
+	terms   Limits
 	history []reading
 }
 
@@ -63,11 +63,11 @@
 	}
 	// Still in the making?
 	for _, f := range files {
-		if was := inForce(f.Name); was != nil && was.Mark == f.Mark || f.Sealed && f.Problem == "" {
+		if was := inForce(f.Name); was != nil && was.Digest == f.Digest || f.Sealed && f.Problem == "" {
 			continue
 		}
-		same := func(r reading) bool { g := find(r.files, f.Name); return g != nil && g.Mark == f.Mark }
-		if now < m.since(same)+m.terms.Settle {
+		same := func(r reading) bool { g := find(r.files, f.Name); return g != nil && g.Digest == f.Digest }
+		if now < m.since(same)+m.terms.SettleTime {
 			return Wait
 		}
 	}
@@ -75,14 +75,14 @@
 	if last != nil {
 		for _, f := range last.files {
 			g := find(files, f.Name)
-			if g == nil && now < m.since(func(r reading) bool { return find(r.files, f.Name) == nil })+m.terms.MissingFor {
+			if g == nil && now < m.since(func(r reading) bool { return find(r.files, f.Name) == nil })+m.terms.MissingTime {
 				return Wait
 			}
-			same = same && g != nil && g.Mark == f.Mark
+			same = same && g != nil && g.Digest == f.Digest
 		}
 	}
 	if same {
-		return Same
+		return Unchanged
 	}
 	// Whole, newer, plausible?
 	ids, addrs, ready := map[string]int{}, map[string]int{}, map[string]bool{}
@@ -95,12 +95,12 @@
 			}
 		}
 		was := inForce(f.Name)
-		if f.Problem != "" || m.terms.Sealed && !f.Sealed || f.Issue < issue ||
-			f.Issue == issue && issue > 0 && last != nil && (was == nil || was.Mark != f.Mark) {
-			return Refused
+		if f.Problem != "" || m.terms.RequireDigest && !f.Sealed || f.Issue < issue ||
+			f.Issue == issue && issue > 0 && last != nil && (was == nil || was.Digest != f.Digest) {
+			return Rejected
 		}
-		if was == nil || was.Mark != f.Mark {
-			says += f.TakesAway
+		if was == nil || was.Digest != f.Digest {
+			says += f.Removes
 		}
 		for _, e := range f.Entries {
 			ids[e.UID]++
@@ -108,19 +108,19 @@
 				addrs[e.Addr]++
 				ready[e.UID] = true
 				if f.Issue <= issue && m.drained(now, e) {
-					return Refused
+					return Rejected
 				}
 			}
 		}
 	}
 	for _, n := range slices.Concat(slices.Collect(maps.Values(ids)), slices.Collect(maps.Values(addrs))) {
 		if n > 1 {
-			return Refused
+			return Rejected
 		}
 	}
-	for _, name := range m.terms.Named {
+	for _, name := range m.terms.RequiredFiles {
 		if find(files, name) == nil {
-			return Refused
+			return Rejected
 		}
 	}
 	lost, weight, gone, before := 0.0, 0.0, 0, 0
@@ -139,11 +139,11 @@
 		}
 	}
 	nothing := len(ready) == 0
-	if len(files) == 0 || last == nil && nothing || gone > says && (lost > m.terms.MayTakeAway*weight || nothing) {
-		return Refused
+	if len(files) == 0 || last == nil && nothing || gone > says && (lost > m.terms.MaxRemovedShare*weight || nothing) {
+		return Rejected
 	}
 	this.taken = true
-	return Taken
+	return Accepted
 }
 
 // drained tells whether the lists taken so far have the server drain, and none has given a reason for its return.
@@ -153,7 +153,7 @@
 		if !r.taken {
 			continue
 		}
-		if told >= 0 && r.now-named >= m.terms.Remember && !slices.ContainsFunc(r.files, func(f File) bool {
+		if told >= 0 && r.now-named >= m.terms.DrainMemory && !slices.ContainsFunc(r.files, func(f File) bool {
 			return slices.ContainsFunc(f.Entries, func(x Entry) bool { return x.UID == e.UID })
 		}) {
 			told = -1
@@ -172,7 +172,7 @@
 			}
 		}
 	}
-	return told >= 0 && e.Started <= told && now-named < m.terms.Remember
+	return told >= 0 && e.Started <= told && now-named < m.terms.DrainMemory
 }
 
 // edit changes some files as people, programs and accidents do.
@@ -180,10 +180,10 @@
 	name := fmt.Sprint("f", rnd.IntN(3))
 	f, there := files[name]
 	f.Name, f.Entries = name, slices.Clone(f.Entries)
-	f.Mark = Mark(rnd.Uint64())
+	f.Digest = Digest(rnd.Uint64())
 	f.Problem = ""
-	if f.TakesAway = 0; rnd.IntN(8) == 0 {
-		f.TakesAway = rnd.IntN(4)
+	if f.Removes = 0; rnd.IntN(8) == 0 {
+		f.Removes = rnd.IntN(4)
 	}
 	switch act := rnd.IntN(12); {
 	case act == 0 && there:
@@ -209,7 +209,7 @@
 		n := rnd.IntN(12)
 		uid := fmt.Sprint("s", n)
 		f.Entries = append(f.Entries, Entry{UID: uid, Addr: fmt.Sprint("a", n-rnd.IntN(20)/19),
-			Member: policy.Member{ID: IDOf(uid), Weight: 1}})
+			Member: policy.Member{ID: EndpointID(uid), Weight: 1}})
 	}
 	f.Sealed = rnd.IntN(3) == 0
 	if f.Issue > 0 || rnd.IntN(4) == 0 {
@@ -220,13 +220,13 @@
 }
 
 func TestKeeperAgainstTheModel(t *testing.T) {
-	var seen [Taken + 1]int
+	var seen [Accepted + 1]int
 	history := func(seed uint64) bool {
 		rnd := rand.New(rand.NewPCG(seed, 1))
-		terms := Terms{MayTakeAway: []float64{0, 0.4, 1}[rnd.IntN(3)], Settle: policy.Time(rnd.IntN(4)) * 100,
-			MissingFor: policy.Time(rnd.IntN(4)) * 200, Remember: 3000, Sealed: rnd.IntN(8) == 0}
+		terms := Limits{MaxRemovedShare: []float64{0, 0.4, 1}[rnd.IntN(3)], SettleTime: policy.Time(rnd.IntN(4)) * 100,
+			MissingTime: policy.Time(rnd.IntN(4)) * 200, DrainMemory: 3000, RequireDigest: rnd.IntN(8) == 0}
 		if rnd.IntN(4) == 0 {
-			terms.Named = []string{"f0"}
+			terms.RequiredFiles = []string{"f0"}
 		}
 		keeper, plain := New(terms), &model{terms: terms}
 		files, copied := map[string]File{}, map[string]File{}
@@ -244,17 +244,17 @@
 				edit(rnd, now, files)
 			}
 			read := slices.SortedFunc(maps.Values(files), func(a, b File) int { return len(a.Name) - len(b.Name) })
-			got, want := keeper.Weigh(now, slices.Clone(read)), plain.weigh(now, slices.Clone(read))
+			got, want := keeper.Evaluate(now, slices.Clone(read)), plain.weigh(now, slices.Clone(read))
 			seen[got.Verdict]++
 			if got.Verdict != want {
-				t.Logf("seed %d step %d: %d (%s), the model says %d", seed, step, got.Verdict, got.Why, want)
+				t.Logf("seed %d step %d: %d (%s), the model says %d", seed, step, got.Verdict, got.Reason, want)
 				return false
 			}
-			if got.Verdict == Wait && got.Again <= now || (got.Why == "") != (got.Verdict == Same || got.Verdict == Taken) {
+			if got.Verdict == Wait && got.LookAgain <= now || (got.Reason == "") != (got.Verdict == Unchanged || got.Verdict == Accepted) {
 				t.Logf("seed %d step %d: %+v at %d", seed, step, got, now)
 				return false
 			}
-			if got.Verdict != Taken {
+			if got.Verdict != Accepted {
 				continue
 			}
 			inForce = nil
@@ -273,7 +273,7 @@
 	if err := quick.Check(history, &quick.Config{MaxCount: 4000, Rand: old.New(old.NewSource(7))}); err != nil {
 		t.Error(err)
 	}
-	if min(seen[Same], seen[Wait], seen[Refused], seen[Taken]) < 1000 {
+	if min(seen[Unchanged], seen[Wait], seen[Rejected], seen[Accepted]) < 1000 {
 		t.Errorf("the histories reach too little: %v", seen)
 	}
 }
@@ -281,10 +281,10 @@
 // What is resumed counts like what was taken: drains and issues, and the part that may be taken away.
 func TestResumedListsCount(t *testing.T) {
 	file := func(issue Issue, standings ...policy.EndpointStatus) File {
-		f := File{Name: "f", Mark: Mark(issue)<<8 + Mark(len(standings)), Sealed: true, Issue: issue}
+		f := File{Name: "f", Digest: Digest(issue)<<8 + Digest(len(standings)), Sealed: true, Issue: issue}
 		for i, s := range standings {
 			uid := fmt.Sprint("s", i)
-			f.Entries = append(f.Entries, Entry{UID: uid, Addr: uid, Member: policy.Member{ID: IDOf(uid), Weight: 1, Status: s}})
+			f.Entries = append(f.Entries, Entry{UID: uid, Addr: uid, Member: policy.Member{ID: EndpointID(uid), Weight: 1, Status: s}})
 		}
 		return f
 	}
@@ -293,17 +293,17 @@
 		before, after File
 		want          Verdict
 	}{
-		{file(7, R, R, D), file(7, R, R, D), Taken}, // the first reading of a process is a list, also if nothing changed
-		{file(7, R, R, D), file(6, R, R, R), Refused},
-		{file(7, R, R, R), file(8, R, D, D), Refused},
-		{file(7, R, R, R), file(8, R, R, D), Taken},
-		{file(0, R, R, D), file(0, R, R, R), Refused},
+		{file(7, R, R, D), file(7, R, R, D), Accepted}, // the first reading of a process is a list, also if nothing changed
+		{file(7, R, R, D), file(6, R, R, R), Rejected},
+		{file(7, R, R, R), file(8, R, D, D), Rejected},
+		{file(7, R, R, R), file(8, R, R, D), Accepted},
+		{file(0, R, R, D), file(0, R, R, R), Rejected},
 	} {
-		first := New(Terms{MayTakeAway: 0.5, Remember: 1000})
-		taken := first.Weigh(1, []File{k.before})
+		first := New(Limits{MaxRemovedShare: 0.5, DrainMemory: 1000})
+		taken := first.Evaluate(1, []File{k.before})
 		next := New(first.terms)
-		next.Resume(taken.Entries, first.Memo())
-		if got := next.Weigh(500, []File{k.after}); got.Verdict != k.want {
+		next.Resume(taken.Entries, first.State())
+		if got := next.Evaluate(500, []File{k.after}); got.Verdict != k.want {
 			t.Errorf("%d after %d: %+v", k.after.Issue, k.before.Issue, got)
 		}
 	}
--- a/internal/endpointfiles/text.go
+++ b/internal/endpointfiles/text.go
@@ -15,8 +15,8 @@
 	"pepperlead/policy"
 )
 
-// MostText is how long a list file may be, in bytes.
-const MostText = 16 << 20
+// MaxFileSize is how long a list file may be, in bytes.
+const MaxFileSize = 16 << 20
 
 // closing is the table that ends every list file. A file cut off anywhere before it has none, one that was overwritten
 // without being truncated has two, and where servers fell out in between its count is wrong.
@@ -24,24 +24,24 @@
 
 // Parse reads a list file. Whatever is wrong with it stands in Problem, with all lines.
 func Parse(name string, text []byte) File {
-	f := File{Name: name, Mark: Mark(xxhash.Sum64(text))}
+	f := File{Name: name, Digest: Digest(xxhash.Sum64(text))}
 	if !utf8.Valid(text) {
 		f.Problem = name + ":1: document: found bytes that are not UTF-8, allowed TOML"
 		return f
 	}
-	doc, root := tomlfile.Parse(name, text, MostText)
+	doc, root := tomlfile.Parse(name, text, MaxFileSize)
 	for _, t := range root.Tables("server") {
-		f.Entries = append(f.Entries, ReadServer(t))
+		f.Entries = append(f.Entries, ReadEndpoint(t))
 	}
 	root.Require(closing) // without it the file is cut off, or was never finished
 	end := root.Table(closing)
 	end.Require("servers")
 	count := end.Count("servers", -1, 0, 1<<20)
 	f.Issue = Issue(end.Count("issue", 0, 1, 1<<53))
-	f.TakesAway = int(end.Count("takes_away", 0, 1, 1<<20))
-	digest := end.Text("digest", "")
-	end.Done()
-	root.Done()
+	f.Removes = int(end.Count("takes_away", 0, 1, 1<<20))
+	digest := end.String("digest", "")
+	end.RejectUnknown()
+	root.RejectUnknown()
 	if count >= 0 && int(count) != len(f.Entries) {
 		end.Fault("servers", strconv.Itoa(int(count)), fmt.Sprintf("%d, as so many are in the file", len(f.Entries)))
 	}
@@ -49,40 +49,40 @@
 		end.Fault("servers", "a ["+closing+"] that is not the file's last table", "no table behind it")
 	}
 	if digest != "" && doc.Err() == nil {
-		if is := digestOf(text[:doc.LastAt], count, f.Issue, f.TakesAway); digest != is {
+		if is := digestOf(text[:doc.LastAt], count, f.Issue, f.Removes); digest != is {
 			end.Fault("digest", strconv.Quote(digest), "only the digest of what stands above it: look it over, then seal it")
 		}
 		f.Sealed = true
 	}
 	if err := doc.Err(); err != nil {
-		return File{Name: name, Mark: f.Mark, Problem: err.Error()}
+		return File{Name: name, Digest: f.Digest, Problem: err.Error()}
 	}
 	return f
 }
 
-// ReadServer reads a server from a table of its own.
-func ReadServer(t *tomlfile.Table) Entry {
+// ReadEndpoint reads a server from a table of its own.
+func ReadEndpoint(t *tomlfile.Table) Entry {
 	t.Require("id", "address")
-	e := Entry{UID: t.Text("id", ""), Addr: t.Text("address", "")}
-	e.Member = policy.Member{ID: IDOf(e.UID),
-		Zone:    policy.Zone(t.Text("zone", "")),
+	e := Entry{UID: t.String("id", ""), Addr: t.String("address", "")}
+	e.Member = policy.Member{ID: EndpointID(e.UID),
+		Zone:    policy.Zone(t.String("zone", "")),
 		Cell:    policy.Cell(t.Count("pod", 0, 0, 1<<31-1)),
-		Weight:  t.Real("weight", 1, 1e-6, 1e9),
+		Weight:  t.Float("weight", 1, 1e-6, 1e9),
 		Status:  policy.EndpointStatus(t.OneOf("state", int(policy.Ready), "ready", "draining")),
-		Started: t.Moment("started")}
-	if e.Addr != "" && !Address(e.Addr) {
+		Started: t.Timestamp("started")}
+	if e.Addr != "" && !ValidAddress(e.Addr) {
 		t.Fault("address", t.Found("address"), "an IP address and port, as 10.0.0.4:9000 or [::1]:9000")
 	}
 	if strings.ContainsFunc(e.UID, func(r rune) bool { return r <= ' ' || r == 0x7f }) {
 		t.Fault("id", t.Found("id"), "a text without spaces")
 	}
-	t.Done()
+	t.RejectUnknown()
 	return e
 }
 
-// Address tells whether this is an IP address with a port. Names are not resolved: an answer that comes late, or changes,
+// ValidAddress tells whether this is an IP address with a port. Names are not resolved: an answer that comes late, or changes,
 // would make two lists of one.
-func Address(s string) bool {
+func ValidAddress(s string) bool {
 	at, err := netip.ParseAddrPort(s)
 	return err == nil && at.Port() > 0
 }
@@ -97,7 +97,7 @@
 // Seal writes the closing table of a list file anew: the count of its servers, an issue, what it takes away and a digest over
 // all of that. What stands above stays as it is to the byte. issue 0: one more than the file has.
 func Seal(name string, text []byte, issue Issue, takesAway int) ([]byte, File, error) {
-	doc, root := tomlfile.Parse(name, text, MostText)
+	doc, root := tomlfile.Parse(name, text, MaxFileSize)
 	if err := doc.Err(); err != nil {
 		return nil, File{}, err
 	}
--- a/internal/engine/byhand.go
+++ b/internal/engine/byhand.go
@@ -62,7 +62,7 @@
 
 // Listed tells whether any list has named the id; an endpoint that is out by hand was listed when that was done.
 func (e *Engine) Listed(uid string) bool {
-	_, seen := e.list.seen[endpointfiles.IDOf(uid)]
+	_, seen := e.list.seen[endpointfiles.EndpointID(uid)]
 	return seen || e.list.byHand[uid].out
 }
 
@@ -76,7 +76,7 @@
 	var changed []policy.Member
 	change := func(uid string, to hand) {
 		f.byHand[uid] = to
-		if s := e.Endpoints[endpointfiles.IDOf(uid)]; s != nil && s.UID == uid && s.Listed {
+		if s := e.Endpoints[endpointfiles.EndpointID(uid)]; s != nil && s.UID == uid && s.Listed {
 			if shown := f.shown(s.Entry); f.know(shown) {
 				changed = append(changed, shown.Member)
 			}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -191,7 +191,7 @@
 	now := e.Clock.Now()
 	if len(e.SavedList) > 0 {
 		// A saved list that cannot be read is no reason not to serve: discovery has a newer one.
-		if _, _, entries, err := discovery.ReadList(e.SavedList); err != nil {
+		if _, _, entries, err := discovery.DecodeList(e.SavedList); err != nil {
 			e.Logger.WithError(err).Warn("known list: left out")
 		} else {
 			e.list.apply(now, &discovery.List{Kind: policy.ListSaved, Entries: entries})
--- a/internal/engine/members.go
+++ b/internal/engine/members.go
@@ -15,7 +15,7 @@
 // told is news of a source, and which source that was: one that is followed no longer may still have some under way.
 type told struct {
 	by   discovery.Source
-	news discovery.News
+	news discovery.Event
 }
 
 // members follows a source of endpoints and hands the module what it tells.
@@ -52,7 +52,7 @@
 		if before != nil {
 			<-before // both may keep their list in one place
 		}
-		source.Run(ctx, func(n discovery.News) {
+		source.Run(ctx, func(n discovery.Event) {
 			select {
 			case f.news <- told{source, n}:
 			case <-ctx.Done():
@@ -110,11 +110,11 @@
 		if f.e.Settings.PollList {
 			f.e.Module.ListFailed(now)
 		}
-	case n.Refused != "":
+	case n.Rejected != "":
 		f.e.Counters.ListsRefused++
-		f.refused = strings.ReplaceAll(n.Refused, "\n", "; ")
+		f.refused = strings.ReplaceAll(n.Rejected, "\n", "; ")
 		f.e.Logger.WithField("why", f.refused).Error("list: refused, the last good one stays")
-	case n.Settled:
+	case n.Recovered:
 		f.refused = ""
 		f.e.Logger.Info("list: as it is in force again")
 	case n.Note != "":
--- a/internal/engine/members_test.go
+++ b/internal/engine/members_test.go
@@ -33,7 +33,7 @@
 
 func (flood) Follow(bool) {}
 
-func (flood) Run(ctx context.Context, tell func(discovery.News)) {
+func (flood) Run(ctx context.Context, tell func(discovery.Event)) {
 	var all sync.WaitGroup
 	for range 4 {
 		all.Go(func() {
@@ -42,7 +42,7 @@
 				for id := range policy.EndpointID(100) {
 					list.Entries = append(list.Entries, discovery.Entry{Member: policy.Member{ID: id, Weight: float64(1 + (n+int(id))%2)}})
 				}
-				tell(discovery.News{List: &list})
+				tell(discovery.Event{List: &list})
 			}
 		})
 	}
@@ -69,7 +69,7 @@
 func TestIdsSeenPassOn(t *testing.T) {
 	old, next := New(Config{Settings: &policy.Settings{}}, logrus.New()), New(Config{Settings: &policy.Settings{}}, logrus.New())
 	for n := range mostSeen + 10 {
-		old.list.saw(endpointfiles.IDOf(fmt.Sprint("s-", n)))
+		old.list.saw(endpointfiles.EndpointID(fmt.Sprint("s-", n)))
 	}
 	next.ImportSeen(old.SeenEndpoints())
 	if next.Listed("s-9") || !next.Listed("s-10") || !next.Listed(fmt.Sprint("s-", mostSeen+9)) || next.Listed("s-x") {
@@ -82,7 +82,7 @@
 
 // A part of a network that is cut off knows of few instances, and must not take the others' part of the budgets; nor may a new configuration.
 func TestBudgetsAreNeverSharedAmongFewer(t *testing.T) {
-	source := &discovery.Fixed{Called: "none"}
+	source := &discovery.Fixed{Label: "none"}
 	campaign := func(sidecars int) *policy.Settings {
 		return &policy.Settings{Instances: sidecars, Tick: 5 * policy.Millisecond}
 	}
--- a/internal/engine/terms_test.go
+++ b/internal/engine/terms_test.go
@@ -74,7 +74,7 @@
 	if campaign.Classes[a].Idempotency != policy.Idempotent || campaign.OverloadMultiple != 3 {
 		t.Fatalf("by its own file: %+v", campaign)
 	}
-	e.list.take(0, told{news: discovery.News{List: &discovery.List{Kind: policy.ListFull, Entries: []discovery.Entry{{Member: policy.Member{ID: 9}, UID: "own"}}}}})
+	e.list.take(0, told{news: discovery.Event{List: &discovery.List{Kind: policy.ListFull, Entries: []discovery.Entry{{Member: policy.Member{ID: 9}, UID: "own"}}}}})
 	now := e.Clock.Now()
 	first := e.NewRequest(0)
 	e.Admit(now, now, first, a, policy.NoTenant, "k", false, 2*policy.Second) // idempotent, and stays so or stricter
--- a/internal/faulttest/script.go
+++ b/internal/faulttest/script.go
@@ -76,39 +76,39 @@
 }
 
 func span(t *tomlfile.Table, key string, fallback time.Duration) time.Duration {
-	return time.Duration(t.Span(key, policy.Time(fallback), 0, 3600*policy.Second))
+	return time.Duration(t.Duration(key, policy.Time(fallback), 0, 3600*policy.Second))
 }
 
 func (s *Script) read(root *tomlfile.Table) {
 	root.Require("drill")
 	t := root.Table("drill")
-	s.About = t.Text("about", "")
+	s.About = t.String("about", "")
 	s.Sidecars, s.Keepers = int(t.Count("sidecars", 5, 1, most)), int(t.Count("keepers", 3, 1, 5))
 	s.Servers, s.Length = int(t.Count("servers", 3, 1, most)), span(t, "seconds", 10*time.Second)
-	s.Rate, s.Resets = t.Real("rate", 10, 0, 1000), t.Real("resets", 0.1, 0, 1)
-	s.Jitter, s.Lease = span(t, "jitter", 300*time.Millisecond), t.Text("lease", "1.5s")
+	s.Rate, s.Resets = t.Float("rate", 10, 0, 1000), t.Float("resets", 0.1, 0, 1)
+	s.Jitter, s.Lease = span(t, "jitter", 300*time.Millisecond), t.String("lease", "1.5s")
 	s.AgreeWithin = span(t, "agree_within", 500*time.Millisecond)
-	s.Contradicts, s.Discovery = t.Yes("contradicts", false), t.Yes("discovery", false)
-	t.Done()
+	s.Contradicts, s.Discovery = t.Bool("contradicts", false), t.Bool("discovery", false)
+	t.RejectUnknown()
 	s.Versions = append(s.Versions, Version{Name: "own", Repeats: "at-most-once"})
 	names := []string{"own"}
 	for _, t := range root.Tables("version") {
 		t.Require("name", "repeats")
 		kinds := []string{"reissuable", "numbered", "at-most-once"}
-		v := Version{Name: t.Text("name", ""), Repeats: kinds[t.OneOf("repeats", 2, kinds...)], Window: span(t, "window", time.Second)}
-		v.Bans = t.Texts("bans")
+		v := Version{Name: t.String("name", ""), Repeats: kinds[t.OneOf("repeats", 2, kinds...)], Window: span(t, "window", time.Second)}
+		v.Bans = t.Strings("bans")
 		if t.Has("servers") {
-			v.Servers = append([]string{}, t.Texts("servers")...)
+			v.Servers = append([]string{}, t.Strings("servers")...)
 		}
-		t.Done()
+		t.RejectUnknown()
 		s.Versions, names = append(s.Versions, v), append(names, v.Name)
 	}
 	for _, t := range root.Tables("clock") {
 		t.Require("who")
-		for _, who := range t.Texts("who") {
-			s.Clocks[who] = fmt.Sprintf("%g,%v", t.Real("rate", 1, 0, 2), span(t, "ahead", 0))
+		for _, who := range t.Strings("who") {
+			s.Clocks[who] = fmt.Sprintf("%g,%v", t.Float("rate", 1, 0, 2), span(t, "ahead", 0))
 		}
-		t.Done()
+		t.RejectUnknown()
 	}
 	for _, t := range root.Tables("do") {
 		s.Doings = append(s.Doings, doing(t, names))
@@ -118,7 +118,7 @@
 			root.Fault("do", "a list", "none where [drill] does not say discovery = true")
 		}
 	}
-	root.Done()
+	root.RejectUnknown()
 }
 
 func doing(t *tomlfile.Table, versions []string) Doing {
@@ -128,14 +128,14 @@
 	}
 	slices.Sort(all)
 	t.Require("what")
-	d := Doing{At: -1, What: all[t.OneOf("what", 0, all...)], Who: t.Texts("who"), From: t.Texts("from"), To: t.Texts("to"), Version: t.Text("version", ""),
-		Of: int(t.Count("number", 0, 1, 1000)), Drop: t.Real("drop", 0, 0, 1), Twice: t.Real("twice", 0, 0, 1), Delay: span(t, "delay", 0),
-		Spread: span(t, "spread", 0), MayFail: t.Yes("may_fail", false), After: span(t, "after", 0), Servers: t.Texts("servers"), Leaving: t.Texts("leaving")}
+	d := Doing{At: -1, What: all[t.OneOf("what", 0, all...)], Who: t.Strings("who"), From: t.Strings("from"), To: t.Strings("to"), Version: t.String("version", ""),
+		Of: int(t.Count("number", 0, 1, 1000)), Drop: t.Float("drop", 0, 0, 1), Twice: t.Float("twice", 0, 0, 1), Delay: span(t, "delay", 0),
+		Spread: span(t, "spread", 0), MayFail: t.Bool("may_fail", false), After: span(t, "after", 0), Servers: t.Strings("servers"), Leaving: t.Strings("leaving")}
 	t.Require(verbs[d.What]...)
 	if d.Version != "" && !slices.Contains(versions, d.Version) {
 		t.Fault("version", t.Found("version"), "one of "+strings.Join(versions, ", "))
 	}
-	switch when := t.Text("when", ""); {
+	switch when := t.String("when", ""); {
 	case t.Has("at") && t.Has("when") || !t.Has("at") && !t.Has("when"):
 		t.Fault("at", t.Found("at"), "either a time, or when = \"half 2\"")
 	case t.Has("at"):
@@ -147,7 +147,7 @@
 		}
 		d.Share = shares[share]
 	}
-	t.Done()
+	t.RejectUnknown()
 	return d
 }
 
--- a/internal/httpproxy/agreed.go
+++ b/internal/httpproxy/agreed.go
@@ -4,7 +4,7 @@
 
 // SetClass has requests for that class come in at that place of the settings, cut off at that time; NoClass: they are refused from now on.
 // What is in hand stays where it is.
-func (s *Sidecar) SetClass(name string, at policy.ClassID, cutOff policy.Time) {
+func (s *Proxy) SetClass(name string, at policy.ClassID, cutOff policy.Time) {
 	if at == policy.NoClass {
 		delete(s.classes, name)
 	} else {
@@ -20,7 +20,7 @@
 }
 
 // SetTenant has requests of that tenant count at that place; NoTenant: as nobody's.
-func (s *Sidecar) SetTenant(name string, at policy.TenantID) {
+func (s *Proxy) SetTenant(name string, at policy.TenantID) {
 	if s.tenants[name] = at; at == policy.NoTenant {
 		delete(s.tenants, name)
 	}
--- a/internal/httpproxy/answers_test.go
+++ b/internal/httpproxy/answers_test.go
@@ -150,7 +150,7 @@
 	io.WriteString(far, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\npart")
 	reset(far)
 	time.Sleep(20 * time.Millisecond) // for the kernel to have both at this end
-	if _, err := conn.Link.Write([]byte("more")); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
+	if _, err := conn.Socket.Write([]byte("more")); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
 		t.Fatal("the write went well:", err)
 	}
 	s, _ := still(t)
--- a/internal/httpproxy/attempts.go
+++ b/internal/httpproxy/attempts.go
@@ -18,18 +18,18 @@
 const aRest = 32
 
 // Send sends a request to an endpoint, on a connection that stands idle or on a new one.
-func (s *Sidecar) Send(now policy.Time, of *engine.Request, to *engine.Endpoint) {
-	t, server := connstate.Of(of), s.part(to)
-	if t.Uploads {
+func (s *Proxy) Send(now policy.Time, of *engine.Request, to *engine.Endpoint) {
+	t, server := connstate.AsRequest(of), s.part(to)
+	if t.Uploading {
 		s.Timers.Stop(&t.AttemptTimer) // its time begins when its body is whole
 	}
-	if t.Sent {
+	if t.BodyForwarded {
 		s.AttemptEnded(now, of, policy.NotSent) // a part of its body went with an earlier attempt, and is gone
 		return
 	}
 	for c := s.conns.Take(server, now-restFor); c != nil; c = s.conns.Take(server, now-restFor) {
 		s.Timers.Stop(&c.Timer)
-		if !c.Link.Quiet(c) {
+		if !c.Socket.Idle(c) {
 			// Something unasked stands there, or its end.
 			s.close(c)
 			continue
@@ -42,12 +42,12 @@
 	if s.awaits(now, t, server) {
 		return
 	}
-	if s.conns.Count(connstate.ToServer) >= s.conns.Most[connstate.ToServer] && !s.spare(connstate.ToServer, now, now) {
+	if s.conns.Count(connstate.ToServer) >= s.conns.Limit[connstate.ToServer] && !s.spare(connstate.ToServer, now, now) {
 		// Every descriptor carries an attempt: nothing was sent, and that is no fault of the endpoint.
 		s.AttemptEnded(now, of, policy.NotSent)
 		return
 	}
-	c := &connstate.Conn{Side: connstate.ToServer, Endpoint: server, Life: to.Generation, Request: t, Whole: &s.Tally.Written}
+	c := &connstate.Conn{Side: connstate.ToServer, Endpoint: server, Generation: to.Generation, Request: t, Whole: &s.Tally.Written}
 	c.Timer.Run = func(now policy.Time) { s.endpointDue(now, c) }
 	t.Attempt = c
 	s.conns.Add(c)
@@ -56,43 +56,43 @@
 }
 
 // awaits has an attempt wait for the connection that will have rested next, once, if that is soon.
-func (s *Sidecar) awaits(now policy.Time, t *connstate.Request, server *connstate.Endpoint) bool {
-	if t.Waited || t.Uploads || server.Awaited >= len(server.Idle) {
-		t.Waited = false
+func (s *Proxy) awaits(now policy.Time, t *connstate.Request, server *connstate.Endpoint) bool {
+	if t.RestAwaited || t.Uploading || server.Awaited >= len(server.Idle) {
+		t.RestAwaited = false
 		return false
 	}
 	in := server.Idle[server.Awaited].Since + restFor - now
 	if in > s.post.Settings.Classes[t.Class].Target/aRest {
 		return false
 	}
-	if t.Rest.Run == nil {
-		t.Rest.Run = func(now policy.Time) { s.rested(now, t) }
+	if t.RestTimer.Run == nil {
+		t.RestTimer.Run = func(now policy.Time) { s.rested(now, t) }
 	}
-	t.Waited, t.To = true, server.Of
+	t.RestAwaited, t.AttemptEndpoint = true, server.Endpoint
 	server.Awaited++
-	s.Timers.Set(&t.Rest, now+in)
+	s.Timers.Set(&t.RestTimer, now+in)
 	return true
 }
 
 // rested has an attempt that waited go on, unless it may not be made any more.
-func (s *Sidecar) rested(now policy.Time, t *connstate.Request) {
-	s.part(t.To).Awaited--
+func (s *Proxy) rested(now policy.Time, t *connstate.Request) {
+	s.part(t.AttemptEndpoint).Awaited--
 	switch {
-	case t.To.Draining:
+	case t.AttemptEndpoint.Draining:
 		s.endAttempt(now, t, policy.NotConnected, false)
 	case t.Decided || !s.AttemptStillValid(now, t.Request):
 		s.endAttempt(now, t, policy.NotSent, false)
 	default:
-		s.Send(now, t.Request, t.To)
+		s.Send(now, t.Request, t.AttemptEndpoint)
 	}
 }
 
 // connected is told that a connection to an endpoint is up.
-func (s *Sidecar) connected(now policy.Time, c *connstate.Conn) {
+func (s *Proxy) connected(now policy.Time, c *connstate.Conn) {
 	switch {
 	case c.Request == nil:
 		s.park(now, c) // its request did not wait for it
-	case c.Endpoint.Of.Draining || c.Life != c.Endpoint.Of.Generation:
+	case c.Endpoint.Endpoint.Draining || c.Generation != c.Endpoint.Endpoint.Generation:
 		// The endpoint was ready when this was dialled and is not any more, or another process stands there: it gets nothing new.
 		s.endAttempt(now, c.Request, policy.NotConnected, false)
 	case c.Request.Decided || !s.AttemptStillValid(now, c.Request.Request):
@@ -105,41 +105,41 @@
 }
 
 // send writes the request. Nothing of it is sent again by itself.
-func (s *Sidecar) send(now policy.Time, t *connstate.Request) {
+func (s *Proxy) send(now policy.Time, t *connstate.Request) {
 	if s.TracesRequests() {
 		s.RulesLog().WithFields(logrus.Fields{"id": text(field(t.Head, "X-Request-ID")), "no": int(t.Request.AttemptNo),
-			"server": t.Attempt.Endpoint.Of.UID}).Debug("drill: push")
+			"server": t.Attempt.Endpoint.Endpoint.UID}).Debug("drill: push")
 	}
 	size, wait := len(t.Body), t.AttemptTimer.At()-now
-	if t.More != nil {
-		size += len(t.More.B)
+	if t.UploadBuffer != nil {
+		size += len(t.UploadBuffer.B)
 	}
-	if t.Uploads {
-		size, wait = t.Size, t.Left
+	if t.Uploading {
+		size, wait = t.Size, t.ClientTimeLeft
 	}
 	t.Attempt.Used = true
 	s.scratch = AppendAttempt(s.scratch[:0], t.Method, t.Target, t.Head, size, wait)
-	if !t.Uploads && len(t.Body) <= connstate.Small && t.More == nil {
+	if !t.Uploading && len(t.Body) <= connstate.Small && t.UploadBuffer == nil {
 		s.scratch = append(s.scratch, t.Body...)
-		t.Attempt.Due.Store(t.Attempt.Queued + int64(len(s.scratch)))
+		t.Attempt.CompleteAt.Store(t.Attempt.Queued + int64(len(s.scratch)))
 		s.write(t.Attempt, s.scratch)
 		return
 	}
-	if !t.Uploads {
-		t.Attempt.Due.Store(t.Attempt.Queued + int64(len(s.scratch)+size))
+	if !t.Uploading {
+		t.Attempt.CompleteAt.Store(t.Attempt.Queued + int64(len(s.scratch)+size))
 	}
 	s.write(t.Attempt, s.scratch)
-	if !t.Uploads {
+	if !t.Uploading {
 		t.Size = size
 	}
 	s.sendPart(t, t.Body)
-	if t.More != nil {
-		s.sendPart(t, t.More.B)
+	if t.UploadBuffer != nil {
+		s.sendPart(t, t.UploadBuffer.B)
 	}
-	if t.Uploads && t.Client != nil {
-		t.Sent, t.Attempt.MovedAt = true, 0
-		s.buffers.Put(t.More)
-		t.More = nil
+	if t.Uploading && t.Client != nil {
+		t.BodyForwarded, t.Attempt.ProgressAt = true, 0
+		s.buffers.Put(t.UploadBuffer)
+		t.UploadBuffer = nil
 		s.goOn(t.Client)
 		s.holdUp(t.Client, t.Attempt)
 	}
@@ -147,8 +147,8 @@
 
 // park keeps a connection for the next attempt to its endpoint, but closes it well before the endpoint would: what is
 // written as the endpoint closes may have run or not.
-func (s *Sidecar) park(now policy.Time, c *connstate.Conn) {
-	if c.Endpoint.Of.Draining || c.Life != c.Endpoint.Of.Generation {
+func (s *Proxy) park(now policy.Time, c *connstate.Conn) {
+	if c.Endpoint.Endpoint.Draining || c.Generation != c.Endpoint.Endpoint.Generation {
 		s.close(c) // an answer that came after the list: where it leads, nothing new goes, or another process stands
 		return
 	}
@@ -157,7 +157,7 @@
 }
 
 // fromEndpoint takes the answer once it is whole.
-func (s *Sidecar) fromEndpoint(now, at policy.Time, c *connstate.Conn) {
+func (s *Proxy) fromEndpoint(now, at policy.Time, c *connstate.Conn) {
 	t := c.Request
 	if t == nil {
 		s.close(c) // it says something unasked
@@ -169,7 +169,7 @@
 	n, status, head, body, stays, ok := CutAnswer(c.In.B, false, t.Bodiless, mostBody)
 	switch {
 	case n > 0:
-		stays = stays && n == len(c.In.B) && c.Flushed() && !t.Uploads
+		stays = stays && n == len(c.In.B) && c.Flushed() && !t.Uploading
 		s.take(t, c, status, head, body)
 		s.endAttempt(at, t, outcomeOf(status, head), stays)
 	case s.answerComes(now, at, c, !ok):
@@ -179,19 +179,19 @@
 }
 
 // take moves the answer's buffer from the connection to the request.
-func (s *Sidecar) take(t *connstate.Request, c *connstate.Conn, status int, head, body []byte) {
+func (s *Proxy) take(t *connstate.Request, c *connstate.Conn, status int, head, body []byte) {
 	t.Answer, t.Status, t.AnswerHead, t.AnswerBody = c.In, status, head, body
 	c.In = nil
 }
 
 // broke is told that a connection to an endpoint has ended, or never came up.
-func (s *Sidecar) broke(at policy.Time, c *connstate.Conn) {
+func (s *Proxy) broke(at policy.Time, c *connstate.Conn) {
 	t := c.Request
 	if t == nil {
 		return
 	}
 	over := c.EOF.Load() // a reset ends no answer
-	if t.Streams {
+	if t.Streaming {
 		if over && c.Frame.Kind == untilEnd {
 			s.endStream(s.Clock.Now(), t, false)
 		} else {
@@ -199,7 +199,7 @@
 		}
 		return
 	}
-	if !c.Up || !c.Flushed() || t.Uploads {
+	if !c.Connected || !c.Flushed() || t.Uploading {
 		s.endAttempt(at, t, policy.NotConnected, false)
 		return
 	}
@@ -215,8 +215,8 @@
 
 // TimedOut is the end of an attempt's time. A request that has not been written whole is cut off with its connection, so
 // it never runs.
-func (s *Sidecar) TimedOut(now policy.Time, of *engine.Request) {
-	t := connstate.Of(of)
+func (s *Proxy) TimedOut(now policy.Time, of *engine.Request) {
+	t := connstate.AsRequest(of)
 	o := policy.TimedOut
 	if s.unwritten(t) {
 		o = policy.NotConnected
@@ -226,48 +226,48 @@
 
 // unwritten ends the connection of an attempt that has not gone out whole, and tells whether it never will. What waits to be written goes out
 // beside the loop: looked at first and closed then, its last byte could slip through between, and what has run be sent again.
-func (s *Sidecar) unwritten(t *connstate.Request) bool {
+func (s *Proxy) unwritten(t *connstate.Request) bool {
 	c := t.Attempt
-	if c == nil || !c.Up || t.Uploads {
+	if c == nil || !c.Connected || t.Uploading {
 		return true
 	}
 	if c.Flushed() {
 		return false
 	}
-	c.Link.Close()
+	c.Socket.Close()
 	return !c.Flushed()
 }
 
 // CancelAttempt ends an attempt that nobody waits for any more.
-func (s *Sidecar) CancelAttempt(now policy.Time, of *engine.Request) {
-	if t := connstate.Of(of); (t.Attempt != nil || t.Rest.Active()) && !t.Streams {
+func (s *Proxy) CancelAttempt(now policy.Time, of *engine.Request) {
+	if t := connstate.AsRequest(of); (t.Attempt != nil || t.RestTimer.Active()) && !t.Streaming {
 		s.endAttempt(now, t, policy.Cancelled, false)
 	}
 }
 
 // endAttempt ends the attempt that is out.
-func (s *Sidecar) endAttempt(at policy.Time, t *connstate.Request, o policy.Outcome, stays bool) {
+func (s *Proxy) endAttempt(at policy.Time, t *connstate.Request, o policy.Outcome, stays bool) {
 	s.detach(at, t, stays)
 	s.AttemptEnded(at, t.Request, o)
 }
 
 // detach takes the request off its connection to an endpoint, which is kept or closed.
-func (s *Sidecar) detach(at policy.Time, t *connstate.Request, stays bool) {
-	if t.Waited = false; t.Rest.Active() {
-		s.Timers.Stop(&t.Rest)
-		s.part(t.To).Awaited--
+func (s *Proxy) detach(at policy.Time, t *connstate.Request, stays bool) {
+	if t.RestAwaited = false; t.RestTimer.Active() {
+		s.Timers.Stop(&t.RestTimer)
+		s.part(t.AttemptEndpoint).Awaited--
 	}
 	c := t.Attempt
 	if c == nil {
 		return
 	}
 	t.Attempt, c.Request, c.Need, c.HeadAt = nil, nil, 0, 0
-	c.Stop.Store(false)
+	c.ReadPaused.Store(false)
 	s.Timers.Stop(&c.Timer)
 	switch {
 	case stays:
 		s.park(at, c)
-	case c.Up:
+	case c.Connected:
 		s.close(c)
 	}
 	// One that is not up yet carries nothing and is kept when it comes.
--- a/internal/httpproxy/attempts_test.go
+++ b/internal/httpproxy/attempts_test.go
@@ -166,9 +166,9 @@
 	defer l.Close()
 	s := New(Config{Listen: "127.0.0.1:0", Descriptors: 64, MessageMemory: 1 << 20, Settings: &policy.Settings{Instances: 1}}, logrus.New())
 	for queued, want := range map[int64]policy.Outcome{10: policy.ConnectionLost, 11: policy.NotConnected} {
-		c := &connstate.Conn{Side: connstate.ToServer, Up: true, Queued: queued, Endpoint: &connstate.Endpoint{Of: &engine.Endpoint{}}}
+		c := &connstate.Conn{Side: connstate.ToServer, Connected: true, Queued: queued, Endpoint: &connstate.Endpoint{Endpoint: &engine.Endpoint{}}}
 		c.Written.Store(10)
-		ticket := connstate.Of(s.NewRequest(s.no))
+		ticket := connstate.AsRequest(s.NewRequest(s.no))
 		ticket.Attempt, c.Request = c, ticket
 		s.conns.Add(c)
 		s.closed(1, 1, c)
--- a/internal/httpproxy/begin.go
+++ b/internal/httpproxy/begin.go
@@ -5,7 +5,7 @@
 const beginEvery = 20 * policy.Millisecond // between looks whether a list is there
 
 // start lets clients in as soon as that does no harm.
-func (s *Sidecar) start(now policy.Time) {
+func (s *Proxy) start(now policy.Time) {
 	switch {
 	case s.post.Successor:
 		// Another process serves: what this one takes before it can serve would wait.
@@ -23,7 +23,7 @@
 }
 
 // open lets clients in, once.
-func (s *Sidecar) open(now policy.Time) {
+func (s *Proxy) open(now policy.Time) {
 	if s.waits {
 		waited := now - (s.begin.At() - s.post.FirstListTimeout)
 		s.Logger.WithField("waited_ms", waited/policy.Millisecond).Info(map[bool]string{true: "list: told by the source before the first client",
@@ -37,7 +37,7 @@
 }
 
 // beginWhenReady lets clients in to a process that follows another, once it knows a list and what the other has learned.
-func (s *Sidecar) beginWhenReady(now policy.Time) {
+func (s *Proxy) beginWhenReady(now policy.Time) {
 	if _, leaving := s.ShuttingDown(); leaving {
 		return
 	}
--- a/internal/httpproxy/clients.go
+++ b/internal/httpproxy/clients.go
@@ -25,8 +25,8 @@
 	flushIn    = 2 * policy.Second         // for a client to take something of its answer, before it is closed
 )
 
-func (s *Sidecar) opened(now policy.Time, c *connstate.Conn) {
-	c.Up, c.Since = true, now
+func (s *Proxy) opened(now policy.Time, c *connstate.Conn) {
+	c.Connected, c.Since = true, now
 	c.Timer.Run = func(now policy.Time) { s.clientDue(now, c) }
 	// Whoever connects and says nothing, or only a part, must not hold a place for long.
 	s.Timers.Set(&c.Timer, now+headIn)
@@ -37,9 +37,9 @@
 
 // makeRoom closes connections of clients that have no request open, those first that never had one. Where none can be
 // closed yet, each answer ends its connection.
-func (s *Sidecar) makeRoom(now policy.Time) {
+func (s *Proxy) makeRoom(now policy.Time) {
 	s.pressed = false
-	for s.conns.Over(connstate.Client) && !s.pressed {
+	for s.conns.OverLimit(connstate.Client) && !s.pressed {
 		if s.spare(connstate.Client, 0, now-cutFresh) || s.spare(connstate.Client, now-cutAfter, 0) {
 			s.Counters.ClientConnsBroken++
 			continue
@@ -50,8 +50,8 @@
 }
 
 // fromClient takes the next request that is in whole. at: when its last byte came.
-func (s *Sidecar) fromClient(now, at policy.Time, c *connstate.Conn) {
-	for c.In != nil && c.Request == nil && !c.Last && !c.Dead && !c.Left.Load() && s.reads(now, c) {
+func (s *Proxy) fromClient(now, at policy.Time, c *connstate.Conn) {
+	for c.In != nil && c.Request == nil && !c.CloseWhenFlushed && !c.Closing && !c.PeerClosed.Load() && s.reads(now, c) {
 		if len(c.In.B) < c.Need && !s.buffers.Full() {
 			s.bodyDue(c)
 			return
@@ -75,15 +75,15 @@
 			return
 		case n == 0:
 			s.comes(now, c)
-			if !c.Asked && Continues(c.In.B) {
-				c.Asked = true
+			if !c.ContinueSent && Continues(c.In.B) {
+				c.ContinueSent = true
 				s.write(c, []byte("HTTP/1.1 100 Continue\r\n\r\n"))
 			}
 			return
 		}
 		s.Timers.Stop(&c.Timer)
 		s.conns.Work(c)
-		c.Asked, c.HeadAt, c.Need = false, 0, 0
+		c.ContinueSent, c.HeadAt, c.Need = false, 0, 0
 		request := c.In
 		c.In = nil
 		if len(request.B) > n {
@@ -98,7 +98,7 @@
 }
 
 // comes sets by when more of a request must have come. Clients may be slow, but those that say nothing must not hold a place.
-func (s *Sidecar) comes(now policy.Time, c *connstate.Conn) {
+func (s *Proxy) comes(now policy.Time, c *connstate.Conn) {
 	_, head, at := cutHead(c.In.B)
 	switch {
 	case at > 0 && c.HeadAt == 0:
@@ -109,28 +109,28 @@
 		fallthrough
 	case at > 0:
 		s.bodyDue(c)
-	case !c.Timer.Active() || c.Rests:
+	case !c.Timer.Active() || c.Resting:
 		s.Timers.Set(&c.Timer, now+headIn)
 	}
 	s.conns.Work(c)
 }
 
-func (s *Sidecar) bodyDue(c *connstate.Conn) {
+func (s *Proxy) bodyDue(c *connstate.Conn) {
 	s.Timers.Set(&c.Timer, c.HeadAt+bodyIn+policy.Time(len(c.In.B))*policy.Second/bodyRate)
 }
 
 // reads tells whether the client has taken its last answer. Until it has, its next request waits: answers that nobody reads
 // must not pile up. clientDue looks again.
-func (s *Sidecar) reads(now policy.Time, c *connstate.Conn) bool {
-	c.Waits = !c.Flushed()
-	if c.Waits {
+func (s *Proxy) reads(now policy.Time, c *connstate.Conn) bool {
+	c.AwaitingFlush = !c.Flushed()
+	if c.AwaitingFlush {
 		s.Timers.Set(&c.Timer, now+flushEvery)
 	}
-	return !c.Waits
+	return !c.AwaitingFlush
 }
 
 // request admits a request that has come whole, or answers it.
-func (s *Sidecar) request(now, at policy.Time, c *connstate.Conn, buf *connstate.Buffer, a asked, body []byte) {
+func (s *Proxy) request(now, at policy.Time, c *connstate.Conn, buf *connstate.Buffer, a asked, body []byte) {
 	method, target, head, last := a.method, a.target, a.head, a.last
 	if strings.HasPrefix(text(target), "/_") && s.aside(now, c, target, last) {
 		s.buffers.Put(buf)
@@ -186,11 +186,11 @@
 	if !known {
 		franchise = policy.NoTenant
 	}
-	t := connstate.Of(s.NewRequest(s.no))
-	t.Client, t.Received, t.Method, t.Target, t.Head, t.Body, t.Last = c, buf, method, target, head, body, last
+	t := connstate.AsRequest(s.NewRequest(s.no))
+	t.Client, t.Received, t.Method, t.Target, t.Head, t.Body, t.CloseAfter = c, buf, method, target, head, body, last
 	t.Bodiless = string(method) == "HEAD"
-	t.Old, t.Left = a.old, left
-	t.Uploads, t.Size = c.Upload == connstate.Passed, a.size
+	t.HTTP10, t.ClientTimeLeft = a.old, left
+	t.Uploading, t.Size = c.Upload == connstate.Streamed, a.size
 	c.Request = t
 	if named {
 		s.requests.Mark(t, mark)
@@ -199,14 +199,14 @@
 		s.RulesLog().WithField("id", string(id)).Debug("drill: ticket")
 	}
 	s.Admit(now, at, t.Request, offering, franchise, text(field(head, "X-Route-Key")), string(field(head, "X-Retried")) == "1", left)
-	if t.Uploads {
+	if t.Uploading {
 		s.BodyBegun(t.Request)
 	}
 }
 
 // timeLeft is how long the client of a request waits: as it says, and at most for as long as its class allows, where that is
 // set.
-func (s *Sidecar) timeLeft(o policy.ClassID, says []byte) (policy.Time, bool) {
+func (s *Proxy) timeLeft(o policy.ClassID, says []byte) (policy.Time, bool) {
 	left, timed := seconds(says)
 	if s.post.Deadlines == nil {
 		return left, timed
@@ -218,13 +218,13 @@
 }
 
 // overflow answers a request for which there is no room.
-func (s *Sidecar) overflow(now policy.Time, c *connstate.Conn) {
+func (s *Proxy) overflow(now policy.Time, c *connstate.Conn) {
 	s.Counters.Overflowed++
 	s.own(now, c, 503, "out of room\n", 0, true)
 }
 
 // aside answers what is asked of the instance itself.
-func (s *Sidecar) aside(now policy.Time, c *connstate.Conn, target []byte, last bool) bool {
+func (s *Proxy) aside(now policy.Time, c *connstate.Conn, target []byte, last bool) bool {
 	switch string(target) {
 	case "/_health":
 		if heard, _ := s.ListStatus(); heard {
@@ -243,7 +243,7 @@
 }
 
 // endpoints is the list as it stands, with the ids under which the module speaks of endpoints.
-func (s *Sidecar) endpoints() string {
+func (s *Proxy) endpoints() string {
 	var lines []string
 	for id, one := range s.Endpoints {
 		standing := "ready"
@@ -261,14 +261,14 @@
 }
 
 // bad answers what cannot be served, and ends the connection: where the next request begins is not known.
-func (s *Sidecar) bad(now policy.Time, c *connstate.Conn, status int, why string) {
+func (s *Proxy) bad(now policy.Time, c *connstate.Conn, status int, why string) {
 	s.Counters.BadRequests++
 	s.own(now, c, status, why, 0, true)
 	s.Timers.Set(&c.Timer, now+lingerFor)
 }
 
 // own sends an answer that no endpoint made.
-func (s *Sidecar) own(now policy.Time, c *connstate.Conn, status int, body string, retryIn policy.Time, last bool) {
+func (s *Proxy) own(now policy.Time, c *connstate.Conn, status int, body string, retryIn policy.Time, last bool) {
 	last = last || s.ending()
 	s.scratch = AppendOwn(s.scratch[:0], status, body, retryIn, last)
 	s.write(c, s.scratch)
@@ -277,22 +277,22 @@
 
 // ending tells whether a client's connection ends with its next answer. When room is short that is the one moment at which
 // no request can be on its way.
-func (s *Sidecar) ending() bool {
+func (s *Proxy) ending() bool {
 	_, leaving := s.ShuttingDown()
-	return leaving || s.pressed || s.conns.Resting > s.conns.Idle
+	return leaving || s.pressed || s.conns.RestingCount > s.conns.ExcessResting
 }
 
 // free lets a client's connection go on to its next request, or closes it once the answer is out.
-func (s *Sidecar) free(now policy.Time, c *connstate.Conn, last bool) {
-	c.Request, c.Since, c.Used, c.MovedAt = nil, now, true, 0
+func (s *Proxy) free(now policy.Time, c *connstate.Conn, last bool) {
+	c.Request, c.Since, c.Used, c.ProgressAt = nil, now, true, 0
 	switch {
-	case c.Upload == connstate.Passed:
+	case c.Upload == connstate.Streamed:
 		// Its sender goes on with a body that nobody needs any more, and may read the answer only after that.
-		c.After = last
+		c.CloseAfterBody = last
 		s.goOn(c)
 	case last:
-		c.Last = true
-		c.Link.Hush()
+		c.CloseWhenFlushed = true
+		c.Socket.DiscardInput()
 		s.buffers.Put(c.In)
 		c.In = nil
 		s.Timers.Set(&c.Timer, now)
@@ -305,36 +305,36 @@
 }
 
 // clientDue is the one timer of a client's connection: for a request to come whole, then for the last answer to go.
-func (s *Sidecar) clientDue(now policy.Time, c *connstate.Conn) {
+func (s *Proxy) clientDue(now policy.Time, c *connstate.Conn) {
 	switch {
-	case c.Dead:
+	case c.Closing:
 	case c.Upload != connstate.NoUpload:
 		s.uploadDue(now, c)
-	case !c.Last && !c.Flushed() && c.Moves(now, c.Written.Load(), flushIn):
+	case !c.CloseWhenFlushed && !c.Flushed() && c.Progressed(now, c.Written.Load(), flushIn):
 		s.Timers.Set(&c.Timer, now+flushEvery)
-	case !c.Last && !c.Flushed():
+	case !c.CloseWhenFlushed && !c.Flushed():
 		s.close(c) // it takes no answers
-	case !c.Last && c.Waits && c.In != nil:
+	case !c.CloseWhenFlushed && c.AwaitingFlush && c.In != nil:
 		s.fromClient(now, now, c)
-	case !c.Last && c.Rests:
+	case !c.CloseWhenFlushed && c.Resting:
 		// Clients that ask once and stay hold places that others of theirs wait for.
-		if 2*s.conns.Resting > s.conns.Idle && c.Link.Cut(c) {
-			s.conns.End(c)
+		if 2*s.conns.RestingCount > s.conns.ExcessResting && c.Socket.CloseIfIdle(c) {
+			s.conns.CountEnd(c)
 			s.Counters.ClientConnsBroken++
 		} else {
 			s.Timers.Set(&c.Timer, now+cutAfter/8)
 		}
-	case !c.Last && c.In == nil:
+	case !c.CloseWhenFlushed && c.In == nil:
 		// Silent since it came. Nothing is lost by its end, unless something is coming in just now.
-		if c.Link.Cut(c) {
-			s.conns.End(c)
+		if c.Socket.CloseIfIdle(c) {
+			s.conns.CountEnd(c)
 			s.Counters.ClientsSilent++
 		} else {
 			s.Timers.Set(&c.Timer, now+flushEvery)
 		}
-	case !c.Last:
+	case !c.CloseWhenFlushed:
 		s.bad(now, c, 408, "the request came too slowly\n")
-	case c.Flushed() || !c.Moves(now, c.Written.Load(), flushIn):
+	case c.Flushed() || !c.Progressed(now, c.Written.Load(), flushIn):
 		s.close(c)
 	default:
 		s.Timers.Set(&c.Timer, now+flushEvery)
@@ -342,12 +342,12 @@
 }
 
 // clientLeft is told that the client's connection is gone, and so its request over.
-func (s *Sidecar) clientLeft(now policy.Time, c *connstate.Conn) {
+func (s *Proxy) clientLeft(now policy.Time, c *connstate.Conn) {
 	t := c.Request
 	if t == nil {
 		return
 	}
-	if t.Streams {
+	if t.Streaming {
 		s.breakStream(now, t)
 		return
 	}
@@ -355,11 +355,11 @@
 }
 
 // leaves ends a request whose client is gone, or has not sent it whole.
-func (s *Sidecar) leaves(now policy.Time, c *connstate.Conn, t *connstate.Request) {
+func (s *Proxy) leaves(now policy.Time, c *connstate.Conn, t *connstate.Request) {
 	c.Request, t.Client = nil, nil
 	s.requests.Unmark(t)
 	s.ClientLeft(now, t.Request)
-	if (t.Attempt != nil || t.Rest.Active()) && s.unwritten(t) {
+	if (t.Attempt != nil || t.RestTimer.Active()) && s.unwritten(t) {
 		// What is missing of its body never comes; and an attempt that no endpoint has whole is none yet, so ending it is allowed also where
 		// attempts may not be cancelled.
 		s.endAttempt(now, t, policy.Cancelled, false)
--- a/internal/httpproxy/crossing_test.go
+++ b/internal/httpproxy/crossing_test.go
@@ -118,7 +118,7 @@
 	} {
 		s, _ := still(t)
 		far, nb, conn := pair(t)
-		conn.Side, conn.Up = connstate.Client, true
+		conn.Side, conn.Connected = connstate.Client, true
 		s.conns.Add(conn)
 		fmt.Fprint(far, "GET /step/a HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Timeout: 1\r\n\r\n")
 		leave(far.(*net.TCPConn))
@@ -175,7 +175,7 @@
 		if ticket == nil {
 			t.Fatal("not pushed")
 		}
-		server.Link = &slipping{plain, k.slips}
+		server.Socket = &slipping{plain, k.slips}
 		server.Queued++ // the kernel has all but one byte
 		if k.left {
 			s.clientLeft(now, client)
@@ -402,7 +402,7 @@
 	r.RunOnLoop(func() {
 		sides := map[connstate.Side]int{}
 		for c := range r.conns.Open {
-			on, err := unix.GetsockoptInt(c.Link.(*link).fd, unix.IPPROTO_TCP, unix.TCP_NODELAY)
+			on, err := unix.GetsockoptInt(c.Socket.(*link).fd, unix.IPPROTO_TCP, unix.TCP_NODELAY)
 			if sides[c.Side]++; err != nil || on == 0 {
 				t.Errorf("side %d: TCP_NODELAY %d, %v", c.Side, on, err)
 			}
--- a/internal/httpproxy/dial.go
+++ b/internal/httpproxy/dial.go
@@ -41,7 +41,7 @@
 			s.post(event{what: closed, conn: conn})
 			return
 		}
-		conn.Link = newLink(c)
+		conn.Socket = newLink(c)
 		c.SetSession(conn)
 		if _, err := s.engine.AddConn(c); err != nil {
 			c.Close()
--- a/internal/httpproxy/leave.go
+++ b/internal/httpproxy/leave.go
@@ -16,7 +16,7 @@
 )
 
 // BeginShutdown begins the end: for a while clients may still come, and every answer now closes its connection.
-func (s *Sidecar) BeginShutdown(now policy.Time) {
+func (s *Proxy) BeginShutdown(now policy.Time) {
 	if s.waits {
 		s.open(now) // whoever came before the first list is owed an answer too
 	}
@@ -30,7 +30,7 @@
 }
 
 // Drained tells whether none can come any more.
-func (s *Sidecar) Drained(now policy.Time) bool {
+func (s *Proxy) Drained(now policy.Time) bool {
 	leaveBy, _ := s.ShuttingDown()
 	if now < s.acceptTo {
 		return false
@@ -42,10 +42,10 @@
 		waiting = true
 	}
 	for c := range s.conns.Open {
-		if c.Side == connstate.Client && !c.Dead {
+		if c.Side == connstate.Client && !c.Closing {
 			stays := s.post.InheritedListener > 0 && now-c.Since < lookedFor && now < leaveBy // its next answer ends it
-			if c.Request == nil && c.In == nil && !c.Last && c.Upload == connstate.NoUpload && !stays && c.Link.Cut(c) {
-				s.conns.End(c)
+			if c.Request == nil && c.In == nil && !c.CloseWhenFlushed && c.Upload == connstate.NoUpload && !stays && c.Socket.CloseIfIdle(c) {
+				s.conns.CountEnd(c)
 			}
 			waiting = true
 		}
@@ -57,7 +57,7 @@
 }
 
 // Close gives back what is still held: connections, their buffers.
-func (s *Sidecar) Close() {
+func (s *Proxy) Close() {
 	for c := range s.conns.Open {
 		s.close(c)
 	}
--- a/internal/httpproxy/limits_test.go
+++ b/internal/httpproxy/limits_test.go
@@ -118,7 +118,7 @@
 		}
 		stay = append(stay, c)
 	}
-	idle := r.conns.Idle
+	idle := r.conns.ExcessResting
 	if idle != 20 || closes != 40-idle-1 {
 		t.Errorf("%d answers closed, %d may rest", closes, idle)
 	}
@@ -136,8 +136,8 @@
 	}
 	last.Close()
 	r.end()
-	if r.conns.Resting != 0 {
-		t.Errorf("%d rest at the end", r.conns.Resting)
+	if r.conns.RestingCount != 0 {
+		t.Errorf("%d rest at the end", r.conns.RestingCount)
 	}
 }
 
@@ -274,7 +274,7 @@
 	if nb, err = nbio.NBConn(near); err != nil {
 		t.Fatal(err)
 	}
-	conn = &connstate.Conn{Link: newLink(nb)}
+	conn = &connstate.Conn{Socket: newLink(nb)}
 	nb.SetSession(conn)
 	return far, nb, conn
 }
@@ -282,19 +282,19 @@
 // Where memory is full and more, whoever has sent much that nobody has looked at yet sends no more.
 func TestFloodsEndWhereMemoryIsFull(t *testing.T) {
 	far, nb, conn := pair(t)
-	s := &sockets{buffers: &connstate.Buffers{Most: connstate.Small}, signal: func() {}}
+	s := &sockets{buffers: &connstate.Buffers{Limit: connstate.Small}, signal: func() {}}
 	s.ahead.Store(mostAhead)
 	held := s.buffers.Get(connstate.Large)
 	fmt.Fprint(far, "GET")
 	time.Sleep(20 * time.Millisecond)
 	s.read(nb) // a little is always taken, to be rejected
-	if conn.Link.(*link).cut || conn.Unread.Load() != 3 {
+	if conn.Socket.(*link).cut || conn.Unread.Load() != 3 {
 		t.Errorf("cut at its first bytes, or they were not read: %d", conn.Unread.Load())
 	}
 	fmt.Fprint(far, strings.Repeat("x", 2*connstate.Small))
 	time.Sleep(20 * time.Millisecond)
 	s.read(nb)
-	if !conn.Link.(*link).cut {
+	if !conn.Socket.(*link).cut {
 		t.Error("goes on sending")
 	}
 	s.buffers.Put(held)
@@ -304,20 +304,20 @@
 func TestOnlyQuietConnectionsAreCut(t *testing.T) {
 	far, _, conn := pair(t)
 	buffers := &connstate.Buffers{}
-	if !conn.Link.Quiet(conn) {
+	if !conn.Socket.Idle(conn) {
 		t.Error("not quiet before anything came")
 	}
 	fmt.Fprint(far, "GET")
 	time.Sleep(20 * time.Millisecond) // for the kernel to have it at this end
-	if conn.Link.Quiet(conn) || conn.Link.Cut(conn) {
+	if conn.Socket.Idle(conn) || conn.Socket.CloseIfIdle(conn) {
 		t.Fatal("cut with bytes in the kernel")
 	}
 	buf := buffers.Get(connstate.Small)
-	if !conn.Link.(*link).read(conn, buf) || string(buf.B) != "GET" || conn.Link.Cut(conn) {
+	if !conn.Socket.(*link).read(conn, buf) || string(buf.B) != "GET" || conn.Socket.CloseIfIdle(conn) {
 		t.Error("cut with bytes that the loop has not looked at")
 	}
 	conn.Unread.Store(0)
-	if !conn.Link.Cut(conn) || conn.Link.(*link).read(conn, buf) {
+	if !conn.Socket.CloseIfIdle(conn) || conn.Socket.(*link).read(conn, buf) {
 		t.Error("not cut, or read after it")
 	}
 }
--- a/internal/httpproxy/link.go
+++ b/internal/httpproxy/link.go
@@ -77,7 +77,7 @@
 
 // Cut ends a connection on which nothing is under way. It refuses where bytes have come: their sender would take the end
 // for the loss of a request. What comes later is left unread, and so reset by the kernel: the client sends it again.
-func (l *link) Cut(conn *connstate.Conn) bool {
+func (l *link) CloseIfIdle(conn *connstate.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.quiet(conn) {
@@ -89,7 +89,7 @@
 
 // Quiet tells whether nothing has come that the loop has not heard of. What stands there before a request is sent is no
 // answer to it.
-func (l *link) Quiet(conn *connstate.Conn) bool {
+func (l *link) Idle(conn *connstate.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.quiet(conn)
@@ -107,7 +107,7 @@
 
 // Hush is called with the last answer. A client that goes on sending must cost neither memory nor the loop's time, and still
 // gets to read what it is told: closed at once, the kernel would throw that away.
-func (l *link) Hush() {
+func (l *link) DiscardInput() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.hush, l.left = true, mostHushed
@@ -124,7 +124,7 @@
 	if conn.Flushed() {
 		n, err := syscall.Write(l.fd, b)
 		if n > 0 {
-			conn.Took(n) // the loop itself looks what it waits for
+			conn.RecordRead(n) // the loop itself looks what it waits for
 			b = b[n:]
 		}
 		if err != nil && err != syscall.EAGAIN && err != syscall.EINTR {
--- a/internal/httpproxy/renew.go
+++ b/internal/httpproxy/renew.go
@@ -8,7 +8,7 @@
 )
 
 // renew goes over to a new configuration. Requests, connections and all that is known of endpoints stay.
-func (s *Sidecar) renew(post Config) {
+func (s *Proxy) renew(post Config) {
 	var late []string // takes a new start
 	keep := func(name string, same bool) {
 		if !same {
--- a/internal/httpproxy/replies.go
+++ b/internal/httpproxy/replies.go
@@ -7,11 +7,11 @@
 )
 
 // answer takes the client off a request that is being answered; nil if it has left.
-func (s *Sidecar) answer(now policy.Time, t *connstate.Request, kind int) *connstate.Conn {
+func (s *Proxy) answer(now policy.Time, t *connstate.Request, kind int) *connstate.Conn {
 	c := t.Client
 	t.Client = nil
 	s.requests.Unmark(t)
-	if c == nil || c.Dead {
+	if c == nil || c.Closing {
 		if c != nil {
 			c.Request = nil // the request's place may be another's by the time this connection's end is told
 		}
@@ -24,13 +24,13 @@
 }
 
 // Succeed passes an endpoint's answer on, also one that declines.
-func (s *Sidecar) Succeed(now policy.Time, of *engine.Request) {
-	t, kind := connstate.Of(of), 0
+func (s *Proxy) Succeed(now policy.Time, of *engine.Request) {
+	t, kind := connstate.AsRequest(of), 0
 	if t.Status != 200 {
 		kind = 1
 	}
 	if c := s.answer(now, t, kind); c != nil {
-		last := t.Last || s.ending()
+		last := t.CloseAfter || s.ending()
 		if kind == 0 {
 			s.Counters.Succeeded++
 		} else {
@@ -51,18 +51,18 @@
 }
 
 // Reject and Fail answer for the module.
-func (s *Sidecar) Reject(now policy.Time, of *engine.Request, retryIn policy.Time) {
-	t := connstate.Of(of)
+func (s *Proxy) Reject(now policy.Time, of *engine.Request, retryIn policy.Time) {
+	t := connstate.AsRequest(of)
 	if c := s.answer(now, t, 2); c != nil {
 		s.Counters.Rejected++
-		s.own(now, c, 503, "turned back\n", retryIn, t.Last)
+		s.own(now, c, 503, "turned back\n", retryIn, t.CloseAfter)
 	}
 }
 
-func (s *Sidecar) Fail(now policy.Time, of *engine.Request) {
-	t := connstate.Of(of)
+func (s *Proxy) Fail(now policy.Time, of *engine.Request) {
+	t := connstate.AsRequest(of)
 	if c := s.answer(now, t, 3); c != nil {
 		s.Counters.Failed++
-		s.own(now, c, 502, "given up\n", 0, t.Last)
+		s.own(now, c, 502, "given up\n", 0, t.CloseAfter)
 	}
 }
--- a/internal/httpproxy/reports.go
+++ b/internal/httpproxy/reports.go
@@ -8,7 +8,7 @@
 )
 
 // each hands over the counters, and what is held now.
-func (s *Sidecar) each(line func(name string, n int64, rises bool)) {
+func (s *Proxy) each(line func(name string, n int64, rises bool)) {
 	s.Counters.Each(func(name string, n int64) { line(name, n, true) })
 	refused := int64(0)
 	if _, why := s.ListStatus(); why != "" {
@@ -27,7 +27,7 @@
 	}
 }
 
-func (s *Sidecar) report() string {
+func (s *Proxy) report() string {
 	var b strings.Builder
 	s.each(func(name string, n int64, _ bool) { fmt.Fprintf(&b, "%s %d\n", name, n) })
 	return b.String()
@@ -36,7 +36,7 @@
 // ---- for other goroutines ----
 
 // Report is the counters, and what is held now, a line each; also once the instance has ended.
-func (s *Sidecar) Report() (report string) {
+func (s *Proxy) Report() (report string) {
 	if !s.RunOnLoop(func() { report = s.report() }) {
 		report = s.report()
 	}
@@ -44,16 +44,16 @@
 }
 
 // ServersReport is the list as it stands.
-func (s *Sidecar) ServersReport() (report string) {
+func (s *Proxy) ServersReport() (report string) {
 	s.RunOnLoop(func() { report = s.endpoints() })
 	return report
 }
 
 // Ready tells whether this process can serve: it listens, a list of endpoints is known, and it is not about to end.
-func (s *Sidecar) Ready() bool { return s.serves.Load() && s.Tally.HasList.Load() }
+func (s *Proxy) Ready() bool { return s.serves.Load() && s.Tally.HasList.Load() }
 
 // EachMetric hands over each counter, and each figure that goes up and down.
-func (s *Sidecar) EachMetric(each func(name string, value float64, rises bool)) {
+func (s *Proxy) EachMetric(each func(name string, value float64, rises bool)) {
 	type figure struct {
 		name  string
 		n     int64
--- a/internal/httpproxy/rig_test.go
+++ b/internal/httpproxy/rig_test.go
@@ -209,7 +209,7 @@
 }
 
 type running struct {
-	*Sidecar
+	*Proxy
 	t    *testing.T
 	addr string
 	stop chan os.Signal
@@ -241,7 +241,7 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	r := &running{Sidecar: New(post, log), t: t, addr: post.Listen, stop: make(chan os.Signal, 1),
+	r := &running{Proxy: New(post, log), t: t, addr: post.Listen, stop: make(chan os.Signal, 1),
 		new: make(chan Config), done: make(chan error, 1)}
 	go func() { r.done <- r.Run(r.stop, r.new) }()
 	for i := 0; ; i++ {
--- a/internal/httpproxy/sidecar.go
+++ b/internal/httpproxy/sidecar.go
@@ -41,8 +41,8 @@
 	SavedList           []byte          // a list saved earlier, as discovery gives it
 }
 
-// Sidecar is the HTTP front on sockets, and the engine that decides for it. The engine's loop owns all of its state.
-type Sidecar struct {
+// Proxy is the HTTP front on sockets, and the engine that decides for it. The engine's loop owns all of its state.
+type Proxy struct {
 	*engine.Engine
 	no       int // of the front, in the engine
 	post     Config
@@ -70,8 +70,8 @@
 }
 
 // New makes an instance that does not serve yet.
-func New(post Config, log *logrus.Logger) *Sidecar {
-	s := &Sidecar{post: post, buffers: &connstate.Buffers{Most: post.MessageMemory}, conns: connstate.NewConns(post.Descriptors - post.ReservedDescriptors),
+func New(post Config, log *logrus.Logger) *Proxy {
+	s := &Proxy{post: post, buffers: &connstate.Buffers{Limit: post.MessageMemory}, conns: connstate.NewConns(post.Descriptors - post.ReservedDescriptors),
 		requests: &connstate.Requests{}, classes: map[string]policy.ClassID{}, tenants: map[string]policy.TenantID{}}
 	s.Engine = engine.New(engine.Config{Seed: post.Seed, Settings: post.Settings, Source: post.Source, SavedList: post.SavedList,
 		ShutdownTime: post.ShutdownTime, Latency: post.Latency, Recorder: post.Recorder, StallAfter: post.StallAfter}, log)
@@ -88,13 +88,13 @@
 	}
 	s.processes.Store(1)
 	s.shared = 1
-	s.sockets = newSockets(s.Clock, s.buffers, &post, s.conns.Accept, s.Signal)
+	s.sockets = newSockets(s.Clock, s.buffers, &post, s.conns.AcceptLimit, s.Signal)
 	s.room.Run = s.makeRoom
 	return s
 }
 
 // Run serves until a signal comes and all in hand is answered, and goes over to each new configuration.
-func (s *Sidecar) Run(stop <-chan os.Signal, fresh <-chan Config) error {
+func (s *Proxy) Run(stop <-chan os.Signal, fresh <-chan Config) error {
 	if err := s.sockets.engine.Start(); err != nil {
 		s.Engine.Abandon()
 		return err
@@ -120,7 +120,7 @@
 }
 
 // Gather takes what has happened on the sockets, and requests that came with others before them.
-func (s *Sidecar) Gather(now policy.Time) {
+func (s *Proxy) Gather(now policy.Time) {
 	s.keepToShare(now)
 	if s.waits && s.ListFresh() {
 		s.open(now)
@@ -137,32 +137,32 @@
 }
 
 // More tells whether a request may be in already.
-func (s *Sidecar) More() bool { return len(s.again) > 0 }
+func (s *Proxy) More() bool { return len(s.again) > 0 }
 
-func (s *Sidecar) happened(now policy.Time, e event) {
+func (s *Proxy) happened(now policy.Time, e event) {
 	c := e.conn
 	switch e.what {
 	case opened:
 		s.opened(now, c)
 	case connected:
-		c.Up = true
-		if c.Dead {
-			c.Link.Close()
+		c.Connected = true
+		if c.Closing {
+			c.Socket.Close()
 			return
 		}
 		s.connected(now, c)
 	case arrived:
 		c.Unread.Add(-int64(len(e.buf.B)))
-		c.Ahead.Add(-int64(cap(e.buf.B)))
+		c.UnreadMemory.Add(-int64(cap(e.buf.B)))
 		s.Counters.BytesIn += int64(len(e.buf.B))
-		if c.Dead || c.Last {
+		if c.Closing || c.CloseWhenFlushed {
 			s.buffers.Put(e.buf)
 			return
 		}
 		switch {
 		case c.Upload != connstate.NoUpload:
 			s.uploadComes(now, e.at, c, e.buf)
-		case c.Side == connstate.ToServer && c.Request != nil && c.Request.Streams:
+		case c.Side == connstate.ToServer && c.Request != nil && c.Request.Streaming:
 			s.passOn(now, e.at, c, c.Request, e.buf.B)
 			s.buffers.Put(e.buf)
 		case c.Side == connstate.Client:
@@ -172,7 +172,7 @@
 			c.In = s.buffers.Join(c.In, e.buf)
 			s.fromEndpoint(now, e.at, c)
 		}
-		if !c.Dead && c.Unread.Load() <= 0 {
+		if !c.Closing && c.Unread.Load() <= 0 {
 			s.sockets.resume(c)
 		}
 	case drained:
@@ -183,32 +183,32 @@
 }
 
 // close ends a connection; closed, told of that later, gives back what it holds.
-func (s *Sidecar) close(c *connstate.Conn) {
-	if !c.Dead {
-		s.conns.End(c)
-		if c.Up {
-			c.Link.Close()
+func (s *Proxy) close(c *connstate.Conn) {
+	if !c.Closing {
+		s.conns.CountEnd(c)
+		if c.Connected {
+			c.Socket.Close()
 		}
 	}
 }
 
 // spare makes room by ending the connection that has been without work for longest.
-func (s *Sidecar) spare(side connstate.Side, idle, fresh policy.Time) bool {
+func (s *Proxy) spare(side connstate.Side, idle, fresh policy.Time) bool {
 	old := s.conns.Oldest(side, idle, fresh)
-	if old == nil || !old.Link.Cut(old) {
+	if old == nil || !old.Socket.CloseIfIdle(old) {
 		return false
 	}
-	s.conns.End(old)
+	s.conns.CountEnd(old)
 	return true
 }
 
 // closed gives back all that a connection held.
-func (s *Sidecar) closed(now, at policy.Time, c *connstate.Conn) {
+func (s *Proxy) closed(now, at policy.Time, c *connstate.Conn) {
 	if !s.conns.Remove(c) {
 		return
 	}
-	wasDead := c.Dead
-	c.Dead = true
+	wasDead := c.Closing
+	c.Closing = true
 	switch c.Side {
 	case connstate.Client:
 		s.clientLeft(now, c)
@@ -223,34 +223,34 @@
 }
 
 // write sends bytes on a connection. What the kernel does not take at once goes out later.
-func (s *Sidecar) write(c *connstate.Conn, b []byte) {
+func (s *Proxy) write(c *connstate.Conn, b []byte) {
 	s.Counters.BytesOut += int64(len(b))
-	c.Link.Write(b) // a failure ends the connection, which is told like any other end
+	c.Socket.Write(b) // a failure ends the connection, which is told like any other end
 	c.Queued += int64(len(b))
 }
 
 // ---- what the engine asks for ----
 
 // DiscardResponse gives back an answer that is not handed on.
-func (s *Sidecar) DiscardResponse(of *engine.Request) {
-	t := connstate.Of(of)
+func (s *Proxy) DiscardResponse(of *engine.Request) {
+	t := connstate.AsRequest(of)
 	s.buffers.Put(t.Answer)
 	t.Answer = nil
 }
 
 // Released takes the request's buffers back.
-func (s *Sidecar) Released(of *engine.Request) { connstate.Of(of).Give(s.buffers) }
+func (s *Proxy) Released(of *engine.Request) { connstate.AsRequest(of).ReleaseBuffers(s.buffers) }
 
 // part is what this front keeps of an endpoint.
-func (s *Sidecar) part(of *engine.Endpoint) *connstate.Endpoint {
+func (s *Proxy) part(of *engine.Endpoint) *connstate.Endpoint {
 	if of.FrontData[s.no] == nil {
-		of.FrontData[s.no] = &connstate.Endpoint{Of: of}
+		of.FrontData[s.no] = &connstate.Endpoint{Endpoint: of}
 	}
 	return of.FrontData[s.no].(*connstate.Endpoint)
 }
 
 // CloseIdle closes the connections to an endpoint that stand idle.
-func (s *Sidecar) CloseIdle(of *engine.Endpoint) {
+func (s *Proxy) CloseIdle(of *engine.Endpoint) {
 	server := s.part(of)
 	for len(server.Idle) > 0 {
 		c := server.Idle[len(server.Idle)-1]
@@ -260,4 +260,4 @@
 }
 
 // Forget has nothing to add: what is still open closes when it is free.
-func (s *Sidecar) Forget(*engine.Endpoint) {}
+func (s *Proxy) Forget(*engine.Endpoint) {}
--- a/internal/httpproxy/sidecar_test.go
+++ b/internal/httpproxy/sidecar_test.go
@@ -230,28 +230,28 @@
 	k.conn.Written.Add(int64(len(b)))
 	return len(b), nil
 }
-func (k *sink) Close() error               { return nil }
-func (k *sink) Cut(*connstate.Conn) bool   { return true }
-func (k *sink) Hush()                      {}
-func (k *sink) Reset()                     {}
-func (k *sink) Quiet(*connstate.Conn) bool { return !k.noisy }
+func (k *sink) Close() error                     { return nil }
+func (k *sink) CloseIfIdle(*connstate.Conn) bool { return true }
+func (k *sink) DiscardInput()                    {}
+func (k *sink) Reset()                           {}
+func (k *sink) Idle(*connstate.Conn) bool        { return !k.noisy }
 
 // still is an instance that knows one endpoint and does not run, and a way to connect to it without sockets.
-func still(t *testing.T) (*Sidecar, func(side connstate.Side) (*connstate.Conn, *sink)) {
+func still(t *testing.T) (*Proxy, func(side connstate.Side) (*connstate.Conn, *sink)) {
 	t.Helper()
 	r, _ := run(t, nil, "127.0.0.1:1")
 	r.end()
 	s := New(r.post, r.Logger)
 	s.sockets.connect = func(string, policy.Time) (net.Conn, error) { return nil, net.ErrClosed }
-	_, _, entries, err := discovery.ReadList(s.post.SavedList)
+	_, _, entries, err := discovery.DecodeList(s.post.SavedList)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Apply(1, &discovery.List{Kind: policy.ListSaved, Entries: entries})
 	return s, func(side connstate.Side) (*connstate.Conn, *sink) {
-		c := &connstate.Conn{Side: side, Up: true, Timer: engine.Timer{Run: func(policy.Time) {}}}
+		c := &connstate.Conn{Side: side, Connected: true, Timer: engine.Timer{Run: func(policy.Time) {}}}
 		k := &sink{conn: c}
-		c.Link = k
+		c.Socket = k
 		s.conns.Add(c)
 		return c, k
 	}
@@ -315,7 +315,7 @@
 	now += 2*policy.Millisecond + restFor // the last is not rested yet, the one before is noisy
 	s.fromClient(now, now, client)
 	s.Round(now)
-	if len(idle[1].last) == 0 || len(idle[0].last)+len(idle[2].last)+len(idle[3].last) > 0 || !all[2].Dead || all[3].Dead {
+	if len(idle[1].last) == 0 || len(idle[0].last)+len(idle[2].last)+len(idle[3].last) > 0 || !all[2].Closing || all[3].Closing {
 		t.Errorf("sent on %q, %q, %q, %q", idle[0].last, idle[1].last, idle[2].last, idle[3].last)
 	}
 }
@@ -335,7 +335,7 @@
 		server, _ := connect(connstate.ToServer)
 		client.Timer.Run = func(now policy.Time) { s.clientDue(now, client) }
 		for _, one := range s.Endpoints {
-			server.Endpoint, server.Life = s.part(one), one.Generation // dialled to it as it stands now
+			server.Endpoint, server.Generation = s.part(one), one.Generation // dialled to it as it stands now
 			s.park(now, server)
 			break
 		}
@@ -355,7 +355,7 @@
 					in = []byte{0}
 				}
 			}
-			if _, full, entries, err := discovery.ReadList(in); err == nil {
+			if _, full, entries, err := discovery.DecodeList(in); err == nil {
 				kind := policy.ListChanges
 				if full {
 					kind = policy.ListFull
--- a/internal/httpproxy/sockets.go
+++ b/internal/httpproxy/sockets.go
@@ -82,7 +82,7 @@
 			return
 		}
 		s.clients.Add(1)
-		conn = &connstate.Conn{Link: newLink(c), Side: connstate.Client}
+		conn = &connstate.Conn{Socket: newLink(c), Side: connstate.Client}
 		c.SetSession(conn)
 		s.opened.Add(1)
 		s.post(event{what: opened, conn: conn})
@@ -118,8 +118,8 @@
 
 // took notes what the kernel has taken, and tells the loop where that waits for it.
 func (s *sockets) took(conn *connstate.Conn, n int) {
-	all := conn.Took(n)
-	if at := conn.Tell.Load(); at > 0 && all >= at && conn.Tell.CompareAndSwap(at, 0) {
+	all := conn.RecordRead(n)
+	if at := conn.NotifyAt.Load(); at > 0 && all >= at && conn.NotifyAt.CompareAndSwap(at, 0) {
 		s.post(event{what: drained, conn: conn})
 	}
 }
@@ -154,20 +154,20 @@
 func (s *sockets) read(c *nbio.Conn) {
 	s.opened.Load() // what OnOpen wrote was written before this
 	if conn, ok := c.Session().(*connstate.Conn); ok {
-		s.fill(conn, conn.Link.(*link))
+		s.fill(conn, conn.Socket.(*link))
 	}
 }
 
 // Resume reads on where reading was left, if it was. The poller is not told again of what stands there already.
 func (s *sockets) resume(conn *connstate.Conn) {
-	if l, ok := conn.Link.(*link); ok && l.held.Load() && !conn.Stop.Load() {
+	if l, ok := conn.Socket.(*link); ok && l.held.Load() && !conn.ReadPaused.Load() {
 		s.fill(conn, l)
 	}
 }
 
 // enough tells whether no more should be read for now.
 func (s *sockets) enough(conn *connstate.Conn) bool {
-	return conn.Stop.Load() || conn.Ahead.Load() >= max(connstate.Small, s.ahead.Load())
+	return conn.ReadPaused.Load() || conn.UnreadMemory.Load() >= max(connstate.Small, s.ahead.Load())
 }
 
 // fill takes what stands in the socket, until it is empty or enough is under way. The poller and the loop may both come to it; what
@@ -184,7 +184,7 @@
 	}()
 	for size := connstate.Small; ; {
 		unread := conn.Unread.Load()
-		if unread > connstate.Small && conn.Side == connstate.Client && s.buffers.Flooded() {
+		if unread > connstate.Small && conn.Side == connstate.Client && s.buffers.Overcommitted() {
 			// Many at once may fill the memory before the loop comes to turn them back.
 			l.cutOff()
 			return
@@ -203,7 +203,7 @@
 		if !l.read(conn, buf) {
 			s.buffers.Put(buf)
 			if l.gone && conn.Side == connstate.Client {
-				conn.Left.Store(true) // before its last request is told: nobody waits for the answer
+				conn.PeerClosed.Store(true) // before its last request is told: nobody waits for the answer
 			}
 			return
 		}
@@ -211,7 +211,7 @@
 			s.post(event{what: arrived, conn: conn, buf: got})
 		}
 		got = buf
-		conn.Ahead.Add(int64(cap(buf.B)))
+		conn.UnreadMemory.Add(int64(cap(buf.B)))
 		if size = connstate.Small; len(buf.B) == cap(buf.B) {
 			size = connstate.Large // there is much
 		}
