--- a/internal/httpproxy/stream.go
+++ b/internal/httpproxy/stream.go
@@ -23,7 +23,7 @@
 // fault can only be shown to that; until then it costs an attempt. So a short one is held till it is whole or its attempt is over. One that may
 // turn out to be long goes on once it has taken its time and still comes: where its endpoint has fallen silent, nothing is gained by
 // that, and the attempt is lost. dealt: nothing else is to be done about it now.
-func (s *Sidecar) answerComes(now, at policy.Time, c *connstate.Conn, long bool) (dealt bool) {
+func (s *Proxy) answerComes(now, at policy.Time, c *connstate.Conn, long bool) (dealt bool) {
 	t, b := c.Request, c.In.B
 	n, status, head, size, chunked, stays, ok := answerHead(b, false, t.Bodiless)
 	if !ok || n == 0 || size > mostStream || t.Client == nil || t.Decided {
@@ -59,17 +59,17 @@
 	return true
 }
 
-func (s *Sidecar) beginStream(now, at policy.Time, c *connstate.Conn, t *connstate.Request, status int, head, body []byte, stays bool) {
+func (s *Proxy) beginStream(now, at policy.Time, c *connstate.Conn, t *connstate.Request, status int, head, body []byte, stays bool) {
 	// For the module the attempt ends with the first bytes, as the endpoint's work does; the rest is a matter of the sockets.
 	t.Decided = true
 	s.AttemptEnded(at, t.Request, outcomeOf(status, head))
 	s.Counters.Streams++
 	s.streams++
 	s.setAhead()
-	t.Streams, t.Status, t.Stays = true, status, stays
-	t.Chunked = c.Frame.Kind != sized && !t.Old
-	t.Unframed = c.Frame.Kind != sized && t.Old
-	t.Last = t.Last || s.ending() || status != 200 || c.Frame.Kind != sized && t.Old
+	t.Streaming, t.Status, t.Reusable = true, status, stays
+	t.Chunked = c.Frame.Kind != sized && !t.HTTP10
+	t.Unframed = c.Frame.Kind != sized && t.HTTP10
+	t.CloseAfter = t.CloseAfter || s.ending() || status != 200 || c.Frame.Kind != sized && t.HTTP10
 	s.scratch = appendThrough(appendStatus(s.scratch[:0], status), head)
 	switch {
 	case t.Chunked:
@@ -77,18 +77,18 @@
 	case c.Frame.Kind == sized:
 		s.scratch = append(strconv.AppendInt(append(s.scratch, "Content-Length: "...), c.Frame.Left+c.Frame.Got, 10), "\r\n"...)
 	}
-	if t.Last {
+	if t.CloseAfter {
 		s.scratch = append(s.scratch, "Connection: close\r\n"...)
 	}
 	s.write(t.Client, append(s.scratch, "\r\n"...))
-	c.MovedAt, t.Client.MovedAt = at, 0
+	c.ProgressAt, t.Client.ProgressAt = at, 0
 	s.handOn(c, t, body)
 	s.streamDue(now, c, t)
 }
 
 // passOn hands on what has come of an answer.
-func (s *Sidecar) passOn(now, at policy.Time, c *connstate.Conn, t *connstate.Request, b []byte) {
-	c.MovedAt = at
+func (s *Proxy) passOn(now, at policy.Time, c *connstate.Conn, t *connstate.Request, b []byte) {
+	c.ProgressAt = at
 	n, used, done, ok := takeBody(&c.Frame, b)
 	if t.Client != nil {
 		s.handOn(c, t, b[:n])
@@ -97,12 +97,12 @@
 	case !ok:
 		s.breakStream(at, t)
 	case done:
-		s.endStream(now, t, t.Stays && used == len(b) && c.Flushed())
+		s.endStream(now, t, t.Reusable && used == len(b) && c.Flushed())
 	}
 }
 
 // handOn writes a part of the body to the client; where that has much to take, the endpoint waits.
-func (s *Sidecar) handOn(c *connstate.Conn, t *connstate.Request, b []byte) {
+func (s *Proxy) handOn(c *connstate.Conn, t *connstate.Request, b []byte) {
 	if len(b) == 0 {
 		return
 	}
@@ -118,31 +118,31 @@
 }
 
 // holdUp has the one who sends wait for the one who takes, until that has taken most of what waits.
-func (s *Sidecar) holdUp(from, to *connstate.Conn) {
+func (s *Proxy) holdUp(from, to *connstate.Conn) {
 	ahead := s.sockets.ahead.Load()
 	if to.Waiting() <= ahead {
 		return
 	}
-	from.Stop.Store(true)
+	from.ReadPaused.Store(true)
 	at := to.Queued - ahead/4
-	to.Tell.Store(at)
-	if to.Written.Load() >= at && to.Tell.CompareAndSwap(at, 0) {
+	to.NotifyAt.Store(at)
+	if to.Written.Load() >= at && to.NotifyAt.CompareAndSwap(at, 0) {
 		s.goOn(from) // taken meanwhile
 	}
 }
 
 // goOn has a sender that waited go on.
-func (s *Sidecar) goOn(from *connstate.Conn) {
-	from.Stop.Store(false)
-	if from.Up && !from.Dead {
+func (s *Proxy) goOn(from *connstate.Conn) {
+	from.ReadPaused.Store(false)
+	if from.Connected && !from.Closing {
 		s.sockets.resume(from)
 	}
 }
 
 // drained is told that a connection has taken most of what waited.
-func (s *Sidecar) drained(c *connstate.Conn) {
+func (s *Proxy) drained(c *connstate.Conn) {
 	switch t := c.Request; {
-	case t == nil || c.Dead:
+	case t == nil || c.Closing:
 	case c.Side == connstate.Client && t.Attempt != nil:
 		s.goOn(t.Attempt)
 	case c.Side == connstate.ToServer && t.Client != nil:
@@ -151,12 +151,12 @@
 }
 
 // setAhead shares the memory for messages out over the streams there are.
-func (s *Sidecar) setAhead() {
-	s.sockets.ahead.Store(int64(min(mostAhead, max(leastRun, s.buffers.Most/4/max(1, s.streams)))))
+func (s *Proxy) setAhead() {
+	s.sockets.ahead.Store(int64(min(mostAhead, max(leastRun, s.buffers.Limit/4/max(1, s.streams)))))
 }
 
 // endStream is the end of an answer that has come whole.
-func (s *Sidecar) endStream(now policy.Time, t *connstate.Request, stays bool) {
+func (s *Proxy) endStream(now policy.Time, t *connstate.Request, stays bool) {
 	kind := 0
 	if t.Status != 200 {
 		kind = 1
@@ -171,22 +171,22 @@
 		} else {
 			s.Counters.Declined++
 		}
-		s.free(now, c, t.Last)
+		s.free(now, c, t.CloseAfter)
 	}
 	s.Done(t.Request)
 }
 
 // breakStream is the end of one that stays a part. Its client is shown that by a close before the end that was announced.
-func (s *Sidecar) breakStream(now policy.Time, t *connstate.Request) {
+func (s *Proxy) breakStream(now policy.Time, t *connstate.Request) {
 	s.Counters.StreamsBroken++
 	s.streamOver(now, t, false)
 	if c := t.Client; c != nil {
 		c.Request, t.Client = nil, nil
 		s.requests.Unmark(t)
 		s.Unanswered(t.Request)
-		if t.Unframed && !c.Dead {
-			s.conns.End(c) // an HTTP/1.0 client, told no length, takes an orderly end for the answer's
-			c.Link.Reset()
+		if t.Unframed && !c.Closing {
+			s.conns.CountEnd(c) // an HTTP/1.0 client, told no length, takes an orderly end for the answer's
+			c.Socket.Reset()
 		} else {
 			s.close(c)
 		}
@@ -194,25 +194,25 @@
 	s.Done(t.Request)
 }
 
-func (s *Sidecar) streamOver(now policy.Time, t *connstate.Request, stays bool) {
-	t.Streams = false
+func (s *Proxy) streamOver(now policy.Time, t *connstate.Request, stays bool) {
+	t.Streaming = false
 	s.detach(now, t, stays)
 	s.streams--
 	s.setAhead()
 }
 
 // endpointDue is the one timer of a connection to an endpoint: idle for too long, or a stream that may move no more.
-func (s *Sidecar) endpointDue(now policy.Time, c *connstate.Conn) {
+func (s *Proxy) endpointDue(now policy.Time, c *connstate.Conn) {
 	switch t := c.Request; {
 	case t == nil:
 		s.close(c)
-	case t.Streams:
+	case t.Streaming:
 		s.streamDue(now, c, t)
 	}
 }
 
 // streamDue ends a stream in which nothing moves any more, and sets the next look.
-func (s *Sidecar) streamDue(now policy.Time, c *connstate.Conn, t *connstate.Request) {
+func (s *Proxy) streamDue(now policy.Time, c *connstate.Conn, t *connstate.Request) {
 	if t.Client == nil {
 		s.breakStream(now, t)
 		return
@@ -220,14 +220,14 @@
 	by := now + unreadIn
 	switch {
 	case t.Client.Waiting() > 0:
-		c.MovedAt = now // the endpoint is not at fault: it may have to wait
-		if !t.Client.Moves(now, t.Client.Written.Load(), unreadIn) {
+		c.ProgressAt = now // the endpoint is not at fault: it may have to wait
+		if !t.Client.Progressed(now, t.Client.Written.Load(), unreadIn) {
 			by = now
 		}
-	case t.Uploads: // its time has not begun
-		by = c.MovedAt + unreadIn
+	case t.Uploading: // its time has not begun
+		by = c.ProgressAt + unreadIn
 	default:
-		by = streamBy(c.Frame, c.MovedAt, t.ReceivedAt+t.Left-engine.BeforeDeadline*s.Settings.Tick)
+		by = streamBy(c.Frame, c.ProgressAt, t.ReceivedAt+t.ClientTimeLeft-engine.BeforeDeadline*s.Settings.Tick)
 	}
 	if now >= by {
 		s.breakStream(now, t)
--- a/internal/httpproxy/upload.go
+++ b/internal/httpproxy/upload.go
@@ -11,17 +11,17 @@
 // an endpoint as it comes, and an attempt that fails in the middle of it is the request's last.
 
 // hold is how much of one body is collected.
-func (s *Sidecar) hold() int {
-	if s.buffers.Lent() > s.buffers.Most/2 {
+func (s *Proxy) hold() int {
+	if s.buffers.Lent() > s.buffers.Limit/2 {
 		return mostBody
 	}
-	return max(mostBody, s.buffers.Most/6)
+	return max(mostBody, s.buffers.Limit/6)
 }
 
 // uploads begins with the body of a request whose head is whole.
-func (s *Sidecar) uploads(now, at policy.Time, c *connstate.Conn, a asked) {
-	if !c.Asked && Continues(c.In.B) {
-		c.Asked = true
+func (s *Proxy) uploads(now, at policy.Time, c *connstate.Conn, a asked) {
+	if !c.ContinueSent && Continues(c.In.B) {
+		c.ContinueSent = true
 		s.write(c, []byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 	s.conns.Work(c)
@@ -38,7 +38,7 @@
 }
 
 // uploadComes takes what has come of it.
-func (s *Sidecar) uploadComes(now, at policy.Time, c *connstate.Conn, buf *connstate.Buffer) {
+func (s *Proxy) uploadComes(now, at policy.Time, c *connstate.Conn, buf *connstate.Buffer) {
 	n, used, done, ok := takeBody(&c.Frame, buf.B)
 	var next *connstate.Buffer
 	if done && used < len(buf.B) {
@@ -59,18 +59,18 @@
 		}
 	case t == nil:
 		s.buffers.Put(buf)
-	case t.Sent && t.Attempt != nil:
+	case t.BodyForwarded && t.Attempt != nil:
 		s.sendPart(t, buf.B)
 		s.buffers.Put(buf)
 		s.holdUp(c, t.Attempt)
 	default:
-		t.More = s.buffers.Join(t.More, buf)
-		c.Stop.Store(true) // until an attempt takes it
+		t.UploadBuffer = s.buffers.Join(t.UploadBuffer, buf)
+		c.ReadPaused.Store(true) // until an attempt takes it
 	}
 	if !done {
 		if c.Upload != connstate.NoUpload {
 			by := s.uploadBy(c)
-			if c.Stop.Load() {
+			if c.ReadPaused.Load() {
 				by = min(by, now+lookAt) // it waits for its endpoint, which may take no more
 			}
 			s.Timers.Set(&c.Timer, by)
@@ -81,19 +81,19 @@
 }
 
 // goesOn admits a request whose body has not come whole.
-func (s *Sidecar) goesOn(now, at policy.Time, c *connstate.Conn) {
+func (s *Proxy) goesOn(now, at policy.Time, c *connstate.Conn) {
 	buf := c.In
 	s.Counters.StreamedBodies++
-	c.In, c.Upload = nil, connstate.Passed
+	c.In, c.Upload = nil, connstate.Streamed
 	a, _ := askedBy(buf.B)
 	s.request(now, at, c, buf, a, buf.B[a.at:])
 }
 
 // uploaded is told that the body is whole; next came behind it.
-func (s *Sidecar) uploaded(now, at policy.Time, c *connstate.Conn, next *connstate.Buffer) {
+func (s *Proxy) uploaded(now, at policy.Time, c *connstate.Conn, next *connstate.Buffer) {
 	was, t := c.Upload, c.Request
 	s.Timers.Stop(&c.Timer)
-	c.Upload, c.Asked, c.HeadAt = connstate.NoUpload, false, 0
+	c.Upload, c.ContinueSent, c.HeadAt = connstate.NoUpload, false, 0
 	buf := c.In
 	c.In = next
 	switch {
@@ -102,18 +102,18 @@
 		a.size, a.chunked = len(buf.B)-a.at, false
 		s.request(now, at, c, buf, a, buf.B[a.at:])
 	case t == nil:
-		s.free(now, c, c.After)
+		s.free(now, c, c.CloseAfterBody)
 	default:
-		t.Uploads = false
-		if t.Sent && t.Attempt != nil {
+		t.Uploading = false
+		if t.BodyForwarded && t.Attempt != nil {
 			s.sendEnd(t)
 		}
-		s.BodyComplete(now, t.Request, t.Left)
+		s.BodyComplete(now, t.Request, t.ClientTimeLeft)
 	}
 }
 
 // sendPart writes a part of the body to the endpoint.
-func (s *Sidecar) sendPart(t *connstate.Request, b []byte) {
+func (s *Proxy) sendPart(t *connstate.Request, b []byte) {
 	if len(b) == 0 {
 		return
 	}
@@ -128,29 +128,29 @@
 }
 
 // sendEnd says that all of it was written.
-func (s *Sidecar) sendEnd(t *connstate.Request) {
+func (s *Proxy) sendEnd(t *connstate.Request) {
 	c := t.Attempt
 	if t.Size < 0 {
-		c.Due.Store(c.Queued + int64(len(lastChunk)))
+		c.CompleteAt.Store(c.Queued + int64(len(lastChunk)))
 		s.write(c, lastChunk)
 		return
 	}
-	c.Due.Store(c.Queued)
-	c.Took(0) // all of it may be written already
+	c.CompleteAt.Store(c.Queued)
+	c.RecordRead(0) // all of it may be written already
 }
 
 // uploadBy is by when more must have come.
-func (s *Sidecar) uploadBy(c *connstate.Conn) policy.Time {
+func (s *Proxy) uploadBy(c *connstate.Conn) policy.Time {
 	return c.HeadAt + bodyIn + policy.Time(c.Frame.Got)*policy.Second/bodyRate
 }
 
 // uploadDue looks whether a body still comes. While its client has to wait, it is the endpoint that must take something.
-func (s *Sidecar) uploadDue(now policy.Time, c *connstate.Conn) {
+func (s *Proxy) uploadDue(now policy.Time, c *connstate.Conn) {
 	t := c.Request
 	switch {
-	case c.Stop.Load() && t != nil:
-		if t.Sent && t.Attempt != nil && !t.Attempt.Moves(now, t.Attempt.Written.Load(), flushIn) {
-			if t.Streams {
+	case c.ReadPaused.Load() && t != nil:
+		if t.BodyForwarded && t.Attempt != nil && !t.Attempt.Progressed(now, t.Attempt.Written.Load(), flushIn) {
+			if t.Streaming {
 				s.breakStream(now, t) // its endpoint answers already
 				return
 			}
@@ -166,7 +166,7 @@
 }
 
 // uploadFails ends a request that does not come whole.
-func (s *Sidecar) uploadFails(now policy.Time, c *connstate.Conn, status int, why string) {
+func (s *Proxy) uploadFails(now policy.Time, c *connstate.Conn, status int, why string) {
 	if t := c.Request; t != nil {
 		s.leaves(now, c, t)
 	}
--- a/internal/migration/migration.go
+++ b/internal/migration/migration.go
@@ -37,7 +37,7 @@
 
 // Make makes the counterpart. The error has a line for each fault: file, line, key, what was found and what is allowed.
 func Make(file string, text []byte, to Pool) (Made, error) {
-	if !endpointfiles.Address(to.Listen) {
+	if !endpointfiles.ValidAddress(to.Listen) {
 		return Made{}, fmt.Errorf("listen: found %q, allowed an IP address and port, as 10.0.0.7:9000", to.Listen)
 	}
 	if to.Sidecar < 1 || to.Sidecar > 1<<16 || to.Streams < 2 || to.Streams > 1<<16 {
@@ -140,7 +140,7 @@
 	if instance.OneOf("weights", 0, "nominal", "live") == 1 {
 		instance.Fault("weights", `"live"`, "nominal: this file has the new shape already")
 	}
-	m.own(table("front.http").Text("listen", ""))
+	m.own(table("front.http").String("listen", ""))
 	set("front.http", "listen", strconv.Quote(to.Listen))
 	set("instance", "instances", strconv.Itoa(to.Sidecar))
 	set("instance", "weights", `"live"`)
@@ -149,7 +149,7 @@
 	drop("state", "folder", "a list kept there has nominal sizes; name a new folder")
 	switch source.OneOf("kind", 0, "files", "discovery", "fixed") {
 	case 0:
-		if !source.Yes("sealed", false) {
+		if !source.Bool("sealed", false) {
 			m.left("source.files", "a list renewed each second must be sealed, or it never holds still for source.settle")
 		}
 	case 2:
@@ -192,7 +192,7 @@
 	settings, _ := all["settings"].(map[string]any)
 	limits, _ := settings["limits"].(map[string]any)
 	if settings["weight_kind"] == "live" {
-		at, _ := daemon.Lines(file, text)
+		at, _ := daemon.JSONLines(file, text)
 		return m, fmt.Errorf("%s:%d: settings.weight_kind: found live, allowed nominal, rough or silent: this file has the new shape already",
 			file, at["settings.weight_kind"])
 	}
--- a/internal/platformsettings/campaign.go
+++ b/internal/platformsettings/campaign.go
@@ -14,7 +14,7 @@
 
 // Values gives what stands under each path, and keeps all that was wrong, a line each.
 type Values struct {
-	Of     map[string]string
+	Text   map[string]string
 	Err    error
 	failed map[string]bool // paths of which that is known
 }
@@ -30,16 +30,16 @@
 	p.Err = errors.Join(p.Err, fmt.Errorf("%s: found %s, allowed %s", name, found, allowed))
 }
 
-func (p *Values) Text(name string) string {
-	v, ok := p.Of[name]
+func (p *Values) String(name string) string {
+	v, ok := p.Text[name]
 	if !ok {
 		p.fail(name, "nothing", "a value: it must be given")
 	}
 	return v
 }
 
-func (p *Values) Real(name string) float64 {
-	v := p.Text(name)
+func (p *Values) Float(name string) float64 {
+	v := p.String(name)
 	f, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) || f < 0 {
 		p.fail(name, v, "a number from 0 up")
@@ -48,7 +48,7 @@
 }
 
 func (p *Values) Count(name string) int {
-	v := p.Text(name)
+	v := p.String(name)
 	n, err := strconv.ParseUint(v, 10, 16)
 	if err != nil {
 		p.fail(name, v, "a whole number from 0 to 65535")
@@ -56,18 +56,18 @@
 	return int(n)
 }
 
-func (p *Values) Span(name string) policy.Time {
-	v := p.Text(name)
-	t, err := Span(name, v)
+func (p *Values) Duration(name string) policy.Time {
+	v := p.String(name)
+	t, err := ParseDuration(name, v)
 	if err != nil {
 		p.fail(name, v, "seconds from 0 up")
 	}
 	return t
 }
 
-func (p *Values) Yes(name string) bool {
-	v := p.Text(name)
-	b, err := Boolean(name, v)
+func (p *Values) Bool(name string) bool {
+	v := p.String(name)
+	b, err := ParseBool(name, v)
 	if err != nil {
 		p.fail(name, v, "true or false")
 	}
@@ -76,7 +76,7 @@
 
 // OneOf gives the place of the value among the words.
 func (p *Values) OneOf(name string, words ...string) int {
-	v := p.Text(name)
+	v := p.String(name)
 	for i, w := range words {
 		if w == v {
 			return i
@@ -90,54 +90,54 @@
 func Read(p *Values) (*policy.Settings, error) {
 	c := &policy.Settings{
 		Instances:        max(1, p.Count("balancers")),
-		Zone:             policy.Zone(p.Text("zone")),
-		Zones:            1 + strings.Count(p.Text("zones"), ","),
+		Zone:             policy.Zone(p.String("zone")),
+		Zones:            1 + strings.Count(p.String("zones"), ","),
 		FixedWeights:     p.OneOf("weight_kind", "nominal", "rough", "silent", "live") < 2,
 		PollList:         p.OneOf("membership_mode", "pushed", "on_request") == 1,
-		MayCancel:        p.Yes("limits.cancel"),
+		MayCancel:        p.Bool("limits.cancel"),
 		MaxAttempts:      max(1, p.Count("limits.max_pushes")),
-		CrossZonePrice:   p.Real("prices.cross_zone"),
-		Tick:             p.Span("tick_s"),
-		ColdCapacity:     p.Real("rules.cold_from"),
-		ColdTime:         p.Span("rules.cold_s"),
-		OverloadMultiple: p.Real("rules.fall_multiple"),
+		CrossZonePrice:   p.Float("prices.cross_zone"),
+		Tick:             p.Duration("tick_s"),
+		ColdCapacity:     p.Float("rules.cold_from"),
+		ColdTime:         p.Duration("rules.cold_s"),
+		OverloadMultiple: p.Float("rules.fall_multiple"),
 	}
-	if _, told := p.Of["rules.fall_s"]; told {
-		c.OverloadWindow = p.Span("rules.fall_s")
+	if _, told := p.Text["rules.fall_s"]; told {
+		c.OverloadWindow = p.Duration("rules.fall_s")
 	}
 	c.StreamsPerConnection = 1
-	if v, ok := p.Of["limits.streams_per_conn"]; ok {
+	if v, ok := p.Text["limits.streams_per_conn"]; ok {
 		if c.StreamsPerConnection = p.Count("limits.streams_per_conn"); c.StreamsPerConnection == 0 {
 			p.fail("limits.streams_per_conn", v, "a whole number from 1 to 65535")
 		}
 	}
 	if c.PollList {
-		c.PollWithin = p.Span("rules.must_ask_in_s")
+		c.PollWithin = p.Duration("rules.must_ask_in_s")
 	}
-	if p.Yes("limits.retry_after") {
-		c.MaxRetryAfter = p.Span("limits.max_retry_after_s")
+	if p.Bool("limits.retry_after") {
+		c.MaxRetryAfter = p.Duration("limits.max_retry_after_s")
 	}
 	for n := range p.Count("offerings.count") {
 		at := "offerings." + strconv.Itoa(n) + "."
 		o := policy.Class{
-			Name:        p.Text(at + "name"),
-			Value:       p.Real(at + "credit"),
-			LateValue:   p.Real(at + "overdue_credit"),
-			Target:      p.Span(at + "quoted_time_s"),
-			Deadline:    p.Span(at + "cut_off_s"),
+			Name:        p.String(at + "name"),
+			Value:       p.Float(at + "credit"),
+			LateValue:   p.Float(at + "overdue_credit"),
+			Target:      p.Duration(at + "quoted_time_s"),
+			Deadline:    p.Duration(at + "cut_off_s"),
 			Idempotency: policy.Idempotency(p.OneOf(at+"idempotency", "retryable", "dedup", "fragile")),
 		}
 		if o.Idempotency == policy.Keyed {
 			o.Group = policy.Group(p.OneOf(at+"group", "all", "zone", "cell"))
-			o.Window = p.Span(at + "window_s")
+			o.Window = p.Duration(at + "window_s")
 		}
 		c.Classes = append(c.Classes, o)
 	}
-	if v, ok := p.Of["realms.count"]; ok && strings.Trim(v, "0") != "" {
-		c.OverQuotaValue = p.Real("beyond_share_credit")
+	if v, ok := p.Text["realms.count"]; ok && strings.Trim(v, "0") != "" {
+		c.OverQuotaValue = p.Float("beyond_share_credit")
 		for n := range p.Count("realms.count") {
 			at := "realms." + strconv.Itoa(n) + "."
-			f := policy.Tenant{Name: p.Text(at + "name"), Quota: p.Real(at + "quota_per_s")}
+			f := policy.Tenant{Name: p.String(at + "name"), Quota: p.Float(at + "quota_per_s")}
 			c.TotalQuota += f.Quota
 			c.Tenants = append(c.Tenants, f)
 		}
@@ -145,8 +145,8 @@
 	return c, p.Err
 }
 
-// Span reads seconds as whole nanoseconds.
-func Span(name, v string) (policy.Time, error) {
+// ParseDuration reads seconds as whole nanoseconds.
+func ParseDuration(name, v string) (policy.Time, error) {
 	s, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(s) || s < 0 || s > 9e9 {
 		return 0, fmt.Errorf("%s=%s is not a time", name, v)
@@ -154,8 +154,8 @@
 	return policy.Time(math.Round(s * 1e9)), nil
 }
 
-// Boolean reads a yes or no.
-func Boolean(name, v string) (bool, error) {
+// ParseBool reads a yes or no.
+func ParseBool(name, v string) (bool, error) {
 	switch v {
 	case "1", "true":
 		return true, nil
--- a/internal/simprotocol/fields.go
+++ b/internal/simprotocol/fields.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return false, err
 	}
-	return platformsettings.Boolean(name, string(v))
+	return platformsettings.ParseBool(name, string(v))
 }
 
 func (a *Adapter) time(name string) (policy.Time, error) {
@@ -73,7 +73,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return platformsettings.Span(name, string(v))
+	return platformsettings.ParseDuration(name, string(v))
 }
 
 // ---- events ----
--- a/internal/simprotocol/start.go
+++ b/internal/simprotocol/start.go
@@ -22,9 +22,9 @@
 	if !bytes.Contains(rest, []byte("offerings.count=")) {
 		return fmt.Errorf("offerings.count is missing")
 	}
-	p := &platformsettings.Values{Of: make(map[string]string, len(a.fields))}
+	p := &platformsettings.Values{Text: make(map[string]string, len(a.fields))}
 	for _, f := range a.fields {
-		p.Of[string(f.name)] = string(f.value)
+		p.Text[string(f.name)] = string(f.value)
 	}
 	c, err := platformsettings.Read(p)
 	if err != nil {
--- a/internal/tomlfile/document.go
+++ b/internal/tomlfile/document.go
@@ -32,8 +32,8 @@
 	return fmt.Sprintf("%s:%d: %s: found %s, allowed %s", f.File, f.Line, f.Key, f.Found, f.Allowed)
 }
 
-// Doc is a document and what was found wrong with it.
-type Doc struct {
+// Document is a document and what was found wrong with it.
+type Document struct {
 	File   string
 	faults []Fault
 	lines  map[string]place
@@ -49,7 +49,7 @@
 }
 
 // Err gives all faults, a line each, by line; nil if there is none.
-func (d *Doc) Err() error {
+func (d *Document) Err() error {
 	if len(d.faults) == 0 {
 		return nil
 	}
@@ -66,11 +66,11 @@
 }
 
 // Faults gives them as they are, in the order in which they were found.
-func (d *Doc) Faults() []Fault { return d.faults }
+func (d *Document) Faults() []Fault { return d.faults }
 
 // Parse reads a document of at most so many bytes. Where it is no TOML, the table given back is empty and Err says why.
-func Parse(file string, text []byte, most int) (*Doc, *Table) {
-	d := &Doc{File: file, lines: map[string]place{}}
+func Parse(file string, text []byte, most int) (*Document, *Table) {
+	d := &Document{File: file, lines: map[string]place{}}
 	none := &Table{doc: d, values: map[string]any{}, at: place{file, 1}}
 	if len(text) > most {
 		d.add(place{file, 1}, "document", fmt.Sprintf("%d bytes", len(text)), fmt.Sprintf("at most %d", most))
@@ -92,12 +92,12 @@
 	return d, &Table{doc: d, values: values, at: place{file, 1}}
 }
 
-func (d *Doc) add(at place, key, found, allowed string) {
+func (d *Document) add(at place, key, found, allowed string) {
 	d.faults = append(d.faults, Fault{at.file, at.line, key, found, allowed})
 }
 
 // survey notes the line of each key and of each header, and refuses what would be too deep to read.
-func (d *Doc) survey(text []byte) error {
+func (d *Document) survey(text []byte) error {
 	p := unstable.Parser{}
 	p.Reset(text)
 	counts := map[string]int{} // of the tables under each array's path
--- a/internal/tomlfile/overlay.go
+++ b/internal/tomlfile/overlay.go
@@ -42,9 +42,9 @@
 	return fmt.Errorf("%s: found a table, allowed a value", path)
 }
 
-// Over lays a document over another: what it says goes before what that says, table by table; a list, [[of tables]] too, stands
+// Overlay lays a document over another: what it says goes before what that says, table by table; a list, [[of tables]] too, stands
 // in place of the other's as a whole. Faults name whichever file a key is from.
-func (t *Table) Over(base *Table) {
+func (t *Table) Overlay(base *Table) {
 	over(t.values, base.values)
 	for path, at := range base.doc.lines {
 		if _, mine := t.doc.lines[path]; !mine {
--- a/internal/tomlfile/table.go
+++ b/internal/tomlfile/table.go
@@ -8,7 +8,7 @@
 
 // Table is a table of the document. What its readers ask for is known; Done tells of everything else.
 type Table struct {
-	doc    *Doc
+	doc    *Document
 	path   string
 	at     place
 	values map[string]any
@@ -76,8 +76,8 @@
 	}
 }
 
-// Done notes each key that nobody has asked for.
-func (t *Table) Done() {
+// RejectUnknown notes each key that nobody has asked for.
+func (t *Table) RejectUnknown() {
 	var strange []string
 	for key := range t.values {
 		if !slices.Contains(t.known, key) {
--- a/internal/tomlfile/values.go
+++ b/internal/tomlfile/values.go
@@ -23,8 +23,8 @@
 	return v, ok
 }
 
-// Text reads a string of 1 to 255 bytes.
-func (t *Table) Text(key, fallback string) string {
+// String reads a string of 1 to 255 bytes.
+func (t *Table) String(key, fallback string) string {
 	const allowed = "a text of 1 to 255 bytes"
 	v, ok := read[string](t, key, allowed)
 	if ok && (v == "" || len(v) > 255) {
@@ -37,8 +37,8 @@
 	return v
 }
 
-// Texts reads a list of such strings.
-func (t *Table) Texts(key string) []string {
+// Strings reads a list of such strings.
+func (t *Table) Strings(key string) []string {
 	const allowed = "a list of texts of 1 to 255 bytes"
 	list, ok := read[[]any](t, key, allowed)
 	if !ok {
@@ -71,8 +71,8 @@
 	return at
 }
 
-// Yes reads true or false.
-func (t *Table) Yes(key string, fallback bool) bool {
+// Bool reads true or false.
+func (t *Table) Bool(key string, fallback bool) bool {
 	if v, ok := read[bool](t, key, "true or false"); ok {
 		return v
 	}
@@ -93,8 +93,8 @@
 	return v
 }
 
-// Real reads a number.
-func (t *Table) Real(key string, fallback, low, high float64) float64 {
+// Float reads a number.
+func (t *Table) Float(key string, fallback, low, high float64) float64 {
 	t.know(key)
 	of, there := t.values[key]
 	if !there {
@@ -111,8 +111,8 @@
 	return v
 }
 
-// Span reads a time written as "400ms" or "2s".
-func (t *Table) Span(key string, fallback, low, high policy.Time) policy.Time {
+// Duration reads a time written as "400ms" or "2s".
+func (t *Table) Duration(key string, fallback, low, high policy.Time) policy.Time {
 	allowed := fmt.Sprintf(`a time as "400ms" or "2s", from %v to %v`, time.Duration(low), time.Duration(high))
 	v, ok := read[string](t, key, allowed)
 	if !ok {
@@ -126,8 +126,8 @@
 	return policy.Time(d)
 }
 
-// Moment reads a date with time and zone, 0 where there is none.
-func (t *Table) Moment(key string) policy.Time {
+// Timestamp reads a date with time and zone, 0 where there is none.
+func (t *Table) Timestamp(key string) policy.Time {
 	const allowed = "a date, time and zone as 2026-12-01T08:00:00Z, from 1970 on"
 	v, ok := read[time.Time](t, key, allowed)
 	if ok && (v.Year() < 1970 || v.Year() > 2200) {
--- a/rpc/conn.go
+++ b/rpc/conn.go
@@ -55,20 +55,20 @@
 
 // FromText is New with the configuration as a value. name stands for it in errors, and its folder for that of paths in it.
 func FromText(name string, text []byte, opts ...grpc.DialOption) (*Conn, error) {
-	o, err := daemon.Client(name, text)
+	o, err := daemon.ParseClient(name, text)
 	if err != nil {
 		return nil, err
 	}
-	log, err := daemon.Logger(o.LogLevel, o.LogFormat)
+	log, err := daemon.NewLogger(o.LogLevel, o.LogFormat)
 	if err != nil {
 		return nil, err
 	}
 	return start(o, log, opts), nil
 }
 
-func start(o daemon.ClientOrders, log *logrus.Logger, opts []grpc.DialOption) *Conn {
+func start(o daemon.ClientConfig, log *logrus.Logger, opts []grpc.DialOption) *Conn {
 	c := &Conn{stop: make(chan os.Signal, 1), exact: map[string]policy.ClassID{}, services: map[string]policy.ClassID{},
-		any: policy.NoClass, cutOffs: o.CutOffs, franchises: map[string]policy.TenantID{}, metadata: o.KeyMetadata,
+		any: policy.NoClass, cutOffs: o.Deadlines, franchises: map[string]policy.TenantID{}, metadata: o.KeyMetadata,
 		field: protoreflect.Name(o.KeyField)}
 	for i, methods := range o.Methods {
 		for _, m := range methods {
@@ -83,14 +83,14 @@
 			}
 		}
 	}
-	for i, f := range o.Campaign.Tenants {
+	for i, f := range o.Settings.Tenants {
 		c.franchises[f.Name] = policy.TenantID(i)
 	}
 	seed := o.Seed
 	if seed == 0 {
 		seed = rand.Uint64()
 	}
-	c.engine = engine.New(engine.Config{Seed: seed, Settings: o.Campaign, Source: o.Source, ShutdownTime: policy.Second, StallAfter: daemon.Stall}, log)
+	c.engine = engine.New(engine.Config{Seed: seed, Settings: o.Settings, Source: o.Source, ShutdownTime: policy.Second, StallAfter: daemon.StallAfter}, log)
 	c.front = &front{engine: c.engine, dial: opts}
 	c.front.calls.New = newCall
 	c.front.no = c.engine.Add(c.front)
@@ -183,7 +183,7 @@
 }
 
 // stale tells whether an order was decided so long ago that its process must have stood still since: lists may say otherwise by now.
-func (c *Conn) stale(o order) bool { return c.engine.Clock.Now()-o.at > daemon.Stall }
+func (c *Conn) stale(o order) bool { return c.engine.Clock.Now()-o.at > daemon.StallAfter }
 
 // begin makes a ticket of a call.
 func (c *Conn) begin(ctx context.Context, method string, request any) (*call, time.Time, error) {
@@ -254,7 +254,7 @@
 var errOnce = status.Error(codes.Unavailable, "pepperlead: nothing is sent a second time here")
 
 func (o once) GetRequestMetadata(ctx context.Context, uri ...string) (map[string]string, error) {
-	if o.k.on.begun.clock.Now()-o.k.decided > daemon.Stall {
+	if o.k.on.begun.clock.Now()-o.k.decided > daemon.StallAfter {
 		return nil, errOnce // the process stood still since, or connecting took so long that the list may say otherwise by now
 	}
 	if o.k.attempts.Add(1) > 1 {
--- a/rpc/guard.go
+++ b/rpc/guard.go
@@ -110,7 +110,7 @@
 		if kind != headersFrame {
 			continue
 		}
-		if at := g.begun.take(); at > 0 && g.begun.clock.Now()-at > daemon.Stall {
+		if at := g.begun.take(); at > 0 && g.begun.clock.Now()-at > daemon.StallAfter {
 			return false
 		}
 	}
