--- a/internal/daemon/company.go
+++ b/internal/daemon/company.go
@@ -81,8 +81,8 @@
 	return ""
 }
 
-// Figures are the sidecar's, and those of its company.
-func (a *among) Figures(each func(name string, value float64, rises bool)) {
+// EachMetric hands over the figures of the proxy, of the cluster and of the rules.
+func (a *among) EachMetric(each func(name string, value float64, rises bool)) {
 	a.Proxy.EachMetric(each)
 	if c := a.of.Load(); c != nil {
 		c.EachMetric(each)
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -6,6 +6,7 @@
 import (
 	"context"
 	"sync"
+	"time"
 
 	"pepperlead/internal/endpointfiles"
 	"pepperlead/policy"
@@ -94,3 +95,14 @@
 		}
 	}
 }
+
+// Refresher is a source that can be asked to read its list again at once.
+type Refresher interface {
+	// Refresh reads the list and reports whether that ended within the time.
+	Refresh(within time.Duration) bool
+}
+
+var (
+	_ Refresher = (*Files)(nil)
+	_ Refresher = (*Cached)(nil)
+)
--- a/internal/discovery/kept.go
+++ b/internal/discovery/kept.go
@@ -44,8 +44,8 @@
 
 // Refresh is the source's, where it has one.
 func (k *Cached) Refresh(within time.Duration) bool {
-	s, can := k.Source.(interface{ Look(time.Duration) bool })
-	return can && s.Look(within)
+	s, can := k.Source.(Refresher)
+	return can && s.Refresh(within)
 }
 
 // saved is what is kept.
--- a/internal/engine/members.go
+++ b/internal/engine/members.go
@@ -80,8 +80,8 @@
 // look has the source tell what there is by now, where it can be asked; else what has come in for it is given the time to be
 // read. A process that stood still, stopped or swapped out, would otherwise send by a list of before.
 func (f *members) look() {
-	if s, can := f.source.(interface{ Look(time.Duration) bool }); can {
-		s.Look(lookIn)
+	if s, can := f.source.(discovery.Refresher); can {
+		s.Refresh(lookIn)
 	} else {
 		time.Sleep(2 * time.Millisecond)
 	}
--- a/internal/engine/terms.go
+++ b/internal/engine/terms.go
@@ -166,7 +166,11 @@
 	e.quotas(r)
 	if t.leased != leased || !slices.Equal(t.last, t.holder.Leased()) {
 		t.leased, t.last = leased, slices.Clone(t.holder.Leased())
-		e.RulesLog().Infof("rules: %s", map[bool]string{true: "by what these versions allow", false: "no lease: nothing is repeated, nothing goes to cold servers"}[leased])
+		message := LogLeaseExpired
+		if leased {
+			message = LogLeaseHeld
+		}
+		e.RulesLog().Info(message)
 	}
 	e.list.ban(r.Drained)
 	// What is older than the latest grant names nobody any more; what only may come does without a lease.
--- a/internal/engine/terms_test.go
+++ b/internal/engine/terms_test.go
@@ -30,8 +30,8 @@
 func (f *frontless) Released(*Request)                                    {}
 func (f *frontless) CloseIdle(*Endpoint)                                  {}
 func (f *frontless) Forget(*Endpoint)                                     {}
-func (f *frontless) Offers(name string, at policy.ClassID, _ policy.Time) { f.offers[name] = at }
-func (f *frontless) Quotes(name string, at policy.TenantID)               { f.quotes[name] = at }
+func (f *frontless) SetClass(name string, at policy.ClassID, _ policy.Time) { f.offers[name] = at }
+func (f *frontless) SetTenant(name string, at policy.TenantID)               { f.quotes[name] = at }
 
 func versionOf(n ruleset.RevisionNumber, servers []discovery.Entry, franchises []policy.Tenant, offerings ...policy.Class) *RuleSet {
 	c := &policy.Settings{Instances: 4, FixedWeights: true, OverloadMultiple: 3, ColdCapacity: 0.5, MaxAttempts: 3, Tick: policy.Millisecond, Classes: offerings, Tenants: franchises}
--- a/internal/faulttest/read.go
+++ b/internal/faulttest/read.go
@@ -8,6 +8,7 @@
 	"strconv"
 	"strings"
 
+	"pepperlead/internal/engine"
 	"pepperlead/internal/faulttest/judge"
 )
 
@@ -35,11 +36,11 @@
 			}
 			acts := judge.Acts{Process: string(p.Name), Of: line.Versions, Leased: line.Leased, At: line.Awake}
 			switch {
-			case strings.HasPrefix(line.Msg, "rules: by what") || strings.HasPrefix(line.Msg, "rules: no lease"):
+			case line.Msg == engine.LogLeaseHeld || line.Msg == engine.LogLeaseExpired:
 				h.Changes = append(h.Changes, acts)
-			case line.Msg == "drill: ticket":
+			case line.Msg == engine.LogRequestAdmitted:
 				h.Steps = append(h.Steps, judge.Step{Acts: acts, ID: line.ID})
-			case line.Msg == "drill: push":
+			case line.Msg == engine.LogAttemptStarted:
 				h.Steps = append(h.Steps, judge.Step{Acts: acts, ID: line.ID, Server: line.Server, No: line.No})
 			}
 		}
--- a/internal/httpproxy/attempts.go
+++ b/internal/httpproxy/attempts.go
@@ -108,7 +108,7 @@
 func (s *Proxy) send(now policy.Time, t *connstate.Request) {
 	if s.TracesRequests() {
 		s.RulesLog().WithFields(logrus.Fields{"id": text(field(t.Head, "X-Request-ID")), "no": int(t.Request.AttemptNo),
-			"server": t.Attempt.Endpoint.Endpoint.UID}).Debug("drill: push")
+			"server": t.Attempt.Endpoint.Endpoint.UID}).Debug(engine.LogAttemptStarted)
 	}
 	size, wait := len(t.Body), t.AttemptTimer.At()-now
 	if t.UploadBuffer != nil {
--- a/internal/httpproxy/clients.go
+++ b/internal/httpproxy/clients.go
@@ -196,7 +196,7 @@
 		s.requests.Mark(t, mark)
 	}
 	if s.TracesRequests() {
-		s.RulesLog().WithField("id", string(id)).Debug("drill: ticket")
+		s.RulesLog().WithField("id", string(id)).Debug(engine.LogRequestAdmitted)
 	}
 	s.Admit(now, at, t.Request, offering, franchise, text(field(head, "X-Route-Key")), string(field(head, "X-Retried")) == "1", left)
 	if t.Uploading {
--- a/internal/httpproxy/sidecar.go
+++ b/internal/httpproxy/sidecar.go
@@ -261,3 +261,5 @@
 
 // Forget has nothing to add: what is still open closes when it is free.
 func (s *Proxy) Forget(*engine.Endpoint) {}
+
+var _ engine.RulesFront = (*Proxy)(nil)
