--- a/cmd/pepperlead-sim/rehearse.go
+++ b/cmd/pepperlead-sim/rehearse.go
@@ -55,15 +55,15 @@
 		v := r.Verdict
 		fmt.Fprintf(c.OutOrStdout(), "%s, seed %d, %s: service %.3f, worst 10 s %.3f, wasted %.3f, crossings %.3f\n"+
 			"%d requests, %d tickets, %d pushes: %d honoured (%d late), %d turned back, %d given up\n", r.Scenario, r.Seed, r.Policy,
-			v.Service, v.Worst10, r.Wasted, v.Crossed, v.Requests, v.Tickets, v.Pushes, v.Honoured, v.Late, v.TurnedBack, v.GivenUp)
-		printEven(c.OutOrStdout(), &v.Even)
-		for _, b := range v.Breaks {
+			v.Service, v.Worst10, r.Wasted, v.CrossZone, v.ClientRequests, v.Requests, v.Attempts, v.Succeeded, v.Late, v.Rejected, v.Failed)
+		printEven(c.OutOrStdout(), &v.Spread)
+		for _, b := range v.Violations {
 			fmt.Fprintln(c.OutOrStdout(), b)
 		}
 		fmt.Fprintf(c.OutOrStdout(), "%.1f times real time: %d events in %v, %.0f tickets a second\n", float64(sc.Length)/1e9/took.Seconds(),
-			r.Events, took.Round(time.Millisecond), float64(v.Tickets)/took.Seconds())
-		if !v.Kept() {
-			return fmt.Errorf("rules were broken: %v", v.Broken)
+			r.Events, took.Round(time.Millisecond), float64(v.Requests)/took.Seconds())
+		if !v.RulesKept() {
+			return fmt.Errorf("rules were broken: %v", v.ViolationCounts)
 		}
 		return nil
 	}
@@ -139,15 +139,15 @@
 	fmt.Fprintln(w, "scenario\tset\tpolicy\tdays\tservice\t±\tworst 10 s\twasted\tcrossed\tscatter 1 s, 5 s\tforced\tbusiest\tmost\tidle s\therd\tdays that broke rules 1 2 3 4")
 	for _, r := range rows {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.2f, %.2f\t%.2f, %.2f\t%.2f\t%.1f\t%.1f\t%.1f\t%v\n", r.Scenario, r.Set, r.Policy, r.Days,
-			r.Service, r.Half, r.Worst10, r.Wasted, r.Crossed, r.Scatter[0], r.Scatter[1], r.Forced[0], r.Forced[1], r.Busiest, r.Worst, r.Idle, r.Herd, r.Broken)
+			r.Service, r.Half, r.Worst10, r.Wasted, r.Crossed, r.Scatter[0], r.Scatter[1], r.Forced[0], r.Forced[1], r.Busiest, r.BusiestMax, r.IdleSeconds, r.Herd, r.Broken)
 	}
 	w.Flush()
 }
 
-func printEven(out io.Writer, e *judge.Even) {
+func printEven(out io.Writer, e *judge.Spread) {
 	fmt.Fprintf(out, "pushes scatter over servers %.2f times as chance in 1 s, %.2f in 5 s (keys alone would force %.2f, %.2f); busiest server %.2f times its share in "+
 		"5 s, %.1f at the most;\n%.1f server seconds idle while others queued; herd of %.1f in 50 ms\n", e.Scatter[0], e.Scatter[1], e.Forced[0], e.Forced[1],
-		e.Busiest, e.Worst, e.Idle, e.Herd)
+		e.Busiest, e.BusiestMax, e.IdleSeconds, e.Herd)
 }
 
 func compareCommand() *cobra.Command {
--- a/cmd/pepperlead-sim/replay.go
+++ b/cmd/pepperlead-sim/replay.go
@@ -64,9 +64,9 @@
 			fmt.Fprintln(c.OutOrStdout(), "  "+f)
 		}
 		fmt.Fprintf(c.OutOrStdout(), "%s, seed %d, %s: service %.3f, worst 10 s %.3f; %d honoured (%d late), %d turned back, %d given up\n", r.Scenario,
-			r.Seed, r.Policy, v.Service, v.Worst10, v.Honoured, v.Late, v.TurnedBack, v.GivenUp)
-		if !v.Kept() {
-			return fmt.Errorf("rules were broken: %v", v.Broken)
+			r.Seed, r.Policy, v.Service, v.Worst10, v.Succeeded, v.Late, v.Rejected, v.Failed)
+		if !v.RulesKept() {
+			return fmt.Errorf("rules were broken: %v", v.ViolationCounts)
 		}
 		return nil
 	}
--- a/cmd/pepperlead-sim/sockets.go
+++ b/cmd/pepperlead-sim/sockets.go
@@ -50,13 +50,13 @@
 		}
 		fmt.Fprintf(c.OutOrStdout(), "%s, seed %d, on sockets: service %.3f, worst 10 s %.3f, crossings %.3f\n"+
 			"%d requests, %d tickets, %d pushes: %d honoured (%d late), %d turned back, %d given up\n", sc.Name, *seed, v.Service, v.Worst10,
-			v.Crossed, v.Requests, v.Tickets, v.Pushes, v.Honoured, v.Late, v.TurnedBack, v.GivenUp)
-		printEven(c.OutOrStdout(), &v.Even)
-		for _, b := range v.Breaks {
+			v.CrossZone, v.ClientRequests, v.Requests, v.Attempts, v.Succeeded, v.Late, v.Rejected, v.Failed)
+		printEven(c.OutOrStdout(), &v.Spread)
+		for _, b := range v.Violations {
 			fmt.Fprintln(c.OutOrStdout(), b)
 		}
-		if !v.Kept() {
-			return fmt.Errorf("rules were broken: %v", v.Broken)
+		if !v.RulesKept() {
+			return fmt.Errorf("rules were broken: %v", v.ViolationCounts)
 		}
 		return nil
 	}
--- a/internal/emulator/attempt.go
+++ b/internal/emulator/attempt.go
@@ -37,7 +37,7 @@
 			return // the connection never came up; the time-out finds it
 		}
 		t.written = true
-		w.judge.Written(t.of, t.wire)
+		w.judge.AttemptWritten(t.of, t.wire)
 	}
 	switch {
 	case v.dark():
@@ -51,7 +51,7 @@
 	work := policy.Time(float64(o.Work) * q.size)
 	v.touch()
 	if v.machine.Cold(w.now) && v.traits.Fall > 0 {
-		w.judge.Pressed(w.day(w.now), t.sidecar.no, v.no, v.started, float64(work), v.traits.Cores*v.traits.Speed*v.machine.Warmth(w.now))
+		w.judge.ColdWorkArrived(w.day(w.now), t.sidecar.no, v.no, v.started, float64(work), v.traits.Cores*v.traits.Speed*v.machine.Warmth(w.now))
 	}
 	if v.standing != policy.Ready {
 		w.back(e.a, t, policy.Rejected)
@@ -177,7 +177,7 @@
 	never := o == policy.Rejected || o == policy.NotConnected || o == policy.NotSent
 	t.out = false
 	t.server.out--
-	w.judge.Ended(t.of, t.wire, never)
+	w.judge.AttemptEnded(t.of, t.wire, never)
 	s := t.sidecar
 	n, id := policy.AttemptNo(t.pushes-1), t.server.id
 	over := !t.owed
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -119,7 +119,7 @@
 		w.freeReq = append(w.freeReq, r)
 		return
 	}
-	q.of = w.judge.Asked(w.day(w.now), q.offering, q.franchise, w.credit.Of(w.now, q.offering, q.franchise))
+	q.of = w.judge.ClientRequestBegun(w.day(w.now), q.offering, q.franchise, w.credit.Of(w.now, q.offering, q.franchise))
 	w.send(r)
 }
 
@@ -154,9 +154,9 @@
 	w.tries[i] = try{inUse: true, owed: true, request: e.a, sidecar: s, life: s.life, cutOff: q.cutOff, from: w.now, pushID: id,
 		job: machine.None}
 	t := &w.tries[i]
-	t.of = w.judge.Accepted(w.day(w.now), q.of, s.no, q.offering, w.day(q.cutOff))
+	t.of = w.judge.RequestAccepted(w.day(w.now), q.of, s.no, q.offering, w.day(q.cutOff))
 	w.queue.add(event{at: q.cutOff, rank: rankCutOff, do: (*World).cutOff, a: i})
-	w.judge.About(t.of, q.key)
+	w.judge.SetKey(t.of, q.key)
 	key := ""
 	if q.key != 0 {
 		key = keyText(q.key)
@@ -181,7 +181,7 @@
 func (w *World) cutOff(e *event) {
 	t := &w.tries[e.a]
 	r := t.request
-	w.judge.Passed(w.day(w.now), t.of, w.requests[r].of)
+	w.judge.DeadlinePassed(w.day(w.now), t.of, w.requests[r].of)
 	t.passed = true
 	if t.owed {
 		t.owed = false
@@ -207,7 +207,7 @@
 	q := &w.requests[r]
 	if q.inUse {
 		q.inUse = false
-		w.judge.Given(q.of)
+		w.judge.ClientRequestEnded(q.of)
 		w.freeReq = append(w.freeReq, r)
 	}
 }
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -68,7 +68,7 @@
 		if v.known == policy.Gone && kind == policy.ListFull {
 			if is, had := s.list[v]; had && is.standing != policy.Gone {
 				s.list[v] = view{policy.Gone, v.knownStart}
-				w.judge.Told(w.day(w.now), s.no, v.no, policy.Gone, v.knownStart)
+				w.judge.EndpointNotified(w.day(w.now), s.no, v.no, policy.Gone, v.knownStart)
 			}
 			continue
 		}
@@ -76,7 +76,7 @@
 		m.Status, m.Started = v.known, v.knownStart
 		w.members = append(w.members, m)
 		s.list[v] = view{v.known, v.knownStart}
-		w.judge.Told(w.day(w.now), s.no, v.no, v.known, v.knownStart)
+		w.judge.EndpointNotified(w.day(w.now), s.no, v.no, v.known, v.knownStart)
 	}
 	s.version = w.version
 	s.decider.UpdateEndpoints(w.now, kind, w.members)
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -49,8 +49,8 @@
 			t.Fatal(err)
 		}
 		v := play(t, read(t, string(text)), 3, "module")
-		if !v.Kept() || v.Requests < 1000 || v.Service < 0.6 {
-			t.Errorf("%s: %v, service %.3f of %d requests: %v", name, v.Broken, v.Service, v.Requests, v.Breaks)
+		if !v.RulesKept() || v.ClientRequests < 1000 || v.Service < 0.6 {
+			t.Errorf("%s: %v, service %.3f of %d requests: %v", name, v.ViolationCounts, v.Service, v.ClientRequests, v.Violations)
 		}
 		if again := play(t, read(t, string(text)), 3, "module"); !reflect.DeepEqual(v, again) {
 			t.Errorf("%s: the second run was another", name)
@@ -62,8 +62,8 @@
 // once held against the module.
 func TestTriesThatComeTooLateAreNobodys(t *testing.T) {
 	text, _ := load("monday-without-b.toml")
-	if v := play(t, read(t, string(text)), 19, "module"); !v.Kept() {
-		t.Errorf("%v", v.Breaks)
+	if v := play(t, read(t, string(text)), 19, "module"); !v.RulesKept() {
+		t.Errorf("%v", v.Violations)
 	}
 }
 
@@ -89,8 +89,8 @@
 	text, _ := load("rolling.toml")
 	sc := read(t, string(text))
 	v := play(t, sc, 1, "table")
-	if v.Broken[3] == 0 || v.Broken[0]+v.Broken[1]+v.Broken[2] > 0 {
-		t.Errorf("%v", v.Broken)
+	if v.ViolationCounts[3] == 0 || v.ViolationCounts[0]+v.ViolationCounts[1]+v.ViolationCounts[2] > 0 {
+		t.Errorf("%v", v.ViolationCounts)
 	}
 	if seeing, module := play(t, sc, 1, "seeing"), play(t, sc, 1, "module"); seeing.Service < module.Service-0.005 || module.Service < v.Service {
 		t.Errorf("seeing %.3f, module %.3f, table %.3f", seeing.Service, module.Service, v.Service)
@@ -107,14 +107,14 @@
 	maker := func(front policy.Front, _ *policy.Settings, _ uint64, _ policy.Time, _ emulator.View) emulator.Decider {
 		return &script{front: front, wait: 12 * policy.Millisecond, ended: &ended}
 	}
-	if v := emulator.New(sc, 1, maker, nil).Run(); v.Honoured != 1 || !v.Kept() || ended[0] != policy.Succeeded {
+	if v := emulator.New(sc, 1, maker, nil).Run(); v.Succeeded != 1 || !v.RulesKept() || ended[0] != policy.Succeeded {
 		t.Errorf("%+v, %v", v, ended)
 	}
 	ended = nil
 	maker = func(front policy.Front, _ *policy.Settings, _ uint64, _ policy.Time, _ emulator.View) emulator.Decider {
 		return &script{front: front, wait: 12*policy.Millisecond - 1, ended: &ended}
 	}
-	if v := emulator.New(sc, 1, maker, nil).Run(); v.GivenUp != 1 || ended[0] != policy.TimedOut {
+	if v := emulator.New(sc, 1, maker, nil).Run(); v.Failed != 1 || ended[0] != policy.TimedOut {
 		t.Errorf("%+v, %v", v, ended)
 	}
 }
@@ -149,12 +149,12 @@
 		"[[kind]]\nname = \"k\"\ncores = 1\nslots = 1\nqueue = 20000\n[[offering]]\nname = \"o\"\nquoted_time = \"100s\"\ncut_off = \"120s\"\nwork = \"100ms\"\n")
 	for _, name := range []string{"module", "ring"} {
 		v := play(t, sc, 1, name)
-		if !v.Kept() || v.Requests < 15000 || v.Honoured+v.TurnedBack+v.GivenUp != int(v.Tickets) {
-			t.Errorf("%s: %v, %d requests, %d tickets, %d honoured, %d turned back, %d given up", name, v.Broken, v.Requests, v.Tickets,
-				v.Honoured, v.TurnedBack, v.GivenUp)
+		if !v.RulesKept() || v.ClientRequests < 15000 || v.Succeeded+v.Rejected+v.Failed != int(v.Requests) {
+			t.Errorf("%s: %v, %d requests, %d tickets, %d honoured, %d turned back, %d given up", name, v.ViolationCounts, v.ClientRequests, v.Requests,
+				v.Succeeded, v.Rejected, v.Failed)
 		}
-		if name == "ring" && v.Honoured < 1100 {
-			t.Errorf("%d honoured: the queue did not hold", v.Honoured)
+		if name == "ring" && v.Succeeded < 1100 {
+			t.Errorf("%d honoured: the queue did not hold", v.Succeeded)
 		}
 	}
 }
--- a/internal/emulator/front.go
+++ b/internal/emulator/front.go
@@ -22,7 +22,7 @@
 	t.pushes++
 	t.pushID++
 	v.out++
-	t.wire = w.judge.Pushed(w.day(w.now), t.of, v.no, v.zone, v.cell, v.zone != s.zone)
+	t.wire = w.judge.AttemptStarted(w.day(w.now), t.of, v.no, v.zone, v.cell, v.zone != s.zone)
 	w.queue.add(event{at: w.now + wait, rank: rankWait, do: (*World).timeOut, a: i, c: t.pushID})
 	way := w.way(s.zone, v.zone)
 	s.closeIdle(v)
@@ -49,7 +49,7 @@
 	w.queue.add(event{at: w.now + way, rank: rankArrive, do: (*World).atServer, a: i, b: fresh, c: t.pushID})
 	if fresh == 0 {
 		t.written = true // the kernel has it
-		w.judge.Written(t.of, t.wire)
+		w.judge.AttemptWritten(t.of, t.wire)
 	}
 }
 
@@ -82,23 +82,23 @@
 }
 
 // Succeed, Reject and Fail are final answers: they reach the client after the way back.
-func (s *sidecar) Succeed(h policy.Handle, _ policy.AttemptNo) { s.answer(h, judge.Honoured, 0) }
+func (s *sidecar) Succeed(h policy.Handle, _ policy.AttemptNo) { s.answer(h, judge.Succeeded, 0) }
 func (s *sidecar) Reject(h policy.Handle, retryIn policy.Time) {
-	s.answer(h, judge.TurnedBack, retryIn)
+	s.answer(h, judge.Rejected, retryIn)
 }
-func (s *sidecar) Fail(h policy.Handle) { s.answer(h, judge.GivenUp, 0) }
+func (s *sidecar) Fail(h policy.Handle) { s.answer(h, judge.Failed, 0) }
 
 func (s *sidecar) answer(h policy.Handle, a judge.Answer, retryIn policy.Time) {
 	w := s.w
 	i, t := s.by(h)
 	if !t.owed {
 		// Told to the judge all the same: a second answer is a broken rule.
-		w.judge.Answered(w.day(w.now), t.of, w.requests[t.request].of, a)
+		w.judge.RequestAnswered(w.day(w.now), t.of, w.requests[t.request].of, a)
 		return
 	}
 	t.owed, t.answer, t.retryIn = false, a, retryIn
 	r := t.request
-	w.judge.Answered(w.day(w.now), t.of, w.requests[r].of, a)
+	w.judge.RequestAnswered(w.day(w.now), t.of, w.requests[r].of, a)
 	if w.sample != nil {
 		w.sample.Answer(w.requests[r].offering, a, w.now-t.from)
 	}
@@ -109,9 +109,9 @@
 // heard is a final answer as it comes to the client.
 func (w *World) heard(e *event) {
 	switch judge.Answer(e.b) {
-	case judge.Honoured:
+	case judge.Succeeded:
 		w.over(e.a)
-	case judge.TurnedBack:
+	case judge.Rejected:
 		w.again(e.a, true, policy.Time(e.c))
 	default:
 		w.again(e.a, false, 0)
--- /dev/null
+++ b/internal/emulator/judge/attempts.go
@@ -0,0 +1,150 @@
+package judge
+
+import (
+	"slices"
+
+	"pepperlead/policy"
+)
+
+// attempt is one attempt of a request.
+type attempt struct {
+	endpoint   EndpointID
+	zone       policy.Zone
+	cell       policy.Cell
+	at         policy.Time
+	inFlight   bool
+	mayHaveRun bool
+}
+
+// notification is what an instance has been notified of an endpoint.
+type notification struct {
+	drainingSince policy.Time // or gone since; 0: it is ready
+	startedAt     policy.Time
+}
+
+// arrivedWork is work that has reached a cold endpoint.
+type arrivedWork struct {
+	at   policy.Time
+	work float64
+}
+
+// AttemptStarted records an attempt when its first byte is sent, and returns its number within the request.
+func (j *Judge) AttemptStarted(at policy.Time, id RequestID, to EndpointID, zone policy.Zone, cell policy.Cell,
+	crossesZone bool) int {
+	r := &j.requests[id]
+	number := len(r.attempts)
+	j.attempts++
+	if at < j.facts.Length {
+		j.spread.countAttempt(at, to, r.key, r.number)
+	}
+	if crossesZone {
+		j.crossZone++
+	}
+	if r.answered || r.abandoned {
+		j.violate(1, at, r.number, "pushed after its final answer")
+	}
+	if number >= j.facts.MaxAttempts {
+		j.violate(2, at, r.number, "push %d of %d allowed", number+1, j.facts.MaxAttempts)
+	}
+	if r.inFlight > 0 {
+		j.violate(2, at, r.number, "two pushes out at once")
+	}
+	next := attempt{endpoint: to, zone: zone, cell: cell, at: at, inFlight: true}
+	j.checkRepeat(r, next)
+	notified, known := j.notifications[r.instance][to]
+	if known && notified.drainingSince > 0 && at > notified.drainingSince+j.facts.Grace {
+		j.violate(3, at, r.number, "pushed to server %d, %v after its sidecar was told that it leaves", to,
+			seconds(at-notified.drainingSince))
+	}
+	r.attempts = append(r.attempts, next)
+	r.inFlight++
+	return number
+}
+
+// checkRepeat holds an attempt to rule 2 where an earlier one may have run.
+func (j *Judge) checkRepeat(r *request, next attempt) {
+	class := &j.facts.Classes[r.class]
+	keyed := class.Idempotency == policy.Keyed
+	for _, earlier := range r.attempts {
+		if !earlier.mayHaveRun && !earlier.inFlight {
+			continue
+		}
+		otherGroup := class.Group == policy.GroupZone && earlier.zone != next.zone ||
+			class.Group == policy.GroupCell && earlier.cell != next.cell
+		switch {
+		case class.Idempotency == policy.NonIdempotent:
+			j.violate(2, next.at, r.number, "at-most-once, pushed to server %d though it may have run at server %d",
+				next.endpoint, earlier.endpoint)
+		case keyed && next.at > earlier.at+class.Window:
+			j.violate(2, next.at, r.number, "pushed again %v after the first push that may have run, window %v",
+				seconds(next.at-earlier.at), seconds(class.Window))
+		case keyed && otherGroup:
+			j.violate(2, next.at, r.number,
+				"pushed to server %d, outside of the group of server %d where it may have run",
+				next.endpoint, earlier.endpoint)
+		default:
+			continue
+		}
+		return
+	}
+}
+
+// AttemptWritten records that the last byte of an attempt has left its instance: from now on it may run.
+func (j *Judge) AttemptWritten(id RequestID, number int) {
+	j.requests[id].attempts[number].mayHaveRun = true
+}
+
+// AttemptEnded records the end of an attempt at its instance. neverRan: the wire shows that it has not run.
+func (j *Judge) AttemptEnded(id RequestID, number int, neverRan bool) {
+	r := &j.requests[id]
+	ended := &r.attempts[number]
+	if !ended.inFlight {
+		return
+	}
+	ended.inFlight = false
+	ended.mayHaveRun = ended.mayHaveRun && !neverRan
+	r.inFlight--
+	j.releaseRequest(id)
+}
+
+// EndpointNotified records that a list has reached an instance that names, or no longer names, an endpoint.
+func (j *Judge) EndpointNotified(at policy.Time, instance InstanceID, endpoint EndpointID, status policy.EndpointStatus,
+	startedAt policy.Time) {
+	notified := j.notifications[instance][endpoint]
+	if status == policy.Ready {
+		notified.drainingSince = 0
+	} else if notified.drainingSince == 0 {
+		notified.drainingSince = max(at, 1)
+	}
+	notified.startedAt = max(notified.startedAt, startedAt)
+	j.notifications[instance][endpoint] = notified
+}
+
+// InstanceDied records that an instance has lost all that it knew.
+func (j *Judge) InstanceDied(instance InstanceID) { clear(j.notifications[instance]) }
+
+// ColdWorkArrived records work, in ns of a core at speed 1, that reaches an endpoint while it is cold; capacity is
+// what it can do in a ns. Only work from instances that were notified of its start counts: others cannot know.
+func (j *Judge) ColdWorkArrived(at policy.Time, instance InstanceID, to EndpointID, startedAt policy.Time,
+	work, capacity float64) {
+	if j.notifications[instance][to].startedAt < startedAt || j.facts.OverloadMultiple == 0 {
+		return
+	}
+	recent := append(j.coldWork[to], arrivedWork{at, work})
+	first := 0
+	for recent[first].at <= at-j.facts.OverloadWindow {
+		first++
+	}
+	recent = slices.Delete(recent, 0, first)
+	j.coldWork[to] = recent
+	sum := 0.0
+	for _, arrived := range recent {
+		sum += arrived.work
+	}
+	allowed := j.facts.OverloadMultiple * capacity * float64(j.facts.OverloadWindow)
+	if sum > allowed && j.overloaded[to] != startedAt {
+		j.overloaded[to] = startedAt
+		j.violate(4, at, 0, "server %d, cold, was sent %.1f times what it can do within %v, allowed %.1f", to,
+			sum/(capacity*float64(j.facts.OverloadWindow)), seconds(j.facts.OverloadWindow), j.facts.OverloadMultiple)
+	}
+}
--- /dev/null
+++ b/internal/emulator/judge/verdict.go
@@ -0,0 +1,116 @@
+package judge
+
+import (
+	"cmp"
+	"slices"
+
+	"pepperlead/policy"
+)
+
+// Share is value offered by clients and value earned by responses in time.
+type Share struct {
+	Name    string  `json:"name"`
+	Offered float64 `json:"asked"`
+	Earned  float64 `json:"got"`
+}
+
+// Fraction is the part of the offered value that was earned; 1 where nothing was offered.
+func (s Share) Fraction() float64 {
+	if s.Offered <= 0 {
+		return 1
+	}
+	return s.Earned / s.Offered
+}
+
+func (s *Share) add(client *clientRequest) {
+	s.Offered += client.value
+	s.Earned += client.earned
+}
+
+// secondValue is the value of the requests begun in one second.
+type secondValue struct{ offered, earned float64 }
+
+func (s *secondValue) add(other secondValue) {
+	s.offered += other.offered
+	s.earned += other.earned
+}
+
+// fraction is as Share's.
+func (s secondValue) fraction() float64 {
+	return Share{Offered: s.offered, Earned: s.earned}.Fraction()
+}
+
+// Verdict is the result of a day.
+type Verdict struct {
+	ViolationCounts [ruleCount]int `json:"broken"` // by rule
+	Violations      []Violation    `json:"breaks,omitempty"`
+	Service         float64        `json:"service"` // value in time over value offered
+	Worst10         float64        `json:"worst_10s"`
+	Classes         []Share        `json:"offerings"`
+	Tenants         []Share        `json:"franchises,omitempty"`
+	ClientRequests  int            `json:"requests"`
+	Requests        uint64         `json:"tickets"`
+	Attempts        int            `json:"pushes"`
+	Succeeded       int            `json:"honoured"`
+	Rejected        int            `json:"turned_back"`
+	Failed          int            `json:"given_up"`
+	Late            int            `json:"late"`
+	CrossZone       float64        `json:"crossed"` // part of the attempts that went to another zone
+	Spread          Spread         `json:"even"`
+	Seconds         []Share        `json:"seconds"`
+}
+
+// RulesKept reports whether no rule was broken.
+func (v *Verdict) RulesKept() bool { return v.ViolationCounts == [ruleCount]int{} }
+
+// Finish ends the day: what is still open counts as it is.
+func (j *Judge) Finish(at policy.Time) *Verdict {
+	for i := range j.requests {
+		r := &j.requests[i]
+		if r.inUse && !r.answered && !r.abandoned && at > r.deadline {
+			j.violate(1, at, r.number, "no final answer before its cut-off")
+		}
+	}
+	verdict := &Verdict{
+		ViolationCounts: j.violationCounts,
+		Violations:      j.violations,
+		Classes:         j.byClass,
+		Tenants:         j.byTenant,
+		ClientRequests:  j.clientRequestCount,
+		Requests:        j.lastNumber,
+		Attempts:        j.attempts,
+		Succeeded:       j.answers[Succeeded],
+		Rejected:        j.answers[Rejected],
+		Failed:          j.answers[Failed],
+		Late:            j.late,
+		Spread:          j.spread.finish(),
+	}
+	byTime := func(a, b Violation) int { return cmp.Compare(a.At, b.At) }
+	slices.SortStableFunc(verdict.Violations, byTime)
+	if j.attempts > 0 {
+		verdict.CrossZone = float64(j.crossZone) / float64(j.attempts)
+	}
+	j.addSeconds(verdict)
+	return verdict
+}
+
+// addSeconds adds the service of the day, of its seconds, and of its worst ten seconds.
+func (j *Judge) addSeconds(verdict *Verdict) {
+	const windowSeconds = 10
+	var day, window secondValue
+	verdict.Worst10 = 1
+	for i, second := range j.seconds {
+		day.add(second)
+		window.add(second)
+		verdict.Seconds = append(verdict.Seconds, Share{Offered: second.offered, Earned: second.earned})
+		if i >= windowSeconds {
+			window.offered -= j.seconds[i-windowSeconds].offered
+			window.earned -= j.seconds[i-windowSeconds].earned
+		}
+		if i >= windowSeconds-1 && window.offered > 0 {
+			// Sums of floats may fall a little under 0.
+			verdict.Worst10 = min(verdict.Worst10, max(0, window.earned/window.offered))
+		}
+	}
+	verdict.Service = day.fraction()
+}
--- a/internal/emulator/largefleet_test.go
+++ b/internal/emulator/largefleet_test.go
@@ -41,8 +41,8 @@
 		t.Fatal(err)
 	}
 	module, random, seeing := play(t, sc, seed, "module"), play(t, sc, seed, "random"), play(t, sc, seed, "seeing")
-	if !module.Kept() {
-		t.Errorf("rules broken: %v", module.Breaks)
+	if !module.RulesKept() {
+		t.Errorf("rules broken: %v", module.Violations)
 	}
 	if module.Service < random.Service {
 		t.Errorf("served %.3f of the value, random choice %.3f", module.Service, random.Service)
@@ -55,9 +55,9 @@
 			t.Errorf("third %d: served %.3f of the value, seeing the true state %.3f", i+1, own, best)
 		}
 	}
-	for i, own := range module.Offerings {
-		if best := seeing.Offerings[i]; own.Part() < best.Part()/2 && isLarge(sc, module, i) {
-			t.Errorf("class %s: served %.3f of the value, seeing the true state %.3f", own.Name, own.Part(), best.Part())
+	for i, own := range module.Classes {
+		if best := seeing.Classes[i]; own.Fraction() < best.Fraction()/2 && isLarge(sc, module, i) {
+			t.Errorf("class %s: served %.3f of the value, seeing the true state %.3f", own.Name, own.Fraction(), best.Fraction())
 		}
 	}
 }
@@ -66,8 +66,8 @@
 func third(v *judge.Verdict, i int) float64 {
 	asked, got := 0.0, 0.0
 	for at := i * len(v.Seconds) / 3; at < (i+1)*len(v.Seconds)/3; at++ {
-		asked += v.Seconds[at].Asked
-		got += v.Seconds[at].Got
+		asked += v.Seconds[at].Offered
+		got += v.Seconds[at].Earned
 	}
 	return got / asked
 }
@@ -77,7 +77,7 @@
 	shares, value := 0.0, 0.0
 	for i := range sc.Offerings {
 		shares += sc.Offerings[i].Share
-		value += v.Offerings[i].Asked
+		value += v.Classes[i].Offered
 	}
-	return sc.Offerings[class].Share >= shares/20 || v.Offerings[class].Asked >= value/20
+	return sc.Offerings[class].Share >= shares/20 || v.Classes[class].Offered >= value/20
 }
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -12,7 +12,7 @@
 
 type server struct {
 	w          *World
-	no         judge.Server
+	no         judge.EndpointID
 	id         policy.EndpointID
 	uid        string
 	kind       *Kind
@@ -47,7 +47,7 @@
 
 func (w *World) newServer(k *Kind, started policy.Time) *server {
 	no := len(w.servers)
-	s := &server{w: w, no: judge.Server(no), kind: k, traits: k.Traits, zone: w.sc.Zones[no%len(w.sc.Zones)],
+	s := &server{w: w, no: judge.EndpointID(no), kind: k, traits: k.Traits, zone: w.sc.Zones[no%len(w.sc.Zones)],
 		started: started, weight: 1, ticket: 0, noise: stream(w.seed, "work", no)}
 	s.uid = "s-" + name(no)
 	s.id = endpointfiles.EndpointID(s.uid)
--- a/internal/emulator/sidecar.go
+++ b/internal/emulator/sidecar.go
@@ -11,7 +11,7 @@
 // request is what a client wants, over its tries.
 type request struct {
 	inUse     bool
-	of        judge.Request
+	of        judge.ClientRequestID
 	offering  policy.ClassID
 	franchise policy.TenantID
 	sidecar   int32
@@ -30,7 +30,7 @@
 	owed    bool // a final answer
 	out     bool // a push
 	passed  bool // its cut-off
-	of      judge.Ticket
+	of      judge.RequestID
 	request int32
 	sidecar *sidecar
 	life    int // of the sidecar
@@ -52,7 +52,7 @@
 // sidecar is an instance of the decider, and the front it asks.
 type sidecar struct {
 	w       *World
-	no      judge.Sidecar
+	no      judge.InstanceID
 	zone    policy.Zone
 	make    Maker
 	decider Decider
@@ -84,7 +84,7 @@
 }
 
 func (w *World) newSidecar(no int, make Maker) *sidecar {
-	s := &sidecar{w: w, no: judge.Sidecar(no), zone: w.sc.Zones[no%len(w.sc.Zones)], make: make, list: map[*server]view{},
+	s := &sidecar{w: w, no: judge.InstanceID(no), zone: w.sc.Zones[no%len(w.sc.Zones)], make: make, list: map[*server]view{},
 		swings: stream(w.seed, "gusts", no), arrive: stream(w.seed, "arrivals", no), mix: stream(w.seed, "mix", no),
 		keys: stream(w.seed, "keys", no), sizes: stream(w.seed, "sizes", no), seeds: stream(w.seed, "lives", no), gust: 1}
 	c := w.campaign
@@ -133,7 +133,7 @@
 		if len(all) > 0 {
 			s.decider.UpdateEndpoints(s.w.now, policy.ListSaved, all)
 			for v, is := range s.list {
-				s.w.judge.Told(s.w.day(s.w.now), s.no, v.no, is.standing, is.started)
+				s.w.judge.EndpointNotified(s.w.day(s.w.now), s.no, v.no, is.standing, is.started)
 			}
 		}
 		s.w.catchUp(s)
@@ -146,7 +146,7 @@
 func (s *sidecar) stop() {
 	s.alive = false
 	s.life++
-	s.w.judge.Died(s.no)
+	s.w.judge.InstanceDied(s.no)
 	for i := range s.w.tries {
 		t := &s.w.tries[i]
 		if !t.inUse || t.sidecar != s {
@@ -156,12 +156,12 @@
 			s.w.callOff(t)
 			t.out = false
 			t.server.out--
-			s.w.judge.Ended(t.of, t.wire, false)
+			s.w.judge.AttemptEnded(t.of, t.wire, false)
 		}
 		if t.owed {
 			t.owed = false
 			r := &s.w.requests[t.request]
-			s.w.judge.Left(t.of, r.of)
+			s.w.judge.ClientLeft(t.of, r.of)
 			s.w.again(t.request, true, 0)
 		}
 		s.w.let(int32(i))
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -113,21 +113,21 @@
 	w.campaign = policy.Settings{Instances: sc.Sidecars, Zones: len(sc.Zones), FixedWeights: sc.weighs(), PollList: sc.Discovery.Asked,
 		PollWithin: 10 * policy.Second, MayCancel: sc.Allow.Cancel, MaxAttempts: sc.Allow.Pushes, MaxRetryAfter: sc.Allow.Advice,
 		CrossZonePrice: sc.Allow.CrossPrice, Tick: sc.Tick, ColdCapacity: 1, OverQuotaValue: sc.Beyond, OverloadMultiple: 3}
-	facts := judge.Facts{Sidecars: sc.Sidecars, MaxPushes: sc.Allow.Pushes, Grace: sc.Allow.Grace, Length: sc.Length}
+	facts := judge.Facts{Instances: sc.Sidecars, MaxAttempts: sc.Allow.Pushes, Grace: sc.Allow.Grace, Length: sc.Length}
 	for _, k := range sc.Kinds {
 		if k.WarmIn > 0 {
 			w.campaign.ColdCapacity = min(w.campaign.ColdCapacity, k.ColdPart)
 			w.campaign.ColdTime = max(w.campaign.ColdTime, k.WarmIn)
 		}
-		if k.Fall > 0 && (facts.Fall == 0 || k.Fall < facts.Fall) {
-			facts.Fall, facts.FallIn, w.campaign.OverloadMultiple = k.Fall, k.FallIn, k.Fall
+		if k.Fall > 0 && (facts.OverloadMultiple == 0 || k.Fall < facts.OverloadMultiple) {
+			facts.OverloadMultiple, facts.OverloadWindow, w.campaign.OverloadMultiple = k.Fall, k.FallIn, k.Fall
 		}
 	}
 	for _, o := range sc.Offerings {
-		facts.Offerings = append(facts.Offerings, o.Class)
+		facts.Classes = append(facts.Classes, o.Class)
 		w.cumShare = append(w.cumShare, o.Share)
 	}
-	w.campaign.Classes = facts.Offerings
+	w.campaign.Classes = facts.Classes
 	cores := w.fleet()
 	w.rate = sc.Load.Rate
 	if w.rate == 0 {
@@ -229,7 +229,7 @@
 	}
 	for i := range w.requests {
 		if r := &w.requests[i]; r.inUse {
-			w.judge.Given(r.of)
+			w.judge.ClientRequestEnded(r.of)
 		}
 	}
 	return w.judge.Finish(w.day(w.now))
@@ -288,14 +288,14 @@
 		if v.standing != policy.Ready || v.down || v.dark() {
 			size = 0
 		}
-		w.judge.Sized(w.day(w.now), v.no, size)
+		w.judge.CapacityChanged(w.day(w.now), v.no, size)
 		if in := v.machine.In(); size > 0 && in == 0 {
 			idle++
 		} else if v.machine.Queued() > 0 {
 			queues = true
 		}
 	}
-	w.judge.Looked(idle, queues, glances)
+	w.judge.IdleObserved(idle, queues, glances)
 	if w.now < start+w.sc.Length {
 		w.queue.add(event{at: w.now + glances, rank: rankWorld, do: (*World).glance})
 	}
--- a/internal/engine/terms_test.go
+++ b/internal/engine/terms_test.go
@@ -21,17 +21,17 @@
 	answers int
 }
 
-func (f *frontless) Gather(policy.Time)                                   {}
-func (f *frontless) Send(policy.Time, *Request, *Endpoint)                { f.pushed++ }
-func (f *frontless) TimedOut(policy.Time, *Request)                       {}
-func (f *frontless) Fail(now policy.Time, t *Request)                     { f.answers++ }
-func (f *frontless) Reject(now policy.Time, t *Request, _ policy.Time)    { f.answers++ }
-func (f *frontless) DiscardResponse(*Request)                             {}
-func (f *frontless) Released(*Request)                                    {}
-func (f *frontless) CloseIdle(*Endpoint)                                  {}
-func (f *frontless) Forget(*Endpoint)                                     {}
+func (f *frontless) Gather(policy.Time)                                     {}
+func (f *frontless) Send(policy.Time, *Request, *Endpoint)                  { f.pushed++ }
+func (f *frontless) TimedOut(policy.Time, *Request)                         {}
+func (f *frontless) Fail(now policy.Time, t *Request)                       { f.answers++ }
+func (f *frontless) Reject(now policy.Time, t *Request, _ policy.Time)      { f.answers++ }
+func (f *frontless) DiscardResponse(*Request)                               {}
+func (f *frontless) Released(*Request)                                      {}
+func (f *frontless) CloseIdle(*Endpoint)                                    {}
+func (f *frontless) Forget(*Endpoint)                                       {}
 func (f *frontless) SetClass(name string, at policy.ClassID, _ policy.Time) { f.offers[name] = at }
-func (f *frontless) SetTenant(name string, at policy.TenantID)               { f.quotes[name] = at }
+func (f *frontless) SetTenant(name string, at policy.TenantID)              { f.quotes[name] = at }
 
 func versionOf(n ruleset.RevisionNumber, servers []discovery.Entry, franchises []policy.Tenant, offerings ...policy.Class) *RuleSet {
 	c := &policy.Settings{Instances: 4, FixedWeights: true, OverloadMultiple: 3, ColdCapacity: 0.5, MaxAttempts: 3, Tick: policy.Millisecond, Classes: offerings, Tenants: franchises}
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -72,7 +72,7 @@
 	var series Series
 	golden.Fill(&result)
 	golden.Fill(&series)
-	result.Verdict.Broken[1] = 0 // one rule that was kept
+	result.Verdict.ViolationCounts[1] = 0 // one rule that was kept
 	series.Curves = map[string][]Points{result.Latency[0].Offering: {{X: 50, Y: 1}, {X: 99, Y: 2}}}
 	folder := t.TempDir()
 	if err := Write(folder, &result, &series); err != nil {
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -98,8 +98,8 @@
 	}
 	service := plotter.XYs{}
 	for i, c := range r.Verdict.Seconds {
-		if c.Asked > 0 {
-			service = append(service, plotter.XY{X: float64(i), Y: c.Got / c.Asked})
+		if c.Offered > 0 {
+			service = append(service, plotter.XY{X: float64(i), Y: c.Earned / c.Offered})
 		}
 	}
 	if len(service) == 0 {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -108,7 +108,7 @@
 
 // Answer counts an honoured ticket.
 func (w *watcher) Answer(o policy.ClassID, a judge.Answer, spent policy.Time) {
-	if a == judge.Honoured {
+	if a == judge.Succeeded {
 		w.by[o].RecordValue(int64(max(spent, 1000)))
 	}
 }
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -182,7 +182,7 @@
 	Worst10  float64 `json:"worst_10s"`
 	Wasted   float64 `json:"wasted"`
 	Crossed  float64 `json:"crossed"`
-	judge.Even
+	judge.Spread
 	Broken [4]int `json:"broken"` // days on which the rule was broken
 }
 
@@ -205,9 +205,9 @@
 		service[k] = append(service[k], r.Verdict.Service)
 		row.Worst10 += r.Verdict.Worst10
 		row.Wasted += r.Wasted
-		row.Crossed += r.Verdict.Crossed
-		row.add(&r.Verdict.Even)
-		for rule, n := range r.Verdict.Broken {
+		row.Crossed += r.Verdict.CrossZone
+		row.add(&r.Verdict.Spread)
+		for rule, n := range r.Verdict.ViolationCounts {
 			if n > 0 {
 				row.Broken[rule]++
 			}
@@ -221,19 +221,19 @@
 		for i := range row.Scatter {
 			row.Scatter[i], row.Forced[i] = row.Scatter[i]/n, row.Forced[i]/n
 		}
-		row.Busiest, row.Idle = row.Busiest/n, row.Idle/n
+		row.Busiest, row.IdleSeconds = row.Busiest/n, row.IdleSeconds/n
 	}
 	return rows
 }
 
 // add takes a day's figures in: sums of those that are means, the most of the others.
-func (r *Row) add(e *judge.Even) {
+func (r *Row) add(e *judge.Spread) {
 	for i := range e.Scatter {
 		r.Scatter[i] += e.Scatter[i]
 		r.Forced[i] += e.Forced[i]
 	}
-	r.Busiest, r.Idle = r.Busiest+e.Busiest, r.Idle+e.Idle
-	r.Worst, r.Herd = max(r.Worst, e.Worst), max(r.Herd, e.Herd)
+	r.Busiest, r.IdleSeconds = r.Busiest+e.Busiest, r.IdleSeconds+e.IdleSeconds
+	r.BusiestMax, r.Herd = max(r.BusiestMax, e.BusiestMax), max(r.Herd, e.Herd)
 }
 
 // Interval is the mean of some figures and half the width of its 95% interval, by Student's distribution.
@@ -302,7 +302,7 @@
 		c.A += with.Verdict.Service
 		c.B += r.Verdict.Service
 		gains[name] = append(gains[name], r.Verdict.Service-with.Verdict.Service)
-		if !r.Verdict.Kept() && with.Verdict.Kept() {
+		if !r.Verdict.RulesKept() && with.Verdict.RulesKept() {
 			c.Breaks++
 		}
 	}
--- a/internal/livetest/clients.go
+++ b/internal/livetest/clients.go
@@ -22,13 +22,13 @@
 	c := s.sidecars[a.Sidecar]
 	from := s.now()
 	s.mu.Lock()
-	r := s.judge.Asked(from, a.Offering, a.Franchise, s.credit.Of(from, a.Offering, a.Franchise))
+	r := s.judge.ClientRequestBegun(from, a.Offering, a.Franchise, s.credit.Of(from, a.Offering, a.Franchise))
 	s.mu.Unlock()
 	cutOff := from + a.Left
 	for try := 1; ; try++ {
 		answer, advice, sent := s.try(a, c, r, cutOff, try)
-		harmless := !sent || answer == judge.TurnedBack
-		if sent && answer == judge.Honoured || try > sc.Clients.Retries || !harmless && o.Idempotency == policy.NonIdempotent {
+		harmless := !sent || answer == judge.Rejected
+		if sent && answer == judge.Succeeded || try > sc.Clients.Retries || !harmless && o.Idempotency == policy.NonIdempotent {
 			break
 		}
 		s.mu.Lock()
@@ -43,12 +43,12 @@
 		time.Sleep(time.Duration(pause))
 	}
 	s.mu.Lock()
-	s.judge.Given(r)
+	s.judge.ClientRequestEnded(r)
 	s.mu.Unlock()
 }
 
 // try sends one try. sent is false where the sidecar was not there, or died with it.
-func (s *stage) try(a *emulator.Arrival, c *sidecar, r judge.Request, cutOff policy.Time, try int) (judge.Answer, policy.Time, bool) {
+func (s *stage) try(a *emulator.Arrival, c *sidecar, r judge.ClientRequestID, cutOff policy.Time, try int) (judge.Answer, policy.Time, bool) {
 	o := &s.Scenario.Offerings[a.Offering]
 	left := cutOff - s.now()
 	if left <= 0 {
@@ -60,8 +60,8 @@
 		s.mu.Unlock()
 		return 0, 0, false
 	}
-	t := &ticket{sidecar: c, request: r, of: s.judge.Accepted(s.now(), r, c.no, a.Offering, cutOff+slack)}
-	s.judge.About(t.of, a.Key)
+	t := &ticket{sidecar: c, request: r, of: s.judge.RequestAccepted(s.now(), r, c.no, a.Offering, cutOff+slack)}
+	s.judge.SetKey(t.of, a.Key)
 	id := fmt.Sprintf("%d-%d-%d", r, try, s.now())
 	s.tickets[id] = t
 	s.mu.Unlock()
@@ -92,26 +92,26 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	answer := judge.GivenUp
+	answer := judge.Failed
 	switch {
 	case err != nil && (c.life != life || !c.up):
-		s.judge.Left(t.of, r) // its sidecar died with it
+		s.judge.ClientLeft(t.of, r) // its sidecar died with it
 	case err != nil:
 		s.log("%s: no answer: %v", id, err)
 		// Nothing is told to the judge: the cut-off will show that an answer was owed.
 	case status == 200:
-		answer = judge.Honoured
+		answer = judge.Succeeded
 	case status == 503 || status == 429:
-		answer = judge.TurnedBack
+		answer = judge.Rejected
 	}
 	if err == nil {
-		s.judge.Answered(now, t.of, r, answer)
+		s.judge.RequestAnswered(now, t.of, r, answer)
 		t.answered = max(now, 1)
 	}
 	time.AfterFunc(time.Duration(max(0, cutOff+2*slack-now)), func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.judge.Passed(s.now(), t.of, r)
+		s.judge.DeadlinePassed(s.now(), t.of, r)
 		delete(s.tickets, id)
 	})
 	return answer, advice, err == nil
--- a/internal/livetest/rehearsal.go
+++ b/internal/livetest/rehearsal.go
@@ -64,8 +64,8 @@
 }
 
 type ticket struct {
-	of       judge.Ticket
-	request  judge.Request
+	of       judge.RequestID
+	request  judge.ClientRequestID
 	sidecar  *sidecar
 	answered policy.Time // 0: not
 	out      chan struct{}
@@ -74,7 +74,7 @@
 
 type server struct {
 	*fakebackend.Modelled
-	no       judge.Server
+	no       judge.EndpointID
 	uid      string
 	zone     policy.Zone
 	cell     policy.Cell
@@ -85,7 +85,7 @@
 }
 
 type sidecar struct {
-	no     judge.Sidecar
+	no     judge.InstanceID
 	zone   policy.Zone
 	addr   string
 	list   string
@@ -171,13 +171,13 @@
 			if v.gone.Load() || v.standing != policy.Ready {
 				size = 0
 			}
-			s.judge.Sized(max(0, s.now()), v.no, size)
+			s.judge.CapacityChanged(max(0, s.now()), v.no, size)
 			if size > 0 && in == 0 {
 				idle++
 			}
 			queues = queues || queued > 0
 		}
-		s.judge.Looked(idle, queues, glances)
+		s.judge.IdleObserved(idle, queues, glances)
 		s.mu.Unlock()
 	}
 }
--- a/internal/livetest/rehearsal_test.go
+++ b/internal/livetest/rehearsal_test.go
@@ -77,9 +77,9 @@
 	if err != nil {
 		t.Fatal(err, log.String())
 	}
-	if !v.Kept() || v.Requests < 500 || v.Service < 0.75 || v.Pushes < v.Honoured {
-		t.Errorf("%v, service %.3f of %d requests, %d honoured by %d pushes: %v\n%s", v.Broken, v.Service, v.Requests, v.Honoured, v.Pushes,
-			v.Breaks, log.String())
+	if !v.RulesKept() || v.ClientRequests < 500 || v.Service < 0.75 || v.Attempts < v.Succeeded {
+		t.Errorf("%v, service %.3f of %d requests, %d honoured by %d pushes: %v\n%s", v.ViolationCounts, v.Service, v.ClientRequests, v.Succeeded, v.Attempts,
+			v.Violations, log.String())
 	}
 	paths, _ := filepath.Glob(filepath.Join(dir, "*.trace"))
 	var all []*trace.Trace
@@ -98,16 +98,16 @@
 		t.Fatal(err)
 	}
 	// What reached a sidecar while it was down was not recorded.
-	if took.Arrivals < v.Requests*8/10 || took.Arrivals > v.Requests || took.Servers != 4 || len(took.Faults) == 0 ||
+	if took.Arrivals < v.ClientRequests*8/10 || took.Arrivals > v.ClientRequests || took.Servers != 4 || len(took.Faults) == 0 ||
 		!strings.HasPrefix(took.Faults[0], "s-00001: crash from ") {
-		t.Errorf("of %d requests: %+v", v.Requests, took)
+		t.Errorf("of %d requests: %+v", v.ClientRequests, took)
 	}
 	r, _, err := experiment.Play(sc, 1, "module", false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := r.Verdict.Service - took.Honoured; !r.Verdict.Kept() || d < -0.15 || d > 0.15 {
-		t.Errorf("replayed: %v, service %.3f, of the recorded tickets %.3f were honoured", r.Verdict.Broken, r.Verdict.Service, took.Honoured)
+	if d := r.Verdict.Service - took.Honoured; !r.Verdict.RulesKept() || d < -0.15 || d > 0.15 {
+		t.Errorf("replayed: %v, service %.3f, of the recorded tickets %.3f were honoured", r.Verdict.ViolationCounts, r.Verdict.Service, took.Honoured)
 	}
 	sc.Arrivals, sc.Sidecars = nil, mostSidecars+1
 	if _, err := Run(context.Background(), Play{Scenario: sc, Daemon: daemon}); err == nil || !strings.Contains(err.Error(), fmt.Sprint(sc.Sidecars, " sidecars")) {
--- a/internal/livetest/script.go
+++ b/internal/livetest/script.go
@@ -175,7 +175,7 @@
 		s.mu.Lock()
 		no := len(s.servers)
 		of := s.servers[no%s.Scenario.Servers]
-		v := &server{no: judge.Server(no), uid: fmt.Sprintf("s-%05d", no), zone: s.Scenario.Zones[no%len(s.Scenario.Zones)],
+		v := &server{no: judge.EndpointID(no), uid: fmt.Sprintf("s-%05d", no), zone: s.Scenario.Zones[no%len(s.Scenario.Zones)],
 			cell: of.cell + 1000, weight: of.weight, standing: policy.Gone}
 		err := s.startServer(v, s.Scenario.Kinds[no%len(s.Scenario.Kinds)].Traits, s.clock.Now())
 		s.mu.Unlock()
@@ -205,7 +205,7 @@
 		c.proc.Process.Kill()
 		go c.proc.Wait()
 		c.proc, c.up = nil, false
-		s.judge.Died(c.no)
+		s.judge.InstanceDied(c.no)
 	}
 	s.mu.Unlock()
 	s.after(f.For, func() {
--- a/internal/livetest/servers.go
+++ b/internal/livetest/servers.go
@@ -13,7 +13,7 @@
 
 func (s *stage) serve(world *emulator.World) error {
 	for no, of := range world.Layout() {
-		v := &server{no: judge.Server(no), uid: of.UID, zone: of.Zone, cell: of.Cell, weight: of.Weight}
+		v := &server{no: judge.EndpointID(no), uid: of.UID, zone: of.Zone, cell: of.Cell, weight: of.Weight}
 		if err := s.startServer(v, of.Traits, 0); err != nil {
 			return err
 		}
@@ -66,10 +66,10 @@
 	if t.answered > 0 && at < t.answered+slack {
 		return nil // was on its way already
 	}
-	n := s.judge.Pushed(at, t.of, e.v.no, e.v.zone, e.v.cell, e.v.zone != t.sidecar.zone)
-	s.judge.Written(t.of, n)
+	n := s.judge.AttemptStarted(at, t.of, e.v.no, e.v.zone, e.v.cell, e.v.zone != t.sidecar.zone)
+	s.judge.AttemptWritten(t.of, n)
 	if cold {
-		s.judge.Pressed(at, t.sidecar.no, e.v.no, started, float64(work), capacity)
+		s.judge.ColdWorkArrived(at, t.sidecar.no, e.v.no, started, float64(work), capacity)
 	}
 	t.out = make(chan struct{})
 	t.pushes++
@@ -81,7 +81,7 @@
 	if k, is := of.(*seen); is {
 		e.s.mu.Lock()
 		defer e.s.mu.Unlock()
-		e.s.judge.Ended(k.t.of, k.n, never)
+		e.s.judge.AttemptEnded(k.t.of, k.n, never)
 		if k.t.out != nil {
 			close(k.t.out)
 			k.t.out = nil
--- a/internal/livetest/sidecars.go
+++ b/internal/livetest/sidecars.go
@@ -22,7 +22,7 @@
 
 func (s *stage) begin() error {
 	for no := range s.Scenario.Sidecars {
-		c := &sidecar{no: judge.Sidecar(no), zone: s.Scenario.Zones[no%len(s.Scenario.Zones)], addr: free()}
+		c := &sidecar{no: judge.InstanceID(no), zone: s.Scenario.Zones[no%len(s.Scenario.Zones)], addr: free()}
 		dir := filepath.Join(s.dir, fmt.Sprint("n", no))
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			return err
@@ -184,7 +184,7 @@
 		return err
 	}
 	for _, v := range s.servers {
-		s.judge.Told(s.now(), c.no, v.no, v.standing, v.began)
+		s.judge.EndpointNotified(s.now(), c.no, v.no, v.standing, v.began)
 	}
 	return nil
 }
