--- a/internal/emulator/attempt.go
+++ b/internal/emulator/attempt.go
@@ -26,11 +26,11 @@
 	}
 	v := t.server
 	if e.b == 1 && !v.dark() && !v.down {
-		if !v.machine.TakesConnection() {
+		if !v.machine.AcceptsConnection() {
 			w.queue.add(event{at: w.now + w.way(v.zone, t.sidecar.zone), rank: rankEnd, do: (*World).notConnected, a: e.a, c: e.c})
 			return
 		}
-		v.machine.Connected(w.now, 1)
+		v.machine.AddConnections(w.now, 1)
 	}
 	if !t.written {
 		if v.dark() {
@@ -50,7 +50,7 @@
 	o := &w.sc.Offerings[q.offering]
 	work := policy.Time(float64(o.Work) * q.size)
 	v.touch()
-	if v.machine.Cold(w.now) && v.traits.Fall > 0 {
+	if v.machine.Cold(w.now) && v.traits.OverloadMultiple > 0 {
 		w.judge.ColdWorkArrived(w.day(w.now), t.sidecar.no, v.no, v.started, float64(work), v.traits.Cores*v.traits.Speed*v.machine.Warmth(w.now))
 	}
 	if v.standing != policy.Ready {
@@ -58,7 +58,7 @@
 		return
 	}
 	job, in := v.machine.Arrive(w.now, uint64(e.a)<<32|e.c&math.MaxUint32, q.key, work, policy.Time(float64(o.IO)*q.sizeIO), e.b == 1)
-	if v.machine.Fell() {
+	if v.machine.Overloaded() {
 		v.fall()
 		return
 	}
@@ -91,16 +91,16 @@
 
 // finished is a server's job that is done.
 func (w *World) finished(v *server, d machine.Done) {
-	i := int32(d.Of >> 32)
+	i := int32(d.Owner >> 32)
 	t := &w.tries[i]
 	q := &w.requests[t.request]
 	work := float64(w.sc.Offerings[q.offering].Work)
 	w.work += work
-	if !t.inUse || !t.out || t.pushID&math.MaxUint32 != d.Of&math.MaxUint32 || t.server != v {
+	if !t.inUse || !t.out || t.pushID&math.MaxUint32 != d.Owner&math.MaxUint32 || t.server != v {
 		w.wasted += work
 		return
 	}
-	t.job = machine.None
+	t.job = machine.NoJob
 	o := policy.Succeeded
 	if p := max(v.errors, v.kind.Errors); p > 0 && w.draws.errors.Float64() < p {
 		o = policy.Errored
@@ -159,15 +159,15 @@
 func (w *World) callOff(t *try) {
 	v := t.server
 	if t.written && !v.dark() && !v.down {
-		v.machine.Connected(w.now, -1)
+		v.machine.AddConnections(w.now, -1)
 	}
-	if t.job == machine.None || t.life2 != v.life || v.dark() || v.kind.Cancel == CancelNothing {
+	if t.job == machine.NoJob || t.life2 != v.life || v.dark() || v.kind.Cancel == CancelNothing {
 		return
 	}
 	v.touch()
-	if t.job != machine.None {
+	if t.job != machine.NoJob {
 		v.machine.Cancel(w.now, t.job, v.kind.Cancel == CancelWaiting)
-		t.job = machine.None
+		t.job = machine.NoJob
 		v.touch()
 	}
 }
--- a/internal/emulator/baseline/baseline.go
+++ b/internal/emulator/baseline/baseline.go
@@ -23,8 +23,8 @@
 
 // Maker gives the maker of a policy by its name.
 func Maker(name string) (emulator.Maker, error) {
-	choose, known := map[string]func(b *base, t *ticket) policy.EndpointID{"random": (*base).random, "ring": (*base).ring,
-		"fewest": (*base).fewest, "two": (*base).two, "table": (*base).table, "seeing": (*base).seeing}[name]
+	choose, known := map[string]func(b *balancer, t *request) policy.EndpointID{"random": (*balancer).chooseRandom, "ring": (*balancer).chooseInRing,
+		"fewest": (*balancer).chooseFewest, "two": (*balancer).chooseOfTwo, "table": (*balancer).chooseBySlot, "seeing": (*balancer).chooseBest}[name]
 	switch {
 	case name == "module":
 		return emulator.Module, nil
@@ -34,81 +34,83 @@
 	return func(front policy.Front, c *policy.Settings, seed uint64, now policy.Time, view emulator.View) emulator.Decider {
 		chance := rand.New(rand.NewPCG(seed, 0x62617365))
 		// From one start for all, instances would go round in step.
-		return &base{front: front, c: c, view: view, chance: chance, choose: choose, turn: chance.IntN(math.MaxInt32),
-			servers: map[policy.EndpointID]*server{}, bare: name == "table"}
+		return &balancer{front: front, settings: c, view: view, random: chance, choose: choose, nextInRing: chance.IntN(math.MaxInt32),
+			endpoints: map[policy.EndpointID]*endpoint{}, usesSlots: name == "table"}
 	}, nil
 }
 
-type server struct {
+type endpoint struct {
 	policy.Member
-	out int
+	inFlight int
 }
 
-type ticket struct {
-	inUse    bool
-	place    uint32
-	gen      uint32
-	o        policy.ClassID
-	key      string
-	hash     uint64
-	cutOff   policy.Time
-	answered bool
-	out      bool
-	pushes   int
-	tried    []policy.EndpointID
-	ran      bool
-	ranAt    policy.Time
-	ranOn    policy.Member
-	sentAt   policy.Time
+type request struct {
+	inUse      bool
+	index      uint32
+	generation uint32
+	class      policy.ClassID
+	key        string
+	hash       uint64
+	deadline   policy.Time
+	answered   bool
+	inFlight   bool
+	attempts   int
+	tried      []policy.EndpointID
+	mayHaveRun bool
+	ranAt      policy.Time
+	ranOn      policy.Member
+	sentAt     policy.Time
 }
 
-func (t *ticket) handle() policy.Handle { return policy.Handle(uint64(t.gen)<<32 | uint64(t.place)) }
-
-type base struct {
-	front   policy.Front
-	c       *policy.Settings
-	view    emulator.View
-	chance  *rand.Rand
-	choose  func(b *base, t *ticket) policy.EndpointID
-	servers map[policy.EndpointID]*server
-	ready   []policy.EndpointID // by id
-	turn    int
-	now     policy.Time
-	slab    []*ticket
-	free    []uint32
-	wakeAt  policy.Time
-	bare    bool
-	slots   *Slots
+func (t *request) handle() policy.Handle {
+	return policy.Handle(uint64(t.generation)<<32 | uint64(t.index))
 }
 
-// none is no server.
-const none policy.EndpointID = 0
+type balancer struct {
+	front      policy.Front
+	settings   *policy.Settings
+	view       emulator.View
+	random     *rand.Rand
+	choose     func(b *balancer, t *request) policy.EndpointID
+	endpoints  map[policy.EndpointID]*endpoint
+	ready      []policy.EndpointID // by id
+	nextInRing int
+	now        policy.Time
+	requests   []*request
+	free       []uint32
+	wakeAt     policy.Time
+	usesSlots  bool
+	slots      *SlotTable
+}
+
+// noEndpoint is no server.
+const noEndpoint policy.EndpointID = 0
 
-func (b *base) UpdateEndpoints(now policy.Time, kind policy.ListKind, members []policy.Member) {
+func (b *balancer) UpdateEndpoints(now policy.Time, kind policy.ListKind, members []policy.Member) {
 	if kind != policy.ListChanges {
-		for id, s := range b.servers {
+		for id, s := range b.endpoints {
 			if !slices.ContainsFunc(members, func(m policy.Member) bool { return m.ID == id }) {
 				s.Status = policy.Gone
 			}
 		}
 	}
 	for _, m := range members {
-		if s := b.servers[m.ID]; s != nil {
+		if s := b.endpoints[m.ID]; s != nil {
 			s.Member = m
 		} else {
-			b.servers[m.ID] = &server{Member: m}
+			b.endpoints[m.ID] = &endpoint{Member: m}
 		}
 	}
 	b.ready = b.ready[:0]
-	for id, s := range b.servers {
+	for id, s := range b.endpoints {
 		if s.Status == policy.Ready {
 			b.ready = append(b.ready, id)
 		}
 	}
 	slices.Sort(b.ready)
-	if b.bare {
+	if b.usesSlots {
 		if b.slots == nil {
-			b.slots = NewSlots(1 << 14)
+			b.slots = NewSlotTable(1 << 14)
 		}
 		sorted := slices.SortedFunc(slices.Values(members), func(x, y policy.Member) int { return cmp.Compare(x.ID, y.ID) })
 		for _, m := range sorted {
@@ -117,147 +119,147 @@
 			}
 		}
 	}
-	if b.c.PollList && len(b.ready) == 0 {
+	if b.settings.PollList && len(b.ready) == 0 {
 		b.front.FollowList(true)
 	}
 }
 
-func (b *base) ListFailed(policy.Time) { b.front.FollowList(true) }
+func (b *balancer) ListFailed(policy.Time) { b.front.FollowList(true) }
 
-func (b *base) Admit(now policy.Time, o policy.ClassID, _ policy.TenantID, key string, _ bool, left policy.Time) policy.Handle {
+func (b *balancer) Admit(now policy.Time, o policy.ClassID, _ policy.TenantID, key string, _ bool, left policy.Time) policy.Handle {
 	if len(b.free) == 0 {
-		b.slab = append(b.slab, &ticket{place: uint32(len(b.slab))})
-		b.free = append(b.free, uint32(len(b.slab)-1))
+		b.requests = append(b.requests, &request{index: uint32(len(b.requests))})
+		b.free = append(b.free, uint32(len(b.requests)-1))
 	}
-	place := b.free[len(b.free)-1]
+	index := b.free[len(b.free)-1]
 	b.free = b.free[:len(b.free)-1]
-	t := b.slab[place]
-	*t = ticket{inUse: true, place: place, gen: t.gen + 1, o: o, key: key, cutOff: now + left, tried: t.tried[:0]}
+	t := b.requests[index]
+	*t = request{inUse: true, index: index, generation: t.generation + 1, class: o, key: key, deadline: now + left, tried: t.tried[:0]}
 	if key != "" {
 		t.hash = xxhash.Sum64String(key)
 	} else {
-		t.hash = b.chance.Uint64()
+		t.hash = b.random.Uint64()
 	}
 	return t.handle()
 }
 
-func (b *base) held(h policy.Handle) *ticket {
-	if h.Place() < len(b.slab) && b.slab[h.Place()].inUse && b.slab[h.Place()].gen == uint32(h>>32) {
-		return b.slab[h.Place()]
+func (b *balancer) lookup(h policy.Handle) *request {
+	if h.Place() < len(b.requests) && b.requests[h.Place()].inUse && b.requests[h.Place()].generation == uint32(h>>32) {
+		return b.requests[h.Place()]
 	}
 	return nil
 }
 
-func (b *base) Begin(now policy.Time, h policy.Handle) { b.place(now, b.held(h)) }
+func (b *balancer) Begin(now policy.Time, h policy.Handle) { b.dispatch(now, b.lookup(h)) }
 
-func (b *base) margin() policy.Time { return 3 * b.c.Tick }
+func (b *balancer) margin() policy.Time { return 3 * b.settings.Tick }
 
-func (b *base) place(now policy.Time, t *ticket) {
+func (b *balancer) dispatch(now policy.Time, t *request) {
 	b.now = now
-	if now < t.cutOff-b.margin() && t.pushes < b.c.MaxAttempts {
-		if id := b.choose(b, t); id != none {
-			t.pushes++
+	if now < t.deadline-b.margin() && t.attempts < b.settings.MaxAttempts {
+		if id := b.choose(b, t); id != noEndpoint {
+			t.attempts++
 			t.tried = append(t.tried, id)
-			t.out, t.sentAt = true, now
-			b.servers[id].out++
-			b.front.Attempt(t.handle(), id, t.cutOff-b.margin()-now)
-			b.wake(now, t.cutOff-b.margin())
+			t.inFlight, t.sentAt = true, now
+			b.endpoints[id].inFlight++
+			b.front.Attempt(t.handle(), id, t.deadline-b.margin()-now)
+			b.wake(now, t.deadline-b.margin())
 			return
 		}
 	}
-	b.refuse(t)
+	b.reject(t)
 }
 
-func (b *base) refuse(t *ticket) {
-	o := &b.c.Classes[t.o]
+func (b *balancer) reject(t *request) {
+	o := &b.settings.Classes[t.class]
 	t.answered = true
-	if !t.ran && !t.out || o.Idempotency == policy.Idempotent || o.Idempotency == policy.Keyed && o.Group == policy.GroupAll {
-		b.front.Reject(t.handle(), min(b.c.MaxRetryAfter, o.Target))
+	if !t.mayHaveRun && !t.inFlight || o.Idempotency == policy.Idempotent || o.Idempotency == policy.Keyed && o.Group == policy.GroupAll {
+		b.front.Reject(t.handle(), min(b.settings.MaxRetryAfter, o.Target))
 	} else {
 		b.front.Fail(t.handle())
 	}
-	b.let(t)
+	b.release(t)
 }
 
-func (b *base) let(t *ticket) {
-	if t.inUse && t.answered && !t.out {
+func (b *balancer) release(t *request) {
+	if t.inUse && t.answered && !t.inFlight {
 		t.inUse = false
-		b.free = append(b.free, t.place)
+		b.free = append(b.free, t.index)
 	}
 }
 
-func (b *base) AttemptEnded(now policy.Time, h policy.Handle, n policy.AttemptNo, id policy.EndpointID, o policy.Outcome, _ policy.Time,
+func (b *balancer) AttemptEnded(now policy.Time, h policy.Handle, n policy.AttemptNo, id policy.EndpointID, o policy.Outcome, _ policy.Time,
 	over bool) {
-	t := b.held(h)
+	t := b.lookup(h)
 	if t == nil {
 		return
 	}
-	t.out = false
-	s := b.servers[id]
-	s.out--
+	t.inFlight = false
+	s := b.endpoints[id]
+	s.inFlight--
 	if t.answered = t.answered || over; t.answered {
-		b.let(t)
+		b.release(t)
 		return
 	}
 	if o == policy.Succeeded || o == policy.Declined {
 		t.answered = true
 		b.front.Succeed(h, n)
-		b.let(t)
+		b.release(t)
 		return
 	}
-	if never := o == policy.Rejected || o == policy.NotConnected || o == policy.NotSent; !never && !t.ran {
-		t.ran, t.ranAt, t.ranOn = true, t.sentAt, s.Member
+	if never := o == policy.Rejected || o == policy.NotConnected || o == policy.NotSent; !never && !t.mayHaveRun {
+		t.mayHaveRun, t.ranAt, t.ranOn = true, t.sentAt, s.Member
 	}
-	b.place(now, t)
+	b.dispatch(now, t)
 }
 
-func (b *base) ClientLeft(_ policy.Time, h policy.Handle) {
-	if t := b.held(h); t != nil && !t.answered {
+func (b *balancer) ClientLeft(_ policy.Time, h policy.Handle) {
+	if t := b.lookup(h); t != nil && !t.answered {
 		t.answered = true
-		b.callOff(t)
-		b.let(t)
+		b.cancel(t)
+		b.release(t)
 	}
 }
 
-func (b *base) callOff(t *ticket) {
-	if t.out && b.c.MayCancel {
-		b.front.Cancel(t.handle(), policy.AttemptNo(t.pushes-1))
+func (b *balancer) cancel(t *request) {
+	if t.inFlight && b.settings.MayCancel {
+		b.front.Cancel(t.handle(), policy.AttemptNo(t.attempts-1))
 	}
 }
 
-func (b *base) wake(now, at policy.Time) {
+func (b *balancer) wake(now, at policy.Time) {
 	if b.wakeAt == 0 || at < b.wakeAt {
 		b.wakeAt = at
-		b.front.Wake(max(at-now, b.c.Tick))
+		b.front.Wake(max(at-now, b.settings.Tick))
 	}
 }
 
-func (b *base) Woken(now policy.Time) {
+func (b *balancer) Woken(now policy.Time) {
 	if now < b.wakeAt {
 		return
 	}
 	b.wakeAt = 0
-	for _, t := range b.slab {
+	for _, t := range b.requests {
 		switch {
 		case !t.inUse || t.answered:
-		case now < t.cutOff-b.margin():
-			b.wake(now, t.cutOff-b.margin())
+		case now < t.deadline-b.margin():
+			b.wake(now, t.deadline-b.margin())
 		default:
-			t.ran = t.ran || t.out
-			b.callOff(t)
-			b.refuse(t)
+			t.mayHaveRun = t.mayHaveRun || t.inFlight
+			b.cancel(t)
+			b.reject(t)
 		}
 	}
 }
 
 // allowed keeps the rules on drains and repeats, and sends no ticket twice to one server.
-func (b *base) allowed(t *ticket, id policy.EndpointID) bool {
-	s := b.servers[id]
+func (b *balancer) allowed(t *request, id policy.EndpointID) bool {
+	s := b.endpoints[id]
 	if s == nil || s.Status != policy.Ready || slices.Contains(t.tried, id) {
 		return false
 	}
-	o := &b.c.Classes[t.o]
-	if !t.ran || o.Idempotency == policy.Idempotent {
+	o := &b.settings.Classes[t.class]
+	if !t.mayHaveRun || o.Idempotency == policy.Idempotent {
 		return true
 	}
 	return o.Idempotency == policy.Keyed && b.now+b.margin() < t.ranAt+o.Window &&
@@ -267,84 +269,84 @@
 
 // ---- the policies ----
 
-func (b *base) from(t *ticket, at int) policy.EndpointID {
+func (b *balancer) firstAllowed(t *request, at int) policy.EndpointID {
 	for i := range b.ready {
 		if id := b.ready[(at+i)%len(b.ready)]; b.allowed(t, id) {
 			return id
 		}
 	}
-	return none
+	return noEndpoint
 }
 
-func (b *base) random(t *ticket) policy.EndpointID {
+func (b *balancer) chooseRandom(t *request) policy.EndpointID {
 	if len(b.ready) == 0 {
-		return none
+		return noEndpoint
 	}
-	return b.from(t, b.chance.IntN(len(b.ready)))
+	return b.firstAllowed(t, b.random.IntN(len(b.ready)))
 }
 
-func (b *base) ring(t *ticket) policy.EndpointID {
-	b.turn++
-	return b.from(t, b.turn)
+func (b *balancer) chooseInRing(t *request) policy.EndpointID {
+	b.nextInRing++
+	return b.firstAllowed(t, b.nextInRing)
 }
 
-func (b *base) fewest(t *ticket) policy.EndpointID {
-	best := none
+func (b *balancer) chooseFewest(t *request) policy.EndpointID {
+	best := noEndpoint
 	at := 0
 	if len(b.ready) > 0 {
-		at = b.chance.IntN(len(b.ready)) // ties go to whoever comes first from here
+		at = b.random.IntN(len(b.ready)) // ties go to whoever comes first from here
 	}
 	for i := range b.ready {
 		id := b.ready[(at+i)%len(b.ready)]
-		if b.allowed(t, id) && (best == none || b.servers[id].out < b.servers[best].out) {
+		if b.allowed(t, id) && (best == noEndpoint || b.endpoints[id].inFlight < b.endpoints[best].inFlight) {
 			best = id
 		}
 	}
 	return best
 }
 
-func (b *base) two(t *ticket) policy.EndpointID {
-	x, y := b.random(t), b.random(t)
-	if x != none && y != none && b.servers[y].out < b.servers[x].out {
+func (b *balancer) chooseOfTwo(t *request) policy.EndpointID {
+	x, y := b.chooseRandom(t), b.chooseRandom(t)
+	if x != noEndpoint && y != noEndpoint && b.endpoints[y].inFlight < b.endpoints[x].inFlight {
 		return y
 	}
 	return x
 }
 
-func (b *base) table(t *ticket) policy.EndpointID {
+func (b *balancer) chooseBySlot(t *request) policy.EndpointID {
 	if b.slots == nil {
-		return none
+		return noEndpoint
 	}
-	return b.slots.Walk(t.hash, func(id policy.EndpointID) bool { return b.allowed(t, id) })
+	return b.slots.Lookup(t.hash, func(id policy.EndpointID) bool { return b.allowed(t, id) })
 }
 
-func (b *base) seeing(t *ticket) policy.EndpointID {
-	id, left, any := b.view.Best(b.now, b.c.Zone, t.o, t.key, func(id policy.EndpointID) bool { return b.allowed(t, id) })
-	if !any || left > b.c.Classes[t.o].Target && t.pushes == 0 {
-		return none // it would come too late to be worth much, and cost others their turn
+func (b *balancer) chooseBest(t *request) policy.EndpointID {
+	id, left, any := b.view.Best(b.now, b.settings.Zone, t.class, t.key, func(id policy.EndpointID) bool { return b.allowed(t, id) })
+	if !any || left > b.settings.Classes[t.class].Target && t.attempts == 0 {
+		return noEndpoint // it would come too late to be worth much, and cost others their turn
 	}
 	return id
 }
 
-// Slots is the design's table with nothing around it, dealt in the plainest way: joiners in id order, each taking in seeded order
+// SlotTable is the design's table with nothing around it, dealt in the plainest way: joiners in id order, each taking in seeded order
 // only slots that others hold above their new share, for whoever is furthest below.
-type Slots struct {
-	table  []policy.EndpointID
-	order  []int
-	ids    []policy.EndpointID
-	weight map[policy.EndpointID]float64
-	held   map[policy.EndpointID]int
+type SlotTable struct {
+	table     []policy.EndpointID
+	order     []int
+	ids       []policy.EndpointID
+	weight    map[policy.EndpointID]float64
+	slotCount map[policy.EndpointID]int
 }
 
-// NewSlots makes an empty table.
-func NewSlots(n int) *Slots {
-	return &Slots{table: make([]policy.EndpointID, n), order: rand.New(rand.NewPCG(1, 2)).Perm(n),
-		weight: map[policy.EndpointID]float64{}, held: map[policy.EndpointID]int{}}
+// NewSlotTable makes an empty table.
+func NewSlotTable(n int) *SlotTable {
+	return &SlotTable{table: make([]policy.EndpointID, n), order: rand.New(rand.NewPCG(1, 2)).Perm(n),
+		weight: map[policy.EndpointID]float64{}, slotCount: map[policy.EndpointID]int{}}
 }
 
 // Join adds a server, or does nothing if it is there.
-func (s *Slots) Join(id policy.EndpointID, weight float64) {
-	if _, there := s.weight[id]; there {
+func (s *SlotTable) Join(id policy.EndpointID, weight float64) {
+	if _, joined := s.weight[id]; joined {
 		return
 	}
 	s.weight[id] = max(weight, 1e-9)
@@ -355,31 +357,31 @@
 		total += w
 	}
 	share := map[policy.EndpointID]int{}
-	sum, given := 0.0, 0
+	sum, assigned := 0.0, 0
 	for _, one := range s.ids {
 		sum += s.weight[one]
 		upTo := int(sum/total*float64(len(s.table)) + 0.5)
-		share[one] = upTo - given
-		given = upTo
+		share[one] = upTo - assigned
+		assigned = upTo
 	}
 	for _, slot := range s.order {
 		owner := s.table[slot]
-		if s.held[id] < share[id] && (owner == none || s.held[owner] > share[owner]) {
-			if owner != none {
-				s.held[owner]--
+		if s.slotCount[id] < share[id] && (owner == noEndpoint || s.slotCount[owner] > share[owner]) {
+			if owner != noEndpoint {
+				s.slotCount[owner]--
 			}
 			s.table[slot] = id
-			s.held[id]++
+			s.slotCount[id]++
 		}
 	}
 }
 
-// Walk gives the first server from the hash's slot on that is allowed.
-func (s *Slots) Walk(hash uint64, allowed func(policy.EndpointID) bool) policy.EndpointID {
+// Lookup gives the first server from the hash's slot on that is allowed.
+func (s *SlotTable) Lookup(hash uint64, allowed func(policy.EndpointID) bool) policy.EndpointID {
 	seen := map[policy.EndpointID]bool{}
 	for i := range s.table {
 		id := s.table[(hash+uint64(i))%uint64(len(s.table))]
-		if id == none || seen[id] {
+		if id == noEndpoint || seen[id] {
 			continue
 		}
 		if allowed(id) {
@@ -389,5 +391,5 @@
 			break
 		}
 	}
-	return none
+	return noEndpoint
 }
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -152,7 +152,7 @@
 	}
 	id := w.tries[i].pushID
 	w.tries[i] = try{inUse: true, owed: true, request: e.a, sidecar: s, life: s.life, cutOff: q.cutOff, from: w.now, pushID: id,
-		job: machine.None}
+		job: machine.NoJob}
 	t := &w.tries[i]
 	t.of = w.judge.RequestAccepted(w.day(w.now), q.of, s.no, q.offering, w.day(q.cutOff))
 	w.queue.add(event{at: q.cutOff, rank: rankCutOff, do: (*World).cutOff, a: i})
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -223,7 +223,7 @@
 	v := f.servers[f.next%len(f.servers)]
 	f.next++
 	v.touch()
-	v.machine.Pause(w.now, w.now+policy.Time(f.Size*float64(policy.Second)))
+	v.machine.PauseUntil(w.now, w.now+policy.Time(f.Size*float64(policy.Second)))
 	v.nextAt = 0
 	v.touch()
 	w.queue.add(event{at: w.now + f.Every/policy.Time(len(f.servers)) + 1, rank: rankWorld, do: (*World).pause, a: e.a})
--- a/internal/emulator/front.go
+++ b/internal/emulator/front.go
@@ -18,7 +18,7 @@
 	w := s.w
 	i, t := s.by(h)
 	v := w.byID[id]
-	t.out, t.server, t.pushed, t.written, t.job = true, v, w.now, false, machine.None
+	t.out, t.server, t.pushed, t.written, t.job = true, v, w.now, false, machine.NoJob
 	t.pushes++
 	t.pushID++
 	v.out++
@@ -66,7 +66,7 @@
 	idle := s.idle(v)
 	for len(idle) > 0 && s.w.now-idle[0] >= s.w.sc.Network.IdleFor {
 		idle = idle[1:]
-		v.machine.Connected(s.w.now, -1)
+		v.machine.AddConnections(s.w.now, -1)
 	}
 	s.conns[v.no] = idle
 }
--- a/internal/emulator/read.go
+++ b/internal/emulator/read.go
@@ -96,15 +96,15 @@
 			Weight: t.Bool("weighs", false), Errors: t.Float("errors", 0, 0, 1),
 			Cancel: Cancel(t.OneOf("cancel", int(CancelWaiting), "nothing", "waiting", "all"))}
 		k.Traits = machine.Traits{Cores: t.Float("cores", 2, 0.1, 1024), Speed: t.Float("speed", 1, 0.01, 100),
-			Slots: int(t.Count("slots", 0, 0, 1e6)), Queue: int(t.Count("queue", 1000, 0, 1e6)),
-			ColdPart: t.Float("cold_part", 1, 0.01, 1), WarmIn: t.Duration("warm_in", 0, 0, 3600*policy.Second),
-			Keys: int(t.Count("keys", 0, 0, 1e6)), Discount: t.Float("discount", 0, 0, 0.99),
-			Forgets: t.Duration("forgets", 0, 0, 3600*policy.Second), ChokeAt: int(t.Count("choke_at", 0, 0, 1e6)),
-			Choked: t.Float("choked", 0.5, 0.01, 1), Fall: t.Float("fall", 0, 0, 1000),
-			FallIn:  t.Duration("fall_in", policy.Second, policy.Millisecond, 60*policy.Second),
-			Connect: t.Duration("connect", 0, 0, policy.Second), Conns: int(t.Count("connections", 0, 0, 1e6)), MaxConns: int(t.Count("max_connections", 0, 0, 1e6)),
-			Tax: t.Float("tax", 0, 0, 10)}
-		if k.Slots == 0 && k.Queue == 0 {
+			Workers: int(t.Count("slots", 0, 0, 1e6)), QueueSize: int(t.Count("queue", 1000, 0, 1e6)),
+			ColdSpeed: t.Float("cold_part", 1, 0.01, 1), WarmUpTime: t.Duration("warm_in", 0, 0, 3600*policy.Second),
+			CacheSize: int(t.Count("keys", 0, 0, 1e6)), CacheDiscount: t.Float("discount", 0, 0, 0.99),
+			CacheColdTime: t.Duration("forgets", 0, 0, 3600*policy.Second), CongestAt: int(t.Count("choke_at", 0, 0, 1e6)),
+			CongestedSpeed: t.Float("choked", 0.5, 0.01, 1), OverloadMultiple: t.Float("fall", 0, 0, 1000),
+			OverloadWindow: t.Duration("fall_in", policy.Second, policy.Millisecond, 60*policy.Second),
+			ConnectWork:    t.Duration("connect", 0, 0, policy.Second), FreeConnections: int(t.Count("connections", 0, 0, 1e6)), MaxConnections: int(t.Count("max_connections", 0, 0, 1e6)),
+			ConnectionCost: t.Float("tax", 0, 0, 10)}
+		if k.Workers == 0 && k.QueueSize == 0 {
 			t.Fault("queue", "0", "1 or more where cores are shared")
 		}
 		t.RejectUnknown()
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -129,13 +129,13 @@
 		return
 	}
 	for _, s := range p.servers {
-		s.machine.Throttle(now, part)
+		s.machine.SetPodSpeed(now, part)
 		s.nextAt = 0
 		s.plan()
 	}
 }
 
-func (s *server) podPart() float64 { return s.machine.PodPart() }
+func (s *server) podPart() float64 { return s.machine.PodSpeed() }
 
 // speed sets what faults leave of it.
 func (s *server) speed() {
@@ -143,7 +143,7 @@
 	for _, f := range s.slow {
 		part /= f
 	}
-	s.machine.Slow(s.w.now, part)
+	s.machine.SetFaultSpeed(s.w.now, part)
 	s.nextAt = 0
 	s.touch()
 }
@@ -162,7 +162,7 @@
 		if !t.inUse || !t.out || t.server != s {
 			continue
 		}
-		t.job = machine.None
+		t.job = machine.NoJob
 		if !s.dark() {
 			// The far end's reset comes after the way back.
 			w.queue.add(event{at: w.now + w.way(s.zone, t.sidecar.zone), rank: rankEnd, do: (*World).reset, a: int32(i), c: t.pushID})
--- a/internal/emulator/sidecar.go
+++ b/internal/emulator/sidecar.go
@@ -168,7 +168,7 @@
 	}
 	for no, idle := range s.conns {
 		if v := s.w.servers[no]; len(idle) > 0 && !v.down {
-			v.machine.Connected(s.w.now, -len(idle))
+			v.machine.AddConnections(s.w.now, -len(idle))
 		}
 	}
 	clear(s.conns)
--- a/internal/emulator/view.go
+++ b/internal/emulator/view.go
@@ -29,13 +29,13 @@
 			continue
 		}
 		// What is on its way there counts as if it were in already.
-		coming := max(0, v.out-v.machine.In())
-		left := v.machine.Left(now, k, of.Work, of.IO)
+		coming := max(0, v.out-v.machine.Jobs())
+		left := v.machine.EstimateTime(now, k, of.Work, of.IO)
 		left += policy.Time(float64(coming) / v.traits.Cores * float64(of.Work) / (v.traits.Speed * max(0.05, v.machine.Warmth(now))))
 		if v.zone != zone {
 			left += 2*w.sc.Network.Far + policy.Time(w.sc.Allow.CrossPrice*float64(of.Target))
 		}
-		if v.machine.Cold(now) && v.traits.Fall > 0 && !v.machine.Bears(now, of.Work*policy.Time(2*coming+1)) {
+		if v.machine.Cold(now) && v.traits.OverloadMultiple > 0 && !v.machine.CanTake(now, of.Work*policy.Time(2*coming+1)) {
 			continue
 		}
 		if left < least {
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -115,12 +115,12 @@
 		CrossZonePrice: sc.Allow.CrossPrice, Tick: sc.Tick, ColdCapacity: 1, OverQuotaValue: sc.Beyond, OverloadMultiple: 3}
 	facts := judge.Facts{Instances: sc.Sidecars, MaxAttempts: sc.Allow.Pushes, Grace: sc.Allow.Grace, Length: sc.Length}
 	for _, k := range sc.Kinds {
-		if k.WarmIn > 0 {
-			w.campaign.ColdCapacity = min(w.campaign.ColdCapacity, k.ColdPart)
-			w.campaign.ColdTime = max(w.campaign.ColdTime, k.WarmIn)
+		if k.WarmUpTime > 0 {
+			w.campaign.ColdCapacity = min(w.campaign.ColdCapacity, k.ColdSpeed)
+			w.campaign.ColdTime = max(w.campaign.ColdTime, k.WarmUpTime)
 		}
-		if k.Fall > 0 && (facts.OverloadMultiple == 0 || k.Fall < facts.OverloadMultiple) {
-			facts.OverloadMultiple, facts.OverloadWindow, w.campaign.OverloadMultiple = k.Fall, k.FallIn, k.Fall
+		if k.OverloadMultiple > 0 && (facts.OverloadMultiple == 0 || k.OverloadMultiple < facts.OverloadMultiple) {
+			facts.OverloadMultiple, facts.OverloadWindow, w.campaign.OverloadMultiple = k.OverloadMultiple, k.OverloadWindow, k.OverloadMultiple
 		}
 	}
 	for _, o := range sc.Offerings {
@@ -262,7 +262,7 @@
 		all, busy := 0.0, 0.0
 		for _, v := range w.servers {
 			s.Pushes = append(s.Pushes, v.out)
-			s.Waiting += max(0, v.machine.In()-int(v.traits.Cores))
+			s.Waiting += max(0, v.machine.Jobs()-int(v.traits.Cores))
 			if v.standing != policy.Gone {
 				all += v.traits.Cores
 			}
@@ -289,7 +289,7 @@
 			size = 0
 		}
 		w.judge.CapacityChanged(w.day(w.now), v.no, size)
-		if in := v.machine.In(); size > 0 && in == 0 {
+		if in := v.machine.Jobs(); size > 0 && in == 0 {
 			idle++
 		} else if v.machine.Queued() > 0 {
 			queues = true
--- a/internal/fakebackend/modelled.go
+++ b/internal/fakebackend/modelled.go
@@ -62,7 +62,7 @@
 	if s.http != nil && !s.silent {
 		size = s.traits.Cores * s.traits.Speed
 	}
-	return s.machine.In(), s.machine.Queued(), size
+	return s.machine.Jobs(), s.machine.Queued(), size
 }
 
 func (s *Modelled) listen(addr string) error {
@@ -137,18 +137,18 @@
 	defer s.mu.Unlock()
 	switch to {
 	case http.StateNew:
-		s.machine.Connected(s.clock.Now(), 1)
+		s.machine.AddConnections(s.clock.Now(), 1)
 	case http.StateClosed, http.StateHijacked:
-		s.machine.Connected(s.clock.Now(), -1)
+		s.machine.AddConnections(s.clock.Now(), -1)
 	}
 }
 
 // run brings the machine up to now and lets go of the requests that are done. The lock is held.
 func (s *Modelled) run(now policy.Time) {
 	for _, d := range s.machine.Run(now, nil) {
-		if wait := s.waits[d.Of]; wait != nil {
+		if wait := s.waits[d.Owner]; wait != nil {
 			wait <- true
-			delete(s.waits, d.Of)
+			delete(s.waits, d.Owner)
 		}
 	}
 }
@@ -211,11 +211,11 @@
 	life := s.life
 	s.serial++
 	serial := s.serial
-	job, in := machine.None, false
+	job, in := machine.NoJob, false
 	if !s.drains {
 		job, in = s.machine.Arrive(now, serial, key, work, wait, false)
 	}
-	fell := s.machine.Fell()
+	fell := s.machine.Overloaded()
 	done := make(chan bool, 1)
 	if in {
 		s.waits[serial] = done
@@ -262,7 +262,7 @@
 // fall ends a cold one that was sent too much; it comes back after as long as in the emulator.
 func (s *Modelled) fall() {
 	s.mu.Lock()
-	up := s.http != nil && s.machine.Fell()
+	up := s.http != nil && s.machine.Overloaded()
 	s.mu.Unlock()
 	if up {
 		s.Stop()
--- a/internal/livetest/script.go
+++ b/internal/livetest/script.go
@@ -71,11 +71,11 @@
 			part = f.Size
 		}
 		for _, v := range some {
-			v.Change(func(m *machine.Machine, now policy.Time) { m.Slow(now, part) })
+			v.Change(func(m *machine.Machine, now policy.Time) { m.SetFaultSpeed(now, part) })
 		}
 		s.after(f.For, func() {
 			for _, v := range some {
-				v.Change(func(m *machine.Machine, now policy.Time) { m.Slow(now, 1) })
+				v.Change(func(m *machine.Machine, now policy.Time) { m.SetFaultSpeed(now, 1) })
 			}
 		})
 	case emulator.Errors:
@@ -119,7 +119,7 @@
 		return
 	}
 	some[n%len(some)].Change(func(m *machine.Machine, now policy.Time) {
-		m.Pause(now, now+policy.Time(f.Size*float64(policy.Second)))
+		m.PauseUntil(now, now+policy.Time(f.Size*float64(policy.Second)))
 	})
 	s.after(f.Every/policy.Time(len(some))+1, func() { s.pauses(f, some, till, n+1) })
 }
