--- a/internal/emulator/judge/judge.go
+++ b/internal/emulator/judge/judge.go
@@ -54,6 +54,7 @@
 	What    string      `json:"what"`
 }
 
+// String describes the violation in one line.
 func (v Violation) String() string {
 	return fmt.Sprintf("rule %d at %.6fs, ticket %d: %s", v.Rule, float64(v.At)/1e9, v.Request, v.What)
 }
@@ -120,4 +121,5 @@
 // seconds is a span that prints in seconds.
 type seconds policy.Time
 
+// String prints the span in seconds.
 func (s seconds) String() string { return fmt.Sprintf("%.3fs", float64(s)/1e9) }
--- /dev/null
+++ b/internal/emulator/machine/jobs.go
@@ -0,0 +1,108 @@
+package machine
+
+import "pepperlead/policy"
+
+// Arrive takes a job, or rejects it if the queue is full. work is what it takes with no key cached; newConnection
+// adds the work of a handshake. Run must have been called for this time.
+func (m *Machine) Arrive(now policy.Time, owner, key uint64, work, io policy.Time,
+	newConnection bool) (id JobID, accepted bool) {
+	m.advance(now)
+	m.countColdWork(now, work)
+	if m.full() {
+		return NoJob, false
+	}
+	if newConnection {
+		work += m.ConnectWork
+	}
+	m.order++
+	id = m.newJob()
+	m.jobs[id] = job{
+		phase:  waiting,
+		owner:  owner,
+		key:    key,
+		work:   float64(work),
+		io:     io,
+		order:  m.order,
+		behind: NoJob,
+		ahead:  m.queueTail,
+	}
+	if m.queueTail != NoJob {
+		m.jobs[m.queueTail].behind = id
+	} else {
+		m.queueHead = id
+	}
+	m.queueTail = id
+	m.queued++
+	m.admit()
+	return id, true
+}
+
+// full reports whether a job that arrives now is rejected.
+func (m *Machine) full() bool {
+	if m.Workers > 0 {
+		return m.queued >= m.QueueSize && m.inWork() >= m.Workers
+	}
+	return m.Jobs() >= m.QueueSize
+}
+
+func (m *Machine) newJob() JobID {
+	if n := len(m.free); n > 0 {
+		id := m.free[n-1]
+		m.free = m.free[:n-1]
+		return id
+	}
+	m.jobs = append(m.jobs, job{})
+	return JobID(len(m.jobs) - 1)
+}
+
+// CanTake reports whether it can be sent that much more while it is cold without an overload, with a tenth to spare.
+func (m *Machine) CanTake(now, work policy.Time) bool {
+	const spare = 0.9
+	return m.recentWork.add(now, 0)+float64(work) <
+		spare*m.OverloadMultiple*m.Cores*m.Speed*m.Warmth(now)*float64(m.OverloadWindow)
+}
+
+// countColdWork counts work that arrives while the machine is cold, also what is rejected.
+func (m *Machine) countColdWork(now policy.Time, work policy.Time) {
+	if m.OverloadMultiple == 0 || !m.Cold(now) {
+		return
+	}
+	allowed := m.OverloadMultiple * m.Cores * m.Speed * m.Warmth(now) * float64(m.OverloadWindow)
+	if m.recentWork.add(now, float64(work)) > allowed {
+		m.overloaded = true
+	}
+}
+
+// Cancel removes a job, with onlyQueued only one that has not begun, and reports whether it did.
+func (m *Machine) Cancel(now policy.Time, id JobID, onlyQueued bool) bool {
+	m.advance(now)
+	j := &m.jobs[id]
+	switch {
+	case j.phase == waiting:
+		m.removeFromQueue(id)
+	case onlyQueued || j.phase == unused:
+		return false
+	case j.phase == working:
+		m.working.remove(j.heapIndex)
+	default:
+		m.inIO.remove(j.heapIndex)
+	}
+	m.freeJob(id)
+	m.admit()
+	return true
+}
+
+func (m *Machine) removeFromQueue(id JobID) {
+	j := &m.jobs[id]
+	if j.ahead != NoJob {
+		m.jobs[j.ahead].behind = j.behind
+	} else {
+		m.queueHead = j.behind
+	}
+	if j.behind != NoJob {
+		m.jobs[j.behind].ahead = j.ahead
+	} else {
+		m.queueTail = j.ahead
+	}
+	m.queued--
+}
