--- a/internal/emulator/attempt.go
+++ b/internal/emulator/attempt.go
@@ -9,178 +9,178 @@
 
 // What becomes of an attempt: on its way, at the server, on the way back, and what ends it before.
 
-// current gives the try if the push that an event speaks of is the one that is out.
-func (w *World) current(e *event) *try {
+// currentAttempt gives the try if the push that an event speaks of is the one that is out.
+func (w *World) currentAttempt(e *event) *clientTry {
 	t := &w.tries[e.a]
-	if !t.inUse || !t.out || t.pushID != e.c {
+	if !t.inUse || !t.inFlight || t.attemptID != e.c {
 		return nil
 	}
 	return t
 }
 
-// atServer is a push as its last byte reaches the server.
-func (w *World) atServer(e *event) {
-	t := w.current(e)
+// attemptArrived is a push as its last byte reaches the server.
+func (w *World) attemptArrived(e *event) {
+	t := w.currentAttempt(e)
 	if t == nil {
 		return // cut off on its way: it never reaches the server whole
 	}
-	v := t.server
-	if e.b == 1 && !v.dark() && !v.down {
+	v := t.endpoint
+	if e.b == 1 && !v.unreachable() && !v.down {
 		if !v.machine.AcceptsConnection() {
-			w.queue.add(event{at: w.now + w.way(v.zone, t.sidecar.zone), rank: rankEnd, do: (*World).notConnected, a: e.a, c: e.c})
+			w.queue.add(event{at: w.now + w.transit(v.zone, t.instance.zone), rank: rankAttemptEnd, do: (*World).connectFailed, a: e.a, c: e.c})
 			return
 		}
 		v.machine.AddConnections(w.now, 1)
 	}
 	if !t.written {
-		if v.dark() {
+		if v.unreachable() {
 			return // the connection never came up; the time-out finds it
 		}
 		t.written = true
-		w.judge.AttemptWritten(t.of, t.wire)
+		w.judge.AttemptWritten(t.judged, t.judgedAttempt)
 	}
 	switch {
-	case v.dark():
+	case v.unreachable():
 		return // nobody hears it
 	case v.down:
-		w.queue.add(event{at: w.now + w.way(v.zone, t.sidecar.zone), rank: rankEnd, do: (*World).reset, a: e.a, c: e.c})
+		w.queue.add(event{at: w.now + w.transit(v.zone, t.instance.zone), rank: rankAttemptEnd, do: (*World).connectionReset, a: e.a, c: e.c})
 		return
 	}
 	q := &w.requests[t.request]
-	o := &w.sc.Offerings[q.offering]
-	work := policy.Time(float64(o.Work) * q.size)
-	v.touch()
+	o := &w.scenario.Classes[q.class]
+	work := policy.Time(float64(o.Work) * q.workFactor)
+	v.advance()
 	if v.machine.Cold(w.now) && v.traits.OverloadMultiple > 0 {
-		w.judge.ColdWorkArrived(w.day(w.now), t.sidecar.no, v.no, v.started, float64(work), v.traits.Cores*v.traits.Speed*v.machine.Warmth(w.now))
+		w.judge.ColdWorkArrived(w.sinceStart(w.now), t.instance.number, v.number, v.started, float64(work), v.traits.Cores*v.traits.Speed*v.machine.Warmth(w.now))
 	}
-	if v.standing != policy.Ready {
-		w.back(e.a, t, policy.Rejected)
+	if v.status != policy.Ready {
+		w.sendResult(e.a, t, policy.Rejected)
 		return
 	}
-	job, in := v.machine.Arrive(w.now, uint64(e.a)<<32|e.c&math.MaxUint32, q.key, work, policy.Time(float64(o.IO)*q.sizeIO), e.b == 1)
+	job, in := v.machine.Arrive(w.now, uint64(e.a)<<32|e.c&math.MaxUint32, q.key, work, policy.Time(float64(o.IO)*q.ioFactor), e.b == 1)
 	if v.machine.Overloaded() {
-		v.fall()
+		v.overload()
 		return
 	}
 	if !in {
-		w.back(e.a, t, policy.Rejected)
+		w.sendResult(e.a, t, policy.Rejected)
 		return
 	}
-	t.job, t.life2 = job, v.life
-	v.touch()
+	t.job, t.endpointIncarnation = job, v.incarnation
+	v.advance()
 }
 
-// fall is a cold server that was sent too much: it is down, and comes back cold after a while.
-func (s *server) fall() {
+// overload is a cold server that was sent too much: it is down, and comes back cold after a while.
+func (s *endpoint) overload() {
 	s.stop()
-	s.w.noticed(s, policy.Gone, false)
-	s.w.queue.add(event{at: s.w.now + 20*policy.Second, rank: rankWorld, do: (*World).revive, a: int32(s.no), c: uint64(s.life)})
+	s.world.statusChanged(s, policy.Gone, false)
+	s.world.queue.add(event{at: s.world.now + 20*policy.Second, rank: rankWorld, do: (*World).revive, a: int32(s.number), c: uint64(s.incarnation)})
 }
 
 func (w *World) revive(e *event) {
-	if v := w.servers[e.a]; v.down && uint64(v.life) == e.c && v.standing != policy.Gone {
-		v.begin()
-		w.noticed(v, policy.Ready, true)
+	if v := w.endpoints[e.a]; v.down && uint64(v.incarnation) == e.c && v.status != policy.Gone {
+		v.start()
+		w.statusChanged(v, policy.Ready, true)
 	}
 }
 
-// back sends a server's answer on its way.
-func (w *World) back(i int32, t *try, o policy.Outcome) {
-	w.queue.add(event{at: w.now + w.way(t.server.zone, t.sidecar.zone), rank: rankEnd, do: (*World).result, a: i, b: int32(o), c: t.pushID})
+// sendResult sends a server's answer on its way.
+func (w *World) sendResult(i int32, t *clientTry, o policy.Outcome) {
+	w.queue.add(event{at: w.now + w.transit(t.endpoint.zone, t.instance.zone), rank: rankAttemptEnd, do: (*World).resultArrived, a: i, b: int32(o), c: t.attemptID})
 }
 
-// finished is a server's job that is done.
-func (w *World) finished(v *server, d machine.Done) {
+// jobDone is a server's job that is done.
+func (w *World) jobDone(v *endpoint, d machine.Done) {
 	i := int32(d.Owner >> 32)
 	t := &w.tries[i]
 	q := &w.requests[t.request]
-	work := float64(w.sc.Offerings[q.offering].Work)
-	w.work += work
-	if !t.inUse || !t.out || t.pushID&math.MaxUint32 != d.Owner&math.MaxUint32 || t.server != v {
-		w.wasted += work
+	work := float64(w.scenario.Classes[q.class].Work)
+	w.totalWork += work
+	if !t.inUse || !t.inFlight || t.attemptID&math.MaxUint32 != d.Owner&math.MaxUint32 || t.endpoint != v {
+		w.wastedWork += work
 		return
 	}
 	t.job = machine.NoJob
 	o := policy.Succeeded
-	if p := max(v.errors, v.kind.Errors); p > 0 && w.draws.errors.Float64() < p {
+	if p := max(v.errorRate, v.kind.ErrorRate); p > 0 && w.draws.errors.Float64() < p {
 		o = policy.Errored
 	}
-	w.back(i, t, o)
+	w.sendResult(i, t, o)
 }
 
-// result is a server's answer as it comes to the sidecar.
-func (w *World) result(e *event) {
-	if t := w.current(e); t != nil {
-		if t.server.dark() {
+// resultArrived is a server's answer as it comes to the sidecar.
+func (w *World) resultArrived(e *event) {
+	if t := w.currentAttempt(e); t != nil {
+		if t.endpoint.unreachable() {
 			return // lost on the way
 		}
-		t.sidecar.conns[t.server.no] = append(t.sidecar.idle(t.server), w.now)
-		w.queue.add(event{at: w.now + w.sc.Network.IdleFor, rank: rankWorld, do: (*World).idleFor, a: int32(t.sidecar.no), b: int32(t.server.no)})
-		w.end(e.a, t, policy.Outcome(e.b))
+		t.instance.idleConnections[t.endpoint.number] = append(t.instance.idleTo(t.endpoint), w.now)
+		w.queue.add(event{at: w.now + w.scenario.Network.IdleTimeout, rank: rankWorld, do: (*World).idleTimeout, a: int32(t.instance.number), b: int32(t.endpoint.number)})
+		w.endAttempt(e.a, t, policy.Outcome(e.b))
 	}
 }
 
-// reset is a connection that breaks under a push.
-func (w *World) reset(e *event) {
-	if t := w.current(e); t != nil {
+// connectionReset is a connection that breaks under a push.
+func (w *World) connectionReset(e *event) {
+	if t := w.currentAttempt(e); t != nil {
 		if t.written {
-			w.end(e.a, t, policy.ConnectionLost)
+			w.endAttempt(e.a, t, policy.ConnectionLost)
 		} else {
-			w.end(e.a, t, policy.NotConnected)
+			w.endAttempt(e.a, t, policy.NotConnected)
 		}
 	}
 }
 
-func (w *World) notConnected(e *event) {
-	if t := w.current(e); t != nil {
-		w.end(e.a, t, policy.NotConnected)
+func (w *World) connectFailed(e *event) {
+	if t := w.currentAttempt(e); t != nil {
+		w.endAttempt(e.a, t, policy.NotConnected)
 	}
 }
 
-func (w *World) timeOut(e *event) {
-	if t := w.current(e); t != nil {
-		w.callOff(t)
+func (w *World) attemptTimedOut(e *event) {
+	if t := w.currentAttempt(e); t != nil {
+		w.closeAttempt(t)
 		if t.written {
-			w.end(e.a, t, policy.TimedOut)
+			w.endAttempt(e.a, t, policy.TimedOut)
 		} else {
-			w.end(e.a, t, policy.NotConnected)
+			w.endAttempt(e.a, t, policy.NotConnected)
 		}
 	}
 }
 
-func (w *World) calledOff(e *event) {
-	if t := w.current(e); t != nil {
-		w.callOff(t)
-		w.end(e.a, t, policy.Cancelled)
+func (w *World) attemptCancelled(e *event) {
+	if t := w.currentAttempt(e); t != nil {
+		w.closeAttempt(t)
+		w.endAttempt(e.a, t, policy.Cancelled)
 	}
 }
 
-// callOff closes a push's connection: the server drops what it can.
-func (w *World) callOff(t *try) {
-	v := t.server
-	if t.written && !v.dark() && !v.down {
+// closeAttempt closes a push's connection: the server drops what it can.
+func (w *World) closeAttempt(t *clientTry) {
+	v := t.endpoint
+	if t.written && !v.unreachable() && !v.down {
 		v.machine.AddConnections(w.now, -1)
 	}
-	if t.job == machine.NoJob || t.life2 != v.life || v.dark() || v.kind.Cancel == CancelNothing {
+	if t.job == machine.NoJob || t.endpointIncarnation != v.incarnation || v.unreachable() || v.kind.Cancel == CancelNothing {
 		return
 	}
-	v.touch()
+	v.advance()
 	if t.job != machine.NoJob {
 		v.machine.Cancel(w.now, t.job, v.kind.Cancel == CancelWaiting)
 		t.job = machine.NoJob
-		v.touch()
+		v.advance()
 	}
 }
 
-// end tells the decider how a push ended.
-func (w *World) end(i int32, t *try, o policy.Outcome) {
+// endAttempt tells the decider how a push ended.
+func (w *World) endAttempt(i int32, t *clientTry, o policy.Outcome) {
 	never := o == policy.Rejected || o == policy.NotConnected || o == policy.NotSent
-	t.out = false
-	t.server.out--
-	w.judge.AttemptEnded(t.of, t.wire, never)
-	s := t.sidecar
-	n, id := policy.AttemptNo(t.pushes-1), t.server.id
-	over := !t.owed
-	s.decider.AttemptEnded(w.now, t.handle, n, id, o, w.now-t.pushed, over)
-	w.let(i)
+	t.inFlight = false
+	t.endpoint.inFlight--
+	w.judge.AttemptEnded(t.judged, t.judgedAttempt, never)
+	s := t.instance
+	n, id := policy.AttemptNo(t.attempts-1), t.endpoint.id
+	over := !t.clientWaiting
+	s.decider.AttemptEnded(w.now, t.handle, n, id, o, w.now-t.sentAt, over)
+	w.releaseTry(i)
 }
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -12,96 +12,96 @@
 // Clients: when they ask, what for, and whether they try again.
 
 // rateNow is the requests a second that come to a sidecar.
-func (s *sidecar) rateNow() float64 {
-	w := s.w
-	r := w.rate * s.part * w.factor
-	if w.sc.Load.Swing > 0 {
-		r *= 1 + w.sc.Load.Swing*math.Sin(2*math.Pi*float64(w.now-start)/float64(w.sc.Load.Period))
-	}
-	if w.sc.Load.Bursts > 0 {
-		if w.now >= s.gustAt {
-			s.gust, s.gustAt = spread(s.swings, w.sc.Load.Bursts), w.now+policy.Second
+func (s *instance) rateNow() float64 {
+	w := s.world
+	r := w.rate * s.loadShare * w.burstFactor
+	if w.scenario.Load.Swing > 0 {
+		r *= 1 + w.scenario.Load.Swing*math.Sin(2*math.Pi*float64(w.now-dayStart)/float64(w.scenario.Load.Period))
+	}
+	if w.scenario.Load.Bursts > 0 {
+		if w.now >= s.gustUntil {
+			s.gust, s.gustUntil = logNormal(s.gustDraws, w.scenario.Load.Bursts), w.now+policy.Second
 		}
 		r *= s.gust
 	}
 	return r
 }
 
-// nextArrival draws when the next request comes, by thinning: at the highest rate there may be, of which some are left out.
-func (s *sidecar) nextArrival() {
-	w := s.w
-	if w.now >= start+w.sc.Length {
+// planArrival draws when the next request comes, by thinning: at the highest rate there may be, of which some are left out.
+func (s *instance) planArrival() {
+	w := s.world
+	if w.now >= dayStart+w.scenario.Length {
 		return
 	}
-	most := w.rate * s.part * max(1, w.factor) * (1 + w.sc.Load.Swing)
-	if w.sc.Load.Bursts > 0 {
+	most := w.rate * s.loadShare * max(1, w.burstFactor) * (1 + w.scenario.Load.Swing)
+	if w.scenario.Load.Bursts > 0 {
 		most *= 4
 	}
-	gap := s.arrive.ExpFloat64() / max(most, 1e-9)
+	gap := s.arrivalDraws.ExpFloat64() / max(most, 1e-9)
 	if gap > 3600 {
 		gap = 3600
 	}
 	// A burst that begins in between would be seen late where requests are rare; so no gap is drawn beyond a second.
-	keep := int32(1)
+	counts := int32(1)
 	if gap > 1 {
-		gap, keep = 1, 0
+		gap, counts = 1, 0
 	}
-	w.queue.add(event{at: w.now + policy.Time(gap*float64(policy.Second)), rank: rankArrive, do: (*World).arrival, a: int32(s.no),
-		b: keep, c: math.Float64bits(most)})
+	w.queue.add(event{at: w.now + policy.Time(gap*float64(policy.Second)), rank: rankArrive, do: (*World).arrival, a: int32(s.number),
+		b: counts, c: math.Float64bits(most)})
 }
 
 func (w *World) arrival(e *event) {
-	s := w.sidecars[e.a]
+	s := w.instances[e.a]
 	most := math.Float64frombits(e.c)
-	if e.b == 1 && s.arrive.Float64()*most < s.rateNow() && w.now < start+w.sc.Length {
+	if e.b == 1 && s.arrivalDraws.Float64()*most < s.rateNow() && w.now < dayStart+w.scenario.Length {
 		r := w.newRequest()
 		q := &w.requests[r]
-		q.sidecar = e.a
-		q.offering = policy.ClassID(pick(w.cumShare, s.mix.Float64()))
-		q.franchise = policy.NoTenant
-		if len(w.cumFr) > 0 {
-			q.franchise = policy.TenantID(pick(w.cumFr, s.mix.Float64()))
+		q.instance = e.a
+		q.class = policy.ClassID(pickBy(w.classShares, s.classDraws.Float64()))
+		q.tenant = policy.NoTenant
+		if len(w.tenantShares) > 0 {
+			q.tenant = policy.TenantID(pickBy(w.tenantShares, s.classDraws.Float64()))
 		}
-		if s.keys.Float64() >= w.sc.Load.Keyless {
-			q.key = w.keys.draw(s.keys)
+		if s.keyDraws.Float64() >= w.scenario.Load.Keyless {
+			q.key = w.keys.draw(s.keyDraws)
 		}
-		if w.hot > 0 && s.keys.Float64() < w.hot {
+		if w.hotKeyShare > 0 && s.keyDraws.Float64() < w.hotKeyShare {
 			q.key = 1 << 40
 		}
-		w.dress(q, s.sizes)
-		q.cutOff = w.now + w.sc.Offerings[q.offering].Deadline
-		w.ask(r)
+		w.drawSizes(q, s.sizeDraws)
+		q.deadline = w.now + w.scenario.Classes[q.class].Deadline
+		w.beginRequest(r)
 	}
-	s.nextArrival()
+	s.planArrival()
 }
 
-// dress draws what a request costs.
-func (w *World) dress(q *request, r *rand.Rand) {
-	o := &w.sc.Offerings[q.offering]
-	q.size, q.sizeIO = spread(r, o.Spread), spread(r, o.Spread)
+// drawSizes draws what a request costs.
+func (w *World) drawSizes(q *request, r *rand.Rand) {
+	o := &w.scenario.Classes[q.class]
+	q.workFactor, q.ioFactor = logNormal(r, o.Spread), logNormal(r, o.Spread)
 }
 
-// recorded plays a request of a recorded day, and looks for the next.
-func (w *World) recorded(e *event) {
-	a := &w.sc.Arrivals[e.a]
+// recordedArrival plays a request of a recorded day, and looks for the next.
+func (w *World) recordedArrival(e *event) {
+	a := &w.scenario.Arrivals[e.a]
 	r := w.newRequest()
 	q := &w.requests[r]
-	q.sidecar = int32(a.Sidecar % len(w.sidecars))
-	q.offering, q.franchise, q.key, q.repeat = a.Offering, a.Franchise, a.Key, a.Repeat
-	if q.size, q.sizeIO = a.Size, a.SizeIO; a.Size == 0 {
-		w.dress(q, w.sidecars[q.sidecar].sizes)
+	q.instance = int32(a.Instance % len(w.instances))
+	q.class, q.tenant, q.key, q.markedRetry = a.Class, a.Tenant, a.Key, a.Retry
+	if q.workFactor, q.ioFactor = a.WorkFactor, a.IOFactor; a.WorkFactor == 0 {
+		w.drawSizes(q, w.instances[q.instance].sizeDraws)
 	}
-	q.cutOff = w.now + a.Left
-	w.ask(r)
-	if next := int(e.a) + 1; next < len(w.sc.Arrivals) {
-		w.queue.add(event{at: max(w.now, start+w.sc.Arrivals[next].At), rank: rankArrive, do: (*World).recorded, a: int32(next)})
+	q.deadline = w.now + a.TimeLeft
+	w.beginRequest(r)
+	if next := int(e.a) + 1; next < len(w.scenario.Arrivals) {
+		w.queue.add(event{at: max(w.now, dayStart+w.scenario.Arrivals[next].At), rank: rankArrive, do: (*World).recordedArrival, a: int32(next)})
 	}
 }
 
 func (w *World) newRequest() int32 {
-	if n := len(w.freeReq); n > 0 {
-		r := w.freeReq[n-1]
-		w.freeReq = w.freeReq[:n-1]
+	if n := len(w.freeRequests); n > 0 {
+		r := w.freeRequests[n-1]
+		w.freeRequests = w.freeRequests[:n-1]
 		w.requests[r] = request{inUse: true, at: w.now}
 		return r
 	}
@@ -109,37 +109,37 @@
 	return int32(len(w.requests) - 1)
 }
 
-// ask has the judge know of a new request and sends its first try.
-func (w *World) ask(r int32) {
+// beginRequest has the judge know of a new request and sends its first try.
+func (w *World) beginRequest(r int32) {
 	q := &w.requests[r]
-	if w.planned != nil {
-		*w.planned = append(*w.planned, Arrival{At: w.day(w.now), Sidecar: int(q.sidecar), Offering: q.offering, Franchise: q.franchise,
-			Key: q.key, Left: q.cutOff - w.now, Size: q.size, SizeIO: q.sizeIO})
+	if w.plan != nil {
+		*w.plan = append(*w.plan, Arrival{At: w.sinceStart(w.now), Instance: int(q.instance), Class: q.class, Tenant: q.tenant,
+			Key: q.key, TimeLeft: q.deadline - w.now, WorkFactor: q.workFactor, IOFactor: q.ioFactor})
 		q.inUse = false
-		w.freeReq = append(w.freeReq, r)
+		w.freeRequests = append(w.freeRequests, r)
 		return
 	}
-	q.of = w.judge.ClientRequestBegun(w.day(w.now), q.offering, q.franchise, w.credit.Of(w.now, q.offering, q.franchise))
-	w.send(r)
+	q.judged = w.judge.ClientRequestBegun(w.sinceStart(w.now), q.class, q.tenant, w.values.Value(w.now, q.class, q.tenant))
+	w.sendTry(r)
 }
 
-// send sends a try to the request's sidecar.
-func (w *World) send(r int32) {
+// sendTry sends a try to the request's sidecar.
+func (w *World) sendTry(r int32) {
 	q := &w.requests[r]
 	q.tries++
-	w.queue.add(event{at: w.now + w.sc.Network.Client, rank: rankArrive, do: (*World).reaches, a: r})
+	w.queue.add(event{at: w.now + w.scenario.Network.Client, rank: rankArrive, do: (*World).tryArrived, a: r})
 }
 
-// reaches is a try as it comes whole to its sidecar.
-func (w *World) reaches(e *event) {
+// tryArrived is a try as it comes whole to its sidecar.
+func (w *World) tryArrived(e *event) {
 	q := &w.requests[e.a]
-	s := w.sidecars[q.sidecar]
-	if w.now >= q.cutOff {
-		w.over(e.a) // on its way its client has ceased to wait: nobody owes it anything
+	s := w.instances[q.instance]
+	if w.now >= q.deadline {
+		w.endRequest(e.a) // on its way its client has ceased to wait: nobody owes it anything
 		return
 	}
 	if !s.alive {
-		w.again(e.a, true, 0)
+		w.retryLater(e.a, true, 0)
 		return
 	}
 	var i int32
@@ -147,88 +147,88 @@
 		i = w.freeTry[n-1]
 		w.freeTry = w.freeTry[:n-1]
 	} else {
-		w.tries = append(w.tries, try{})
+		w.tries = append(w.tries, clientTry{})
 		i = int32(len(w.tries) - 1)
 	}
-	id := w.tries[i].pushID
-	w.tries[i] = try{inUse: true, owed: true, request: e.a, sidecar: s, life: s.life, cutOff: q.cutOff, from: w.now, pushID: id,
+	id := w.tries[i].attemptID
+	w.tries[i] = clientTry{inUse: true, clientWaiting: true, request: e.a, instance: s, instanceIncarnation: s.incarnation, deadline: q.deadline, arrivedAt: w.now, attemptID: id,
 		job: machine.NoJob}
 	t := &w.tries[i]
-	t.of = w.judge.RequestAccepted(w.day(w.now), q.of, s.no, q.offering, w.day(q.cutOff))
-	w.queue.add(event{at: q.cutOff, rank: rankCutOff, do: (*World).cutOff, a: i})
-	w.judge.SetKey(t.of, q.key)
+	t.judged = w.judge.RequestAccepted(w.sinceStart(w.now), q.judged, s.number, q.class, w.sinceStart(q.deadline))
+	w.queue.add(event{at: q.deadline, rank: rankDeadline, do: (*World).deadlinePassed, a: i})
+	w.judge.SetKey(t.judged, q.key)
 	key := ""
 	if q.key != 0 {
 		key = keyText(q.key)
 	}
-	repeat := w.sc.Clients.Marks && q.tries > 1 || q.repeat
-	t.handle = s.decider.Admit(w.now, q.offering, q.franchise, key, repeat, q.cutOff-w.now)
-	for len(s.tries) <= t.handle.Place() {
-		s.tries = append(s.tries, -1)
+	repeat := w.scenario.Clients.MarkRetries && q.tries > 1 || q.markedRetry
+	t.handle = s.decider.Admit(w.now, q.class, q.tenant, key, repeat, q.deadline-w.now)
+	for len(s.requestPlaces) <= t.handle.Place() {
+		s.requestPlaces = append(s.requestPlaces, -1)
 	}
-	s.tries[t.handle.Place()] = i
+	s.requestPlaces[t.handle.Place()] = i
 	s.decider.Begin(w.now, t.handle)
 }
 
 func keyText(key uint64) string { return "k" + strconv.FormatUint(key, 36) }
 
-func keyOf(text string) uint64 {
+func parseKey(text string) uint64 {
 	n, _ := strconv.ParseUint(text[1:], 36, 64)
 	return n
 }
 
-// cutOff is when a client stops waiting.
-func (w *World) cutOff(e *event) {
+// deadlinePassed is when a client stops waiting.
+func (w *World) deadlinePassed(e *event) {
 	t := &w.tries[e.a]
 	r := t.request
-	w.judge.DeadlinePassed(w.day(w.now), t.of, w.requests[r].of)
-	t.passed = true
-	if t.owed {
-		t.owed = false
-		if t.sidecar.alive && t.sidecar.life == t.life {
-			t.sidecar.decider.ClientLeft(w.now, t.handle)
+	w.judge.DeadlinePassed(w.sinceStart(w.now), t.judged, w.requests[r].judged)
+	t.deadlinePassed = true
+	if t.clientWaiting {
+		t.clientWaiting = false
+		if t.instance.alive && t.instance.incarnation == t.instanceIncarnation {
+			t.instance.decider.ClientLeft(w.now, t.handle)
 		}
-		w.over(r)
+		w.endRequest(r)
 	}
-	w.let(e.a)
+	w.releaseTry(e.a)
 }
 
-// let gives a try back once nothing can come for it.
-func (w *World) let(i int32) {
+// releaseTry gives a try back once nothing can come for it.
+func (w *World) releaseTry(i int32) {
 	t := &w.tries[i]
-	if t.inUse && t.passed && !t.out && !t.owed {
+	if t.inUse && t.deadlinePassed && !t.inFlight && !t.clientWaiting {
 		t.inUse = false
 		w.freeTry = append(w.freeTry, i)
 	}
 }
 
-// over ends a request for its client.
-func (w *World) over(r int32) {
+// endRequest ends a request for its client.
+func (w *World) endRequest(r int32) {
 	q := &w.requests[r]
 	if q.inUse {
 		q.inUse = false
-		w.judge.ClientRequestEnded(q.of)
-		w.freeReq = append(w.freeReq, r)
+		w.judge.ClientRequestEnded(q.judged)
+		w.freeRequests = append(w.freeRequests, r)
 	}
 }
 
-// again has a client try once more, if it does: after what it was told, or after a pause that doubles, spread by half.
-func (w *World) again(r int32, harmless bool, advice policy.Time) {
+// retryLater has a client try once more, if it does: after what it was told, or after a pause that doubles, spread by half.
+func (w *World) retryLater(r int32, harmless bool, advice policy.Time) {
 	q := &w.requests[r]
-	o := &w.sc.Offerings[q.offering]
-	if q.tries > w.sc.Clients.Retries || !harmless && o.Idempotency == policy.NonIdempotent {
-		w.over(r)
+	o := &w.scenario.Classes[q.class]
+	if q.tries > w.scenario.Clients.Retries || !harmless && o.Idempotency == policy.NonIdempotent {
+		w.endRequest(r)
 		return
 	}
-	pause := policy.Time(float64(w.sc.Clients.Backoff<<(q.tries-1)) * (0.5 + w.draws.retries.Float64()))
-	if w.draws.retries.Float64() < w.sc.Clients.Heed {
+	pause := policy.Time(float64(w.scenario.Clients.Backoff<<(q.tries-1)) * (0.5 + w.draws.retries.Float64()))
+	if w.draws.retries.Float64() < w.scenario.Clients.HonourRetryAfter {
 		pause = max(pause, advice)
 	}
-	if w.now+pause >= q.cutOff {
-		w.over(r)
+	if w.now+pause >= q.deadline {
+		w.endRequest(r)
 		return
 	}
 	w.queue.add(event{at: w.now + pause, rank: rankArrive, do: (*World).retry, a: r})
 }
 
-func (w *World) retry(e *event) { w.send(e.a) }
+func (w *World) retry(e *event) { w.sendTry(e.a) }
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -4,103 +4,103 @@
 	"pepperlead/policy"
 )
 
-func (w *World) member(v *server) policy.Member {
-	return policy.Member{ID: v.id, Weight: v.weight, Cell: v.cell, Zone: v.zone, Status: v.standing, Started: v.started}
+func (w *World) member(v *endpoint) policy.Member {
+	return policy.Member{ID: v.id, Weight: v.weight, Cell: v.cell, Zone: v.zone, Status: v.status, Started: v.started}
 }
 
-// noticed has discovery learn how a server now stands: from itself, or by its silence.
-func (w *World) noticed(v *server, standing policy.EndpointStatus, own bool) {
-	d := w.sc.Discovery.Silent
+// statusChanged has discovery learn how a server now stands: from itself, or by its silence.
+func (w *World) statusChanged(v *endpoint, standing policy.EndpointStatus, own bool) {
+	d := w.scenario.Discovery.DetectDelay
 	if own {
-		d = w.sc.Discovery.Delay
+		d = w.scenario.Discovery.AnnounceDelay
 	}
-	r := stream(w.seed, "notice", int(v.no)*1000+v.life)
+	r := stream(w.seed, "notice", int(v.number)*1000+v.incarnation)
 	at := w.now + d[0] + policy.Time(r.Float64()*float64(d[1]-d[0]))
-	w.queue.add(event{at: at, rank: rankWorld, do: (*World).learned, a: int32(v.no), b: int32(standing), c: uint64(v.life)})
+	w.queue.add(event{at: at, rank: rankWorld, do: (*World).discoveryLearned, a: int32(v.number), b: int32(standing), c: uint64(v.incarnation)})
 }
 
-// learned is discovery as it knows of a change; what has changed again meanwhile is not said any more.
-func (w *World) learned(e *event) {
-	v := w.servers[e.a]
+// discoveryLearned is discovery as it knows of a change; what has changed again meanwhile is not said any more.
+func (w *World) discoveryLearned(e *event) {
+	v := w.endpoints[e.a]
 	standing := policy.EndpointStatus(e.b)
-	if uint64(v.life) != e.c || v.known == standing && v.knownStart == v.started {
+	if uint64(v.incarnation) != e.c || v.knownStatus == standing && v.knownStart == v.started {
 		return
 	}
-	if standing == policy.Gone && v.standing != policy.Gone && !v.dark() && !v.down {
+	if standing == policy.Gone && v.status != policy.Gone && !v.unreachable() && !v.down {
 		return // it came back before it was missed
 	}
-	v.known, v.knownStart = standing, v.started
+	v.knownStatus, v.knownStart = standing, v.started
 	w.version++
-	v.knownAt = w.version
-	for _, s := range w.sidecars {
-		w.queue.add(event{at: w.hears(s), rank: rankWorld, do: (*World).tellOne, a: int32(s.no), b: e.a, c: uint64(v.knownAt)})
+	v.knownVersion = w.version
+	for _, s := range w.instances {
+		w.queue.add(event{at: w.nextNotification(s), rank: rankWorld, do: (*World).changeArrived, a: int32(s.number), b: e.a, c: uint64(v.knownVersion)})
 	}
 }
 
-// hears is when a sidecar next hears what discovery knows by now: lists go out in steps, to each sidecar at its own moment.
-func (w *World) hears(s *sidecar) policy.Time {
-	at := w.now + w.sc.Network.Near
-	if step := w.sc.Discovery.Step; step > 0 {
-		phase := policy.Time(uint64(step) * uint64(s.no) / uint64(len(w.sidecars)))
+// nextNotification is when a sidecar next hears what discovery knows by now: lists go out in steps, to each sidecar at its own moment.
+func (w *World) nextNotification(s *instance) policy.Time {
+	at := w.now + w.scenario.Network.Near
+	if step := w.scenario.Discovery.Interval; step > 0 {
+		phase := policy.Time(uint64(step) * uint64(s.number) / uint64(len(w.instances)))
 		at = w.now + step - (w.now+phase)%step
 	}
 	return at
 }
 
-// tellOne is a change as it comes to a sidecar.
-func (w *World) tellOne(e *event) {
-	s, v := w.sidecars[e.a], w.servers[e.b]
-	if w.now < w.behind {
-		w.queue.add(event{at: w.behind, rank: rankWorld, do: (*World).tellOne, a: e.a, b: e.b, c: e.c})
+// changeArrived is a change as it comes to a sidecar.
+func (w *World) changeArrived(e *event) {
+	s, v := w.instances[e.a], w.endpoints[e.b]
+	if w.now < w.listsDelayedUntil {
+		w.queue.add(event{at: w.listsDelayedUntil, rank: rankWorld, do: (*World).changeArrived, a: e.a, b: e.b, c: e.c})
 		return
 	}
-	if !s.alive || !s.follows || uint64(v.knownAt) != e.c || s.version >= v.knownAt && s.list[v] == (view{v.known, v.knownStart}) {
+	if !s.alive || !s.following || uint64(v.knownVersion) != e.c || s.version >= v.knownVersion && s.list[v] == (notifiedStatus{v.knownStatus, v.knownStart}) {
 		return // a later change of the same server is on its way
 	}
-	s.tell(policy.ListChanges, []*server{v})
+	s.notify(policy.ListChanges, []*endpoint{v})
 }
 
-// tell hands a sidecar what discovery knows of servers.
-func (s *sidecar) tell(kind policy.ListKind, of []*server) {
-	w := s.w
+// notify hands a sidecar what discovery knows of servers.
+func (s *instance) notify(kind policy.ListKind, of []*endpoint) {
+	w := s.world
 	w.members = w.members[:0]
 	for _, v := range of {
-		if v.known == policy.Gone && kind == policy.ListFull {
-			if is, had := s.list[v]; had && is.standing != policy.Gone {
-				s.list[v] = view{policy.Gone, v.knownStart}
-				w.judge.EndpointNotified(w.day(w.now), s.no, v.no, policy.Gone, v.knownStart)
+		if v.knownStatus == policy.Gone && kind == policy.ListFull {
+			if is, had := s.list[v]; had && is.status != policy.Gone {
+				s.list[v] = notifiedStatus{policy.Gone, v.knownStart}
+				w.judge.EndpointNotified(w.sinceStart(w.now), s.number, v.number, policy.Gone, v.knownStart)
 			}
 			continue
 		}
 		m := w.member(v)
-		m.Status, m.Started = v.known, v.knownStart
+		m.Status, m.Started = v.knownStatus, v.knownStart
 		w.members = append(w.members, m)
-		s.list[v] = view{v.known, v.knownStart}
-		w.judge.EndpointNotified(w.day(w.now), s.no, v.no, v.known, v.knownStart)
+		s.list[v] = notifiedStatus{v.knownStatus, v.knownStart}
+		w.judge.EndpointNotified(w.sinceStart(w.now), s.number, v.number, v.knownStatus, v.knownStart)
 	}
 	s.version = w.version
 	s.decider.UpdateEndpoints(w.now, kind, w.members)
 }
 
-// catchUp sends a sidecar the whole list after a while.
-func (w *World) catchUp(s *sidecar) {
-	if s.asking {
+// requestList sends a sidecar the whole list after a while.
+func (w *World) requestList(s *instance) {
+	if s.pollPending {
 		return
 	}
-	s.asking = true
-	d := w.sc.Discovery.Delay[0]
-	w.queue.add(event{at: w.now + d, rank: rankWorld, do: (*World).tellAll, a: int32(s.no), b: int32(s.life)})
+	s.pollPending = true
+	d := w.scenario.Discovery.AnnounceDelay[0]
+	w.queue.add(event{at: w.now + d, rank: rankWorld, do: (*World).listArrived, a: int32(s.number), b: int32(s.incarnation)})
 }
 
-func (w *World) tellAll(e *event) {
-	s := w.sidecars[e.a]
-	if !s.alive || s.life != int(e.b) {
+func (w *World) listArrived(e *event) {
+	s := w.instances[e.a]
+	if !s.alive || s.incarnation != int(e.b) {
 		return
 	}
-	if w.now < w.behind {
-		w.queue.add(event{at: w.behind, rank: rankWorld, do: (*World).tellAll, a: e.a, b: e.b})
+	if w.now < w.listsDelayedUntil {
+		w.queue.add(event{at: w.listsDelayedUntil, rank: rankWorld, do: (*World).listArrived, a: e.a, b: e.b})
 		return
 	}
-	s.asking, s.follows = false, true
-	s.tell(policy.ListFull, w.servers)
+	s.pollPending, s.following = false, true
+	s.notify(policy.ListFull, w.endpoints)
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -102,7 +102,7 @@
 	// One server, no jitter: 1 ms there, 10 ms of work, 1 ms back; the push may take as long.
 	sc := read(t, "name = \"x\"\nlength = \"1s\"\n[fleet]\nservers = 1\nsidecars = 1\n[[kind]]\nname = \"k\"\ncores = 1000\n[load]\nrate = 1.0\n"+
 		"[network]\nnear = \"1ms\"\nhandshakes = 0\nclient = \"0s\"\n[[offering]]\nname = \"o\"\nquoted_time = \"27ms\"\ncut_off = \"27ms\"\nwork = \"10ms\"\n")
-	sc.Arrivals = []emulator.Arrival{{At: policy.Second / 2, Franchise: policy.NoTenant, Left: 27 * policy.Millisecond, Size: 1, SizeIO: 1}}
+	sc.Arrivals = []emulator.Arrival{{At: policy.Second / 2, Tenant: policy.NoTenant, TimeLeft: 27 * policy.Millisecond, WorkFactor: 1, IOFactor: 1}}
 	var ended []policy.Outcome
 	maker := func(front policy.Front, _ *policy.Settings, _ uint64, _ policy.Time, _ emulator.View) emulator.Decider {
 		return &script{front: front, wait: 12 * policy.Millisecond, ended: &ended}
@@ -192,7 +192,7 @@
 	f.Add([]byte(overlay + "[[fault]]\nkind = \"rolling\"\nat = \"1s\"\nevery = \"1s\"\nfor = \"1s\""))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		sc, err := emulator.Read("x.toml", b, load)
-		if err != nil || sc.Servers > 50 || sc.Sidecars > 50 || sc.Load.Keys > 10000 || sc.Load.Rate > 1000 || sc.Length > policy.Second*120 {
+		if err != nil || sc.Endpoints > 50 || sc.Instances > 50 || sc.Load.Keys > 10000 || sc.Load.Rate > 1000 || sc.Length > policy.Second*120 {
 			return
 		}
 		sc.Length = policy.Second
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -10,21 +10,21 @@
 // fault is one of the script's as it is played.
 type fault struct {
 	Fault
-	servers  []*server
-	sidecars []*sidecar
-	next     int // rolling, pauses
+	endpoints []*endpoint
+	instances []*instance
+	next      int // rolling, pauses
 }
 
-// scriptFaults plans the script.
-func (w *World) scriptFaults() {
-	for i := range w.sc.Faults {
-		w.queue.add(event{at: start + w.sc.Faults[i].At, rank: rankWorld, do: (*World).faultBegins, a: int32(i)})
-		w.faults = append(w.faults, fault{Fault: w.sc.Faults[i]})
+// planFaults plans the script.
+func (w *World) planFaults() {
+	for i := range w.scenario.Faults {
+		w.queue.add(event{at: dayStart + w.scenario.Faults[i].At, rank: rankWorld, do: (*World).faultBegins, a: int32(i)})
+		w.faults = append(w.faults, fault{Fault: w.scenario.Faults[i]})
 	}
 }
 
-// choose picks those that a fault meets: named ones, those of a pod or zone, and of these a part or a count, by the seed.
-func choose[T any](f *Fault, r *rand.Rand, all []T, meets func(T) bool) []T {
+// chooseAffected picks those that a fault meets: named ones, those of a pod or zone, and of these a part or a count, by the seed.
+func chooseAffected[T any](f *Fault, r *rand.Rand, all []T, meets func(T) bool) []T {
 	var some []T
 	for _, one := range all {
 		if meets(one) {
@@ -32,23 +32,23 @@
 		}
 	}
 	r.Shuffle(len(some), func(i, j int) { some[i], some[j] = some[j], some[i] })
-	return some[:f.Meets(len(some))]
+	return some[:f.Affected(len(some))]
 }
 
-// Meets is how many of so many a fault meets.
-func (f *Fault) Meets(n int) int {
+// Affected is how many of so many a fault meets.
+func (f *Fault) Affected(n int) int {
 	switch {
 	case f.Count > 0:
 		return min(n, f.Count)
-	case f.Part > 0:
-		return min(n, max(1, int(f.Part*float64(n)+0.5)))
+	case f.Share > 0:
+		return min(n, max(1, int(f.Share*float64(n)+0.5)))
 	}
 	return n
 }
 
-func (f *fault) meets(v *server) bool {
-	return v.standing == policy.Ready && !v.down && (f.Zone == "" || f.Zone == v.zone) && (f.Pod < 0 || f.Pod == int(v.cell)) &&
-		(len(f.Server) == 0 || slices.Contains(f.Server, int(v.no)))
+func (f *fault) affects(v *endpoint) bool {
+	return v.status == policy.Ready && !v.down && (f.Zone == "" || f.Zone == v.zone) && (f.Pod < 0 || f.Pod == int(v.cell)) &&
+		(len(f.Endpoints) == 0 || slices.Contains(f.Endpoints, int(v.number)))
 }
 
 func (w *World) faultBegins(e *event) {
@@ -56,88 +56,88 @@
 	r := stream(w.seed, "fault", int(e.a))
 	switch f.Kind {
 	case ZoneLost:
-		for _, v := range w.servers {
-			if v.zone == f.Zone && v.standing != policy.Gone {
-				f.servers = append(f.servers, v)
+		for _, v := range w.endpoints {
+			if v.zone == f.Zone && v.status != policy.Gone {
+				f.endpoints = append(f.endpoints, v)
 			}
 		}
-		for _, s := range w.sidecars {
-			if f.Sidecars && s.zone == f.Zone && s.alive {
-				f.sidecars = append(f.sidecars, s)
+		for _, s := range w.instances {
+			if f.IncludeInstances && s.zone == f.Zone && s.alive {
+				f.instances = append(f.instances, s)
 			}
 		}
 	case SidecarRestart:
-		f.sidecars = choose(&f.Fault, r, w.sidecars, func(s *sidecar) bool {
+		f.instances = chooseAffected(&f.Fault, r, w.instances, func(s *instance) bool {
 			return s.alive && (f.Zone == "" || f.Zone == s.zone)
 		})
 	case Grow, ListBehind, Burst, HotKey:
 	case AllSlow:
-		f.servers = slices.Clone(w.servers)
+		f.endpoints = slices.Clone(w.endpoints)
 	default:
-		f.servers = choose(&f.Fault, r, w.servers, f.meets)
+		f.endpoints = chooseAffected(&f.Fault, r, w.endpoints, f.affects)
 	}
 	if f.Kind == Rolling {
-		slices.SortFunc(f.servers, func(a, b *server) int { return int(a.no - b.no) })
+		slices.SortFunc(f.endpoints, func(a, b *endpoint) int { return int(a.number - b.number) })
 	}
-	for _, s := range f.sidecars {
+	for _, s := range f.instances {
 		s.stop()
 	}
 	switch f.Kind {
 	case ZoneLost:
-		w.darkZone[f.Zone]++
-		for _, v := range f.servers {
-			v.goesSilent(f.Cold)
+		w.lostZones[f.Zone]++
+		for _, v := range f.endpoints {
+			v.becomeUnreachable(f.Cold)
 		}
 	case Silent:
-		for _, v := range f.servers {
-			v.silent++
-			v.goesSilent(f.Cold)
+		for _, v := range f.endpoints {
+			v.silentFaults++
+			v.becomeUnreachable(f.Cold)
 		}
 	case Crash:
-		for _, v := range f.servers {
+		for _, v := range f.endpoints {
 			v.stop()
-			w.noticed(v, policy.Gone, true)
+			w.statusChanged(v, policy.Gone, true)
 		}
 	case Slow, AllSlow:
-		for _, v := range f.servers {
-			v.slow = append(v.slow, f.Size)
-			v.speed()
+		for _, v := range f.endpoints {
+			v.slowFactors = append(v.slowFactors, f.Size)
+			v.applySlowFactors()
 		}
 	case Errors:
-		for _, v := range f.servers {
-			v.errors = f.Size
+		for _, v := range f.endpoints {
+			v.errorRate = f.Size
 		}
 	case Pauses:
 		w.queue.add(event{at: w.now, rank: rankWorld, do: (*World).pause, a: e.a})
 	case PodThrottled:
-		for _, v := range f.servers {
-			if p := v.pod; p.part == 1 {
+		for _, v := range f.endpoints {
+			if p := v.pod; p.limitFactor == 1 {
 				if p.limit == 0 {
-					for _, one := range p.servers {
+					for _, one := range p.endpoints {
 						p.limit += one.traits.Cores
 					}
 				}
-				p.part = f.Size
-				v.touch()
+				p.limitFactor = f.Size
+				v.advance()
 			}
 		}
 	case ListBehind:
-		w.behind = max(w.behind, w.now+f.For)
+		w.listsDelayedUntil = max(w.listsDelayedUntil, w.now+f.Duration)
 	case Burst:
-		w.factor *= f.Size
+		w.burstFactor *= f.Size
 	case HotKey:
-		w.hot = f.Size
+		w.hotKeyShare = f.Size
 	case Shrink, Rolling:
 		w.queue.add(event{at: w.now, rank: rankWorld, do: (*World).drainNext, a: e.a})
 	case Grow:
 		for range f.Count {
-			v := w.newServer(&w.sc.Kinds[len(w.servers)%len(w.sc.Kinds)], w.now)
-			v.known = policy.Gone // not heard of yet
-			w.noticed(v, policy.Ready, true)
+			v := w.newEndpoint(&w.scenario.Kinds[len(w.endpoints)%len(w.scenario.Kinds)], w.now)
+			v.knownStatus = policy.Gone // not heard of yet
+			w.statusChanged(v, policy.Ready, true)
 		}
 	}
-	if f.For > 0 && f.Kind != Shrink && f.Kind != Rolling && f.Kind != Grow {
-		w.queue.add(event{at: w.now + f.For, rank: rankWorld, do: (*World).faultEnds, a: e.a})
+	if f.Duration > 0 && f.Kind != Shrink && f.Kind != Rolling && f.Kind != Grow {
+		w.queue.add(event{at: w.now + f.Duration, rank: rankWorld, do: (*World).faultEnds, a: e.a})
 	}
 }
 
@@ -145,122 +145,122 @@
 	f := &w.faults[e.a]
 	switch f.Kind {
 	case ZoneLost:
-		w.darkZone[f.Zone]--
-		for _, v := range f.servers {
-			v.comesBack()
+		w.lostZones[f.Zone]--
+		for _, v := range f.endpoints {
+			v.becomeReachable()
 		}
 	case Silent:
-		for _, v := range f.servers {
-			v.silent--
-			v.comesBack()
+		for _, v := range f.endpoints {
+			v.silentFaults--
+			v.becomeReachable()
 		}
 	case Crash:
-		for _, v := range f.servers {
+		for _, v := range f.endpoints {
 			if v.down {
-				v.begin()
-				w.noticed(v, policy.Ready, true)
+				v.start()
+				w.statusChanged(v, policy.Ready, true)
 			}
 		}
 	case Slow, AllSlow:
-		for _, v := range f.servers {
-			if i := slices.Index(v.slow, f.Size); i >= 0 {
-				v.slow = slices.Delete(v.slow, i, i+1)
+		for _, v := range f.endpoints {
+			if i := slices.Index(v.slowFactors, f.Size); i >= 0 {
+				v.slowFactors = slices.Delete(v.slowFactors, i, i+1)
 			}
-			v.speed()
+			v.applySlowFactors()
 		}
 	case Errors:
-		for _, v := range f.servers {
-			v.errors = 0
+		for _, v := range f.endpoints {
+			v.errorRate = 0
 		}
 	case PodThrottled:
-		for _, v := range f.servers {
-			v.pod.part = 1
-			v.touch()
+		for _, v := range f.endpoints {
+			v.pod.limitFactor = 1
+			v.advance()
 		}
 	case Burst:
-		w.factor /= f.Size
+		w.burstFactor /= f.Size
 	case HotKey:
-		w.hot = 0
+		w.hotKeyShare = 0
 	}
-	for _, s := range f.sidecars {
+	for _, s := range f.instances {
 		s.start(policy.ListSaved)
 	}
 }
 
-// goesSilent is a machine that is cut off. dies: what is in it is lost, though nobody is told.
-func (s *server) goesSilent(dies bool) {
+// becomeUnreachable is a machine that is cut off. dies: what is in it is lost, though nobody is told.
+func (s *endpoint) becomeUnreachable(dies bool) {
 	if dies {
 		s.stop()
 		s.lost = true
 	}
-	s.w.noticed(s, policy.Gone, false)
+	s.world.statusChanged(s, policy.Gone, false)
 }
 
-func (s *server) comesBack() {
-	if s.dark() || s.standing == policy.Gone {
+func (s *endpoint) becomeReachable() {
+	if s.unreachable() || s.status == policy.Gone {
 		return // by another fault still
 	}
 	if s.lost {
 		s.lost = false
-		s.begin()
+		s.start()
 	}
 	// What was written to it on connections of before is answered by a reset, now that it can be heard.
-	w := s.w
+	w := s.world
 	for i := range w.tries {
-		if t := &w.tries[i]; t.inUse && t.out && t.server == s && t.job == -1 && t.written {
-			w.queue.add(event{at: w.now + w.way(s.zone, t.sidecar.zone), rank: rankEnd, do: (*World).reset, a: int32(i), c: t.pushID})
+		if t := &w.tries[i]; t.inUse && t.inFlight && t.endpoint == s && t.job == -1 && t.written {
+			w.queue.add(event{at: w.now + w.transit(s.zone, t.instance.zone), rank: rankAttemptEnd, do: (*World).connectionReset, a: int32(i), c: t.attemptID})
 		}
 	}
-	w.noticed(s, policy.Ready, true)
+	w.statusChanged(s, policy.Ready, true)
 }
 
 // pause stops the servers that a fault meets, again and again, each at its own moment.
 func (w *World) pause(e *event) {
 	f := &w.faults[e.a]
-	if w.now >= start+f.At+f.For || len(f.servers) == 0 {
+	if w.now >= dayStart+f.At+f.Duration || len(f.endpoints) == 0 {
 		return
 	}
-	v := f.servers[f.next%len(f.servers)]
+	v := f.endpoints[f.next%len(f.endpoints)]
 	f.next++
-	v.touch()
+	v.advance()
 	v.machine.PauseUntil(w.now, w.now+policy.Time(f.Size*float64(policy.Second)))
-	v.nextAt = 0
-	v.touch()
-	w.queue.add(event{at: w.now + f.Every/policy.Time(len(f.servers)) + 1, rank: rankWorld, do: (*World).pause, a: e.a})
+	v.plannedAt = 0
+	v.advance()
+	w.queue.add(event{at: w.now + f.Every/policy.Time(len(f.endpoints)) + 1, rank: rankWorld, do: (*World).pause, a: e.a})
 }
 
 // drainNext drains the next server of a deployment, or all of a shrinking fleet.
 func (w *World) drainNext(e *event) {
 	f := &w.faults[e.a]
-	if f.next >= len(f.servers) {
+	if f.next >= len(f.endpoints) {
 		return
 	}
-	v := f.servers[f.next]
+	v := f.endpoints[f.next]
 	f.next++
-	if !v.down && v.standing == policy.Ready {
-		v.standing = policy.Draining
-		w.noticed(v, policy.Draining, true)
-		after := f.For
+	if !v.down && v.status == policy.Ready {
+		v.status = policy.Draining
+		w.statusChanged(v, policy.Draining, true)
+		after := f.Duration
 		if after == 0 {
 			after = 10 * policy.Second
 		}
-		w.queue.add(event{at: w.now + after, rank: rankWorld, do: (*World).drained, a: e.a, b: int32(v.no), c: uint64(v.life)})
+		w.queue.add(event{at: w.now + after, rank: rankWorld, do: (*World).drained, a: e.a, b: int32(v.number), c: uint64(v.incarnation)})
 	}
 	w.queue.add(event{at: w.now + f.Every, rank: rankWorld, do: (*World).drainNext, a: e.a})
 }
 
 // drained ends a server that has had its time to finish: for good, or to start anew.
 func (w *World) drained(e *event) {
-	f, v := &w.faults[e.a], w.servers[e.b]
-	if uint64(v.life) != e.c || v.down {
+	f, v := &w.faults[e.a], w.endpoints[e.b]
+	if uint64(v.incarnation) != e.c || v.down {
 		return
 	}
 	v.stop()
 	if f.Kind == Shrink {
-		v.standing = policy.Gone
-		w.noticed(v, policy.Gone, true)
+		v.status = policy.Gone
+		w.statusChanged(v, policy.Gone, true)
 		return
 	}
-	v.begin()
-	w.noticed(v, policy.Ready, true)
+	v.start()
+	w.statusChanged(v, policy.Ready, true)
 }
--- a/internal/emulator/keys.go
+++ b/internal/emulator/keys.go
@@ -6,22 +6,22 @@
 )
 
 // zipf draws keys by popularity: key k with a weight of 1/k^s.
-type zipf struct{ cum []float64 }
+type zipf struct{ cumulative []float64 }
 
 func newZipf(n int, s float64) *zipf {
-	z := &zipf{cum: make([]float64, min(n, 1<<20))}
-	for i := range z.cum {
-		z.cum[i] = math.Pow(float64(i+1), -s)
+	z := &zipf{cumulative: make([]float64, min(n, 1<<20))}
+	for i := range z.cumulative {
+		z.cumulative[i] = math.Pow(float64(i+1), -s)
 	}
-	addUp(z.cum)
+	cumulate(z.cumulative)
 	return z
 }
 
 func (z *zipf) draw(r *rand.Rand) uint64 {
-	at, low, high := r.Float64(), 0, len(z.cum)-1
+	at, low, high := r.Float64(), 0, len(z.cumulative)-1
 	for low < high {
 		mid := (low + high) / 2
-		if at < z.cum[mid] {
+		if at < z.cumulative[mid] {
 			high = mid
 		} else {
 			low = mid + 1
--- a/internal/emulator/largefleet_test.go
+++ b/internal/emulator/largefleet_test.go
@@ -75,9 +75,9 @@
 // isLarge tells whether a class has a twentieth of the requests or of the value.
 func isLarge(sc *emulator.Scenario, v *judge.Verdict, class int) bool {
 	shares, value := 0.0, 0.0
-	for i := range sc.Offerings {
-		shares += sc.Offerings[i].Share
+	for i := range sc.Classes {
+		shares += sc.Classes[i].Share
 		value += v.Classes[i].Offered
 	}
-	return sc.Offerings[class].Share >= shares/20 || v.Classes[class].Offered >= value/20
+	return sc.Classes[class].Share >= shares/20 || v.Classes[class].Offered >= value/20
 }
--- a/internal/emulator/queue.go
+++ b/internal/emulator/queue.go
@@ -7,13 +7,13 @@
 type rank uint8
 
 const (
-	rankWorld  rank = iota // faults, servers, lists
-	rankEnd                // results of pushes as they come to a sidecar
-	rankAnswer             // final answers as they come to a client
-	rankWait               // time-outs of pushes
-	rankArrive             // requests, and pushes at servers
-	rankWake               // the module's
-	rankCutOff
+	rankWorld      rank = iota // faults, servers, lists
+	rankAttemptEnd             // results of pushes as they come to a sidecar
+	rankAnswer                 // final answers as they come to a client
+	rankTimeout                // time-outs of pushes
+	rankArrive                 // requests, and pushes at servers
+	rankWake                   // the module's
+	rankDeadline
 )
 
 // event is something still to happen. What its figures mean is up to what it does.
--- a/internal/emulator/random.go
+++ b/internal/emulator/random.go
@@ -13,8 +13,8 @@
 	return rand.New(rand.NewPCG(seed, h.Sum64()+uint64(no)*0x9e3779b97f4a7c15))
 }
 
-// spread gives a factor with a mean of 1, log-normal with the coefficient of variation.
-func spread(r *rand.Rand, cv float64) float64 {
+// logNormal gives a factor with a mean of 1, log-normal with the coefficient of variation.
+func logNormal(r *rand.Rand, cv float64) float64 {
 	if cv == 0 {
 		return 1
 	}
--- a/internal/emulator/read.go
+++ b/internal/emulator/read.go
@@ -8,13 +8,13 @@
 	"pepperlead/policy"
 )
 
-// MostText is how long a scenario may be, in bytes.
-const MostText = 1 << 20
+// MaxScenarioSize is how long a scenario may be, in bytes.
+const MaxScenarioSize = 1 << 20
 
 const (
-	mostServers  = 20000
-	mostSidecars = 60000
-	mostRate     = 1e6
+	maxEndpoints = 20000
+	maxInstances = 60000
+	maxRate      = 1e6
 	day          = 24 * 3600 * policy.Second
 )
 
@@ -27,14 +27,14 @@
 // Read reads a scenario. One that names a base says only what differs from that; load reads the base, by the name as it stands
 // in the scenario. The error has a line for each fault.
 func Read(file string, text []byte, load func(name string) ([]byte, error), sets ...Set) (*Scenario, error) {
-	doc, root := tomlfile.Parse(file, text, MostText)
+	doc, root := tomlfile.Parse(file, text, MaxScenarioSize)
 	if name := root.String("base", ""); doc.Err() == nil && name != "" {
 		of, err := load(name)
 		if err != nil {
 			root.Fault("base", root.Found("base"), "a scenario: "+err.Error())
 			return nil, doc.Err()
 		}
-		below, base := tomlfile.Parse(name, of, MostText)
+		below, base := tomlfile.Parse(name, of, MaxScenarioSize)
 		if base.Has("base") {
 			base.Fault("base", base.Found("base"), "nothing: a base has none")
 		}
@@ -62,38 +62,38 @@
 
 func (sc *Scenario) read(root *tomlfile.Table) {
 	root.Require("name", "length", "fleet", "load", "offering", "kind")
-	sc.Name, sc.About = root.String("name", ""), root.String("about", "")
+	sc.Name, sc.Description = root.String("name", ""), root.String("about", "")
 	sc.Length = root.Duration("length", 60*policy.Second, policy.Second, day)
 	sc.Tick = root.Duration("tick", 5*policy.Millisecond, policy.Millisecond, 100*policy.Millisecond)
-	sc.fleet(root)
-	sc.load(root)
-	sc.surroundings(root)
-	sc.offerings(root)
-	sc.franchises(root)
+	sc.readFleet(root)
+	sc.readLoad(root)
+	sc.readSurroundings(root)
+	sc.readClasses(root)
+	sc.readTenants(root)
 	for _, t := range root.Tables("fault") {
-		sc.fault(t)
+		sc.readFault(t)
 	}
 	root.RejectUnknown()
 }
 
-func (sc *Scenario) fleet(root *tomlfile.Table) {
+func (sc *Scenario) readFleet(root *tomlfile.Table) {
 	t := root.Table("fleet")
 	t.Require("servers", "sidecars")
-	sc.Servers = int(t.Count("servers", 8, 1, mostServers))
-	sc.Sidecars = int(t.Count("sidecars", 4, 1, mostSidecars))
+	sc.Endpoints = int(t.Count("servers", 8, 1, maxEndpoints))
+	sc.Instances = int(t.Count("sidecars", 4, 1, maxInstances))
 	for _, z := range t.Strings("zones") {
 		sc.Zones = append(sc.Zones, policy.Zone(z))
 	}
 	if len(sc.Zones) == 0 {
 		sc.Zones = []policy.Zone{"a"}
 	}
-	sc.PodSize = int(t.Count("pod", 4, 1, mostServers))
+	sc.PodSize = int(t.Count("pod", 4, 1, maxEndpoints))
 	sc.PodLimit = t.Float("pod_limit", 0, 0, 1)
 	t.RejectUnknown()
 	for _, t := range root.Tables("kind") {
 		t.Require("name", "cores")
-		k := Kind{Name: t.String("name", ""), Share: t.Float("share", 1, 0.0001, 1), Spread: t.Float("spread", 0, 0, 2),
-			Weight: t.Bool("weighs", false), Errors: t.Float("errors", 0, 0, 1),
+		k := EndpointKind{Name: t.String("name", ""), Share: t.Float("share", 1, 0.0001, 1), SpeedSpread: t.Float("spread", 0, 0, 2),
+			Weighted: t.Bool("weighs", false), ErrorRate: t.Float("errors", 0, 0, 1),
 			Cancel: Cancel(t.OneOf("cancel", int(CancelWaiting), "nothing", "waiting", "all"))}
 		k.Traits = machine.Traits{Cores: t.Float("cores", 2, 0.1, 1024), Speed: t.Float("speed", 1, 0.01, 100),
 			Workers: int(t.Count("slots", 0, 0, 1e6)), QueueSize: int(t.Count("queue", 1000, 0, 1e6)),
@@ -112,29 +112,29 @@
 	}
 }
 
-func (sc *Scenario) load(root *tomlfile.Table) {
+func (sc *Scenario) readLoad(root *tomlfile.Table) {
 	t := root.Table("load")
-	sc.Load = Load{Rate: t.Float("rate", 0, 0, mostRate), Part: t.Float("part", 0, 0, 20), Swing: t.Float("swing", 0, 0, 1),
+	sc.Load = Load{Rate: t.Float("rate", 0, 0, maxRate), CapacityShare: t.Float("part", 0, 0, 20), Swing: t.Float("swing", 0, 0, 1),
 		Period: t.Duration("period", 60*policy.Second, policy.Second, day), Bursts: t.Float("bursts", 0, 0, 5),
 		ZoneSkew: t.Float("zone_skew", 0, 0, 0.99), Keys: int(t.Count("keys", 1000, 1, 1e8)),
 		Zipf: t.Float("zipf", 0.9, 0, 5), Keyless: t.Float("keyless", 0, 0, 1)}
-	if (sc.Load.Rate == 0) == (sc.Load.Part == 0) {
+	if (sc.Load.Rate == 0) == (sc.Load.CapacityShare == 0) {
 		t.Fault("rate", "rate "+t.Found("rate")+" and part "+t.Found("part"), "one of them over 0")
 	}
 	t.RejectUnknown()
 	t = root.Table("clients")
-	sc.Clients = Clients{Retries: int(t.Count("retries", 0, 0, 10)), Heed: t.Float("heed", 1, 0, 1),
-		Backoff: t.Duration("backoff", 100*policy.Millisecond, policy.Millisecond, 60*policy.Second), Marks: t.Bool("marks", true)}
+	sc.Clients = Clients{Retries: int(t.Count("retries", 0, 0, 10)), HonourRetryAfter: t.Float("heed", 1, 0, 1),
+		Backoff: t.Duration("backoff", 100*policy.Millisecond, policy.Millisecond, 60*policy.Second), MarkRetries: t.Bool("marks", true)}
 	t.RejectUnknown()
 }
 
-func (sc *Scenario) surroundings(root *tomlfile.Table) {
+func (sc *Scenario) readSurroundings(root *tomlfile.Table) {
 	ms := policy.Millisecond
 	t := root.Table("network")
 	sc.Network = Network{Near: t.Duration("near", ms/5, 0, policy.Second), Far: t.Duration("far", 5*ms, 0, 5*policy.Second),
 		Client: t.Duration("client", ms/20, 0, policy.Second), Jitter: t.Float("jitter", 0, 0, 3),
-		Handshakes: int(t.Count("handshakes", 1, 0, 10)), ConnectIn: t.Duration("connect", 200*ms, ms, 60*policy.Second),
-		IdleFor: t.Duration("idle", 60*policy.Second, 10*ms, 3600*policy.Second)}
+		Handshakes: int(t.Count("handshakes", 1, 0, 10)), ConnectTimeout: t.Duration("connect", 200*ms, ms, 60*policy.Second),
+		IdleTimeout: t.Duration("idle", 60*policy.Second, 10*ms, 3600*policy.Second)}
 	t.RejectUnknown()
 	t = root.Table("discovery")
 	pair := func(key string, low, high policy.Time) [2]policy.Time {
@@ -146,20 +146,20 @@
 		p.RejectUnknown()
 		return out
 	}
-	sc.Discovery = Discovery{Delay: pair("delay", 200*ms, policy.Second), Silent: pair("silent", 5*policy.Second, 10*policy.Second),
-		Step: t.Duration("step", 0, 0, 60*policy.Second), Asked: t.Bool("asked", false)}
+	sc.Discovery = Discovery{AnnounceDelay: pair("delay", 200*ms, policy.Second), DetectDelay: pair("silent", 5*policy.Second, 10*policy.Second),
+		Interval: t.Duration("step", 0, 0, 60*policy.Second), Polled: t.Bool("asked", false)}
 	t.RejectUnknown()
 	t = root.Table("allow")
-	sc.Allow = Allow{Pushes: int(t.Count("pushes", 3, 1, 8)), Cancel: t.Bool("cancel", true),
-		Advice: t.Duration("advice", 3*policy.Second, 0, 3600*policy.Second), CrossPrice: t.Float("cross_price", 0, 0, 1),
+	sc.Limits = Limits{MaxAttempts: int(t.Count("pushes", 3, 1, 8)), MayCancel: t.Bool("cancel", true),
+		MaxRetryAfter: t.Duration("advice", 3*policy.Second, 0, 3600*policy.Second), CrossZonePrice: t.Float("cross_price", 0, 0, 1),
 		Grace: t.Duration("grace", policy.Second, 0, 60*policy.Second)}
 	t.RejectUnknown()
 }
 
-func (sc *Scenario) offerings(root *tomlfile.Table) {
+func (sc *Scenario) readClasses(root *tomlfile.Table) {
 	for _, t := range root.Tables("offering") {
 		t.Require("name", "quoted_time", "cut_off", "work")
-		o := Offering{Share: t.Float("share", 1, 1e-6, 1e6), Work: t.Duration("work", policy.Millisecond, 1000, 600*policy.Second),
+		o := Class{Share: t.Float("share", 1, 1e-6, 1e6), Work: t.Duration("work", policy.Millisecond, 1000, 600*policy.Second),
 			IO: t.Duration("io", 0, 0, 600*policy.Second), Spread: t.Float("spread", 0, 0, 5)}
 		o.Class = policy.Class{Name: t.String("name", ""), Value: t.Float("credit", 1, 1e-6, 1e9),
 			LateValue: t.Float("late_credit", 0, 0, 1), Target: t.Duration("quoted_time", policy.Second, policy.Millisecond, day),
@@ -172,45 +172,45 @@
 			t.Require("window")
 		}
 		t.RejectUnknown()
-		sc.Offerings = append(sc.Offerings, o)
+		sc.Classes = append(sc.Classes, o)
 	}
-	if len(sc.Offerings) == 0 && root.Has("offering") {
+	if len(sc.Classes) == 0 && root.Has("offering") {
 		root.Fault("offering", "none", "one offering at least")
 	}
 }
 
-func (sc *Scenario) franchises(root *tomlfile.Table) {
+func (sc *Scenario) readTenants(root *tomlfile.Table) {
 	t := root.Table("franchises")
-	sc.Beyond = t.Float("beyond_credit", 0.05, 0, 1)
+	sc.OverQuotaValue = t.Float("beyond_credit", 0.05, 0, 1)
 	t.RejectUnknown()
 	for _, t := range root.Tables("franchise") {
 		t.Require("name")
-		f := Franchise{Name: t.String("name", ""), Share: t.Float("share", 1, 1e-6, 1e6), Quota: t.Float("quota", 0, 0, mostRate),
-			Part: t.Float("quota_part", 0, 0, 20)}
-		if (f.Quota == 0) == (f.Part == 0) {
+		f := Tenant{Name: t.String("name", ""), Share: t.Float("share", 1, 1e-6, 1e6), Quota: t.Float("quota", 0, 0, maxRate),
+			QuotaShare: t.Float("quota_part", 0, 0, 20)}
+		if (f.Quota == 0) == (f.QuotaShare == 0) {
 			t.Fault("quota", "quota "+t.Found("quota")+" and quota_part "+t.Found("quota_part"), "one of them over 0")
 		}
 		t.RejectUnknown()
-		sc.Franchise = append(sc.Franchise, f)
+		sc.Tenants = append(sc.Tenants, f)
 	}
 }
 
-func (sc *Scenario) fault(t *tomlfile.Table) {
+func (sc *Scenario) readFault(t *tomlfile.Table) {
 	t.Require("kind", "at")
 	f := Fault{Kind: FaultKind(t.OneOf("kind", 0, faultNames[:]...)), At: t.Duration("at", 0, 0, day),
-		For: t.Duration("for", 0, 0, day), Part: t.Float("part", 0, 0, 1), Count: int(t.Count("count", 0, 0, mostServers)),
-		Zone: policy.Zone(t.String("zone", "")), Pod: int(t.Count("pod", -1, 0, mostServers)), Size: t.Float("size", 0, 0, 1e6),
-		Every: t.Duration("every", 0, 0, day), Cold: t.Bool("cold", true), Sidecars: t.Bool("sidecars", false)}
+		Duration: t.Duration("for", 0, 0, day), Share: t.Float("part", 0, 0, 1), Count: int(t.Count("count", 0, 0, maxEndpoints)),
+		Zone: policy.Zone(t.String("zone", "")), Pod: int(t.Count("pod", -1, 0, maxEndpoints)), Size: t.Float("size", 0, 0, 1e6),
+		Every: t.Duration("every", 0, 0, day), Cold: t.Bool("cold", true), IncludeInstances: t.Bool("sidecars", false)}
 	if t.Has("server") {
-		f.Server = []int{int(t.Count("server", 0, 0, int64(sc.Servers)-1))}
+		f.Endpoints = []int{int(t.Count("server", 0, 0, int64(sc.Endpoints)-1))}
 	}
 	if f.At > sc.Length {
 		t.Fault("at", t.Found("at"), "within the day")
 	}
-	if f.Zone != "" && !has(sc.Zones, f.Zone) {
+	if f.Zone != "" && !contains(sc.Zones, f.Zone) {
 		t.Fault("zone", t.Found("zone"), fmt.Sprintf("one of %v", sc.Zones))
 	}
-	if pods := (sc.Servers + sc.PodSize - 1) / sc.PodSize; f.Pod >= pods {
+	if pods := (sc.Endpoints + sc.PodSize - 1) / sc.PodSize; f.Pod >= pods {
 		t.Fault("pod", t.Found("pod"), fmt.Sprintf("0 to %d", pods-1))
 	}
 	need := func(keys ...string) { t.Require(keys...) }
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -7,39 +7,39 @@
 
 // Scenario is a day: a fleet, what is asked of it, and what goes wrong.
 type Scenario struct {
-	Name   string
-	About  string
-	Length policy.Time // clients begin nothing later
-	Tick   policy.Time
-
-	Servers  int
-	Sidecars int
-	Zones    []policy.Zone
-	PodSize  int
-	Kinds    []Kind
-	PodLimit float64 // cores that a pod's servers may use together, as a part of all they have; 0: no limit
-
-	Load      Load
-	Clients   Clients
-	Network   Network
-	Discovery Discovery
-	Allow     Allow
-	Offerings []Offering
-	Franchise []Franchise
-	Beyond    float64 // part of the credit left beyond a quota
-	Faults    []Fault
-	Arrivals  []Arrival // if there are any, these in place of those that Load gives
+	Name        string
+	Description string
+	Length      policy.Time // clients begin nothing later
+	Tick        policy.Time
+
+	Endpoints int
+	Instances int
+	Zones     []policy.Zone
+	PodSize   int
+	Kinds     []EndpointKind
+	PodLimit  float64 // cores that a pod's servers may use together, as a part of all they have; 0: no limit
+
+	Load           Load
+	Clients        Clients
+	Network        Network
+	Discovery      Discovery
+	Limits         Limits
+	Classes        []Class
+	Tenants        []Tenant
+	OverQuotaValue float64 // part of the credit left beyond a quota
+	Faults         []Fault
+	Arrivals       []Arrival // if there are any, these in place of those that Load gives
 }
 
-// Kind is a kind of server.
-type Kind struct {
+// EndpointKind is a kind of server.
+type EndpointKind struct {
 	machine.Traits
-	Name   string
-	Share  float64 // of the servers
-	Spread float64 // of speeds, a coefficient of variation
-	Weight bool    // lists tell its real size; else all weigh 1
-	Errors float64 // part of the pushes that end in an error once the work is done
-	Cancel Cancel
+	Name        string
+	Share       float64 // of the servers
+	SpeedSpread float64 // of speeds, a coefficient of variation
+	Weighted    bool    // lists tell its real size; else all weigh 1
+	ErrorRate   float64 // part of the pushes that end in an error once the work is done
+	Cancel      Cancel
 }
 
 // Cancel is what a server does with work that is called off.
@@ -53,54 +53,54 @@
 
 // Load is what clients ask for.
 type Load struct {
-	Rate     float64 // requests a second, over all sidecars
-	Part     float64 // if Rate is 0: of what the fleet can do, as work is without any memory of keys
-	Swing    float64 // of a wave, as a part of the rate
-	Period   policy.Time
-	Bursts   float64 // coefficient of variation of the rate from second to second, by sidecar
-	ZoneSkew float64 // the first zone gets so much more than the last
-	Keys     int
-	Zipf     float64 // exponent of the keys' popularity, over 0
-	Keyless  float64 // part of the requests without a key
+	Rate          float64 // requests a second, over all sidecars
+	CapacityShare float64 // if Rate is 0: of what the fleet can do, as work is without any memory of keys
+	Swing         float64 // of a wave, as a part of the rate
+	Period        policy.Time
+	Bursts        float64 // coefficient of variation of the rate from second to second, by sidecar
+	ZoneSkew      float64 // the first zone gets so much more than the last
+	Keys          int
+	Zipf          float64 // exponent of the keys' popularity, over 0
+	Keyless       float64 // part of the requests without a key
 }
 
 // Clients are what they do with answers.
 type Clients struct {
-	Retries int
-	Heed    float64 // part of them that wait as long as they are told
-	Backoff policy.Time
-	Marks   bool // say that a try is a further one
+	Retries          int
+	HonourRetryAfter float64 // part of them that wait as long as they are told
+	Backoff          policy.Time
+	MarkRetries      bool // say that a try is a further one
 }
 
 // Network is between clients, sidecars and servers.
 type Network struct {
-	Near, Far  policy.Time // one way
-	Client     policy.Time // the same between a client and its sidecar
-	Jitter     float64     // coefficient of variation
-	Handshakes int         // round trips before a new connection carries anything
-	ConnectIn  policy.Time
-	IdleFor    policy.Time
+	Near, Far      policy.Time // one way
+	Client         policy.Time // the same between a client and its sidecar
+	Jitter         float64     // coefficient of variation
+	Handshakes     int         // round trips before a new connection carries anything
+	ConnectTimeout policy.Time
+	IdleTimeout    policy.Time
 }
 
 // Discovery is how sidecars hear of servers.
 type Discovery struct {
-	Delay  [2]policy.Time // of what servers say themselves
-	Silent [2]policy.Time // of what must be noticed
-	Step   policy.Time    // lists are sent at multiples of it
-	Asked  bool           // the list comes only when asked for
+	AnnounceDelay [2]policy.Time // of what servers say themselves
+	DetectDelay   [2]policy.Time // of what must be noticed
+	Interval      policy.Time    // lists are sent at multiples of it
+	Polled        bool           // the list comes only when asked for
 }
 
-// Allow is what sidecars may do.
-type Allow struct {
-	Pushes     int
-	Cancel     bool
-	Advice     policy.Time
-	CrossPrice float64
-	Grace      policy.Time
+// Limits is what sidecars may do.
+type Limits struct {
+	MaxAttempts    int
+	MayCancel      bool
+	MaxRetryAfter  policy.Time
+	CrossZonePrice float64
+	Grace          policy.Time
 }
 
-// Offering is a kind of request.
-type Offering struct {
+// Class is a kind of request.
+type Class struct {
 	policy.Class
 	Share  float64     // of the requests
 	Work   policy.Time // mean, of a core at speed 1
@@ -108,12 +108,12 @@
 	Spread float64     // coefficient of variation of either, log-normal; 0: always the same
 }
 
-// Franchise is a tenant.
-type Franchise struct {
-	Name  string
-	Share float64 // of the requests
-	Quota float64 // tickets a second; beyond it credit falls
-	Part  float64 // if Quota is 0: of the whole rate
+// Tenant is a tenant.
+type Tenant struct {
+	Name       string
+	Share      float64 // of the requests
+	Quota      float64 // tickets a second; beyond it credit falls
+	QuotaShare float64 // if Quota is 0: of the whole rate
 }
 
 // FaultKind is what goes wrong.
@@ -145,33 +145,33 @@
 
 // Fault is one thing that goes wrong for a while. Any may overlap.
 type Fault struct {
-	Kind     FaultKind
-	At, For  policy.Time
-	Part     float64 // of those it meets, drawn by the seed
-	Count    int     // of those it meets, if it says so
-	Zone     policy.Zone
-	Pod      int // -1: not by pod
-	Size     float64
-	Every    policy.Time // pauses, rolling: between one and the next
-	Cold     bool        // zone-lost: its servers come back cold
-	Sidecars bool        // zone-lost: its sidecars go too
-	Server   []int       // these, if it names some
+	Kind             FaultKind
+	At, Duration     policy.Time
+	Share            float64 // of those it meets, drawn by the seed
+	Count            int     // of those it meets, if it says so
+	Zone             policy.Zone
+	Pod              int // -1: not by pod
+	Size             float64
+	Every            policy.Time // pauses, rolling: between one and the next
+	Cold             bool        // zone-lost: its servers come back cold
+	IncludeInstances bool        // zone-lost: its sidecars go too
+	Endpoints        []int       // these, if it names some
 }
 
 // Arrival is a request that a recorded day has.
 type Arrival struct {
-	At        policy.Time
-	Sidecar   int
-	Offering  policy.ClassID
-	Franchise policy.TenantID
-	Key       uint64 // 0: none
-	Left      policy.Time
-	Repeat    bool
-	Size      float64 // of its work against the mean of its offering; 0: to be drawn
-	SizeIO    float64
+	At         policy.Time
+	Instance   int
+	Class      policy.ClassID
+	Tenant     policy.TenantID
+	Key        uint64 // 0: none
+	TimeLeft   policy.Time
+	Retry      bool
+	WorkFactor float64 // of its work against the mean of its offering; 0: to be drawn
+	IOFactor   float64
 }
 
-func has[T comparable](all []T, one T) bool {
+func contains[T comparable](all []T, one T) bool {
 	for _, x := range all {
 		if x == one {
 			return true
@@ -183,7 +183,7 @@
 // capacity is the requests a second that the servers could do if nothing were remembered and no time were lost.
 func (sc *Scenario) capacity(cores float64) float64 {
 	share, work := 0.0, 0.0
-	for _, o := range sc.Offerings {
+	for _, o := range sc.Classes {
 		share += o.Share
 		work += o.Share * float64(o.Work)
 	}
--- a/internal/emulator/sidecar.go
+++ b/internal/emulator/sidecar.go
@@ -10,166 +10,166 @@
 
 // request is what a client wants, over its tries.
 type request struct {
-	inUse     bool
-	of        judge.ClientRequestID
-	offering  policy.ClassID
-	franchise policy.TenantID
-	sidecar   int32
-	key       uint64
-	size      float64 // of its work against the mean
-	sizeIO    float64
-	tries     int
-	at        policy.Time
-	cutOff    policy.Time
-	repeat    bool // of a recorded day: it was marked as a further try
+	inUse       bool
+	judged      judge.ClientRequestID
+	class       policy.ClassID
+	tenant      policy.TenantID
+	instance    int32
+	key         uint64
+	workFactor  float64 // of its work against the mean
+	ioFactor    float64
+	tries       int
+	at          policy.Time
+	deadline    policy.Time
+	markedRetry bool // of a recorded day: it was marked as a further try
 }
 
-// try is a ticket: one request handed to one sidecar, once.
-type try struct {
-	inUse   bool
-	owed    bool // a final answer
-	out     bool // a push
-	passed  bool // its cut-off
-	of      judge.RequestID
-	request int32
-	sidecar *sidecar
-	life    int // of the sidecar
-	handle  policy.Handle
-	cutOff  policy.Time
-	from    policy.Time // when it came to the sidecar
-	pushes  int
-	pushID  uint64 // counts pushes, so that what comes for an earlier one is known
-	wire    int    // the judge's number of the push that is out
-	server  *server
-	life2   int // of the server when the push reached it
-	job     machine.JobID
-	written bool
-	pushed  policy.Time
-	answer  judge.Answer
-	retryIn policy.Time
+// clientTry is a ticket: one request handed to one sidecar, once.
+type clientTry struct {
+	inUse               bool
+	clientWaiting       bool // a final answer
+	inFlight            bool // a push
+	deadlinePassed      bool // its cut-off
+	judged              judge.RequestID
+	request             int32
+	instance            *instance
+	instanceIncarnation int // of the sidecar
+	handle              policy.Handle
+	deadline            policy.Time
+	arrivedAt           policy.Time // when it came to the sidecar
+	attempts            int
+	attemptID           uint64 // counts pushes, so that what comes for an earlier one is known
+	judgedAttempt       int    // the judge's number of the push that is out
+	endpoint            *endpoint
+	endpointIncarnation int // of the server when the push reached it
+	job                 machine.JobID
+	written             bool
+	sentAt              policy.Time
+	answer              judge.Answer
+	retryIn             policy.Time
 }
 
-// sidecar is an instance of the decider, and the front it asks.
-type sidecar struct {
-	w       *World
-	no      judge.InstanceID
-	zone    policy.Zone
-	make    Maker
-	decider Decider
-	alive   bool
-	life    int
-	tries   []int32         // by place of a handle
-	conns   [][]policy.Time // by server: when each idle connection was last used
-	wakeAt  policy.Time
-	version int64 // of the list it has
-	asking  bool
-	follows bool
-	list    map[*server]view
-	part    float64 // of all requests
-	swings  *rand.Rand
-	arrive  *rand.Rand
-	mix     *rand.Rand
-	keys    *rand.Rand
-	sizes   *rand.Rand
-	gust    float64 // this second's factor
-	gustAt  policy.Time
-	seeds   *rand.Rand
-	base    *policy.Settings
+// instance is an instance of the decider, and the front it asks.
+type instance struct {
+	world           *World
+	number          judge.InstanceID
+	zone            policy.Zone
+	make            Maker
+	decider         Decider
+	alive           bool
+	incarnation     int
+	requestPlaces   []int32         // by place of a handle
+	idleConnections [][]policy.Time // by server: when each idle connection was last used
+	wakeAt          policy.Time
+	version         int64 // of the list it has
+	pollPending     bool
+	following       bool
+	list            map[*endpoint]notifiedStatus
+	loadShare       float64 // of all requests
+	gustDraws       *rand.Rand
+	arrivalDraws    *rand.Rand
+	classDraws      *rand.Rand
+	keyDraws        *rand.Rand
+	sizeDraws       *rand.Rand
+	gust            float64 // this second's factor
+	gustUntil       policy.Time
+	seedDraws       *rand.Rand
+	settings        *policy.Settings
 }
 
-// view is what a sidecar was told of a server.
-type view struct {
-	standing policy.EndpointStatus
-	started  policy.Time
+// notifiedStatus is what a sidecar was told of a server.
+type notifiedStatus struct {
+	status  policy.EndpointStatus
+	started policy.Time
 }
 
-func (w *World) newSidecar(no int, make Maker) *sidecar {
-	s := &sidecar{w: w, no: judge.InstanceID(no), zone: w.sc.Zones[no%len(w.sc.Zones)], make: make, list: map[*server]view{},
-		swings: stream(w.seed, "gusts", no), arrive: stream(w.seed, "arrivals", no), mix: stream(w.seed, "mix", no),
-		keys: stream(w.seed, "keys", no), sizes: stream(w.seed, "sizes", no), seeds: stream(w.seed, "lives", no), gust: 1}
-	c := w.campaign
+func (w *World) newInstance(no int, make Maker) *instance {
+	s := &instance{world: w, number: judge.InstanceID(no), zone: w.scenario.Zones[no%len(w.scenario.Zones)], make: make, list: map[*endpoint]notifiedStatus{},
+		gustDraws: stream(w.seed, "gusts", no), arrivalDraws: stream(w.seed, "arrivals", no), classDraws: stream(w.seed, "mix", no),
+		keyDraws: stream(w.seed, "keys", no), sizeDraws: stream(w.seed, "sizes", no), seedDraws: stream(w.seed, "lives", no), gust: 1}
+	c := w.settings
 	c.Zone = s.zone
-	s.base = &c
+	s.settings = &c
 	return s
 }
 
-// shareOut says which part of all requests comes to each sidecar: more to those of the first zones, by the skew.
-func (w *World) shareOut() {
+// shareLoad says which part of all requests comes to each sidecar: more to those of the first zones, by the skew.
+func (w *World) shareLoad() {
 	sum := 0.0
-	last := float64(max(1, len(w.sc.Zones)-1))
-	for _, s := range w.sidecars {
+	last := float64(max(1, len(w.scenario.Zones)-1))
+	for _, s := range w.instances {
 		z := 0
-		for i, name := range w.sc.Zones {
+		for i, name := range w.scenario.Zones {
 			if name == s.zone {
 				z = i
 			}
 		}
-		s.part = 1 + w.sc.Load.ZoneSkew*(1-2*float64(z)/last)
-		if len(w.sc.Zones) == 1 {
-			s.part = 1
+		s.loadShare = 1 + w.scenario.Load.ZoneSkew*(1-2*float64(z)/last)
+		if len(w.scenario.Zones) == 1 {
+			s.loadShare = 1
 		}
-		sum += s.part
+		sum += s.loadShare
 	}
-	for _, s := range w.sidecars {
-		s.part /= sum
+	for _, s := range w.instances {
+		s.loadShare /= sum
 	}
 }
 
 // start begins a life, with a list saved earlier or with the whole list.
-func (s *sidecar) start(kind policy.ListKind) {
-	s.alive, s.wakeAt, s.asking, s.follows = true, 0, false, !s.w.sc.Discovery.Asked
-	s.conns = make([][]policy.Time, len(s.w.servers))
-	s.tries = s.tries[:0]
-	s.decider = s.make(s, s.base, s.seeds.Uint64(), s.w.now, s.w)
+func (s *instance) start(kind policy.ListKind) {
+	s.alive, s.wakeAt, s.pollPending, s.following = true, 0, false, !s.world.scenario.Discovery.Polled
+	s.idleConnections = make([][]policy.Time, len(s.world.endpoints))
+	s.requestPlaces = s.requestPlaces[:0]
+	s.decider = s.make(s, s.settings, s.seedDraws.Uint64(), s.world.now, s.world)
 	if kind == policy.ListSaved {
 		var all []policy.Member
-		for _, v := range s.w.servers {
+		for _, v := range s.world.endpoints {
 			if is, known := s.list[v]; known {
-				m := s.w.member(v)
-				m.Status, m.Started = is.standing, is.started
+				m := s.world.member(v)
+				m.Status, m.Started = is.status, is.started
 				all = append(all, m)
 			}
 		}
 		if len(all) > 0 {
-			s.decider.UpdateEndpoints(s.w.now, policy.ListSaved, all)
+			s.decider.UpdateEndpoints(s.world.now, policy.ListSaved, all)
 			for v, is := range s.list {
-				s.w.judge.EndpointNotified(s.w.day(s.w.now), s.no, v.no, is.standing, is.started)
+				s.world.judge.EndpointNotified(s.world.sinceStart(s.world.now), s.number, v.number, is.status, is.started)
 			}
 		}
-		s.w.catchUp(s)
+		s.world.requestList(s)
 		return
 	}
-	s.tell(policy.ListFull, s.w.servers)
+	s.notify(policy.ListFull, s.world.endpoints)
 }
 
 // stop ends a life: its clients' connections break, and what is out goes on at the servers.
-func (s *sidecar) stop() {
+func (s *instance) stop() {
 	s.alive = false
-	s.life++
-	s.w.judge.InstanceDied(s.no)
-	for i := range s.w.tries {
-		t := &s.w.tries[i]
-		if !t.inUse || t.sidecar != s {
+	s.incarnation++
+	s.world.judge.InstanceDied(s.number)
+	for i := range s.world.tries {
+		t := &s.world.tries[i]
+		if !t.inUse || t.instance != s {
 			continue
 		}
-		if t.out {
-			s.w.callOff(t)
-			t.out = false
-			t.server.out--
-			s.w.judge.AttemptEnded(t.of, t.wire, false)
+		if t.inFlight {
+			s.world.closeAttempt(t)
+			t.inFlight = false
+			t.endpoint.inFlight--
+			s.world.judge.AttemptEnded(t.judged, t.judgedAttempt, false)
 		}
-		if t.owed {
-			t.owed = false
-			r := &s.w.requests[t.request]
-			s.w.judge.ClientLeft(t.of, r.of)
-			s.w.again(t.request, true, 0)
+		if t.clientWaiting {
+			t.clientWaiting = false
+			r := &s.world.requests[t.request]
+			s.world.judge.ClientLeft(t.judged, r.judged)
+			s.world.retryLater(t.request, true, 0)
 		}
-		s.w.let(int32(i))
+		s.world.releaseTry(int32(i))
 	}
-	for no, idle := range s.conns {
-		if v := s.w.servers[no]; len(idle) > 0 && !v.down {
-			v.machine.AddConnections(s.w.now, -len(idle))
+	for no, idle := range s.idleConnections {
+		if v := s.world.endpoints[no]; len(idle) > 0 && !v.down {
+			v.machine.AddConnections(s.world.now, -len(idle))
 		}
 	}
-	clear(s.conns)
+	clear(s.idleConnections)
 }
--- a/internal/emulator/view.go
+++ b/internal/emulator/view.go
@@ -15,25 +15,25 @@
 // Best looks at every server as it really is.
 func (w *World) Best(now policy.Time, zone policy.Zone, o policy.ClassID, key string,
 	allowed func(policy.EndpointID) bool) (policy.EndpointID, policy.Time, bool) {
-	best, least := (*server)(nil), policy.Time(math.MaxInt64)
+	best, least := (*endpoint)(nil), policy.Time(math.MaxInt64)
 	k := uint64(0)
 	if key != "" {
-		k = keyOf(key)
+		k = parseKey(key)
 	}
-	of := &w.sc.Offerings[o]
-	for _, v := range w.servers {
-		if v.standing != policy.Ready || v.down || v.dark() || !allowed(v.id) {
+	of := &w.scenario.Classes[o]
+	for _, v := range w.endpoints {
+		if v.status != policy.Ready || v.down || v.unreachable() || !allowed(v.id) {
 			continue
 		}
-		if v.errors > 0.05 {
+		if v.errorRate > 0.05 {
 			continue
 		}
 		// What is on its way there counts as if it were in already.
-		coming := max(0, v.out-v.machine.Jobs())
+		coming := max(0, v.inFlight-v.machine.Jobs())
 		left := v.machine.EstimateTime(now, k, of.Work, of.IO)
 		left += policy.Time(float64(coming) / v.traits.Cores * float64(of.Work) / (v.traits.Speed * max(0.05, v.machine.Warmth(now))))
 		if v.zone != zone {
-			left += 2*w.sc.Network.Far + policy.Time(w.sc.Allow.CrossPrice*float64(of.Target))
+			left += 2*w.scenario.Network.Far + policy.Time(w.scenario.Limits.CrossZonePrice*float64(of.Target))
 		}
 		if v.machine.Cold(now) && v.traits.OverloadMultiple > 0 && !v.machine.CanTake(now, of.Work*policy.Time(2*coming+1)) {
 			continue
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -31,48 +31,48 @@
 	return policy.New(front, c, seed, now)
 }
 
-// start is when a day begins; moments in lists count from it, and 0 means long ago.
-const start = 1000 * policy.Second
+// dayStart is when a day begins; moments in lists count from it, and 0 means long ago.
+const dayStart = 1000 * policy.Second
 
 // World is one day.
 type World struct {
-	sc       *Scenario
-	seed     uint64
-	now      policy.Time
-	queue    queue
-	judge    *judge.Judge
-	facts    judge.Facts
-	names    []string        // of the franchises
-	campaign policy.Settings // but for the zone
-	servers  []*server
-	pods     []*pod
-	byID     map[policy.EndpointID]*server
-	sidecars []*sidecar
-	requests []request
-	freeReq  []int32
-	tries    []try
-	freeTry  []int32
-	cumShare []float64 // of the offerings, added up
-	cumFr    []float64
-	rate     float64 // requests a second
-	keys     *zipf
-	hot      float64 // part of the requests that ask for one key
-	factor   float64 // of bursts by fault
-	darkZone map[policy.Zone]int
-	behind   policy.Time // that lists come later
-	version  int64
-	done     []machine.Done
-	events   uint64
-	wasted   float64 // work for pushes that nobody waited for, ns
-	work     float64 // all
-	credit   *Credit
-	faults   []fault
-	sample   Sampler
-	noise    *rand.Rand // of the network
-	draws    struct{ faults, retries, errors *rand.Rand }
-	members  []policy.Member
-	planned  *[]Arrival // if the day is only planned: what clients ask for
-	Series   []Sample
+	scenario          *Scenario
+	seed              uint64
+	now               policy.Time
+	queue             queue
+	judge             *judge.Judge
+	facts             judge.Facts
+	tenantNames       []string        // of the franchises
+	settings          policy.Settings // but for the zone
+	endpoints         []*endpoint
+	pods              []*pod
+	byID              map[policy.EndpointID]*endpoint
+	instances         []*instance
+	requests          []request
+	freeRequests      []int32
+	tries             []clientTry
+	freeTry           []int32
+	classShares       []float64 // of the offerings, added up
+	tenantShares      []float64
+	rate              float64 // requests a second
+	keys              *zipf
+	hotKeyShare       float64 // part of the requests that ask for one key
+	burstFactor       float64 // of bursts by fault
+	lostZones         map[policy.Zone]int
+	listsDelayedUntil policy.Time // that lists come later
+	version           int64
+	doneJobs          []machine.Done
+	eventCount        uint64
+	wastedWork        float64 // work for pushes that nobody waited for, ns
+	totalWork         float64 // all
+	values            *ValueMeter
+	faults            []fault
+	sampler           Sampler
+	noise             *rand.Rand // of the network
+	draws             struct{ faults, retries, errors *rand.Rand }
+	members           []policy.Member
+	plan              *[]Arrival // if the day is only planned: what clients ask for
+	Series            []Sample
 }
 
 // Sampler is told of figures that a report shows; nil: none are kept.
@@ -82,13 +82,13 @@
 
 // Sample is what a moment looked like, once a second.
 type Sample struct {
-	At      policy.Time `json:"at_ns"`
-	Pushes  []int       `json:"pushes"` // by server place, out at the moment
-	Waiting int         `json:"waiting"`
-	Busy    float64     `json:"busy"`  // part of all cores
-	Pace    float64     `json:"pace"`  // mean over the sidecars; 0 where the policy has none
-	Limit   float64     `json:"limit"` // the same
-	Aside   float64     `json:"aside"` // the same
+	At         policy.Time `json:"at_ns"`
+	Attempts   []int       `json:"pushes"` // by server place, out at the moment
+	Waiting    int         `json:"waiting"`
+	Busy       float64     `json:"busy"`  // part of all cores
+	TotalLimit float64     `json:"pace"`  // mean over the sidecars; 0 where the policy has none
+	Limit      float64     `json:"limit"` // the same
+	Ejected    float64     `json:"aside"` // the same
 }
 
 // meter is a rate a second that forgets over three seconds.
@@ -106,70 +106,70 @@
 
 // New sets a day up.
 func New(sc *Scenario, seed uint64, make Maker, sample Sampler) *World {
-	w := &World{sc: sc, seed: seed, now: start, byID: map[policy.EndpointID]*server{}, darkZone: map[policy.Zone]int{},
-		factor: 1, sample: sample, noise: stream(seed, "network", 0)}
+	w := &World{scenario: sc, seed: seed, now: dayStart, byID: map[policy.EndpointID]*endpoint{}, lostZones: map[policy.Zone]int{},
+		burstFactor: 1, sampler: sample, noise: stream(seed, "network", 0)}
 	w.draws.faults, w.draws.retries = stream(seed, "faults", 0), stream(seed, "retries", 0)
 	w.draws.errors = stream(seed, "errors", 0)
-	w.campaign = policy.Settings{Instances: sc.Sidecars, Zones: len(sc.Zones), FixedWeights: sc.weighs(), PollList: sc.Discovery.Asked,
-		PollWithin: 10 * policy.Second, MayCancel: sc.Allow.Cancel, MaxAttempts: sc.Allow.Pushes, MaxRetryAfter: sc.Allow.Advice,
-		CrossZonePrice: sc.Allow.CrossPrice, Tick: sc.Tick, ColdCapacity: 1, OverQuotaValue: sc.Beyond, OverloadMultiple: 3}
-	facts := judge.Facts{Instances: sc.Sidecars, MaxAttempts: sc.Allow.Pushes, Grace: sc.Allow.Grace, Length: sc.Length}
+	w.settings = policy.Settings{Instances: sc.Instances, Zones: len(sc.Zones), FixedWeights: sc.weighted(), PollList: sc.Discovery.Polled,
+		PollWithin: 10 * policy.Second, MayCancel: sc.Limits.MayCancel, MaxAttempts: sc.Limits.MaxAttempts, MaxRetryAfter: sc.Limits.MaxRetryAfter,
+		CrossZonePrice: sc.Limits.CrossZonePrice, Tick: sc.Tick, ColdCapacity: 1, OverQuotaValue: sc.OverQuotaValue, OverloadMultiple: 3}
+	facts := judge.Facts{Instances: sc.Instances, MaxAttempts: sc.Limits.MaxAttempts, Grace: sc.Limits.Grace, Length: sc.Length}
 	for _, k := range sc.Kinds {
 		if k.WarmUpTime > 0 {
-			w.campaign.ColdCapacity = min(w.campaign.ColdCapacity, k.ColdSpeed)
-			w.campaign.ColdTime = max(w.campaign.ColdTime, k.WarmUpTime)
+			w.settings.ColdCapacity = min(w.settings.ColdCapacity, k.ColdSpeed)
+			w.settings.ColdTime = max(w.settings.ColdTime, k.WarmUpTime)
 		}
 		if k.OverloadMultiple > 0 && (facts.OverloadMultiple == 0 || k.OverloadMultiple < facts.OverloadMultiple) {
-			facts.OverloadMultiple, facts.OverloadWindow, w.campaign.OverloadMultiple = k.OverloadMultiple, k.OverloadWindow, k.OverloadMultiple
+			facts.OverloadMultiple, facts.OverloadWindow, w.settings.OverloadMultiple = k.OverloadMultiple, k.OverloadWindow, k.OverloadMultiple
 		}
 	}
-	for _, o := range sc.Offerings {
+	for _, o := range sc.Classes {
 		facts.Classes = append(facts.Classes, o.Class)
-		w.cumShare = append(w.cumShare, o.Share)
+		w.classShares = append(w.classShares, o.Share)
 	}
-	w.campaign.Classes = facts.Classes
+	w.settings.Classes = facts.Classes
 	cores := w.fleet()
 	w.rate = sc.Load.Rate
 	if w.rate == 0 {
-		w.rate = sc.Load.Part * sc.capacity(cores)
+		w.rate = sc.Load.CapacityShare * sc.capacity(cores)
 	}
 	var names []string
-	for _, f := range sc.Franchise {
+	for _, f := range sc.Tenants {
 		quota := f.Quota
 		if quota == 0 {
-			quota = f.Part * w.rate
+			quota = f.QuotaShare * w.rate
 		}
-		w.campaign.Tenants = append(w.campaign.Tenants, policy.Tenant{Name: f.Name, Quota: quota})
-		w.campaign.TotalQuota += quota
+		w.settings.Tenants = append(w.settings.Tenants, policy.Tenant{Name: f.Name, Quota: quota})
+		w.settings.TotalQuota += quota
 		names = append(names, f.Name)
-		w.cumFr = append(w.cumFr, f.Share)
+		w.tenantShares = append(w.tenantShares, f.Share)
 	}
-	w.credit = NewCredit(sc, w.rate)
-	addUp(w.cumShare)
-	addUp(w.cumFr)
+	w.values = NewValueMeter(sc, w.rate)
+	cumulate(w.classShares)
+	cumulate(w.tenantShares)
 	w.keys = newZipf(sc.Load.Keys, sc.Load.Zipf)
-	w.judge, w.facts, w.names = judge.New(facts, names), facts, names
-	for i := range sc.Sidecars {
-		w.sidecars = append(w.sidecars, w.newSidecar(i, make))
+	w.judge, w.facts, w.tenantNames = judge.New(facts, names), facts, names
+	for i := range sc.Instances {
+		w.instances = append(w.instances, w.newInstance(i, make))
 	}
-	w.shareOut()
-	for _, s := range w.sidecars {
+	w.shareLoad()
+	for _, s := range w.instances {
 		s.start(policy.ListFull)
 	}
-	w.scriptFaults()
-	w.queue.add(event{at: start + policy.Second, rank: rankWorld, do: (*World).look})
-	w.glance(nil)
+	w.planFaults()
+	w.queue.add(event{at: dayStart + policy.Second, rank: rankWorld, do: (*World).takeSample})
+	w.observeEndpoints(nil)
 	if len(sc.Arrivals) > 0 {
-		w.queue.add(event{at: start + sc.Arrivals[0].At, rank: rankArrive, do: (*World).recorded})
+		w.queue.add(event{at: dayStart + sc.Arrivals[0].At, rank: rankArrive, do: (*World).recordedArrival})
 	} else {
-		for _, s := range w.sidecars {
-			s.nextArrival()
+		for _, s := range w.instances {
+			s.planArrival()
 		}
 	}
 	return w
 }
 
-func addUp(all []float64) {
+func cumulate(all []float64) {
 	sum := 0.0
 	for i, v := range all {
 		sum += v
@@ -180,7 +180,7 @@
 	}
 }
 
-func pick(cum []float64, at float64) int {
+func pickBy(cum []float64, at float64) int {
 	for i, c := range cum {
 		if at < c {
 			return i
@@ -189,9 +189,9 @@
 	return len(cum) - 1
 }
 
-func (sc *Scenario) weighs() bool {
+func (sc *Scenario) weighted() bool {
 	for _, k := range sc.Kinds {
-		if k.Weight {
+		if k.Weighted {
 			return true
 		}
 	}
@@ -201,14 +201,14 @@
 // fleet makes the servers and gives the cores they have together, at speed 1.
 func (w *World) fleet() (cores float64) {
 	var cum []float64
-	for _, k := range w.sc.Kinds {
+	for _, k := range w.scenario.Kinds {
 		cum = append(cum, k.Share)
 	}
-	addUp(cum)
-	for i := range w.sc.Servers {
+	cumulate(cum)
+	for i := range w.scenario.Endpoints {
 		// Kinds stand in the fleet in their shares, spread evenly, whatever the seed.
 		at := math.Mod(float64(i)*0.6180339887498949+0.3, 1)
-		s := w.newServer(&w.sc.Kinds[pick(cum, at)], 0)
+		s := w.newEndpoint(&w.scenario.Kinds[pickBy(cum, at)], 0)
 		cores += s.traits.Cores * s.traits.Speed
 	}
 	return cores
@@ -217,125 +217,125 @@
 // Run plays the day to its end and a while beyond, until nothing is owed any more.
 func (w *World) Run() *judge.Verdict {
 	longest := policy.Time(0)
-	for _, o := range w.sc.Offerings {
+	for _, o := range w.scenario.Classes {
 		longest = max(longest, o.Deadline)
 	}
-	end := start + w.sc.Length + longest*policy.Time(1+w.sc.Clients.Retries) + 2*policy.Second
+	end := dayStart + w.scenario.Length + longest*policy.Time(1+w.scenario.Clients.Retries) + 2*policy.Second
 	for len(w.queue.all) > 0 && w.queue.all[0].at <= end {
 		e := w.queue.take()
 		w.now = e.at
-		w.events++
+		w.eventCount++
 		e.do(w, &e)
 	}
 	for i := range w.requests {
 		if r := &w.requests[i]; r.inUse {
-			w.judge.ClientRequestEnded(r.of)
+			w.judge.ClientRequestEnded(r.judged)
 		}
 	}
-	return w.judge.Finish(w.day(w.now))
+	return w.judge.Finish(w.sinceStart(w.now))
 }
 
 // Rate is the requests a second that the day is laid out for.
 func (w *World) Rate() float64 { return w.rate }
 
-// Campaign is what sidecars are told at their start, but for their zone.
-func (w *World) Campaign() policy.Settings { return w.campaign }
+// Settings is what sidecars are told at their start, but for their zone.
+func (w *World) Settings() policy.Settings { return w.settings }
 
 // Events is how many things have happened.
-func (w *World) Events() uint64 { return w.events }
+func (w *World) Events() uint64 { return w.eventCount }
 
 // Wasted is the part of all work that was done for pushes nobody waited for any more.
 func (w *World) Wasted() float64 {
-	if w.work == 0 {
+	if w.totalWork == 0 {
 		return 0
 	}
-	return w.wasted / w.work
+	return w.wastedWork / w.totalWork
 }
 
-// day is a moment as the judge has it, from the day's beginning.
-func (w *World) day(at policy.Time) policy.Time { return at - start }
+// sinceStart is a moment as the judge has it, from the day's beginning.
+func (w *World) sinceStart(at policy.Time) policy.Time { return at - dayStart }
 
-// look keeps a sample, once a second.
-func (w *World) look(*event) {
-	if w.sample != nil {
-		s := Sample{At: w.day(w.now)}
+// takeSample keeps a sample, once a second.
+func (w *World) takeSample(*event) {
+	if w.sampler != nil {
+		s := Sample{At: w.sinceStart(w.now)}
 		all, busy := 0.0, 0.0
-		for _, v := range w.servers {
-			s.Pushes = append(s.Pushes, v.out)
+		for _, v := range w.endpoints {
+			s.Attempts = append(s.Attempts, v.inFlight)
 			s.Waiting += max(0, v.machine.Jobs()-int(v.traits.Cores))
-			if v.standing != policy.Gone {
+			if v.status != policy.Gone {
 				all += v.traits.Cores
 			}
 			busy += v.machine.Busy()
 		}
 		s.Busy = busy / max(all, 1)
-		w.gauge(&s)
+		w.addGauges(&s)
 		w.Series = append(w.Series, s)
 	}
-	if w.now < start+w.sc.Length {
-		w.queue.add(event{at: w.now + policy.Second, rank: rankWorld, do: (*World).look})
+	if w.now < dayStart+w.scenario.Length {
+		w.queue.add(event{at: w.now + policy.Second, rank: rankWorld, do: (*World).takeSample})
 	}
 }
 
-// glances is how often the judge is told how the servers stand.
-const glances = policy.Second / 4
+// observeInterval is how often the judge is told how the servers stand.
+const observeInterval = policy.Second / 4
 
-// glance tells the judge which servers are there for new work, and who stands idle while others queue.
-func (w *World) glance(*event) {
+// observeEndpoints tells the judge which servers are there for new work, and who stands idle while others queue.
+func (w *World) observeEndpoints(*event) {
 	idle, queues := 0, false
-	for _, v := range w.servers {
+	for _, v := range w.endpoints {
 		size := v.traits.Cores * v.traits.Speed
-		if v.standing != policy.Ready || v.down || v.dark() {
+		if v.status != policy.Ready || v.down || v.unreachable() {
 			size = 0
 		}
-		w.judge.CapacityChanged(w.day(w.now), v.no, size)
+		w.judge.CapacityChanged(w.sinceStart(w.now), v.number, size)
 		if in := v.machine.Jobs(); size > 0 && in == 0 {
 			idle++
 		} else if v.machine.Queued() > 0 {
 			queues = true
 		}
 	}
-	w.judge.IdleObserved(idle, queues, glances)
-	if w.now < start+w.sc.Length {
-		w.queue.add(event{at: w.now + glances, rank: rankWorld, do: (*World).glance})
+	w.judge.IdleObserved(idle, queues, observeInterval)
+	if w.now < dayStart+w.scenario.Length {
+		w.queue.add(event{at: w.now + observeInterval, rank: rankWorld, do: (*World).observeEndpoints})
 	}
 }
 
-// gauge adds what the sidecars go by, where they are of a kind that says.
-func (w *World) gauge(s *Sample) {
+// addGauges adds what the sidecars go by, where they are of a kind that says.
+func (w *World) addGauges(s *Sample) {
 	n := 0.0
-	for _, c := range w.sidecars {
+	for _, c := range w.instances {
 		if of, says := c.decider.(interface{ Gauges() policy.Gauges }); says && c.alive {
 			g := of.Gauges()
 			n++
-			s.Pace += min(g.TotalLimit, 1e4)
+			s.TotalLimit += min(g.TotalLimit, 1e4)
 			s.Limit += g.Limit
-			s.Aside += float64(g.Ejected)
+			s.Ejected += float64(g.Ejected)
 		}
 	}
 	if n > 0 {
-		s.Pace, s.Limit, s.Aside = s.Pace/n, s.Limit/n, s.Aside/n
+		s.TotalLimit, s.Limit, s.Ejected = s.TotalLimit/n, s.Limit/n, s.Ejected/n
 	}
 }
 
-func (w *World) way(a, b policy.Zone) policy.Time {
-	d := w.sc.Network.Near
+func (w *World) transit(a, b policy.Zone) policy.Time {
+	d := w.scenario.Network.Near
 	if a != b {
-		d = w.sc.Network.Far
+		d = w.scenario.Network.Far
 	}
-	return policy.Time(float64(d) * spread(w.noise, w.sc.Network.Jitter))
+	return policy.Time(float64(d) * logNormal(w.noise, w.scenario.Network.Jitter))
 }
 
-// Servers are the names of all servers there have been, by place.
-func (w *World) Servers() (all []string) {
-	for _, v := range w.servers {
+// EndpointNames are the names of all servers there have been, by place.
+func (w *World) EndpointNames() (all []string) {
+	for _, v := range w.endpoints {
 		all = append(all, v.uid)
 	}
 	return all
 }
 
-// Place is a server as a day lays it out.
-type Place struct {
+// PlacedEndpoint is a server as a day lays it out.
+type PlacedEndpoint struct {
 	UID    string
 	Zone   policy.Zone
 	Cell   policy.Cell
@@ -344,9 +344,9 @@
 }
 
 // Layout is the fleet as it stands at the day's beginning.
-func (w *World) Layout() (all []Place) {
-	for _, v := range w.servers {
-		all = append(all, Place{v.uid, v.zone, v.cell, v.weight, v.traits})
+func (w *World) Layout() (all []PlacedEndpoint) {
+	for _, v := range w.endpoints {
+		all = append(all, PlacedEndpoint{v.uid, v.zone, v.cell, v.weight, v.traits})
 	}
 	return all
 }
@@ -358,5 +358,5 @@
 	return f
 }
 
-// Franchises are the names of the tenants.
-func (w *World) Franchises() []string { return w.names }
+// TenantNames are the names of the tenants.
+func (w *World) TenantNames() []string { return w.tenantNames }
--- a/internal/experiment/replay.go
+++ b/internal/experiment/replay.go
@@ -62,9 +62,9 @@
 				if int(r.A) >= len(offerings) || r.A < 0 || int(r.B) >= len(franchises) || r.C < 0 {
 					return nil, fmt.Errorf("trace of %s: a ticket of offering %d, franchise %d", t.Name, r.A, r.B)
 				}
-				a := emulator.Arrival{At: at, Sidecar: names[t.Name], Offering: offerings[r.A], Franchise: policy.NoTenant, Key: r.Key, Left: r.C}
+				a := emulator.Arrival{At: at, Instance: names[t.Name], Class: offerings[r.A], Tenant: policy.NoTenant, Key: r.Key, TimeLeft: r.C}
 				if r.B >= 0 {
-					a.Franchise = franchises[r.B]
+					a.Tenant = franchises[r.B]
 				}
 				sc.Arrivals = append(sc.Arrivals, a)
 				if first < 0 || at < first {
@@ -78,13 +78,13 @@
 		return nil, errors.New("the traces have no ticket")
 	}
 	slices.SortStableFunc(sc.Arrivals, func(a, b emulator.Arrival) int {
-		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Sidecar, b.Sidecar))
+		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Instance, b.Instance))
 	})
 	for i := range sc.Arrivals {
 		sc.Arrivals[i].At -= first
 	}
 	sc.Length = last - first + 1
-	sc.Sidecars = len(names)
+	sc.Instances = len(names)
 	sc.Faults = faults(sc, all, begin+first, out)
 	out.Arrivals = len(sc.Arrivals)
 	if tickets > 0 {
@@ -96,14 +96,14 @@
 // match finds a trace's offerings and franchises in the scenario, by name.
 func match(sc *emulator.Scenario, t *trace.Trace) (offerings []policy.ClassID, franchises []policy.TenantID, err error) {
 	for _, name := range t.Offerings {
-		i := slices.IndexFunc(sc.Offerings, func(o emulator.Offering) bool { return o.Name == name })
+		i := slices.IndexFunc(sc.Classes, func(o emulator.Class) bool { return o.Name == name })
 		if i < 0 {
 			return nil, nil, fmt.Errorf("trace of %s: offering %q is not in the scenario", t.Name, name)
 		}
 		offerings = append(offerings, policy.ClassID(i))
 	}
 	for _, name := range t.Franchises {
-		i := slices.IndexFunc(sc.Franchise, func(f emulator.Franchise) bool { return f.Name == name })
+		i := slices.IndexFunc(sc.Tenants, func(f emulator.Tenant) bool { return f.Name == name })
 		if i < 0 {
 			return nil, nil, fmt.Errorf("trace of %s: franchise %q is not in the scenario", t.Name, name)
 		}
@@ -156,7 +156,7 @@
 		}
 	}
 	var found []emulator.Fault
-	for i := range sc.Servers {
+	for i := range sc.Endpoints {
 		uid := fmt.Sprintf("s-%05d", i)
 		events, known := by[uid]
 		if !known {
@@ -165,14 +165,14 @@
 		out.Servers++
 		slices.SortStableFunc(events, func(a, b trouble) int { return cmp.Compare(a.at, b.at) })
 		for _, w := range windows(events) {
-			f := emulator.Fault{Kind: emulator.Silent, At: max(0, w.from-zero), For: max(policy.Millisecond, w.to-w.from), Pod: -1, Server: []int{i},
+			f := emulator.Fault{Kind: emulator.Silent, At: max(0, w.from-zero), Duration: max(policy.Millisecond, w.to-w.from), Pod: -1, Endpoints: []int{i},
 				Cold: w.cold}
 			if w.crash {
 				f.Kind = emulator.Crash
 			}
 			if f.At < sc.Length {
 				found = append(found, f)
-				out.Faults = append(out.Faults, fmt.Sprintf("%s: %v from %.1f s for %.1f s", uid, f.Kind, float64(f.At)/1e9, float64(f.For)/1e9))
+				out.Faults = append(out.Faults, fmt.Sprintf("%s: %v from %.1f s for %.1f s", uid, f.Kind, float64(f.At)/1e9, float64(f.Duration)/1e9))
 			}
 		}
 	}
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -122,9 +122,9 @@
 	}
 	if err := add("Limits and pace", "Mean over the sidecars: pushes that may be out in all, and to one server; servers set aside.",
 		"pushes, servers", true, 0, math.NaN(), map[string]plotter.XYs{
-			"pace":  sampled(func(x emulator.Sample) float64 { return min(x.Pace, 200) }),
+			"pace":  sampled(func(x emulator.Sample) float64 { return min(x.TotalLimit, 200) }),
 			"limit": sampled(func(x emulator.Sample) float64 { return x.Limit }),
-			"aside": sampled(func(x emulator.Sample) float64 { return x.Aside })}, []string{"pace", "limit", "aside"}); err != nil {
+			"aside": sampled(func(x emulator.Sample) float64 { return x.Ejected })}, []string{"pace", "limit", "aside"}); err != nil {
 		return nil, err
 	}
 	if err := add("Servers", "Part of all cores at work, and jobs in servers beyond their cores, in tens.", "part, tens of jobs", true, 0,
@@ -162,15 +162,15 @@
 	out := pushLines{lines: map[string]plotter.XYs{}, note: "One line a server."}
 	most := 0
 	for _, one := range s.Samples {
-		most = max(most, len(one.Pushes))
+		most = max(most, len(one.Attempts))
 	}
 	if most <= 16 {
 		for i := range most {
 			name := s.Servers[i]
 			out.order = append(out.order, name)
 			for _, one := range s.Samples {
-				if i < len(one.Pushes) {
-					out.lines[name] = append(out.lines[name], plotter.XY{X: float64(one.At) / 1e9, Y: float64(one.Pushes[i])})
+				if i < len(one.Attempts) {
+					out.lines[name] = append(out.lines[name], plotter.XY{X: float64(one.At) / 1e9, Y: float64(one.Attempts[i])})
 				}
 			}
 		}
@@ -179,7 +179,7 @@
 	out.note = "Over the servers: the least, the middle, the 90th percentile and the most."
 	out.order = []string{"least", "middle", "90%", "most"}
 	for _, one := range s.Samples {
-		sorted := slices.Sorted(slices.Values(one.Pushes))
+		sorted := slices.Sorted(slices.Values(one.Attempts))
 		for i, name := range out.order {
 			at := []int{0, len(sorted) / 2, len(sorted) * 9 / 10, len(sorted) - 1}[i]
 			out.lines[name] = append(out.lines[name], plotter.XY{X: float64(one.At) / 1e9, Y: float64(sorted[at])})
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -83,7 +83,7 @@
 		if n, err := fmt.Sscanf(fmt.Sprint(sets[i].Value), "%dx%d", &sidecars, &servers); n != 2 || err != nil || sidecars < 1 || servers < 1 {
 			return nil, fmt.Errorf("scale: found %v, allowed sidecars x servers, as 300x100", sets[i].Value)
 		}
-		by := float64(servers) / float64(sc.Servers)
+		by := float64(servers) / float64(sc.Endpoints)
 		sets = append(slices.Clone(sets[:i]), append([]emulator.Set{{Path: "fleet.sidecars", Value: int64(sidecars)}, {Path: "fleet.servers", Value: int64(servers)},
 			{Path: "load.keys", Value: int64(math.Round(float64(sc.Load.Keys) * by))}}, sets[i+1:]...)...)
 		if sc.Load.Rate > 0 {
@@ -100,7 +100,7 @@
 
 func newWatcher(sc *emulator.Scenario) *watcher {
 	w := &watcher{}
-	for range sc.Offerings {
+	for range sc.Classes {
 		w.by = append(w.by, hdrhistogram.New(1000, int64(24*time.Hour), 3))
 	}
 	return w
@@ -116,7 +116,7 @@
 func (w *watcher) latencies(sc *emulator.Scenario) (all []Latency) {
 	for i, h := range w.by {
 		at := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) }
-		all = append(all, Latency{sc.Offerings[i].Name, h.TotalCount(), at(50), at(90), at(99), time.Duration(h.Max())})
+		all = append(all, Latency{sc.Classes[i].Name, h.TotalCount(), at(50), at(90), at(99), time.Duration(h.Max())})
 	}
 	return all
 }
@@ -136,14 +136,14 @@
 	if !wantSeries {
 		return out, nil, nil
 	}
-	return out, &Series{Samples: world.Series, Curves: watch.curves(sc), Servers: world.Servers(), Faults: Spans(sc)}, nil
+	return out, &Series{Samples: world.Series, Curves: watch.curves(sc), Servers: world.EndpointNames(), Faults: Spans(sc)}, nil
 }
 
 func (w *watcher) curves(sc *emulator.Scenario) map[string][]Points {
 	all := map[string][]Points{}
 	for i, h := range w.by {
 		for _, q := range []float64{1, 5, 10, 20, 30, 40, 50, 60, 70, 80, 90, 95, 98, 99, 99.5, 99.9, 100} {
-			all[sc.Offerings[i].Name] = append(all[sc.Offerings[i].Name], Points{q, float64(h.ValueAtQuantile(q)) / 1e9})
+			all[sc.Classes[i].Name] = append(all[sc.Classes[i].Name], Points{q, float64(h.ValueAtQuantile(q)) / 1e9})
 		}
 	}
 	return all
@@ -152,9 +152,9 @@
 // Spans are the faults of a script as they lie in the day.
 func Spans(sc *emulator.Scenario) (all []Span) {
 	for _, f := range sc.Faults {
-		to := f.At + f.For
-		if f.For == 0 || f.Kind == emulator.Rolling || f.Kind == emulator.Shrink {
-			to = min(sc.Length, f.At+max(f.For, policy.Second))
+		to := f.At + f.Duration
+		if f.Duration == 0 || f.Kind == emulator.Rolling || f.Kind == emulator.Shrink {
+			to = min(sc.Length, f.At+max(f.Duration, policy.Second))
 		}
 		if f.Kind == emulator.Rolling {
 			to = sc.Length
--- a/internal/livetest/clients.go
+++ b/internal/livetest/clients.go
@@ -18,13 +18,13 @@
 // request plays what a client wants, over its tries.
 func (s *stage) request(a *emulator.Arrival) {
 	sc := s.Scenario
-	o := &sc.Offerings[a.Offering]
-	c := s.sidecars[a.Sidecar]
+	o := &sc.Classes[a.Class]
+	c := s.sidecars[a.Instance]
 	from := s.now()
 	s.mu.Lock()
-	r := s.judge.ClientRequestBegun(from, a.Offering, a.Franchise, s.credit.Of(from, a.Offering, a.Franchise))
+	r := s.judge.ClientRequestBegun(from, a.Class, a.Tenant, s.credit.Value(from, a.Class, a.Tenant))
 	s.mu.Unlock()
-	cutOff := from + a.Left
+	cutOff := from + a.TimeLeft
 	for try := 1; ; try++ {
 		answer, advice, sent := s.try(a, c, r, cutOff, try)
 		harmless := !sent || answer == judge.Rejected
@@ -33,7 +33,7 @@
 		}
 		s.mu.Lock()
 		pause := policy.Time(float64(sc.Clients.Backoff<<(try-1)) * (0.5 + s.retries.Float64()))
-		if s.retries.Float64() < sc.Clients.Heed {
+		if s.retries.Float64() < sc.Clients.HonourRetryAfter {
 			pause = max(pause, advice)
 		}
 		s.mu.Unlock()
@@ -49,7 +49,7 @@
 
 // try sends one try. sent is false where the sidecar was not there, or died with it.
 func (s *stage) try(a *emulator.Arrival, c *sidecar, r judge.ClientRequestID, cutOff policy.Time, try int) (judge.Answer, policy.Time, bool) {
-	o := &s.Scenario.Offerings[a.Offering]
+	o := &s.Scenario.Classes[a.Class]
 	left := cutOff - s.now()
 	if left <= 0 {
 		return 0, 0, false
@@ -60,7 +60,7 @@
 		s.mu.Unlock()
 		return 0, 0, false
 	}
-	t := &ticket{sidecar: c, request: r, of: s.judge.RequestAccepted(s.now(), r, c.no, a.Offering, cutOff+slack)}
+	t := &ticket{sidecar: c, request: r, of: s.judge.RequestAccepted(s.now(), r, c.no, a.Class, cutOff+slack)}
 	s.judge.SetKey(t.of, a.Key)
 	id := fmt.Sprintf("%d-%d-%d", r, try, s.now())
 	s.tickets[id] = t
@@ -75,17 +75,17 @@
 	h := call.Header
 	h.Set("X-Request-ID", id)
 	h.Set("X-Timeout", strconv.FormatFloat(float64(left)/1e9, 'f', 4, 64))
-	h.Set("X-Work", fmt.Sprintf("%d,%d", int64(float64(o.Work)*a.Size), int64(float64(o.IO)*a.SizeIO)))
+	h.Set("X-Work", fmt.Sprintf("%d,%d", int64(float64(o.Work)*a.WorkFactor), int64(float64(o.IO)*a.IOFactor)))
 	if a.Key != 0 {
 		h.Set("X-Route-Key", "k"+strconv.FormatUint(a.Key, 36))
 	}
-	if a.Franchise >= 0 {
-		h.Set("X-Tenant-Id", s.Scenario.Franchise[a.Franchise].Name)
+	if a.Tenant >= 0 {
+		h.Set("X-Tenant-Id", s.Scenario.Tenants[a.Tenant].Name)
 	}
 	if o.Idempotency == policy.Keyed {
 		h.Set("Idempotency-Key", "i-"+id)
 	}
-	if s.Scenario.Clients.Marks && try > 1 {
+	if s.Scenario.Clients.MarkRetries && try > 1 {
 		h.Set("X-Retried", "1")
 	}
 	status, advice, err := s.round(call)
--- a/internal/livetest/rehearsal.go
+++ b/internal/livetest/rehearsal.go
@@ -56,7 +56,7 @@
 	mu      sync.Mutex // of what follows
 	judge   *judge.Judge
 	tickets map[string]*ticket
-	credit  *emulator.Credit
+	credit  *emulator.ValueMeter
 	lists   *rand.Rand
 	retries *rand.Rand
 	issue   int
@@ -99,10 +99,10 @@
 // fits tells why a scenario with so many requests a second cannot be played on sockets.
 func fits(sc *emulator.Scenario, rate float64) error {
 	switch {
-	case sc.Servers > mostServers || sc.Sidecars > mostSidecars || rate > mostRate:
+	case sc.Endpoints > mostServers || sc.Instances > mostSidecars || rate > mostRate:
 		return fmt.Errorf("%s: found %d servers, %d sidecars, %.0f requests a second, allowed %d, %d, %d on sockets", sc.Name,
-			sc.Servers, sc.Sidecars, rate, mostServers, mostSidecars, mostRate)
-	case sc.Discovery.Asked:
+			sc.Endpoints, sc.Instances, rate, mostServers, mostSidecars, mostRate)
+	case sc.Discovery.Polled:
 		return fmt.Errorf("%s: discovery.asked: lists come by files on sockets", sc.Name)
 	}
 	return nil
@@ -121,11 +121,11 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	s := &stage{Play: p, dir: dir, clock: clock.New(), campaign: world.Campaign(), tickets: map[string]*ticket{},
-		credit: emulator.NewCredit(sc, world.Rate()), lists: rand.New(rand.NewPCG(p.Seed, 1)), retries: rand.New(rand.NewPCG(p.Seed, 2)),
+	s := &stage{Play: p, dir: dir, clock: clock.New(), campaign: world.Settings(), tickets: map[string]*ticket{},
+		credit: emulator.NewValueMeter(sc, world.Rate()), lists: rand.New(rand.NewPCG(p.Seed, 1)), retries: rand.New(rand.NewPCG(p.Seed, 2)),
 		client: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
 	defer s.client.CloseIdleConnections()
-	s.judge = judge.New(world.Facts(slack), world.Franchises())
+	s.judge = judge.New(world.Facts(slack), world.TenantNames())
 	if err := s.serve(world); err != nil {
 		return nil, err
 	}
--- a/internal/livetest/rehearsal_test.go
+++ b/internal/livetest/rehearsal_test.go
@@ -109,9 +109,9 @@
 	if d := r.Verdict.Service - took.Honoured; !r.Verdict.RulesKept() || d < -0.15 || d > 0.15 {
 		t.Errorf("replayed: %v, service %.3f, of the recorded tickets %.3f were honoured", r.Verdict.ViolationCounts, r.Verdict.Service, took.Honoured)
 	}
-	sc.Arrivals, sc.Sidecars = nil, mostSidecars+1
-	if _, err := Run(context.Background(), Play{Scenario: sc, Daemon: daemon}); err == nil || !strings.Contains(err.Error(), fmt.Sprint(sc.Sidecars, " sidecars")) {
-		t.Errorf("a rehearsal of %d sidecars: %v", sc.Sidecars, err)
+	sc.Arrivals, sc.Instances = nil, mostSidecars+1
+	if _, err := Run(context.Background(), Play{Scenario: sc, Daemon: daemon}); err == nil || !strings.Contains(err.Error(), fmt.Sprint(sc.Instances, " sidecars")) {
+		t.Errorf("a rehearsal of %d sidecars: %v", sc.Instances, err)
 	}
 }
 
@@ -123,7 +123,7 @@
 		fits              bool
 	}{{1024, 1024, 100, true}, {mostServers, mostSidecars, mostRate, true}, {mostServers + 1, 1, 1, false}, {1, mostSidecars + 1, 1, false},
 		{1, 1, mostRate + 1, false}} {
-		if err := fits(&emulator.Scenario{Servers: k.servers, Sidecars: k.sidecars}, k.rate); (err == nil) != k.fits {
+		if err := fits(&emulator.Scenario{Endpoints: k.servers, Instances: k.sidecars}, k.rate); (err == nil) != k.fits {
 			t.Errorf("%+v: %v", k, err)
 		}
 	}
--- a/internal/livetest/script.go
+++ b/internal/livetest/script.go
@@ -29,11 +29,11 @@
 	defer s.mu.Unlock()
 	for _, v := range s.servers {
 		if v.standing == policy.Ready && !v.gone.Load() && (f.Zone == "" || f.Zone == v.zone) && (f.Pod < 0 || f.Pod == int(v.cell)) &&
-			(len(f.Server) == 0 || slices.Contains(f.Server, int(v.no))) {
+			(len(f.Endpoints) == 0 || slices.Contains(f.Endpoints, int(v.no))) {
 			some = append(some, v)
 		}
 	}
-	n := f.Meets(len(some))
+	n := f.Affected(len(some))
 	r.Shuffle(len(some), func(i, j int) { some[i], some[j] = some[j], some[i] })
 	return some[:n]
 }
@@ -49,7 +49,7 @@
 	case emulator.ListBehind:
 		s.mu.Lock()
 		for _, c := range s.sidecars {
-			c.behind = s.clock.Now() + f.For
+			c.behind = s.clock.Now() + f.Duration
 		}
 		s.mu.Unlock()
 		return
@@ -73,7 +73,7 @@
 		for _, v := range some {
 			v.Change(func(m *machine.Machine, now policy.Time) { m.SetFaultSpeed(now, part) })
 		}
-		s.after(f.For, func() {
+		s.after(f.Duration, func() {
 			for _, v := range some {
 				v.Change(func(m *machine.Machine, now policy.Time) { m.SetFaultSpeed(now, 1) })
 			}
@@ -82,30 +82,30 @@
 		for _, v := range some {
 			v.Errors(f.Size)
 		}
-		s.after(f.For, func() {
+		s.after(f.Duration, func() {
 			for _, v := range some {
 				v.Errors(0)
 			}
 		})
 	case emulator.Pauses:
-		s.pauses(f, some, s.clock.Now()+f.For, 0)
+		s.pauses(f, some, s.clock.Now()+f.Duration, 0)
 	case emulator.ZoneLost, emulator.Silent:
 		for _, v := range some {
 			v.Silent(true)
 			v.gone.Store(true)
 			s.noticed(v, policy.Gone, false)
 		}
-		if f.Kind == emulator.ZoneLost && f.Sidecars {
+		if f.Kind == emulator.ZoneLost && f.IncludeInstances {
 			s.restart(f, r)
 		}
-		s.after(f.For, func() { s.revive(some, f.Cold) })
+		s.after(f.Duration, func() { s.revive(some, f.Cold) })
 	case emulator.Crash:
 		for _, v := range some {
 			v.gone.Store(true)
 			v.Stop()
 			s.noticed(v, policy.Gone, true)
 		}
-		s.after(f.For, func() { s.startAgain(some) })
+		s.after(f.Duration, func() { s.startAgain(some) })
 	case emulator.Shrink, emulator.Rolling:
 		slices.SortFunc(some, func(a, b *server) int { return int(a.no - b.no) })
 		for i, v := range some {
@@ -155,7 +155,7 @@
 func (s *stage) drain(f *emulator.Fault, v *server) {
 	v.Drain()
 	s.noticed(v, policy.Draining, true)
-	wait := f.For
+	wait := f.Duration
 	if wait == 0 {
 		wait = 10 * policy.Second
 	}
@@ -174,7 +174,7 @@
 	for range f.Count {
 		s.mu.Lock()
 		no := len(s.servers)
-		of := s.servers[no%s.Scenario.Servers]
+		of := s.servers[no%s.Scenario.Endpoints]
 		v := &server{no: judge.EndpointID(no), uid: fmt.Sprintf("s-%05d", no), zone: s.Scenario.Zones[no%len(s.Scenario.Zones)],
 			cell: of.cell + 1000, weight: of.weight, standing: policy.Gone}
 		err := s.startServer(v, s.Scenario.Kinds[no%len(s.Scenario.Kinds)].Traits, s.clock.Now())
@@ -198,7 +198,7 @@
 	}
 	if f.Kind == emulator.SidecarRestart {
 		r.Shuffle(len(some), func(i, j int) { some[i], some[j] = some[j], some[i] })
-		some = some[:f.Meets(len(some))]
+		some = some[:f.Affected(len(some))]
 	}
 	for _, c := range some {
 		c.life++
@@ -208,7 +208,7 @@
 		s.judge.InstanceDied(c.no)
 	}
 	s.mu.Unlock()
-	s.after(f.For, func() {
+	s.after(f.Duration, func() {
 		for _, c := range some {
 			if err := s.tell(c); err != nil {
 				s.log("sidecar %d: %v", c.no, err)
--- a/internal/livetest/sidecars.go
+++ b/internal/livetest/sidecars.go
@@ -21,7 +21,7 @@
 // Instances of the program: their configuration, start, end and lists.
 
 func (s *stage) begin() error {
-	for no := range s.Scenario.Sidecars {
+	for no := range s.Scenario.Instances {
 		c := &sidecar{no: judge.InstanceID(no), zone: s.Scenario.Zones[no%len(s.Scenario.Zones)], addr: free()}
 		dir := filepath.Join(s.dir, fmt.Sprint("n", no))
 		if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -128,13 +128,13 @@
 		zones = append(zones, strconv.Quote(string(z)))
 	}
 	line("[instance]\nname = \"n%d\"\nzone = %q\nzones = [%s]\ninstances = %d\ncross_price = %g\nseed = \"%x\"", c.no, c.zone,
-		strings.Join(zones, ", "), sc.Sidecars, k.CrossZonePrice, s.Seed*1000+uint64(c.no)+1)
+		strings.Join(zones, ", "), sc.Instances, k.CrossZonePrice, s.Seed*1000+uint64(c.no)+1)
 	line("[front.http]\nlisten = %q\nrequest_id = \"demanded\"", c.addr)
 	line("[limits]\ndescriptors = 4096\nmemory_mb = 192\npushes = %d\ncancel = %v\nadvice = %q\nconnect = %q\nidle = %q\ntick = %q",
-		k.MaxAttempts, k.MayCancel, span(k.MaxRetryAfter), span(sc.Network.ConnectIn), span(sc.Network.IdleFor), span(k.Tick))
+		k.MaxAttempts, k.MayCancel, span(k.MaxRetryAfter), span(sc.Network.ConnectTimeout), span(sc.Network.IdleTimeout), span(k.Tick))
 	line("[cold]\nshare = %g\ntime = %q\nfall = %g", max(0.001, k.ColdCapacity), span(k.ColdTime), max(1, k.OverloadMultiple))
 	repeats, groups := []string{"reissuable", "numbered", "at-most-once"}, []string{"all", "zone", "pod"}
-	for _, o := range sc.Offerings {
+	for _, o := range sc.Classes {
 		line("[[offering]]\nname = %q\ncredit = %g\nlate_credit = %g\nquoted_time = %q\ncut_off = %q\nrepeats = %q", o.Name, o.Value, o.LateValue,
 			span(o.Target), span(o.Deadline), repeats[o.Idempotency])
 		if o.Idempotency == policy.Keyed {
@@ -191,9 +191,9 @@
 
 // noticed has discovery learn how a server stands, and tells every sidecar.
 func (s *stage) noticed(v *server, standing policy.EndpointStatus, own bool) {
-	d := s.Scenario.Discovery.Silent
+	d := s.Scenario.Discovery.DetectDelay
 	if own {
-		d = s.Scenario.Discovery.Delay
+		d = s.Scenario.Discovery.AnnounceDelay
 	}
 	s.mu.Lock()
 	wait := d[0] + policy.Time(s.lists.Float64()*float64(d[1]-d[0]))
