--- a/internal/coordinator/group.go
+++ b/internal/coordinator/group.go
@@ -157,18 +157,22 @@
 
 // HandleMessage takes what a sidecar has sent; it does not wait.
 func (k *Coordinator) HandleMessage(b []byte) {
-	ears := ruleset.MessageHandler{LeaseRequest: func(from string, ask uint64, knows []ruleset.RevisionNumber) {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		if k.granter == nil || len(k.asked) >= mostAsked {
-			return // who leads is asked too
-		}
-		k.asked = append(k.asked, question{from, ask, knows, clock.Awake()})
-		k.ring()
-	}}
-	if !ears.Handle(b) {
+	message, err := ruleset.Decode(b)
+	if err != nil {
 		k.unreadable.Add(1)
+		return
+	}
+	request, ok := message.(ruleset.LeaseRequest)
+	if !ok {
+		return
+	}
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if k.granter == nil || len(k.asked) >= mostAsked {
+		return // who leads is asked too
 	}
+	k.asked = append(k.asked, question{request.Sender, request.ID, request.Known, clock.Awake()})
+	k.ring()
 }
 
 // write has the group agree on a line of the log.
--- a/internal/coordinator/leader.go
+++ b/internal/coordinator/leader.go
@@ -97,7 +97,7 @@
 	k.mu.Unlock()
 	if given {
 		k.grants.Add(1)
-		c.Send(q.from, ruleset.EncodeLease(c.Address(), g)) // lost: it is asked again
+		c.Send(q.from, ruleset.LeaseResponse{Sender: c.Address(), Lease: g}.Encode()) // lost: it is asked again
 		return
 	}
 	if len(lacks) == 0 {
@@ -111,7 +111,7 @@
 	go func() {
 		defer func() { <-k.room }()
 		for _, p := range lacks {
-			b := ruleset.EncodeRevision(c.Address(), p)
+			b := ruleset.RevisionUpdate{Sender: c.Address(), Revision: p}.Encode()
 			k.sent.Add(1)
 			k.sentBytes.Add(uint64(len(b)))
 			if c.SendReliable(q.from, b) != nil {
--- a/internal/daemon/agreed.go
+++ b/internal/daemon/agreed.go
@@ -68,16 +68,13 @@
 
 // run asks for leases and takes in what is said, until the sidecar ends.
 func (g *agreed) run(stop <-chan struct{}) {
-	ears := ruleset.MessageHandler{Lease: g.grantedBy, Revision: g.told}
 	next := time.NewTimer(0)
 	for {
 		select {
 		case <-stop:
 			return
 		case b := <-g.heard:
-			if !ears.Handle(b) {
-				g.unread.Add(1)
-			}
+			g.handle(b)
 			if g.soon {
 				g.soon = false
 				next.Reset(0)
@@ -89,6 +86,21 @@
 	}
 }
 
+// handle takes in one message.
+func (g *agreed) handle(b []byte) {
+	message, err := ruleset.Decode(b)
+	if err != nil {
+		g.unread.Add(1)
+		return
+	}
+	switch m := message.(type) {
+	case ruleset.LeaseResponse:
+		g.grantedBy(m.Sender, m.Lease)
+	case ruleset.RevisionUpdate:
+		g.told(m.Revision)
+	}
+}
+
 // ask asks the keeper that granted last, or all of them where it has been silent.
 func (g *agreed) ask() {
 	c := g.of.Load()
@@ -102,7 +114,7 @@
 	var b []byte
 	if len(keepers) == 0 || !g.RunOnLoopWithin(countIn, func() {
 		ask, knows := g.NewLeaseRequest()
-		b = ruleset.EncodeLeaseRequest(c.Address(), ask, knows)
+		b = ruleset.LeaseRequest{Sender: c.Address(), ID: ask, Known: knows}.Encode()
 		g.note()
 	}) {
 		return
@@ -134,7 +146,7 @@
 	})
 }
 
-func (g *agreed) told(from string, p ruleset.Revision) {
+func (g *agreed) told(p ruleset.Revision) {
 	if sha256.Sum256(p.Text) != p.Digest {
 		g.refuse(p, "its digest is that of another text")
 		return
--- a/internal/ruleset/explore_test.go
+++ b/internal/ruleset/explore_test.go
@@ -7,114 +7,121 @@
 	"pepperlead/policy"
 )
 
-// What is explored: every order of questions, answers, losses, repeats, confirmations, leaders that follow each other without the old
-// one knowing, a change of versions, sidecars that start again, and a clock that runs slow, for some moments of time.
+// What is explored: every order of requests, answers, losses, confirmations, leaders that follow each other without the
+// old one knowing, a change of revisions, instances that restart, and a clock that runs slow, for some moments of time.
 
 const (
-	span   = 1 // moments of a grant
-	moment = 4 // last
+	leaseDuration = 1 // moments of a lease
+	lastMoment    = 4 // last
 	// A clock that loses one moment in three: longest = 1*(1+0.5)+1 covers the moment of the asker and the one lost.
-	drift = 0.5
+	clockDrift = 0.5
 )
 
 // fault is one planted in the machines, which the exploration must find.
 type fault int
 
 const (
-	none fault = iota
+	noFault fault = iota
 	noWait
-	noConfirming
-	fromAnswer
-	anyAnswer
+	noTermConfirmation
+	leaseFromAnswer
+	acceptAnyAnswer
 )
 
 // bounds say how much may happen in one exploration.
 type bounds struct {
-	asks, leaders int
-	holders       int  // 0: two
-	slow, restart bool // the first sidecar's clock loses moments; it starts again once
+	requests, leaders int
+	clients           int  // 0: two
+	slow, restart     bool // the first instance's clock loses moments; it restarts once
 }
 
-type question struct {
-	holder, leader int
-	ask            uint64
-	knows          []RevisionNumber
+type leaseRequest struct {
+	client, leader int
+	id             uint64
+	known          []RevisionNumber
 }
 
-type answer struct {
-	holder int
-	grant  Lease
+type leaseAnswer struct {
+	client int
+	lease  Lease
 }
 
-// scene is a state of all. Holders and granters are values, so a copy is a scene of its own.
-type scene struct {
-	now       policy.Time
-	lost      policy.Time // moments that the first sidecar's clock has not counted
-	lastLost  policy.Time
-	holders   []LeaseClient
-	lives     []uint32
-	leaders   []LeaseIssuer
-	questions []question
-	answers   []answer
-	asks      int
+// state is the state of all instances and leaders. Clients and issuers are values, so a copy is a state of its own.
+type state struct {
+	now          policy.Time
+	lost         policy.Time // moments that the first instance's clock has not counted
+	lastLost     policy.Time
+	clients      []LeaseClient
+	generations  []uint32
+	leaders      []LeaseIssuer
+	requests     []leaseRequest
+	answers      []leaseAnswer
+	requestCount int
 }
 
-func (s scene) copy() scene {
-	s.holders = slices.Clone(s.holders)
-	for i := range s.holders {
-		s.holders[i].known, s.holders[i].of = slices.Clone(s.holders[i].known), slices.Clone(s.holders[i].of)
+func (s state) copy() state {
+	s.clients = slices.Clone(s.clients)
+	for i := range s.clients {
+		client := &s.clients[i]
+		client.known = slices.Clone(client.known)
+		client.leasedRevisions = slices.Clone(client.leasedRevisions)
 	}
-	s.lives, s.leaders = slices.Clone(s.lives), slices.Clone(s.leaders)
-	s.questions, s.answers = slices.Clone(s.questions), slices.Clone(s.answers)
+	s.generations, s.leaders = slices.Clone(s.generations), slices.Clone(s.leaders)
+	s.requests, s.answers = slices.Clone(s.requests), slices.Clone(s.answers)
 	return s
 }
 
-func (s *scene) key() string {
-	k := []byte{byte(s.now), byte(s.lost), byte(s.lastLost), byte(s.asks), byte(s.lives[0])}
-	for i := range s.holders {
-		h := &s.holders[i]
-		k = append(k, byte(h.term), byte(h.till), byte(h.asked), byte(h.asked>>32), byte(h.sentAt), byte(len(h.of)))
-		for _, n := range h.of {
+func (s *state) key() string {
+	k := []byte{byte(s.now), byte(s.lost), byte(s.lastLost), byte(s.requestCount), byte(s.generations[0])}
+	for i := range s.clients {
+		h := &s.clients[i]
+		k = append(k, byte(h.term), byte(h.leaseExpiry), byte(h.lastRequestID), byte(h.lastRequestID>>32),
+			byte(h.requestedAt), byte(len(h.leasedRevisions)))
+		for _, n := range h.leasedRevisions {
 			k = append(k, byte(n))
 		}
 	}
 	for _, g := range s.leaders {
-		k = append(k, 'g', byte(g.old), byte(g.new), byte(g.alone), byte(g.sure))
+		k = append(k, 'g', byte(g.active), byte(g.next), byte(g.activeOnlyExpiry), byte(g.confirmedAt))
 	}
-	for _, q := range s.questions {
-		k = append(k, 'q', byte(q.holder), byte(q.leader), byte(q.ask), byte(q.ask>>32))
+	for _, q := range s.requests {
+		k = append(k, 'q', byte(q.client), byte(q.leader), byte(q.id), byte(q.id>>32))
 	}
 	for _, a := range s.answers {
-		k = append(k, 'a', byte(a.holder), byte(a.grant.Term), byte(a.grant.RequestID), byte(a.grant.RequestID>>32), byte(len(a.grant.Revisions)), byte(a.grant.Revisions[0]))
+		k = append(k, 'a', byte(a.client), byte(a.lease.Term), byte(a.lease.RequestID), byte(a.lease.RequestID>>32),
+			byte(len(a.lease.Revisions)), byte(a.lease.Revisions[0]))
 	}
 	return string(k)
 }
 
-func (s *scene) clock(i int) policy.Time {
+func (s *state) clock(i int) policy.Time {
 	if i == 0 {
 		return s.now - s.lost
 	}
 	return s.now
 }
 
-func version(n RevisionNumber) RuleSet {
+func ruleSetNumbered(n RevisionNumber) RuleSet {
 	// 2 allows less of x and more of y than 1 does, so either way of acting by the wrong one shows.
-	r := Rules{AnyEndpoint: true, Instances: 1, ColdCapacity: 1, OverloadMultiple: 1, Classes: []NamedClassRule{{"x", IdempotentRule(9)}, {"y", ClassRule{Deadline: 9}}}}
+	r := Rules{AnyEndpoint: true, Instances: 1, ColdCapacity: 1, OverloadMultiple: 1,
+		Classes: []NamedClassRule{{"x", IdempotentRule(9)}, {"y", ClassRule{Deadline: 9}}}}
 	if n == 2 {
 		r.Classes = []NamedClassRule{{"x", ClassRule{Deadline: 9}}, {"y", IdempotentRule(9)}}
 	}
 	return RuleSet{Number: n, Digest: [32]byte{byte(n)}, Rules: r}
 }
 
-// contradicts looks for a sidecar that acts by the new version alone, beside one that may do what it forbids, or the other way round.
-func (s *scene) contradicts() bool {
-	for i := range s.holders {
-		mine, leased := s.holders[i].Active(s.clock(i))
-		if of := s.holders[i].of; !leased || len(of) != 1 || of[0] != 2 {
+// contradicts looks for an instance that acts by the new revision alone, beside one that may do what it forbids, or the
+// other way round.
+func (s *state) contradicts() bool {
+	for i := range s.clients {
+		mine, leased := s.clients[i].Active(s.clock(i))
+		if of := s.clients[i].leasedRevisions; !leased || len(of) != 1 || of[0] != 2 {
 			continue
 		}
-		for j := range s.holders {
-			if other, _ := s.holders[j].Active(s.clock(j)); j != i && !version(2).Rules.Allows(*other) && !version(1).Rules.Allows(*mine) {
+		for j := range s.clients {
+			if other, _ := s.clients[j].Active(s.clock(j)); j != i && !ruleSetNumbered(2).Rules.Allows(*other) &&
+				!ruleSetNumbered(1).Rules.Allows(*mine) {
 				return true
 			}
 		}
@@ -122,98 +129,99 @@
 	return false
 }
 
-// next gives every scene that one step leads to.
-func (s scene) next(f fault, b bounds) (all []scene) {
-	step := func(do func(n *scene) bool) {
+// next gives every state that one step leads to.
+func (s state) next(f fault, b bounds) (all []state) {
+	step := func(do func(n *state) bool) {
 		if n := s.copy(); do(&n) {
 			all = append(all, n)
 		}
 	}
-	if s.now < moment {
-		step(func(n *scene) bool { n.now++; return true })
+	if s.now < lastMoment {
+		step(func(n *state) bool { n.now++; return true })
 		if b.slow && (s.lost == 0 || s.now-s.lastLost >= 3) {
-			step(func(n *scene) bool { n.now++; n.lost++; n.lastLost = n.now; return true })
+			step(func(n *state) bool { n.now++; n.lost++; n.lastLost = n.now; return true })
 		}
 	}
 	last := len(s.leaders) - 1
-	for i := range s.holders {
-		if s.asks < b.asks {
+	for i := range s.clients {
+		if s.requestCount < b.requests {
 			for l := range s.leaders {
-				step(func(n *scene) bool {
-					n.asks++
-					ask, knows := n.holders[i].NewRequest(n.clock(i))
-					n.questions = append(n.questions, question{i, l, ask, knows})
+				step(func(n *state) bool {
+					n.requestCount++
+					ask, knows := n.clients[i].NewRequest(n.clock(i))
+					n.requests = append(n.requests, leaseRequest{i, l, ask, knows})
 					return true
 				})
 			}
 		}
-		if i == 0 && b.restart && s.lives[0] == 0 && s.asks > 0 {
-			step(func(n *scene) bool { // starts again, with what it kept of versions
-				n.lives[0]++
-				h := NewLeaseClient(n.lives[0])
-				h.known = n.holders[0].known
-				h.settle()
-				n.holders[0] = *h
+		if i == 0 && b.restart && s.generations[0] == 0 && s.requestCount > 0 {
+			step(func(n *state) bool { // starts again, with what it kept of versions
+				n.generations[0]++
+				h := NewLeaseClient(n.generations[0])
+				h.known = n.clients[0].known
+				h.recompute()
+				n.clients[0] = *h
 				return true
 			})
 		}
 	}
-	for q, of := range s.questions {
-		step(func(n *scene) bool {
-			n.questions = slices.Delete(n.questions, q, q+1)
+	for q, of := range s.requests {
+		step(func(n *state) bool {
+			n.requests = slices.Delete(n.requests, q, q+1)
 			g, came := &n.leaders[of.leader], n.now
 			if of.leader == last {
 				g.ConfirmTerm(n.now) // a round of the group finds only the latest term confirmed
 			}
-			if f == noConfirming {
+			if f == noTermConfirmation {
 				came = -1
 			}
-			grant, given := g.Issue(of.ask, of.knows, came)
-			if given {
-				n.answers = append(n.answers, answer{of.holder, grant})
+			lease, issued := g.Issue(of.id, of.known, came)
+			if issued {
+				n.answers = append(n.answers, leaseAnswer{of.client, lease})
 			}
-			return given
+			return issued
 		})
 	}
 	for a, of := range s.answers { // one that is lost never comes
-		step(func(n *scene) bool {
+		step(func(n *state) bool {
 			n.answers = slices.Delete(n.answers, a, a+1)
-			h := &n.holders[of.holder]
-			if f == fromAnswer {
-				h.sentAt = n.clock(of.holder)
+			h := &n.clients[of.client]
+			if f == leaseFromAnswer {
+				h.requestedAt = n.clock(of.client)
 			}
-			if f == anyAnswer {
-				h.asked = of.grant.RequestID
+			if f == acceptAnyAnswer {
+				h.lastRequestID = of.lease.RequestID
 			}
-			return h.Accept(of.grant)
+			return h.Accept(of.lease)
 		})
 	}
 	g := &s.leaders[last]
-	if g.new == 1 {
-		step(func(n *scene) bool { return n.leaders[last].BeginChange(2, n.now) })
+	if g.next == 1 {
+		step(func(n *state) bool { return n.leaders[last].BeginChange(2, n.now) })
 	}
-	if g.ChangeReady(s.now) || f == noWait && g.old != g.new {
-		step(func(n *scene) bool { n.leaders[last].CompleteChange(); return true })
+	if g.ChangeReady(s.now) || f == noWait && g.active != g.next {
+		step(func(n *state) bool { n.leaders[last].CompleteChange(); return true })
 	}
 	if len(s.leaders) < b.leaders {
-		step(func(n *scene) bool {
-			n.leaders = append(n.leaders, *NewLeaseIssuer(2, span, drift, g.old, g.new, n.now))
+		step(func(n *state) bool {
+			n.leaders = append(n.leaders, *NewLeaseIssuer(2, leaseDuration, clockDrift, g.active, g.next, n.now))
 			return true
 		})
 	}
 	return all
 }
 
-// explore looks at every scene that can be reached, and counts them. It ends at the first contradiction.
-func explore(f fault, b bounds, most int) (scenes int, whole, found bool) {
-	first := scene{holders: make([]LeaseClient, max(2, b.holders)), lives: make([]uint32, 2), leaders: []LeaseIssuer{*NewLeaseIssuer(1, span, drift, 1, 1, 0)}}
-	for i := range first.holders {
+// explore looks at every state that can be reached, and counts them. It ends at the first contradiction.
+func explore(f fault, b bounds, most int) (states int, complete, found bool) {
+	first := state{clients: make([]LeaseClient, max(2, b.clients)), generations: make([]uint32, 2),
+		leaders: []LeaseIssuer{*NewLeaseIssuer(1, leaseDuration, clockDrift, 1, 1, 0)}}
+	for i := range first.clients {
 		h := NewLeaseClient(0)
-		h.Add(version(1))
-		h.Add(version(2))
-		first.holders[i] = *h
+		h.Add(ruleSetNumbered(1))
+		h.Add(ruleSetNumbered(2))
+		first.clients[i] = *h
 	}
-	seen, open := map[string]bool{first.key(): true}, []scene{first}
+	seen, open := map[string]bool{first.key(): true}, []state{first}
 	for len(open) > 0 && len(seen) < most {
 		s := open[0]
 		open = open[1:]
@@ -232,24 +240,26 @@
 
 func TestNoOrderOfEventsMakesTwoContradict(t *testing.T) {
 	const most = 2_000_000
-	if raced {
-		if _, _, found := explore(none, bounds{asks: 2, leaders: 2}, 10_000); found {
+	if raceDetector {
+		if _, _, found := explore(noFault, bounds{requests: 2, leaders: 2}, 10_000); found {
 			t.Error("a contradiction")
 		}
 		return
 	}
-	for _, b := range []bounds{{asks: 2, leaders: 2, holders: 3}, {asks: 2, leaders: 1, slow: true, restart: true}, {asks: 3, leaders: 1}} {
-		scenes, whole, found := explore(none, b, most)
-		if t.Logf("%+v: %d scenes", b, scenes); found || !whole {
-			t.Errorf("%+v: a contradiction: %v, all looked at: %v", b, found, whole)
+	for _, b := range []bounds{{requests: 2, leaders: 2, clients: 3}, {requests: 2, leaders: 1, slow: true,
+		restart: true}, {requests: 3, leaders: 1}} {
+		states, complete, found := explore(noFault, b, most)
+		if t.Logf("%+v: %d states", b, states); found || !complete {
+			t.Errorf("%+v: a contradiction: %v, all looked at: %v", b, found, complete)
 		}
 	}
-	for f, b := range map[fault]bounds{noWait: {asks: 2, leaders: 1}, noConfirming: {asks: 2, leaders: 2}, fromAnswer: {asks: 2, leaders: 1},
-		anyAnswer: {asks: 3, leaders: 1}} {
-		if scenes, _, found := explore(f, b, most); !found {
-			t.Errorf("fault %d was not found in %d scenes", f, scenes)
+	for f, b := range map[fault]bounds{noWait: {requests: 2, leaders: 1}, noTermConfirmation: {requests: 2, leaders: 2},
+		leaseFromAnswer: {requests: 2, leaders: 1},
+		acceptAnyAnswer: {requests: 3, leaders: 1}} {
+		if states, _, found := explore(f, b, most); !found {
+			t.Errorf("fault %d was not found in %d states", f, states)
 		} else {
-			t.Logf("fault %d found after %d scenes", f, scenes)
+			t.Logf("fault %d found after %d states", f, states)
 		}
 	}
 }
--- a/internal/ruleset/norace_test.go
+++ b/internal/ruleset/norace_test.go
@@ -2,4 +2,4 @@
 
 package ruleset
 
-const raced = false
+const raceDetector = false
--- a/internal/ruleset/race_test.go
+++ b/internal/ruleset/race_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package agreement
+package ruleset
 
-// raced: there is no goroutine here, so the race detector is shown a part of the scenes only.
-const raced = true
+// raceDetector: there is no goroutine here, so the race detector sees a part of the states only.
+const raceDetector = true
--- /dev/null
+++ b/internal/ruleset/revisionlog.go
@@ -0,0 +1,137 @@
+package ruleset
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"errors"
+	"fmt"
+	"slices"
+)
+
+// maxRevisions is how many revisions a log keeps.
+const maxRevisions = 32
+
+// Outcomes of a revision; empty while it may still be in force.
+const (
+	outcomeFollowed  = "followed"
+	outcomeWithdrawn = "withdrawn"
+)
+
+// Errors of changes to a revision log.
+var (
+	ErrChangeInProgress = errors.New("a change is under way: try again once it is over, or withdraw it")
+	ErrNoChange         = errors.New("no change to that version is under way")
+)
+
+// Revision is one revision of the settings as its author submitted it.
+type Revision struct {
+	Number     RevisionNumber `cbor:"1,keyasint"`
+	Digest     [32]byte       `cbor:"2,keyasint"` // SHA-256 of Text
+	Author     string         `cbor:"3,keyasint"`
+	ProposedAt int64          `cbor:"4,keyasint"` // Unix time in nanoseconds on the leader's clock; for display only
+	Text       []byte         `cbor:"5,keyasint"`
+	RollbackOf RevisionNumber `cbor:"6,keyasint"` // the revision whose text is reused; 0: none
+	Outcome    string         `cbor:"7,keyasint"` // "followed", "withdrawn", or empty while it may be in force
+	Table      []byte         `cbor:"8,keyasint"` // slot assignment by policy.EncodeTable; empty without endpoints
+}
+
+// RevisionLog is the agreed order of revisions. It is a replicated state machine: every coordinator applies the same
+// calls in the same order. The zero value has no revision, and each instance then uses the rules of its own file,
+// number 0.
+type RevisionLog struct {
+	Revisions []Revision `cbor:"1,keyasint"` // the latest ones in order, withdrawn ones included
+	// Active is in force and Next is coming into force; they are equal while no change is in progress.
+	Active     RevisionNumber `cbor:"Old"`
+	Next       RevisionNumber `cbor:"New"`
+	LastNumber RevisionNumber `cbor:"Last"` // the highest number assigned so far
+}
+
+// Propose begins a change to a revision. last is the number that its author took for the latest, so of two concurrent
+// proposals only the first succeeds. base is the active revision whose slot assignment the proposal's own was derived
+// from.
+func (l *RevisionLog) Propose(revision Revision, last, base RevisionNumber) error {
+	if l.Active != l.Next {
+		return ErrChangeInProgress
+	}
+	if last != l.LastNumber || base != l.Active {
+		return fmt.Errorf("found version %d to be the latest, allowed only on top of the one that was seen, %d",
+			l.LastNumber, last)
+	}
+	if active := l.find(l.Active); active != nil && bytes.Equal(active.Text, revision.Text) {
+		return fmt.Errorf("found the text of version %d, which is in force, allowed one that changes something",
+			l.Active)
+	}
+	l.LastNumber++
+	revision.Number = l.LastNumber
+	revision.Digest = sha256.Sum256(revision.Text)
+	revision.Outcome = ""
+	l.Next = revision.Number
+	l.Revisions = append(l.Revisions, revision)
+	l.trim()
+	return nil
+}
+
+// trim removes the oldest revision that has an outcome once there are too many. The one in force may be far older than
+// withdrawn ones behind it, and stays.
+func (l *RevisionLog) trim() {
+	if len(l.Revisions) <= maxRevisions {
+		return
+	}
+	oldest := slices.IndexFunc(l.Revisions, func(revision Revision) bool { return revision.Outcome != "" })
+	l.Revisions = slices.Delete(l.Revisions, oldest, oldest+1)
+}
+
+// ProposeRollback begins a change to the text of an earlier revision, as a revision of its own.
+func (l *RevisionLog) ProposeRollback(to RevisionNumber, revision Revision, last, base RevisionNumber) error {
+	earlier := l.find(to)
+	if earlier == nil {
+		return fmt.Errorf("found version %d, allowed one of those kept", to)
+	}
+	revision.Text = earlier.Text
+	revision.RollbackOf = to
+	return l.Propose(revision, last, base)
+}
+
+// Withdraw cancels the change in progress to a revision; the active one stays in force. It returns ErrNoChange if there
+// is no such change.
+func (l *RevisionLog) Withdraw(number RevisionNumber) error {
+	if l.Active == l.Next || number != l.Next {
+		return ErrNoChange
+	}
+	l.find(l.Next).Outcome = outcomeWithdrawn
+	l.Next = l.Active
+	return nil
+}
+
+// Complete finishes the change in progress to a revision, which becomes the only one in force. It reports false if
+// there is no such change.
+func (l *RevisionLog) Complete(number RevisionNumber) bool {
+	if l.Active == l.Next || number != l.Next {
+		return false
+	}
+	if previous := l.find(l.Active); previous != nil {
+		previous.Outcome = outcomeFollowed
+	}
+	l.Active = l.Next
+	return true
+}
+
+// InForce returns the revisions that an instance must know to be issued a lease. Number 0 has no revision.
+func (l *RevisionLog) InForce() []Revision {
+	var revisions []Revision
+	for _, number := range slices.Compact([]RevisionNumber{l.Active, l.Next}) {
+		if revision := l.find(number); revision != nil {
+			revisions = append(revisions, *revision)
+		}
+	}
+	return revisions
+}
+
+// find returns the revision with a number, or nil if it isn't kept.
+func (l *RevisionLog) find(number RevisionNumber) *Revision {
+	i := slices.IndexFunc(l.Revisions, func(revision Revision) bool { return revision.Number == number })
+	if i < 0 {
+		return nil
+	}
+	return &l.Revisions[i]
+}
