--- a/internal/coordinator/golden_test.go
+++ b/internal/coordinator/golden_test.go
@@ -20,10 +20,11 @@
 	"pepperlead/policy"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write golden files that do not exist yet; those that do are never changed")
+var writeGolden = flag.Bool("write-golden", false,
+	"write golden files that do not exist yet; those that do are never changed")
 
-// goldenFile gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the encoding first,
-// if there is one.
+// goldenFile gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the
+// encoding first, if there is one.
 func goldenFile(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -50,25 +51,26 @@
 }
 
 // The commands of the golden log, in their order: each has a file of its own.
-var goldenCommands = []string{"command-1-apply", "command-2-drop", "command-3-apply", "command-4-withdraw", "command-5-apply",
+var goldenCommands = []string{"command-1-apply", "command-2-drop", "command-3-apply", "command-4-withdraw",
+	"command-5-apply",
 	"command-6-withdraw", "command-7-apply-back"}
 
 // goldenTime stands in golden files where a command has the time at which it was given, in Unix nanoseconds.
 const goldenTime = 1_700_000_000_000_000_007
 
-// fixTime puts goldenTime in the place of a command's time, its last part. Commands without a time stay as they are. What is not written as
-// CBOR writes a number of eight bytes is an error.
+// fixTime puts goldenTime in the place of a command's time, its last part. Commands without a time stay as they are.
+// What is not written as CBOR writes a number of eight bytes is an error.
 func fixTime(t *testing.T, command []byte) []byte {
 	t.Helper()
 	var parts []cbor.RawMessage
-	var verb string
+	var name string
 	if err := cbor.Unmarshal(command, &parts); err != nil {
 		t.Fatal(err)
 	}
-	if err := cbor.Unmarshal(parts[0], &verb); err != nil {
+	if err := cbor.Unmarshal(parts[0], &name); err != nil {
 		t.Fatal(err)
 	}
-	if verb != "apply" {
+	if name != "apply" {
 		return command
 	}
 	const eightBytes = 0x1b // RFC 8949, section 3: an unsigned integer in the eight bytes that follow
@@ -79,8 +81,9 @@
 	return binary.BigEndian.AppendUint64(bytes.Clone(command[:last+1]), goldenTime)
 }
 
-// single is a group of one keeper. Its lease is long enough for a change to be withdrawn before it is over.
-func single(t *testing.T) *Coordinator {
+// startSingle starts a group of one coordinator. Its lease is long enough for a change to be withdrawn before it
+// expires.
+func startSingle(t *testing.T) *Coordinator {
 	t.Helper()
 	ip := fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()>>14%64, os.Getpid()>>7%128, 1+os.Getpid()%128)
 	listener, err := net.Listen("tcp", ip+":0")
@@ -89,70 +92,77 @@
 	}
 	address := listener.Addr().String()
 	listener.Close()
-	keeper, err := Open(Config{Name: "keeper", Directory: t.TempDir(), Listen: address, Cluster: "cluster", Key: []byte("0123456789abcdef"),
-		Members: []Member{{Name: "keeper", RaftAddress: address}}, Lease: 2000 * policy.Millisecond, Drift: 0.01,
-		Validate:    func([]byte, []byte) error { return nil },
-		AssignSlots: func(text []byte, _ *ruleset.Revision) []byte { return append([]byte("table of "), text...) }}, quietLog())
+	coordinator, err := Open(Config{Name: "coordinator", Directory: t.TempDir(), Listen: address, Cluster: "cluster",
+		Key: []byte("0123456789abcdef"),
+		Members: []Member{{Name: "coordinator",
+			RaftAddress: address}}, LeaseDuration: 2000 * policy.Millisecond, ClockDrift: 0.01,
+		Validate: func([]byte, []byte) error { return nil },
+		AssignSlots: func(text []byte, _ *ruleset.Revision) []byte {
+			return append([]byte("table of "),
+				text...)
+		}}, quietLog())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(keeper.Close)
-	return keeper
+	t.Cleanup(coordinator.Close)
+	return coordinator
 }
 
 // commandsOf reads the log as it lies on disk.
-func commandsOf(t *testing.T, keeper *Coordinator) (commands [][]byte) {
+func commandsOf(t *testing.T, coordinator *Coordinator) [][]byte {
 	t.Helper()
-	first, err := keeper.kept.FirstIndex()
+	var commands [][]byte
+	first, err := coordinator.store.FirstIndex()
 	if err != nil {
 		t.Fatal(err)
 	}
-	last, err := keeper.kept.LastIndex()
+	last, err := coordinator.store.LastIndex()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for at := first; at <= last; at++ {
-		var line raft.Log
-		if err := keeper.kept.GetLog(at, &line); err != nil {
+	for index := first; index <= last; index++ {
+		var entry raft.Log
+		if err := coordinator.store.GetLog(index, &entry); err != nil {
 			t.Fatal(err)
 		}
-		if line.Type == raft.LogCommand {
-			commands = append(commands, line.Data)
+		if entry.Type == raft.LogCommand {
+			commands = append(commands, entry.Data)
 		}
 	}
 	return commands
 }
 
-// Keepers of an earlier build read what this one writes into the log.
+// Coordinators of an earlier build read what this one writes into the log.
 func TestCommandsKeepTheirBytes(t *testing.T) {
-	keeper := single(t)
-	eventually(t, "the keeper leads", func() bool {
-		keeper.mu.Lock()
-		defer keeper.mu.Unlock()
-		return keeper.granter != nil
+	coordinator := startSingle(t)
+	eventually(t, "the coordinator leads", func() bool {
+		coordinator.mu.Lock()
+		defer coordinator.mu.Unlock()
+		return coordinator.leaseIssuer != nil
 	})
-	applied := func(text string, back, last ruleset.RevisionNumber, author string) {
+	propose := func(text string, back, last ruleset.RevisionNumber, author string) {
 		t.Helper()
-		if _, err := keeper.Apply([]byte(text), back, last, author); err != nil {
+		if _, err := coordinator.Propose(Proposal{Text: []byte(text), RollbackOf: back, Last: last,
+			Author: author}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	withdrawn := func(n ruleset.RevisionNumber) {
+	withdraw := func(n ruleset.RevisionNumber) {
 		t.Helper()
-		if err := keeper.Withdraw(n); err != nil {
+		if err := coordinator.Withdraw(n); err != nil {
 			t.Fatal(err)
 		}
 	}
-	applied("first text", 0, 0, "first author")
-	eventually(t, "the first version is in force alone", alone(keeper, 1))
-	applied("second text", 0, 1, "second author")
-	withdrawn(2)
-	applied("third text", 0, 2, "third author")
-	withdrawn(3)
+	propose("first text", 0, 0, "first author")
+	eventually(t, "the first revision is in force alone", inForceAlone(coordinator, 1))
+	propose("second text", 0, 1, "second author")
+	withdraw(2)
+	propose("third text", 0, 2, "third author")
+	withdraw(3)
 	// Gone back to version 2, with 3 as the latest, on top of 1: three numbers that differ.
-	applied("", 2, 3, "fourth author")
+	propose("", 2, 3, "fourth author")
 
-	commands := commandsOf(t, keeper)
+	commands := commandsOf(t, coordinator)
 	if len(commands) != len(goldenCommands) {
 		t.Fatalf("found %d commands, want %d", len(commands), len(goldenCommands))
 	}
@@ -164,62 +174,65 @@
 	}
 }
 
-// sink takes a snapshot.
-type sink struct{ bytes.Buffer }
+// snapshotBuffer is a raft.SnapshotSink in memory.
+type snapshotBuffer struct{ bytes.Buffer }
 
-func (*sink) ID() string    { return "golden" }
-func (*sink) Cancel() error { return nil }
-func (*sink) Close() error  { return nil }
+func (*snapshotBuffer) ID() string    { return "golden" }
+func (*snapshotBuffer) Cancel() error { return nil }
+func (*snapshotBuffer) Close() error  { return nil }
 
-// snapshotOf gives what the keeper has written into a snapshot.
-func snapshotOf(t *testing.T, keeper *Coordinator) []byte {
+// snapshotOf returns what the coordinator writes into a snapshot.
+func snapshotOf(t *testing.T, coordinator *Coordinator) []byte {
 	t.Helper()
-	snapshot, err := (*pen)(keeper).Snapshot()
+	snapshot, err := (*stateMachine)(coordinator).Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer snapshot.Release()
-	var to sink
-	if err := snapshot.Persist(&to); err != nil {
+	var buffer snapshotBuffer
+	if err := snapshot.Persist(&buffer); err != nil {
 		t.Fatal(err)
 	}
-	return to.Bytes()
+	return buffer.Bytes()
 }
 
 // The log and the snapshots of an earlier build are read, and written again in the same bytes.
 func TestLogAndSnapshotOfAnEarlierBuild(t *testing.T) {
-	keeper := &Coordinator{log: quietLog()}
+	coordinator := &Coordinator{log: quietLog()}
 	for i, file := range goldenCommands {
-		if result := (*pen)(keeper).Apply(&raft.Log{Index: uint64(i + 1), Type: raft.LogCommand, Data: goldenFile(t, file+".cbor", nil)}); result != nil {
+		if result := (*stateMachine)(coordinator).Apply(&raft.Log{Index: uint64(i + 1), Type: raft.LogCommand,
+			Data: goldenFile(t, file+".cbor", nil)}); result != nil {
 			t.Fatalf("%s: %v", file, result)
 		}
 	}
-	encoded := snapshotOf(t, keeper)
+	encoded := snapshotOf(t, coordinator)
 	want := goldenFile(t, "snapshot.cbor", encoded)
 	if !bytes.Equal(encoded, want) {
 		t.Errorf("encoded\n%x\nwant\n%x", encoded, want)
 	}
 	restored := &Coordinator{log: quietLog()}
-	if err := (*pen)(restored).Restore(io.NopCloser(bytes.NewReader(want))); err != nil {
+	if err := (*stateMachine)(restored).Restore(io.NopCloser(bytes.NewReader(want))); err != nil {
 		t.Fatal(err)
 	}
 	if again := snapshotOf(t, restored); !bytes.Equal(again, want) {
 		t.Errorf("decoded and encoded again\n%x\nwant\n%x", again, want)
 	}
-	book := restored.book
-	if book.Active != 1 || book.Next != 4 || book.LastNumber != 4 || len(book.Revisions) != 4 {
-		t.Fatalf("found versions %d, %d and %d in %d pages, want 1, 4 and 4 in 4 pages", book.Active, book.Next, book.LastNumber, len(book.Revisions))
+	log := restored.revisionLog
+	if log.Active != 1 || log.Next != 4 || log.LastNumber != 4 || len(log.Revisions) != 4 {
+		t.Fatalf("found revisions %d, %d and %d among %d, want 1, 4 and 4 among 4", log.Active, log.Next,
+			log.LastNumber, len(log.Revisions))
 	}
-	for i, page := range []struct{ author, text, table, over string }{
+	for i, revision := range []struct{ author, text, table, outcome string }{
 		{"first author", "first text", "table of first text", ""},
 		{"second author", "second text", "table of second text", "withdrawn"},
 		{"third author", "third text", "table of third text", "withdrawn"},
 		{"fourth author", "second text", "table of second text", ""},
 	} {
-		found := book.Revisions[i]
-		if found.Author != page.author || string(found.Text) != page.text || string(found.Table) != page.table || found.Outcome != page.over ||
+		found := log.Revisions[i]
+		if found.Author != revision.author || string(found.Text) != revision.text ||
+			string(found.Table) != revision.table || found.Outcome != revision.outcome ||
 			found.ProposedAt != goldenTime {
-			t.Errorf("page %d: found %+v, want %+v at %v", i+1, found, page, time.Unix(0, goldenTime))
+			t.Errorf("revision %d: found %+v, want %+v at %v", i+1, found, revision, time.Unix(0, goldenTime))
 		}
 	}
 }
--- a/internal/coordinator/leader.go
+++ b/internal/coordinator/leader.go
@@ -1,141 +1,80 @@
 package coordinator
 
 import (
-	"slices"
 	"time"
 
+	"github.com/sirupsen/logrus"
+
 	"pepperlead/internal/clock"
 	"pepperlead/internal/ruleset"
-	"pepperlead/policy"
 )
 
-func (k *Coordinator) ring() {
-	select {
-	case k.rung <- struct{}{}:
-	default:
-	}
-}
+// changeCheckInterval is how often the leader checks whether the change in progress can be completed.
+const changeCheckInterval = 50 * time.Millisecond
 
-// lead begins and ends this keeper's terms.
-func (k *Coordinator) lead() {
+// followLeadership begins and ends this coordinator's terms as leader.
+func (c *Coordinator) followLeadership() {
 	for {
 		select {
-		case <-k.stop:
+		case <-c.stop:
 			return
-		case leads := <-k.raft.LeaderCh():
-			k.mu.Lock()
-			k.granter, k.asked = nil, nil
-			k.mu.Unlock()
+		case leads := <-c.raft.LeaderCh():
+			c.endTerm()
 			if !leads {
-				k.log.Info("keep: leads no more")
+				c.log.Info("lost leadership")
 				continue
 			}
-			// What earlier terms have agreed on must be known first.
-			if err := k.raft.Barrier(applyIn).Error(); err != nil {
-				continue
+			// A barrier waits until everything that earlier terms committed is applied here.
+			if c.raft.Barrier(applyTimeout).Error() == nil {
+				c.beginTerm()
 			}
-			k.mu.Lock()
-			k.granter = ruleset.NewLeaseIssuer(ruleset.Term(k.raft.CurrentTerm()), k.post.Lease, k.post.Drift, k.book.Active, k.book.Next, clock.Awake())
-			k.log.Infof("keep: leads in term %d, version %d in force, %d coming", k.raft.CurrentTerm(), k.book.Active, k.book.Next)
-			k.mu.Unlock()
 		}
 	}
 }
 
-// answer answers questions, all that wait by one round that confirms the term.
-func (k *Coordinator) answer() {
-	for {
-		select {
-		case <-k.stop:
-			return
-		case <-k.rung:
-		}
-		k.mu.Lock()
-		asked := k.asked
-		k.asked = nil
-		k.mu.Unlock()
-		if len(asked) == 0 {
-			continue
-		}
-		begun := clock.Awake()
-		k.rounds.Add(1)
-		if k.raft.VerifyLeader().Error() != nil {
-			k.failed.Add(1)
-			continue
-		}
-		for _, q := range asked {
-			k.reply(q, begun)
-		}
-	}
+// endTerm drops the lease issuer and the requests that wait for it.
+func (c *Coordinator) endTerm() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.leaseIssuer = nil
+	c.pendingRequests = nil
 }
 
-func (k *Coordinator) reply(q question, begun policy.Time) {
-	c := k.company.Load()
-	if c == nil {
-		return
-	}
-	k.mu.Lock()
-	if k.granter == nil || k.granter.Term() != ruleset.Term(k.raft.CurrentTerm()) {
-		// It may have led, lost that and got it again without having heard yet: what lay between is not in this granter.
-		k.mu.Unlock()
-		return
-	}
-	k.granter.ConfirmTerm(begun)
-	g, given := k.granter.Issue(q.ask, q.knows, q.came)
-	var lacks []ruleset.Revision
-	if !given && time.Since(k.told[q.from]) > tellEvery {
-		for _, p := range k.book.InForce() {
-			if !slices.Contains(q.knows, p.Number) {
-				lacks = append(lacks, p)
-			}
-		}
-		if len(k.told) > mostAsked {
-			clear(k.told) // of addresses that come and go
-		}
-		k.told[q.from] = time.Now()
-	}
-	k.mu.Unlock()
-	if given {
-		k.grants.Add(1)
-		c.Send(q.from, ruleset.LeaseResponse{Sender: c.Address(), Lease: g}.Encode()) // lost: it is asked again
-		return
-	}
-	if len(lacks) == 0 {
-		return
-	}
-	select {
-	case k.room <- struct{}{}:
-	default:
-		return // it asks again
-	}
-	go func() {
-		defer func() { <-k.room }()
-		for _, p := range lacks {
-			b := ruleset.RevisionUpdate{Sender: c.Address(), Revision: p}.Encode()
-			k.sent.Add(1)
-			k.sentBytes.Add(uint64(len(b)))
-			if c.SendReliable(q.from, b) != nil {
-				return
-			}
-		}
-	}()
+// beginTerm starts to issue leases.
+func (c *Coordinator) beginTerm() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	term := c.raft.CurrentTerm()
+	log := &c.revisionLog
+	c.leaseIssuer = ruleset.NewLeaseIssuer(ruleset.Term(term), c.config.LeaseDuration, c.config.ClockDrift,
+		log.Active, log.Next, clock.Awake())
+	c.log.WithFields(logrus.Fields{
+		"term":            term,
+		"active_revision": log.Active,
+		"next_revision":   log.Next,
+	}).Info("gained leadership")
 }
 
-// drop ends a change once no grant of the old version alone can hold.
-func (k *Coordinator) drop() {
-	tick := time.NewTicker(dropEvery)
-	defer tick.Stop()
+// completeChanges completes each change once no lease of the active revision alone can be valid.
+func (c *Coordinator) completeChanges() {
+	ticker := time.NewTicker(changeCheckInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-k.stop:
+		case <-c.stop:
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		k.mu.Lock()
-		ready, n := k.granter != nil && k.granter.ChangeReady(clock.Awake()), k.book.Next
-		k.mu.Unlock()
-		if ready {
-			k.write("drop", uint64(n)) // in vain: it is tried again
+		if number, ready := c.changeReady(); ready {
+			_ = c.commit(&completeCommand{Name: commandComplete, Number: number}) // retried at the next tick
 		}
 	}
 }
+
+// changeReady returns the revision whose change can be completed now.
+func (c *Coordinator) changeReady() (ruleset.RevisionNumber, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	ready := c.leaseIssuer != nil && c.leaseIssuer.ChangeReady(clock.Awake())
+	return c.revisionLog.Next, ready
+}
--- /dev/null
+++ b/internal/coordinator/metrics.go
@@ -0,0 +1,57 @@
+package coordinator
+
+import (
+	"sync/atomic"
+
+	"github.com/prometheus/client_golang/prometheus"
+
+	"pepperlead/internal/admin"
+)
+
+// metrics are the counters of a coordinator.
+type metrics struct {
+	leasesIssued       atomic.Uint64
+	quorumRounds       atomic.Uint64
+	failedQuorumRounds atomic.Uint64
+	revisionsSent      atomic.Uint64
+	revisionBytesSent  atomic.Uint64
+	unreadableMessages atomic.Uint64
+}
+
+// EachMetric passes each metric to report. counter tells counters from gauges.
+func (c *Coordinator) EachMetric(report func(name string, value float64, counter bool)) {
+	c.mu.Lock()
+	active := c.revisionLog.Active
+	next := c.revisionLog.Next
+	leads := 0.0
+	if c.leaseIssuer != nil {
+		leads = 1
+	}
+	c.mu.Unlock()
+	report("keep_version", float64(active), false)
+	report("keep_coming", float64(next), false)
+	report("keep_leads", leads, false)
+	report("keep_grants", float64(c.metrics.leasesIssued.Load()), true)
+	report("keep_rounds", float64(c.metrics.quorumRounds.Load()), true)
+	report("keep_rounds_failed", float64(c.metrics.failedQuorumRounds.Load()), true)
+	report("keep_versions_sent", float64(c.metrics.revisionsSent.Load()), true)
+	report("keep_versions_sent_bytes", float64(c.metrics.revisionBytesSent.Load()), true)
+	report("keep_unreadable", float64(c.metrics.unreadableMessages.Load()), true)
+	report("keep_strangers", float64(c.stream.rejected.Load()), true)
+}
+
+// metricsCollector exposes the metrics of a coordinator and its cluster to Prometheus.
+type metricsCollector struct{ coordinator *Coordinator }
+
+// Describe sends nothing, which makes the collector an unchecked one: its metrics are known only when they are
+// collected.
+func (metricsCollector) Describe(chan<- *prometheus.Desc) {}
+
+// Collect sends the current values.
+func (m metricsCollector) Collect(values chan<- prometheus.Metric) {
+	report := admin.Metric(values, "See docs/agreement.md.")
+	m.coordinator.EachMetric(report)
+	if cluster := m.coordinator.cluster.Load(); cluster != nil {
+		cluster.EachMetric(report)
+	}
+}
--- a/internal/coordinator/statemachine.go
+++ b/internal/coordinator/statemachine.go
@@ -2,119 +2,116 @@
 
 import (
 	"errors"
-	"fmt"
 	"io"
+	"time"
 
 	"github.com/fxamacker/cbor/v2"
 	"github.com/hashicorp/raft"
+	"github.com/sirupsen/logrus"
 
 	"pepperlead/internal/clock"
 	"pepperlead/internal/ruleset"
 	"pepperlead/policy"
 )
 
-// pen is the keeper as raft writes by it: each line of the log in its order.
-type pen Coordinator
+// stateMachine is the coordinator as the raft.FSM of its group. Its state is the revision log.
+type stateMachine Coordinator
 
-// Apply takes one line of the log.
-func (p *pen) Apply(l *raft.Log) any {
-	var parts []cbor.RawMessage
-	var verb string
-	if cbor.Unmarshal(l.Data, &parts) != nil || len(parts) == 0 || cbor.Unmarshal(parts[0], &verb) != nil {
-		return errors.New("a line of the log that cannot be read")
+// Apply applies a committed log entry. It returns nil or an error.
+func (m *stateMachine) Apply(entry *raft.Log) any {
+	decoded, err := decodeCommand(entry.Data)
+	if err != nil {
+		return err
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if err := decoded.apply(m, clock.Awake()); err != nil {
+		return err
+	}
+	return nil
+}
+
+func (c *applyCommand) apply(m *stateMachine, now policy.Time) error {
+	revision := ruleset.Revision{Text: c.Text, Table: c.Table, Author: c.Author, ProposedAt: c.ProposedAt}
+	var err error
+	if c.RollbackOf > 0 {
+		err = m.revisionLog.ProposeRollback(c.RollbackOf, revision, c.Last, c.Base)
+	} else {
+		err = m.revisionLog.Propose(revision, c.Last, c.Base)
+	}
+	if err != nil {
+		return err
+	}
+	m.changeBegan = now
+	if m.leaseIssuer != nil {
+		m.leaseIssuer.BeginChange(m.revisionLog.Next, now)
 	}
-	read := func(into ...any) error {
-		if len(parts) != 1+len(into) {
-			return fmt.Errorf("a line of the log with %d parts", len(parts))
-		}
-		for i := range into {
-			if err := cbor.Unmarshal(parts[1+i], into[i]); err != nil {
-				return err
-			}
-		}
-		return nil
+	m.log.WithFields(logrus.Fields{
+		"revision":        m.revisionLog.Next,
+		"active_revision": m.revisionLog.Active,
+	}).Info("revision committed, in force together with the active one")
+	return nil
+}
+
+func (c *completeCommand) apply(m *stateMachine, now policy.Time) error {
+	if !m.revisionLog.Complete(c.Number) {
+		return errNoSuchChange
+	}
+	if m.leaseIssuer != nil {
+		m.leaseIssuer.CompleteChange()
+	}
+	m.log.WithFields(logrus.Fields{
+		"revision": c.Number,
+		"duration": time.Duration(now - m.changeBegan).Truncate(time.Millisecond),
+	}).Info("revision in force alone")
+	return nil
+}
+
+func (c *withdrawCommand) apply(m *stateMachine, _ policy.Time) error {
+	if err := m.revisionLog.Withdraw(c.Number); err != nil {
+		return err
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	now := clock.Awake()
-	switch verb {
-	case "apply":
-		var page ruleset.Revision
-		var back, last, on ruleset.RevisionNumber
-		err := read(&page.Text, &page.Table, &back, &last, &on, &page.Author, &page.ProposedAt)
-		if err == nil && back > 0 {
-			err = p.book.ProposeRollback(back, page, last, on)
-		} else if err == nil {
-			err = p.book.Propose(page, last, on)
-		}
-		if err != nil {
-			return err
-		}
-		p.begun = now
-		if p.granter != nil {
-			p.granter.BeginChange(p.book.Next, now)
-		}
-		p.log.Infof("keep: version %d is agreed on, %d is in force too until no lease is left of it alone", p.book.Next, p.book.Active)
-	case "drop":
-		var n ruleset.RevisionNumber
-		if err := read(&n); err != nil {
-			return err
-		}
-		if !p.book.Complete(n) {
-			return errors.New("not the change under way")
-		}
-		if p.granter != nil {
-			p.granter.CompleteChange()
-		}
-		p.log.Infof("keep: version %d is in force alone, %dms after it was agreed on", n, (now-p.begun)/policy.Millisecond)
-	case "withdraw":
-		var n ruleset.RevisionNumber
-		if err := read(&n); err != nil {
-			return err
-		}
-		if err := p.book.Withdraw(n); err != nil {
-			return err
-		}
-		if p.granter != nil {
-			p.granter.WithdrawChange()
-		}
-		p.log.Infof("keep: version %d is withdrawn, %d stays in force", n, p.book.Active)
-	default:
-		return fmt.Errorf("a line of the log that is not known, %q: a newer keeper wrote it", verb)
+	if m.leaseIssuer != nil {
+		m.leaseIssuer.WithdrawChange()
 	}
+	m.log.WithFields(logrus.Fields{
+		"revision":        c.Number,
+		"active_revision": m.revisionLog.Active,
+	}).Info("revision withdrawn")
 	return nil
 }
 
-// Snapshot is the book as it stands.
-func (p *pen) Snapshot() (raft.FSMSnapshot, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	b, err := cbor.Marshal(p.book)
-	return copied(b), err
+// Snapshot returns the revision log as it is now.
+func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	encoded, err := cbor.Marshal(m.revisionLog)
+	return snapshot(encoded), err
 }
 
-// Restore goes on from a snapshot.
-func (p *pen) Restore(from io.ReadCloser) error {
-	defer from.Close()
-	var book ruleset.RevisionLog
-	if err := cbor.NewDecoder(from).Decode(&book); err != nil {
+// Restore replaces the revision log by that of a snapshot.
+func (m *stateMachine) Restore(from io.ReadCloser) error {
+	defer func() { _ = from.Close() }() // it was only read from
+	var log ruleset.RevisionLog
+	if err := cbor.NewDecoder(from).Decode(&log); err != nil {
 		return err
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.book = book
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.revisionLog = log
 	return nil
 }
 
-type copied []byte
+// snapshot is an encoded revision log.
+type snapshot []byte
 
-// Persist writes it.
-func (c copied) Persist(to raft.SnapshotSink) error {
-	if _, err := to.Write(c); err != nil {
-		return errors.Join(err, to.Cancel())
+// Persist writes the snapshot.
+func (s snapshot) Persist(sink raft.SnapshotSink) error {
+	if _, err := sink.Write(s); err != nil {
+		return errors.Join(err, sink.Cancel())
 	}
-	return to.Close()
+	return sink.Close()
 }
 
-// Release has nothing to let go.
-func (copied) Release() {}
+// Release does nothing: the snapshot is a copy.
+func (snapshot) Release() {}
--- a/internal/coordinator/store.go
+++ b/internal/coordinator/store.go
@@ -16,94 +16,115 @@
 )
 
 const (
-	storeFile = "log.db"
-	lockIn    = 2 * time.Second // for the process before this one to let go of the file
-	snapshots = 2
+	storeFile       = "log.db"
+	storeMode       = 0o600
+	directoryMode   = 0o700
+	lockTimeout     = 2 * time.Second // for a previous process to release the file
+	storedSnapshots = 2
 )
 
-// errDamaged says that what is kept cannot be read.
+// errDamaged is returned for a store whose contents can't be read.
 var errDamaged = errors.New("cannot be read")
 
-// kept is what a keeper has on disk.
-type kept struct {
+// store is a coordinator's log, votes and snapshots on disk.
+type store struct {
 	*boltdb.BoltStore
-	snaps raft.SnapshotStore
-	fresh bool // there was nothing
+	snapshots   raft.SnapshotStore
+	fresh       bool   // the store held no state when it was opened
+	damagedCopy string // the directory that a damaged previous store was renamed to; empty: there was none
 }
 
-// open opens what is kept in the folder. What is damaged is set beside, with a line in the log, and the keeper learns anew from the others;
-// beside is the name it then has. Errors: the folder cannot be written, or another process has it.
-func open(folder string, log *logrus.Logger, quiet hclog.Logger) (k kept, beside string, err error) {
-	for try := 0; ; try++ {
-		if err = os.MkdirAll(folder, 0o700); err != nil {
-			return k, beside, err
-		}
-		if k, err = openOnce(folder, quiet); err == nil || !errors.Is(err, errDamaged) || try > 0 {
-			return k, beside, err
-		}
-		beside = fmt.Sprintf("%s.damaged-%d", filepath.Clean(folder), time.Now().UnixNano())
-		if moved := os.Rename(folder, beside); moved != nil {
-			return k, "", errors.Join(err, moved)
-		}
-		log.WithError(err).Errorf("keep: what was kept is damaged, and is now %s: learned anew from the others", beside)
+// openStore opens the store in a directory. A damaged one is renamed and replaced by a fresh one, whose contents the
+// other coordinators will send. It fails if the directory can't be written or another process uses it.
+func openStore(directory string, log *logrus.Logger, raftLogger hclog.Logger) (*store, error) {
+	opened, err := openOnce(directory, raftLogger)
+	if err == nil || !errors.Is(err, errDamaged) {
+		return opened, err
+	}
+	damagedCopy := fmt.Sprintf("%s.damaged-%d", filepath.Clean(directory), time.Now().UnixNano())
+	if renameErr := os.Rename(directory, damagedCopy); renameErr != nil {
+		return nil, errors.Join(err, renameErr)
+	}
+	log.WithError(err).WithField("renamed_to", damagedCopy).
+		Error("store is damaged and replaced, its contents are fetched from the other coordinators")
+	opened, err = openOnce(directory, raftLogger)
+	if err != nil {
+		return nil, err
 	}
+	opened.damagedCopy = damagedCopy
+	return opened, nil
 }
 
-func openOnce(folder string, quiet hclog.Logger) (k kept, err error) {
-	path := filepath.Join(folder, storeFile)
+// openOnce opens a store, which it creates if there is none.
+func openOnce(directory string, raftLogger hclog.Logger) (opened *store, err error) {
+	if err := os.MkdirAll(directory, directoryMode); err != nil {
+		return nil, err
+	}
+	path := filepath.Join(directory, storeFile)
 	defer func() {
-		// bbolt takes its pages for sound: a torn one shows as a panic, or as a fault in the mapped file.
-		if e := recover(); e != nil {
-			err = fmt.Errorf("%s: %w: %v", path, errDamaged, e)
+		// bbolt takes its pages for valid: a torn one shows as a panic, or as a fault in the mapped file.
+		if cause := recover(); cause != nil {
+			opened = nil
+			err = fmt.Errorf("%s: %w: %v", path, errDamaged, cause)
 		}
 	}()
-	if err = check(path); err != nil {
-		return k, err
+	if err := checkFile(path); err != nil {
+		return nil, err
 	}
-	if k.BoltStore, err = boltdb.New(boltdb.Options{Path: path, BoltOptions: &bbolt.Options{Timeout: lockIn}}); err != nil {
-		return k, err
+	options := boltdb.Options{Path: path, BoltOptions: &bbolt.Options{Timeout: lockTimeout}}
+	bolt, err := boltdb.New(options)
+	if err != nil {
+		return nil, err
 	}
-	if k.snaps, err = raft.NewFileSnapshotStoreWithLogger(folder, snapshots, quiet); err != nil {
-		return k, errors.Join(err, k.Close())
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(directory, storedSnapshots, raftLogger)
+	if err != nil {
+		return nil, errors.Join(err, bolt.Close())
 	}
-	has, err := raft.HasExistingState(k, k, k.snaps)
+	hasState, err := raft.HasExistingState(bolt, bolt, snapshots)
 	if err != nil {
-		return k, errors.Join(fmt.Errorf("%s: %w: %w", path, errDamaged, err), k.Close())
+		return nil, errors.Join(fmt.Errorf("%s: %w: %w", path, errDamaged, err), bolt.Close())
 	}
-	k.fresh = !has
-	return k, nil
+	return &store{BoltStore: bolt, snapshots: snapshots, fresh: !hasState}, nil
 }
 
-// check reads every page of the file once, in a process's beginning: later it would be a crash.
-func check(path string) error {
+// checkFile reads every page of the file once: a damaged one found later would be a crash.
+func checkFile(path string) error {
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockIn})
+	db, err := bbolt.Open(path, storeMode, &bbolt.Options{Timeout: lockTimeout})
 	if errors.Is(err, bbolterrors.ErrTimeout) {
 		return fmt.Errorf("%s: another process has it", path)
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %w: %w", path, errDamaged, err)
 	}
-	defer db.Close()
+	defer func() { _ = db.Close() }() // it was only read from
 	return db.View(func(tx *bbolt.Tx) error {
-		var worst error
+		var last error
 		for err := range tx.Check() {
-			worst = fmt.Errorf("%s: %w: %w", path, errDamaged, err)
+			last = fmt.Errorf("%s: %w: %w", path, errDamaged, err)
 		}
-		return worst
+		return last
 	})
 }
 
-// quietly has raft's own lines told at debug: what matters of them is told as a change of who leads.
-func quietly(log *logrus.Logger) hclog.Logger {
-	return hclog.New(&hclog.LoggerOptions{Name: "raft", Output: lines{log}, Level: hclog.Info, DisableTime: true})
+// newRaftLogger returns a logger that passes raft's lines on at debug level. What matters of them is logged as changes
+// of leadership.
+func newRaftLogger(log *logrus.Logger) hclog.Logger {
+	return hclog.New(&hclog.LoggerOptions{
+		Name:        "raft",
+		Output:      debugWriter{log},
+		Level:       hclog.Info,
+		DisableTime: true,
+	})
 }
 
-type lines struct{ to *logrus.Logger }
+// debugWriter logs each line written to it at debug level.
+type debugWriter struct{ log *logrus.Logger }
 
-func (l lines) Write(b []byte) (int, error) {
-	l.to.Debug(string(b[:max(0, len(b)-1)]))
-	return len(b), nil
+// Write logs the line without its line break.
+func (w debugWriter) Write(line []byte) (int, error) {
+	w.log.Debug(string(line[:max(0, len(line)-1)]))
+	return len(line), nil
 }
--- a/internal/coordinator/stream.go
+++ b/internal/coordinator/stream.go
@@ -14,111 +14,150 @@
 	"github.com/hashicorp/raft"
 )
 
-const greetIn = 2 * time.Second
+const (
+	handshakeTimeout = 2 * time.Second
+	nonceSize        = 16 // bytes
+)
 
-var errStranger = errors.New("keep: the other side does not know the key")
+// errUnauthenticated is returned for a peer that doesn't prove that it has the key.
+var errUnauthenticated = errors.New("peer does not know the key")
 
-// stream is how keepers reach each other: TCP from the keeper's own address. Each connection begins with 16 bytes of chance from the side that
-// was called, and the caller's HMAC-SHA-256 (RFC 2104) of these and the cluster's name under the peers' key, so that no stranger's word gets
-// into the group. What follows is not secret.
-type stream struct {
+// streamLayer is the raft.StreamLayer of a coordinator: TCP with a handshake. The accepting side sends a random nonce,
+// and the dialing side answers with the HMAC-SHA-256 (RFC 2104) of the nonce and the cluster's name under the shared
+// key. The handshake authenticates the dialing side; the connection isn't encrypted.
+type streamLayer struct {
 	net.Listener
-	key      []byte
-	cluster  string
-	ready    chan net.Conn
-	ended    chan struct{}
-	once     sync.Once
-	refused  atomic.Uint64 // callers without the key
-	ownIP    net.IP
-	accepted chan error
+	key           []byte
+	cluster       string
+	localIP       net.IP // source address of outgoing connections; nil: any
+	authenticated chan net.Conn
+	acceptErr     chan error
+	closed        chan struct{}
+	closeOnce     sync.Once
+	rejected      atomic.Uint64 // connections that failed the handshake
 }
 
-func listen(p Config) (*stream, error) {
-	l, err := net.Listen("tcp", p.Listen)
+// listen starts to accept connections.
+func listen(config *Config) (*streamLayer, error) {
+	listener, err := net.Listen("tcp", config.Listen)
 	if err != nil {
 		return nil, err
 	}
-	s := &stream{Listener: l, key: p.Key, cluster: p.Cluster, ready: make(chan net.Conn), ended: make(chan struct{}), accepted: make(chan error, 1)}
-	if ip := l.Addr().(*net.TCPAddr).IP; !ip.IsUnspecified() {
-		s.ownIP = ip
-	}
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				s.accepted <- err
-				return
-			}
-			go s.greet(c) // one that says nothing must not keep others waiting
-		}
-	}()
+	s := &streamLayer{
+		Listener:      listener,
+		key:           config.Key,
+		cluster:       config.Cluster,
+		authenticated: make(chan net.Conn),
+		acceptErr:     make(chan error, 1),
+		closed:        make(chan struct{}),
+	}
+	if ip := listener.Addr().(*net.TCPAddr).IP; !ip.IsUnspecified() {
+		s.localIP = ip
+	}
+	go s.acceptLoop()
 	return s, nil
 }
 
-func (s *stream) seal(chance []byte) []byte {
-	h := hmac.New(sha256.New, s.key)
-	h.Write(chance)
-	h.Write([]byte(s.cluster))
-	return h.Sum(nil)
+// acceptLoop runs the handshake of each connection in a goroutine, so that a silent peer doesn't delay others.
+func (s *streamLayer) acceptLoop() {
+	for {
+		conn, err := s.Listener.Accept()
+		if err != nil {
+			s.acceptErr <- err
+			return
+		}
+		go s.authenticate(conn)
+	}
 }
 
-func (s *stream) greet(c net.Conn) {
-	var chance [16]byte
-	var told [sha256.Size]byte
-	rand.Read(chance[:])
-	c.SetDeadline(time.Now().Add(greetIn))
-	if _, err := c.Write(chance[:]); err != nil {
-		c.Close()
-		return
-	}
-	if _, err := io.ReadFull(c, told[:]); err != nil || !hmac.Equal(told[:], s.seal(chance[:])) {
-		s.refused.Add(1)
-		c.Close()
+// mac returns what proves knowledge of the key.
+func (s *streamLayer) mac(nonce []byte) []byte {
+	hash := hmac.New(sha256.New, s.key)
+	hash.Write(nonce)
+	hash.Write([]byte(s.cluster))
+	return hash.Sum(nil)
+}
+
+// authenticate hands a connection to Accept after a successful handshake and closes it otherwise.
+func (s *streamLayer) authenticate(conn net.Conn) {
+	if err := s.challenge(conn); err != nil {
+		if errors.Is(err, errUnauthenticated) {
+			s.rejected.Add(1)
+		}
+		_ = conn.Close() // the handshake's error is what counts
 		return
 	}
-	c.SetDeadline(time.Time{})
 	select {
-	case s.ready <- c:
-	case <-s.ended:
-		c.Close()
+	case s.authenticated <- conn:
+	case <-s.closed:
+		_ = conn.Close() // nobody accepts it any more
 	}
 }
 
-// Accept gives the next connection whose caller knows the key.
-func (s *stream) Accept() (net.Conn, error) {
+// challenge is the accepting side of the handshake.
+func (s *streamLayer) challenge(conn net.Conn) error {
+	var nonce [nonceSize]byte
+	_, _ = rand.Read(nonce[:]) // it never fails
+	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
+		return err
+	}
+	if _, err := conn.Write(nonce[:]); err != nil {
+		return err
+	}
+	var answer [sha256.Size]byte
+	if _, err := io.ReadFull(conn, answer[:]); err != nil {
+		return errors.Join(errUnauthenticated, err)
+	}
+	if !hmac.Equal(answer[:], s.mac(nonce[:])) {
+		return errUnauthenticated
+	}
+	return conn.SetDeadline(time.Time{})
+}
+
+// Accept returns the next authenticated connection.
+func (s *streamLayer) Accept() (net.Conn, error) {
 	select {
-	case c := <-s.ready:
-		return c, nil
-	case err := <-s.accepted:
+	case conn := <-s.authenticated:
+		return conn, nil
+	case err := <-s.acceptErr:
 		return nil, err
 	}
 }
 
-// Dial opens a connection to another keeper.
-func (s *stream) Dial(to raft.ServerAddress, within time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: within}
-	if s.ownIP != nil {
-		d.LocalAddr = &net.TCPAddr{IP: s.ownIP}
+// Dial opens a connection to another coordinator.
+func (s *streamLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout}
+	if s.localIP != nil {
+		dialer.LocalAddr = &net.TCPAddr{IP: s.localIP}
 	}
-	c, err := d.Dial("tcp", string(to))
+	conn, err := dialer.Dial("tcp", string(address))
 	if err != nil {
 		return nil, err
 	}
-	var chance [16]byte
-	c.SetDeadline(time.Now().Add(min(within, greetIn)))
-	if _, err = io.ReadFull(c, chance[:]); err == nil {
-		_, err = c.Write(s.seal(chance[:]))
+	if err := s.respond(conn, min(timeout, handshakeTimeout)); err != nil {
+		_ = conn.Close() // the handshake's error is what counts
+		return nil, errors.Join(errUnauthenticated, err)
 	}
-	if err != nil {
-		c.Close()
-		return nil, errors.Join(errStranger, err)
+	return conn, nil
+}
+
+// respond is the dialing side of the handshake.
+func (s *streamLayer) respond(conn net.Conn, timeout time.Duration) error {
+	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
+		return err
+	}
+	var nonce [nonceSize]byte
+	if _, err := io.ReadFull(conn, nonce[:]); err != nil {
+		return err
+	}
+	if _, err := conn.Write(s.mac(nonce[:])); err != nil {
+		return err
 	}
-	c.SetDeadline(time.Time{})
-	return c, nil
+	return conn.SetDeadline(time.Time{})
 }
 
-// Close ends it.
-func (s *stream) Close() error {
-	s.once.Do(func() { close(s.ended) })
+// Close stops accepting connections.
+func (s *streamLayer) Close() error {
+	s.closeOnce.Do(func() { close(s.closed) })
 	return s.Listener.Close()
 }
--- a/internal/coordinator/transport.go
+++ b/internal/coordinator/transport.go
@@ -1,18 +1,21 @@
 package coordinator
 
-import (
-	"net"
-)
+import "net"
 
-// at is a stream under the address at which others reach it.
-type at struct {
-	*stream
-	where string
+// advertisedStream is a stream layer whose address is the one that the other coordinators dial.
+type advertisedStream struct {
+	*streamLayer
+	address advertisedAddress
 }
 
-func (a at) Addr() net.Addr { return name(a.where) }
+// Addr returns the advertised address.
+func (s advertisedStream) Addr() net.Addr { return s.address }
 
-type name string
+// advertisedAddress is a host and port.
+type advertisedAddress string
 
-func (n name) Network() string { return "tcp" }
-func (n name) String() string  { return string(n) }
+// Network returns "tcp".
+func (advertisedAddress) Network() string { return "tcp" }
+
+// String returns the address.
+func (a advertisedAddress) String() string { return string(a) }
--- a/internal/daemon/keep.go
+++ b/internal/daemon/keep.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return fmt.Errorf("peers.key_file: %w", err)
 	}
-	post := coordinator.Config{Name: k.Name, Directory: k.Directory, Listen: k.Listen, Cluster: k.Peers.Cluster, Key: key, Lease: k.Lease, Drift: k.Drift,
+	post := coordinator.Config{Name: k.Name, Directory: k.Directory, Listen: k.Listen, Cluster: k.Peers.Cluster, Key: key, LeaseDuration: k.Lease, ClockDrift: k.Drift,
 		Validate: func(text, inForce []byte) error { return ValidateRules("version", text, inForce) }, AssignSlots: dealt}
 	for _, m := range k.Members {
 		post.Members = append(post.Members, coordinator.Member{Name: m.Name, RaftAddress: m.RaftAddress, AdminAddress: m.AdminAddress})
