--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -14,7 +14,8 @@
 
 var writeGolden = flag.Bool("write-golden", false, "write golden files that do not exist yet; those that do are never changed")
 
-// goldenFile gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the encoding first.
+// goldenFile gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the
+// encoding first.
 func goldenFile(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -33,25 +34,25 @@
 	return want
 }
 
-// What a sidecar tells of itself is read by sidecars of an earlier build, and told by them in the same bytes.
-func TestSaysKeepsItsKeys(t *testing.T) {
+// The metadata of a member is decoded by members of an earlier build, and encoded by them in the same bytes.
+func TestMetadataKeepsItsKeys(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	sender := newCompany(Config{Name: "sender"}, log)
-	sender.says = Metadata{Zone: "zone", StartedAt: 1_700_000_000_000_000_001, Revision: 2, TableDigest: 1 << 63, Coordinator: true}
-	encoded := sender.NodeMeta(memberlist.MetaMaxSize)
+	sender := newCluster(Config{Name: "sender"}, log)
+	sender.metadata = Metadata{Zone: "zone", StartedAt: 1_700_000_000_000_000_001, Revision: 2, TableDigest: 1 << 63, Coordinator: true}
+	encoded := delegate{sender}.NodeMeta(memberlist.MetaMaxSize)
 	want := goldenFile(t, "says.cbor", encoded)
 	if !bytes.Equal(encoded, want) {
 		t.Errorf("encoded\n%x\nwant\n%x", encoded, want)
 	}
-	receiver := newCompany(Config{Name: "receiver"}, log)
-	receiver.NotifyJoin(&memberlist.Node{Name: "sender", Meta: want})
+	receiver := newCluster(Config{Name: "receiver"}, log)
+	delegate{receiver}.NotifyJoin(&memberlist.Node{Name: "sender", Meta: want})
 	received := receiver.peers["sender"].Metadata
-	if received != sender.says {
-		t.Errorf("decoded %+v, want %+v", received, sender.says)
+	if received != sender.metadata {
+		t.Errorf("decoded %+v, want %+v", received, sender.metadata)
 	}
-	receiver.says = received
-	if again := receiver.NodeMeta(memberlist.MetaMaxSize); !bytes.Equal(again, want) {
+	receiver.metadata = received
+	if again := (delegate{receiver}).NodeMeta(memberlist.MetaMaxSize); !bytes.Equal(again, want) {
 		t.Errorf("decoded and encoded again\n%x\nwant\n%x", again, want)
 	}
 }
