--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -20,7 +20,8 @@
 
 var writeGolden = flag.Bool("write-golden", false, "write golden files that do not exist yet; those that do are never changed")
 
-// goldenFile gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the encoding first.
+// goldenFile gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the
+// encoding first.
 func goldenFile(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -46,7 +47,8 @@
 	return log
 }
 
-// earlierBuild stands for a process of an earlier build at the other end of a connection, line by line. It notes both sides' lines.
+// earlierBuild stands for a process of an earlier build at the other end of a connection, line by line. It notes both
+// sides' lines.
 type earlierBuild struct {
 	t          *testing.T
 	connection net.Conn
@@ -63,8 +65,8 @@
 	return &earlierBuild{t, connection, bufio.NewReader(connection), transcript}
 }
 
-// says sends a line.
-func (e *earlierBuild) says(line string) {
+// send sends a line.
+func (e *earlierBuild) send(line string) {
 	e.t.Helper()
 	fmt.Fprintf(e.transcript, "earlier build: %s\n", line)
 	if _, err := fmt.Fprintln(e.connection, line); err != nil {
@@ -72,8 +74,8 @@
 	}
 }
 
-// hears takes the next line.
-func (e *earlierBuild) hears() {
+// receive takes the next line.
+func (e *earlierBuild) receive() {
 	e.t.Helper()
 	line, err := e.lines.ReadString('\n')
 	if err != nil {
@@ -90,9 +92,9 @@
 	}
 }
 
-// serve has the process obey whatever it is told, and tell a fixed line.
-func serve(k *ProcessGroup) {
-	k.Serve(func([]string) bool { return true }, func() []byte { return []byte(`{"learned":1}`) }, func(int) {})
+// serve has the process apply every change, and export a fixed state.
+func serve(g *ProcessGroup) {
+	g.Serve(func([]string) bool { return true }, func() []byte { return []byte(`{"learned":1}`) }, func(int) {})
 }
 
 // A process of an earlier build that comes later asks in these lines, and is answered in them.
@@ -104,21 +106,21 @@
 	}
 	defer process.Close()
 	serve(process)
-	connection, err := net.Dial("unix", process.at(process.name))
+	connection, err := net.Dial("unix", process.socketPath(process.socketName))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var transcript strings.Builder
 	earlier := newEarlierBuild(t, connection, &transcript)
 	for _, line := range []string{"here", "look 17", "tell"} {
-		earlier.says(line)
-		earlier.hears()
+		earlier.send(line)
+		earlier.receive()
 	}
 	transcriptMatches(t, "answers.txt", transcript.String())
 }
 
 // A process of an earlier build that is there already is asked in these lines, and its answers are understood.
-func TestQuestionsKeepTheirLines(t *testing.T) {
+func TestRequestsKeepTheirLines(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "folder")
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
@@ -147,8 +149,8 @@
 		t.Fatal(err)
 	}
 	earlier := newEarlierBuild(t, connection, &transcript)
-	earlier.hears()
-	earlier.says("met")
+	earlier.receive()
+	earlier.send("met")
 	process := <-joined
 	if process == nil {
 		t.FailNow()
@@ -158,24 +160,24 @@
 
 	changed := make(chan error, 1)
 	go func() { changed <- process.SetDrained("server-1", true) }()
-	earlier.hears()
-	earlier.says("done 1")
+	earlier.receive()
+	earlier.send("done 1")
 	if err := <-changed; err != nil {
 		t.Error(err)
 	}
 
 	learned := make(chan [][]byte, 1)
 	go func() { learned <- process.LearnedStates() }()
-	earlier.hears()
-	earlier.says(`told {"learned": 2}`)
+	earlier.receive()
+	earlier.send(`told {"learned": 2}`)
 	if texts := <-learned; len(texts) != 1 || string(texts[0]) != `{"learned": 2}` {
 		t.Errorf("learned %q", texts)
 	}
 	transcriptMatches(t, "questions.txt", transcript.String())
 }
 
-// The servers that an earlier build has taken out by hand stay out, and are kept again in the same bytes.
-func TestServersOutByHandKeepTheirFile(t *testing.T) {
+// The endpoints that an earlier build has drained stay drained, and are saved again in the same bytes.
+func TestDrainedEndpointsKeepTheirFile(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "folder")
 	process, err := Join(dir, quietLog())
 	if err != nil {
@@ -202,8 +204,8 @@
 	if err := os.WriteFile(path, want, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if out, err := process.Drained(); err != nil || !slices.Equal(out, uids) {
-		t.Errorf("decoded %q, %v, want %q", out, err, uids)
+	if drained, err := process.Drained(); err != nil || !slices.Equal(drained, uids) {
+		t.Errorf("decoded %q, %v, want %q", drained, err, uids)
 	}
 	// The last one once more: the file is read and written again, and the order stays.
 	if err := process.SetDrained("server-1", true); err != nil {
@@ -215,7 +217,7 @@
 }
 
 // Processes of two builds meet by these names.
-func TestFolderKeepsItsNames(t *testing.T) {
+func TestDirectoryKeepsItsNames(t *testing.T) {
 	folder := []byte(filepath.Base(Directory("name", "127.0.0.1:80")) + "\n")
 	if want := goldenFile(t, "folder.txt", folder); !bytes.Equal(folder, want) {
 		t.Errorf("found the folder %q, want %q", folder, want)
--- /dev/null
+++ b/internal/hotrestart/messages.go
@@ -0,0 +1,60 @@
+package hotrestart
+
+import (
+	"strconv"
+	"strings"
+)
+
+// messageKind is the word that a message begins with. Processes of different builds exchange messages, so words never
+// change.
+type messageKind string
+
+const (
+	messageHello        messageKind = "here" // the sender has joined
+	messageWelcome      messageKind = "met"  // the answer to a hello: the sender has reduced its share of the limits
+	messageApply        messageKind = "look" // the drained endpoints have changed; carries a sequence number
+	messageApplied      messageKind = "done" // the answer to an apply, with its number: the change is in force
+	messageStateRequest messageKind = "tell" // asks for the learned state
+	messageState        messageKind = "told" // the answer to a state request; carries the learned state
+)
+
+// message is one line on the socket between two processes.
+type message struct {
+	kind    messageKind
+	payload string // a sequence number or a learned state, for the kinds that carry one
+}
+
+// newApply asks a process to apply the change with a sequence number.
+func newApply(sequence uint64) message {
+	return message{messageApply, strconv.FormatUint(sequence, 10)}
+}
+
+// newState carries a learned state, which must be a single line.
+func newState(state []byte) message {
+	return message{messageState, string(state)}
+}
+
+// parseMessage splits a line into the kind of the message and its payload. The kind may be unknown.
+func parseMessage(line string) message {
+	kind, payload, _ := strings.Cut(line, " ")
+	return message{messageKind(kind), payload}
+}
+
+// sequence returns the sequence number that the message carries, or 0 if it carries none.
+func (m message) sequence() uint64 {
+	sequence, err := strconv.ParseUint(m.payload, 10, 64)
+	if err != nil {
+		return 0
+	}
+	return sequence
+}
+
+// String returns the line of the message.
+func (m message) String() string {
+	switch m.kind {
+	case messageApply, messageApplied, messageState:
+		return string(m.kind) + " " + m.payload
+	default:
+		return string(m.kind)
+	}
+}
--- /dev/null
+++ b/internal/hotrestart/socket.go
@@ -0,0 +1,170 @@
+package hotrestart
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"syscall"
+	"time"
+)
+
+const (
+	// socketSuffix ends the file names of the processes' sockets.
+	socketSuffix = ".sock"
+	// peerTimeout is how long another process may take to accept a connection or a message, or to answer one.
+	peerTimeout = 300 * time.Millisecond
+	// maxLineSize bounds a message, in bytes.
+	maxLineSize = 8 << 20
+)
+
+// peerProcess is a connection to another process of the sidecar.
+type peerProcess struct {
+	conn    net.Conn
+	writing sync.Mutex // of messages
+
+	welcomeOnce sync.Once
+	welcomed    chan struct{} // closed by the first welcome
+	states      chan []byte   // learned states that it has sent
+	closed      chan struct{} // closed when the connection has ended
+
+	// pending has a channel for each change that it has not confirmed, by sequence number; ProcessGroup.mu guards it.
+	pending map[uint64]chan struct{}
+}
+
+// newPeerProcess wraps a connection.
+func newPeerProcess(conn net.Conn) *peerProcess {
+	return &peerProcess{
+		conn:     conn,
+		welcomed: make(chan struct{}),
+		states:   make(chan []byte, 1),
+		closed:   make(chan struct{}),
+		pending:  map[uint64]chan struct{}{},
+	}
+}
+
+// send sends a message. A failure needs no handling: the reader of the connection sees that it has ended, and whoever
+// waits for an answer has a timeout.
+func (p *peerProcess) send(m message) {
+	p.writing.Lock()
+	defer p.writing.Unlock()
+	_ = p.conn.SetWriteDeadline(time.Now().Add(peerTimeout)) // fails only on a closed connection
+	_, _ = fmt.Fprintln(p.conn, m)                           // see above
+}
+
+// socketPath returns a path to a socket in the directory that is short enough for a socket address, however long the
+// path of the directory is.
+func (g *ProcessGroup) socketPath(name string) string {
+	return fmt.Sprintf("/proc/self/fd/%d/%s", g.root.Fd(), name)
+}
+
+// peerSockets returns the names of the sockets of other processes.
+func (g *ProcessGroup) peerSockets() []string {
+	entries, _ := os.ReadDir(g.dir) // without them this process goes on as the first of its group
+	var names []string
+	for _, entry := range entries {
+		name := entry.Name()
+		if strings.HasSuffix(name, socketSuffix) && name != g.socketName {
+			names = append(names, name)
+		}
+	}
+	return names
+}
+
+// joinPeers connects to the processes that are running, and waits until each has reduced its share of the limits.
+func (g *ProcessGroup) joinPeers() {
+	for _, name := range g.peerSockets() {
+		conn, err := net.DialTimeout("unix", g.socketPath(name), peerTimeout)
+		if errors.Is(err, syscall.ECONNREFUSED) {
+			_ = os.Remove(filepath.Join(g.dir, name)) // left by a process that was killed; the next one tries again
+		}
+		if err != nil {
+			continue
+		}
+		peer := g.addPeer(conn)
+		peer.send(message{kind: messageHello})
+		select {
+		case <-peer.welcomed:
+		case <-peer.closed:
+		case <-time.After(peerTimeout):
+			g.log.Warn("hot restart: another process of this sidecar has not answered in time")
+		}
+	}
+}
+
+// acceptPeers accepts connections of processes that join later, until the listener is closed.
+func (g *ProcessGroup) acceptPeers() {
+	for {
+		conn, err := g.listener.Accept()
+		if err != nil {
+			return
+		}
+		g.addPeer(conn)
+	}
+}
+
+// addPeer adds a process to the group until its connection ends.
+func (g *ProcessGroup) addPeer(conn net.Conn) *peerProcess {
+	peer := newPeerProcess(conn)
+	g.mu.Lock()
+	g.peers[peer] = struct{}{}
+	g.mu.Unlock()
+	g.updateShare()
+	go g.readMessages(peer)
+	return peer
+}
+
+// readMessages handles the messages of a process until its connection ends, and removes it from the group then.
+func (g *ProcessGroup) readMessages(peer *peerProcess) {
+	lines := bufio.NewScanner(peer.conn)
+	lines.Buffer(nil, maxLineSize)
+	for lines.Scan() {
+		g.handle(peer, parseMessage(lines.Text()))
+	}
+	_ = peer.conn.Close() // it has ended already
+	g.mu.Lock()
+	delete(g.peers, peer)
+	g.mu.Unlock()
+	close(peer.closed)
+	g.updateShare()
+}
+
+// handle acts on a message. Messages of unknown kinds are ignored: a later build may send them.
+func (g *ProcessGroup) handle(peer *peerProcess, m message) {
+	switch m.kind {
+	case messageHello:
+		peer.send(message{kind: messageWelcome}) // the share was reduced when the peer was added
+	case messageWelcome:
+		peer.welcomeOnce.Do(func() { close(peer.welcomed) })
+	case messageApply:
+		if g.applyDrained() == nil {
+			peer.send(message{messageApplied, m.payload})
+		}
+	case messageApplied:
+		g.confirm(peer, m.sequence())
+	case messageStateRequest:
+		g.mu.Lock()
+		exportState := g.exportState
+		g.mu.Unlock()
+		peer.send(newState(exportState()))
+	case messageState:
+		select {
+		case peer.states <- []byte(m.payload):
+		default: // nobody waits for a second one
+		}
+	}
+}
+
+// confirm notes that a process has applied a change.
+func (g *ProcessGroup) confirm(peer *peerProcess, sequence uint64) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if confirmed := peer.pending[sequence]; confirmed != nil {
+		close(confirmed)
+		delete(peer.pending, sequence)
+	}
+}
