--- /dev/null
+++ b/internal/snapshot/filesystem.go
@@ -0,0 +1,43 @@
+package snapshot
+
+import (
+	"io"
+	"os"
+)
+
+// fileSystem does the steps by which a file is replaced. Tests interrupt it between steps.
+type fileSystem interface {
+	// Create opens an empty file for writing.
+	Create(path string, mode os.FileMode) (writableFile, error)
+	Rename(from, to string) error
+	Remove(path string) error
+	// SyncDirectory writes the entries of a directory to disk.
+	SyncDirectory(path string) error
+}
+
+// writableFile is a file that is being written.
+type writableFile interface {
+	io.WriteCloser
+	// Sync writes the file to disk.
+	Sync() error
+}
+
+// osFileSystem is the operating system's.
+type osFileSystem struct{}
+
+func (osFileSystem) Create(path string, mode os.FileMode) (writableFile, error) {
+	return os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, mode)
+}
+
+func (osFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
+
+func (osFileSystem) Remove(path string) error { return os.Remove(path) }
+
+func (osFileSystem) SyncDirectory(path string) error {
+	directory, err := os.Open(path)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = directory.Close() }() // it was only read
+	return directory.Sync()
+}
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -10,7 +10,8 @@
 
 var writeGolden = flag.Bool("write-golden", false, "write golden files that do not exist yet; those that do are never changed")
 
-// goldenFile gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the encoding first.
+// goldenFile gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the
+// encoding first.
 func goldenFile(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -29,7 +30,7 @@
 	return want
 }
 
-// A file that an earlier build has kept is read, and written again in the same bytes, for its owner alone.
+// A file of an earlier build is read, and written again in the same bytes, for its owner alone.
 func TestFileKeepsItsLayout(t *testing.T) {
 	const name, kind, version = "name", "kind", 7
 	dir := t.TempDir()
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,5 +1,5 @@
-// Package snapshot keeps small things on disk over a restart: each is written to a new file, synced and renamed, so that
-// whatever ends the process leaves the old or the new, and carries a checksum, so that a damaged one is known.
+// Package snapshot stores small values on disk over a restart. A value is replaced atomically, so that a crash leaves
+// either the old or the new one, and carries a checksum, so that a damaged one is detected.
 package snapshot
 
 import (
@@ -12,118 +12,98 @@
 	"path/filepath"
 )
 
-// MaxSize is how many bytes one thing may have.
+// MaxSize is how many bytes a file may have.
 const MaxSize = 64 << 20
 
-// ErrNotFound says that nothing is kept under the name.
+// Modes of what a store creates: its values are for their owner alone.
+const (
+	directoryMode = 0o700
+	fileMode      = 0o600
+)
+
+// ErrNotFound reports that no value is stored under a name.
 var ErrNotFound = errors.New("nothing is kept")
 
-// Store is a folder. The zero value of Step is ready to use; tests have it called before each step of a write.
+// Store is a directory of values, one file for each name.
 type Store struct {
-	Dir        string
-	BeforeStep func(name string)
+	Dir string
+
+	files fileSystem // nil: the operating system's
+}
+
+// header is the first line of a file. It describes the value that follows.
+type header struct {
+	kind     string
+	version  int
+	size     int    // of the value, in bytes
+	checksum string // SHA-256 of the value, in hexadecimal
+}
+
+// newHeader describes a value.
+func newHeader(kind string, version int, body []byte) header {
+	return header{kind: kind, version: version, size: len(body), checksum: fmt.Sprintf("%x", sha256.Sum256(body))}
+}
+
+// parseHeader reads a header without its line feed.
+func parseHeader(line []byte) (header, error) {
+	var h header
+	_, err := fmt.Sscanf(string(line), "pepperlead %s %d %d %s", &h.kind, &h.version, &h.size, &h.checksum)
+	return h, err
 }
 
-// Put keeps the body under the name, in place of what was there. kind and version say what it is.
+// String returns the header without a line feed.
+func (h header) String() string {
+	return fmt.Sprintf("pepperlead %s %d %d %s", h.kind, h.version, h.size, h.checksum)
+}
+
+// Put stores a value under a name, in place of an earlier one. The kind and the version of its format are stored with
+// it.
 func (s *Store) Put(name, kind string, version int, body []byte) error {
-	head := fmt.Sprintf("pepperlead %s %d %d %x\n", kind, version, len(body), sha256.Sum256(body))
-	if err := os.MkdirAll(s.Dir, 0o700); err != nil {
+	if err := os.MkdirAll(s.Dir, directoryMode); err != nil {
 		return err
 	}
-	return replace(filepath.Join(s.Dir, name), 0o600, append([]byte(head), body...), s.BeforeStep)
+	files := s.files
+	if files == nil {
+		files = osFileSystem{}
+	}
+	content := append([]byte(newHeader(kind, version, body).String()+"\n"), body...)
+	return replaceFile(files, filepath.Join(s.Dir, name), fileMode, content)
 }
 
-// Get gives what was last kept under the name, if it is whole and of that kind and version.
+// Get returns the value last stored under a name. A value that is damaged, or of another kind or version, is an error.
 func (s *Store) Get(name, kind string, version int) ([]byte, error) {
 	path := filepath.Join(s.Dir, name)
-	f, err := os.Open(path)
+	content, err := readLimited(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, ErrNotFound
 	}
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	all, err := io.ReadAll(io.LimitReader(f, MaxSize+1))
+	line, body, _ := bytes.Cut(content, []byte{'\n'})
+	found, err := parseHeader(line)
 	if err != nil {
-		return nil, err
-	}
-	head, body, _ := bytes.Cut(all, []byte{'\n'})
-	var isKind, sum string
-	var isVersion, size int
-	if n, err := fmt.Sscanf(string(head), "pepperlead %s %d %d %s", &isKind, &isVersion, &size, &sum); n != 4 || err != nil {
 		return nil, fmt.Errorf("%s: its head cannot be read", path)
 	}
+	actual := newHeader(kind, version, body)
 	switch {
-	case isKind != kind || isVersion != version:
-		return nil, fmt.Errorf("%s: found %s of version %d, allowed %s of version %d", path, isKind, isVersion, kind, version)
-	case size != len(body):
-		return nil, fmt.Errorf("%s: found %d bytes, allowed %d", path, len(body), size)
-	case fmt.Sprintf("%x", sha256.Sum256(body)) != sum:
+	case found.kind != kind || found.version != version:
+		return nil, fmt.Errorf("%s: found %s of version %d, allowed %s of version %d",
+			path, found.kind, found.version, kind, version)
+	case found.size != actual.size:
+		return nil, fmt.Errorf("%s: found %d bytes, allowed %d", path, actual.size, found.size)
+	case found.checksum != actual.checksum:
 		return nil, fmt.Errorf("%s: its checksum does not hold", path)
 	}
 	return body, nil
 }
 
-// Replace puts a file in place of the one at the path, whole or not at all. Where the path is a link, what it leads to is
-// replaced.
-func Replace(path string, text []byte) error {
-	mode := os.FileMode(0o644)
-	if real, err := filepath.EvalSymlinks(path); err == nil {
-		path = real
-	}
-	if info, err := os.Stat(path); err == nil {
-		mode = info.Mode().Perm()
-	}
-	return replace(path, mode, text, nil)
-}
-
-func replace(path string, mode os.FileMode, text []byte, step func(string)) (err error) {
-	if step == nil {
-		step = func(string) {}
-	}
-	step("create")
-	fresh := path + ".new"
-	f, err := os.OpenFile(fresh, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, mode)
-	if err != nil {
-		return err
-	}
-	defer func() {
-		if err != nil {
-			os.Remove(fresh)
-		}
-	}()
-	// Half now and half then, so that a kill in the middle is a step like any other.
-	for i, part := range [][]byte{text[:len(text)/2], text[len(text)/2:]} {
-		step([]string{"write", "write on"}[i])
-		if _, err = f.Write(part); err != nil {
-			f.Close()
-			return err
-		}
-	}
-	step("sync")
-	// Renamed before its bytes are on disk, a file may be found empty after a power cut.
-	if err = f.Sync(); err != nil {
-		f.Close()
-		return err
-	}
-	step("close")
-	if err = f.Close(); err != nil {
-		return err
-	}
-	step("rename")
-	if err = os.Rename(fresh, path); err != nil {
-		return err
-	}
-	step("sync folder")
-	dir, err := os.Open(filepath.Dir(path))
+// readLimited reads a file. Of one that is longer than MaxSize it returns a part that is too long for its checksum.
+func readLimited(path string) ([]byte, error) {
+	file, err := os.Open(path)
 	if err != nil {
-		return err
-	}
-	defer dir.Close()
-	if err := dir.Sync(); err != nil {
-		return err
+		return nil, err
 	}
-	step("done")
-	return nil
+	defer func() { _ = file.Close() }() // it was only read
+	return io.ReadAll(io.LimitReader(file, MaxSize+1))
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -9,53 +9,113 @@
 	"testing"
 )
 
-var steps = []string{"create", "write", "write on", "sync", "close", "rename", "sync folder", "done"}
+// steps are those of replacing a file, each with whether the new content counts if the process is killed before it.
+var steps = []struct {
+	name    string
+	renamed bool
+}{
+	{"create", false}, {"write", false}, {"rest of write", false}, {"sync", false}, {"close", false}, {"rename", false},
+	{"sync directory", true}, {"done", true},
+}
+
+const (
+	envKilledDir  = "SNAPSHOT_KILLED_DIR"  // the store of the process that is killed; empty: this is the test
+	envKilledStep = "SNAPSHOT_KILLED_STEP" // the step before which it is killed
+)
 
-// TestMain is the process that is killed: it writes, and at the step named kills itself as a power cut would.
+// TestMain is the process that is killed: it writes, and before the step named kills itself as a power failure would.
 func TestMain(m *testing.M) {
-	dir, step := os.Getenv("SHELF_DIR"), os.Getenv("SHELF_STEP")
+	dir := os.Getenv(envKilledDir)
 	if dir == "" {
 		os.Exit(m.Run())
 	}
-	s := &Store{Dir: dir, BeforeStep: func(at string) {
-		if at == step {
-			syscall.Kill(os.Getpid(), syscall.SIGKILL)
-			select {}
-		}
-	}}
+	s := &Store{Dir: dir, files: killedFileSystem{}}
 	s.Put("x", "kind", 1, []byte("the new one"))
+	killBefore("done")
+}
+
+// killBefore ends the process if it is to be killed before the step.
+func killBefore(step string) {
+	if step == os.Getenv(envKilledStep) {
+		syscall.Kill(os.Getpid(), syscall.SIGKILL)
+		select {}
+	}
+}
+
+// killedFileSystem may end the process before each step.
+type killedFileSystem struct{ osFileSystem }
+
+func (k killedFileSystem) Create(path string, mode os.FileMode) (writableFile, error) {
+	killBefore("create")
+	file, err := k.osFileSystem.Create(path, mode)
+	return killedFile{file}, err
+}
+
+func (k killedFileSystem) Rename(from, to string) error {
+	killBefore("rename")
+	return k.osFileSystem.Rename(from, to)
+}
+
+func (k killedFileSystem) SyncDirectory(path string) error {
+	killBefore("sync directory")
+	return k.osFileSystem.SyncDirectory(path)
+}
+
+// killedFile may end the process before each step, also within a write.
+type killedFile struct{ writableFile }
+
+func (f killedFile) Write(content []byte) (int, error) {
+	killBefore("write")
+	first, err := f.writableFile.Write(content[:len(content)/2])
+	if err != nil {
+		return first, err
+	}
+	killBefore("rest of write")
+	rest, err := f.writableFile.Write(content[len(content)/2:])
+	return first + rest, err
+}
+
+func (f killedFile) Sync() error {
+	killBefore("sync")
+	return f.writableFile.Sync()
+}
+
+func (f killedFile) Close() error {
+	killBefore("close")
+	return f.writableFile.Close()
 }
 
-func TestAKillLeavesTheOldOrTheNew(t *testing.T) {
-	for i, step := range steps {
+// A process killed at any step leaves the old value or the new one.
+func TestKillLeavesOldOrNewValue(t *testing.T) {
+	for _, step := range steps {
 		s := &Store{Dir: t.TempDir()}
 		if err := s.Put("x", "kind", 1, []byte("the old")); err != nil {
 			t.Fatal(err)
 		}
 		c := exec.Command(os.Args[0])
-		c.Env = append(os.Environ(), "SHELF_DIR="+s.Dir, "SHELF_STEP="+step)
+		c.Env = append(os.Environ(), envKilledDir+"="+s.Dir, envKilledStep+"="+step.name)
 		if err := c.Run(); err == nil {
-			t.Fatalf("%s: was not killed", step)
+			t.Fatalf("%s: was not killed", step.name)
 		}
 		want := "the old"
-		if i > 5 { // renamed
+		if step.renamed {
 			want = "the new one"
 		}
 		if got, err := s.Get("x", "kind", 1); err != nil || string(got) != want {
-			t.Errorf("%s: %q %v", step, got, err)
+			t.Errorf("%s: %q %v", step.name, got, err)
 		}
-		// What is left over is in nobody's way.
+		// A temporary file that is left does not prevent the next write.
 		if err := s.Put("x", "kind", 1, []byte("later")); err != nil {
 			t.Error(err)
 		}
 		if got, err := s.Get("x", "kind", 1); err != nil || string(got) != "later" {
-			t.Errorf("%s: then %q %v", step, got, err)
+			t.Errorf("%s: then %q %v", step.name, got, err)
 		}
 	}
 }
 
-// A write that fails at any step says so, and what was there stays.
-func TestDamageIsKnown(t *testing.T) {
+// A damaged value is an error, and so is a write that fails, which leaves the old value.
+func TestDamageIsDetected(t *testing.T) {
 	s := &Store{Dir: t.TempDir()}
 	if _, err := s.Get("x", "kind", 1); !errors.Is(err, ErrNotFound) {
 		t.Error(err)
@@ -68,20 +128,20 @@
 		version int
 	}{{"kind", 2}, {"other", 1}} {
 		if _, err := s.Get("x", k.kind, k.version); err == nil {
-			t.Errorf("%+v was taken", k)
+			t.Errorf("%+v was accepted", k)
 		}
 	}
 	path := filepath.Join(s.Dir, "x")
-	whole, _ := os.ReadFile(path)
-	for i := range whole {
-		for _, bad := range [][]byte{whole[:i], append(append([]byte(nil), whole[:i]...), append([]byte{whole[i] ^ 1}, whole[i+1:]...)...)} {
-			os.WriteFile(path, bad, 0o600)
+	intact, _ := os.ReadFile(path)
+	for i := range intact {
+		for _, damaged := range [][]byte{intact[:i], append(append([]byte(nil), intact[:i]...), append([]byte{intact[i] ^ 1}, intact[i+1:]...)...)} {
+			os.WriteFile(path, damaged, 0o600)
 			if body, err := s.Get("x", "kind", 1); err == nil && string(body) != "a body" {
 				t.Fatalf("damaged at %d: %q", i, body)
 			}
 		}
 	}
-	os.WriteFile(path, whole, 0o600)
+	os.WriteFile(path, intact, 0o600)
 	if os.Mkdir(path+".new", 0o700); s.Put("x", "kind", 1, []byte("b")) == nil {
 		t.Error("written through a folder")
 	}
