--- a/internal/clock/lease.go
+++ b/internal/clock/lease.go
@@ -10,29 +10,48 @@
 	"pepperlead/policy"
 )
 
-// Awake is a moment of the machine's clock that goes on while it sleeps, which CLOCK_MONOTONIC does not (clock_gettime(2)), and that nobody can
-// set. Leases go by it: one must not outlive a night in a closed laptop.
-func Awake() policy.Time { return policy.Time(float64(True()-begin)*rate) + begin + ahead }
-
-// How the clock of leases goes in this process, for drills: GW_CLOCK=RATE,AHEAD, as 0.98,3s. A rate of 0 has it stand still.
-var ahead, rate = func() (policy.Time, float64) {
-	var by string
-	faster := 1.0
-	// "" and what cannot be read: as the machine's.
-	if n, _ := fmt.Sscanf(os.Getenv("GW_CLOCK"), "%g,%s", &faster, &by); n < 2 {
-		return 0, 1
+// skewVariable is the environment variable that makes the lease clock of one process run wrong, for fault tests:
+// RATE,OFFSET, as in 0.98,3s. With a rate of 0 the clock stands still.
+const skewVariable = "GW_CLOCK"
+
+// skew is how the lease clock of this process differs from the system's.
+type skew struct {
+	rate   float64 // 1: as fast as the system's clock
+	offset policy.Time
+}
+
+var (
+	leaseSkew    = parseSkew(os.Getenv(skewVariable))
+	processStart = True()
+)
+
+// parseSkew parses the value of the environment variable. Text of another form means no skew, as does an empty one.
+func parseSkew(text string) skew {
+	rate := 1.0
+	var offsetText string
+	if fields, _ := fmt.Sscanf(text, "%g,%s", &rate, &offsetText); fields < 2 {
+		return skew{rate: 1}
+	}
+	offset, err := time.ParseDuration(offsetText)
+	if err != nil {
+		offset = 0
 	}
-	d, _ := time.ParseDuration(by)
-	return policy.Time(d), faster
-}()
+	return skew{rate: rate, offset: policy.Time(offset)}
+}
 
-var begin = True()
+// Awake returns the time by which leases expire. It is True, except in a process of a fault test that has a skew.
+func Awake() policy.Time {
+	elapsed := float64(True() - processStart)
+	return policy.Time(elapsed*leaseSkew.rate) + processStart + leaseSkew.offset
+}
 
-// True is that clock as the machine has it, so that what several processes write down can be put in one order.
+// True returns the time since boot, which is the same in all processes of a machine and can't be set. Unlike
+// CLOCK_MONOTONIC, CLOCK_BOOTTIME includes the time during which the machine is suspended (see clock_gettime(2)), so
+// that no lease outlives that. Should the clock be unavailable, it is 0.
 func True() policy.Time {
-	var at unix.Timespec
-	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &at) != nil {
+	var now unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
 		return 0
 	}
-	return policy.Time(at.Nano())
+	return policy.Time(now.Nano())
 }
--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -12,9 +12,9 @@
 
 // goldenTrace is a trace that has each kind of record once, with a value of its own in each field.
 func goldenTrace() (Head, []Record) {
-	var head Head
-	golden.Fill(&head)
-	head.Format, head.Version = format, version
+	var header Head
+	golden.Fill(&header)
+	header.Format, header.Version = format, version
 	var records []Record
 	for _, kind := range []Kind{Server, Listed, Ticket, Push, Ended, Answer} {
 		var record Record
@@ -25,19 +25,19 @@
 		record.Key |= 1 << 63
 		records = append(records, record)
 	}
-	return head, records
+	return header, records
 }
 
 // TestTraceIsWrittenAsBefore writes a trace and holds its bytes to those that were written before.
 func TestTraceIsWrittenAsBefore(t *testing.T) {
-	head, records := goldenTrace()
+	header, records := goldenTrace()
 	path := filepath.Join(t.TempDir(), "trace")
-	recorder, err := Create(path, head)
+	recorder, err := Create(path, header)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, record := range records {
-		record.At += head.Start
+		record.At += header.Start
 		recorder.Put(record)
 	}
 	if err := recorder.Close(); err != nil || recorder.Dropped() != 0 {
@@ -52,12 +52,12 @@
 
 // TestTraceOfBeforeIsRead reads the trace that was written before.
 func TestTraceOfBeforeIsRead(t *testing.T) {
-	head, records := goldenTrace()
+	header, records := goldenTrace()
 	read, err := Read(bytes.NewReader(golden.Read(t, "trace.cbor")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(read.Head, head) || !reflect.DeepEqual(read.Records, records) || read.Cut {
-		t.Errorf("got %+v, want %+v and %+v", read, head, records)
+	if !reflect.DeepEqual(read.Head, header) || !reflect.DeepEqual(read.Records, records) || read.Cut {
+		t.Errorf("got %+v, want %+v and %+v", read, header, records)
 	}
 }
--- /dev/null
+++ b/internal/trace/reader.go
@@ -0,0 +1,81 @@
+package trace
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// Bounds on what is decoded, against damaged files.
+const (
+	maxNesting       = 4
+	maxArrayElements = 1 << 16
+	// maxLastRecord is how many bytes the record that exceeds MostBytes may add, with what was buffered.
+	maxLastRecord = 1 << 20
+)
+
+// Trace is a trace that was read.
+type Trace struct {
+	Head
+	Records []Record
+	Cut     bool // it ends within a record
+}
+
+// Read reads a trace up to its last complete record.
+func Read(from io.Reader) (*Trace, error) {
+	decoder, err := newDecoder(from)
+	if err != nil {
+		return nil, err
+	}
+	t := &Trace{}
+	if err := decoder.Decode(&t.Head); err != nil {
+		return nil, fmt.Errorf("trace: its head cannot be read: %w", err)
+	}
+	if t.Format != format || t.Version != version {
+		return nil, fmt.Errorf("trace: found %.40q of version %d, allowed %q of version %d",
+			t.Format, t.Version, format, version)
+	}
+	for {
+		var record Record
+		err := decoder.Decode(&record)
+		switch {
+		case err == nil:
+			t.Records = append(t.Records, record)
+		case errors.Is(err, io.EOF):
+			return t, nil
+		case errors.Is(err, io.ErrUnexpectedEOF):
+			t.Cut = true
+			return t, nil
+		default:
+			return t, fmt.Errorf("trace: record %d cannot be read: %w", len(t.Records)+1, err)
+		}
+	}
+}
+
+// newDecoder returns a decoder of the items of a trace.
+func newDecoder(from io.Reader) (*cbor.Decoder, error) {
+	mode, err := cbor.DecOptions{MaxNestedLevels: maxNesting, MaxArrayElements: maxArrayElements}.DecMode()
+	if err != nil {
+		return nil, err
+	}
+	limited := io.LimitReader(from, MostBytes+maxLastRecord)
+	return mode.NewDecoder(bufio.NewReader(limited)), nil
+}
+
+// ReadFile reads the trace in a file. With an error it may return the records before it.
+func ReadFile(path string) (*Trace, error) {
+	file, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = file.Close() }() // it was only read
+	t, err := Read(file)
+	if err != nil {
+		return t, fmt.Errorf("%s: %w", path, err)
+	}
+	return t, nil
+}
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -17,16 +17,16 @@
 		t.Fatal(err)
 	}
 	var want []Record
-	no := r.ServerNo(1001, policy.Member{ID: 7, Cell: 3, Weight: 1.5, Zone: "a"}, "s-1")
+	number := r.ServerNo(1001, policy.Member{ID: 7, Cell: 3, Weight: 1.5, Zone: "a"}, "s-1")
 	want = append(want, Record{Kind: Server, At: 1, A: 3, B: 1500000, UID: "s-1", Zone: "a"})
 	for i := range policy.Time(50) {
-		one := Record{Kind: Ticket, At: 1002 + i, No: uint64(i), C: policy.Second, Key: 1 << 63}
-		r.Put(one)
-		one.At -= 1000
-		want = append(want, one)
+		record := Record{Kind: Ticket, At: 1002 + i, No: uint64(i), C: policy.Second, Key: 1 << 63}
+		r.Put(record)
+		record.At -= 1000
+		want = append(want, record)
 	}
-	if again := r.ServerNo(2000, policy.Member{ID: 7}, "s-1"); again != no || r.Known(7) != no || r.Known(8) != -1 {
-		t.Error("a server has two numbers")
+	if again := r.ServerNo(2000, policy.Member{ID: 7}, "s-1"); again != number || r.Known(7) != number || r.Known(8) != -1 {
+		t.Error("an endpoint has two numbers")
 	}
 	if err := r.Close(); err != nil || r.Dropped() != 0 {
 		t.Fatal(err, r.Dropped())
@@ -35,23 +35,23 @@
 	return b, want
 }
 
-// A trace cut off anywhere, as by a kill, gives all of its whole records, and says that it is cut.
-func TestCutTracesAreReadToTheLastWholeRecord(t *testing.T) {
-	whole, want := write(t)
+// A trace truncated anywhere, as by a kill, has all of its complete records, and says that it is truncated.
+func TestTruncatedTracesAreReadToTheLastCompleteRecord(t *testing.T) {
+	complete, want := write(t)
 	last := -1
-	for i := range len(whole) + 1 {
-		got, err := Read(bytes.NewReader(whole[:i]))
+	for i := range len(complete) + 1 {
+		got, err := Read(bytes.NewReader(complete[:i]))
 		if err != nil {
 			if last >= 0 {
-				t.Fatalf("cut at %d: %v", i, err)
+				t.Fatalf("truncated at %d: %v", i, err)
 			}
 			continue
 		}
 		if n := len(got.Records); n < last || n > last+1 && last >= 0 || n > 0 && !reflect.DeepEqual(got.Records, want[:n]) {
-			t.Fatalf("cut at %d: %d records after %d", i, n, last)
+			t.Fatalf("truncated at %d: %d records after %d", i, n, last)
 		}
 		if n := len(got.Records); n == last && !got.Cut {
-			t.Fatalf("cut at %d: not told", i)
+			t.Fatalf("truncated at %d: not reported", i)
 		}
 		last = len(got.Records)
 	}
@@ -61,8 +61,8 @@
 }
 
 func FuzzRead(f *testing.F) {
-	whole, _ := write(f)
-	f.Add(whole)
+	complete, _ := write(f)
+	f.Add(complete)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		got, err := Read(bytes.NewReader(b))
 		if err == nil && got.Version != version {
