--- a/internal/connstate/buffers.go
+++ b/internal/connstate/buffers.go
@@ -1,21 +1,28 @@
-// Package state keeps what the instance holds in memory: buffers, connections, requests' front side, endpoints, timers
-// and counters. It knows no protocol and takes no decisions. Only Buffers may be used by several goroutines.
+// Package connstate keeps what the HTTP front holds of its connections, requests and endpoints, and the buffers that
+// their bytes stand in. It knows no protocol and takes no decisions. Buffers may be used by several goroutines, and so
+// may the atomic fields of Conn; everything else belongs to the event loop.
 package connstate
 
 import "sync"
 
+// Capacities of the pooled buffers.
 const (
-	Small = 4 << 10
-	Large = 96 << 10 // any whole message: 64 KiB of body, its head and its chunk sizes
-	kept  = 64       // free buffers of either size that are kept
+	// SmallBuffer suits most requests and responses.
+	SmallBuffer = 4 << 10
+	// LargeBuffer holds any complete message: 64 KiB of body, its head and its chunk sizes.
+	LargeBuffer = 96 << 10
 )
 
-// Buffer holds bytes read. It has one owner at a time, who passes it on or gives it back.
+// pooledBuffers is how many free buffers of either capacity are kept.
+const pooledBuffers = 64
+
+// Buffer holds bytes read. It has one owner at a time, which passes it on or gives it back.
 type Buffer struct{ B []byte }
 
-// Buffers lends buffers and takes them back.
+// Buffers is a pool of buffers that counts the bytes it has lent.
 type Buffers struct {
-	Limit int // bytes that may be lent before Full says so
+	Limit int // bytes that may be lent before Full reports true
+
 	mu    sync.Mutex
 	small []*Buffer
 	large []*Buffer
@@ -26,76 +33,79 @@
 func (p *Buffers) Get(size int) *Buffer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	from, size := p.shelf(size)
-	p.lent += size
-	if from != nil && len(*from) > 0 {
-		b := (*from)[len(*from)-1]
-		*from = (*from)[:len(*from)-1]
-		return b
+	free, capacity := p.class(size)
+	p.lent += capacity
+	if free == nil || len(*free) == 0 {
+		return &Buffer{B: make([]byte, 0, capacity)}
 	}
-	return &Buffer{B: make([]byte, 0, size)}
+	last := len(*free) - 1
+	b := (*free)[last]
+	*free = (*free)[:last]
+	return b
 }
 
-func (p *Buffers) shelf(size int) (*[]*Buffer, int) {
+// class returns the free list and the capacity of buffers of that size. Sizes over LargeBuffer have no free list.
+func (p *Buffers) class(size int) (free *[]*Buffer, capacity int) {
 	switch {
-	case size <= Small:
-		return &p.small, Small
-	case size <= Large:
-		return &p.large, Large
+	case size <= SmallBuffer:
+		return &p.small, SmallBuffer
+	case size <= LargeBuffer:
+		return &p.large, LargeBuffer
 	}
 	return nil, size
 }
 
-// Put takes a buffer back; what was read into it must not be used any more.
+// Put takes a buffer back; its bytes must not be used any more. A nil buffer is ignored.
 func (p *Buffers) Put(b *Buffer) {
 	if b == nil {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	to, size := p.shelf(cap(b.B))
-	p.lent -= size
-	if b.B = b.B[:0]; to != nil && len(*to) < kept {
-		*to = append(*to, b)
+	free, capacity := p.class(cap(b.B))
+	p.lent -= capacity
+	b.B = b.B[:0]
+	if free != nil && len(*free) < pooledBuffers {
+		*free = append(*free, b)
 	}
 }
 
-// SetLimit changes how much may be lent.
+// SetLimit changes how many bytes may be lent.
 func (p *Buffers) SetLimit(bytes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.Limit = bytes
 }
 
-// Lent is how many bytes are out.
+// Lent returns how many bytes are lent.
 func (p *Buffers) Lent() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lent
 }
 
-// Full says that no new request should be taken into memory.
+// Full reports whether no new request should be taken into memory.
 func (p *Buffers) Full() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lent > p.Limit
 }
 
-// Overcommitted says that no more should be read from whoever has sent something that is still to be looked at.
+// Overcommitted reports whether no more should be read from clients whose earlier bytes are still unprocessed.
 func (p *Buffers) Overcommitted() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lent > p.Limit*3/2
 }
 
-// Join adds the bytes of a newly read buffer to those of an earlier one and gives back the one not needed. Without an
-// earlier one nothing is copied.
+// Join appends the bytes of a newly read buffer to those of an earlier one and takes back the buffer not needed.
+// Without an earlier one nothing is copied.
 func (p *Buffers) Join(earlier, b *Buffer) *Buffer {
 	if earlier == nil {
 		return b
 	}
 	if need := len(earlier.B) + len(b.B); need > cap(earlier.B) {
-		if need > Large {
+		if need > LargeBuffer {
 			need *= 2
 		}
 		wider := p.Get(need)
--- a/internal/connstate/frame.go
+++ b/internal/connstate/frame.go
@@ -1,12 +1,13 @@
 package connstate
 
-// Frame is how far a body has come that is handed on as it comes. What it means is the protocol's.
+// Frame is the progress of a body that is forwarded as it comes. The protocol defines Kind and Phase.
 type Frame struct {
-	Kind  uint8
-	Phase uint8
-	Line  int   // bytes of the line that is being read
-	Size  int   // read off it so far
-	Left  int64 // bytes of the body, or of this part of it, that are still to come
-	Got   int64 // bytes of the body so far
-	Raw   int64 // and as they were framed
+	Kind        uint8
+	Phase       uint8
+	Digits      uint8 // digits of the chunk size read so far
+	LineLength  int   // bytes read of the current line
+	ChunkSize   int   // chunk size read so far
+	Remaining   int64 // bytes still to come, of the body or of the current chunk
+	Received    int64 // bytes of the body so far
+	RawReceived int64 // the same with chunk sizes and line ends
 }
--- a/internal/httpproxy/answers_test.go
+++ b/internal/httpproxy/answers_test.go
@@ -155,7 +155,7 @@
 	}
 	s, _ := still(t)
 	s.sockets.read(nb)
-	if conn.EOF.Load() {
+	if conn.Input.EOF.Load() {
 		t.Error("taken for an end in order")
 	}
 	for _, e := range s.sockets.take() {
@@ -258,7 +258,7 @@
 		{inChunks, 100, 1390 * ms, 1690 * ms}, // still coming, and may be long
 		{inChunks, mostBody + 1, 1390 * ms, 2390 * ms},
 	} {
-		if got := streamBy(connstate.Frame{Kind: k.kind, Got: k.got}, k.movedAt, 1000*ms); got != k.want {
+		if got := streamBy(connstate.Frame{Kind: k.kind, Received: k.got}, k.movedAt, 1000*ms); got != k.want {
 			t.Errorf("%+v: %v", k, got)
 		}
 	}
--- a/internal/httpproxy/attempts.go
+++ b/internal/httpproxy/attempts.go
@@ -20,14 +20,14 @@
 // Send sends a request to an endpoint, on a connection that stands idle or on a new one.
 func (s *Proxy) Send(now policy.Time, of *engine.Request, to *engine.Endpoint) {
 	t, server := connstate.AsRequest(of), s.part(to)
-	if t.Uploading {
+	if t.Upload.Active {
 		s.Timers.Stop(&t.AttemptTimer) // its time begins when its body is whole
 	}
-	if t.BodyForwarded {
+	if t.Upload.Forwarded {
 		s.AttemptEnded(now, of, policy.NotSent) // a part of its body went with an earlier attempt, and is gone
 		return
 	}
-	for c := s.conns.Take(server, now-restFor); c != nil; c = s.conns.Take(server, now-restFor) {
+	for c := s.conns.TakeIdle(server, now-restFor); c != nil; c = s.conns.TakeIdle(server, now-restFor) {
 		s.Timers.Stop(&c.Timer)
 		if !c.Socket.Idle(c) {
 			// Something unasked stands there, or its end.
@@ -35,21 +35,22 @@
 			continue
 		}
 		s.Counters.Reused++
-		t.Attempt, c.Request = c, t
+		t.AttemptConn, c.Request = c, t
 		s.send(now, t)
 		return
 	}
 	if s.awaits(now, t, server) {
 		return
 	}
-	if s.conns.Count(connstate.ToServer) >= s.conns.Limit[connstate.ToServer] && !s.spare(connstate.ToServer, now, now) {
+	if s.conns.Count(connstate.EndpointSide) >= s.conns.Limit[connstate.EndpointSide] && !s.spare(connstate.EndpointSide, now, now) {
 		// Every descriptor carries an attempt: nothing was sent, and that is no fault of the endpoint.
 		s.AttemptEnded(now, of, policy.NotSent)
 		return
 	}
-	c := &connstate.Conn{Side: connstate.ToServer, Endpoint: server, Generation: to.Generation, Request: t, Whole: &s.Tally.Written}
+	c := &connstate.Conn{Side: connstate.EndpointSide, Endpoint: server, Generation: to.Generation, Request: t}
+	c.Output.RequestsWritten = &s.Tally.Written
 	c.Timer.Run = func(now policy.Time) { s.endpointDue(now, c) }
-	t.Attempt = c
+	t.AttemptConn = c
 	s.conns.Add(c)
 	s.Counters.Dials++
 	s.sockets.dial(c, to.Addr, s.post.ConnectTimeout)
@@ -57,11 +58,11 @@
 
 // awaits has an attempt wait for the connection that will have rested next, once, if that is soon.
 func (s *Proxy) awaits(now policy.Time, t *connstate.Request, server *connstate.Endpoint) bool {
-	if t.RestAwaited || t.Uploading || server.Awaited >= len(server.Idle) {
+	if t.RestAwaited || t.Upload.Active || server.Awaited >= len(server.Idle) {
 		t.RestAwaited = false
 		return false
 	}
-	in := server.Idle[server.Awaited].Since + restFor - now
+	in := server.Idle[server.Awaited].IdleSince + restFor - now
 	if in > s.post.Settings.Classes[t.Class].Target/aRest {
 		return false
 	}
@@ -108,40 +109,40 @@
 func (s *Proxy) send(now policy.Time, t *connstate.Request) {
 	if s.TracesRequests() {
 		s.RulesLog().WithFields(logrus.Fields{"id": text(field(t.Head, "X-Request-ID")), "no": int(t.Request.AttemptNo),
-			"server": t.Attempt.Endpoint.Endpoint.UID}).Debug(engine.LogAttemptStarted)
+			"server": t.AttemptConn.Endpoint.Endpoint.UID}).Debug(engine.LogAttemptStarted)
 	}
 	size, wait := len(t.Body), t.AttemptTimer.At()-now
-	if t.UploadBuffer != nil {
-		size += len(t.UploadBuffer.B)
+	if t.Upload.Buffer != nil {
+		size += len(t.Upload.Buffer.B)
 	}
-	if t.Uploading {
-		size, wait = t.Size, t.ClientTimeLeft
+	if t.Upload.Active {
+		size, wait = t.Upload.Size, t.ClientTimeLeft
 	}
-	t.Attempt.Used = true
+	t.AttemptConn.Used = true
 	s.scratch = AppendAttempt(s.scratch[:0], t.Method, t.Target, t.Head, size, wait)
-	if !t.Uploading && len(t.Body) <= connstate.Small && t.UploadBuffer == nil {
+	if !t.Upload.Active && len(t.Body) <= connstate.SmallBuffer && t.Upload.Buffer == nil {
 		s.scratch = append(s.scratch, t.Body...)
-		t.Attempt.CompleteAt.Store(t.Attempt.Queued + int64(len(s.scratch)))
-		s.write(t.Attempt, s.scratch)
+		t.AttemptConn.Output.CompleteAt.Store(t.AttemptConn.Output.Queued + int64(len(s.scratch)))
+		s.write(t.AttemptConn, s.scratch)
 		return
 	}
-	if !t.Uploading {
-		t.Attempt.CompleteAt.Store(t.Attempt.Queued + int64(len(s.scratch)+size))
+	if !t.Upload.Active {
+		t.AttemptConn.Output.CompleteAt.Store(t.AttemptConn.Output.Queued + int64(len(s.scratch)+size))
 	}
-	s.write(t.Attempt, s.scratch)
-	if !t.Uploading {
-		t.Size = size
+	s.write(t.AttemptConn, s.scratch)
+	if !t.Upload.Active {
+		t.Upload.Size = size
 	}
 	s.sendPart(t, t.Body)
-	if t.UploadBuffer != nil {
-		s.sendPart(t, t.UploadBuffer.B)
+	if t.Upload.Buffer != nil {
+		s.sendPart(t, t.Upload.Buffer.B)
 	}
-	if t.Uploading && t.Client != nil {
-		t.BodyForwarded, t.Attempt.ProgressAt = true, 0
-		s.buffers.Put(t.UploadBuffer)
-		t.UploadBuffer = nil
+	if t.Upload.Active && t.Client != nil {
+		t.Upload.Forwarded, t.AttemptConn.Progress.At = true, 0
+		s.buffers.Put(t.Upload.Buffer)
+		t.Upload.Buffer = nil
 		s.goOn(t.Client)
-		s.holdUp(t.Client, t.Attempt)
+		s.holdUp(t.Client, t.AttemptConn)
 	}
 }
 
@@ -152,7 +153,7 @@
 		s.close(c) // an answer that came after the list: where it leads, nothing new goes, or another process stands
 		return
 	}
-	s.conns.Park(c, now)
+	s.conns.PutIdle(c, now)
 	s.Timers.Set(&c.Timer, now+s.post.IdleTimeout*3/4)
 }
 
@@ -163,13 +164,13 @@
 		s.close(c) // it says something unasked
 		return
 	}
-	if len(c.In.B) < c.Need {
+	if len(c.Input.Buffer.B) < c.Input.Needed {
 		return
 	}
-	n, status, head, body, stays, ok := CutAnswer(c.In.B, false, t.Bodiless, mostBody)
+	n, status, head, body, stays, ok := CutAnswer(c.Input.Buffer.B, false, t.Response.NoBody, mostBody)
 	switch {
 	case n > 0:
-		stays = stays && n == len(c.In.B) && c.Flushed() && !t.Uploading
+		stays = stays && n == len(c.Input.Buffer.B) && c.Flushed() && !t.Upload.Active
 		s.take(t, c, status, head, body)
 		s.endAttempt(at, t, outcomeOf(status, head), stays)
 	case s.answerComes(now, at, c, !ok):
@@ -180,8 +181,8 @@
 
 // take moves the answer's buffer from the connection to the request.
 func (s *Proxy) take(t *connstate.Request, c *connstate.Conn, status int, head, body []byte) {
-	t.Answer, t.Status, t.AnswerHead, t.AnswerBody = c.In, status, head, body
-	c.In = nil
+	t.Response.Buffer, t.Response.Status, t.Response.Head, t.Response.Body = c.Input.Buffer, status, head, body
+	c.Input.Buffer = nil
 }
 
 // broke is told that a connection to an endpoint has ended, or never came up.
@@ -190,8 +191,8 @@
 	if t == nil {
 		return
 	}
-	over := c.EOF.Load() // a reset ends no answer
-	if t.Streaming {
+	over := c.Input.EOF.Load() // a reset ends no answer
+	if t.Response.Streaming {
 		if over && c.Frame.Kind == untilEnd {
 			s.endStream(s.Clock.Now(), t, false)
 		} else {
@@ -199,12 +200,12 @@
 		}
 		return
 	}
-	if !c.Connected || !c.Flushed() || t.Uploading {
+	if !c.Connected || !c.Flushed() || t.Upload.Active {
 		s.endAttempt(at, t, policy.NotConnected, false)
 		return
 	}
-	if c.In != nil {
-		if n, status, head, body, _, ok := CutAnswer(c.In.B, over, t.Bodiless, mostBody); ok && n > 0 {
+	if c.Input.Buffer != nil {
+		if n, status, head, body, _, ok := CutAnswer(c.Input.Buffer.B, over, t.Response.NoBody, mostBody); ok && n > 0 {
 			s.take(t, c, status, head, body)
 			s.endAttempt(at, t, outcomeOf(status, head), false)
 			return
@@ -227,8 +228,8 @@
 // unwritten ends the connection of an attempt that has not gone out whole, and tells whether it never will. What waits to be written goes out
 // beside the loop: looked at first and closed then, its last byte could slip through between, and what has run be sent again.
 func (s *Proxy) unwritten(t *connstate.Request) bool {
-	c := t.Attempt
-	if c == nil || !c.Connected || t.Uploading {
+	c := t.AttemptConn
+	if c == nil || !c.Connected || t.Upload.Active {
 		return true
 	}
 	if c.Flushed() {
@@ -240,7 +241,7 @@
 
 // CancelAttempt ends an attempt that nobody waits for any more.
 func (s *Proxy) CancelAttempt(now policy.Time, of *engine.Request) {
-	if t := connstate.AsRequest(of); (t.Attempt != nil || t.RestTimer.Active()) && !t.Streaming {
+	if t := connstate.AsRequest(of); (t.AttemptConn != nil || t.RestTimer.Active()) && !t.Response.Streaming {
 		s.endAttempt(now, t, policy.Cancelled, false)
 	}
 }
@@ -257,12 +258,12 @@
 		s.Timers.Stop(&t.RestTimer)
 		s.part(t.AttemptEndpoint).Awaited--
 	}
-	c := t.Attempt
+	c := t.AttemptConn
 	if c == nil {
 		return
 	}
-	t.Attempt, c.Request, c.Need, c.HeadAt = nil, nil, 0, 0
-	c.ReadPaused.Store(false)
+	t.AttemptConn, c.Request, c.Input.Needed, c.Input.HeadAt = nil, nil, 0, 0
+	c.Input.Paused.Store(false)
 	s.Timers.Stop(&c.Timer)
 	switch {
 	case stays:
--- a/internal/httpproxy/attempts_test.go
+++ b/internal/httpproxy/attempts_test.go
@@ -166,10 +166,11 @@
 	defer l.Close()
 	s := New(Config{Listen: "127.0.0.1:0", Descriptors: 64, MessageMemory: 1 << 20, Settings: &policy.Settings{Instances: 1}}, logrus.New())
 	for queued, want := range map[int64]policy.Outcome{10: policy.ConnectionLost, 11: policy.NotConnected} {
-		c := &connstate.Conn{Side: connstate.ToServer, Connected: true, Queued: queued, Endpoint: &connstate.Endpoint{Endpoint: &engine.Endpoint{}}}
-		c.Written.Store(10)
+		c := &connstate.Conn{Side: connstate.EndpointSide, Connected: true, Endpoint: &connstate.Endpoint{Endpoint: &engine.Endpoint{}}}
+		c.Output.Queued = queued
+		c.Output.Written.Store(10)
 		ticket := connstate.AsRequest(s.NewRequest(s.no))
-		ticket.Attempt, c.Request = c, ticket
+		ticket.AttemptConn, c.Request = c, ticket
 		s.conns.Add(c)
 		s.closed(1, 1, c)
 		if s.RunSteps(1); s.Counters.Outcomes[want] != 1 {
--- a/internal/httpproxy/clients.go
+++ b/internal/httpproxy/clients.go
@@ -26,7 +26,7 @@
 )
 
 func (s *Proxy) opened(now policy.Time, c *connstate.Conn) {
-	c.Connected, c.Since = true, now
+	c.Connected, c.IdleSince = true, now
 	c.Timer.Run = func(now policy.Time) { s.clientDue(now, c) }
 	// Whoever connects and says nothing, or only a part, must not hold a place for long.
 	s.Timers.Set(&c.Timer, now+headIn)
@@ -39,8 +39,8 @@
 // closed yet, each answer ends its connection.
 func (s *Proxy) makeRoom(now policy.Time) {
 	s.pressed = false
-	for s.conns.OverLimit(connstate.Client) && !s.pressed {
-		if s.spare(connstate.Client, 0, now-cutFresh) || s.spare(connstate.Client, now-cutAfter, 0) {
+	for s.conns.OverLimit(connstate.ClientSide) && !s.pressed {
+		if s.spare(connstate.ClientSide, 0, now-cutFresh) || s.spare(connstate.ClientSide, now-cutAfter, 0) {
 			s.Counters.ClientConnsBroken++
 			continue
 		}
@@ -51,17 +51,17 @@
 
 // fromClient takes the next request that is in whole. at: when its last byte came.
 func (s *Proxy) fromClient(now, at policy.Time, c *connstate.Conn) {
-	for c.In != nil && c.Request == nil && !c.CloseWhenFlushed && !c.Closing && !c.PeerClosed.Load() && s.reads(now, c) {
-		if len(c.In.B) < c.Need && !s.buffers.Full() {
+	for c.Input.Buffer != nil && c.Request == nil && !c.Output.CloseWhenFlushed && !c.Closing && !c.Input.PeerClosed.Load() && s.reads(now, c) {
+		if len(c.Input.Buffer.B) < c.Input.Needed && !s.buffers.Full() {
 			s.bodyDue(c)
 			return
 		}
-		if skipLines(c.In); len(c.In.B) == 0 {
-			s.buffers.Put(c.In)
-			c.In = nil
+		if skipLines(c.Input.Buffer); len(c.Input.Buffer.B) == 0 {
+			s.buffers.Put(c.Input.Buffer)
+			c.Input.Buffer = nil
 			return
 		}
-		n, a, body, fault := CutRequest(c.In.B, mostBody)
+		n, a, body, fault := CutRequest(c.Input.Buffer.B, mostBody)
 		switch {
 		case fault == 413 && a.size <= mostStream:
 			s.uploads(now, at, c, a)
@@ -75,36 +75,36 @@
 			return
 		case n == 0:
 			s.comes(now, c)
-			if !c.ContinueSent && Continues(c.In.B) {
-				c.ContinueSent = true
+			if !c.Upload.ContinueSent && Continues(c.Input.Buffer.B) {
+				c.Upload.ContinueSent = true
 				s.write(c, []byte("HTTP/1.1 100 Continue\r\n\r\n"))
 			}
 			return
 		}
 		s.Timers.Stop(&c.Timer)
-		s.conns.Work(c)
-		c.ContinueSent, c.HeadAt, c.Need = false, 0, 0
-		request := c.In
-		c.In = nil
+		s.conns.MarkBusy(c)
+		c.Upload.ContinueSent, c.Input.HeadAt, c.Input.Needed = false, 0, 0
+		request := c.Input.Buffer
+		c.Input.Buffer = nil
 		if len(request.B) > n {
-			c.In = s.buffers.Get(len(request.B) - n)
-			c.In.B = append(c.In.B, request.B[n:]...)
+			c.Input.Buffer = s.buffers.Get(len(request.B) - n)
+			c.Input.Buffer.B = append(c.Input.Buffer.B, request.B[n:]...)
 		}
 		s.request(now, at, c, request, a, body)
 	}
-	if c.In != nil && len(c.In.B) > connstate.Large && (c.Request != nil || !c.Flushed()) {
+	if c.Input.Buffer != nil && len(c.Input.Buffer.B) > connstate.LargeBuffer && (c.Request != nil || !c.Flushed()) {
 		s.close(c) // it goes on sending without waiting for answers
 	}
 }
 
 // comes sets by when more of a request must have come. Clients may be slow, but those that say nothing must not hold a place.
 func (s *Proxy) comes(now policy.Time, c *connstate.Conn) {
-	_, head, at := cutHead(c.In.B)
+	_, head, at := cutHead(c.Input.Buffer.B)
 	switch {
-	case at > 0 && c.HeadAt == 0:
-		c.HeadAt, c.Need = now, 0
+	case at > 0 && c.Input.HeadAt == 0:
+		c.Input.HeadAt, c.Input.Needed = now, 0
 		if size, _, _, _ := framing(head, true); size >= 0 {
-			c.Need = at + size
+			c.Input.Needed = at + size
 		}
 		fallthrough
 	case at > 0:
@@ -112,21 +112,21 @@
 	case !c.Timer.Active() || c.Resting:
 		s.Timers.Set(&c.Timer, now+headIn)
 	}
-	s.conns.Work(c)
+	s.conns.MarkBusy(c)
 }
 
 func (s *Proxy) bodyDue(c *connstate.Conn) {
-	s.Timers.Set(&c.Timer, c.HeadAt+bodyIn+policy.Time(len(c.In.B))*policy.Second/bodyRate)
+	s.Timers.Set(&c.Timer, c.Input.HeadAt+bodyIn+policy.Time(len(c.Input.Buffer.B))*policy.Second/bodyRate)
 }
 
 // reads tells whether the client has taken its last answer. Until it has, its next request waits: answers that nobody reads
 // must not pile up. clientDue looks again.
 func (s *Proxy) reads(now policy.Time, c *connstate.Conn) bool {
-	c.AwaitingFlush = !c.Flushed()
-	if c.AwaitingFlush {
+	c.Output.AwaitingFlush = !c.Flushed()
+	if c.Output.AwaitingFlush {
 		s.Timers.Set(&c.Timer, now+flushEvery)
 	}
-	return !c.AwaitingFlush
+	return !c.Output.AwaitingFlush
 }
 
 // request admits a request that has come whole, or answers it.
@@ -147,7 +147,7 @@
 		if known {
 			s.Count(offering, engine.Failed)
 		}
-		c.Upload = connstate.NoUpload
+		c.Upload.State = connstate.NoUpload
 		s.bad(now, c, status, why)
 		s.buffers.Put(buf)
 	}
@@ -167,7 +167,7 @@
 	case ambiguous(head):
 		refuse(400, "X-Request-ID or Idempotency-Key is given twice, or for this connection only\n")
 		return
-	case named && s.requests.Marked(mark) != nil && bytes.Equal(field(s.requests.Marked(mark).Head, "X-Request-ID"), id):
+	case named && s.requests.Find(mark) != nil && bytes.Equal(field(s.requests.Find(mark).Head, "X-Request-ID"), id):
 		// Whoever uses another's id may mean its request, or get its answer.
 		refuse(409, "a request with this X-Request-ID is in hand\n")
 		return
@@ -188,18 +188,18 @@
 	}
 	t := connstate.AsRequest(s.NewRequest(s.no))
 	t.Client, t.Received, t.Method, t.Target, t.Head, t.Body, t.CloseAfter = c, buf, method, target, head, body, last
-	t.Bodiless = string(method) == "HEAD"
+	t.Response.NoBody = string(method) == "HEAD"
 	t.HTTP10, t.ClientTimeLeft = a.old, left
-	t.Uploading, t.Size = c.Upload == connstate.Streamed, a.size
+	t.Upload.Active, t.Upload.Size = c.Upload.State == connstate.StreamingUpload, a.size
 	c.Request = t
 	if named {
-		s.requests.Mark(t, mark)
+		s.requests.Add(t, mark)
 	}
 	if s.TracesRequests() {
 		s.RulesLog().WithField("id", string(id)).Debug(engine.LogRequestAdmitted)
 	}
 	s.Admit(now, at, t.Request, offering, franchise, text(field(head, "X-Route-Key")), string(field(head, "X-Retried")) == "1", left)
-	if t.Uploading {
+	if t.Upload.Active {
 		s.BodyBegun(t.Request)
 	}
 }
@@ -284,22 +284,22 @@
 
 // free lets a client's connection go on to its next request, or closes it once the answer is out.
 func (s *Proxy) free(now policy.Time, c *connstate.Conn, last bool) {
-	c.Request, c.Since, c.Used, c.ProgressAt = nil, now, true, 0
+	c.Request, c.IdleSince, c.Used, c.Progress.At = nil, now, true, 0
 	switch {
-	case c.Upload == connstate.Streamed:
+	case c.Upload.State == connstate.StreamingUpload:
 		// Its sender goes on with a body that nobody needs any more, and may read the answer only after that.
-		c.CloseAfterBody = last
+		c.Upload.CloseAfter = last
 		s.goOn(c)
 	case last:
-		c.CloseWhenFlushed = true
+		c.Output.CloseWhenFlushed = true
 		c.Socket.DiscardInput()
-		s.buffers.Put(c.In)
-		c.In = nil
+		s.buffers.Put(c.Input.Buffer)
+		c.Input.Buffer = nil
 		s.Timers.Set(&c.Timer, now)
-	case c.In != nil:
+	case c.Input.Buffer != nil:
 		s.again = append(s.again, c)
 	default:
-		s.conns.Rest(c)
+		s.conns.MarkResting(c)
 		s.Timers.Set(&c.Timer, now+cutAfter)
 	}
 }
@@ -308,15 +308,15 @@
 func (s *Proxy) clientDue(now policy.Time, c *connstate.Conn) {
 	switch {
 	case c.Closing:
-	case c.Upload != connstate.NoUpload:
+	case c.Upload.State != connstate.NoUpload:
 		s.uploadDue(now, c)
-	case !c.CloseWhenFlushed && !c.Flushed() && c.Progressed(now, c.Written.Load(), flushIn):
+	case !c.Output.CloseWhenFlushed && !c.Flushed() && c.Progressed(now, c.Output.Written.Load(), flushIn):
 		s.Timers.Set(&c.Timer, now+flushEvery)
-	case !c.CloseWhenFlushed && !c.Flushed():
+	case !c.Output.CloseWhenFlushed && !c.Flushed():
 		s.close(c) // it takes no answers
-	case !c.CloseWhenFlushed && c.AwaitingFlush && c.In != nil:
+	case !c.Output.CloseWhenFlushed && c.Output.AwaitingFlush && c.Input.Buffer != nil:
 		s.fromClient(now, now, c)
-	case !c.CloseWhenFlushed && c.Resting:
+	case !c.Output.CloseWhenFlushed && c.Resting:
 		// Clients that ask once and stay hold places that others of theirs wait for.
 		if 2*s.conns.RestingCount > s.conns.ExcessResting && c.Socket.CloseIfIdle(c) {
 			s.conns.CountEnd(c)
@@ -324,7 +324,7 @@
 		} else {
 			s.Timers.Set(&c.Timer, now+cutAfter/8)
 		}
-	case !c.CloseWhenFlushed && c.In == nil:
+	case !c.Output.CloseWhenFlushed && c.Input.Buffer == nil:
 		// Silent since it came. Nothing is lost by its end, unless something is coming in just now.
 		if c.Socket.CloseIfIdle(c) {
 			s.conns.CountEnd(c)
@@ -332,9 +332,9 @@
 		} else {
 			s.Timers.Set(&c.Timer, now+flushEvery)
 		}
-	case !c.CloseWhenFlushed:
+	case !c.Output.CloseWhenFlushed:
 		s.bad(now, c, 408, "the request came too slowly\n")
-	case c.Flushed() || !c.Progressed(now, c.Written.Load(), flushIn):
+	case c.Flushed() || !c.Progressed(now, c.Output.Written.Load(), flushIn):
 		s.close(c)
 	default:
 		s.Timers.Set(&c.Timer, now+flushEvery)
@@ -347,7 +347,7 @@
 	if t == nil {
 		return
 	}
-	if t.Streaming {
+	if t.Response.Streaming {
 		s.breakStream(now, t)
 		return
 	}
@@ -357,9 +357,9 @@
 // leaves ends a request whose client is gone, or has not sent it whole.
 func (s *Proxy) leaves(now policy.Time, c *connstate.Conn, t *connstate.Request) {
 	c.Request, t.Client = nil, nil
-	s.requests.Unmark(t)
+	s.requests.Remove(t)
 	s.ClientLeft(now, t.Request)
-	if (t.Attempt != nil || t.RestTimer.Active()) && s.unwritten(t) {
+	if (t.AttemptConn != nil || t.RestTimer.Active()) && s.unwritten(t) {
 		// What is missing of its body never comes; and an attempt that no endpoint has whole is none yet, so ending it is allowed also where
 		// attempts may not be cancelled.
 		s.endAttempt(now, t, policy.Cancelled, false)
--- a/internal/httpproxy/crossing_test.go
+++ b/internal/httpproxy/crossing_test.go
@@ -118,7 +118,7 @@
 	} {
 		s, _ := still(t)
 		far, nb, conn := pair(t)
-		conn.Side, conn.Connected = connstate.Client, true
+		conn.Side, conn.Connected = connstate.ClientSide, true
 		s.conns.Add(conn)
 		fmt.Fprint(far, "GET /step/a HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Timeout: 1\r\n\r\n")
 		leave(far.(*net.TCPConn))
@@ -143,7 +143,7 @@
 
 func (k *slipping) Close() error {
 	if k.slips {
-		k.conn.Written.Store(k.conn.Queued)
+		k.conn.Output.Written.Store(k.conn.Output.Queued)
 	}
 	return nil
 }
@@ -159,15 +159,15 @@
 		{left: true, slips: true, none: true}} {
 		s, connect := still(t)
 		s.Engine.Settings.MayCancel = false
-		client, _ := connect(connstate.Client)
-		server, plain := connect(connstate.ToServer)
+		client, _ := connect(connstate.ClientSide)
+		server, plain := connect(connstate.EndpointSide)
 		for _, one := range s.Endpoints {
 			server.Endpoint = s.part(one)
 			s.park(1, server)
 		}
-		buf := s.buffers.Get(connstate.Small)
+		buf := s.buffers.Get(connstate.SmallBuffer)
 		buf.B = append(buf.B, "GET /step/a HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Timeout: 1\r\n\r\n"...)
-		client.In = buf
+		client.Input.Buffer = buf
 		now := s.Clock.Now()
 		s.fromClient(now, now, client)
 		s.Round(now)
@@ -176,14 +176,14 @@
 			t.Fatal("not pushed")
 		}
 		server.Socket = &slipping{plain, k.slips}
-		server.Queued++ // the kernel has all but one byte
+		server.Output.Queued++ // the kernel has all but one byte
 		if k.left {
 			s.clientLeft(now, client)
 		} else {
 			s.TimedOut(now, ticket.Request)
 		}
 		s.RunSteps(now)
-		if n := s.Counters.Outcomes[k.want]; !k.none && n != 1 || k.none && ticket.Attempt == nil {
+		if n := s.Counters.Outcomes[k.want]; !k.none && n != 1 || k.none && ticket.AttemptConn == nil {
 			t.Errorf("%+v: outcomes %v", k, s.Counters.Outcomes)
 		}
 	}
@@ -198,7 +198,7 @@
 	first.receive()
 	most := r.sockets.most.Swap(0) // whoever accepts takes one more, and then has no room
 	r.client()
-	r.until("the last with room", func() bool { return r.conns.Count(connstate.Client) == 2 })
+	r.until("the last with room", func() bool { return r.conns.Count(connstate.ClientSide) == 2 })
 	waits := r.client()
 	waits.send("step/echo", "b", "")
 	r.stop <- syscall.SIGTERM
@@ -407,7 +407,7 @@
 				t.Errorf("side %d: TCP_NODELAY %d, %v", c.Side, on, err)
 			}
 		}
-		if sides[connstate.Client] == 0 || sides[connstate.ToServer] == 0 {
+		if sides[connstate.ClientSide] == 0 || sides[connstate.EndpointSide] == 0 {
 			t.Errorf("connections by side: %v", sides)
 		}
 	})
--- a/internal/httpproxy/frame.go
+++ b/internal/httpproxy/frame.go
@@ -32,7 +32,7 @@
 	case chunked:
 		return connstate.Frame{Kind: inChunks}
 	case size >= 0:
-		return connstate.Frame{Kind: sized, Left: int64(size)}
+		return connstate.Frame{Kind: sized, Remaining: int64(size)}
 	}
 	return connstate.Frame{Kind: untilEnd}
 }
@@ -42,22 +42,22 @@
 func takeBody(f *connstate.Frame, b []byte) (n, used int, done, ok bool) {
 	switch f.Kind {
 	case sized:
-		n = int(min(f.Left, int64(len(b))))
-		f.Left -= int64(n)
-		f.Got += int64(n)
-		return n, n, f.Left == 0, true
+		n = int(min(f.Remaining, int64(len(b))))
+		f.Remaining -= int64(n)
+		f.Received += int64(n)
+		return n, n, f.Remaining == 0, true
 	case untilEnd:
-		f.Got += int64(len(b))
-		return len(b), len(b), false, f.Got <= mostStream
+		f.Received += int64(len(b))
+		return len(b), len(b), false, f.Received <= mostStream
 	}
 	for used < len(b) {
 		if f.Phase == inData {
-			part := int(min(f.Left, int64(len(b)-used)))
+			part := int(min(f.Remaining, int64(len(b)-used)))
 			copy(b[n:], b[used:used+part])
 			n, used = n+part, used+part
-			f.Left -= int64(part)
-			f.Got += int64(part)
-			if f.Left == 0 {
+			f.Remaining -= int64(part)
+			f.Received += int64(part)
+			if f.Remaining == 0 {
 				f.Phase = atDataCR
 			}
 			continue
@@ -71,46 +71,47 @@
 			return n, used, true, true
 		}
 	}
-	f.Raw += int64(used)
-	return n, used, false, f.Got <= mostStream && f.Raw <= mostSpun*mostStream
+	f.RawReceived += int64(used)
+	return n, used, false, f.Received <= mostStream && f.RawReceived <= mostSpun*mostStream
 }
 
 // framed goes on by one byte that is not the body's own.
 func framed(f *connstate.Frame, c byte) bool {
 	next := func(phase uint8, want byte) bool {
-		f.Phase, f.Line = phase, 0
+		f.Phase, f.LineLength = phase, 0
 		return c == want
 	}
-	f.Line++
+	f.LineLength++
 	switch f.Phase {
 	case atSize, afterDigits, inExtension:
 		blank := c == ' ' || c == '\t'
 		digit, hex := digitOf(c)
 		switch {
-		case f.Line > 257 || f.Line == 257 && c != '\r':
+		case f.LineLength > 257 || f.LineLength == 257 && c != '\r':
 			return false
 		case c == '\r':
 			f.Phase = atSizeEnd
-			return f.Left > 0 // digits, so far
+			return f.Digits > 0
 		case f.Phase == inExtension:
 		case c == ';':
 			f.Phase = inExtension
-			return f.Left > 0
-		case blank && f.Left > 0:
+			return f.Digits > 0
+		case blank && f.Digits > 0:
 			f.Phase = afterDigits
 		case blank:
-		case f.Phase == afterDigits || !hex || f.Left >= 8:
+		case f.Phase == afterDigits || !hex || f.Digits >= 8:
 			return false
 		default:
-			f.Size, f.Left = f.Size<<4+digit, f.Left+1
+			f.ChunkSize, f.Digits = f.ChunkSize<<4+digit, f.Digits+1
 		}
 		return c != '\n'
 	case atSizeEnd:
-		f.Left, f.Size, f.Line = int64(f.Size), 0, 0
-		if f.Phase = inData; f.Left == 0 {
+		f.Remaining = int64(f.ChunkSize)
+		f.ChunkSize, f.Digits, f.LineLength = 0, 0, 0
+		if f.Phase = inData; f.Remaining == 0 {
 			f.Phase = atTrailer
 		}
-		return c == '\n' && f.Left <= mostStream
+		return c == '\n' && f.Remaining <= mostStream
 	case atDataCR:
 		return next(atDataLF, '\r')
 	case atDataLF:
@@ -128,7 +129,7 @@
 		default:
 			f.Phase = inTrailer
 		}
-		return f.Line <= mostHead
+		return f.LineLength <= mostHead
 	}
 	return false
 }
--- a/internal/httpproxy/leave.go
+++ b/internal/httpproxy/leave.go
@@ -42,9 +42,9 @@
 		waiting = true
 	}
 	for c := range s.conns.Open {
-		if c.Side == connstate.Client && !c.Closing {
-			stays := s.post.InheritedListener > 0 && now-c.Since < lookedFor && now < leaveBy // its next answer ends it
-			if c.Request == nil && c.In == nil && !c.CloseWhenFlushed && c.Upload == connstate.NoUpload && !stays && c.Socket.CloseIfIdle(c) {
+		if c.Side == connstate.ClientSide && !c.Closing {
+			stays := s.post.InheritedListener > 0 && now-c.IdleSince < lookedFor && now < leaveBy // its next answer ends it
+			if c.Request == nil && c.Input.Buffer == nil && !c.Output.CloseWhenFlushed && c.Upload.State == connstate.NoUpload && !stays && c.Socket.CloseIfIdle(c) {
 				s.conns.CountEnd(c)
 			}
 			waiting = true
--- a/internal/httpproxy/limits_test.go
+++ b/internal/httpproxy/limits_test.go
@@ -282,16 +282,16 @@
 // Where memory is full and more, whoever has sent much that nobody has looked at yet sends no more.
 func TestFloodsEndWhereMemoryIsFull(t *testing.T) {
 	far, nb, conn := pair(t)
-	s := &sockets{buffers: &connstate.Buffers{Limit: connstate.Small}, signal: func() {}}
+	s := &sockets{buffers: &connstate.Buffers{Limit: connstate.SmallBuffer}, signal: func() {}}
 	s.ahead.Store(mostAhead)
-	held := s.buffers.Get(connstate.Large)
+	held := s.buffers.Get(connstate.LargeBuffer)
 	fmt.Fprint(far, "GET")
 	time.Sleep(20 * time.Millisecond)
 	s.read(nb) // a little is always taken, to be rejected
-	if conn.Socket.(*link).cut || conn.Unread.Load() != 3 {
-		t.Errorf("cut at its first bytes, or they were not read: %d", conn.Unread.Load())
+	if conn.Socket.(*link).cut || conn.Input.Unread.Load() != 3 {
+		t.Errorf("cut at its first bytes, or they were not read: %d", conn.Input.Unread.Load())
 	}
-	fmt.Fprint(far, strings.Repeat("x", 2*connstate.Small))
+	fmt.Fprint(far, strings.Repeat("x", 2*connstate.SmallBuffer))
 	time.Sleep(20 * time.Millisecond)
 	s.read(nb)
 	if !conn.Socket.(*link).cut {
@@ -312,11 +312,11 @@
 	if conn.Socket.Idle(conn) || conn.Socket.CloseIfIdle(conn) {
 		t.Fatal("cut with bytes in the kernel")
 	}
-	buf := buffers.Get(connstate.Small)
+	buf := buffers.Get(connstate.SmallBuffer)
 	if !conn.Socket.(*link).read(conn, buf) || string(buf.B) != "GET" || conn.Socket.CloseIfIdle(conn) {
 		t.Error("cut with bytes that the loop has not looked at")
 	}
-	conn.Unread.Store(0)
+	conn.Input.Unread.Store(0)
 	if !conn.Socket.CloseIfIdle(conn) || conn.Socket.(*link).read(conn, buf) {
 		t.Error("not cut, or read after it")
 	}
--- a/internal/httpproxy/link.go
+++ b/internal/httpproxy/link.go
@@ -51,12 +51,12 @@
 			}
 		case n > 0:
 			buf.B = buf.B[:n]
-			conn.Unread.Add(int64(n))
+			conn.Input.Unread.Add(int64(n))
 			return true
 		case err == syscall.EINTR:
 		case n == 0 && err == nil:
 			// The socket tells of a reset once, to a write or a read: whatever is read after that looks like an orderly end.
-			conn.EOF.Store(!l.failed)
+			conn.Input.EOF.Store(!l.failed)
 			l.gone = true
 			return false
 		case err == syscall.EAGAIN:
@@ -96,7 +96,7 @@
 }
 
 func (l *link) quiet(conn *connstate.Conn) bool {
-	if l.gone || conn.Unread.Load() > 0 {
+	if l.gone || conn.Input.Unread.Load() > 0 {
 		return false
 	}
 	// Neither bytes nor the other end's close, which the poller may not have come to yet.
@@ -124,7 +124,7 @@
 	if conn.Flushed() {
 		n, err := syscall.Write(l.fd, b)
 		if n > 0 {
-			conn.RecordRead(n) // the loop itself looks what it waits for
+			conn.RecordWritten(n) // the loop itself looks what it waits for
 			b = b[n:]
 		}
 		if err != nil && err != syscall.EAGAIN && err != syscall.EINTR {
--- a/internal/httpproxy/replies.go
+++ b/internal/httpproxy/replies.go
@@ -10,7 +10,7 @@
 func (s *Proxy) answer(now policy.Time, t *connstate.Request, kind int) *connstate.Conn {
 	c := t.Client
 	t.Client = nil
-	s.requests.Unmark(t)
+	s.requests.Remove(t)
 	if c == nil || c.Closing {
 		if c != nil {
 			c.Request = nil // the request's place may be another's by the time this connection's end is told
@@ -26,7 +26,7 @@
 // Succeed passes an endpoint's answer on, also one that declines.
 func (s *Proxy) Succeed(now policy.Time, of *engine.Request) {
 	t, kind := connstate.AsRequest(of), 0
-	if t.Status != 200 {
+	if t.Response.Status != 200 {
 		kind = 1
 	}
 	if c := s.answer(now, t, kind); c != nil {
@@ -38,13 +38,13 @@
 			s.Counters.Declined++
 			last = true
 		}
-		s.scratch = AppendSuccess(s.scratch[:0], t.Status, t.AnswerHead, len(t.AnswerBody), last)
-		if len(t.AnswerBody) <= connstate.Small {
-			s.scratch = append(s.scratch, t.AnswerBody...)
+		s.scratch = AppendSuccess(s.scratch[:0], t.Response.Status, t.Response.Head, len(t.Response.Body), last)
+		if len(t.Response.Body) <= connstate.SmallBuffer {
+			s.scratch = append(s.scratch, t.Response.Body...)
 			s.write(c, s.scratch)
 		} else {
 			s.write(c, s.scratch)
-			s.write(c, t.AnswerBody)
+			s.write(c, t.Response.Body)
 		}
 		s.free(now, c, last)
 	}
--- a/internal/httpproxy/reports.go
+++ b/internal/httpproxy/reports.go
@@ -18,8 +18,8 @@
 	for _, g := range []struct {
 		name string
 		n    int64
-	}{{"tickets_in_hand", int64(s.InFlight)}, {"client_connections_open", int64(s.conns.Count(connstate.Client))},
-		{"server_connections_open", int64(s.conns.Count(connstate.ToServer))}, {"buffer_bytes_lent", int64(s.buffers.Lent())},
+	}{{"tickets_in_hand", int64(s.InFlight)}, {"client_connections_open", int64(s.conns.Count(connstate.ClientSide))},
+		{"server_connections_open", int64(s.conns.Count(connstate.EndpointSide))}, {"buffer_bytes_lent", int64(s.buffers.Lent())},
 		{"timers_set", int64(s.Timers.Len())}, {"servers_known", int64(len(s.Endpoints))}, {"list_refused", refused},
 		{"pushes_out", int64(decides.InFlight)}, {"tickets_waiting", int64(decides.Waiting)}, {"servers_aside", int64(decides.Ejected)},
 		{"pace", int64(decides.TotalLimit)}, {"limit_of_a_server", int64(decides.Limit)}, {"lateness_percent", int64(100 * decides.Lateness)}} {
--- a/internal/httpproxy/rig_test.go
+++ b/internal/httpproxy/rig_test.go
@@ -274,7 +274,7 @@
 	}
 	r.done <- nil
 	if r.InFlight != 0 || r.Timers.Len() != 0 || r.buffers.Lent() != 0 || len(r.conns.Open) != 0 ||
-		r.conns.Count(connstate.Client) != 0 || r.conns.Count(connstate.ToServer) != 0 {
+		r.conns.Count(connstate.ClientSide) != 0 || r.conns.Count(connstate.EndpointSide) != 0 {
 		r.t.Errorf("held at the end: %s", r.Report())
 	}
 }
--- a/internal/httpproxy/share.go
+++ b/internal/httpproxy/share.go
@@ -15,7 +15,7 @@
 		return
 	}
 	s.shared = n
-	s.conns.Share(s.post.Descriptors-s.post.ReservedDescriptors, n)
+	s.conns.SetLimits(s.post.Descriptors-s.post.ReservedDescriptors, n)
 	s.buffers.SetLimit(s.post.MessageMemory / n)
 	s.sockets.most.Store(int64(s.conns.AcceptLimit))
 	s.sockets.roomAgain()
--- a/internal/httpproxy/sidecar.go
+++ b/internal/httpproxy/sidecar.go
@@ -49,7 +49,7 @@
 	sockets  *sockets
 	buffers  *connstate.Buffers
 	conns    *connstate.Conns
-	requests *connstate.Requests
+	requests *connstate.RequestIndex
 
 	classes  map[string]policy.ClassID
 	tenants  map[string]policy.TenantID
@@ -72,7 +72,7 @@
 // New makes an instance that does not serve yet.
 func New(post Config, log *logrus.Logger) *Proxy {
 	s := &Proxy{post: post, buffers: &connstate.Buffers{Limit: post.MessageMemory}, conns: connstate.NewConns(post.Descriptors - post.ReservedDescriptors),
-		requests: &connstate.Requests{}, classes: map[string]policy.ClassID{}, tenants: map[string]policy.TenantID{}}
+		requests: &connstate.RequestIndex{}, classes: map[string]policy.ClassID{}, tenants: map[string]policy.TenantID{}}
 	s.Engine = engine.New(engine.Config{Seed: post.Seed, Settings: post.Settings, Source: post.Source, SavedList: post.SavedList,
 		ShutdownTime: post.ShutdownTime, Latency: post.Latency, Recorder: post.Recorder, StallAfter: post.StallAfter}, log)
 	s.no = s.Engine.Add(s)
@@ -152,27 +152,27 @@
 		}
 		s.connected(now, c)
 	case arrived:
-		c.Unread.Add(-int64(len(e.buf.B)))
-		c.UnreadMemory.Add(-int64(cap(e.buf.B)))
+		c.Input.Unread.Add(-int64(len(e.buf.B)))
+		c.Input.UnreadMemory.Add(-int64(cap(e.buf.B)))
 		s.Counters.BytesIn += int64(len(e.buf.B))
-		if c.Closing || c.CloseWhenFlushed {
+		if c.Closing || c.Output.CloseWhenFlushed {
 			s.buffers.Put(e.buf)
 			return
 		}
 		switch {
-		case c.Upload != connstate.NoUpload:
+		case c.Upload.State != connstate.NoUpload:
 			s.uploadComes(now, e.at, c, e.buf)
-		case c.Side == connstate.ToServer && c.Request != nil && c.Request.Streaming:
+		case c.Side == connstate.EndpointSide && c.Request != nil && c.Request.Response.Streaming:
 			s.passOn(now, e.at, c, c.Request, e.buf.B)
 			s.buffers.Put(e.buf)
-		case c.Side == connstate.Client:
-			c.In = s.buffers.Join(c.In, e.buf)
+		case c.Side == connstate.ClientSide:
+			c.Input.Buffer = s.buffers.Join(c.Input.Buffer, e.buf)
 			s.fromClient(now, e.at, c)
 		default:
-			c.In = s.buffers.Join(c.In, e.buf)
+			c.Input.Buffer = s.buffers.Join(c.Input.Buffer, e.buf)
 			s.fromEndpoint(now, e.at, c)
 		}
-		if !c.Closing && c.Unread.Load() <= 0 {
+		if !c.Closing && c.Input.Unread.Load() <= 0 {
 			s.sockets.resume(c)
 		}
 	case drained:
@@ -194,7 +194,7 @@
 
 // spare makes room by ending the connection that has been without work for longest.
 func (s *Proxy) spare(side connstate.Side, idle, fresh policy.Time) bool {
-	old := s.conns.Oldest(side, idle, fresh)
+	old := s.conns.OldestIdle(side, idle, fresh)
 	if old == nil || !old.Socket.CloseIfIdle(old) {
 		return false
 	}
@@ -210,23 +210,23 @@
 	wasDead := c.Closing
 	c.Closing = true
 	switch c.Side {
-	case connstate.Client:
+	case connstate.ClientSide:
 		s.clientLeft(now, c)
-	case connstate.ToServer:
+	case connstate.EndpointSide:
 		if !wasDead {
 			s.broke(at, c)
 		}
 	}
 	s.Timers.Stop(&c.Timer)
-	s.buffers.Put(c.In)
-	c.In = nil
+	s.buffers.Put(c.Input.Buffer)
+	c.Input.Buffer = nil
 }
 
 // write sends bytes on a connection. What the kernel does not take at once goes out later.
 func (s *Proxy) write(c *connstate.Conn, b []byte) {
 	s.Counters.BytesOut += int64(len(b))
 	c.Socket.Write(b) // a failure ends the connection, which is told like any other end
-	c.Queued += int64(len(b))
+	c.Output.Queued += int64(len(b))
 }
 
 // ---- what the engine asks for ----
@@ -234,8 +234,8 @@
 // DiscardResponse gives back an answer that is not handed on.
 func (s *Proxy) DiscardResponse(of *engine.Request) {
 	t := connstate.AsRequest(of)
-	s.buffers.Put(t.Answer)
-	t.Answer = nil
+	s.buffers.Put(t.Response.Buffer)
+	t.Response.Buffer = nil
 }
 
 // Released takes the request's buffers back.
--- a/internal/httpproxy/sidecar_test.go
+++ b/internal/httpproxy/sidecar_test.go
@@ -227,7 +227,7 @@
 
 func (k *sink) Write(b []byte) (int, error) {
 	k.last = append(k.last[:0], b...)
-	k.conn.Written.Add(int64(len(b)))
+	k.conn.Output.Written.Add(int64(len(b)))
 	return len(b), nil
 }
 func (k *sink) Close() error                     { return nil }
@@ -259,8 +259,8 @@
 
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
 	s, connect := still(t)
-	client, answers := connect(connstate.Client)
-	server, pushes := connect(connstate.ToServer)
+	client, answers := connect(connstate.ClientSide)
+	server, pushes := connect(connstate.EndpointSide)
 	for _, one := range s.Endpoints {
 		server.Endpoint = s.part(one)
 		s.park(1, server)
@@ -270,14 +270,14 @@
 	now := s.Clock.Now()
 	once := func() {
 		now += restFor + 5*policy.Millisecond
-		buf := s.buffers.Get(connstate.Small)
+		buf := s.buffers.Get(connstate.SmallBuffer)
 		buf.B = append(buf.B, request...)
-		client.In = s.buffers.Join(client.In, buf)
+		client.Input.Buffer = s.buffers.Join(client.Input.Buffer, buf)
 		s.fromClient(now, now, client)
 		s.Round(now)
-		buf = s.buffers.Get(connstate.Small)
+		buf = s.buffers.Get(connstate.SmallBuffer)
 		buf.B = append(buf.B, answer...)
-		server.In = s.buffers.Join(server.In, buf)
+		server.Input.Buffer = s.buffers.Join(server.Input.Buffer, buf)
 		s.fromEndpoint(now+policy.Millisecond, now+policy.Millisecond, server)
 		s.Round(now + policy.Millisecond)
 	}
@@ -296,12 +296,12 @@
 // A connection on which something unasked stands, or whose last answer is only just there, is not the one for the next attempt.
 func TestPushesGoOutOnQuietConnections(t *testing.T) {
 	s, connect := still(t)
-	client, _ := connect(connstate.Client)
+	client, _ := connect(connstate.ClientSide)
 	now := s.Clock.Now()
 	var idle []*sink
 	var all []*connstate.Conn
 	for i := range 4 {
-		c, k := connect(connstate.ToServer)
+		c, k := connect(connstate.EndpointSide)
 		for _, one := range s.Endpoints {
 			c.Endpoint, c.Used = s.part(one), true
 		}
@@ -309,9 +309,9 @@
 		idle, all = append(idle, k), append(all, c)
 	}
 	idle[2].noisy = true
-	buf := s.buffers.Get(connstate.Small)
+	buf := s.buffers.Get(connstate.SmallBuffer)
 	buf.B = append(buf.B, "GET /step/a HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Timeout: 1\r\n\r\n"...)
-	client.In = buf
+	client.Input.Buffer = buf
 	now += 2*policy.Millisecond + restFor // the last is not rested yet, the one before is noisy
 	s.fromClient(now, now, client)
 	s.Round(now)
@@ -331,8 +331,8 @@
 	now := s.Clock.Now()
 	feed := func(seed int64) bool {
 		rnd := rand.New(rand.NewSource(seed))
-		client, _ := connect(connstate.Client)
-		server, _ := connect(connstate.ToServer)
+		client, _ := connect(connstate.ClientSide)
+		server, _ := connect(connstate.EndpointSide)
 		client.Timer.Run = func(now policy.Time) { s.clientDue(now, client) }
 		for _, one := range s.Endpoints {
 			server.Endpoint, server.Generation = s.part(one), one.Generation // dialled to it as it stands now
--- a/internal/httpproxy/sockets.go
+++ b/internal/httpproxy/sockets.go
@@ -82,7 +82,7 @@
 			return
 		}
 		s.clients.Add(1)
-		conn = &connstate.Conn{Socket: newLink(c), Side: connstate.Client}
+		conn = &connstate.Conn{Socket: newLink(c), Side: connstate.ClientSide}
 		c.SetSession(conn)
 		s.opened.Add(1)
 		s.post(event{what: opened, conn: conn})
@@ -97,7 +97,7 @@
 	s.engine.OnClose(func(c *nbio.Conn, _ error) {
 		s.opened.Load()
 		if conn, ok := c.Session().(*connstate.Conn); ok {
-			if conn.Side == connstate.Client {
+			if conn.Side == connstate.ClientSide {
 				s.clients.Add(-1)
 				s.roomAgain()
 			}
@@ -118,8 +118,8 @@
 
 // took notes what the kernel has taken, and tells the loop where that waits for it.
 func (s *sockets) took(conn *connstate.Conn, n int) {
-	all := conn.RecordRead(n)
-	if at := conn.NotifyAt.Load(); at > 0 && all >= at && conn.NotifyAt.CompareAndSwap(at, 0) {
+	all := conn.RecordWritten(n)
+	if at := conn.Output.NotifyAt.Load(); at > 0 && all >= at && conn.Output.NotifyAt.CompareAndSwap(at, 0) {
 		s.post(event{what: drained, conn: conn})
 	}
 }
@@ -160,14 +160,14 @@
 
 // Resume reads on where reading was left, if it was. The poller is not told again of what stands there already.
 func (s *sockets) resume(conn *connstate.Conn) {
-	if l, ok := conn.Socket.(*link); ok && l.held.Load() && !conn.ReadPaused.Load() {
+	if l, ok := conn.Socket.(*link); ok && l.held.Load() && !conn.Input.Paused.Load() {
 		s.fill(conn, l)
 	}
 }
 
 // enough tells whether no more should be read for now.
 func (s *sockets) enough(conn *connstate.Conn) bool {
-	return conn.ReadPaused.Load() || conn.UnreadMemory.Load() >= max(connstate.Small, s.ahead.Load())
+	return conn.Input.Paused.Load() || conn.Input.UnreadMemory.Load() >= max(connstate.SmallBuffer, s.ahead.Load())
 }
 
 // fill takes what stands in the socket, until it is empty or enough is under way. The poller and the loop may both come to it; what
@@ -182,9 +182,9 @@
 			s.post(event{what: arrived, conn: conn, buf: got})
 		}
 	}()
-	for size := connstate.Small; ; {
-		unread := conn.Unread.Load()
-		if unread > connstate.Small && conn.Side == connstate.Client && s.buffers.Overcommitted() {
+	for size := connstate.SmallBuffer; ; {
+		unread := conn.Input.Unread.Load()
+		if unread > connstate.SmallBuffer && conn.Side == connstate.ClientSide && s.buffers.Overcommitted() {
 			// Many at once may fill the memory before the loop comes to turn them back.
 			l.cutOff()
 			return
@@ -194,7 +194,7 @@
 			if !s.enough(conn) {
 				continue // the loop has come to it meanwhile, and may not have seen that this waits
 			}
-			if conn.Side == connstate.Client || !l.hungUp() {
+			if conn.Side == connstate.ClientSide || !l.hungUp() {
 				return // what is more stands in the kernel, and so holds up its sender
 			}
 			// The endpoint has closed. nbio does so after this, and what it still had to say is to be had only now.
@@ -202,8 +202,8 @@
 		buf := s.buffers.Get(size)
 		if !l.read(conn, buf) {
 			s.buffers.Put(buf)
-			if l.gone && conn.Side == connstate.Client {
-				conn.PeerClosed.Store(true) // before its last request is told: nobody waits for the answer
+			if l.gone && conn.Side == connstate.ClientSide {
+				conn.Input.PeerClosed.Store(true) // before its last request is told: nobody waits for the answer
 			}
 			return
 		}
@@ -211,9 +211,9 @@
 			s.post(event{what: arrived, conn: conn, buf: got})
 		}
 		got = buf
-		conn.UnreadMemory.Add(int64(cap(buf.B)))
-		if size = connstate.Small; len(buf.B) == cap(buf.B) {
-			size = connstate.Large // there is much
+		conn.Input.UnreadMemory.Add(int64(cap(buf.B)))
+		if size = connstate.SmallBuffer; len(buf.B) == cap(buf.B) {
+			size = connstate.LargeBuffer // there is much
 		}
 	}
 }
--- a/internal/httpproxy/stream.go
+++ b/internal/httpproxy/stream.go
@@ -24,15 +24,15 @@
 // turn out to be long goes on once it has taken its time and still comes: where its endpoint has fallen silent, nothing is gained by
 // that, and the attempt is lost. dealt: nothing else is to be done about it now.
 func (s *Proxy) answerComes(now, at policy.Time, c *connstate.Conn, long bool) (dealt bool) {
-	t, b := c.Request, c.In.B
-	n, status, head, size, chunked, stays, ok := answerHead(b, false, t.Bodiless)
+	t, b := c.Request, c.Input.Buffer.B
+	n, status, head, size, chunked, stays, ok := answerHead(b, false, t.Response.NoBody)
 	if !ok || n == 0 || size > mostStream || t.Client == nil || t.Decided {
 		return false
 	}
-	if c.HeadAt == 0 {
-		c.HeadAt = at
-		if c.Need = 0; size >= 0 && size <= mostBody {
-			c.Need = n + size
+	if c.Input.HeadAt == 0 {
+		c.Input.HeadAt = at
+		if c.Input.Needed = 0; size >= 0 && size <= mostBody {
+			c.Input.Needed = n + size
 		}
 	}
 	if o := outcomeOf(status, head); o != policy.Succeeded && o != policy.Declined {
@@ -43,7 +43,7 @@
 		}
 		return false
 	}
-	due := size < 0 && at-c.HeadAt >= heldFor
+	due := size < 0 && at-c.Input.HeadAt >= heldFor
 	if !long && !due && size <= mostBody && len(b)-n <= mostBody {
 		return false
 	}
@@ -54,8 +54,8 @@
 		return true
 	}
 	s.beginStream(now, at, c, t, status, head, b[n:n+got], stays)
-	s.buffers.Put(c.In)
-	c.In = nil
+	s.buffers.Put(c.Input.Buffer)
+	c.Input.Buffer = nil
 	return true
 }
 
@@ -66,29 +66,29 @@
 	s.Counters.Streams++
 	s.streams++
 	s.setAhead()
-	t.Streaming, t.Status, t.Reusable = true, status, stays
-	t.Chunked = c.Frame.Kind != sized && !t.HTTP10
-	t.Unframed = c.Frame.Kind != sized && t.HTTP10
+	t.Response.Streaming, t.Response.Status, t.Response.Reusable = true, status, stays
+	t.Response.Chunked = c.Frame.Kind != sized && !t.HTTP10
+	t.Response.UntilClose = c.Frame.Kind != sized && t.HTTP10
 	t.CloseAfter = t.CloseAfter || s.ending() || status != 200 || c.Frame.Kind != sized && t.HTTP10
 	s.scratch = appendThrough(appendStatus(s.scratch[:0], status), head)
 	switch {
-	case t.Chunked:
+	case t.Response.Chunked:
 		s.scratch = append(s.scratch, "Transfer-Encoding: chunked\r\n"...)
 	case c.Frame.Kind == sized:
-		s.scratch = append(strconv.AppendInt(append(s.scratch, "Content-Length: "...), c.Frame.Left+c.Frame.Got, 10), "\r\n"...)
+		s.scratch = append(strconv.AppendInt(append(s.scratch, "Content-Length: "...), c.Frame.Remaining+c.Frame.Received, 10), "\r\n"...)
 	}
 	if t.CloseAfter {
 		s.scratch = append(s.scratch, "Connection: close\r\n"...)
 	}
 	s.write(t.Client, append(s.scratch, "\r\n"...))
-	c.ProgressAt, t.Client.ProgressAt = at, 0
+	c.Progress.At, t.Client.Progress.At = at, 0
 	s.handOn(c, t, body)
 	s.streamDue(now, c, t)
 }
 
 // passOn hands on what has come of an answer.
 func (s *Proxy) passOn(now, at policy.Time, c *connstate.Conn, t *connstate.Request, b []byte) {
-	c.ProgressAt = at
+	c.Progress.At = at
 	n, used, done, ok := takeBody(&c.Frame, b)
 	if t.Client != nil {
 		s.handOn(c, t, b[:n])
@@ -97,7 +97,7 @@
 	case !ok:
 		s.breakStream(at, t)
 	case done:
-		s.endStream(now, t, t.Reusable && used == len(b) && c.Flushed())
+		s.endStream(now, t, t.Response.Reusable && used == len(b) && c.Flushed())
 	}
 }
 
@@ -106,7 +106,7 @@
 	if len(b) == 0 {
 		return
 	}
-	if t.Chunked {
+	if t.Response.Chunked {
 		s.scratch = append(strconv.AppendInt(s.scratch[:0], int64(len(b)), 16), "\r\n"...)
 		s.write(t.Client, s.scratch)
 		s.write(t.Client, b)
@@ -120,20 +120,20 @@
 // holdUp has the one who sends wait for the one who takes, until that has taken most of what waits.
 func (s *Proxy) holdUp(from, to *connstate.Conn) {
 	ahead := s.sockets.ahead.Load()
-	if to.Waiting() <= ahead {
+	if to.Unwritten() <= ahead {
 		return
 	}
-	from.ReadPaused.Store(true)
-	at := to.Queued - ahead/4
-	to.NotifyAt.Store(at)
-	if to.Written.Load() >= at && to.NotifyAt.CompareAndSwap(at, 0) {
+	from.Input.Paused.Store(true)
+	at := to.Output.Queued - ahead/4
+	to.Output.NotifyAt.Store(at)
+	if to.Output.Written.Load() >= at && to.Output.NotifyAt.CompareAndSwap(at, 0) {
 		s.goOn(from) // taken meanwhile
 	}
 }
 
 // goOn has a sender that waited go on.
 func (s *Proxy) goOn(from *connstate.Conn) {
-	from.ReadPaused.Store(false)
+	from.Input.Paused.Store(false)
 	if from.Connected && !from.Closing {
 		s.sockets.resume(from)
 	}
@@ -143,9 +143,9 @@
 func (s *Proxy) drained(c *connstate.Conn) {
 	switch t := c.Request; {
 	case t == nil || c.Closing:
-	case c.Side == connstate.Client && t.Attempt != nil:
-		s.goOn(t.Attempt)
-	case c.Side == connstate.ToServer && t.Client != nil:
+	case c.Side == connstate.ClientSide && t.AttemptConn != nil:
+		s.goOn(t.AttemptConn)
+	case c.Side == connstate.EndpointSide && t.Client != nil:
 		s.goOn(t.Client)
 	}
 }
@@ -158,10 +158,10 @@
 // endStream is the end of an answer that has come whole.
 func (s *Proxy) endStream(now policy.Time, t *connstate.Request, stays bool) {
 	kind := 0
-	if t.Status != 200 {
+	if t.Response.Status != 200 {
 		kind = 1
 	}
-	if t.Chunked && t.Client != nil {
+	if t.Response.Chunked && t.Client != nil {
 		s.write(t.Client, lastChunk)
 	}
 	s.streamOver(now, t, stays)
@@ -182,9 +182,9 @@
 	s.streamOver(now, t, false)
 	if c := t.Client; c != nil {
 		c.Request, t.Client = nil, nil
-		s.requests.Unmark(t)
+		s.requests.Remove(t)
 		s.Unanswered(t.Request)
-		if t.Unframed && !c.Closing {
+		if t.Response.UntilClose && !c.Closing {
 			s.conns.CountEnd(c) // an HTTP/1.0 client, told no length, takes an orderly end for the answer's
 			c.Socket.Reset()
 		} else {
@@ -195,7 +195,7 @@
 }
 
 func (s *Proxy) streamOver(now policy.Time, t *connstate.Request, stays bool) {
-	t.Streaming = false
+	t.Response.Streaming = false
 	s.detach(now, t, stays)
 	s.streams--
 	s.setAhead()
@@ -206,7 +206,7 @@
 	switch t := c.Request; {
 	case t == nil:
 		s.close(c)
-	case t.Streaming:
+	case t.Response.Streaming:
 		s.streamDue(now, c, t)
 	}
 }
@@ -219,15 +219,15 @@
 	}
 	by := now + unreadIn
 	switch {
-	case t.Client.Waiting() > 0:
-		c.ProgressAt = now // the endpoint is not at fault: it may have to wait
-		if !t.Client.Progressed(now, t.Client.Written.Load(), unreadIn) {
+	case t.Client.Unwritten() > 0:
+		c.Progress.At = now // the endpoint is not at fault: it may have to wait
+		if !t.Client.Progressed(now, t.Client.Output.Written.Load(), unreadIn) {
 			by = now
 		}
-	case t.Uploading: // its time has not begun
-		by = c.ProgressAt + unreadIn
+	case t.Upload.Active: // its time has not begun
+		by = c.Progress.At + unreadIn
 	default:
-		by = streamBy(c.Frame, c.ProgressAt, t.ReceivedAt+t.ClientTimeLeft-engine.BeforeDeadline*s.Settings.Tick)
+		by = streamBy(c.Frame, c.Progress.At, t.ReceivedAt+t.ClientTimeLeft-engine.BeforeDeadline*s.Settings.Tick)
 	}
 	if now >= by {
 		s.breakStream(now, t)
@@ -239,7 +239,7 @@
 // streamBy is when a stream ends whose endpoint sends nothing more: its client knows by its deadline that it gets no more, or, where
 // some came just before that, soon after it.
 func streamBy(f connstate.Frame, movedAt, deadline policy.Time) policy.Time {
-	if f.Kind == sized || f.Got > mostBody { // it is long: a short one of known size is never passed on before it is whole
+	if f.Kind == sized || f.Received > mostBody { // it is long: a short one of known size is never passed on before it is whole
 		return max(deadline, movedAt+silentIn)
 	}
 	return max(deadline, movedAt+shortIn)
--- a/internal/httpproxy/stream_test.go
+++ b/internal/httpproxy/stream_test.go
@@ -146,7 +146,7 @@
 				if [32]byte(h.Sum(nil)) != sum(long) {
 					t.Error("not the bytes that the server sent")
 				}
-				if most > mostAhead+3*connstate.Large {
+				if most > mostAhead+3*connstate.LargeBuffer {
 					t.Errorf("%d bytes were held", most)
 				}
 			}
--- a/internal/httpproxy/upload.go
+++ b/internal/httpproxy/upload.go
@@ -20,20 +20,20 @@
 
 // uploads begins with the body of a request whose head is whole.
 func (s *Proxy) uploads(now, at policy.Time, c *connstate.Conn, a asked) {
-	if !c.ContinueSent && Continues(c.In.B) {
-		c.ContinueSent = true
+	if !c.Upload.ContinueSent && Continues(c.Input.Buffer.B) {
+		c.Upload.ContinueSent = true
 		s.write(c, []byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
-	s.conns.Work(c)
+	s.conns.MarkBusy(c)
 	s.Counters.LargeBodies++
-	c.Upload, c.Size, c.BodyAt, c.Need = connstate.Collected, a.size, a.at, 0
-	if c.HeadAt == 0 {
-		c.HeadAt = now
+	c.Upload.State, c.Upload.Size, c.Upload.Start, c.Input.Needed = connstate.CollectingUpload, a.size, a.at, 0
+	if c.Input.HeadAt == 0 {
+		c.Input.HeadAt = now
 	}
 	c.Frame = frameOf(a.size, a.chunked)
-	rest := s.buffers.Get(max(1, len(c.In.B)-a.at))
-	rest.B = append(rest.B, c.In.B[a.at:]...)
-	c.In.B = c.In.B[:a.at]
+	rest := s.buffers.Get(max(1, len(c.Input.Buffer.B)-a.at))
+	rest.B = append(rest.B, c.Input.Buffer.B[a.at:]...)
+	c.Input.Buffer.B = c.Input.Buffer.B[:a.at]
 	s.uploadComes(now, at, c, rest)
 }
 
@@ -52,25 +52,25 @@
 		s.buffers.Put(buf)
 		s.uploadFails(now, c, 400, "the body cannot be read, or is too long\n")
 		return
-	case c.Upload == connstate.Collected:
-		c.In = s.buffers.Join(c.In, buf)
-		if hold := s.hold(); !done && (c.Size > hold || len(c.In.B)-c.BodyAt > hold) {
+	case c.Upload.State == connstate.CollectingUpload:
+		c.Input.Buffer = s.buffers.Join(c.Input.Buffer, buf)
+		if hold := s.hold(); !done && (c.Upload.Size > hold || len(c.Input.Buffer.B)-c.Upload.Start > hold) {
 			s.goesOn(now, at, c)
 		}
 	case t == nil:
 		s.buffers.Put(buf)
-	case t.BodyForwarded && t.Attempt != nil:
+	case t.Upload.Forwarded && t.AttemptConn != nil:
 		s.sendPart(t, buf.B)
 		s.buffers.Put(buf)
-		s.holdUp(c, t.Attempt)
+		s.holdUp(c, t.AttemptConn)
 	default:
-		t.UploadBuffer = s.buffers.Join(t.UploadBuffer, buf)
-		c.ReadPaused.Store(true) // until an attempt takes it
+		t.Upload.Buffer = s.buffers.Join(t.Upload.Buffer, buf)
+		c.Input.Paused.Store(true) // until an attempt takes it
 	}
 	if !done {
-		if c.Upload != connstate.NoUpload {
+		if c.Upload.State != connstate.NoUpload {
 			by := s.uploadBy(c)
-			if c.ReadPaused.Load() {
+			if c.Input.Paused.Load() {
 				by = min(by, now+lookAt) // it waits for its endpoint, which may take no more
 			}
 			s.Timers.Set(&c.Timer, by)
@@ -82,30 +82,30 @@
 
 // goesOn admits a request whose body has not come whole.
 func (s *Proxy) goesOn(now, at policy.Time, c *connstate.Conn) {
-	buf := c.In
+	buf := c.Input.Buffer
 	s.Counters.StreamedBodies++
-	c.In, c.Upload = nil, connstate.Streamed
+	c.Input.Buffer, c.Upload.State = nil, connstate.StreamingUpload
 	a, _ := askedBy(buf.B)
 	s.request(now, at, c, buf, a, buf.B[a.at:])
 }
 
 // uploaded is told that the body is whole; next came behind it.
 func (s *Proxy) uploaded(now, at policy.Time, c *connstate.Conn, next *connstate.Buffer) {
-	was, t := c.Upload, c.Request
+	was, t := c.Upload.State, c.Request
 	s.Timers.Stop(&c.Timer)
-	c.Upload, c.ContinueSent, c.HeadAt = connstate.NoUpload, false, 0
-	buf := c.In
-	c.In = next
+	c.Upload.State, c.Upload.ContinueSent, c.Input.HeadAt = connstate.NoUpload, false, 0
+	buf := c.Input.Buffer
+	c.Input.Buffer = next
 	switch {
-	case was == connstate.Collected:
+	case was == connstate.CollectingUpload:
 		a, _ := askedBy(buf.B)
 		a.size, a.chunked = len(buf.B)-a.at, false
 		s.request(now, at, c, buf, a, buf.B[a.at:])
 	case t == nil:
-		s.free(now, c, c.CloseAfterBody)
+		s.free(now, c, c.Upload.CloseAfter)
 	default:
-		t.Uploading = false
-		if t.BodyForwarded && t.Attempt != nil {
+		t.Upload.Active = false
+		if t.Upload.Forwarded && t.AttemptConn != nil {
 			s.sendEnd(t)
 		}
 		s.BodyComplete(now, t.Request, t.ClientTimeLeft)
@@ -117,46 +117,46 @@
 	if len(b) == 0 {
 		return
 	}
-	if t.Size >= 0 {
-		s.write(t.Attempt, b)
+	if t.Upload.Size >= 0 {
+		s.write(t.AttemptConn, b)
 		return
 	}
 	s.scratch = append(strconv.AppendInt(s.scratch[:0], int64(len(b)), 16), "\r\n"...)
-	s.write(t.Attempt, s.scratch)
-	s.write(t.Attempt, b)
-	s.write(t.Attempt, headEnd[:2])
+	s.write(t.AttemptConn, s.scratch)
+	s.write(t.AttemptConn, b)
+	s.write(t.AttemptConn, headEnd[:2])
 }
 
 // sendEnd says that all of it was written.
 func (s *Proxy) sendEnd(t *connstate.Request) {
-	c := t.Attempt
-	if t.Size < 0 {
-		c.CompleteAt.Store(c.Queued + int64(len(lastChunk)))
+	c := t.AttemptConn
+	if t.Upload.Size < 0 {
+		c.Output.CompleteAt.Store(c.Output.Queued + int64(len(lastChunk)))
 		s.write(c, lastChunk)
 		return
 	}
-	c.CompleteAt.Store(c.Queued)
-	c.RecordRead(0) // all of it may be written already
+	c.Output.CompleteAt.Store(c.Output.Queued)
+	c.RecordWritten(0) // all of it may be written already
 }
 
 // uploadBy is by when more must have come.
 func (s *Proxy) uploadBy(c *connstate.Conn) policy.Time {
-	return c.HeadAt + bodyIn + policy.Time(c.Frame.Got)*policy.Second/bodyRate
+	return c.Input.HeadAt + bodyIn + policy.Time(c.Frame.Received)*policy.Second/bodyRate
 }
 
 // uploadDue looks whether a body still comes. While its client has to wait, it is the endpoint that must take something.
 func (s *Proxy) uploadDue(now policy.Time, c *connstate.Conn) {
 	t := c.Request
 	switch {
-	case c.ReadPaused.Load() && t != nil:
-		if t.BodyForwarded && t.Attempt != nil && !t.Attempt.Progressed(now, t.Attempt.Written.Load(), flushIn) {
-			if t.Streaming {
+	case c.Input.Paused.Load() && t != nil:
+		if t.Upload.Forwarded && t.AttemptConn != nil && !t.AttemptConn.Progressed(now, t.AttemptConn.Output.Written.Load(), flushIn) {
+			if t.Response.Streaming {
 				s.breakStream(now, t) // its endpoint answers already
 				return
 			}
 			s.TimedOut(now, t.Request)
 		}
-		c.HeadAt = now - policy.Time(c.Frame.Got)*policy.Second/bodyRate
+		c.Input.HeadAt = now - policy.Time(c.Frame.Received)*policy.Second/bodyRate
 		s.Timers.Set(&c.Timer, now+lookAt)
 	case now < s.uploadBy(c):
 		s.Timers.Set(&c.Timer, s.uploadBy(c))
@@ -170,6 +170,6 @@
 	if t := c.Request; t != nil {
 		s.leaves(now, c, t)
 	}
-	c.Upload = connstate.NoUpload
+	c.Upload.State = connstate.NoUpload
 	s.bad(now, c, status, why)
 }
