--- a/internal/httpproxy/answers_test.go
+++ b/internal/httpproxy/answers_test.go
@@ -158,7 +158,7 @@
 	if conn.Input.EOF.Load() {
 		t.Error("taken for an end in order")
 	}
-	for _, e := range s.sockets.take() {
+	for _, e := range s.sockets.takeEvents() {
 		s.buffers.Put(e.buf)
 	}
 }
@@ -251,14 +251,14 @@
 		got           int64
 		movedAt, want policy.Time
 	}{
-		{sized, 1, 0, 1000 * ms},
-		{sized, 1, 600 * ms, 1600 * ms},
-		{untilEnd, 100, 0, 1000 * ms},
-		{untilEnd, 100, 990 * ms, 1290 * ms},
-		{inChunks, 100, 1390 * ms, 1690 * ms}, // still coming, and may be long
-		{inChunks, mostBody + 1, 1390 * ms, 2390 * ms},
+		{sizedBody, 1, 0, 1000 * ms},
+		{sizedBody, 1, 600 * ms, 1600 * ms},
+		{bodyUntilClose, 100, 0, 1000 * ms},
+		{bodyUntilClose, 100, 990 * ms, 1290 * ms},
+		{chunkedBody, 100, 1390 * ms, 1690 * ms}, // still coming, and may be long
+		{chunkedBody, maxBody + 1, 1390 * ms, 2390 * ms},
 	} {
-		if got := streamBy(connstate.Frame{Kind: k.kind, Received: k.got}, k.movedAt, 1000*ms); got != k.want {
+		if got := streamDeadline(connstate.Frame{Kind: k.kind, Received: k.got}, k.movedAt, 1000*ms); got != k.want {
 			t.Errorf("%+v: %v", k, got)
 		}
 	}
--- a/internal/httpproxy/attempts.go
+++ b/internal/httpproxy/attempts.go
@@ -8,18 +8,18 @@
 	"pepperlead/policy"
 )
 
-// restFor is how long a connection stands idle before it is used again: what an endpoint may send behind an answer, a copy say, some
+// restTime is how long a connection stands idle before it is used again: what an endpoint may send behind an answer, a copy say, some
 // milliseconds late, shows in that time. Nothing in an answer says to which request it belongs, so a copy that comes once the next request
 // is written would be taken for its answer.
-const restFor = 20 * policy.Millisecond
+const restTime = 20 * policy.Millisecond
 
-// aRest is the part of its target latency that an attempt waits for a connection to have rested, rather than have another opened: that costs the
+// restWaitPart is the part of its target latency that an attempt waits for a connection to have rested, rather than have another opened: that costs the
 // endpoint work, and this request a handshake.
-const aRest = 32
+const restWaitPart = 32
 
 // Send sends a request to an endpoint, on a connection that stands idle or on a new one.
 func (s *Proxy) Send(now policy.Time, of *engine.Request, to *engine.Endpoint) {
-	t, server := connstate.AsRequest(of), s.part(to)
+	t, server := connstate.AsRequest(of), s.endpointConns(to)
 	if t.Upload.Active {
 		s.Timers.Stop(&t.AttemptTimer) // its time begins when its body is whole
 	}
@@ -27,47 +27,47 @@
 		s.AttemptEnded(now, of, policy.NotSent) // a part of its body went with an earlier attempt, and is gone
 		return
 	}
-	for c := s.conns.TakeIdle(server, now-restFor); c != nil; c = s.conns.TakeIdle(server, now-restFor) {
+	for c := s.conns.TakeIdle(server, now-restTime); c != nil; c = s.conns.TakeIdle(server, now-restTime) {
 		s.Timers.Stop(&c.Timer)
 		if !c.Socket.Idle(c) {
 			// Something unasked stands there, or its end.
-			s.close(c)
+			s.closeConn(c)
 			continue
 		}
 		s.Counters.Reused++
 		t.AttemptConn, c.Request = c, t
-		s.send(now, t)
+		s.writeRequest(now, t)
 		return
 	}
-	if s.awaits(now, t, server) {
+	if s.waitForRest(now, t, server) {
 		return
 	}
-	if s.conns.Count(connstate.EndpointSide) >= s.conns.Limit[connstate.EndpointSide] && !s.spare(connstate.EndpointSide, now, now) {
+	if s.conns.Count(connstate.EndpointSide) >= s.conns.Limit[connstate.EndpointSide] && !s.closeOldestIdle(connstate.EndpointSide, now, now) {
 		// Every descriptor carries an attempt: nothing was sent, and that is no fault of the endpoint.
 		s.AttemptEnded(now, of, policy.NotSent)
 		return
 	}
 	c := &connstate.Conn{Side: connstate.EndpointSide, Endpoint: server, Generation: to.Generation, Request: t}
 	c.Output.RequestsWritten = &s.Tally.Written
-	c.Timer.Run = func(now policy.Time) { s.endpointDue(now, c) }
+	c.Timer.Run = func(now policy.Time) { s.endpointTimerDue(now, c) }
 	t.AttemptConn = c
 	s.conns.Add(c)
 	s.Counters.Dials++
-	s.sockets.dial(c, to.Addr, s.post.ConnectTimeout)
+	s.sockets.dial(c, to.Addr, s.config.ConnectTimeout)
 }
 
-// awaits has an attempt wait for the connection that will have rested next, once, if that is soon.
-func (s *Proxy) awaits(now policy.Time, t *connstate.Request, server *connstate.Endpoint) bool {
+// waitForRest has an attempt wait for the connection that will have rested next, once, if that is soon.
+func (s *Proxy) waitForRest(now policy.Time, t *connstate.Request, server *connstate.Endpoint) bool {
 	if t.RestAwaited || t.Upload.Active || server.Awaited >= len(server.Idle) {
 		t.RestAwaited = false
 		return false
 	}
-	in := server.Idle[server.Awaited].IdleSince + restFor - now
-	if in > s.post.Settings.Classes[t.Class].Target/aRest {
+	in := server.Idle[server.Awaited].IdleSince + restTime - now
+	if in > s.config.Settings.Classes[t.Class].Target/restWaitPart {
 		return false
 	}
 	if t.RestTimer.Run == nil {
-		t.RestTimer.Run = func(now policy.Time) { s.rested(now, t) }
+		t.RestTimer.Run = func(now policy.Time) { s.afterRest(now, t) }
 	}
 	t.RestAwaited, t.AttemptEndpoint = true, server.Endpoint
 	server.Awaited++
@@ -75,9 +75,9 @@
 	return true
 }
 
-// rested has an attempt that waited go on, unless it may not be made any more.
-func (s *Proxy) rested(now policy.Time, t *connstate.Request) {
-	s.part(t.AttemptEndpoint).Awaited--
+// afterRest has an attempt that waited go on, unless it may not be made any more.
+func (s *Proxy) afterRest(now policy.Time, t *connstate.Request) {
+	s.endpointConns(t.AttemptEndpoint).Awaited--
 	switch {
 	case t.AttemptEndpoint.Draining:
 		s.endAttempt(now, t, policy.NotConnected, false)
@@ -88,11 +88,11 @@
 	}
 }
 
-// connected is told that a connection to an endpoint is up.
-func (s *Proxy) connected(now policy.Time, c *connstate.Conn) {
+// endpointConnected is told that a connection to an endpoint is up.
+func (s *Proxy) endpointConnected(now policy.Time, c *connstate.Conn) {
 	switch {
 	case c.Request == nil:
-		s.park(now, c) // its request did not wait for it
+		s.keepIdle(now, c) // its request did not wait for it
 	case c.Endpoint.Endpoint.Draining || c.Generation != c.Endpoint.Endpoint.Generation:
 		// The endpoint was ready when this was dialled and is not any more, or another process stands there: it gets nothing new.
 		s.endAttempt(now, c.Request, policy.NotConnected, false)
@@ -101,14 +101,14 @@
 		// be sent again has closed: what was decided then may not be done now.
 		s.endAttempt(now, c.Request, policy.NotSent, true)
 	default:
-		s.send(now, c.Request)
+		s.writeRequest(now, c.Request)
 	}
 }
 
-// send writes the request. Nothing of it is sent again by itself.
-func (s *Proxy) send(now policy.Time, t *connstate.Request) {
+// writeRequest writes the request. Nothing of it is sent again by itself.
+func (s *Proxy) writeRequest(now policy.Time, t *connstate.Request) {
 	if s.TracesRequests() {
-		s.RulesLog().WithFields(logrus.Fields{"id": text(field(t.Head, "X-Request-ID")), "no": int(t.Request.AttemptNo),
+		s.RulesLog().WithFields(logrus.Fields{"id": asString(headerValue(t.Head, "X-Request-ID")), "no": int(t.Request.AttemptNo),
 			"server": t.AttemptConn.Endpoint.Endpoint.UID}).Debug(engine.LogAttemptStarted)
 	}
 	size, wait := len(t.Body), t.AttemptTimer.At()-now
@@ -119,7 +119,7 @@
 		size, wait = t.Upload.Size, t.ClientTimeLeft
 	}
 	t.AttemptConn.Used = true
-	s.scratch = AppendAttempt(s.scratch[:0], t.Method, t.Target, t.Head, size, wait)
+	s.scratch = appendRequestHead(s.scratch[:0], t.Method, t.Target, t.Head, size, wait)
 	if !t.Upload.Active && len(t.Body) <= connstate.SmallBuffer && t.Upload.Buffer == nil {
 		s.scratch = append(s.scratch, t.Body...)
 		t.AttemptConn.Output.CompleteAt.Store(t.AttemptConn.Output.Queued + int64(len(s.scratch)))
@@ -133,67 +133,67 @@
 	if !t.Upload.Active {
 		t.Upload.Size = size
 	}
-	s.sendPart(t, t.Body)
+	s.writeBodyPart(t, t.Body)
 	if t.Upload.Buffer != nil {
-		s.sendPart(t, t.Upload.Buffer.B)
+		s.writeBodyPart(t, t.Upload.Buffer.B)
 	}
 	if t.Upload.Active && t.Client != nil {
 		t.Upload.Forwarded, t.AttemptConn.Progress.At = true, 0
 		s.buffers.Put(t.Upload.Buffer)
 		t.Upload.Buffer = nil
-		s.goOn(t.Client)
-		s.holdUp(t.Client, t.AttemptConn)
+		s.resumeReading(t.Client)
+		s.applyBackpressure(t.Client, t.AttemptConn)
 	}
 }
 
-// park keeps a connection for the next attempt to its endpoint, but closes it well before the endpoint would: what is
+// keepIdle keeps a connection for the next attempt to its endpoint, but closes it well before the endpoint would: what is
 // written as the endpoint closes may have run or not.
-func (s *Proxy) park(now policy.Time, c *connstate.Conn) {
+func (s *Proxy) keepIdle(now policy.Time, c *connstate.Conn) {
 	if c.Endpoint.Endpoint.Draining || c.Generation != c.Endpoint.Endpoint.Generation {
-		s.close(c) // an answer that came after the list: where it leads, nothing new goes, or another process stands
+		s.closeConn(c) // an answer that came after the list: where it leads, nothing new goes, or another process stands
 		return
 	}
 	s.conns.PutIdle(c, now)
-	s.Timers.Set(&c.Timer, now+s.post.IdleTimeout*3/4)
+	s.Timers.Set(&c.Timer, now+s.config.IdleTimeout*3/4)
 }
 
-// fromEndpoint takes the answer once it is whole.
-func (s *Proxy) fromEndpoint(now, at policy.Time, c *connstate.Conn) {
+// readResponse takes the answer once it is whole.
+func (s *Proxy) readResponse(now, at policy.Time, c *connstate.Conn) {
 	t := c.Request
 	if t == nil {
-		s.close(c) // it says something unasked
+		s.closeConn(c) // it says something unasked
 		return
 	}
 	if len(c.Input.Buffer.B) < c.Input.Needed {
 		return
 	}
-	n, status, head, body, stays, ok := CutAnswer(c.Input.Buffer.B, false, t.Response.NoBody, mostBody)
+	n, status, head, body, stays, ok := parseResponse(c.Input.Buffer.B, false, t.Response.NoBody, maxBody)
 	switch {
 	case n > 0:
 		stays = stays && n == len(c.Input.Buffer.B) && c.Flushed() && !t.Upload.Active
-		s.take(t, c, status, head, body)
+		s.keepResponse(t, c, status, head, body)
 		s.endAttempt(at, t, outcomeOf(status, head), stays)
-	case s.answerComes(now, at, c, !ok):
+	case s.tryStream(now, at, c, !ok):
 	case !ok:
 		s.endAttempt(at, t, policy.ConnectionLost, false)
 	}
 }
 
-// take moves the answer's buffer from the connection to the request.
-func (s *Proxy) take(t *connstate.Request, c *connstate.Conn, status int, head, body []byte) {
+// keepResponse moves the answer's buffer from the connection to the request.
+func (s *Proxy) keepResponse(t *connstate.Request, c *connstate.Conn, status int, head, body []byte) {
 	t.Response.Buffer, t.Response.Status, t.Response.Head, t.Response.Body = c.Input.Buffer, status, head, body
 	c.Input.Buffer = nil
 }
 
-// broke is told that a connection to an endpoint has ended, or never came up.
-func (s *Proxy) broke(at policy.Time, c *connstate.Conn) {
+// endpointClosed is told that a connection to an endpoint has ended, or never came up.
+func (s *Proxy) endpointClosed(at policy.Time, c *connstate.Conn) {
 	t := c.Request
 	if t == nil {
 		return
 	}
 	over := c.Input.EOF.Load() // a reset ends no answer
 	if t.Response.Streaming {
-		if over && c.Frame.Kind == untilEnd {
+		if over && c.Frame.Kind == bodyUntilClose {
 			s.endStream(s.Clock.Now(), t, false)
 		} else {
 			s.breakStream(at, t)
@@ -205,8 +205,8 @@
 		return
 	}
 	if c.Input.Buffer != nil {
-		if n, status, head, body, _, ok := CutAnswer(c.Input.Buffer.B, over, t.Response.NoBody, mostBody); ok && n > 0 {
-			s.take(t, c, status, head, body)
+		if n, status, head, body, _, ok := parseResponse(c.Input.Buffer.B, over, t.Response.NoBody, maxBody); ok && n > 0 {
+			s.keepResponse(t, c, status, head, body)
 			s.endAttempt(at, t, outcomeOf(status, head), false)
 			return
 		}
@@ -219,15 +219,15 @@
 func (s *Proxy) TimedOut(now policy.Time, of *engine.Request) {
 	t := connstate.AsRequest(of)
 	o := policy.TimedOut
-	if s.unwritten(t) {
+	if s.abortUnwritten(t) {
 		o = policy.NotConnected
 	}
 	s.endAttempt(now, t, o, false)
 }
 
-// unwritten ends the connection of an attempt that has not gone out whole, and tells whether it never will. What waits to be written goes out
+// abortUnwritten ends the connection of an attempt that has not gone out whole, and tells whether it never will. What waits to be written goes out
 // beside the loop: looked at first and closed then, its last byte could slip through between, and what has run be sent again.
-func (s *Proxy) unwritten(t *connstate.Request) bool {
+func (s *Proxy) abortUnwritten(t *connstate.Request) bool {
 	c := t.AttemptConn
 	if c == nil || !c.Connected || t.Upload.Active {
 		return true
@@ -256,7 +256,7 @@
 func (s *Proxy) detach(at policy.Time, t *connstate.Request, stays bool) {
 	if t.RestAwaited = false; t.RestTimer.Active() {
 		s.Timers.Stop(&t.RestTimer)
-		s.part(t.AttemptEndpoint).Awaited--
+		s.endpointConns(t.AttemptEndpoint).Awaited--
 	}
 	c := t.AttemptConn
 	if c == nil {
@@ -267,9 +267,9 @@
 	s.Timers.Stop(&c.Timer)
 	switch {
 	case stays:
-		s.park(at, c)
+		s.keepIdle(at, c)
 	case c.Connected:
-		s.close(c)
+		s.closeConn(c)
 	}
 	// One that is not up yet carries nothing and is kept when it comes.
 }
--- a/internal/httpproxy/attempts_test.go
+++ b/internal/httpproxy/attempts_test.go
@@ -20,9 +20,9 @@
 	server := newStandIn(t)
 	r, _ := run(t, nil, server.Addr().String())
 	c := r.client()
-	for _, size := range []int{0, 1, 2000, 5000, mostBody} {
+	for _, size := range []int{0, 1, 2000, 5000, maxBody} {
 		for _, act := range []string{"echo", "slow"} {
-			time.Sleep(time.Duration(restFor + 5*policy.Millisecond)) // for what may still come behind the last answer
+			time.Sleep(time.Duration(restTime + 5*policy.Millisecond)) // for what may still come behind the last answer
 			body := strings.Repeat("b", size)
 			id := c.send("step/"+act, body, "X-Priority-Class: step\r\nX-Attrs: a=1\r\n")
 			if answer, got := c.receive(); answer.StatusCode != 200 || got != body || answer.Close {
@@ -169,10 +169,10 @@
 		c := &connstate.Conn{Side: connstate.EndpointSide, Connected: true, Endpoint: &connstate.Endpoint{Endpoint: &engine.Endpoint{}}}
 		c.Output.Queued = queued
 		c.Output.Written.Store(10)
-		ticket := connstate.AsRequest(s.NewRequest(s.no))
+		ticket := connstate.AsRequest(s.NewRequest(s.frontIndex))
 		ticket.AttemptConn, c.Request = c, ticket
 		s.conns.Add(c)
-		s.closed(1, 1, c)
+		s.connClosed(1, 1, c)
 		if s.RunSteps(1); s.Counters.Outcomes[want] != 1 {
 			t.Errorf("10 of %d bytes written: outcomes %v, want %d", queued, s.Counters.Outcomes, want)
 		}
--- a/internal/httpproxy/agreed.go
+++ b/internal/httpproxy/classes.go
@@ -9,13 +9,13 @@
 		delete(s.classes, name)
 	} else {
 		s.classes[name] = at
-		for len(s.post.Deadlines) <= int(at) {
-			s.post.Deadlines = append(s.post.Deadlines, 0)
+		for len(s.config.Deadlines) <= int(at) {
+			s.config.Deadlines = append(s.config.Deadlines, 0)
 		}
-		s.post.Deadlines[at] = cutOff
+		s.config.Deadlines[at] = cutOff
 	}
-	if name == s.post.DefaultClass {
-		s.fallback = at
+	if name == s.config.DefaultClass {
+		s.defaultClass = at
 	}
 }
 
--- a/internal/httpproxy/crossing_test.go
+++ b/internal/httpproxy/crossing_test.go
@@ -125,8 +125,8 @@
 		time.Sleep(20 * time.Millisecond) // for the kernel to have both at this end
 		s.sockets.read(nb)
 		now := s.Clock.Now()
-		for _, e := range s.sockets.take() {
-			s.happened(now, e)
+		for _, e := range s.sockets.takeEvents() {
+			s.handleEvent(now, e)
 		}
 		s.Round(now)
 		if s.Counters.BytesIn == 0 || s.Counters.Requests != 0 || s.Counters.Dials != 0 {
@@ -162,14 +162,14 @@
 		client, _ := connect(connstate.ClientSide)
 		server, plain := connect(connstate.EndpointSide)
 		for _, one := range s.Endpoints {
-			server.Endpoint = s.part(one)
-			s.park(1, server)
+			server.Endpoint = s.endpointConns(one)
+			s.keepIdle(1, server)
 		}
 		buf := s.buffers.Get(connstate.SmallBuffer)
 		buf.B = append(buf.B, "GET /step/a HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Timeout: 1\r\n\r\n"...)
 		client.Input.Buffer = buf
 		now := s.Clock.Now()
-		s.fromClient(now, now, client)
+		s.readRequests(now, now, client)
 		s.Round(now)
 		ticket := server.Request
 		if ticket == nil {
@@ -196,15 +196,15 @@
 	first := r.client()
 	first.send("step/echo", "a", "")
 	first.receive()
-	most := r.sockets.most.Swap(0) // whoever accepts takes one more, and then has no room
+	most := r.sockets.maxClients.Swap(0) // whoever accepts takes one more, and then has no room
 	r.client()
 	r.until("the last with room", func() bool { return r.conns.Count(connstate.ClientSide) == 2 })
 	waits := r.client()
 	waits.send("step/echo", "b", "")
 	r.stop <- syscall.SIGTERM
-	time.Sleep(time.Duration(r.post.AcceptTime+straggle) + 100*time.Millisecond)
-	r.sockets.most.Store(most)
-	r.sockets.roomAgain()
+	time.Sleep(time.Duration(r.config.AcceptTime+reconnectTime) + 100*time.Millisecond)
+	r.sockets.maxClients.Store(most)
+	r.sockets.signalRoom()
 	if answer, got := waits.receive(); answer.StatusCode != 200 || got != "b" || !answer.Close {
 		t.Errorf("%d %q, closes %v", answer.StatusCode, got, answer.Close)
 	}
@@ -303,13 +303,13 @@
 			if answer.StatusCode == 200 && got == body {
 				continue
 			}
-			time.Sleep(time.Duration(2 * restFor)) // for the endpoint to have noted it
+			time.Sleep(time.Duration(2 * restTime)) // for the endpoint to have noted it
 			server.mu.Lock()
 			overdue := server.overdue
 			server.mu.Unlock()
 			// A copy that left the endpoint in time is overdue all the same where this process was held up before it read it.
 			if overdue == 0 {
-				if heldUp := stopWatch(); heldUp < time.Duration(restFor)-lateCopyAfter {
+				if heldUp := stopWatch(); heldUp < time.Duration(restTime)-lateCopyAfter {
 					t.Fatalf("%d %q, want %q; the machine held this process up for %v", answer.StatusCode, got, body, heldUp)
 				}
 				return false
@@ -318,7 +318,7 @@
 		}
 	}
 	// Forty requests may be over before the first second answer is due.
-	time.Sleep(time.Duration(restFor))
+	time.Sleep(time.Duration(restTime))
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	return server.copies > server.overdue
@@ -402,7 +402,7 @@
 	r.RunOnLoop(func() {
 		sides := map[connstate.Side]int{}
 		for c := range r.conns.Open {
-			on, err := unix.GetsockoptInt(c.Socket.(*link).fd, unix.IPPROTO_TCP, unix.TCP_NODELAY)
+			on, err := unix.GetsockoptInt(c.Socket.(*socket).fd, unix.IPPROTO_TCP, unix.TCP_NODELAY)
 			if sides[c.Side]++; err != nil || on == 0 {
 				t.Errorf("side %d: TCP_NODELAY %d, %v", c.Side, on, err)
 			}
--- a/internal/httpproxy/dial.go
+++ b/internal/httpproxy/dial.go
@@ -12,15 +12,15 @@
 	"pepperlead/policy"
 )
 
-// connect opens connections that leave from that address; nil: from whichever the kernel picks.
-func connect(from net.IP) func(addr string, within policy.Time) (net.Conn, error) {
+// newConnector opens connections that leave from that address; nil: from whichever the kernel picks.
+func newConnector(from net.IP) func(addr string, within policy.Time) (net.Conn, error) {
 	var leave net.Addr
 	if from != nil {
 		leave = &net.TCPAddr{IP: from}
 	}
 	return func(addr string, within policy.Time) (net.Conn, error) {
 		d := net.Dialer{Timeout: time.Duration(within), KeepAlive: -1, LocalAddr: leave, Control: func(_, _ string, c syscall.RawConn) error {
-			return c.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, mostTaken) })
+			return c.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, endpointReceiveBuffer) })
 		}}
 		return d.Dial("tcp", addr)
 	}
@@ -32,20 +32,20 @@
 	go func() {
 		up, err := s.connect(addr, within)
 		if err != nil {
-			s.post(event{what: closed, conn: conn})
+			s.post(event{kind: eventClosed, conn: conn})
 			return
 		}
 		c, err := nbio.NBConn(up)
 		if err != nil {
 			up.Close()
-			s.post(event{what: closed, conn: conn})
+			s.post(event{kind: eventClosed, conn: conn})
 			return
 		}
-		conn.Socket = newLink(c)
+		conn.Socket = newSocket(c)
 		c.SetSession(conn)
 		if _, err := s.engine.AddConn(c); err != nil {
 			c.Close()
-			s.post(event{what: closed, conn: conn}) // told twice at the most, which is harmless
+			s.post(event{kind: eventClosed, conn: conn}) // told twice at the most, which is harmless
 		}
 	}()
 }
--- a/internal/httpproxy/frame.go
+++ b/internal/httpproxy/frame.go
@@ -4,9 +4,9 @@
 
 // How a body is framed.
 const (
-	sized = iota
-	inChunks
-	untilEnd // of its connection
+	sizedBody = iota
+	chunkedBody
+	bodyUntilClose // of its connection
 )
 
 // Where in a chunked body the next byte stands.
@@ -24,31 +24,31 @@
 	atLastLF
 )
 
-// mostStream is what a body may hold that is handed on as it comes.
-const mostStream = 64 << 20
+// maxStreamedBody is what a body may hold that is handed on as it comes.
+const maxStreamedBody = 64 << 20
 
-func frameOf(size int, chunked bool) connstate.Frame {
+func newFrame(size int, chunked bool) connstate.Frame {
 	switch {
 	case chunked:
-		return connstate.Frame{Kind: inChunks}
+		return connstate.Frame{Kind: chunkedBody}
 	case size >= 0:
-		return connstate.Frame{Kind: sized, Remaining: int64(size)}
+		return connstate.Frame{Kind: sizedBody, Remaining: int64(size)}
 	}
-	return connstate.Frame{Kind: untilEnd}
+	return connstate.Frame{Kind: bodyUntilClose}
 }
 
-// takeBody takes what b has of a body: b[:n] is the body's own from then on, used is how much of b belonged to it. All of b is used
+// decodeBody takes what b has of a body: b[:n] is the body's own from then on, used is how much of b belonged to it. All of b is used
 // unless the body is done. What chunks and measures by the whole in CutRequest is read here byte by byte, by the same rules.
-func takeBody(f *connstate.Frame, b []byte) (n, used int, done, ok bool) {
+func decodeBody(f *connstate.Frame, b []byte) (n, used int, done, ok bool) {
 	switch f.Kind {
-	case sized:
+	case sizedBody:
 		n = int(min(f.Remaining, int64(len(b))))
 		f.Remaining -= int64(n)
 		f.Received += int64(n)
 		return n, n, f.Remaining == 0, true
-	case untilEnd:
+	case bodyUntilClose:
 		f.Received += int64(len(b))
-		return len(b), len(b), false, f.Received <= mostStream
+		return len(b), len(b), false, f.Received <= maxStreamedBody
 	}
 	for used < len(b) {
 		if f.Phase == inData {
@@ -64,7 +64,7 @@
 		}
 		c := b[used]
 		used++
-		if !framed(f, c) {
+		if !decodeFraming(f, c) {
 			return n, used, false, false
 		}
 		if f.Phase == atLastLF && c == '\n' {
@@ -72,11 +72,11 @@
 		}
 	}
 	f.RawReceived += int64(used)
-	return n, used, false, f.Received <= mostStream && f.RawReceived <= mostSpun*mostStream
+	return n, used, false, f.Received <= maxStreamedBody && f.RawReceived <= maxChunkOverhead*maxStreamedBody
 }
 
-// framed goes on by one byte that is not the body's own.
-func framed(f *connstate.Frame, c byte) bool {
+// decodeFraming goes on by one byte that is not the body's own.
+func decodeFraming(f *connstate.Frame, c byte) bool {
 	next := func(phase uint8, want byte) bool {
 		f.Phase, f.LineLength = phase, 0
 		return c == want
@@ -85,7 +85,7 @@
 	switch f.Phase {
 	case atSize, afterDigits, inExtension:
 		blank := c == ' ' || c == '\t'
-		digit, hex := digitOf(c)
+		digit, hex := hexDigit(c)
 		switch {
 		case f.LineLength > 257 || f.LineLength == 257 && c != '\r':
 			return false
@@ -111,7 +111,7 @@
 		if f.Phase = inData; f.Remaining == 0 {
 			f.Phase = atTrailer
 		}
-		return c == '\n' && f.Remaining <= mostStream
+		return c == '\n' && f.Remaining <= maxStreamedBody
 	case atDataCR:
 		return next(atDataLF, '\r')
 	case atDataLF:
@@ -129,12 +129,12 @@
 		default:
 			f.Phase = inTrailer
 		}
-		return f.LineLength <= mostHead
+		return f.LineLength <= maxHead
 	}
 	return false
 }
 
-func digitOf(c byte) (int, bool) {
+func hexDigit(c byte) (int, bool) {
 	switch {
 	case '0' <= c && c <= '9':
 		return int(c - '0'), true
--- a/internal/httpproxy/golden_test.go
+++ b/internal/httpproxy/golden_test.go
@@ -27,20 +27,20 @@
 		"Idempotency-Key: k\r\nX-Priority-Class: step\r\nX-Tenant-Id: north\r\nX-Route-Key: r\r\nX-Retried: 1\r\n")
 	var written bytes.Buffer
 	show := func(title string, message []byte) { fmt.Fprintf(&written, "%s:\n%q\n", title, message) }
-	statuses := slices.Sorted(maps.Keys(reasons))
+	statuses := slices.Sorted(maps.Keys(reasonPhrases))
 	for _, status := range append(statuses, 299) {
-		show(fmt.Sprint("own ", status), AppendOwn(nil, status, "text\n", 0, false))
+		show(fmt.Sprint("own ", status), appendLocalResponse(nil, status, "text\n", 0, false))
 	}
-	show("own with advice", AppendOwn(nil, 503, "text\n", 12345*policy.Millisecond/10, false))
-	show("own and last", AppendOwn(nil, 503, "", 0, true))
-	show("passed on", AppendSuccess(nil, 200, head, 12, false))
-	show("passed on and last", AppendSuccess(nil, 404, head, 0, true))
+	show("own with advice", appendLocalResponse(nil, 503, "text\n", 12345*policy.Millisecond/10, false))
+	show("own and last", appendLocalResponse(nil, 503, "", 0, true))
+	show("passed on", appendResponseHead(nil, 200, head, 12, false))
+	show("passed on and last", appendResponseHead(nil, 404, head, 0, true))
 	for _, attempt := range []struct {
 		method string
 		size   int
 	}{{"GET", 0}, {"HEAD", 0}, {"POST", 0}, {"POST", 12}, {"PUT", -1}} {
 		show(fmt.Sprint("attempt ", attempt.method, " ", attempt.size),
-			AppendAttempt(nil, []byte(attempt.method), []byte("/step/a?b=1"), head, attempt.size, 1500*policy.Millisecond))
+			appendRequestHead(nil, []byte(attempt.method), []byte("/step/a?b=1"), head, attempt.size, 1500*policy.Millisecond))
 	}
 	golden.Compare(t, "messages.txt", written.Bytes())
 }
@@ -116,7 +116,7 @@
 		{title: "key for this connection", send: ticket("POST", "note/echo", "7", "Connection: Idempotency-Key\r\n", "")},
 		{title: "no key", send: ticket("POST", "note/echo", "8", "", "")},
 		{title: "unreadable", send: "GET / HTTP/2.0\r\nHost: o\r\n\r\n"},
-		{title: "long head", send: "GET / HTTP/1.1\r\nHost: o\r\nA: " + strings.Repeat("x", mostHead) + "\r\n\r\n"},
+		{title: "long head", send: "GET / HTTP/1.1\r\nHost: o\r\nA: " + strings.Repeat("x", maxHead) + "\r\n\r\n"},
 		{title: "body unreadable", send: "POST /step/echo HTTP/1.1\r\nHost: o\r\nX-Request-ID: 9\r\nX-Timeout: 1\r\n" + chunked + "\r\n", body: "zz\r\n"},
 		{title: "body asked for", send: strings.TrimSuffix(ticket("POST", "step/echo", "10", "Expect: 100-continue\r\n", "body"), "body"), body: "body"},
 		{title: "body too long", send: "POST /step/echo HTTP/1.1\r\nHost: o\r\nX-Request-ID: 11\r\nX-Timeout: 1\r\nContent-Length: 99999999\r\n\r\n"},
--- a/internal/httpproxy/rig_test.go
+++ b/internal/httpproxy/harness_test.go
@@ -133,7 +133,7 @@
 			whole("200 OK", "")
 			s.mu.Lock()
 			s.copies++
-			if policy.Time(time.Since(began)) >= restFor {
+			if policy.Time(time.Since(began)) >= restTime {
 				s.overdue++ // this process stood still: later than a connection rests
 			}
 			s.mu.Unlock()
--- a/internal/httpproxy/head.go
+++ b/internal/httpproxy/header.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	mostHead = 16 << 10
-	mostBody = 64 << 10
-	mostSpun = 8 // times its body that a message may take with its chunk sizes
+	maxHead          = 16 << 10
+	maxBody          = 64 << 10
+	maxChunkOverhead = 8 // times its body that a message may take with its chunk sizes
 )
 
-var headEnd = []byte("\r\n\r\n")
+var emptyLine = []byte("\r\n\r\n")
 
-// text reads bytes as a string for the length of a call that does not keep it.
-func text(b []byte) string { return unsafe.String(unsafe.SliceData(b), len(b)) }
+// asString reads bytes as a string for the length of a call that does not keep it.
+func asString(b []byte) string { return unsafe.String(unsafe.SliceData(b), len(b)) }
 
-// cutHead takes the first line and the header lines off the front of b, the latter each with its line end. n is where
+// splitHead takes the first line and the header lines off the front of b, the latter each with its line end. n is where
 // the body begins; 0: not whole yet.
-func cutHead(b []byte) (first, head []byte, n int) {
-	end := bytes.Index(b, headEnd)
+func splitHead(b []byte) (first, head []byte, n int) {
+	end := bytes.Index(b, emptyLine)
 	if end < 0 {
 		return nil, nil, 0
 	}
 	head = b[:end+2]
-	at := bytes.Index(head, headEnd[:2])
+	at := bytes.Index(head, emptyLine[:2])
 	return head[:at], head[at+2:], end + 4
 }
 
-// cutHeader takes one header line off the front of the head.
-func cutHeader(head []byte) (name, value, rest []byte, ok bool) {
-	line, rest, ok := bytes.Cut(head, headEnd[:2])
+// nextHeader takes one header line off the front of the head.
+func nextHeader(head []byte) (name, value, rest []byte, ok bool) {
+	line, rest, ok := bytes.Cut(head, emptyLine[:2])
 	if !ok {
 		return nil, nil, nil, false
 	}
@@ -49,8 +49,8 @@
 	return name, value, rest, !bytes.ContainsAny(value, "\x00\r\n")
 }
 
-// clean tells whether there is no control byte in it that could pass for the end of a line.
-func clean(value []byte) bool {
+// noControlBytes tells whether there is no control byte in it that could pass for the end of a line.
+func noControlBytes(value []byte) bool {
 	for _, c := range value {
 		if c < ' ' && c != '\t' || c == 0x7f {
 			return false
@@ -72,14 +72,14 @@
 	return t
 }()
 
-// field is the value of a header, nil where the head lacks it.
-func field(head []byte, name string) []byte {
+// headerValue is the value of a header, nil where the head lacks it.
+func headerValue(head []byte, name string) []byte {
 	for len(head) > 0 {
-		n, value, rest, ok := cutHeader(head)
+		n, value, rest, ok := nextHeader(head)
 		if !ok {
 			return nil
 		}
-		if named(n, name) {
+		if equalFold(n, name) {
 			return value
 		}
 		head = rest
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// named compares a header's name, in whatever letters.
-func named(b []byte, name string) bool {
+// equalFold compares a header's name, in whatever letters.
+func equalFold(b []byte, name string) bool {
 	if len(b) != len(name) {
 		return false
 	}
@@ -107,49 +107,49 @@
 	return true
 }
 
-// listed tells whether a comma-separated value has the word.
-func listed(value []byte, word string) bool {
+// hasToken tells whether a comma-separated value has the word.
+func hasToken(value []byte, word string) bool {
 	for len(value) > 0 {
 		var part []byte
 		part, value, _ = bytes.Cut(value, []byte{','})
-		if named(bytes.Trim(part, " \t"), word) {
+		if equalFold(bytes.Trim(part, " \t"), word) {
 			return true
 		}
 	}
 	return false
 }
 
-// framing reads how long the body is: size bytes, or chunked, or (-1) not told. strict: no value may hold control bytes.
-func framing(head []byte, strict bool) (size int, chunked, closing, ok bool) {
+// parseFraming reads how long the body is: size bytes, or chunked, or (-1) not told. strict: no value may hold control bytes.
+func parseFraming(head []byte, strict bool) (size int, chunked, closing, ok bool) {
 	size = -1
 	for len(head) > 0 {
-		name, value, rest, fine := cutHeader(head)
-		if !fine || strict && !clean(value) {
+		name, value, rest, fine := nextHeader(head)
+		if !fine || strict && !noControlBytes(value) {
 			return 0, false, false, false
 		}
 		head = rest
 		switch {
-		case named(name, "Content-Length"):
-			n, fine := whole(value)
+		case equalFold(name, "Content-Length"):
+			n, fine := parseDigits(value)
 			if !fine || size >= 0 && n != size {
 				return 0, false, false, false
 			}
 			size = n
-		case named(name, "Transfer-Encoding"):
-			if chunked || !named(value, "chunked") {
+		case equalFold(name, "Transfer-Encoding"):
+			if chunked || !equalFold(value, "chunked") {
 				return 0, false, false, false
 			}
 			chunked = true
-		case named(name, "Connection"):
-			closing = closing || listed(value, "close")
+		case equalFold(name, "Connection"):
+			closing = closing || hasToken(value, "close")
 		}
 	}
 	// Both at once is how a request is smuggled past one of two readers.
 	return size, chunked, closing, !chunked || size < 0
 }
 
-// whole reads a number that is written in digits alone.
-func whole(b []byte) (int, bool) {
+// parseDigits reads a number that is written in digits alone.
+func parseDigits(b []byte) (int, bool) {
 	n := 0
 	for _, c := range b {
 		if c < '0' || c > '9' || n > 1<<40 {
@@ -160,13 +160,13 @@
 	return n, len(b) > 0
 }
 
-// chunks measures a chunked body: n bytes in all, size of them the body. n is 0 while it is not whole.
-func chunks(b []byte, most int) (n, size int, ok bool) {
+// measureChunks measures a chunked body: n bytes in all, size of them the body. n is 0 while it is not whole.
+func measureChunks(b []byte, most int) (n, size int, ok bool) {
 	for {
-		if n > mostSpun*most {
+		if n > maxChunkOverhead*most {
 			return 0, most + 1, false
 		}
-		part, at, ok := chunkSize(b[n:])
+		part, at, ok := parseChunkSize(b[n:])
 		if !ok || size+part > most {
 			return 0, size + part, false
 		}
@@ -186,10 +186,10 @@
 		n, size = n+part+2, size+part
 	}
 	for { // trailers, which nothing here reads
-		end := bytes.Index(b[n:], headEnd[:2])
+		end := bytes.Index(b[n:], emptyLine[:2])
 		switch {
 		case end < 0:
-			return 0, size, len(b)-n <= mostHead
+			return 0, size, len(b)-n <= maxHead
 		case end == 0:
 			return n + 2, size, true
 		}
@@ -197,9 +197,9 @@
 	}
 }
 
-// chunkSize reads the line before a chunk; n is its length, 0 while it is not whole.
-func chunkSize(b []byte) (size, n int, ok bool) {
-	end := bytes.Index(b, headEnd[:2])
+// parseChunkSize reads the line before a chunk; n is its length, 0 while it is not whole.
+func parseChunkSize(b []byte) (size, n int, ok bool) {
+	end := bytes.Index(b, emptyLine[:2])
 	if end < 0 {
 		return 0, 0, len(b) <= 256
 	}
@@ -224,11 +224,11 @@
 	return size, end + 2, true
 }
 
-// unchunk moves the parts of a whole chunked body together, at its front.
-func unchunk(b []byte) []byte {
+// joinChunks moves the parts of a whole chunked body together, at its front.
+func joinChunks(b []byte) []byte {
 	to, at := 0, 0
 	for {
-		part, n, _ := chunkSize(b[at:])
+		part, n, _ := parseChunkSize(b[at:])
 		if part == 0 {
 			return b[:to]
 		}
--- a/internal/httpproxy/share.go
+++ b/internal/httpproxy/limits.go
@@ -8,17 +8,17 @@
 	s.Signal()
 }
 
-// keepToShare goes over to the part that holds now. Connections beyond it go as any that are too many.
-func (s *Proxy) keepToShare(now policy.Time) {
+// applyShare goes over to the part that holds now. Connections beyond it go as any that are too many.
+func (s *Proxy) applyShare(now policy.Time) {
 	n := int(s.processes.Load())
-	if n == s.shared {
+	if n == s.sharedBy {
 		return
 	}
-	s.shared = n
-	s.conns.SetLimits(s.post.Descriptors-s.post.ReservedDescriptors, n)
-	s.buffers.SetLimit(s.post.MessageMemory / n)
-	s.sockets.most.Store(int64(s.conns.AcceptLimit))
-	s.sockets.roomAgain()
+	s.sharedBy = n
+	s.conns.SetLimits(s.config.Descriptors-s.config.ReservedDescriptors, n)
+	s.buffers.SetLimit(s.config.MessageMemory / n)
+	s.sockets.maxClients.Store(int64(s.conns.AcceptLimit))
+	s.sockets.signalRoom()
 	s.makeRoom(now)
 	s.Logger.WithField("processes", n).Info("handover: the limits are shared by so many processes")
 }
--- a/internal/httpproxy/limits_test.go
+++ b/internal/httpproxy/limits_test.go
@@ -207,7 +207,7 @@
 	r, _ := run(t, nil, newStandIn(t).Addr().String())
 	c := r.client()
 	began := time.Now()
-	body := strings.Repeat("x", mostBody)
+	body := strings.Repeat("x", maxBody)
 	var err error
 	for i := 0; err == nil && time.Since(began) < 4*time.Second; i++ {
 		_, err = fmt.Fprintf(c, "POST /step/echo HTTP/1.1\r\nHost: o\r\nX-Request-ID: r%d\r\nX-Timeout: 1\r\n"+
@@ -274,7 +274,7 @@
 	if nb, err = nbio.NBConn(near); err != nil {
 		t.Fatal(err)
 	}
-	conn = &connstate.Conn{Socket: newLink(nb)}
+	conn = &connstate.Conn{Socket: newSocket(nb)}
 	nb.SetSession(conn)
 	return far, nb, conn
 }
@@ -283,18 +283,18 @@
 func TestFloodsEndWhereMemoryIsFull(t *testing.T) {
 	far, nb, conn := pair(t)
 	s := &sockets{buffers: &connstate.Buffers{Limit: connstate.SmallBuffer}, signal: func() {}}
-	s.ahead.Store(mostAhead)
+	s.maxPending.Store(maxPendingBytes)
 	held := s.buffers.Get(connstate.LargeBuffer)
 	fmt.Fprint(far, "GET")
 	time.Sleep(20 * time.Millisecond)
 	s.read(nb) // a little is always taken, to be rejected
-	if conn.Socket.(*link).cut || conn.Input.Unread.Load() != 3 {
+	if conn.Socket.(*socket).readShut || conn.Input.Unread.Load() != 3 {
 		t.Errorf("cut at its first bytes, or they were not read: %d", conn.Input.Unread.Load())
 	}
 	fmt.Fprint(far, strings.Repeat("x", 2*connstate.SmallBuffer))
 	time.Sleep(20 * time.Millisecond)
 	s.read(nb)
-	if !conn.Socket.(*link).cut {
+	if !conn.Socket.(*socket).readShut {
 		t.Error("goes on sending")
 	}
 	s.buffers.Put(held)
@@ -313,11 +313,11 @@
 		t.Fatal("cut with bytes in the kernel")
 	}
 	buf := buffers.Get(connstate.SmallBuffer)
-	if !conn.Socket.(*link).read(conn, buf) || string(buf.B) != "GET" || conn.Socket.CloseIfIdle(conn) {
+	if !conn.Socket.(*socket).read(conn, buf) || string(buf.B) != "GET" || conn.Socket.CloseIfIdle(conn) {
 		t.Error("cut with bytes that the loop has not looked at")
 	}
 	conn.Input.Unread.Store(0)
-	if !conn.Socket.CloseIfIdle(conn) || conn.Socket.(*link).read(conn, buf) {
+	if !conn.Socket.CloseIfIdle(conn) || conn.Socket.(*socket).read(conn, buf) {
 		t.Error("not cut, or read after it")
 	}
 }
--- a/internal/httpproxy/listener.go
+++ b/internal/httpproxy/listener.go
@@ -10,35 +10,35 @@
 	"golang.org/x/sys/unix"
 )
 
-// gate lets clients in while there is room. One accepted without would have to be closed at once, and with it the request
+// clientListener lets clients in while there is room. One accepted without would have to be closed at once, and with it the request
 // that it may have sent; outside, it waits for as long as the queue of the kernel lasts. Where other processes listen on the same
 // queue, what this one does not take is theirs.
-type gate struct {
+type clientListener struct {
 	net.Listener
-	s     *sockets
-	begun chan struct{} // closed once clients may come in
-	over  chan struct{} // closed once none may any more
-	once  sync.Once
-	ended atomic.Bool // whoever takes clients from the queue knows that, and has told the loop of all that it took
+	sockets *sockets
+	opened  chan struct{} // closed once clients may come in
+	closed  chan struct{} // closed once none may any more
+	once    sync.Once
+	stopped atomic.Bool // whoever takes clients from the queue knows that, and has told the loop of all that it took
 }
 
-func (g *gate) Accept() (net.Conn, error) {
+func (g *clientListener) Accept() (net.Conn, error) {
 	select {
-	case <-g.begun:
-	case <-g.over:
+	case <-g.opened:
+	case <-g.closed:
 	}
-	for g.s.clients.Load() >= g.s.most.Load() {
+	for g.sockets.clients.Load() >= g.sockets.maxClients.Load() {
 		select {
-		case <-g.s.room:
-		case <-g.over:
+		case <-g.sockets.roomFreed:
+		case <-g.closed:
 			return nil, net.ErrClosed
 		}
 	}
 	return g.Listener.Accept()
 }
 
-// queued tells whether somebody waits in the kernel to be accepted.
-func (g *gate) queued() (is bool) {
+// hasPending tells whether somebody waits in the kernel to be accepted.
+func (g *clientListener) hasPending() (is bool) {
 	l, ok := g.Listener.(*net.TCPListener)
 	if !ok {
 		return false
@@ -56,13 +56,13 @@
 }
 
 // Close leaves the queue; a listener that others have too is not shut down by it.
-func (g *gate) Close() error {
-	g.once.Do(func() { close(g.over) })
+func (g *clientListener) Close() error {
+	g.once.Do(func() { close(g.closed) })
 	return g.Listener.Close()
 }
 
-// listen opens the address, or takes the listener that the process was started with.
-func listen(network, addr string, inherited int) (net.Listener, error) {
+// openListener opens the address, or takes the listener that the process was started with.
+func openListener(network, addr string, inherited int) (net.Listener, error) {
 	if inherited == 0 {
 		return net.Listen(network, addr)
 	}
--- a/internal/httpproxy/parse_test.go
+++ b/internal/httpproxy/parse_test.go
@@ -46,27 +46,27 @@
 		request := append([]byte("POST /step/a?b=1 HTTP/1.1\r\n"), rest...)
 		answer := append([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n"), rest...)
 		for i := range request {
-			if n, _, _, fault := CutRequest(bytes.Clone(request[:i]), mostBody); n != 0 || fault != 0 {
+			if n, _, _, fault := parseRequest(bytes.Clone(request[:i]), maxBody); n != 0 || fault != 0 {
 				return false
 			}
 		}
 		for i := range answer {
-			if n, _, _, _, _, ok := CutAnswer(bytes.Clone(answer[:i]), false, false, mostBody); n != 0 || !ok {
+			if n, _, _, _, _, ok := parseResponse(bytes.Clone(answer[:i]), false, false, maxBody); n != 0 || !ok {
 				return false
 			}
-			if n, _, _, _, _, ok := CutAnswer(bytes.Clone(answer[:i]), true, false, mostBody); n != 0 || ok {
+			if n, _, _, _, _, ok := parseResponse(bytes.Clone(answer[:i]), true, false, maxBody); n != 0 || ok {
 				return false // broken off is never whole
 			}
 		}
-		n, a, got, fault := CutRequest(append(bytes.Clone(request), "GET"...), mostBody)
-		m, status, _, back, stays, ok := CutAnswer(append(bytes.Clone(answer), '!'), false, false, mostBody)
-		return n == len(request) && string(a.method) == "POST" && string(a.target) == "/step/a?b=1" && !a.last && fault == 0 &&
+		n, a, got, fault := parseRequest(append(bytes.Clone(request), "GET"...), maxBody)
+		m, status, _, back, stays, ok := parseResponse(append(bytes.Clone(answer), '!'), false, false, maxBody)
+		return n == len(request) && string(a.method) == "POST" && string(a.target) == "/step/a?b=1" && !a.closeAfter && fault == 0 &&
 			bytes.Equal(got, body) && m == len(answer) && status == 200 && bytes.Equal(back, body) && stays && ok
 	})
 }
 
 func TestBadRequestsAreToldApart(t *testing.T) {
-	long := strings.Repeat("x", mostHead)
+	long := strings.Repeat("x", maxHead)
 	for in, want := range map[string]int{
 		"GET / HTTP/1.1\r\nHost: a\r\n\r\n":                                                         0,
 		"GET / HTTP/1.0\r\nHost: a\r\n\r\n":                                                         0,
@@ -101,7 +101,7 @@
 		"G@T / HTTP/1.1\r\nHost: a\r\n\r\n":   400,
 		"GET /\x7f HTTP/1.1\r\nHost: a\r\n\r": 0, // not whole: told once it is
 	} {
-		if _, _, _, fault := CutRequest([]byte(in), mostBody); fault != want {
+		if _, _, _, fault := parseRequest([]byte(in), maxBody); fault != want {
 			t.Errorf("%.80q: fault %d, want %d", in, fault, want)
 		}
 	}
@@ -125,18 +125,18 @@
 		"HTTP/1.1 20 OK\r\n\r\n":                                                                               policy.ConnectionLost,
 		"SSH-2.0-x\r\n\r\n":                                                                                    policy.ConnectionLost,
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n":                                           policy.ConnectionLost,
-		"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", mostHead) + "\r\n\r\n":                                  policy.ConnectionLost,
+		"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", maxHead) + "\r\n\r\n":                                   policy.ConnectionLost,
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n0\r\n\r":                    policy.ConnectionLost,
 	} {
 		got := policy.ConnectionLost
-		if n, status, head, _, _, ok := CutAnswer([]byte(in), false, false, mostBody); ok && n > 0 {
+		if n, status, head, _, _, ok := parseResponse([]byte(in), false, false, maxBody); ok && n > 0 {
 			got = outcomeOf(status, head)
 		}
 		if got != want {
 			t.Errorf("%.80q: %d, want %d", in, got, want)
 		}
 	}
-	n, _, _, body, stays, ok := CutAnswer([]byte("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nto the end"), true, false, mostBody)
+	n, _, _, body, stays, ok := parseResponse([]byte("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nto the end"), true, false, maxBody)
 	if n == 0 || string(body) != "to the end" || stays || !ok {
 		t.Errorf("a body that ends with the connection: %d %q %v %v", n, body, stays, ok)
 	}
@@ -147,10 +147,10 @@
 	for _, in := range []string{"\x93\x0c", "HTTQ", "ICY 200 OK\r\n", "HTTP/1.1 2x0 OK\r\n", "HTTP/1.1 OK 200\r\nA: b",
 		"HTTP/1.1 200 OK\r\nno colon here\r\nA", "HTTP/1.1 200 OK\r\nA: \x00\r\n", "HTTP/1.1 200 OK\r\n\r\nand no length",
 		"HTTP/1.1 500 Oh\r\nContent-Length: 3000000000\r\n\r\n", "HTTP/1.1 101 Switching\r\n\r\n",
-		"HTTP/1.1 " + strings.Repeat("2", 300), strings.Repeat("HTTP/1.1 102 P\r\n\r\n", mostHead/18+1),
+		"HTTP/1.1 " + strings.Repeat("2", 300), strings.Repeat("HTTP/1.1 102 P\r\n\r\n", maxHead/18+1),
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1;"+strings.Repeat("x", 99)+"\r\na\r\n", 6000),
-		"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: pppppppppppp\r\n", mostHead/21+1)} {
-		if _, _, _, _, _, ok := CutAnswer([]byte(in), false, false, mostBody); ok {
+		"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: pppppppppppp\r\n", maxHead/21+1)} {
+		if _, _, _, _, _, ok := parseResponse([]byte(in), false, false, maxBody); ok {
 			t.Errorf("%.80q: more is waited for", in)
 		}
 	}
@@ -161,12 +161,12 @@
 	for head, want := range map[string]bool{"X-Request-ID: 1\r\nIdempotency-Key: 2\r\nConnection: close\r\n": false,
 		"X-Request-ID: 1\r\nx-request-id: 2\r\n":               true,
 		"Idempotency-Key: 1\r\nA: b\r\nIdempotency-Key: 1\r\n": true, "X-Request-ID: 1\r\nConnection: close, Idempotency-Key\r\n": true} {
-		if got := ambiguous([]byte(head)); got != want {
+		if got := hasAmbiguousID([]byte(head)); got != want {
 			t.Errorf("%q: %v", head, got)
 		}
 	}
 	for _, in := range []string{"", "1e3", "0x10", "inf", "nan", "+1", "-1", "1_0", "1.2.3", "."} {
-		if _, ok := seconds([]byte(in)); ok {
+		if _, ok := parseSeconds([]byte(in)); ok {
 			t.Errorf("%q passes for a number of seconds", in)
 		}
 	}
@@ -177,7 +177,7 @@
 		"X-Timeout: 9\r\nContent-Length: 3\r\nTE: x\r\nExpect: 100-continue\r\nX-Attrs: a=1,b=2\r\n")
 	want := "POST /s?q=1 HTTP/1.1\r\nHost: a\r\nX-Request-ID: 7\r\nIdempotency-Key: k\r\nX-Attrs: a=1,b=2\r\n" +
 		"X-Timeout: 0.2500\r\nContent-Length: 3\r\n\r\n"
-	got := AppendAttempt(nil, []byte("POST"), []byte("/s?q=1"), head, 3, policy.Second/4)
+	got := appendRequestHead(nil, []byte("POST"), []byte("/s?q=1"), head, 3, policy.Second/4)
 	if string(got) != want {
 		t.Errorf("%q", got)
 	}
@@ -187,16 +187,16 @@
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		whole := bytes.Clone(in)
-		n, a, body, fault := CutRequest(in, mostBody)
-		if n > len(in) || n > 0 && fault != 0 || len(body) > mostBody {
+		n, a, body, fault := parseRequest(in, maxBody)
+		if n > len(in) || n > 0 && fault != 0 || len(body) > maxBody {
 			t.Fatalf("%d of %d, fault %d, body %d", n, len(in), fault, len(body))
 		}
 		if n == 0 {
 			return
 		}
 		// What goes on to an endpoint must be read there as one request with the same body.
-		out := append(AppendAttempt(nil, a.method, a.target, a.head, len(body), policy.Second), body...)
-		m, again, same, fault := CutRequest(append(out, whole[n:]...), mostBody)
+		out := append(appendRequestHead(nil, a.method, a.target, a.headers, len(body), policy.Second), body...)
+		m, again, same, fault := parseRequest(append(out, whole[n:]...), maxBody)
 		if fault != 0 || (m != len(out) || !bytes.Equal(same, body) || !bytes.Equal(again.target, a.target)) {
 			t.Fatalf("%q went on as %q", whole, out)
 		}
@@ -206,8 +206,8 @@
 func FuzzCutAnswer(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"), false)
 	f.Fuzz(func(t *testing.T, in []byte, over bool) {
-		n, status, _, body, _, ok := CutAnswer(in, over, false, mostBody)
-		if n > len(in) || n > 0 && !ok || status == 200 && len(body) > mostBody {
+		n, status, _, body, _, ok := parseResponse(in, over, false, maxBody)
+		if n > len(in) || n > 0 && !ok || status == 200 && len(body) > maxBody {
 			t.Fatalf("%d of %d, %v, body %d", n, len(in), ok, len(body))
 		}
 	})
--- a/internal/httpproxy/sidecar.go
+++ b/internal/httpproxy/proxy.go
@@ -44,52 +44,52 @@
 // Proxy is the HTTP front on sockets, and the engine that decides for it. The engine's loop owns all of its state.
 type Proxy struct {
 	*engine.Engine
-	no       int // of the front, in the engine
-	post     Config
-	sockets  *sockets
-	buffers  *connstate.Buffers
-	conns    *connstate.Conns
-	requests *connstate.RequestIndex
+	frontIndex int // of the front, in the engine
+	config     Config
+	sockets    *sockets
+	buffers    *connstate.Buffers
+	conns      *connstate.Conns
+	requests   *connstate.RequestIndex
 
-	classes  map[string]policy.ClassID
-	tenants  map[string]policy.TenantID
-	fallback policy.ClassID    // of requests that name none
-	again    []*connstate.Conn // clients whose next request may be in already
-	scratch  []byte
-	begin    engine.Timer // to look whether clients may come in
-	room     engine.Timer // to look for connections of clients to close
-	pressed  bool         // there are too many, and none can be closed yet
+	classes      map[string]policy.ClassID
+	tenants      map[string]policy.TenantID
+	defaultClass policy.ClassID    // of requests that name none
+	ready        []*connstate.Conn // clients whose next request may be in already
+	scratch      []byte
+	startTimer   engine.Timer // to look whether clients may come in
+	roomTimer    engine.Timer // to look for connections of clients to close
+	noRoom       bool         // there are too many, and none can be closed yet
 
-	processes atomic.Int64 // that are one instance, with this one
-	streams   int          // answers that are handed on as they come
-	shared    int          // so many the limits were last shared by
-	serves    atomic.Bool  // it listens, and does not end
-	waits     bool         // with its clients for the first list
-	emptyAt   policy.Time  // when none is expected any more
-	acceptTo  policy.Time  // until then new connections may come
+	processes    atomic.Int64 // that are one instance, with this one
+	streamCount  int          // answers that are handed on as they come
+	sharedBy     int          // so many the limits were last shared by
+	serving      atomic.Bool  // it listens, and does not end
+	awaitingList bool         // with its clients for the first list
+	quietAt      policy.Time  // when none is expected any more
+	acceptUntil  policy.Time  // until then new connections may come
 }
 
 // New makes an instance that does not serve yet.
 func New(post Config, log *logrus.Logger) *Proxy {
-	s := &Proxy{post: post, buffers: &connstate.Buffers{Limit: post.MessageMemory}, conns: connstate.NewConns(post.Descriptors - post.ReservedDescriptors),
+	s := &Proxy{config: post, buffers: &connstate.Buffers{Limit: post.MessageMemory}, conns: connstate.NewConns(post.Descriptors - post.ReservedDescriptors),
 		requests: &connstate.RequestIndex{}, classes: map[string]policy.ClassID{}, tenants: map[string]policy.TenantID{}}
 	s.Engine = engine.New(engine.Config{Seed: post.Seed, Settings: post.Settings, Source: post.Source, SavedList: post.SavedList,
 		ShutdownTime: post.ShutdownTime, Latency: post.Latency, Recorder: post.Recorder, StallAfter: post.StallAfter}, log)
-	s.no = s.Engine.Add(s)
+	s.frontIndex = s.Engine.Add(s)
 	for i, o := range post.Settings.Classes {
 		s.classes[o.Name] = policy.ClassID(i)
 	}
-	s.fallback = policy.NoClass
+	s.defaultClass = policy.NoClass
 	if i, known := s.classes[post.DefaultClass]; known {
-		s.fallback = i
+		s.defaultClass = i
 	}
 	for i, f := range post.Settings.Tenants {
 		s.tenants[f.Name] = policy.TenantID(i)
 	}
 	s.processes.Store(1)
-	s.shared = 1
+	s.sharedBy = 1
 	s.sockets = newSockets(s.Clock, s.buffers, &post, s.conns.AcceptLimit, s.Signal)
-	s.room.Run = s.makeRoom
+	s.roomTimer.Run = s.makeRoom
 	return s
 }
 
@@ -100,8 +100,8 @@
 		return err
 	}
 	s.start(s.Clock.Now())
-	s.Logger.WithFields(logrus.Fields{"listen": s.post.Listen, "descriptors": s.post.Descriptors,
-		"buffers_mb": s.post.MessageMemory >> 20}).Info("serving")
+	s.Logger.WithFields(logrus.Fields{"listen": s.config.Listen, "descriptors": s.config.Descriptors,
+		"buffers_mb": s.config.MessageMemory >> 20}).Info("serving")
 	go func() {
 		for {
 			select {
@@ -109,7 +109,7 @@
 				if !more {
 					return
 				}
-				s.RunOnLoop(func() { s.renew(post) })
+				s.RunOnLoop(func() { s.reconfigure(post) })
 			case <-s.Stopped():
 				return
 			}
@@ -121,37 +121,37 @@
 
 // Gather takes what has happened on the sockets, and requests that came with others before them.
 func (s *Proxy) Gather(now policy.Time) {
-	s.keepToShare(now)
-	if s.waits && s.ListFresh() {
-		s.open(now)
+	s.applyShare(now)
+	if s.awaitingList && s.ListFresh() {
+		s.admitClients(now)
 	}
-	for _, e := range s.sockets.take() {
-		s.happened(now, e)
+	for _, e := range s.sockets.takeEvents() {
+		s.handleEvent(now, e)
 		s.RunSteps(now)
 	}
-	again := s.again
-	s.again = nil
+	again := s.ready
+	s.ready = nil
 	for _, c := range again {
-		s.fromClient(now, now, c)
+		s.readRequests(now, now, c)
 	}
 }
 
 // More tells whether a request may be in already.
-func (s *Proxy) More() bool { return len(s.again) > 0 }
+func (s *Proxy) More() bool { return len(s.ready) > 0 }
 
-func (s *Proxy) happened(now policy.Time, e event) {
+func (s *Proxy) handleEvent(now policy.Time, e event) {
 	c := e.conn
-	switch e.what {
-	case opened:
-		s.opened(now, c)
-	case connected:
+	switch e.kind {
+	case eventAccepted:
+		s.clientConnected(now, c)
+	case eventConnected:
 		c.Connected = true
 		if c.Closing {
 			c.Socket.Close()
 			return
 		}
-		s.connected(now, c)
-	case arrived:
+		s.endpointConnected(now, c)
+	case eventData:
 		c.Input.Unread.Add(-int64(len(e.buf.B)))
 		c.Input.UnreadMemory.Add(-int64(cap(e.buf.B)))
 		s.Counters.BytesIn += int64(len(e.buf.B))
@@ -161,29 +161,29 @@
 		}
 		switch {
 		case c.Upload.State != connstate.NoUpload:
-			s.uploadComes(now, e.at, c, e.buf)
+			s.uploadData(now, e.at, c, e.buf)
 		case c.Side == connstate.EndpointSide && c.Request != nil && c.Request.Response.Streaming:
-			s.passOn(now, e.at, c, c.Request, e.buf.B)
+			s.streamData(now, e.at, c, c.Request, e.buf.B)
 			s.buffers.Put(e.buf)
 		case c.Side == connstate.ClientSide:
 			c.Input.Buffer = s.buffers.Join(c.Input.Buffer, e.buf)
-			s.fromClient(now, e.at, c)
+			s.readRequests(now, e.at, c)
 		default:
 			c.Input.Buffer = s.buffers.Join(c.Input.Buffer, e.buf)
-			s.fromEndpoint(now, e.at, c)
+			s.readResponse(now, e.at, c)
 		}
 		if !c.Closing && c.Input.Unread.Load() <= 0 {
 			s.sockets.resume(c)
 		}
-	case drained:
-		s.drained(c)
-	case closed:
-		s.closed(now, e.at, c)
+	case eventDrained:
+		s.outputDrained(c)
+	case eventClosed:
+		s.connClosed(now, e.at, c)
 	}
 }
 
-// close ends a connection; closed, told of that later, gives back what it holds.
-func (s *Proxy) close(c *connstate.Conn) {
+// closeConn ends a connection; closed, told of that later, gives back what it holds.
+func (s *Proxy) closeConn(c *connstate.Conn) {
 	if !c.Closing {
 		s.conns.CountEnd(c)
 		if c.Connected {
@@ -192,8 +192,8 @@
 	}
 }
 
-// spare makes room by ending the connection that has been without work for longest.
-func (s *Proxy) spare(side connstate.Side, idle, fresh policy.Time) bool {
+// closeOldestIdle makes room by ending the connection that has been without work for longest.
+func (s *Proxy) closeOldestIdle(side connstate.Side, idle, fresh policy.Time) bool {
 	old := s.conns.OldestIdle(side, idle, fresh)
 	if old == nil || !old.Socket.CloseIfIdle(old) {
 		return false
@@ -202,8 +202,8 @@
 	return true
 }
 
-// closed gives back all that a connection held.
-func (s *Proxy) closed(now, at policy.Time, c *connstate.Conn) {
+// connClosed gives back all that a connection held.
+func (s *Proxy) connClosed(now, at policy.Time, c *connstate.Conn) {
 	if !s.conns.Remove(c) {
 		return
 	}
@@ -214,7 +214,7 @@
 		s.clientLeft(now, c)
 	case connstate.EndpointSide:
 		if !wasDead {
-			s.broke(at, c)
+			s.endpointClosed(at, c)
 		}
 	}
 	s.Timers.Stop(&c.Timer)
@@ -241,21 +241,21 @@
 // Released takes the request's buffers back.
 func (s *Proxy) Released(of *engine.Request) { connstate.AsRequest(of).ReleaseBuffers(s.buffers) }
 
-// part is what this front keeps of an endpoint.
-func (s *Proxy) part(of *engine.Endpoint) *connstate.Endpoint {
-	if of.FrontData[s.no] == nil {
-		of.FrontData[s.no] = &connstate.Endpoint{Endpoint: of}
+// endpointConns is what this front keeps of an endpoint.
+func (s *Proxy) endpointConns(of *engine.Endpoint) *connstate.Endpoint {
+	if of.FrontData[s.frontIndex] == nil {
+		of.FrontData[s.frontIndex] = &connstate.Endpoint{Endpoint: of}
 	}
-	return of.FrontData[s.no].(*connstate.Endpoint)
+	return of.FrontData[s.frontIndex].(*connstate.Endpoint)
 }
 
 // CloseIdle closes the connections to an endpoint that stand idle.
 func (s *Proxy) CloseIdle(of *engine.Endpoint) {
-	server := s.part(of)
+	server := s.endpointConns(of)
 	for len(server.Idle) > 0 {
 		c := server.Idle[len(server.Idle)-1]
 		server.Idle = server.Idle[:len(server.Idle)-1]
-		s.close(c)
+		s.closeConn(c)
 	}
 }
 
--- a/internal/httpproxy/sidecar_test.go
+++ b/internal/httpproxy/proxy_test.go
@@ -141,7 +141,7 @@
 	kept.receive()
 	slow.send("once/slow", "b", "")
 	time.Sleep(20 * time.Millisecond)
-	post := r.post
+	post := r.config
 	post.Source = discovery.NewPlatform(second.Addr().String(), false)
 	r.new <- post
 	first.Close()
@@ -167,7 +167,7 @@
 	if answer, _ := kept.receive(); answer.StatusCode != 200 {
 		t.Errorf("after settings of another shape: %d", answer.StatusCode)
 	}
-	changed := *r.post.Settings
+	changed := *r.config.Settings
 	changed.MaxRetryAfter = 2 * policy.Second
 	post.Settings = &changed
 	r.new <- post
@@ -181,8 +181,8 @@
 	}
 	second.mu.Unlock()
 	r.end()
-	if r.Counters.Reconfigurations != 3 || r.post.Settings.MaxRetryAfter != 2*policy.Second {
-		t.Errorf("renewed %d times, advice %d", r.Counters.Reconfigurations, r.post.Settings.MaxRetryAfter)
+	if r.Counters.Reconfigurations != 3 || r.config.Settings.MaxRetryAfter != 2*policy.Second {
+		t.Errorf("renewed %d times, advice %d", r.Counters.Reconfigurations, r.config.Settings.MaxRetryAfter)
 	}
 }
 
@@ -241,9 +241,9 @@
 	t.Helper()
 	r, _ := run(t, nil, "127.0.0.1:1")
 	r.end()
-	s := New(r.post, r.Logger)
+	s := New(r.config, r.Logger)
 	s.sockets.connect = func(string, policy.Time) (net.Conn, error) { return nil, net.ErrClosed }
-	_, _, entries, err := discovery.DecodeList(s.post.SavedList)
+	_, _, entries, err := discovery.DecodeList(s.config.SavedList)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -262,23 +262,23 @@
 	client, answers := connect(connstate.ClientSide)
 	server, pushes := connect(connstate.EndpointSide)
 	for _, one := range s.Endpoints {
-		server.Endpoint = s.part(one)
-		s.park(1, server)
+		server.Endpoint = s.endpointConns(one)
+		s.keepIdle(1, server)
 	}
 	request := []byte("GET /step/a HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Route-Key: k\r\nX-Timeout: 1\r\n\r\n")
 	answer := []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	now := s.Clock.Now()
 	once := func() {
-		now += restFor + 5*policy.Millisecond
+		now += restTime + 5*policy.Millisecond
 		buf := s.buffers.Get(connstate.SmallBuffer)
 		buf.B = append(buf.B, request...)
 		client.Input.Buffer = s.buffers.Join(client.Input.Buffer, buf)
-		s.fromClient(now, now, client)
+		s.readRequests(now, now, client)
 		s.Round(now)
 		buf = s.buffers.Get(connstate.SmallBuffer)
 		buf.B = append(buf.B, answer...)
 		server.Input.Buffer = s.buffers.Join(server.Input.Buffer, buf)
-		s.fromEndpoint(now+policy.Millisecond, now+policy.Millisecond, server)
+		s.readResponse(now+policy.Millisecond, now+policy.Millisecond, server)
 		s.Round(now + policy.Millisecond)
 	}
 	for range 500 {
@@ -303,17 +303,17 @@
 	for i := range 4 {
 		c, k := connect(connstate.EndpointSide)
 		for _, one := range s.Endpoints {
-			c.Endpoint, c.Used = s.part(one), true
+			c.Endpoint, c.Used = s.endpointConns(one), true
 		}
-		s.park(now+policy.Time(i)*policy.Millisecond, c)
+		s.keepIdle(now+policy.Time(i)*policy.Millisecond, c)
 		idle, all = append(idle, k), append(all, c)
 	}
 	idle[2].noisy = true
 	buf := s.buffers.Get(connstate.SmallBuffer)
 	buf.B = append(buf.B, "GET /step/a HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Timeout: 1\r\n\r\n"...)
 	client.Input.Buffer = buf
-	now += 2*policy.Millisecond + restFor // the last is not rested yet, the one before is noisy
-	s.fromClient(now, now, client)
+	now += 2*policy.Millisecond + restTime // the last is not rested yet, the one before is noisy
+	s.readRequests(now, now, client)
 	s.Round(now)
 	if len(idle[1].last) == 0 || len(idle[0].last)+len(idle[2].last)+len(idle[3].last) > 0 || !all[2].Closing || all[3].Closing {
 		t.Errorf("sent on %q, %q, %q, %q", idle[0].last, idle[1].last, idle[2].last, idle[3].last)
@@ -333,10 +333,10 @@
 		rnd := rand.New(rand.NewSource(seed))
 		client, _ := connect(connstate.ClientSide)
 		server, _ := connect(connstate.EndpointSide)
-		client.Timer.Run = func(now policy.Time) { s.clientDue(now, client) }
+		client.Timer.Run = func(now policy.Time) { s.clientTimerDue(now, client) }
 		for _, one := range s.Endpoints {
-			server.Endpoint, server.Generation = s.part(one), one.Generation // dialled to it as it stands now
-			s.park(now, server)
+			server.Endpoint, server.Generation = s.endpointConns(one), one.Generation // dialled to it as it stands now
+			s.keepIdle(now, server)
 			break
 		}
 		for range 6 {
@@ -365,12 +365,12 @@
 			c := []*connstate.Conn{client, server}[rnd.Intn(2)]
 			buf := s.buffers.Get(len(in))
 			buf.B = append(buf.B, in...)
-			s.happened(now, event{what: arrived, conn: c, buf: buf, at: now})
+			s.handleEvent(now, event{kind: eventData, conn: c, buf: buf, at: now})
 			s.RunSteps(now)
 			s.Round(now)
 		}
 		for _, c := range []*connstate.Conn{client, server} {
-			s.happened(now, event{what: closed, conn: c, at: now})
+			s.handleEvent(now, event{kind: eventClosed, conn: c, at: now})
 			s.RunSteps(now)
 			s.Round(now)
 		}
--- a/internal/httpproxy/reports.go
+++ b/internal/httpproxy/reports.go
@@ -7,8 +7,8 @@
 	"pepperlead/internal/connstate"
 )
 
-// each hands over the counters, and what is held now.
-func (s *Proxy) each(line func(name string, n int64, rises bool)) {
+// eachFigure hands over the counters, and what is held now.
+func (s *Proxy) eachFigure(line func(name string, n int64, rises bool)) {
 	s.Counters.Each(func(name string, n int64) { line(name, n, true) })
 	refused := int64(0)
 	if _, why := s.ListStatus(); why != "" {
@@ -29,7 +29,7 @@
 
 func (s *Proxy) report() string {
 	var b strings.Builder
-	s.each(func(name string, n int64, _ bool) { fmt.Fprintf(&b, "%s %d\n", name, n) })
+	s.eachFigure(func(name string, n int64, _ bool) { fmt.Fprintf(&b, "%s %d\n", name, n) })
 	return b.String()
 }
 
@@ -45,12 +45,12 @@
 
 // ServersReport is the list as it stands.
 func (s *Proxy) ServersReport() (report string) {
-	s.RunOnLoop(func() { report = s.endpoints() })
+	s.RunOnLoop(func() { report = s.endpointList() })
 	return report
 }
 
 // Ready tells whether this process can serve: it listens, a list of endpoints is known, and it is not about to end.
-func (s *Proxy) Ready() bool { return s.serves.Load() && s.Tally.HasList.Load() }
+func (s *Proxy) Ready() bool { return s.serving.Load() && s.Tally.HasList.Load() }
 
 // EachMetric hands over each counter, and each figure that goes up and down.
 func (s *Proxy) EachMetric(each func(name string, value float64, rises bool)) {
@@ -60,7 +60,9 @@
 		rises bool
 	}
 	var all []figure
-	s.RunOnLoop(func() { s.each(func(name string, n int64, rises bool) { all = append(all, figure{name, n, rises}) }) })
+	s.RunOnLoop(func() {
+		s.eachFigure(func(name string, n int64, rises bool) { all = append(all, figure{name, n, rises}) })
+	})
 	for _, f := range all {
 		each(f.name, float64(f.n), f.rises)
 	}
--- a/internal/httpproxy/replies.go
+++ b/internal/httpproxy/responses.go
@@ -6,8 +6,8 @@
 	"pepperlead/policy"
 )
 
-// answer takes the client off a request that is being answered; nil if it has left.
-func (s *Proxy) answer(now policy.Time, t *connstate.Request, kind int) *connstate.Conn {
+// detachClient takes the client off a request that is being answered; nil if it has left.
+func (s *Proxy) detachClient(now policy.Time, t *connstate.Request, kind int) *connstate.Conn {
 	c := t.Client
 	t.Client = nil
 	s.requests.Remove(t)
@@ -29,8 +29,8 @@
 	if t.Response.Status != 200 {
 		kind = 1
 	}
-	if c := s.answer(now, t, kind); c != nil {
-		last := t.CloseAfter || s.ending()
+	if c := s.detachClient(now, t, kind); c != nil {
+		last := t.CloseAfter || s.closesAfterResponse()
 		if kind == 0 {
 			s.Counters.Succeeded++
 		} else {
@@ -38,7 +38,7 @@
 			s.Counters.Declined++
 			last = true
 		}
-		s.scratch = AppendSuccess(s.scratch[:0], t.Response.Status, t.Response.Head, len(t.Response.Body), last)
+		s.scratch = appendResponseHead(s.scratch[:0], t.Response.Status, t.Response.Head, len(t.Response.Body), last)
 		if len(t.Response.Body) <= connstate.SmallBuffer {
 			s.scratch = append(s.scratch, t.Response.Body...)
 			s.write(c, s.scratch)
@@ -46,23 +46,23 @@
 			s.write(c, s.scratch)
 			s.write(c, t.Response.Body)
 		}
-		s.free(now, c, last)
+		s.responseSent(now, c, last)
 	}
 }
 
 // Reject and Fail answer for the module.
 func (s *Proxy) Reject(now policy.Time, of *engine.Request, retryIn policy.Time) {
 	t := connstate.AsRequest(of)
-	if c := s.answer(now, t, 2); c != nil {
+	if c := s.detachClient(now, t, 2); c != nil {
 		s.Counters.Rejected++
-		s.own(now, c, 503, "turned back\n", retryIn, t.CloseAfter)
+		s.respond(now, c, 503, "turned back\n", retryIn, t.CloseAfter)
 	}
 }
 
 func (s *Proxy) Fail(now policy.Time, of *engine.Request) {
 	t := connstate.AsRequest(of)
-	if c := s.answer(now, t, 3); c != nil {
+	if c := s.detachClient(now, t, 3); c != nil {
 		s.Counters.Failed++
-		s.own(now, c, 502, "given up\n", 0, t.CloseAfter)
+		s.respond(now, c, 502, "given up\n", 0, t.CloseAfter)
 	}
 }
--- a/internal/httpproxy/stream_test.go
+++ b/internal/httpproxy/stream_test.go
@@ -25,16 +25,16 @@
 		f.Add([]byte(in), int64(3))
 	}
 	f.Fuzz(func(t *testing.T, in []byte, seed int64) {
-		used, _, ok := chunks(in, mostBody)
+		used, _, ok := measureChunks(in, maxBody)
 		whole := ok && used > 0
 		var want []byte
 		if whole {
-			want = bytes.Clone(unchunk(bytes.Clone(in[:used])))
+			want = bytes.Clone(joinChunks(bytes.Clone(in[:used])))
 		}
-		rnd, frame, got := rand.New(rand.NewSource(seed)), frameOf(-1, true), []byte(nil)
+		rnd, frame, got := rand.New(rand.NewSource(seed)), newFrame(-1, true), []byte(nil)
 		for at := 0; at < len(in); {
 			part := bytes.Clone(in[at:min(len(in), at+1+rnd.Intn(9))])
-			n, took, done, fine := takeBody(&frame, part)
+			n, took, done, fine := decodeBody(&frame, part)
 			got = append(got, part[:n]...)
 			at += took
 			if done != (done && fine) || !fine && whole {
@@ -146,7 +146,7 @@
 				if [32]byte(h.Sum(nil)) != sum(long) {
 					t.Error("not the bytes that the server sent")
 				}
-				if most > mostAhead+3*connstate.LargeBuffer {
+				if most > maxPendingBytes+3*connstate.LargeBuffer {
 					t.Errorf("%d bytes were held", most)
 				}
 			}
