--- a/policy/random.go
+++ b/policy/random.go
@@ -1,19 +1,34 @@
 package policy
 
-// chance is a multiply-with-carry generator.
-type chance struct{ x, carry uint32 }
+// randomSource is a multiply-with-carry generator: small, seeded, and the same on every machine.
+type randomSource struct{ state, carry uint32 }
 
-// newChance starts a generator. Seeds that are near each other give first draws that are near: mix them before.
-func newChance(seed uint64) chance {
-	return chance{uint32(seed) | 1, uint32(seed>>32)%4294957664 + 1}
+const (
+	multiplier = 4294957665
+	maxCarry   = multiplier - 1
+)
+
+// newRandomSource starts a generator. Similar seeds give similar first draws: mix them before.
+func newRandomSource(seed uint64) randomSource {
+	return randomSource{
+		state: uint32(seed) | 1,
+		carry: uint32(seed>>32)%maxCarry + 1,
+	}
 }
 
 // next draws 32 bits.
-func (c *chance) next() uint32 {
-	v := uint64(c.x)*4294957665 + uint64(c.carry)
-	c.x, c.carry = uint32(v), uint32(v>>32)
-	return c.x
+func (r *randomSource) next() uint32 {
+	product := uint64(r.state)*multiplier + uint64(r.carry)
+	r.state = uint32(product)
+	r.carry = uint32(product >> 32)
+	return r.state
 }
 
-// part draws a number of at least 0 and under 1.
-func (c *chance) part() float64 { return float64(c.next()) / (1 << 32) }
+// fraction draws a number of at least 0 and under 1.
+func (r *randomSource) fraction() float64 { return float64(r.next()) / (1 << 32) }
+
+// next64 draws 64 bits.
+func (r *randomSource) next64() uint64 {
+	high := uint64(r.next()) << 32
+	return high | uint64(r.next())
+}
--- a/policy/types.go
+++ b/policy/types.go
@@ -3,78 +3,108 @@
 // Time is a moment or a span in whole nanoseconds; moments count from an arbitrary start.
 type Time int64
 
+// Spans of time.
 const (
 	Millisecond Time = 1e6
 	Second      Time = 1e9
 )
 
-type (
-	EndpointID uint64 // an endpoint, the same at every instance and over its restarts
-	Zone       string // a data centre
-	Cell       int32  // a pod: a small group of endpoints
-	ClassID    int32  // place in Settings.Classes
-	TenantID   int32  // place in Settings.Tenants; NoTenant where unknown
-	AttemptNo  int32  // number of an attempt of one request, from 0
-	Handle     uint64 // a request in hand: generation in the upper half, place in the lower
-)
+// EndpointID names an endpoint; it is the same at every instance and over the endpoint's restarts.
+type EndpointID uint64
+
+// Zone names a data centre.
+type Zone string
+
+// Cell numbers a small group of endpoints within a zone.
+type Cell int32
+
+// ClassID is the index of a class in Settings.Classes.
+type ClassID int32
+
+// TenantID is the index of a tenant in Settings.Tenants.
+type TenantID int32
+
+// AttemptNo is the number of an attempt of one request, from 0.
+type AttemptNo int32
 
 const (
+	// NoTenant stands for an unknown tenant.
 	NoTenant TenantID = -1
-	NoClass  ClassID  = -1
+	// NoClass stands for an unknown class.
+	NoClass ClassID = -1
 )
 
-// Place is the slab place behind a handle; it is reused once the request is let go.
+// Handle names a request in flight: its generation in the upper half, its place in the pool in the lower.
+type Handle uint64
+
+// Place is the request's index in the pool; it is reused once the request is released.
 func (h Handle) Place() int { return int(uint32(h)) }
 
+func (h Handle) generation() uint32 { return uint32(h >> 32) }
+
+func newHandle(generation, index uint32) Handle {
+	return Handle(uint64(generation)<<32 | uint64(index))
+}
+
 // Outcome is how an attempt ended.
 type Outcome uint8
 
+// Outcomes of an attempt.
 const (
 	Succeeded      Outcome = iota
 	Errored                // error answer; may have run
-	Rejected               // never looked at; never ran
-	TimedOut               // may have run, or be running
+	Rejected               // rejected unprocessed; never ran
+	TimedOut               // may have run, or still be running
 	NotConnected           // never ran
 	ConnectionLost         // may have run
-	Cancelled              // cancelled; may have run
+	Cancelled              // cancelled by this instance; may have run
 	NotSent                // never ran
-	Declined               // the endpoint cannot use the request, and says why; no sign of its state
+	Declined               // a client error: no sign of the endpoint's state
 )
 
-// Idempotency says what may be done with a request that may have run.
+// mayHaveRun reports whether the endpoint may have processed an attempt that ended so.
+func (o Outcome) mayHaveRun() bool {
+	return o != Rejected && o != NotConnected && o != NotSent
+}
+
+// Idempotency says whether a request that may have run can be sent again.
 type Idempotency uint8
 
+// Kinds of idempotency.
 const (
-	Idempotent Idempotency = iota
-	Keyed
-	NonIdempotent
+	Idempotent    Idempotency = iota
+	Keyed                     // endpoints of the class's group recognise a repeat by its idempotency key
+	NonIdempotent             // never sent again once it may have run
 )
 
-// Group is the set of endpoints that drop repeats of a keyed request.
+// Group is the set of endpoints that recognise repeats of a keyed request.
 type Group uint8
 
+// Groups of endpoints.
 const (
 	GroupAll Group = iota
 	GroupZone
 	GroupCell
 )
 
-// EndpointStatus is what the list says of an endpoint.
+// EndpointStatus is what the endpoint list says of an endpoint.
 type EndpointStatus uint8
 
+// Statuses of an endpoint.
 const (
 	Ready EndpointStatus = iota
 	Draining
 	Gone
 )
 
-// ListKind tells how the entries of a list apply.
+// ListKind says how the entries of an endpoint list apply.
 type ListKind uint8
 
+// Kinds of endpoint lists.
 const (
-	ListChanges ListKind = iota
-	ListFull
-	ListSaved
+	ListChanges ListKind = iota // only the entries that changed
+	ListFull                    // every endpoint of the fleet
+	ListSaved                   // a full list kept from an earlier run
 )
 
 // Member is an endpoint as the list names it.
@@ -86,59 +116,3 @@
 	Status  EndpointStatus
 	Started Time // 0: long ago
 }
-
-// Class is a kind of request.
-type Class struct {
-	Name        string
-	Value       float64
-	LateValue   float64 // part of the value left between target latency and deadline
-	Target      Time
-	Deadline    Time // a client's patience over all its tries
-	Idempotency Idempotency
-	Group       Group
-	Window      Time
-}
-
-// Tenant is a tenant with a share of the fleet.
-type Tenant struct {
-	Name  string
-	Quota float64 // requests a second over all instances
-}
-
-// Settings is all that an instance is told at its start.
-type Settings struct {
-	Instances            int
-	Zone                 Zone
-	Zones                int
-	Classes              []Class
-	Tenants              []Tenant
-	TotalQuota           float64 // of all tenants
-	OverQuotaValue       float64 // part of the value left beyond a tenant's share
-	FixedWeights         bool    // weights hold still and mean size
-	PollList             bool    // the list comes only when asked for
-	PollWithin           Time
-	MayCancel            bool
-	MaxAttempts          int
-	StreamsPerConnection int  // attempts that one connection carries at once
-	MaxRetryAfter        Time // longest retry advice that is heeded; 0 where none is allowed
-	CrossZonePrice       float64
-	Tick                 Time
-	ColdCapacity         float64
-	ColdTime             Time
-	OverloadMultiple     float64
-	OverloadWindow       Time // over which what is sent to a cold endpoint counts; 0: a second
-}
-
-// Front is what the module asks of its surroundings.
-type Front interface {
-	Attempt(h Handle, s EndpointID, wait Time)
-	Cancel(h Handle, n AttemptNo)
-	Succeed(h Handle, n AttemptNo) // hands on the endpoint's answer, also one that declines
-	Reject(h Handle, retryIn Time)
-	Fail(h Handle)
-	Wake(in Time)
-	FollowList(on bool)
-	Release(s EndpointID) // connections to it that carry nothing may close
-	Forget(s EndpointID)  // gone for good; should the id come again, it is a new endpoint
-	Log(line string)
-}
