--- a/internal/golden/commands.go
+++ b/internal/golden/commands.go
@@ -1,17 +1,17 @@
 package golden
 
 import (
+	"bytes"
 	"fmt"
-	"io"
 	"strings"
 
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
 )
 
-// Commands writes the command and all below it: how each is called, and of its flags the names, the kinds of the values and the
-// defaults, without what helps say.
-func Commands(out io.Writer, command *cobra.Command) {
+// Commands writes the command and all below it: how each is called, and of its flags the names, the kinds of the
+// values and the defaults, without what helps say.
+func Commands(out *bytes.Buffer, command *cobra.Command) {
 	usage := strings.TrimPrefix(command.Use, command.Name())
 	fmt.Fprintf(out, "%s%s", command.CommandPath(), usage)
 	if len(command.Aliases) > 0 {
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,4 +1,5 @@
-// Package golden helps tests that hold what the program writes and reads to what it wrote and read before. Only tests import it.
+// Package golden helps tests that hold what the program writes and reads to what it wrote and read before. Only tests
+// import it.
 package golden
 
 import (
@@ -14,37 +15,45 @@
 	"time"
 )
 
-// rewrite is the environment variable that, set to 1, has Compare write the files in place of reading them.
-const rewrite = "PEPPERLEAD_WRITE_GOLDEN"
+// writeMissing is the environment variable that, set to 1, has golden files written that do not exist yet. Those that
+// exist are never changed.
+const writeMissing = "PEPPERLEAD_WRITE_GOLDEN"
 
 // Compare fails the test unless what it got is, to the byte, what the file of that name in testdata holds.
 func Compare(t testing.TB, name string, got []byte) {
 	t.Helper()
-	path := filepath.Join("testdata", name)
-	if os.Getenv(rewrite) == "1" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want := Read(t, name)
+	want := ReadOrWrite(t, name, got)
 	if bytes.Equal(got, want) {
 		return
 	}
-	gotLines, wantLines := strings.Split(string(got), "\n"), strings.Split(string(want), "\n")
+	gotLines := strings.Split(string(got), "\n")
+	wantLines := strings.Split(string(want), "\n")
 	for i := range max(len(gotLines), len(wantLines)) {
 		gotLine, wantLine := lineAt(gotLines, i), lineAt(wantLines, i)
 		if gotLine != wantLine {
-			t.Errorf("%s, line %d: got %.200s, want %.200s (%s=1 writes the file anew)", path, i+1, gotLine, wantLine, rewrite)
+			t.Errorf("%s, line %d: got %.200s, want %.200s", name, i+1, gotLine, wantLine)
 			return
 		}
 	}
 }
 
-// Read gives what the file of that name in testdata holds.
+// ReadOrWrite returns what the golden file holds. One that does not exist is written first where the environment asks
+// for it.
+func ReadOrWrite(t testing.TB, name string, content []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if _, err := os.Stat(path); os.IsNotExist(err) && os.Getenv(writeMissing) == "1" {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, content, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return Read(t, name)
+}
+
+// Read returns what the file of that name in testdata holds.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join("testdata", name))
@@ -61,8 +70,8 @@
 	return "the end"
 }
 
-// Fill gives every exported field below the pointer a value of its own: numbers count up, texts are numbered, slices and maps
-// get one element, booleans become true. The values depend on the order of the fields, not on their names.
+// Fill gives every exported field below the pointer a value of its own: numbers count up, texts are numbered, slices
+// and maps get one element, booleans become true. The values depend on the order of the fields, not on their names.
 func Fill(pointer any) {
 	count := 0
 	fill(reflect.ValueOf(pointer).Elem(), &count)
@@ -91,7 +100,8 @@
 			fill(v.Index(i), count)
 		}
 	case reflect.Map:
-		key, element := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+		key := reflect.New(v.Type().Key()).Elem()
+		element := reflect.New(v.Type().Elem()).Elem()
 		fill(key, count)
 		fill(element, count)
 		v.Set(reflect.MakeMap(v.Type()))
@@ -109,8 +119,8 @@
 	}
 }
 
-// Values writes all values below one, a line each, in the order of their fields. No name of a field or a type is in it, so that
-// renaming one changes nothing.
+// Values writes all values below one, a line each, in the order of their fields. No name of a field or a type is in
+// it, so that renaming one changes nothing.
 func Values(value any) []byte {
 	var out bytes.Buffer
 	values(&out, reflect.ValueOf(value), "")
