--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -53,19 +53,37 @@
 
 func (w *World) faultBegins(e *event) {
 	f := &w.faults[e.a]
-	r := stream(w.seed, "fault", int(e.a))
+	w.chooseVictims(f, stream(w.seed, "fault", int(e.a)))
+	for _, s := range f.instances {
+		s.stop()
+	}
+	switch f.Kind {
+	case ListBehind:
+		w.listsDelayedUntil = max(w.listsDelayedUntil, w.now+f.Duration)
+	case Burst:
+		w.burstFactor *= f.Size
+	case HotKey:
+		w.hotKeyShare = f.Size
+	case Pauses:
+		w.queue.add(event{at: w.now, rank: rankWorld, do: (*World).pause, a: e.a})
+	case Shrink, Rolling:
+		w.queue.add(event{at: w.now, rank: rankWorld, do: (*World).drainNext, a: e.a})
+	case Grow:
+		w.growFleet(f.Count)
+	default:
+		w.breakEndpoints(f)
+	}
+	ends := f.Duration > 0 && f.Kind != Shrink && f.Kind != Rolling && f.Kind != Grow
+	if ends {
+		w.queue.add(event{at: w.now + f.Duration, rank: rankWorld, do: (*World).faultEnds, a: e.a})
+	}
+}
+
+// chooseVictims chooses the endpoints and instances that a fault affects.
+func (w *World) chooseVictims(f *fault, r *rand.Rand) {
 	switch f.Kind {
 	case ZoneLost:
-		for _, v := range w.endpoints {
-			if v.zone == f.Zone && v.status != policy.Gone {
-				f.endpoints = append(f.endpoints, v)
-			}
-		}
-		for _, s := range w.instances {
-			if f.IncludeInstances && s.zone == f.Zone && s.alive {
-				f.instances = append(f.instances, s)
-			}
-		}
+		w.chooseZone(f)
 	case SidecarRestart:
 		f.instances = chooseAffected(&f.Fault, r, w.instances, func(s *instance) bool {
 			return s.alive && (f.Zone == "" || f.Zone == s.zone)
@@ -79,112 +97,119 @@
 	if f.Kind == Rolling {
 		slices.SortFunc(f.endpoints, func(a, b *endpoint) int { return int(a.number - b.number) })
 	}
-	for _, s := range f.instances {
-		s.stop()
+}
+
+func (w *World) chooseZone(f *fault) {
+	for _, v := range w.endpoints {
+		if v.zone == f.Zone && v.status != policy.Gone {
+			f.endpoints = append(f.endpoints, v)
+		}
 	}
-	switch f.Kind {
-	case ZoneLost:
+	for _, s := range w.instances {
+		if f.IncludeInstances && s.zone == f.Zone && s.alive {
+			f.instances = append(f.instances, s)
+		}
+	}
+}
+
+// breakEndpoints begins a fault at the endpoints that it affects.
+func (w *World) breakEndpoints(f *fault) {
+	if f.Kind == ZoneLost {
 		w.lostZones[f.Zone]++
-		for _, v := range f.endpoints {
+	}
+	for _, v := range f.endpoints {
+		switch f.Kind {
+		case ZoneLost:
 			v.becomeUnreachable(f.Cold)
-		}
-	case Silent:
-		for _, v := range f.endpoints {
+		case Silent:
 			v.silentFaults++
 			v.becomeUnreachable(f.Cold)
-		}
-	case Crash:
-		for _, v := range f.endpoints {
+		case Crash:
 			v.stop()
 			w.statusChanged(v, policy.Gone, true)
-		}
-	case Slow, AllSlow:
-		for _, v := range f.endpoints {
+		case Slow, AllSlow:
 			v.slowFactors = append(v.slowFactors, f.Size)
 			v.applySlowFactors()
-		}
-	case Errors:
-		for _, v := range f.endpoints {
+		case Errors:
 			v.errorRate = f.Size
-		}
-	case Pauses:
-		w.queue.add(event{at: w.now, rank: rankWorld, do: (*World).pause, a: e.a})
-	case PodThrottled:
-		for _, v := range f.endpoints {
-			if p := v.pod; p.limitFactor == 1 {
-				if p.limit == 0 {
-					for _, one := range p.endpoints {
-						p.limit += one.traits.Cores
-					}
-				}
-				p.limitFactor = f.Size
-				v.advance()
-			}
-		}
-	case ListBehind:
-		w.listsDelayedUntil = max(w.listsDelayedUntil, w.now+f.Duration)
-	case Burst:
-		w.burstFactor *= f.Size
-	case HotKey:
-		w.hotKeyShare = f.Size
-	case Shrink, Rolling:
-		w.queue.add(event{at: w.now, rank: rankWorld, do: (*World).drainNext, a: e.a})
-	case Grow:
-		for range f.Count {
-			v := w.newEndpoint(&w.scenario.Kinds[len(w.endpoints)%len(w.scenario.Kinds)], w.now)
-			v.knownStatus = policy.Gone // not heard of yet
-			w.statusChanged(v, policy.Ready, true)
+		case PodThrottled:
+			v.throttlePod(f.Size)
 		}
 	}
-	if f.Duration > 0 && f.Kind != Shrink && f.Kind != Rolling && f.Kind != Grow {
-		w.queue.add(event{at: w.now + f.Duration, rank: rankWorld, do: (*World).faultEnds, a: e.a})
+}
+
+// growFleet adds endpoints that discovery learns of later.
+func (w *World) growFleet(count int) {
+	for range count {
+		v := w.newEndpoint(&w.scenario.Kinds[len(w.endpoints)%len(w.scenario.Kinds)], w.now)
+		v.knownStatus = policy.Gone
+		w.statusChanged(v, policy.Ready, true)
 	}
 }
 
+// throttlePod leaves a part of its pod's cores, once for the pod. A pod without a limit has one of all its cores from then on.
+func (s *endpoint) throttlePod(part float64) {
+	p := s.pod
+	if p.limitFactor != 1 {
+		return
+	}
+	if p.limit == 0 {
+		for _, v := range p.endpoints {
+			p.limit += v.traits.Cores
+		}
+	}
+	p.limitFactor = part
+	s.advance()
+}
+
 func (w *World) faultEnds(e *event) {
 	f := &w.faults[e.a]
 	switch f.Kind {
-	case ZoneLost:
+	case Burst:
+		w.burstFactor /= f.Size
+	case HotKey:
+		w.hotKeyShare = 0
+	default:
+		w.repairEndpoints(f)
+	}
+	for _, s := range f.instances {
+		s.start(policy.ListSaved)
+	}
+}
+
+// repairEndpoints ends a fault at the endpoints that it affects.
+func (w *World) repairEndpoints(f *fault) {
+	if f.Kind == ZoneLost {
 		w.lostZones[f.Zone]--
-		for _, v := range f.endpoints {
+	}
+	for _, v := range f.endpoints {
+		switch f.Kind {
+		case ZoneLost:
 			v.becomeReachable()
-		}
-	case Silent:
-		for _, v := range f.endpoints {
+		case Silent:
 			v.silentFaults--
 			v.becomeReachable()
-		}
-	case Crash:
-		for _, v := range f.endpoints {
+		case Crash:
 			if v.down {
 				v.start()
 				w.statusChanged(v, policy.Ready, true)
 			}
-		}
-	case Slow, AllSlow:
-		for _, v := range f.endpoints {
-			if i := slices.Index(v.slowFactors, f.Size); i >= 0 {
-				v.slowFactors = slices.Delete(v.slowFactors, i, i+1)
-			}
-			v.applySlowFactors()
-		}
-	case Errors:
-		for _, v := range f.endpoints {
+		case Slow, AllSlow:
+			v.endSlowFactor(f.Size)
+		case Errors:
 			v.errorRate = 0
-		}
-	case PodThrottled:
-		for _, v := range f.endpoints {
+		case PodThrottled:
 			v.pod.limitFactor = 1
 			v.advance()
 		}
-	case Burst:
-		w.burstFactor /= f.Size
-	case HotKey:
-		w.hotKeyShare = 0
 	}
-	for _, s := range f.instances {
-		s.start(policy.ListSaved)
+}
+
+func (s *endpoint) endSlowFactor(factor float64) {
+	if i := slices.Index(s.slowFactors, factor); i >= 0 {
+		s.slowFactors = slices.Delete(s.slowFactors, i, i+1)
 	}
+	s.applySlowFactors()
 }
 
 // becomeUnreachable is a machine that is cut off. dies: what is in it is lost, though nobody is told.
