--- a/internal/daemon/company.go
+++ b/internal/daemon/company.go
@@ -23,7 +23,7 @@
 	of    atomic.Pointer[membership.Cluster] // nil until it could be opened
 	stop  chan struct{}
 	ended sync.WaitGroup
-	rules *agreed // nil: the file's own
+	rules *leaseClient // nil: the file's own
 }
 
 // meet opens the company, and keeps what this sidecar tells of itself, and how many it shares budgets with, as it is. An address that is
@@ -32,8 +32,8 @@
 	a := &among{Proxy: s, post: post, stop: make(chan struct{})}
 	if own != nil {
 		s.UseAgreedRules(own, rand.Uint32())
-		a.rules = &agreed{among: a, heard: make(chan []byte, mostHeard)}
-		a.post.OnMessage = a.rules.hear
+		a.rules = newLeaseClient(s, &a.of)
+		a.post.OnMessage = a.rules.handleMessage
 		post = a.post
 		a.ended.Go(func() { a.rules.run(a.stop) })
 	}
@@ -70,7 +70,7 @@
 	if a.rules == nil {
 		return 0
 	}
-	return a.rules.version.Load()
+	return a.rules.revision.Load()
 }
 
 // PeersReport is who is there, one a line.
@@ -88,7 +88,7 @@
 		c.EachMetric(each)
 	}
 	if a.rules != nil {
-		a.rules.figures(each)
+		a.rules.eachMetric(each)
 	}
 }
 
--- /dev/null
+++ b/internal/daemon/coordinator.go
@@ -0,0 +1,142 @@
+package daemon
+
+import (
+	"fmt"
+	"os"
+	"os/signal"
+	"slices"
+	"syscall"
+
+	"github.com/sirupsen/logrus"
+
+	"pepperlead/internal/config"
+	"pepperlead/internal/coordinator"
+	"pepperlead/internal/membership"
+	"pepperlead/internal/ruleset"
+	"pepperlead/policy"
+)
+
+// ReadCoordinatorConfig reads a coordinator's settings file.
+func ReadCoordinatorConfig(path string) (*config.CoordinatorConfig, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	return config.ReadCoordinator(path, text)
+}
+
+// ValidateRules returns why a text is no revision, or can't follow the text in force, which is nil if there is none.
+// The error has a line for each fault.
+func ValidateRules(file string, text, inForce []byte) error {
+	next, err := config.ReadRules(file, text)
+	if err != nil || inForce == nil || next.Endpoints == nil {
+		return err
+	}
+	active, err := config.ReadRules("in force", inForce)
+	if err != nil || active.Endpoints == nil {
+		return nil // an older coordinator accepted a text that this one can't read
+	}
+	if !keepsReadyEndpoint(active, next) {
+		return fmt.Errorf("%s: server: found none that the version in force has ready too, "+
+			"allowed a change that keeps one: make it in two", file)
+	}
+	return nil
+}
+
+// keepsReadyEndpoint reports whether an endpoint is usable under both rules. While a change is in progress only such
+// endpoints are used, so a change without any would be an outage.
+func keepsReadyEndpoint(active, next *config.Rules) bool {
+	ready := map[policy.EndpointID]bool{}
+	for _, endpoint := range active.Endpoints {
+		ready[endpoint.ID] = endpoint.Status == policy.Ready
+	}
+	for _, endpoint := range next.Endpoints {
+		drained := slices.Contains(next.Drained, endpoint.ID) || slices.Contains(active.Drained, endpoint.ID)
+		if endpoint.Status == policy.Ready && ready[endpoint.ID] && !drained {
+			return true
+		}
+	}
+	return false
+}
+
+// assignSlots returns the encoded slot assignment of a text that follows the revision in force, nil if there is none.
+func assignSlots(text []byte, inForce *ruleset.Revision) []byte {
+	next, err := config.ReadRules("version", text)
+	if err != nil || next.Endpoints == nil {
+		return nil
+	}
+	var previousMembers []policy.Member
+	var previousTable []policy.EndpointID
+	if inForce != nil {
+		if active, err := config.ReadRules("in force", inForce.Text); err == nil {
+			previousMembers = membersOf(active.Endpoints)
+			previousTable = policy.DecodeTable(inForce.Table, previousMembers)
+		}
+	}
+	members := membersOf(next.Endpoints)
+	return policy.EncodeTable(policy.AssignSlots(previousTable, previousMembers, members), members)
+}
+
+// RunCoordinator runs a coordinator until the process gets a signal to end.
+func RunCoordinator(settings *config.CoordinatorConfig, log *logrus.Logger) error {
+	stop := make(chan os.Signal, 2)
+	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
+	key, err := membership.ReadKey(settings.Peers.KeyFile)
+	if err != nil {
+		return fmt.Errorf("peers.key_file: %w", err)
+	}
+	member, err := coordinator.Open(coordinatorConfig(settings, key), log)
+	if err != nil {
+		return fmt.Errorf("keep: %w", err)
+	}
+	defer member.Close()
+	server, err := coordinator.ListenAdmin(member)
+	if err != nil {
+		return fmt.Errorf("pages: %w", err)
+	}
+	defer func() { _ = server.Close() }() // the process ends
+	cluster, err := membership.Open(membership.Config{
+		Name:        settings.Name,
+		Cluster:     settings.Peers.Cluster,
+		Listen:      settings.Peers.Listen,
+		Advertise:   settings.Peers.Advertise,
+		Join:        settings.Peers.Join,
+		Key:         key,
+		Coordinator: true,
+		OnMessage:   member.HandleMessage,
+	}, log)
+	if err != nil {
+		return fmt.Errorf("peers: %w", err)
+	}
+	defer cluster.Close()
+	member.JoinCluster(cluster)
+	log.WithField("admin_address", server.Address).Info("coordinator started")
+	<-stop
+	log.Info("coordinator shutting down")
+	return nil
+}
+
+// coordinatorConfig returns the coordinator's configuration for its settings.
+func coordinatorConfig(settings *config.CoordinatorConfig, key []byte) coordinator.Config {
+	result := coordinator.Config{
+		Name:          settings.Name,
+		Directory:     settings.Directory,
+		Listen:        settings.Listen,
+		Cluster:       settings.Peers.Cluster,
+		Key:           key,
+		LeaseDuration: settings.Lease,
+		ClockDrift:    settings.Drift,
+		Validate: func(text, inForce []byte) error {
+			return ValidateRules("version", text, inForce)
+		},
+		AssignSlots: assignSlots,
+	}
+	for _, entry := range settings.Members {
+		result.Members = append(result.Members, coordinator.Member{
+			Name:         entry.Name,
+			RaftAddress:  entry.RaftAddress,
+			AdminAddress: entry.AdminAddress,
+		})
+	}
+	return result
+}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -110,7 +110,7 @@
 	if o.Membership != nil {
 		var own *engine.RuleSet
 		if o.AgreedRules {
-			own = ownVersion(o.Settings, o.Deadlines)
+			own = fileRuleSet(o.Settings, o.Deadlines)
 		}
 		company := meet(s, *o.Membership, own)
 		defer company.close()
