--- a/internal/emulator/attempt.go
+++ b/internal/emulator/attempt.go
@@ -7,9 +7,7 @@
 	"pepperlead/policy"
 )
 
-// What becomes of an attempt: on its way, at the server, on the way back, and what ends it before.
-
-// currentAttempt gives the try if the push that an event speaks of is the one that is out.
+// currentAttempt returns the try of an event if the event belongs to the attempt that is in flight.
 func (w *World) currentAttempt(e *event) *clientTry {
 	t := &w.tries[e.a]
 	if !t.inUse || !t.inFlight || t.attemptID != e.c {
@@ -18,46 +16,73 @@
 	return t
 }
 
-// attemptArrived is a push as its last byte reaches the server.
+// attemptArrived runs when the last byte of an attempt reaches the endpoint.
 func (w *World) attemptArrived(e *event) {
 	t := w.currentAttempt(e)
 	if t == nil {
-		return // cut off on its way: it never reaches the server whole
+		return // ended on its way: it never arrives complete
 	}
 	v := t.endpoint
-	if e.b == 1 && !v.unreachable() && !v.down {
+	newConnection := e.b == 1
+	if newConnection && !v.unreachable() && !v.down {
 		if !v.machine.AcceptsConnection() {
-			w.queue.add(event{at: w.now + w.transit(v.zone, t.instance.zone), rank: rankAttemptEnd, do: (*World).connectFailed, a: e.a, c: e.c})
+			w.notifyInstance(e, t, (*World).connectFailed)
 			return
 		}
 		v.machine.AddConnections(w.now, 1)
 	}
 	if !t.written {
 		if v.unreachable() {
-			return // the connection never came up; the time-out finds it
+			return // the connection never came up; the timeout ends the attempt
 		}
 		t.written = true
 		w.judge.AttemptWritten(t.judged, t.judgedAttempt)
 	}
 	switch {
 	case v.unreachable():
-		return // nobody hears it
+		return // nothing answers
 	case v.down:
-		w.queue.add(event{at: w.now + w.transit(v.zone, t.instance.zone), rank: rankAttemptEnd, do: (*World).connectionReset, a: e.a, c: e.c})
+		w.notifyInstance(e, t, (*World).connectionReset)
 		return
 	}
+	w.beginJob(e, t, newConnection)
+}
+
+// notifyInstance plans what the instance sees after the transit from the endpoint.
+func (w *World) notifyInstance(e *event, t *clientTry, do func(w *World, e *event)) {
+	at := w.now + w.transit(t.endpoint.zone, t.instance.zone)
+	w.queue.add(event{at: at, rank: rankAttemptEnd, do: do, a: e.a, c: e.c})
+}
+
+// beginJob hands the work of an attempt to its endpoint.
+func (w *World) beginJob(e *event, t *clientTry, newConnection bool) {
+	v := t.endpoint
 	q := &w.requests[t.request]
 	o := &w.scenario.Classes[q.class]
 	work := policy.Time(float64(o.Work) * q.workFactor)
 	v.advance()
 	if v.machine.Cold(w.now) && v.traits.OverloadMultiple > 0 {
-		w.judge.ColdWorkArrived(w.sinceStart(w.now), t.instance.number, v.number, v.started, float64(work), v.traits.Cores*v.traits.Speed*v.machine.Warmth(w.now))
+		w.judge.ColdWorkArrived(
+			w.sinceStart(w.now),
+			t.instance.number,
+			v.number,
+			v.started,
+			float64(work),
+			v.traits.Cores*v.traits.Speed*v.machine.Warmth(w.now),
+		)
 	}
 	if v.status != policy.Ready {
 		w.sendResult(e.a, t, policy.Rejected)
 		return
 	}
-	job, in := v.machine.Arrive(w.now, uint64(e.a)<<32|e.c&math.MaxUint32, q.key, work, policy.Time(float64(o.IO)*q.ioFactor), e.b == 1)
+	job, in := v.machine.Arrive(
+		w.now,
+		uint64(e.a)<<32|e.c&math.MaxUint32,
+		q.key,
+		work,
+		policy.Time(float64(o.IO)*q.ioFactor),
+		newConnection,
+	)
 	if v.machine.Overloaded() {
 		v.overload()
 		return
@@ -70,11 +95,22 @@
 	v.advance()
 }
 
-// overload is a cold server that was sent too much: it is down, and comes back cold after a while.
+// restartTime is how long an endpoint that was overloaded stays down.
+const restartTime = 20 * policy.Second
+
+// overload takes a cold endpoint down that was sent too much. It comes back cold after restartTime.
 func (s *endpoint) overload() {
 	s.stop()
 	s.world.statusChanged(s, policy.Gone, false)
-	s.world.queue.add(event{at: s.world.now + 20*policy.Second, rank: rankWorld, do: (*World).revive, a: int32(s.number), c: uint64(s.incarnation)})
+	s.world.queue.add(
+		event{
+			at:   s.world.now + restartTime,
+			rank: rankWorld,
+			do:   (*World).revive,
+			a:    int32(s.number),
+			c:    uint64(s.incarnation),
+		},
+	)
 }
 
 func (w *World) revive(e *event) {
@@ -84,12 +120,21 @@
 	}
 }
 
-// sendResult sends a server's answer on its way.
+// sendResult sends an endpoint's response on its way.
 func (w *World) sendResult(i int32, t *clientTry, o policy.Outcome) {
-	w.queue.add(event{at: w.now + w.transit(t.endpoint.zone, t.instance.zone), rank: rankAttemptEnd, do: (*World).resultArrived, a: i, b: int32(o), c: t.attemptID})
+	w.queue.add(
+		event{
+			at:   w.now + w.transit(t.endpoint.zone, t.instance.zone),
+			rank: rankAttemptEnd,
+			do:   (*World).resultArrived,
+			a:    i,
+			b:    int32(o),
+			c:    t.attemptID,
+		},
+	)
 }
 
-// jobDone is a server's job that is done.
+// jobDone handles a job that an endpoint has finished.
 func (w *World) jobDone(v *endpoint, d machine.Done) {
 	i := int32(d.Owner >> 32)
 	t := &w.tries[i]
@@ -108,19 +153,27 @@
 	w.sendResult(i, t, o)
 }
 
-// resultArrived is a server's answer as it comes to the sidecar.
+// resultArrived runs when an endpoint's response reaches the instance.
 func (w *World) resultArrived(e *event) {
 	if t := w.currentAttempt(e); t != nil {
 		if t.endpoint.unreachable() {
 			return // lost on the way
 		}
 		t.instance.idleConnections[t.endpoint.number] = append(t.instance.idleTo(t.endpoint), w.now)
-		w.queue.add(event{at: w.now + w.scenario.Network.IdleTimeout, rank: rankWorld, do: (*World).idleTimeout, a: int32(t.instance.number), b: int32(t.endpoint.number)})
+		w.queue.add(
+			event{
+				at:   w.now + w.scenario.Network.IdleTimeout,
+				rank: rankWorld,
+				do:   (*World).idleTimeout,
+				a:    int32(t.instance.number),
+				b:    int32(t.endpoint.number),
+			},
+		)
 		w.endAttempt(e.a, t, policy.Outcome(e.b))
 	}
 }
 
-// connectionReset is a connection that breaks under a push.
+// connectionReset ends an attempt whose connection was reset.
 func (w *World) connectionReset(e *event) {
 	if t := w.currentAttempt(e); t != nil {
 		if t.written {
@@ -155,13 +208,14 @@
 	}
 }
 
-// closeAttempt closes a push's connection: the server drops what it can.
+// closeAttempt closes an attempt's connection; the endpoint drops the work if its kind does.
 func (w *World) closeAttempt(t *clientTry) {
 	v := t.endpoint
 	if t.written && !v.unreachable() && !v.down {
 		v.machine.AddConnections(w.now, -1)
 	}
-	if t.job == machine.NoJob || t.endpointIncarnation != v.incarnation || v.unreachable() || v.kind.Cancel == CancelNothing {
+	if t.job == machine.NoJob || t.endpointIncarnation != v.incarnation || v.unreachable() ||
+		v.kind.Cancel == CancelNothing {
 		return
 	}
 	v.advance()
@@ -172,7 +226,7 @@
 	}
 }
 
-// endAttempt tells the decider how a push ended.
+// endAttempt reports the end of an attempt to the decider.
 func (w *World) endAttempt(i int32, t *clientTry, o policy.Outcome) {
 	never := o == policy.Rejected || o == policy.NotConnected || o == policy.NotSent
 	t.inFlight = false
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -9,9 +9,7 @@
 	"pepperlead/policy"
 )
 
-// Clients: when they ask, what for, and whether they try again.
-
-// rateNow is the requests a second that come to a sidecar.
+// rateNow is the rate at which requests come to the instance, a second.
 func (s *instance) rateNow() float64 {
 	w := s.world
 	r := w.rate * s.loadShare * w.burstFactor
@@ -27,33 +25,42 @@
 	return r
 }
 
-// planArrival draws when the next request comes, by thinning: at the highest rate there may be, of which some are left out.
+// planArrival draws the time of the next request by thinning: arrivals are drawn at the highest possible rate, and
+// some are dropped.
 func (s *instance) planArrival() {
 	w := s.world
 	if w.now >= dayStart+w.scenario.Length {
 		return
 	}
-	most := w.rate * s.loadShare * max(1, w.burstFactor) * (1 + w.scenario.Load.Swing)
+	maxRate := w.rate * s.loadShare * max(1, w.burstFactor) * (1 + w.scenario.Load.Swing)
 	if w.scenario.Load.Bursts > 0 {
-		most *= 4
+		maxRate *= 4
 	}
-	gap := s.arrivalDraws.ExpFloat64() / max(most, 1e-9)
+	gap := s.arrivalDraws.ExpFloat64() / max(maxRate, 1e-9)
 	if gap > 3600 {
 		gap = 3600
 	}
-	// A burst that begins in between would be seen late where requests are rare; so no gap is drawn beyond a second.
+	// A burst that begins in between would be noticed late where requests are rare, so no gap is longer than a second.
 	counts := int32(1)
 	if gap > 1 {
 		gap, counts = 1, 0
 	}
-	w.queue.add(event{at: w.now + policy.Time(gap*float64(policy.Second)), rank: rankArrive, do: (*World).arrival, a: int32(s.number),
-		b: counts, c: math.Float64bits(most)})
+	w.queue.add(
+		event{
+			at:   w.now + policy.Time(gap*float64(policy.Second)),
+			rank: rankArrive,
+			do:   (*World).arrival,
+			a:    int32(s.number),
+			b:    counts,
+			c:    math.Float64bits(maxRate),
+		},
+	)
 }
 
 func (w *World) arrival(e *event) {
 	s := w.instances[e.a]
-	most := math.Float64frombits(e.c)
-	if e.b == 1 && s.arrivalDraws.Float64()*most < s.rateNow() && w.now < dayStart+w.scenario.Length {
+	maxRate := math.Float64frombits(e.c)
+	if e.b == 1 && s.arrivalDraws.Float64()*maxRate < s.rateNow() && w.now < dayStart+w.scenario.Length {
 		r := w.newRequest()
 		q := &w.requests[r]
 		q.instance = e.a
@@ -81,7 +88,7 @@
 	q.workFactor, q.ioFactor = logNormal(r, o.Spread), logNormal(r, o.Spread)
 }
 
-// recordedArrival plays a request of a recorded day, and looks for the next.
+// recordedArrival plays a request of a recorded day and plans the next.
 func (w *World) recordedArrival(e *event) {
 	a := &w.scenario.Arrivals[e.a]
 	r := w.newRequest()
@@ -94,7 +101,14 @@
 	q.deadline = w.now + a.TimeLeft
 	w.beginRequest(r)
 	if next := int(e.a) + 1; next < len(w.scenario.Arrivals) {
-		w.queue.add(event{at: max(w.now, dayStart+w.scenario.Arrivals[next].At), rank: rankArrive, do: (*World).recordedArrival, a: int32(next)})
+		w.queue.add(
+			event{
+				at:   max(w.now, dayStart+w.scenario.Arrivals[next].At),
+				rank: rankArrive,
+				do:   (*World).recordedArrival,
+				a:    int32(next),
+			},
+		)
 	}
 }
 
@@ -109,33 +123,41 @@
 	return int32(len(w.requests) - 1)
 }
 
-// beginRequest has the judge know of a new request and sends its first try.
+// beginRequest reports a new request to the judge and sends its first try.
 func (w *World) beginRequest(r int32) {
 	q := &w.requests[r]
 	if w.plan != nil {
-		*w.plan = append(*w.plan, Arrival{At: w.sinceStart(w.now), Instance: int(q.instance), Class: q.class, Tenant: q.tenant,
-			Key: q.key, TimeLeft: q.deadline - w.now, WorkFactor: q.workFactor, IOFactor: q.ioFactor})
+		*w.plan = append(
+			*w.plan,
+			Arrival{At: w.sinceStart(w.now), Instance: int(q.instance), Class: q.class, Tenant: q.tenant,
+				Key: q.key, TimeLeft: q.deadline - w.now, WorkFactor: q.workFactor, IOFactor: q.ioFactor},
+		)
 		q.inUse = false
 		w.freeRequests = append(w.freeRequests, r)
 		return
 	}
-	q.judged = w.judge.ClientRequestBegun(w.sinceStart(w.now), q.class, q.tenant, w.values.Value(w.now, q.class, q.tenant))
+	q.judged = w.judge.ClientRequestBegun(
+		w.sinceStart(w.now),
+		q.class,
+		q.tenant,
+		w.values.Value(w.now, q.class, q.tenant),
+	)
 	w.sendTry(r)
 }
 
-// sendTry sends a try to the request's sidecar.
+// sendTry sends a try to the request's instance.
 func (w *World) sendTry(r int32) {
 	q := &w.requests[r]
 	q.tries++
 	w.queue.add(event{at: w.now + w.scenario.Network.Client, rank: rankArrive, do: (*World).tryArrived, a: r})
 }
 
-// tryArrived is a try as it comes whole to its sidecar.
+// tryArrived runs when a try has reached its instance.
 func (w *World) tryArrived(e *event) {
 	q := &w.requests[e.a]
 	s := w.instances[q.instance]
 	if w.now >= q.deadline {
-		w.endRequest(e.a) // on its way its client has ceased to wait: nobody owes it anything
+		w.endRequest(e.a) // its client has stopped waiting meanwhile
 		return
 	}
 	if !s.alive {
@@ -151,8 +173,17 @@
 		i = int32(len(w.tries) - 1)
 	}
 	id := w.tries[i].attemptID
-	w.tries[i] = clientTry{inUse: true, clientWaiting: true, request: e.a, instance: s, instanceIncarnation: s.incarnation, deadline: q.deadline, arrivedAt: w.now, attemptID: id,
-		job: machine.NoJob}
+	w.tries[i] = clientTry{
+		inUse:               true,
+		clientWaiting:       true,
+		request:             e.a,
+		instance:            s,
+		instanceIncarnation: s.incarnation,
+		deadline:            q.deadline,
+		arrivedAt:           w.now,
+		attemptID:           id,
+		job:                 machine.NoJob,
+	}
 	t := &w.tries[i]
 	t.judged = w.judge.RequestAccepted(w.sinceStart(w.now), q.judged, s.number, q.class, w.sinceStart(q.deadline))
 	w.queue.add(event{at: q.deadline, rank: rankDeadline, do: (*World).deadlinePassed, a: i})
@@ -163,10 +194,10 @@
 	}
 	repeat := w.scenario.Clients.MarkRetries && q.tries > 1 || q.markedRetry
 	t.handle = s.decider.Admit(w.now, q.class, q.tenant, key, repeat, q.deadline-w.now)
-	for len(s.requestPlaces) <= t.handle.Place() {
-		s.requestPlaces = append(s.requestPlaces, -1)
+	for len(s.tries) <= t.handle.Place() {
+		s.tries = append(s.tries, -1)
 	}
-	s.requestPlaces[t.handle.Place()] = i
+	s.tries[t.handle.Place()] = i
 	s.decider.Begin(w.now, t.handle)
 }
 
@@ -177,7 +208,7 @@
 	return n
 }
 
-// deadlinePassed is when a client stops waiting.
+// deadlinePassed runs when a client stops waiting.
 func (w *World) deadlinePassed(e *event) {
 	t := &w.tries[e.a]
 	r := t.request
@@ -193,7 +224,7 @@
 	w.releaseTry(e.a)
 }
 
-// releaseTry gives a try back once nothing can come for it.
+// releaseTry makes the place of a try free once nothing more can happen to it.
 func (w *World) releaseTry(i int32) {
 	t := &w.tries[i]
 	if t.inUse && t.deadlinePassed && !t.inFlight && !t.clientWaiting {
@@ -212,7 +243,7 @@
 	}
 }
 
-// retryLater has a client try once more, if it does: after what it was told, or after a pause that doubles, spread by half.
+// retryLater has a client retry, if it does: after Retry-After or after a backoff that doubles, with jitter.
 func (w *World) retryLater(r int32, harmless bool, advice policy.Time) {
 	q := &w.requests[r]
 	o := &w.scenario.Classes[q.class]
--- a/internal/emulator/server.go
+++ b/internal/emulator/endpoint.go
@@ -10,6 +10,7 @@
 	"pepperlead/policy"
 )
 
+// endpoint is the state of one endpoint of the fleet.
 type endpoint struct {
 	world        *World
 	number       judge.EndpointID
@@ -23,35 +24,45 @@
 	machine      *machine.Machine
 	started      policy.Time
 	status       policy.EndpointStatus
-	down         bool // its process is not there
-	silentFaults int  // faults under which it says nothing
-	lost         bool // its process ended while it was silent: what comes is not answered
+	down         bool // its process has ended
+	silentFaults int  // number of faults that make it silent
+	lost         bool // its process ended while it was unreachable
 	slowFactors  []float64
 	errorRate    float64
 	incarnation  int // counts starts
 	plannedAt    policy.Time
-	plannedEvent uint32 // of its latest event; earlier ones are void
+	plannedEvent uint32 // number of its latest planned event; earlier ones are void
 	pod          *pod
-	inFlight     int                   // pushes out to it
-	knownStatus  policy.EndpointStatus // by discovery, and what else it knows
+	inFlight     int                   // attempts
+	knownStatus  policy.EndpointStatus // what discovery knows
 	knownStart   policy.Time
 	knownVersion int64
 	noise        *rand.Rand
 }
 
+// pod is a group of endpoints that share cores.
 type pod struct {
 	endpoints   []*endpoint
 	limit       float64 // cores; 0: none
-	limitFactor float64 // of it, as faults leave it
+	limitFactor float64 // part of the limit that faults leave
 }
 
 func (w *World) newEndpoint(k *EndpointKind, started policy.Time) *endpoint {
 	no := len(w.endpoints)
-	s := &endpoint{world: w, number: judge.EndpointID(no), kind: k, traits: k.Traits, zone: w.scenario.Zones[no%len(w.scenario.Zones)],
-		started: started, weight: 1, plannedEvent: 0, noise: stream(w.seed, "work", no)}
+	s := &endpoint{
+		world:        w,
+		number:       judge.EndpointID(no),
+		kind:         k,
+		traits:       k.Traits,
+		zone:         w.scenario.Zones[no%len(w.scenario.Zones)],
+		started:      started,
+		weight:       1,
+		plannedEvent: 0,
+		noise:        stream(w.seed, "work", no),
+	}
 	s.uid = "s-" + paddedNumber(no)
 	s.id = endpointfiles.EndpointID(s.uid)
-	// Pods are of one zone each: the servers of a zone in turn fill its pods.
+	// Each pod is in one zone: the endpoints of a zone fill its pods one after another.
 	s.cell = policy.Cell(no/len(w.scenario.Zones)/w.scenario.PodSize*len(w.scenario.Zones) + no%len(w.scenario.Zones))
 	s.traits.Speed *= logNormal(stream(w.seed, "speed", no), k.SpeedSpread)
 	if k.Weighted {
@@ -71,7 +82,7 @@
 	return s
 }
 
-// paddedNumber is a number that sorts as text as it does as a number, so that joins in id order are hashes in some order and no more.
+// paddedNumber is a number with leading zeros, which sorts as text as it does as a number.
 func paddedNumber(no int) string {
 	b := []byte("00000")
 	for i := len(b) - 1; no > 0 && i >= 0; i-- {
@@ -81,7 +92,7 @@
 	return string(b)
 }
 
-// advance brings a server up to now, passes on what it has finished, and asks for its next event.
+// advance runs the endpoint up to now, handles the jobs that it has finished, and plans its next event.
 func (s *endpoint) advance() {
 	w := s.world
 	w.doneJobs = s.machine.Run(w.now, w.doneJobs[:0])
@@ -92,10 +103,10 @@
 	s.planNext()
 }
 
-// planNext puts the server's next event in place of the one planned before.
+// planNext plans the endpoint's next event in place of the earlier one.
 func (s *endpoint) planNext() {
-	at, any := s.machine.Next()
-	if !any || s.down {
+	at, pending := s.machine.Next()
+	if !pending || s.down {
 		s.plannedAt = 0
 		return
 	}
@@ -105,7 +116,9 @@
 	}
 	s.plannedAt = at
 	s.plannedEvent++
-	s.world.queue.add(event{at: at, rank: rankWorld, do: (*World).endpointDue, a: int32(s.number), c: uint64(s.plannedEvent)})
+	s.world.queue.add(
+		event{at: at, rank: rankWorld, do: (*World).endpointDue, a: int32(s.number), c: uint64(s.plannedEvent)},
+	)
 }
 
 func (w *World) endpointDue(e *event) {
@@ -115,7 +128,7 @@
 	}
 }
 
-// shareCores lets a pod's servers have what its limit leaves them, all the same part.
+// shareCores gives each endpoint of a pod the same part of its speed, as the pod's limit allows.
 func (p *pod) shareCores(now policy.Time) {
 	if p.limit == 0 || len(p.endpoints) == 0 {
 		return
@@ -137,7 +150,7 @@
 
 func (s *endpoint) podSpeed() float64 { return s.machine.PodSpeed() }
 
-// applySlowFactors sets what faults leave of it.
+// applySlowFactors sets the speed that faults leave.
 func (s *endpoint) applySlowFactors() {
 	part := 1.0
 	for _, f := range s.slowFactors {
@@ -148,13 +161,14 @@
 	s.advance()
 }
 
-// unreachable tells whether nothing from it, or to it, comes through.
+// unreachable reports whether a fault cuts the endpoint off.
 func (s *endpoint) unreachable() bool { return s.silentFaults > 0 || s.world.lostZones[s.zone] > 0 }
 
-// stop ends its process: what is in it is lost, and its connections are reset.
+// stop ends its process: its jobs are lost and its connections reset.
 func (s *endpoint) stop() {
 	s.incarnation++
-	s.down, s.plannedAt = true, 0
+	s.down = true
+	s.plannedAt = 0
 	s.plannedEvent++
 	w := s.world
 	for i := range w.tries {
@@ -164,8 +178,16 @@
 		}
 		t.job = machine.NoJob
 		if !s.unreachable() {
-			// The far end's reset comes after the way back.
-			w.queue.add(event{at: w.now + w.transit(s.zone, t.instance.zone), rank: rankAttemptEnd, do: (*World).connectionReset, a: int32(i), c: t.attemptID})
+			// The reset reaches the instance after the transit.
+			w.queue.add(
+				event{
+					at:   w.now + w.transit(s.zone, t.instance.zone),
+					rank: rankAttemptEnd,
+					do:   (*World).connectionReset,
+					a:    int32(i),
+					c:    t.attemptID,
+				},
+			)
 		}
 	}
 	for _, sc := range w.instances {
@@ -177,7 +199,8 @@
 // start starts its process, cold.
 func (s *endpoint) start() {
 	s.incarnation++
-	s.down, s.started = false, s.world.now
+	s.down = false
+	s.started = s.world.now
 	s.machine.Restart(s.world.now)
 	s.status = policy.Ready
 }
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -7,27 +7,29 @@
 	"pepperlead/policy"
 )
 
-// fault is one of the script's as it is played.
+// fault is a fault of the scenario and what it affects.
 type fault struct {
 	Fault
 	endpoints []*endpoint
 	instances []*instance
-	next      int // rolling, pauses
+	next      int // rolling, pauses: index of the endpoint that is next
 }
 
-// planFaults plans the script.
+// planFaults plans the begin of each fault.
 func (w *World) planFaults() {
 	for i := range w.scenario.Faults {
-		w.queue.add(event{at: dayStart + w.scenario.Faults[i].At, rank: rankWorld, do: (*World).faultBegins, a: int32(i)})
+		w.queue.add(
+			event{at: dayStart + w.scenario.Faults[i].At, rank: rankWorld, do: (*World).faultBegins, a: int32(i)},
+		)
 		w.faults = append(w.faults, fault{Fault: w.scenario.Faults[i]})
 	}
 }
 
-// chooseAffected picks those that a fault meets: named ones, those of a pod or zone, and of these a part or a count, by the seed.
-func chooseAffected[T any](f *Fault, r *rand.Rand, all []T, meets func(T) bool) []T {
+// chooseAffected draws those that a fault affects: named ones, those of a pod or zone, and of these a share or a count.
+func chooseAffected[T any](f *Fault, r *rand.Rand, all []T, affects func(T) bool) []T {
 	var some []T
 	for _, one := range all {
-		if meets(one) {
+		if affects(one) {
 			some = append(some, one)
 		}
 	}
@@ -35,7 +37,7 @@
 	return some[:f.Affected(len(some))]
 }
 
-// Affected is how many of so many a fault meets.
+// Affected returns how many of so many the fault affects.
 func (f *Fault) Affected(n int) int {
 	switch {
 	case f.Count > 0:
@@ -47,7 +49,8 @@
 }
 
 func (f *fault) affects(v *endpoint) bool {
-	return v.status == policy.Ready && !v.down && (f.Zone == "" || f.Zone == v.zone) && (f.Pod < 0 || f.Pod == int(v.cell)) &&
+	return v.status == policy.Ready && !v.down && (f.Zone == "" || f.Zone == v.zone) &&
+		(f.Pod < 0 || f.Pod == int(v.cell)) &&
 		(len(f.Endpoints) == 0 || slices.Contains(f.Endpoints, int(v.number)))
 }
 
@@ -147,7 +150,8 @@
 	}
 }
 
-// throttlePod leaves a part of its pod's cores, once for the pod. A pod without a limit has one of all its cores from then on.
+// throttlePod leaves a part of its pod's cores, once for the pod. A pod without a limit has one of all its cores from
+// then on.
 func (s *endpoint) throttlePod(part float64) {
 	p := s.pod
 	if p.limitFactor != 1 {
@@ -212,7 +216,7 @@
 	s.applySlowFactors()
 }
 
-// becomeUnreachable is a machine that is cut off. dies: what is in it is lost, though nobody is told.
+// becomeUnreachable cuts the endpoint off. With dies, the work in it is lost.
 func (s *endpoint) becomeUnreachable(dies bool) {
 	if dies {
 		s.stop()
@@ -223,23 +227,31 @@
 
 func (s *endpoint) becomeReachable() {
 	if s.unreachable() || s.status == policy.Gone {
-		return // by another fault still
+		return // still affected by another fault
 	}
 	if s.lost {
 		s.lost = false
 		s.start()
 	}
-	// What was written to it on connections of before is answered by a reset, now that it can be heard.
+	// What was written to it on earlier connections is answered by a reset, now that it is reachable.
 	w := s.world
 	for i := range w.tries {
 		if t := &w.tries[i]; t.inUse && t.inFlight && t.endpoint == s && t.job == -1 && t.written {
-			w.queue.add(event{at: w.now + w.transit(s.zone, t.instance.zone), rank: rankAttemptEnd, do: (*World).connectionReset, a: int32(i), c: t.attemptID})
+			w.queue.add(
+				event{
+					at:   w.now + w.transit(s.zone, t.instance.zone),
+					rank: rankAttemptEnd,
+					do:   (*World).connectionReset,
+					a:    int32(i),
+					c:    t.attemptID,
+				},
+			)
 		}
 	}
 	w.statusChanged(s, policy.Ready, true)
 }
 
-// pause stops the servers that a fault meets, again and again, each at its own moment.
+// pause pauses the endpoints that a fault affects in turn, again and again.
 func (w *World) pause(e *event) {
 	f := &w.faults[e.a]
 	if w.now >= dayStart+f.At+f.Duration || len(f.endpoints) == 0 {
@@ -251,10 +263,12 @@
 	v.machine.PauseUntil(w.now, w.now+policy.Time(f.Size*float64(policy.Second)))
 	v.plannedAt = 0
 	v.advance()
-	w.queue.add(event{at: w.now + f.Every/policy.Time(len(f.endpoints)) + 1, rank: rankWorld, do: (*World).pause, a: e.a})
+	w.queue.add(
+		event{at: w.now + f.Every/policy.Time(len(f.endpoints)) + 1, rank: rankWorld, do: (*World).pause, a: e.a},
+	)
 }
 
-// drainNext drains the next server of a deployment, or all of a shrinking fleet.
+// drainNext drains the next endpoint of a deployment, or all of a shrinking fleet.
 func (w *World) drainNext(e *event) {
 	f := &w.faults[e.a]
 	if f.next >= len(f.endpoints) {
@@ -269,12 +283,21 @@
 		if after == 0 {
 			after = 10 * policy.Second
 		}
-		w.queue.add(event{at: w.now + after, rank: rankWorld, do: (*World).drained, a: e.a, b: int32(v.number), c: uint64(v.incarnation)})
+		w.queue.add(
+			event{
+				at:   w.now + after,
+				rank: rankWorld,
+				do:   (*World).drained,
+				a:    e.a,
+				b:    int32(v.number),
+				c:    uint64(v.incarnation),
+			},
+		)
 	}
 	w.queue.add(event{at: w.now + f.Every, rank: rankWorld, do: (*World).drainNext, a: e.a})
 }
 
-// drained ends a server that has had its time to finish: for good, or to start anew.
+// drained stops an endpoint whose drain time is over, and starts it again unless the fleet shrinks.
 func (w *World) drained(e *event) {
 	f, v := &w.faults[e.a], w.endpoints[e.b]
 	if uint64(v.incarnation) != e.c || v.down {
--- a/internal/emulator/front.go
+++ b/internal/emulator/front.go
@@ -6,50 +6,60 @@
 	"pepperlead/policy"
 )
 
-// The front that the decision module asks: attempts, cancels, final answers and wake-ups.
-
 func (s *instance) lookup(h policy.Handle) (int32, *clientTry) {
-	i := s.requestPlaces[h.Place()]
+	i := s.tries[h.Place()]
 	return i, &s.world.tries[i]
 }
 
-// Attempt sends a push: on a connection that stands idle, or on a new one.
+// Attempt sends an attempt on an idle connection or on a new one.
 func (s *instance) Attempt(h policy.Handle, id policy.EndpointID, wait policy.Time) {
 	w := s.world
 	i, t := s.lookup(h)
 	v := w.byID[id]
-	t.inFlight, t.endpoint, t.sentAt, t.written, t.job = true, v, w.now, false, machine.NoJob
+	t.inFlight = true
+	t.endpoint = v
+	t.sentAt = w.now
+	t.written = false
+	t.job = machine.NoJob
 	t.attempts++
 	t.attemptID++
 	v.inFlight++
-	t.judgedAttempt = w.judge.AttemptStarted(w.sinceStart(w.now), t.judged, v.number, v.zone, v.cell, v.zone != s.zone)
+	t.judgedAttempt = w.judge.AttemptStarted(
+		w.sinceStart(w.now),
+		t.judged,
+		v.number,
+		v.zone,
+		v.cell,
+		v.zone != s.zone,
+	)
 	w.queue.add(event{at: w.now + wait, rank: rankTimeout, do: (*World).attemptTimedOut, a: i, c: t.attemptID})
-	way := w.transit(s.zone, v.zone)
+	transit := w.transit(s.zone, v.zone)
 	s.closeIdle(v)
-	idle := s.idleTo(v)
-	fresh := int32(0)
-	if n := len(idle); n > 0 {
-		idle = idle[:n-1]
-	} else {
-		fresh = 1
-		switch {
-		case v.unreachable():
-			// Never comes up.
-			w.queue.add(event{at: w.now + w.scenario.Network.ConnectTimeout, rank: rankAttemptEnd, do: (*World).connectFailed, a: i, c: t.attemptID})
-			s.idleConnections[v.number] = idle
-			return
-		case v.down:
-			w.queue.add(event{at: w.now + 2*way, rank: rankAttemptEnd, do: (*World).connectFailed, a: i, c: t.attemptID})
-			s.idleConnections[v.number] = idle
-			return
-		}
-		way += 2 * way * policy.Time(w.scenario.Network.Handshakes)
-	}
-	s.idleConnections[v.number] = idle
-	w.queue.add(event{at: w.now + way, rank: rankArrive, do: (*World).attemptArrived, a: i, b: fresh, c: t.attemptID})
-	if fresh == 0 {
-		t.written = true // the kernel has it
+	if idle := s.idleTo(v); len(idle) > 0 {
+		s.idleConnections[v.number] = idle[:len(idle)-1]
+		w.queue.add(event{at: w.now + transit, rank: rankArrive, do: (*World).attemptArrived, a: i, c: t.attemptID})
+		t.written = true // by the kernel's buffer
 		w.judge.AttemptWritten(t.judged, t.judgedAttempt)
+		return
+	}
+	s.connect(i, t, transit)
+}
+
+// connect sends an attempt on a new connection.
+func (s *instance) connect(i int32, t *clientTry, transit policy.Time) {
+	w := s.world
+	failed := event{rank: rankAttemptEnd, do: (*World).connectFailed, a: i, c: t.attemptID}
+	switch {
+	case t.endpoint.unreachable():
+		failed.at = w.now + w.scenario.Network.ConnectTimeout
+		w.queue.add(failed)
+	case t.endpoint.down:
+		failed.at = w.now + 2*transit
+		w.queue.add(failed)
+	default:
+		handshakes := 2 * transit * policy.Time(w.scenario.Network.Handshakes)
+		at := w.now + transit + handshakes
+		w.queue.add(event{at: at, rank: rankArrive, do: (*World).attemptArrived, a: i, b: 1, c: t.attemptID})
 	}
 }
 
@@ -60,8 +70,7 @@
 	return s.idleConnections[v.number]
 }
 
-// closeIdle closes the connections to a server that have stood idle for too long. The server closes them, whether or not the instance
-// has anything more for it.
+// closeIdle closes the connections to an endpoint that were idle for too long. The endpoint closes them by itself.
 func (s *instance) closeIdle(v *endpoint) {
 	idle := s.idleTo(v)
 	for len(idle) > 0 && s.world.now-idle[0] >= s.world.scenario.Network.IdleTimeout {
@@ -73,26 +82,32 @@
 
 func (w *World) idleTimeout(e *event) { w.instances[e.a].closeIdle(w.endpoints[e.b]) }
 
-// Cancel calls a push off.
+// Cancel cancels an attempt.
 func (s *instance) Cancel(h policy.Handle, n policy.AttemptNo) {
 	i, t := s.lookup(h)
 	if t.inFlight && int(n) == t.attempts-1 {
-		s.world.queue.add(event{at: s.world.now, rank: rankAttemptEnd, do: (*World).attemptCancelled, a: i, c: t.attemptID})
+		s.world.queue.add(
+			event{at: s.world.now, rank: rankAttemptEnd, do: (*World).attemptCancelled, a: i, c: t.attemptID},
+		)
 	}
 }
 
-// Succeed, Reject and Fail are final answers: they reach the client after the way back.
+// Succeed passes the endpoint's response on.
 func (s *instance) Succeed(h policy.Handle, _ policy.AttemptNo) { s.answer(h, judge.Succeeded, 0) }
+
+// Reject rejects the request.
 func (s *instance) Reject(h policy.Handle, retryIn policy.Time) {
 	s.answer(h, judge.Rejected, retryIn)
 }
+
+// Fail answers that the request failed.
 func (s *instance) Fail(h policy.Handle) { s.answer(h, judge.Failed, 0) }
 
 func (s *instance) answer(h policy.Handle, a judge.Answer, retryIn policy.Time) {
 	w := s.world
 	i, t := s.lookup(h)
 	if !t.clientWaiting {
-		// Told to the judge all the same: a second answer is a broken rule.
+		// Reported to the judge all the same: a second answer breaks a rule.
 		w.judge.RequestAnswered(w.sinceStart(w.now), t.judged, w.requests[t.request].judged, a)
 		return
 	}
@@ -102,11 +117,20 @@
 	if w.sampler != nil {
 		w.sampler.Answer(w.requests[r].class, a, w.now-t.arrivedAt)
 	}
-	w.queue.add(event{at: w.now + w.scenario.Network.Client, rank: rankAnswer, do: (*World).answerArrived, a: r, b: int32(a), c: uint64(retryIn)})
+	w.queue.add(
+		event{
+			at:   w.now + w.scenario.Network.Client,
+			rank: rankAnswer,
+			do:   (*World).answerArrived,
+			a:    r,
+			b:    int32(a),
+			c:    uint64(retryIn),
+		},
+	)
 	w.releaseTry(i)
 }
 
-// answerArrived is a final answer as it comes to the client.
+// answerArrived runs when a final answer reaches the client.
 func (w *World) answerArrived(e *event) {
 	switch judge.Answer(e.b) {
 	case judge.Succeeded:
@@ -136,13 +160,18 @@
 	}
 }
 
-// FollowList begins or ends asking for the list.
+// FollowList begins or ends to follow the list.
 func (s *instance) FollowList(on bool) {
 	if s.following = on; on {
 		s.world.requestList(s)
 	}
 }
 
+// Release does nothing: idle connections end by their timeout.
 func (s *instance) Release(policy.EndpointID) {}
-func (s *instance) Forget(policy.EndpointID)  {}
-func (s *instance) Log(string)                {}
+
+// Forget does nothing.
+func (s *instance) Forget(policy.EndpointID) {}
+
+// Log drops the line.
+func (s *instance) Log(string) {}
--- a/internal/emulator/sidecar.go
+++ b/internal/emulator/instance.go
@@ -8,7 +8,7 @@
 	"pepperlead/policy"
 )
 
-// request is what a client wants, over its tries.
+// request is what a client wants, over all its tries.
 type request struct {
 	inUse       bool
 	judged      judge.ClientRequestID
@@ -16,32 +16,32 @@
 	tenant      policy.TenantID
 	instance    int32
 	key         uint64
-	workFactor  float64 // of its work against the mean
+	workFactor  float64 // its work over the mean of its class
 	ioFactor    float64
 	tries       int
 	at          policy.Time
 	deadline    policy.Time
-	markedRetry bool // of a recorded day: it was marked as a further try
+	markedRetry bool // of a recorded day: it was marked as a retry
 }
 
-// clientTry is a ticket: one request handed to one sidecar, once.
+// clientTry is one try of a request: it is sent to one instance, once.
 type clientTry struct {
 	inUse               bool
-	clientWaiting       bool // a final answer
-	inFlight            bool // a push
-	deadlinePassed      bool // its cut-off
+	clientWaiting       bool // for a final answer
+	inFlight            bool // an attempt of it is
+	deadlinePassed      bool
 	judged              judge.RequestID
 	request             int32
 	instance            *instance
-	instanceIncarnation int // of the sidecar
+	instanceIncarnation int // when the try reached it
 	handle              policy.Handle
 	deadline            policy.Time
-	arrivedAt           policy.Time // when it came to the sidecar
+	arrivedAt           policy.Time // at the instance
 	attempts            int
-	attemptID           uint64 // counts pushes, so that what comes for an earlier one is known
-	judgedAttempt       int    // the judge's number of the push that is out
+	attemptID           uint64 // counts attempts, so that events of an earlier one are known
+	judgedAttempt       int    // the judge's number of the attempt in flight
 	endpoint            *endpoint
-	endpointIncarnation int // of the server when the push reached it
+	endpointIncarnation int // when the attempt reached it
 	job                 machine.JobID
 	written             bool
 	sentAt              policy.Time
@@ -49,7 +49,7 @@
 	retryIn             policy.Time
 }
 
-// instance is an instance of the decider, and the front it asks.
+// instance is one instance of the fleet: a decider and its front.
 type instance struct {
 	world           *World
 	number          judge.InstanceID
@@ -58,8 +58,8 @@
 	decider         Decider
 	alive           bool
 	incarnation     int
-	requestPlaces   []int32         // by place of a handle
-	idleConnections [][]policy.Time // by server: when each idle connection was last used
+	tries           []int32         // tries by the place of their handles
+	idleConnections [][]policy.Time // by endpoint: when each idle connection was last used
 	wakeAt          policy.Time
 	version         int64 // of the list it has
 	pollPending     bool
@@ -77,23 +77,34 @@
 	settings        *policy.Settings
 }
 
-// notifiedStatus is what a sidecar was told of a server.
+// notifiedStatus is what an instance was last notified of an endpoint.
 type notifiedStatus struct {
 	status  policy.EndpointStatus
 	started policy.Time
 }
 
-func (w *World) newInstance(no int, make Maker) *instance {
-	s := &instance{world: w, number: judge.InstanceID(no), zone: w.scenario.Zones[no%len(w.scenario.Zones)], make: make, list: map[*endpoint]notifiedStatus{},
-		gustDraws: stream(w.seed, "gusts", no), arrivalDraws: stream(w.seed, "arrivals", no), classDraws: stream(w.seed, "mix", no),
-		keyDraws: stream(w.seed, "keys", no), sizeDraws: stream(w.seed, "sizes", no), seedDraws: stream(w.seed, "lives", no), gust: 1}
+func (w *World) newInstance(no int, maker Maker) *instance {
+	s := &instance{
+		world:        w,
+		number:       judge.InstanceID(no),
+		zone:         w.scenario.Zones[no%len(w.scenario.Zones)],
+		make:         maker,
+		list:         map[*endpoint]notifiedStatus{},
+		gustDraws:    stream(w.seed, "gusts", no),
+		arrivalDraws: stream(w.seed, "arrivals", no),
+		classDraws:   stream(w.seed, "mix", no),
+		keyDraws:     stream(w.seed, "keys", no),
+		sizeDraws:    stream(w.seed, "sizes", no),
+		seedDraws:    stream(w.seed, "lives", no),
+		gust:         1,
+	}
 	c := w.settings
 	c.Zone = s.zone
 	s.settings = &c
 	return s
 }
 
-// shareLoad says which part of all requests comes to each sidecar: more to those of the first zones, by the skew.
+// shareLoad sets the share of all requests that each instance gets: by the skew, more in the first zones.
 func (w *World) shareLoad() {
 	sum := 0.0
 	last := float64(max(1, len(w.scenario.Zones)-1))
@@ -115,11 +126,14 @@
 	}
 }
 
-// start begins a life, with a list saved earlier or with the whole list.
+// start starts an instance, with a saved list or with the complete one.
 func (s *instance) start(kind policy.ListKind) {
-	s.alive, s.wakeAt, s.pollPending, s.following = true, 0, false, !s.world.scenario.Discovery.Polled
+	s.alive = true
+	s.wakeAt = 0
+	s.pollPending = false
+	s.following = !s.world.scenario.Discovery.Polled
 	s.idleConnections = make([][]policy.Time, len(s.world.endpoints))
-	s.requestPlaces = s.requestPlaces[:0]
+	s.tries = s.tries[:0]
 	s.decider = s.make(s, s.settings, s.seedDraws.Uint64(), s.world.now, s.world)
 	if kind == policy.ListSaved {
 		var all []policy.Member
@@ -133,7 +147,13 @@
 		if len(all) > 0 {
 			s.decider.UpdateEndpoints(s.world.now, policy.ListSaved, all)
 			for v, is := range s.list {
-				s.world.judge.EndpointNotified(s.world.sinceStart(s.world.now), s.number, v.number, is.status, is.started)
+				s.world.judge.EndpointNotified(
+					s.world.sinceStart(s.world.now),
+					s.number,
+					v.number,
+					is.status,
+					is.started,
+				)
 			}
 		}
 		s.world.requestList(s)
@@ -142,7 +162,7 @@
 	s.notify(policy.ListFull, s.world.endpoints)
 }
 
-// stop ends a life: its clients' connections break, and what is out goes on at the servers.
+// stop kills an instance: its clients' connections break, and its attempts go on at the endpoints.
 func (s *instance) stop() {
 	s.alive = false
 	s.incarnation++
--- a/internal/emulator/plan.go
+++ b/internal/emulator/plan.go
@@ -2,7 +2,7 @@
 
 import "pepperlead/policy"
 
-// noDecisions decides nothing: a day that is only planned has no tickets.
+// noDecisions is a Decider for a day that is only planned.
 type noDecisions struct{}
 
 func (noDecisions) UpdateEndpoints(policy.Time, policy.ListKind, []policy.Member) {}
@@ -11,28 +11,45 @@
 	return 0
 }
 func (noDecisions) Begin(policy.Time, policy.Handle) {}
-func (noDecisions) AttemptEnded(policy.Time, policy.Handle, policy.AttemptNo, policy.EndpointID, policy.Outcome, policy.Time, bool) {
+
+func (noDecisions) AttemptEnded(
+	policy.Time,
+	policy.Handle,
+	policy.AttemptNo,
+	policy.EndpointID,
+	policy.Outcome,
+	policy.Time,
+	bool,
+) {
 }
 func (noDecisions) ClientLeft(policy.Time, policy.Handle) {}
 func (noDecisions) Woken(policy.Time)                     {}
 
-// Plan gives what clients ask for on a day, the very requests that a World of that seed plays.
+// Plan returns the requests of a day, the same that a World of that seed plays.
 func Plan(sc *Scenario, seed uint64) []Arrival {
 	var all []Arrival
-	w := New(sc, seed, func(policy.Front, *policy.Settings, uint64, policy.Time, View) Decider { return noDecisions{} }, nil)
+	w := New(
+		sc,
+		seed,
+		func(policy.Front, *policy.Settings, uint64, policy.Time, View) Decider { return noDecisions{} },
+		nil,
+	)
 	w.plan = &all
 	w.Run()
 	return all
 }
 
-// ValueMeter says what a request that comes now is worth, less beyond its franchise's quota, as the judge of any day counts it.
+// quotaTolerance is the multiple of a quota up to which requests keep their value.
+const quotaTolerance = 1.1
+
+// ValueMeter returns the value of each request, less where its tenant is over its quota.
 type ValueMeter struct {
 	sc       *Scenario
 	arrivals []meter
 	quotas   []float64
 }
 
-// NewValueMeter counts from a day's beginning; rate is the requests a second that quotas given as parts refer to.
+// NewValueMeter makes a meter for a day; rate is the requests a second that quotas given as shares refer to.
 func NewValueMeter(sc *Scenario, rate float64) *ValueMeter {
 	c := &ValueMeter{sc: sc, arrivals: make([]meter, len(sc.Tenants))}
 	for _, f := range sc.Tenants {
@@ -45,10 +62,10 @@
 	return c
 }
 
-// Value counts a request and gives its credit.
+// Value counts a request and returns its value.
 func (c *ValueMeter) Value(now policy.Time, o policy.ClassID, f policy.TenantID) float64 {
 	credit := c.sc.Classes[o].Value
-	if f >= 0 && c.arrivals[f].count(now) > 1.1*c.quotas[f] {
+	if f >= 0 && c.arrivals[f].count(now) > quotaTolerance*c.quotas[f] {
 		credit *= c.sc.OverQuotaValue
 	}
 	return credit
--- a/internal/emulator/queue.go
+++ b/internal/emulator/queue.go
@@ -2,21 +2,20 @@
 
 import "pepperlead/policy"
 
-// rank orders what falls into one instant. An answer that comes in the very moment of a time-out counts as come; one that
-// goes out in the moment of a cut-off is in time; what the world does to a server comes before all of that.
+// rank orders events of one instant: faults first, then responses before the timeouts and deadlines that they meet.
 type rank uint8
 
 const (
-	rankWorld      rank = iota // faults, servers, lists
-	rankAttemptEnd             // results of pushes as they come to a sidecar
+	rankWorld      rank = iota // faults, endpoints, lists
+	rankAttemptEnd             // results of attempts as they come to an instance
 	rankAnswer                 // final answers as they come to a client
-	rankTimeout                // time-outs of pushes
-	rankArrive                 // requests, and pushes at servers
+	rankTimeout                // timeouts of attempts
+	rankArrive                 // requests, and attempts at endpoints
 	rankWake                   // the module's
 	rankDeadline
 )
 
-// event is something still to happen. What its figures mean is up to what it does.
+// event is something planned. The meaning of a, b and c depends on the function.
 type event struct {
 	at   policy.Time
 	rank rank
--- a/internal/emulator/random.go
+++ b/internal/emulator/random.go
@@ -6,14 +6,14 @@
 	"math/rand/v2"
 )
 
-// stream is chance for one purpose: what is drawn from it moves nothing that is drawn for another.
+// stream is a source of random numbers for one purpose; drawing from it changes no other stream.
 func stream(seed uint64, purpose string, no int) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(purpose))
 	return rand.New(rand.NewPCG(seed, h.Sum64()+uint64(no)*0x9e3779b97f4a7c15))
 }
 
-// logNormal gives a factor with a mean of 1, log-normal with the coefficient of variation.
+// logNormal draws a factor with a mean of 1, log-normal with the coefficient of variation.
 func logNormal(r *rand.Rand, cv float64) float64 {
 	if cv == 0 {
 		return 1
--- a/internal/emulator/read.go
+++ b/internal/emulator/read.go
@@ -8,7 +8,7 @@
 	"pepperlead/policy"
 )
 
-// MaxScenarioSize is how long a scenario may be, in bytes.
+// MaxScenarioSize is the maximum size of a scenario, in bytes.
 const MaxScenarioSize = 1 << 20
 
 const (
@@ -18,14 +18,14 @@
 	day          = 24 * 3600 * policy.Second
 )
 
-// Set is a figure that stands in place of the file's: its path, as in load.part, and its value.
+// Set replaces a value of the file: its path, as in load.part, and the value.
 type Set struct {
 	Path  string
 	Value any
 }
 
-// Read reads a scenario. One that names a base says only what differs from that; load reads the base, by the name as it stands
-// in the scenario. The error has a line for each fault.
+// Read reads a scenario. One that names a base has only what differs from it; load reads the base by that name. The
+// error has a line for each fault of the file.
 func Read(file string, text []byte, load func(name string) ([]byte, error), sets ...Set) (*Scenario, error) {
 	doc, root := tomlfile.Parse(file, text, MaxScenarioSize)
 	if name := root.String("base", ""); doc.Err() == nil && name != "" {
@@ -92,18 +92,33 @@
 	t.RejectUnknown()
 	for _, t := range root.Tables("kind") {
 		t.Require("name", "cores")
-		k := EndpointKind{Name: t.String("name", ""), Share: t.Float("share", 1, 0.0001, 1), SpeedSpread: t.Float("spread", 0, 0, 2),
-			Weighted: t.Bool("weighs", false), ErrorRate: t.Float("errors", 0, 0, 1),
-			Cancel: Cancel(t.OneOf("cancel", int(CancelWaiting), "nothing", "waiting", "all"))}
-		k.Traits = machine.Traits{Cores: t.Float("cores", 2, 0.1, 1024), Speed: t.Float("speed", 1, 0.01, 100),
-			Workers: int(t.Count("slots", 0, 0, 1e6)), QueueSize: int(t.Count("queue", 1000, 0, 1e6)),
-			ColdSpeed: t.Float("cold_part", 1, 0.01, 1), WarmUpTime: t.Duration("warm_in", 0, 0, 3600*policy.Second),
-			CacheSize: int(t.Count("keys", 0, 0, 1e6)), CacheDiscount: t.Float("discount", 0, 0, 0.99),
-			CacheColdTime: t.Duration("forgets", 0, 0, 3600*policy.Second), CongestAt: int(t.Count("choke_at", 0, 0, 1e6)),
-			CongestedSpeed: t.Float("choked", 0.5, 0.01, 1), OverloadMultiple: t.Float("fall", 0, 0, 1000),
-			OverloadWindow: t.Duration("fall_in", policy.Second, policy.Millisecond, 60*policy.Second),
-			ConnectWork:    t.Duration("connect", 0, 0, policy.Second), FreeConnections: int(t.Count("connections", 0, 0, 1e6)), MaxConnections: int(t.Count("max_connections", 0, 0, 1e6)),
-			ConnectionCost: t.Float("tax", 0, 0, 10)}
+		k := EndpointKind{
+			Name:        t.String("name", ""),
+			Share:       t.Float("share", 1, 0.0001, 1),
+			SpeedSpread: t.Float("spread", 0, 0, 2),
+			Weighted:    t.Bool("weighs", false),
+			ErrorRate:   t.Float("errors", 0, 0, 1),
+			Cancel:      Cancel(t.OneOf("cancel", int(CancelWaiting), "nothing", "waiting", "all")),
+		}
+		k.Traits = machine.Traits{
+			Cores:            t.Float("cores", 2, 0.1, 1024),
+			Speed:            t.Float("speed", 1, 0.01, 100),
+			Workers:          int(t.Count("slots", 0, 0, 1e6)),
+			QueueSize:        int(t.Count("queue", 1000, 0, 1e6)),
+			ColdSpeed:        t.Float("cold_part", 1, 0.01, 1),
+			WarmUpTime:       t.Duration("warm_in", 0, 0, 3600*policy.Second),
+			CacheSize:        int(t.Count("keys", 0, 0, 1e6)),
+			CacheDiscount:    t.Float("discount", 0, 0, 0.99),
+			CacheColdTime:    t.Duration("forgets", 0, 0, 3600*policy.Second),
+			CongestAt:        int(t.Count("choke_at", 0, 0, 1e6)),
+			CongestedSpeed:   t.Float("choked", 0.5, 0.01, 1),
+			OverloadMultiple: t.Float("fall", 0, 0, 1000),
+			OverloadWindow:   t.Duration("fall_in", policy.Second, policy.Millisecond, 60*policy.Second),
+			ConnectWork:      t.Duration("connect", 0, 0, policy.Second),
+			FreeConnections:  int(t.Count("connections", 0, 0, 1e6)),
+			MaxConnections:   int(t.Count("max_connections", 0, 0, 1e6)),
+			ConnectionCost:   t.Float("tax", 0, 0, 10),
+		}
 		if k.Workers == 0 && k.QueueSize == 0 {
 			t.Fault("queue", "0", "1 or more where cores are shared")
 		}
@@ -114,57 +129,93 @@
 
 func (sc *Scenario) readLoad(root *tomlfile.Table) {
 	t := root.Table("load")
-	sc.Load = Load{Rate: t.Float("rate", 0, 0, maxRate), CapacityShare: t.Float("part", 0, 0, 20), Swing: t.Float("swing", 0, 0, 1),
-		Period: t.Duration("period", 60*policy.Second, policy.Second, day), Bursts: t.Float("bursts", 0, 0, 5),
-		ZoneSkew: t.Float("zone_skew", 0, 0, 0.99), Keys: int(t.Count("keys", 1000, 1, 1e8)),
-		Zipf: t.Float("zipf", 0.9, 0, 5), Keyless: t.Float("keyless", 0, 0, 1)}
+	sc.Load = Load{
+		Rate:          t.Float("rate", 0, 0, maxRate),
+		CapacityShare: t.Float("part", 0, 0, 20),
+		Swing:         t.Float("swing", 0, 0, 1),
+		Period:        t.Duration("period", 60*policy.Second, policy.Second, day),
+		Bursts:        t.Float("bursts", 0, 0, 5),
+		ZoneSkew:      t.Float("zone_skew", 0, 0, 0.99),
+		Keys:          int(t.Count("keys", 1000, 1, 1e8)),
+		Zipf:          t.Float("zipf", 0.9, 0, 5),
+		Keyless:       t.Float("keyless", 0, 0, 1),
+	}
 	if (sc.Load.Rate == 0) == (sc.Load.CapacityShare == 0) {
 		t.Fault("rate", "rate "+t.Found("rate")+" and part "+t.Found("part"), "one of them over 0")
 	}
 	t.RejectUnknown()
 	t = root.Table("clients")
-	sc.Clients = Clients{Retries: int(t.Count("retries", 0, 0, 10)), HonourRetryAfter: t.Float("heed", 1, 0, 1),
-		Backoff: t.Duration("backoff", 100*policy.Millisecond, policy.Millisecond, 60*policy.Second), MarkRetries: t.Bool("marks", true)}
+	sc.Clients = Clients{
+		Retries:          int(t.Count("retries", 0, 0, 10)),
+		HonourRetryAfter: t.Float("heed", 1, 0, 1),
+		Backoff:          t.Duration("backoff", 100*policy.Millisecond, policy.Millisecond, 60*policy.Second),
+		MarkRetries:      t.Bool("marks", true),
+	}
 	t.RejectUnknown()
 }
 
 func (sc *Scenario) readSurroundings(root *tomlfile.Table) {
 	ms := policy.Millisecond
 	t := root.Table("network")
-	sc.Network = Network{Near: t.Duration("near", ms/5, 0, policy.Second), Far: t.Duration("far", 5*ms, 0, 5*policy.Second),
-		Client: t.Duration("client", ms/20, 0, policy.Second), Jitter: t.Float("jitter", 0, 0, 3),
-		Handshakes: int(t.Count("handshakes", 1, 0, 10)), ConnectTimeout: t.Duration("connect", 200*ms, ms, 60*policy.Second),
-		IdleTimeout: t.Duration("idle", 60*policy.Second, 10*ms, 3600*policy.Second)}
+	sc.Network = Network{
+		Near:           t.Duration("near", ms/5, 0, policy.Second),
+		Far:            t.Duration("far", 5*ms, 0, 5*policy.Second),
+		Client:         t.Duration("client", ms/20, 0, policy.Second),
+		Jitter:         t.Float("jitter", 0, 0, 3),
+		Handshakes:     int(t.Count("handshakes", 1, 0, 10)),
+		ConnectTimeout: t.Duration("connect", 200*ms, ms, 60*policy.Second),
+		IdleTimeout:    t.Duration("idle", 60*policy.Second, 10*ms, 3600*policy.Second),
+	}
 	t.RejectUnknown()
 	t = root.Table("discovery")
 	pair := func(key string, low, high policy.Time) [2]policy.Time {
 		p := t.Table(key)
-		out := [2]policy.Time{p.Duration("from", low, 0, 600*policy.Second), p.Duration("to", high, 0, 600*policy.Second)}
+		out := [2]policy.Time{
+			p.Duration("from", low, 0, 600*policy.Second),
+			p.Duration("to", high, 0, 600*policy.Second),
+		}
 		if out[0] > out[1] {
 			p.Fault("from", p.Found("from"), "at most what to says, "+p.Found("to"))
 		}
 		p.RejectUnknown()
 		return out
 	}
-	sc.Discovery = Discovery{AnnounceDelay: pair("delay", 200*ms, policy.Second), DetectDelay: pair("silent", 5*policy.Second, 10*policy.Second),
-		Interval: t.Duration("step", 0, 0, 60*policy.Second), Polled: t.Bool("asked", false)}
+	sc.Discovery = Discovery{
+		AnnounceDelay: pair("delay", 200*ms, policy.Second),
+		DetectDelay:   pair("silent", 5*policy.Second, 10*policy.Second),
+		Interval:      t.Duration("step", 0, 0, 60*policy.Second),
+		Polled:        t.Bool("asked", false),
+	}
 	t.RejectUnknown()
 	t = root.Table("allow")
-	sc.Limits = Limits{MaxAttempts: int(t.Count("pushes", 3, 1, 8)), MayCancel: t.Bool("cancel", true),
-		MaxRetryAfter: t.Duration("advice", 3*policy.Second, 0, 3600*policy.Second), CrossZonePrice: t.Float("cross_price", 0, 0, 1),
-		Grace: t.Duration("grace", policy.Second, 0, 60*policy.Second)}
+	sc.Limits = Limits{
+		MaxAttempts:    int(t.Count("pushes", 3, 1, 8)),
+		MayCancel:      t.Bool("cancel", true),
+		MaxRetryAfter:  t.Duration("advice", 3*policy.Second, 0, 3600*policy.Second),
+		CrossZonePrice: t.Float("cross_price", 0, 0, 1),
+		Grace:          t.Duration("grace", policy.Second, 0, 60*policy.Second),
+	}
 	t.RejectUnknown()
 }
 
 func (sc *Scenario) readClasses(root *tomlfile.Table) {
 	for _, t := range root.Tables("offering") {
 		t.Require("name", "quoted_time", "cut_off", "work")
-		o := Class{Share: t.Float("share", 1, 1e-6, 1e6), Work: t.Duration("work", policy.Millisecond, 1000, 600*policy.Second),
-			IO: t.Duration("io", 0, 0, 600*policy.Second), Spread: t.Float("spread", 0, 0, 5)}
-		o.Class = policy.Class{Name: t.String("name", ""), Value: t.Float("credit", 1, 1e-6, 1e9),
-			LateValue: t.Float("late_credit", 0, 0, 1), Target: t.Duration("quoted_time", policy.Second, policy.Millisecond, day),
+		o := Class{
+			Share:  t.Float("share", 1, 1e-6, 1e6),
+			Work:   t.Duration("work", policy.Millisecond, 1000, 600*policy.Second),
+			IO:     t.Duration("io", 0, 0, 600*policy.Second),
+			Spread: t.Float("spread", 0, 0, 5),
+		}
+		o.Class = policy.Class{
+			Name:        t.String("name", ""),
+			Value:       t.Float("credit", 1, 1e-6, 1e9),
+			LateValue:   t.Float("late_credit", 0, 0, 1),
+			Target:      t.Duration("quoted_time", policy.Second, policy.Millisecond, day),
 			Idempotency: policy.Idempotency(t.OneOf("repeats", 0, "reissuable", "numbered", "at-most-once")),
-			Group:       policy.Group(t.OneOf("group", 0, "all", "zone", "pod")), Window: t.Duration("window", 0, 0, day)}
+			Group:       policy.Group(t.OneOf("group", 0, "all", "zone", "pod")),
+			Window:      t.Duration("window", 0, 0, day),
+		}
 		if o.Deadline = t.Duration("cut_off", o.Target, policy.Millisecond, day); o.Deadline < o.Target {
 			t.Fault("cut_off", t.Found("cut_off"), "at least the quoted time")
 		}
@@ -185,8 +236,12 @@
 	t.RejectUnknown()
 	for _, t := range root.Tables("franchise") {
 		t.Require("name")
-		f := Tenant{Name: t.String("name", ""), Share: t.Float("share", 1, 1e-6, 1e6), Quota: t.Float("quota", 0, 0, maxRate),
-			QuotaShare: t.Float("quota_part", 0, 0, 20)}
+		f := Tenant{
+			Name:       t.String("name", ""),
+			Share:      t.Float("share", 1, 1e-6, 1e6),
+			Quota:      t.Float("quota", 0, 0, maxRate),
+			QuotaShare: t.Float("quota_part", 0, 0, 20),
+		}
 		if (f.Quota == 0) == (f.QuotaShare == 0) {
 			t.Fault("quota", "quota "+t.Found("quota")+" and quota_part "+t.Found("quota_part"), "one of them over 0")
 		}
@@ -197,10 +252,19 @@
 
 func (sc *Scenario) readFault(t *tomlfile.Table) {
 	t.Require("kind", "at")
-	f := Fault{Kind: FaultKind(t.OneOf("kind", 0, faultNames[:]...)), At: t.Duration("at", 0, 0, day),
-		Duration: t.Duration("for", 0, 0, day), Share: t.Float("part", 0, 0, 1), Count: int(t.Count("count", 0, 0, maxEndpoints)),
-		Zone: policy.Zone(t.String("zone", "")), Pod: int(t.Count("pod", -1, 0, maxEndpoints)), Size: t.Float("size", 0, 0, 1e6),
-		Every: t.Duration("every", 0, 0, day), Cold: t.Bool("cold", true), IncludeInstances: t.Bool("sidecars", false)}
+	f := Fault{
+		Kind:     FaultKind(t.OneOf("kind", 0, faultNames[:]...)),
+		At:       t.Duration("at", 0, 0, day),
+		Duration: t.Duration("for", 0, 0, day),
+		Share:    t.Float("part", 0, 0, 1),
+		Count:    int(t.Count("count", 0, 0, maxEndpoints)),
+		Zone: policy.Zone(t.String("zone", "")),
+		Pod:              int(t.Count("pod", -1, 0, maxEndpoints)),
+		Size:             t.Float("size", 0, 0, 1e6),
+		Every:            t.Duration("every", 0, 0, day),
+		Cold:             t.Bool("cold", true),
+		IncludeInstances: t.Bool("sidecars", false),
+	}
 	if t.Has("server") {
 		f.Endpoints = []int{int(t.Count("server", 0, 0, int64(sc.Endpoints)-1))}
 	}
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -5,11 +5,11 @@
 	"pepperlead/policy"
 )
 
-// Scenario is a day: a fleet, what is asked of it, and what goes wrong.
+// Scenario describes a day: a fleet, its load, and its faults.
 type Scenario struct {
 	Name        string
 	Description string
-	Length      policy.Time // clients begin nothing later
+	Length      policy.Time // no request begins later
 	Tick        policy.Time
 
 	Endpoints int
@@ -17,7 +17,7 @@
 	Zones     []policy.Zone
 	PodSize   int
 	Kinds     []EndpointKind
-	PodLimit  float64 // cores that a pod's servers may use together, as a part of all they have; 0: no limit
+	PodLimit  float64 // cores that a pod's endpoints may use together, as a part of all they have; 0: no limit
 
 	Load           Load
 	Clients        Clients
@@ -26,71 +26,72 @@
 	Limits         Limits
 	Classes        []Class
 	Tenants        []Tenant
-	OverQuotaValue float64 // part of the credit left beyond a quota
+	OverQuotaValue float64 // part of the value left beyond a quota
 	Faults         []Fault
-	Arrivals       []Arrival // if there are any, these in place of those that Load gives
+	Arrivals       []Arrival // if any, these in place of those that Load describes
 }
 
-// EndpointKind is a kind of server.
+// EndpointKind is a kind of endpoint.
 type EndpointKind struct {
 	machine.Traits
 	Name        string
-	Share       float64 // of the servers
+	Share       float64 // of the endpoints
 	SpeedSpread float64 // of speeds, a coefficient of variation
-	Weighted    bool    // lists tell its real size; else all weigh 1
-	ErrorRate   float64 // part of the pushes that end in an error once the work is done
+	Weighted    bool    // lists show its real capacity; else all have weight 1
+	ErrorRate   float64 // part of the attempts that end in an error once the work is done
 	Cancel      Cancel
 }
 
-// Cancel is what a server does with work that is called off.
+// Cancel is what an endpoint does with the work of a cancelled attempt.
 type Cancel uint8
 
+// What endpoints do with cancelled work.
 const (
-	CancelNothing Cancel = iota // it goes on to its end
-	CancelWaiting               // what has not begun is dropped
-	CancelAll
+	CancelNothing Cancel = iota // finishes it
+	CancelWaiting               // drops it if it has not begun
+	CancelAll                   // drops it
 )
 
-// Load is what clients ask for.
+// Load describes the requests.
 type Load struct {
-	Rate          float64 // requests a second, over all sidecars
-	CapacityShare float64 // if Rate is 0: of what the fleet can do, as work is without any memory of keys
-	Swing         float64 // of a wave, as a part of the rate
+	Rate          float64 // requests a second, over all instances
+	CapacityShare float64 // if Rate is 0: part of what the fleet can do with no key cached
+	Swing         float64 // of a wave, as a share of the rate
 	Period        policy.Time
-	Bursts        float64 // coefficient of variation of the rate from second to second, by sidecar
-	ZoneSkew      float64 // the first zone gets so much more than the last
+	Bursts        float64 // coefficient of variation of the rate from second to second, by instance
+	ZoneSkew      float64 // how much more the first zone gets than the last
 	Keys          int
-	Zipf          float64 // exponent of the keys' popularity, over 0
+	Zipf          float64 // exponent of the popularity of keys, over 0
 	Keyless       float64 // part of the requests without a key
 }
 
-// Clients are what they do with answers.
+// Clients describes what clients do with answers.
 type Clients struct {
 	Retries          int
-	HonourRetryAfter float64 // part of them that wait as long as they are told
+	HonourRetryAfter float64 // share of the clients that heed Retry-After
 	Backoff          policy.Time
-	MarkRetries      bool // say that a try is a further one
+	MarkRetries      bool // retries are marked as such
 }
 
-// Network is between clients, sidecars and servers.
+// Network describes the links between clients, instances and endpoints.
 type Network struct {
 	Near, Far      policy.Time // one way
-	Client         policy.Time // the same between a client and its sidecar
+	Client         policy.Time // the same between a client and its instance
 	Jitter         float64     // coefficient of variation
 	Handshakes     int         // round trips before a new connection carries anything
 	ConnectTimeout policy.Time
 	IdleTimeout    policy.Time
 }
 
-// Discovery is how sidecars hear of servers.
+// Discovery describes how instances learn of endpoints.
 type Discovery struct {
-	AnnounceDelay [2]policy.Time // of what servers say themselves
-	DetectDelay   [2]policy.Time // of what must be noticed
+	AnnounceDelay [2]policy.Time // from, to: of changes that endpoints announce
+	DetectDelay   [2]policy.Time // from, to: of losses that must be detected
 	Interval      policy.Time    // lists are sent at multiples of it
-	Polled        bool           // the list comes only when asked for
+	Polled        bool           // the list must be polled
 }
 
-// Limits is what sidecars may do.
+// Limits describes what instances may do.
 type Limits struct {
 	MaxAttempts    int
 	MayCancel      bool
@@ -99,7 +100,7 @@
 	Grace          policy.Time
 }
 
-// Class is a kind of request.
+// Class is a class of requests and what they cost.
 type Class struct {
 	policy.Class
 	Share  float64     // of the requests
@@ -108,17 +109,18 @@
 	Spread float64     // coefficient of variation of either, log-normal; 0: always the same
 }
 
-// Tenant is a tenant.
+// Tenant is a tenant and its share of the requests.
 type Tenant struct {
 	Name       string
 	Share      float64 // of the requests
-	Quota      float64 // tickets a second; beyond it credit falls
-	QuotaShare float64 // if Quota is 0: of the whole rate
+	Quota      float64 // requests a second; beyond it the value falls
+	QuotaShare float64 // if Quota is 0: share of the whole rate
 }
 
-// FaultKind is what goes wrong.
+// FaultKind is a kind of fault.
 type FaultKind uint8
 
+// The kinds of faults.
 const (
 	ZoneLost FaultKind = iota
 	Slow
@@ -141,24 +143,25 @@
 var faultNames = [faultKinds]string{"zone-lost", "slow", "all-slow", "errors", "silent", "pauses", "pod-throttled",
 	"sidecar-restart", "list-behind", "burst", "hot-key", "shrink", "grow", "rolling", "crash"}
 
+// String returns the name that scenarios use.
 func (k FaultKind) String() string { return faultNames[k] }
 
-// Fault is one thing that goes wrong for a while. Any may overlap.
+// Fault is one fault. Faults may overlap.
 type Fault struct {
 	Kind             FaultKind
 	At, Duration     policy.Time
-	Share            float64 // of those it meets, drawn by the seed
-	Count            int     // of those it meets, if it says so
+	Share            float64 // share of those that it may affect, drawn by the seed
+	Count            int     // number of those that it affects, in place of a share
 	Zone             policy.Zone
 	Pod              int // -1: not by pod
 	Size             float64
 	Every            policy.Time // pauses, rolling: between one and the next
-	Cold             bool        // zone-lost: its servers come back cold
-	IncludeInstances bool        // zone-lost: its sidecars go too
-	Endpoints        []int       // these, if it names some
+	Cold             bool        // zone-lost: its endpoints come back cold
+	IncludeInstances bool        // zone-lost: its instances are lost too
+	Endpoints        []int       // numbers of those that it affects, if it names some
 }
 
-// Arrival is a request that a recorded day has.
+// Arrival is a request of a recorded day.
 type Arrival struct {
 	At         policy.Time
 	Instance   int
@@ -167,7 +170,7 @@
 	Key        uint64 // 0: none
 	TimeLeft   policy.Time
 	Retry      bool
-	WorkFactor float64 // of its work against the mean of its offering; 0: to be drawn
+	WorkFactor float64 // its work over the mean of its class; 0: to be drawn
 	IOFactor   float64
 }
 
@@ -180,7 +183,7 @@
 	return false
 }
 
-// capacity is the requests a second that the servers could do if nothing were remembered and no time were lost.
+// capacity is the requests a second that the endpoints can do with no key cached and no time lost.
 func (sc *Scenario) capacity(cores float64) float64 {
 	share, work := 0.0, 0.0
 	for _, o := range sc.Classes {
@@ -190,13 +193,13 @@
 	return cores / (work / share / float64(policy.Second))
 }
 
-// DropLoadFaults takes out what would be played twice where a recorded day's requests are played.
+// DropLoadFaults removes faults that the requests of a recorded day already show.
 func (sc *Scenario) DropLoadFaults() {
-	var kept []Fault
+	var remaining []Fault
 	for _, f := range sc.Faults {
 		if f.Kind != Burst && f.Kind != HotKey {
-			kept = append(kept, f)
+			remaining = append(remaining, f)
 		}
 	}
-	sc.Faults = kept
+	sc.Faults = remaining
 }
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -1,6 +1,7 @@
-// Package emulator plays a day of a fleet in virtual time: the decision module, one instance a sidecar, against models of
-// servers, network, discovery and clients, with a script of faults. One seed names a day; all chance comes from streams by
-// purpose, so that one more draw for one purpose moves nothing else. docs/emulator.md says what is modelled and what is not.
+// Package emulator plays a day of a fleet in virtual time: the decision module, one for each instance, against
+// models of endpoints, network, discovery and clients, with a script of faults. One seed names a day; all chance
+// comes from streams by purpose, so that one more draw for one purpose moves nothing else. docs/emulator.md says what
+// is modelled and what is not.
 package emulator
 
 import (
@@ -12,18 +13,33 @@
 	"pepperlead/policy"
 )
 
-// Decider is what decides for a sidecar: the module, or a baseline.
+// Decider is what decides for an instance: the module, or a baseline.
 type Decider interface {
 	UpdateEndpoints(now policy.Time, kind policy.ListKind, members []policy.Member)
 	ListFailed(now policy.Time)
-	Admit(now policy.Time, o policy.ClassID, f policy.TenantID, key string, repeat bool, left policy.Time) policy.Handle
+	Admit(
+		now policy.Time,
+		o policy.ClassID,
+		f policy.TenantID,
+		key string,
+		repeat bool,
+		left policy.Time,
+	) policy.Handle
 	Begin(now policy.Time, h policy.Handle)
-	AttemptEnded(now policy.Time, h policy.Handle, n policy.AttemptNo, id policy.EndpointID, o policy.Outcome, spent policy.Time, over bool)
+	AttemptEnded(
+		now policy.Time,
+		h policy.Handle,
+		n policy.AttemptNo,
+		id policy.EndpointID,
+		o policy.Outcome,
+		spent policy.Time,
+		over bool,
+	)
 	ClientLeft(now policy.Time, h policy.Handle)
 	Woken(now policy.Time)
 }
 
-// Maker makes the decider of one sidecar. view is the true state of the fleet, for marks that no sidecar can reach.
+// Maker makes the decider of one instance. view is the true state of the fleet, which no instance can see.
 type Maker func(front policy.Front, c *policy.Settings, seed uint64, now policy.Time, view View) Decider
 
 // Module makes the decision module.
@@ -31,10 +47,10 @@
 	return policy.New(front, c, seed, now)
 }
 
-// dayStart is when a day begins; moments in lists count from it, and 0 means long ago.
+// dayStart is the time at which a day begins. It is over 0, which means long ago in lists.
 const dayStart = 1000 * policy.Second
 
-// World is one day.
+// World is the state of one day.
 type World struct {
 	scenario          *Scenario
 	seed              uint64
@@ -42,7 +58,7 @@
 	queue             queue
 	judge             *judge.Judge
 	facts             judge.Facts
-	tenantNames       []string        // of the franchises
+	tenantNames       []string
 	settings          policy.Settings // but for the zone
 	endpoints         []*endpoint
 	pods              []*pod
@@ -52,121 +68,180 @@
 	freeRequests      []int32
 	tries             []clientTry
 	freeTry           []int32
-	classShares       []float64 // of the offerings, added up
+	classShares       []float64 // cumulative
 	tenantShares      []float64
 	rate              float64 // requests a second
 	keys              *zipf
-	hotKeyShare       float64 // part of the requests that ask for one key
-	burstFactor       float64 // of bursts by fault
+	hotKeyShare       float64 // share of the requests that have one key
+	burstFactor       float64 // factor on the rate
 	lostZones         map[policy.Zone]int
-	listsDelayedUntil policy.Time // that lists come later
+	listsDelayedUntil policy.Time
 	version           int64
 	doneJobs          []machine.Done
 	eventCount        uint64
-	wastedWork        float64 // work for pushes that nobody waited for, ns
-	totalWork         float64 // all
+	wastedWork        float64 // for attempts that nobody waited for, ns
+	totalWork         float64 // ns
 	values            *ValueMeter
 	faults            []fault
 	sampler           Sampler
 	noise             *rand.Rand // of the network
 	draws             struct{ faults, retries, errors *rand.Rand }
 	members           []policy.Member
-	plan              *[]Arrival // if the day is only planned: what clients ask for
+	plan              *[]Arrival // where the day is only planned: its requests
 	Series            []Sample
 }
 
-// Sampler is told of figures that a report shows; nil: none are kept.
-type Sampler interface {
-	Answer(o policy.ClassID, a judge.Answer, spent policy.Time)
-}
-
-// Sample is what a moment looked like, once a second.
-type Sample struct {
-	At         policy.Time `json:"at_ns"`
-	Attempts   []int       `json:"pushes"` // by server place, out at the moment
-	Waiting    int         `json:"waiting"`
-	Busy       float64     `json:"busy"`  // part of all cores
-	TotalLimit float64     `json:"pace"`  // mean over the sidecars; 0 where the policy has none
-	Limit      float64     `json:"limit"` // the same
-	Ejected    float64     `json:"aside"` // the same
-}
+// meterMemory is the time over which a meter forgets.
+const meterMemory = 3 * policy.Second
 
-// meter is a rate a second that forgets over three seconds.
+// meter is a rate of events, a second.
 type meter struct {
 	rate float64
 	at   policy.Time
 }
 
 func (m *meter) count(now policy.Time) float64 {
-	m.rate *= math.Exp(-float64(now-m.at) / float64(3*policy.Second))
+	m.rate *= math.Exp(-float64(now-m.at) / float64(meterMemory))
 	m.at = now
-	m.rate += 1. / 3
+	m.rate += float64(policy.Second) / float64(meterMemory)
 	return m.rate
 }
 
-// New sets a day up.
-func New(sc *Scenario, seed uint64, make Maker, sample Sampler) *World {
-	w := &World{scenario: sc, seed: seed, now: dayStart, byID: map[policy.EndpointID]*endpoint{}, lostZones: map[policy.Zone]int{},
-		burstFactor: 1, sampler: sample, noise: stream(seed, "network", 0)}
-	w.draws.faults, w.draws.retries = stream(seed, "faults", 0), stream(seed, "retries", 0)
-	w.draws.errors = stream(seed, "errors", 0)
-	w.settings = policy.Settings{Instances: sc.Instances, Zones: len(sc.Zones), FixedWeights: sc.weighted(), PollList: sc.Discovery.Polled,
-		PollWithin: 10 * policy.Second, MayCancel: sc.Limits.MayCancel, MaxAttempts: sc.Limits.MaxAttempts, MaxRetryAfter: sc.Limits.MaxRetryAfter,
-		CrossZonePrice: sc.Limits.CrossZonePrice, Tick: sc.Tick, ColdCapacity: 1, OverQuotaValue: sc.OverQuotaValue, OverloadMultiple: 3}
-	facts := judge.Facts{Instances: sc.Instances, MaxAttempts: sc.Limits.MaxAttempts, Grace: sc.Limits.Grace, Length: sc.Length}
-	for _, k := range sc.Kinds {
-		if k.WarmUpTime > 0 {
-			w.settings.ColdCapacity = min(w.settings.ColdCapacity, k.ColdSpeed)
-			w.settings.ColdTime = max(w.settings.ColdTime, k.WarmUpTime)
-		}
-		if k.OverloadMultiple > 0 && (facts.OverloadMultiple == 0 || k.OverloadMultiple < facts.OverloadMultiple) {
-			facts.OverloadMultiple, facts.OverloadWindow, w.settings.OverloadMultiple = k.OverloadMultiple, k.OverloadWindow, k.OverloadMultiple
-		}
+// New prepares a day.
+func New(scenario *Scenario, seed uint64, maker Maker, sampler Sampler) *World {
+	w := &World{
+		scenario:    scenario,
+		seed:        seed,
+		now:         dayStart,
+		byID:        map[policy.EndpointID]*endpoint{},
+		lostZones:   map[policy.Zone]int{},
+		burstFactor: 1,
+		sampler:     sampler,
+		noise:       stream(seed, "network", 0),
 	}
-	for _, o := range sc.Classes {
-		facts.Classes = append(facts.Classes, o.Class)
-		w.classShares = append(w.classShares, o.Share)
+	w.draws.faults = stream(seed, "faults", 0)
+	w.draws.retries = stream(seed, "retries", 0)
+	w.draws.errors = stream(seed, "errors", 0)
+	w.settings = scenario.settings()
+	w.facts = scenario.facts()
+	w.settings.Classes = w.facts.Classes
+	for _, class := range scenario.Classes {
+		w.classShares = append(w.classShares, class.Share)
 	}
-	w.settings.Classes = facts.Classes
 	cores := w.fleet()
-	w.rate = sc.Load.Rate
+	w.rate = scenario.Load.Rate
 	if w.rate == 0 {
-		w.rate = sc.Load.CapacityShare * sc.capacity(cores)
+		w.rate = scenario.Load.CapacityShare * scenario.capacity(cores)
 	}
-	var names []string
-	for _, f := range sc.Tenants {
-		quota := f.Quota
-		if quota == 0 {
-			quota = f.QuotaShare * w.rate
-		}
-		w.settings.Tenants = append(w.settings.Tenants, policy.Tenant{Name: f.Name, Quota: quota})
-		w.settings.TotalQuota += quota
-		names = append(names, f.Name)
-		w.tenantShares = append(w.tenantShares, f.Share)
-	}
-	w.values = NewValueMeter(sc, w.rate)
+	w.addTenants()
+	w.values = NewValueMeter(scenario, w.rate)
 	cumulate(w.classShares)
 	cumulate(w.tenantShares)
-	w.keys = newZipf(sc.Load.Keys, sc.Load.Zipf)
-	w.judge, w.facts, w.tenantNames = judge.New(facts, names), facts, names
-	for i := range sc.Instances {
-		w.instances = append(w.instances, w.newInstance(i, make))
+	w.keys = newZipf(scenario.Load.Keys, scenario.Load.Zipf)
+	w.judge = judge.New(w.facts, w.tenantNames)
+	for i := range scenario.Instances {
+		w.instances = append(w.instances, w.newInstance(i, maker))
 	}
 	w.shareLoad()
 	for _, s := range w.instances {
 		s.start(policy.ListFull)
 	}
+	w.planDay()
+	return w
+}
+
+// planDay plans the first events.
+func (w *World) planDay() {
 	w.planFaults()
 	w.queue.add(event{at: dayStart + policy.Second, rank: rankWorld, do: (*World).takeSample})
 	w.observeEndpoints(nil)
-	if len(sc.Arrivals) > 0 {
-		w.queue.add(event{at: dayStart + sc.Arrivals[0].At, rank: rankArrive, do: (*World).recordedArrival})
-	} else {
-		for _, s := range w.instances {
-			s.planArrival()
+	if len(w.scenario.Arrivals) > 0 {
+		first := dayStart + w.scenario.Arrivals[0].At
+		w.queue.add(event{at: first, rank: rankArrive, do: (*World).recordedArrival})
+		return
+	}
+	for _, s := range w.instances {
+		s.planArrival()
+	}
+}
+
+func (w *World) addTenants() {
+	for _, tenant := range w.scenario.Tenants {
+		quota := tenant.Quota
+		if quota == 0 {
+			quota = tenant.QuotaShare * w.rate
 		}
+		w.settings.Tenants = append(w.settings.Tenants, policy.Tenant{Name: tenant.Name, Quota: quota})
+		w.settings.TotalQuota += quota
+		w.tenantNames = append(w.tenantNames, tenant.Name)
+		w.tenantShares = append(w.tenantShares, tenant.Share)
 	}
-	return w
+}
+
+const (
+	// pollWithin is the time within which instances must have polled the list, where it is polled.
+	pollWithin = 10 * policy.Second
+	// defaultOverloadMultiple is what instances are told where no kind of endpoint can be overloaded.
+	defaultOverloadMultiple = 3
+)
+
+// settings are what instances are told, but for their zone, the classes and the tenants.
+func (sc *Scenario) settings() policy.Settings {
+	settings := policy.Settings{
+		Instances:        sc.Instances,
+		Zones:            len(sc.Zones),
+		FixedWeights:     sc.weighted(),
+		PollList:         sc.Discovery.Polled,
+		PollWithin:       pollWithin,
+		MayCancel:        sc.Limits.MayCancel,
+		MaxAttempts:      sc.Limits.MaxAttempts,
+		MaxRetryAfter:    sc.Limits.MaxRetryAfter,
+		CrossZonePrice:   sc.Limits.CrossZonePrice,
+		Tick:             sc.Tick,
+		ColdCapacity:     1,
+		OverQuotaValue:   sc.OverQuotaValue,
+		OverloadMultiple: defaultOverloadMultiple,
+	}
+	for _, kind := range sc.Kinds {
+		if kind.WarmUpTime > 0 {
+			settings.ColdCapacity = min(settings.ColdCapacity, kind.ColdSpeed)
+			settings.ColdTime = max(settings.ColdTime, kind.WarmUpTime)
+		}
+	}
+	if weakest := sc.weakestKind(); weakest != nil {
+		settings.OverloadMultiple = weakest.OverloadMultiple
+	}
+	return settings
+}
+
+// facts are what the judge knows of the fleet.
+func (sc *Scenario) facts() judge.Facts {
+	facts := judge.Facts{
+		Instances:   sc.Instances,
+		MaxAttempts: sc.Limits.MaxAttempts,
+		Grace:       sc.Limits.Grace,
+		Length:      sc.Length,
+	}
+	if weakest := sc.weakestKind(); weakest != nil {
+		facts.OverloadMultiple = weakest.OverloadMultiple
+		facts.OverloadWindow = weakest.OverloadWindow
+	}
+	for _, class := range sc.Classes {
+		facts.Classes = append(facts.Classes, class.Class)
+	}
+	return facts
+}
+
+// weakestKind returns the kind of endpoint that is overloaded first while cold, nil if none is.
+func (sc *Scenario) weakestKind() *EndpointKind {
+	var weakest *EndpointKind
+	for i := range sc.Kinds {
+		kind := &sc.Kinds[i]
+		if kind.OverloadMultiple > 0 && (weakest == nil || kind.OverloadMultiple < weakest.OverloadMultiple) {
+			weakest = kind
+		}
+	}
+	return weakest
 }
 
 func cumulate(all []float64) {
@@ -198,7 +273,7 @@
 	return false
 }
 
-// fleet makes the servers and gives the cores they have together, at speed 1.
+// fleet makes the endpoints and gives the cores they have together, at speed 1.
 func (w *World) fleet() (cores float64) {
 	var cum []float64
 	for _, k := range w.scenario.Kinds {
@@ -206,7 +281,7 @@
 	}
 	cumulate(cum)
 	for i := range w.scenario.Endpoints {
-		// Kinds stand in the fleet in their shares, spread evenly, whatever the seed.
+		// Kinds are spread evenly over the fleet by their shares, whatever the seed.
 		at := math.Mod(float64(i)*0.6180339887498949+0.3, 1)
 		s := w.newEndpoint(&w.scenario.Kinds[pickBy(cum, at)], 0)
 		cores += s.traits.Cores * s.traits.Speed
@@ -214,7 +289,7 @@
 	return cores
 }
 
-// Run plays the day to its end and a while beyond, until nothing is owed any more.
+// Run plays the day to its end and beyond, until every request has ended.
 func (w *World) Run() *judge.Verdict {
 	longest := policy.Time(0)
 	for _, o := range w.scenario.Classes {
@@ -235,16 +310,16 @@
 	return w.judge.Finish(w.sinceStart(w.now))
 }
 
-// Rate is the requests a second that the day is laid out for.
+// Rate returns the requests a second of the day.
 func (w *World) Rate() float64 { return w.rate }
 
-// Settings is what sidecars are told at their start, but for their zone.
+// Settings returns what instances are told at their start, but for their zone.
 func (w *World) Settings() policy.Settings { return w.settings }
 
-// Events is how many things have happened.
+// Events returns how many events were played.
 func (w *World) Events() uint64 { return w.eventCount }
 
-// Wasted is the part of all work that was done for pushes nobody waited for any more.
+// Wasted returns the part of all work that was done for attempts that nobody waited for any more.
 func (w *World) Wasted() float64 {
 	if w.totalWork == 0 {
 		return 0
@@ -252,72 +327,9 @@
 	return w.wastedWork / w.totalWork
 }
 
-// sinceStart is a moment as the judge has it, from the day's beginning.
+// sinceStart is a time of the judge, from the day's beginning.
 func (w *World) sinceStart(at policy.Time) policy.Time { return at - dayStart }
 
-// takeSample keeps a sample, once a second.
-func (w *World) takeSample(*event) {
-	if w.sampler != nil {
-		s := Sample{At: w.sinceStart(w.now)}
-		all, busy := 0.0, 0.0
-		for _, v := range w.endpoints {
-			s.Attempts = append(s.Attempts, v.inFlight)
-			s.Waiting += max(0, v.machine.Jobs()-int(v.traits.Cores))
-			if v.status != policy.Gone {
-				all += v.traits.Cores
-			}
-			busy += v.machine.Busy()
-		}
-		s.Busy = busy / max(all, 1)
-		w.addGauges(&s)
-		w.Series = append(w.Series, s)
-	}
-	if w.now < dayStart+w.scenario.Length {
-		w.queue.add(event{at: w.now + policy.Second, rank: rankWorld, do: (*World).takeSample})
-	}
-}
-
-// observeInterval is how often the judge is told how the servers stand.
-const observeInterval = policy.Second / 4
-
-// observeEndpoints tells the judge which servers are there for new work, and who stands idle while others queue.
-func (w *World) observeEndpoints(*event) {
-	idle, queues := 0, false
-	for _, v := range w.endpoints {
-		size := v.traits.Cores * v.traits.Speed
-		if v.status != policy.Ready || v.down || v.unreachable() {
-			size = 0
-		}
-		w.judge.CapacityChanged(w.sinceStart(w.now), v.number, size)
-		if in := v.machine.Jobs(); size > 0 && in == 0 {
-			idle++
-		} else if v.machine.Queued() > 0 {
-			queues = true
-		}
-	}
-	w.judge.IdleObserved(idle, queues, observeInterval)
-	if w.now < dayStart+w.scenario.Length {
-		w.queue.add(event{at: w.now + observeInterval, rank: rankWorld, do: (*World).observeEndpoints})
-	}
-}
-
-// addGauges adds what the sidecars go by, where they are of a kind that says.
-func (w *World) addGauges(s *Sample) {
-	n := 0.0
-	for _, c := range w.instances {
-		if of, says := c.decider.(interface{ Gauges() policy.Gauges }); says && c.alive {
-			g := of.Gauges()
-			n++
-			s.TotalLimit += min(g.TotalLimit, 1e4)
-			s.Limit += g.Limit
-			s.Ejected += float64(g.Ejected)
-		}
-	}
-	if n > 0 {
-		s.TotalLimit, s.Limit, s.Ejected = s.TotalLimit/n, s.Limit/n, s.Ejected/n
-	}
-}
-
 func (w *World) transit(a, b policy.Zone) policy.Time {
 	d := w.scenario.Network.Near
 	if a != b {
@@ -326,7 +338,7 @@
 	return policy.Time(float64(d) * logNormal(w.noise, w.scenario.Network.Jitter))
 }
 
-// EndpointNames are the names of all servers there have been, by place.
+// EndpointNames returns the names of all endpoints of the day, by number.
 func (w *World) EndpointNames() (all []string) {
 	for _, v := range w.endpoints {
 		all = append(all, v.uid)
@@ -334,7 +346,7 @@
 	return all
 }
 
-// PlacedEndpoint is a server as a day lays it out.
+// PlacedEndpoint is an endpoint of a day at its beginning.
 type PlacedEndpoint struct {
 	UID    string
 	Zone   policy.Zone
@@ -343,7 +355,7 @@
 	Traits machine.Traits
 }
 
-// Layout is the fleet as it stands at the day's beginning.
+// Layout returns the fleet at the day's beginning.
 func (w *World) Layout() (all []PlacedEndpoint) {
 	for _, v := range w.endpoints {
 		all = append(all, PlacedEndpoint{v.uid, v.zone, v.cell, v.weight, v.traits})
@@ -351,7 +363,8 @@
 	return all
 }
 
-// Facts are what a judge of the same day must know; slack is added to what is allowed, for judges that hear of things late.
+// Facts are what a judge of the same day must know; slack is added to what is allowed, for judges that hear of things
+// late.
 func (w *World) Facts(slack policy.Time) judge.Facts {
 	f := w.facts
 	f.Grace += slack
