--- a/internal/tomlfile/overlay.go
+++ b/internal/tomlfile/overlay.go
@@ -6,64 +6,79 @@
 	"strings"
 )
 
-// Set puts a value in place of the one at a path within the table, as in load.part or offering[1].work. What it is in the
-// file, a table or a value, it must stay.
+// Set replaces the value at a path within the table, such as load.part or offering[1].work. A value can't replace a
+// table, nor the other way round.
 func (t *Table) Set(path string, value any) error {
-	at := t.values
+	table := t.values
 	parts := strings.Split(path, ".")
 	for i, part := range parts {
-		name, index, listed := strings.Cut(strings.TrimSuffix(part, "]"), "[")
-		of, there := at[name]
-		if i == len(parts)-1 && !listed {
-			switch of.(type) {
-			case map[string]any, []any:
-				return fmt.Errorf("%s: found a table, allowed a value", path)
-			}
-			at[name] = value
-			return nil
+		name, index, indexed := strings.Cut(strings.TrimSuffix(part, "]"), "[")
+		current, exists := table[name]
+		if i == len(parts)-1 && !indexed {
+			return setValue(table, name, value, path)
 		}
-		if listed {
-			list, _ := of.([]any)
-			n, err := strconv.Atoi(index)
-			if err != nil || n < 0 || n >= len(list) {
-				return fmt.Errorf("%s: found %s, allowed 0 to %d", path, index, len(list)-1)
+		if indexed {
+			var err error
+			if current, err = elementAt(current, index, path); err != nil {
+				return err
 			}
-			of = list[n]
 		}
-		next, is := of.(map[string]any)
-		if !is {
-			if there {
+		next, isTable := current.(map[string]any)
+		if !isTable {
+			if exists {
 				return fmt.Errorf("%s: %s is no table", path, part)
 			}
 			return fmt.Errorf("%s: there is no %s", path, part)
 		}
-		at = next
+		table = next
+	}
+	return errSetTable(path)
+}
+
+func errSetTable(path string) error { return fmt.Errorf("%s: found a table, allowed a value", path) }
+
+// setValue sets a key of a table unless its value is a table or a list.
+func setValue(table map[string]any, key string, value any, path string) error {
+	switch table[key].(type) {
+	case map[string]any, []any:
+		return errSetTable(path)
 	}
-	return fmt.Errorf("%s: found a table, allowed a value", path)
+	table[key] = value
+	return nil
 }
 
-// Overlay lays a document over another: what it says goes before what that says, table by table; a list, [[of tables]] too, stands
-// in place of the other's as a whole. Faults name whichever file a key is from.
+// elementAt returns the element of a list at an index that a path names.
+func elementAt(value any, index, path string) (any, error) {
+	list, _ := value.([]any)
+	n, err := strconv.Atoi(index)
+	if err != nil || n < 0 || n >= len(list) {
+		return nil, fmt.Errorf("%s: found %s, allowed 0 to %d", path, index, len(list)-1)
+	}
+	return list[n], nil
+}
+
+// Overlay adds the keys of base that the table doesn't have, table by table. A list, [[of tables]] too, replaces that
+// of base entirely. Faults name the file that a key is from.
 func (t *Table) Overlay(base *Table) {
-	over(t.values, base.values)
-	for path, at := range base.doc.lines {
-		if _, mine := t.doc.lines[path]; !mine {
-			t.doc.lines[path] = at
+	overlayValues(t.values, base.values)
+	for path, at := range base.doc.positions {
+		if _, exists := t.doc.positions[path]; !exists {
+			t.doc.positions[path] = at
 		}
 	}
 }
 
-func over(top, base map[string]any) {
+func overlayValues(top, base map[string]any) {
 	for key, below := range base {
-		above, there := top[key]
-		if !there {
+		above, exists := top[key]
+		if !exists {
 			top[key] = below
 			continue
 		}
-		if a, is := above.(map[string]any); is {
-			if b, is := below.(map[string]any); is {
-				over(a, b)
-			}
+		topTable, topIsTable := above.(map[string]any)
+		baseTable, baseIsTable := below.(map[string]any)
+		if topIsTable && baseIsTable {
+			overlayValues(topTable, baseTable)
 		}
 	}
 }
--- /dev/null
+++ b/internal/tomlfile/positions.go
@@ -0,0 +1,127 @@
+package tomlfile
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+
+	"github.com/pelletier/go-toml/v2/unstable"
+)
+
+// maxDepth limits the parts of a dotted key and the levels of a value. Deeper ones cost memory by the square of their
+// length.
+const maxDepth = 8
+
+// errTooDeep is returned for a document over maxDepth.
+var errTooDeep = errors.New("a key of more parts, or a value of more levels")
+
+// positionScanner finds the line of each key and table header.
+type positionScanner struct {
+	doc         *Document
+	text        []byte
+	parser      unstable.Parser
+	arrayLength map[string]int // tables so far in each array of tables, by its path
+	scanned     int            // offset up to which lines are counted
+	line        int            // the line at that offset
+}
+
+// scanPositions notes the positions of all keys. It reports false, with a fault, if the document is too deep to be
+// read. Other errors are left to the reader proper, which describes them better.
+func (d *Document) scanPositions(text []byte) bool {
+	s := positionScanner{doc: d, text: text, arrayLength: map[string]int{}, line: 1}
+	s.parser.Reset(text)
+	if err := s.scan(); err != nil {
+		allowed := fmt.Sprintf("%d parts and levels at most", maxDepth)
+		d.add(position{d.File, s.line}, documentKey, err.Error(), allowed)
+		return false
+	}
+	return true
+}
+
+func (s *positionScanner) scan() error {
+	table := ""
+	for s.parser.NextExpression() {
+		expression := s.parser.Expression()
+		var err error
+		switch expression.Kind {
+		case unstable.Table, unstable.ArrayTable:
+			table, err = s.header(expression)
+		case unstable.KeyValue:
+			if _, err = s.path(table, expression.Key(), false); err == nil {
+				err = checkDepth(expression.Value(), 0)
+			}
+		}
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// header notes a table header and returns the table's path.
+func (s *positionScanner) header(expression *unstable.Node) (string, error) {
+	path, err := s.path("", expression.Key(), expression.Kind == unstable.ArrayTable)
+	if first := expression.Child(); first != nil {
+		offset := int(first.Raw.Offset)
+		s.doc.LastTable = path
+		s.doc.LastAt = 1 + bytes.LastIndexByte(s.text[:offset], '\n')
+		s.doc.positions[path] = position{s.doc.File, s.lineAt(offset)}
+	}
+	return path, err
+}
+
+// path notes the position of each part of a dotted key within a table and returns the full path. With array, the key
+// is the header of another table of an array.
+func (s *positionScanner) path(table string, keys unstable.Iterator, array bool) (string, error) {
+	path := table
+	for parts := 1; keys.Next(); parts++ {
+		if parts > maxDepth {
+			return path, errTooDeep
+		}
+		path = joinPath(path, string(keys.Node().Data))
+		if array && keys.IsLast() {
+			s.arrayLength[path]++
+		}
+		if length := s.arrayLength[path]; length > 0 {
+			path = fmt.Sprintf("%s[%d]", path, length-1)
+		}
+		if _, known := s.doc.positions[path]; !known {
+			s.doc.positions[path] = position{s.doc.File, s.lineAt(int(keys.Node().Raw.Offset))}
+		}
+	}
+	return path, nil
+}
+
+// lineAt returns the line of an offset. Offsets are asked for in ascending order, except within a line.
+func (s *positionScanner) lineAt(offset int) int {
+	for ; s.scanned < offset; s.scanned++ {
+		if s.text[s.scanned] == '\n' {
+			s.line++
+		}
+	}
+	return s.line
+}
+
+// checkDepth returns errTooDeep for a value at a level that has more levels, or keys of more parts, than are allowed.
+func checkDepth(value *unstable.Node, level int) error {
+	if level > maxDepth {
+		return errTooDeep
+	}
+	switch value.Kind {
+	case unstable.KeyValue:
+		parts := 0
+		for keys := value.Key(); keys.Next(); parts++ {
+			if parts >= maxDepth {
+				return errTooDeep
+			}
+		}
+		return checkDepth(value.Value(), level)
+	case unstable.Array, unstable.InlineTable:
+		for children := value.Children(); children.Next(); {
+			if err := checkDepth(children.Node(), level+1); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
--- a/internal/tomlfile/table.go
+++ b/internal/tomlfile/table.go
@@ -6,65 +6,93 @@
 	"strings"
 )
 
-// Table is a table of the document. What its readers ask for is known; Done tells of everything else.
+// Table is a table of a document. It remembers which keys were read, so that RejectUnknown can report the others.
 type Table struct {
-	doc    *Document
-	path   string
-	at     place
-	values map[string]any
-	known  []string
+	doc      *Document
+	path     string
+	position position
+	values   map[string]any // nil if the table isn't in the document
+	known    []string       // keys that were read, in that order
 }
 
-// Has tells whether the key is there.
+// Table returns the table under a key; it is empty if there is none.
+func (t *Table) Table(key string) *Table {
+	values, _ := read[map[string]any](t, key, "a table")
+	return &Table{doc: t.doc, path: joinPath(t.path, key), position: t.positionOf(key), values: values}
+}
+
+// Tables returns the array of tables [[key]].
+func (t *Table) Tables(key string) []*Table {
+	allowed := "tables, each under [[" + joinPath(t.path, key) + "]]"
+	list, _ := read[[]any](t, key, allowed)
+	var tables []*Table
+	for i, element := range list {
+		values, ok := element.(map[string]any)
+		if !ok {
+			t.Fault(key, t.Found(key), allowed)
+			return nil
+		}
+		name := fmt.Sprintf("%s[%d]", key, i)
+		tables = append(tables, &Table{
+			doc:      t.doc,
+			path:     joinPath(t.path, name),
+			position: t.positionOf(name),
+			values:   values,
+		})
+	}
+	return tables
+}
+
+// Has reports whether the key is in the table.
 func (t *Table) Has(key string) bool {
-	t.know(key)
-	_, there := t.values[key]
-	return there
+	t.markKnown(key)
+	_, exists := t.values[key]
+	return exists
 }
 
-// Line is where the table, or if it is there the key in it, stands.
-func (t *Table) Line(key string) int { return t.place(key).line }
+// Line returns the line of the key, or of the table if it doesn't have the key.
+func (t *Table) Line(key string) int { return t.positionOf(key).line }
 
-func (t *Table) place(key string) place {
-	if at, known := t.doc.lines[join(t.path, key)]; known {
+func (t *Table) positionOf(key string) position {
+	if at, known := t.doc.positions[joinPath(t.path, key)]; known {
 		return at
 	}
-	return t.at
+	return t.position
 }
 
-// Fault notes that what stands under the key cannot be used.
+// Fault reports that the value of the key can't be used.
 func (t *Table) Fault(key, found, allowed string) {
-	t.doc.add(t.place(key), join(t.path, key), found, allowed)
+	t.doc.add(t.positionOf(key), joinPath(t.path, key), found, allowed)
 }
 
-// Found is the value as it is shown in faults.
+// Found returns the value of the key as faults show it.
 func (t *Table) Found(key string) string {
-	v, there := t.values[key]
-	if !there {
+	value, exists := t.values[key]
+	if !exists {
 		return "nothing"
 	}
-	s := fmt.Sprint(v)
-	switch v.(type) {
+	found := fmt.Sprint(value)
+	switch value.(type) {
 	case string:
-		s = fmt.Sprintf("%q", v)
+		found = fmt.Sprintf("%q", value)
 	case map[string]any:
-		s = "a table"
+		found = "a table"
 	case []any:
-		s = "a list"
+		found = "a list"
 	}
-	if len(s) > mostShown {
-		s = strings.ToValidUTF8(s[:mostShown], "") + "…"
+	if len(found) > maxFoundLength {
+		found = strings.ToValidUTF8(found[:maxFoundLength], "") + "…"
 	}
-	return s
+	return found
 }
 
-func (t *Table) know(key string) {
+func (t *Table) markKnown(key string) {
 	if !slices.Contains(t.known, key) {
 		t.known = append(t.known, key)
 	}
 }
 
-// Require notes each of the keys that is not there. A table that is not there itself is one fault, not several.
+// Require reports each of the keys that is missing. A table that is missing itself is one fault, not several.
 func (t *Table) Require(keys ...string) {
 	if t.values == nil {
 		return
@@ -76,16 +104,16 @@
 	}
 }
 
-// RejectUnknown notes each key that nobody has asked for.
+// RejectUnknown reports each key that was never read.
 func (t *Table) RejectUnknown() {
-	var strange []string
+	var unknown []string
 	for key := range t.values {
 		if !slices.Contains(t.known, key) {
-			strange = append(strange, key)
+			unknown = append(unknown, key)
 		}
 	}
-	slices.Sort(strange)
-	for _, key := range strange {
+	slices.Sort(unknown)
+	for _, key := range unknown {
 		t.Fault(key, "an unknown key", strings.Join(t.known, ", "))
 	}
 }
--- a/internal/tomlfile/values.go
+++ b/internal/tomlfile/values.go
@@ -10,132 +10,145 @@
 	"pepperlead/policy"
 )
 
-// read takes the value of a key as one kind of thing; ok is false where it is not there or another kind.
-func read[T any](t *Table, key, allowed string) (v T, ok bool) {
-	t.know(key)
-	of, there := t.values[key]
-	if !there {
-		return v, false
-	}
-	if v, ok = of.(T); !ok {
+const (
+	maxStringLength = 255 // bytes
+
+	minTimestampYear = 1970
+	maxTimestampYear = 2200
+)
+
+// read returns the value of a key. It reports false if there is none, or, with a fault, if it has another type.
+func read[T any](t *Table, key, allowed string) (T, bool) {
+	t.markKnown(key)
+	value, exists := t.values[key]
+	if !exists {
+		var none T
+		return none, false
+	}
+	typed, ok := value.(T)
+	if !ok {
 		t.Fault(key, t.Found(key), allowed)
 	}
-	return v, ok
+	return typed, ok
 }
 
+// validString reports whether a string has an allowed length.
+func validString(value string) bool { return value != "" && len(value) <= maxStringLength }
+
 // String reads a string of 1 to 255 bytes.
 func (t *Table) String(key, fallback string) string {
 	const allowed = "a text of 1 to 255 bytes"
-	v, ok := read[string](t, key, allowed)
-	if ok && (v == "" || len(v) > 255) {
-		t.Fault(key, t.Found(key), allowed)
-		ok = false
-	}
+	value, ok := read[string](t, key, allowed)
 	if !ok {
 		return fallback
 	}
-	return v
+	if !validString(value) {
+		t.Fault(key, t.Found(key), allowed)
+		return fallback
+	}
+	return value
 }
 
-// Strings reads a list of such strings.
+// Strings reads a list of strings of 1 to 255 bytes.
 func (t *Table) Strings(key string) []string {
 	const allowed = "a list of texts of 1 to 255 bytes"
 	list, ok := read[[]any](t, key, allowed)
 	if !ok {
 		return nil
 	}
-	var out []string
-	for _, of := range list {
-		v, ok := of.(string)
-		if !ok || v == "" || len(v) > 255 {
+	var values []string
+	for _, element := range list {
+		value, ok := element.(string)
+		if !ok || !validString(value) {
 			t.Fault(key, t.Found(key), allowed)
 			return nil
 		}
-		out = append(out, v)
+		values = append(values, value)
 	}
-	return out
+	return values
 }
 
-// OneOf reads one of some words and gives its place among them.
-func (t *Table) OneOf(key string, fallback int, words ...string) int {
-	allowed := strings.Join(words, ", ")
-	v, ok := read[string](t, key, allowed)
+// OneOf reads one of the choices and returns its index among them.
+func (t *Table) OneOf(key string, fallback int, choices ...string) int {
+	allowed := strings.Join(choices, ", ")
+	value, ok := read[string](t, key, allowed)
 	if !ok {
 		return fallback
 	}
-	at := slices.Index(words, v)
-	if at < 0 {
+	index := slices.Index(choices, value)
+	if index < 0 {
 		t.Fault(key, t.Found(key), allowed)
 		return fallback
 	}
-	return at
+	return index
 }
 
 // Bool reads true or false.
 func (t *Table) Bool(key string, fallback bool) bool {
-	if v, ok := read[bool](t, key, "true or false"); ok {
-		return v
+	if value, ok := read[bool](t, key, "true or false"); ok {
+		return value
 	}
 	return fallback
 }
 
-// Count reads a whole number.
+// Count reads an integer from low to high.
 func (t *Table) Count(key string, fallback, low, high int64) int64 {
 	allowed := fmt.Sprintf("a whole number from %d to %d", low, high)
-	v, ok := read[int64](t, key, allowed)
-	if ok && (v < low || v > high) {
-		t.Fault(key, t.Found(key), allowed)
-		ok = false
-	}
+	value, ok := read[int64](t, key, allowed)
 	if !ok {
 		return fallback
 	}
-	return v
+	if value < low || value > high {
+		t.Fault(key, t.Found(key), allowed)
+		return fallback
+	}
+	return value
 }
 
-// Float reads a number.
+// Float reads a number from low to high; it may be written as an integer.
 func (t *Table) Float(key string, fallback, low, high float64) float64 {
-	t.know(key)
-	of, there := t.values[key]
-	if !there {
+	t.markKnown(key)
+	found, exists := t.values[key]
+	if !exists {
 		return fallback
 	}
-	v, ok := of.(float64)
-	if n, whole := of.(int64); whole {
-		v, ok = float64(n), true
+	value, ok := found.(float64)
+	if integer, isInteger := found.(int64); isInteger {
+		value = float64(integer)
+		ok = true
 	}
-	if !ok || math.IsNaN(v) || v < low || v > high {
+	if !ok || math.IsNaN(value) || value < low || value > high {
 		t.Fault(key, t.Found(key), fmt.Sprintf("a number from %g to %g", low, high))
 		return fallback
 	}
-	return v
+	return value
 }
 
-// Duration reads a time written as "400ms" or "2s".
+// Duration reads a time from low to high, written as "400ms" or "2s".
 func (t *Table) Duration(key string, fallback, low, high policy.Time) policy.Time {
 	allowed := fmt.Sprintf(`a time as "400ms" or "2s", from %v to %v`, time.Duration(low), time.Duration(high))
-	v, ok := read[string](t, key, allowed)
+	text, ok := read[string](t, key, allowed)
 	if !ok {
 		return fallback
 	}
-	d, err := time.ParseDuration(v)
-	if err != nil || policy.Time(d) < low || policy.Time(d) > high {
+	value, err := time.ParseDuration(text)
+	if err != nil || policy.Time(value) < low || policy.Time(value) > high {
 		t.Fault(key, t.Found(key), allowed)
 		return fallback
 	}
-	return policy.Time(d)
+	return policy.Time(value)
 }
 
-// Timestamp reads a date with time and zone, 0 where there is none.
+// Timestamp reads a date with time and zone and returns its Unix time; it returns 0 if there is none.
 func (t *Table) Timestamp(key string) policy.Time {
 	const allowed = "a date, time and zone as 2026-12-01T08:00:00Z, from 1970 on"
-	v, ok := read[time.Time](t, key, allowed)
-	if ok && (v.Year() < 1970 || v.Year() > 2200) {
-		t.Fault(key, t.Found(key), allowed)
-		ok = false
-	}
+	value, ok := read[time.Time](t, key, allowed)
 	if !ok {
 		return 0
 	}
-	return policy.Time(v.UnixNano())
+	if value.Year() < minTimestampYear || value.Year() > maxTimestampYear {
+		t.Fault(key, t.Found(key), allowed)
+		return 0
+	}
+	return policy.Time(value.UnixNano())
 }
