--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -10,27 +10,27 @@
 // readAs reads a text as one of the documents of this package.
 type readAs func(path string, text []byte) (any, error)
 
-// TestDocumentsAreReadAsBefore holds the values that the documents of the repository, and some with each key, are read as to those
-// that they were read as before. The values stand in the order of their fields, without names.
+// TestDocumentsAreReadAsBefore holds the values that the documents of the repository, and some with each key, are read
+// as to those that they were read as before. The values stand in the order of their fields, without names.
 func TestDocumentsAreReadAsBefore(t *testing.T) {
 	daemon := func(path string, text []byte) (any, error) { return Read(path, text) }
 	client := func(path string, text []byte) (any, error) { return ReadClient(path, text) }
-	version := func(path string, text []byte) (any, error) { return ReadRules(path, text) }
-	keeper := func(path string, text []byte) (any, error) { return ReadCoordinator(path, text) }
+	rules := func(path string, text []byte) (any, error) { return ReadRules(path, text) }
+	coordinator := func(path string, text []byte) (any, error) { return ReadCoordinator(path, text) }
 	for _, document := range []struct {
 		path, golden string
 		read         readAs
 	}{
 		{"../../deploy/standalone.toml", "standalone.values", daemon},
 		{"../../deploy/standalone.toml", "standalone-client.values", client},
-		{"../../deploy/rules.toml", "rules.values", version},
-		{"../../deploy/keeper.toml", "keeper.values", keeper},
+		{"../../deploy/rules.toml", "rules.values", rules},
+		{"../../deploy/keeper.toml", "keeper.values", coordinator},
 		{"testdata/files.toml", "files.values", daemon},
 		{"testdata/discovery.toml", "discovery.values", daemon},
 		{"testdata/fixed.toml", "fixed.values", daemon},
 		{"testdata/client.toml", "client.values", client},
-		{"testdata/version.toml", "version.values", version},
-		{"testdata/keeper.toml", "every-key-keeper.values", keeper},
+		{"testdata/version.toml", "version.values", rules},
+		{"testdata/keeper.toml", "every-key-keeper.values", coordinator},
 	} {
 		t.Run(document.golden, func(t *testing.T) {
 			text, err := os.ReadFile(document.path)
