--- /dev/null
+++ b/internal/discovery/cached.go
@@ -0,0 +1,115 @@
+package discovery
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"pepperlead/internal/endpointfiles"
+	"pepperlead/internal/snapshot"
+	"pepperlead/policy"
+)
+
+// saveInterval is the least time between two writes of the cached list.
+const saveInterval = time.Second
+
+// Cached is a source whose list is saved in a directory, and emitted again as a saved list at the next start. Disk
+// writes happen in a goroutine of their own.
+type Cached struct {
+	Source
+	store *snapshot.Store
+	now   func() policy.Time
+}
+
+// resumer is a source that can go on from a saved list.
+type resumer interface {
+	Resume(entries []Entry, state endpointfiles.State)
+}
+
+// NewCached wraps a source.
+func NewCached(source Source, directory string, now func() policy.Time) *Cached {
+	return &Cached{Source: source, store: &snapshot.Store{Dir: directory}, now: now}
+}
+
+// Name returns the name of the wrapped source and the directory.
+func (c *Cached) Name() string { return c.Source.Name() + ", kept in " + c.store.Dir }
+
+// Refresh refreshes the wrapped source, if it is a Refresher.
+func (c *Cached) Refresh(within time.Duration) bool {
+	refresher, ok := c.Source.(Refresher)
+	return ok && refresher.Refresh(within)
+}
+
+// Run emits the saved list, then the events of the wrapped source.
+func (c *Cached) Run(ctx context.Context, emit func(Event)) {
+	entries, state := c.restore(emit)
+	pending := make(chan cachedList, 1)
+	saved := make(chan struct{})
+	go func() {
+		defer close(saved)
+		c.saveAll(ctx, pending, emit)
+	}()
+	c.Source.Run(ctx, func(event Event) {
+		emit(event)
+		if event.List == nil {
+			return
+		}
+		merge(entries, *event.List)
+		if event.List.FileState.Issues != nil {
+			state = event.List.FileState
+		}
+		select {
+		case <-pending: // a later list replaces one that was not saved yet
+		default:
+		}
+		pending <- c.document(entries, state)
+	})
+	close(pending)
+	<-saved
+}
+
+// restore emits the saved list, if there is one, and returns its entries by uid and its state.
+func (c *Cached) restore(emit func(Event)) (map[string]Entry, endpointfiles.State) {
+	byUID := map[string]Entry{}
+	entries, state, err := c.load()
+	if errors.Is(err, snapshot.ErrNotFound) {
+		return byUID, endpointfiles.State{}
+	}
+	if err != nil {
+		// The source has a later list anyway, so a damaged one does not prevent a start.
+		emit(Event{Note: "kept list: left out: " + err.Error()})
+		return byUID, endpointfiles.State{}
+	}
+	for _, entry := range entries {
+		byUID[entry.UID] = entry
+	}
+	if source, ok := c.Source.(resumer); ok {
+		source.Resume(entries, state)
+	}
+	emit(Event{List: &List{Kind: policy.ListSaved, Entries: entries, FileState: state}})
+	return byUID, state
+}
+
+// saveAll saves lists until the channel is closed.
+func (c *Cached) saveAll(ctx context.Context, pending <-chan cachedList, emit func(Event)) {
+	for list := range pending {
+		if err := c.save(list); err != nil {
+			emit(Event{Note: "the list cannot be kept: " + err.Error()})
+		}
+		sleep(ctx, saveInterval)
+	}
+}
+
+// merge applies a list to the entries in force.
+func merge(entries map[string]Entry, list List) {
+	if list.Kind != policy.ListChanges {
+		clear(entries)
+	}
+	for _, entry := range list.Entries {
+		if entry.Status == policy.Gone {
+			delete(entries, entry.UID)
+		} else {
+			entries[entry.UID] = entry
+		}
+	}
+}
--- a/internal/discovery/files.go
+++ b/internal/discovery/files.go
@@ -3,13 +3,11 @@
 import (
 	"context"
 	"fmt"
-	"io"
 	"maps"
 	"os"
 	"path/filepath"
 	"slices"
 	"strings"
-	"syscall"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
@@ -20,211 +18,182 @@
 )
 
 const (
-	lookEvery = time.Second          // where nothing says that a file has changed
-	gather    = 2 * time.Millisecond // a burst of changes is read once
-	mostFiles = 2048                 // one for each server, say
-	mostDirs  = 64
+	// pollInterval is how often files are read where no change is notified.
+	pollInterval = time.Second
+	// burstDelay is the wait after a notification, so that a burst of changes is read once.
+	burstDelay = 2 * time.Millisecond
+	// maxFiles allows for a file for each endpoint.
+	maxFiles = 2048
+	// wildcards are the characters that make a path a pattern of filepath.Glob.
+	wildcards = `*?[\`
 )
 
-// Files watches list files and tells their servers as one list, whole or not at all.
+// Files is a source that watches list files and emits their endpoints as one list.
 type Files struct {
-	patterns []string
-	keeper   *endpointfiles.Validator
-	name     string
-	now      func() policy.Time
-	parsed   map[string]endpointfiles.File // as last read, so that what has not changed is not parsed again
-	refused  string                        // why, while the files are not taken
-	looks    chan chan struct{}            // of whoever wants to know what there is now
+	patterns  []string
+	validator *endpointfiles.Validator
+	name      string
+	now       func() policy.Time
+	parsed    map[string]endpointfiles.File // as last read, by path: unchanged files are not parsed again
+	rejected  string                        // why the files are rejected; empty: they are not
+	refreshes chan chan struct{}            // requests to read the files, with a channel to close when that is done
 }
 
-// NewFiles makes a source of the files at the patterns, which are those of filepath.Glob; one without * or ? must be there.
-func NewFiles(patterns []string, terms endpointfiles.Limits, now func() policy.Time) *Files {
-	for _, p := range patterns {
-		if !strings.ContainsAny(p, `*?[\`) {
-			terms.RequiredFiles = append(terms.RequiredFiles, p)
+// NewFiles returns a source of the files that match patterns of filepath.Glob. A pattern without wildcards names a file
+// that is required.
+func NewFiles(patterns []string, limits endpointfiles.Limits, now func() policy.Time) *Files {
+	for _, pattern := range patterns {
+		if !strings.ContainsAny(pattern, wildcards) {
+			limits.RequiredFiles = append(limits.RequiredFiles, pattern)
 		}
 	}
-	return &Files{patterns: patterns, keeper: endpointfiles.New(terms), now: now, parsed: map[string]endpointfiles.File{}, looks: make(chan chan struct{}),
-		name: fmt.Sprintf("files %v, %+v", patterns, terms)}
+	return &Files{
+		patterns:  patterns,
+		validator: endpointfiles.New(limits),
+		name:      fmt.Sprintf("files %v, %+v", patterns, limits),
+		now:       now,
+		parsed:    map[string]endpointfiles.File{},
+		refreshes: make(chan chan struct{}),
+	}
 }
 
-// Name tells the patterns and the terms.
+// Name returns the patterns and the limits.
 func (f *Files) Name() string { return f.name }
 
-// Follow has nothing to begin: looking at files costs nobody else.
+// Follow does nothing: reading files costs no shared service anything.
 func (f *Files) Follow(bool) {}
 
-// Refresh reads the files now, and comes back once what they say has been told, or when the time is over: false.
+// Refresh reads the files at once and reports whether their events were emitted within the time.
 func (f *Files) Refresh(within time.Duration) bool {
-	end := time.After(within)
-	looked := make(chan struct{})
+	timeout := time.After(within)
+	done := make(chan struct{})
 	select {
-	case f.looks <- looked:
-	case <-end:
+	case f.refreshes <- done:
+	case <-timeout:
 		return false
 	}
 	select {
-	case <-looked:
+	case <-done:
 		return true
-	case <-end:
+	case <-timeout:
 		return false
 	}
 }
 
-// Resume goes on from a list kept earlier. It is called before Run.
-func (f *Files) Resume(entries []Entry, memo endpointfiles.State) { f.keeper.Resume(entries, memo) }
+// Resume puts a list in force that was saved earlier. It is called before Run.
+func (f *Files) Resume(entries []Entry, state endpointfiles.State) {
+	f.validator.Resume(entries, state)
+}
 
-// Run looks at the files when they change, and every second.
-func (f *Files) Run(ctx context.Context, say func(Event)) {
-	var events chan fsnotify.Event
-	var faults chan error
+// Run reads the files when they change, and at least at each poll interval.
+func (f *Files) Run(ctx context.Context, emit func(Event)) {
+	var changes chan fsnotify.Event
+	var overflows chan error
 	watcher, err := fsnotify.NewWatcher()
 	if err != nil {
-		say(Event{Note: "list files: no word of changes, looking every second: " + err.Error()})
+		emit(Event{Note: "list files: no word of changes, looking every second: " + err.Error()})
 	} else {
-		defer watcher.Close()
-		events, faults = watcher.Events, watcher.Errors
+		defer func() { _ = watcher.Close() }() // nothing waits for its notifications any more
+		changes = watcher.Events
+		overflows = watcher.Errors
 	}
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for {
-		f.watch(watcher)
-		pause := lookEvery
-		if again := f.look(say); again > 0 {
-			pause = min(pause, max(time.Duration(again-f.now()), gather))
-		}
-		alarm.Reset(pause)
+		f.watchDirectories(watcher)
+		timer.Reset(f.evaluate(emit))
 		select {
 		case <-ctx.Done():
 			return
-		case looked := <-f.looks:
-			f.look(say)
-			close(looked)
-		case <-alarm.C:
-		case <-faults: // the queue ran over: what it said is lost, and looking tells
-		case <-events:
-			sleep(ctx, gather)
-			drained(events)
+		case done := <-f.refreshes:
+			f.evaluate(emit)
+			close(done)
+		case <-timer.C:
+		case <-overflows: // notifications were lost, and the files are read anyway
+		case <-changes:
+			sleep(ctx, burstDelay)
+			discardPending(changes)
 		}
 	}
 }
 
-func drained(events chan fsnotify.Event) {
+// discardPending empties the channel without blocking.
+func discardPending(changes chan fsnotify.Event) {
 	for {
 		select {
-		case <-events:
+		case <-changes:
 		default:
 			return
 		}
 	}
 }
 
-// look reads the files and tells what has become of them; again: when to look at the latest.
-func (f *Files) look(say func(Event)) (again policy.Time) {
-	switch found := f.keeper.Evaluate(f.now(), f.read()); found.Verdict {
+// evaluate reads the files and emits what has changed. It returns after which time to read them again at the latest.
+func (f *Files) evaluate(emit func(Event)) time.Duration {
+	result := f.validator.Evaluate(f.now(), f.readAll())
+	switch result.Verdict {
 	case endpointfiles.Accepted:
-		f.refused = ""
-		say(Event{List: &List{Kind: policy.ListFull, Entries: found.Entries, FileState: f.keeper.State()}})
+		f.rejected = ""
+		emit(Event{List: &List{Kind: policy.ListFull, Entries: result.Entries, FileState: f.validator.State()}})
 	case endpointfiles.Rejected:
-		if found.Reason != f.refused {
-			f.refused = found.Reason
-			say(Event{Rejected: found.Reason})
+		if result.Reason != f.rejected {
+			f.rejected = result.Reason
+			emit(Event{Rejected: result.Reason})
 		}
 	case endpointfiles.Unchanged:
-		if f.refused != "" {
-			f.refused = ""
-			say(Event{Recovered: true})
+		if f.rejected != "" {
+			f.rejected = ""
+			emit(Event{Recovered: true})
 		}
 	case endpointfiles.Wait:
-		return found.LookAgain
+		if result.LookAgain > 0 {
+			return min(pollInterval, max(time.Duration(result.LookAgain-f.now()), burstDelay))
+		}
 	}
-	return 0
+	return pollInterval
 }
 
-// names gives the paths that match, once each.
-func (f *Files) names() []string {
-	var all []string
-	for _, p := range f.patterns {
-		found, _ := filepath.Glob(p) // a pattern that is none was refused with the configuration
-		all = append(all, found...)
+// paths returns the paths that match the patterns, each once.
+func (f *Files) paths() []string {
+	var paths []string
+	for _, pattern := range f.patterns {
+		matches, _ := filepath.Glob(pattern) // malformed patterns are rejected with the configuration
+		paths = append(paths, matches...)
 	}
-	slices.Sort(all)
-	return slices.Compact(all)
+	slices.Sort(paths)
+	return slices.Compact(paths)
 }
 
-// read reads all the files. One that cannot be read is a problem of that file; one that has just gone is not there.
-func (f *Files) read() []endpointfiles.File {
-	names := f.names()
-	if len(names) > mostFiles {
-		return []endpointfiles.File{{Name: names[0], Problem: fmt.Sprintf("%v: found %d files, allowed %d", f.patterns, len(names),
-			mostFiles)}}
+// readAll reads the files. One that can't be read has a problem; one that was just removed is left out.
+func (f *Files) readAll() []endpointfiles.File {
+	paths := f.paths()
+	if len(paths) > maxFiles {
+		problem := fmt.Sprintf("%v: found %d files, allowed %d", f.patterns, len(paths), maxFiles)
+		return []endpointfiles.File{{Name: paths[0], Problem: problem}}
 	}
 	var files []endpointfiles.File
-	for _, name := range names {
-		text, err := ReadFile(name)
+	for _, path := range paths {
+		content, err := ReadFile(path)
 		switch {
 		case os.IsNotExist(err):
 		case err != nil:
-			files = append(files, endpointfiles.File{Name: name, Problem: err.Error(), Digest: endpointfiles.Digest(xxhash.Sum64String(err.Error()))})
+			digest := endpointfiles.Digest(xxhash.Sum64String(err.Error()))
+			files = append(files, endpointfiles.File{Name: path, Problem: err.Error(), Digest: digest})
 		default:
-			was, known := f.parsed[name]
-			if !known || was.Digest != endpointfiles.Digest(xxhash.Sum64(text)) {
-				was = endpointfiles.Parse(name, text)
-				f.parsed[name] = was
-			}
-			files = append(files, was)
+			files = append(files, f.parse(path, content))
 		}
 	}
-	maps.DeleteFunc(f.parsed, func(name string, _ endpointfiles.File) bool { return !slices.Contains(names, name) })
+	maps.DeleteFunc(f.parsed, func(path string, _ endpointfiles.File) bool { return !slices.Contains(paths, path) })
 	return files
 }
 
-// ReadFile reads a plain file of a size that a list may have. It never waits for a writer, as it would at a pipe.
-func ReadFile(name string) ([]byte, error) {
-	in, err := os.OpenFile(name, os.O_RDONLY|syscall.O_NONBLOCK, 0)
-	if err != nil {
-		return nil, err
-	}
-	defer in.Close()
-	info, err := in.Stat()
-	if err != nil {
-		return nil, err
-	}
-	if !info.Mode().IsRegular() {
-		return nil, fmt.Errorf("%s: found no plain file, allowed a list file", name)
-	}
-	text, err := io.ReadAll(io.LimitReader(in, endpointfiles.MaxFileSize+1))
-	if err != nil {
-		return nil, err
-	}
-	if len(text) > endpointfiles.MaxFileSize {
-		return nil, fmt.Errorf("%s: found over %d bytes, allowed as many", name, endpointfiles.MaxFileSize)
-	}
-	return text, nil
-}
-
-// watch asks for word of changes in the folders of the files, and of what they lead to. A folder that was removed and made
-// again is asked for anew; asking twice costs nothing.
-func (f *Files) watch(w *fsnotify.Watcher) {
-	if w == nil {
-		return
-	}
-	dirs := map[string]bool{}
-	for _, p := range f.patterns {
-		for strings.ContainsAny(filepath.Dir(p), `*?[\`) {
-			p = filepath.Dir(p)
-		}
-		dirs[filepath.Dir(p)] = true
-	}
-	for _, name := range f.names() {
-		dirs[filepath.Dir(name)] = true
-		if real, err := filepath.EvalSymlinks(name); err == nil {
-			dirs[filepath.Dir(real)] = true
-		}
-	}
-	for i, dir := range slices.Sorted(maps.Keys(dirs)) {
-		if i < mostDirs {
-			w.Add(dir) // where that fails, looking every second is left
-		}
+// parse parses a file, unless its content is that of the last time.
+func (f *Files) parse(path string, content []byte) endpointfiles.File {
+	parsed, known := f.parsed[path]
+	if known && parsed.Digest == endpointfiles.Digest(xxhash.Sum64(content)) {
+		return parsed
 	}
+	parsed = endpointfiles.Parse(path, content)
+	f.parsed[path] = parsed
+	return parsed
 }
--- a/internal/discovery/files_test.go
+++ b/internal/discovery/files_test.go
@@ -15,11 +15,11 @@
 	"pepperlead/policy"
 )
 
-var terms = endpointfiles.Limits{MaxRemovedShare: 0.6, SettleTime: 40 * policy.Millisecond, MissingTime: 150 * policy.Millisecond,
+var limits = endpointfiles.Limits{MaxRemovedShare: 0.6, SettleTime: 40 * policy.Millisecond, MissingTime: 150 * policy.Millisecond,
 	DrainMemory: 3600 * policy.Second}
 
-// text is a list file of the servers named; one with a ! drains. issue 0: neither numbered nor sealed.
-func text(issue endpointfiles.Issue, uids ...string) []byte {
+// listText is a list file of the named endpoints; one with a ! drains. issue 0: neither numbered nor sealed.
+func listText(issue endpointfiles.Issue, uids ...string) []byte {
 	var b bytes.Buffer
 	for _, uid := range uids {
 		name, drains := strings.CutSuffix(uid, "!")
@@ -39,41 +39,41 @@
 	return out
 }
 
-// watch runs a source and hands on what it tells.
-type watch struct {
-	t    *testing.T
-	dir  string
-	news chan Event
-	end  func()
+// runningSource runs a source and receives its events.
+type runningSource struct {
+	t      *testing.T
+	dir    string
+	events chan Event
+	stop   func()
 }
 
-func start(t *testing.T, dir string, s Source) *watch {
+func start(t *testing.T, dir string, s Source) *runningSource {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &watch{t: t, dir: dir, news: make(chan Event, 64)}
+	w := &runningSource{t: t, dir: dir, events: make(chan Event, 64)}
 	ended := make(chan struct{})
-	go func() { defer close(ended); s.Run(ctx, func(n Event) { w.news <- n }) }()
-	w.end = func() { cancel(); <-ended }
-	t.Cleanup(w.end)
+	go func() { defer close(ended); s.Run(ctx, func(event Event) { w.events <- event }) }()
+	w.stop = func() { cancel(); <-ended }
+	t.Cleanup(w.stop)
 	return w
 }
 
-func watched(t *testing.T, patterns ...string) *watch {
+func watchFiles(t *testing.T, patterns ...string) *runningSource {
 	dir := t.TempDir()
 	for i := range patterns {
 		patterns[i] = filepath.Join(dir, patterns[i])
 	}
-	return start(t, dir, NewFiles(patterns, terms, clock.New().Now))
+	return start(t, dir, NewFiles(patterns, limits, clock.New().Now))
 }
 
-func (w *watch) write(name string, in []byte) {
+func (w *runningSource) write(name string, in []byte) {
 	w.t.Helper()
 	if err := os.WriteFile(filepath.Join(w.dir, name), in, 0o600); err != nil {
 		w.t.Fatal(err)
 	}
 }
 
-func (w *watch) rename(name string, in []byte) {
+func (w *runningSource) rename(name string, in []byte) {
 	w.t.Helper()
 	w.write("fresh.tmp", in)
 	if err := os.Rename(filepath.Join(w.dir, "fresh.tmp"), filepath.Join(w.dir, name)); err != nil {
@@ -81,16 +81,16 @@
 	}
 }
 
-// want waits for the next news: a list of these servers in order of id, or "refused ..." with these words in it, or "settled".
-func (w *watch) want(words ...string) {
+// want waits for the next event: a list of these endpoints in order of id, or "refused ..." with these words in it, or "settled".
+func (w *runningSource) want(words ...string) {
 	w.t.Helper()
 	select {
-	case n := <-w.news:
-		got := n.Rejected
+	case event := <-w.events:
+		got := event.Rejected
 		switch {
-		case n.List != nil:
+		case event.List != nil:
 			var uids []string
-			for _, e := range n.List.Entries {
+			for _, e := range event.List.Entries {
 				uid := e.UID
 				if e.Status == policy.Draining {
 					uid += "!"
@@ -98,60 +98,60 @@
 				uids = append(uids, uid)
 			}
 			got = strings.Join(uids, " ")
-		case n.Recovered:
+		case event.Recovered:
 			got = "settled"
-		case n.Note != "":
-			got = "note " + n.Note
+		case event.Note != "":
+			got = "note " + event.Note
 		}
-		want, refusal := strings.CutPrefix(strings.Join(words, " "), "refused ")
-		if refusal != (n.Rejected != "") || got != want && !(refusal && strings.Contains(got, want)) &&
-			!(n.Note != "" && strings.HasPrefix(got, want)) {
-			w.t.Errorf("told %q, want %v", got, words)
+		want, rejection := strings.CutPrefix(strings.Join(words, " "), "refused ")
+		if rejection != (event.Rejected != "") || got != want && !(rejection && strings.Contains(got, want)) &&
+			!(event.Note != "" && strings.HasPrefix(got, want)) {
+			w.t.Errorf("got %q, want %v", got, words)
 		}
 	case <-time.After(5 * time.Second):
-		w.t.Fatalf("nothing was told, want %v", words)
+		w.t.Fatalf("no event, want %v", words)
 	}
 }
 
-// quiet looks that nothing is told for a while.
-func (w *watch) quiet(span time.Duration) {
+// wantNone fails if there is an event within the time.
+func (w *runningSource) wantNone(span time.Duration) {
 	w.t.Helper()
 	select {
-	case n := <-w.news:
-		w.t.Errorf("told %+v", n)
+	case event := <-w.events:
+		w.t.Errorf("got %+v", event)
 	case <-time.After(span):
 	}
 }
 
 func TestEditorsThatWriteInPlace(t *testing.T) {
-	w := watched(t, "f.toml")
+	w := watchFiles(t, "f.toml")
 	w.want("refused", "no list file is there")
-	w.write("f.toml", text(1, "a", "b", "c", "d"))
+	w.write("f.toml", listText(1, "a", "b", "c", "d"))
 	w.want("a", "b", "c", "d")
 	path := filepath.Join(w.dir, "f.toml")
-	// Truncated, then written piece by piece: nothing of it counts before all is there, and no word of it is said.
-	whole := text(2, "a", "b", "c!", "d")
-	for i := 0; i <= len(whole); i += 40 {
-		w.write("f.toml", whole[:min(i, len(whole))])
+	// Truncated, then written piece by piece: there is no event before it is complete.
+	complete := listText(2, "a", "b", "c!", "d")
+	for i := 0; i <= len(complete); i += 40 {
+		w.write("f.toml", complete[:min(i, len(complete))])
 		time.Sleep(2 * time.Millisecond)
 	}
-	w.write("f.toml", whole)
+	w.write("f.toml", complete)
 	w.want("a", "b", "c!", "d")
 	// Overwritten without being truncated: a short new text with the tail of the old behind it.
-	short := text(3, "a", "b!", "c!", "d")[:250]
+	short := listText(3, "a", "b!", "c!", "d")[:250]
 	f, _ := os.OpenFile(path, os.O_WRONLY, 0)
 	f.Write(short)
 	f.Close()
 	w.want("refused", "f.toml:")
-	w.quiet(100 * time.Millisecond) // one word is enough
-	w.write("f.toml", whole)
+	w.wantNone(100 * time.Millisecond) // the reason is emitted once
+	w.write("f.toml", complete)
 	w.want("settled")
 	// Without a digest a mixture can look whole; it has to hold still.
-	bare := text(0, "e", "f", "g", "h")
-	w = watched(t, "g.toml")
+	bare := listText(0, "e", "f", "g", "h")
+	w = watchFiles(t, "g.toml")
 	w.want("refused", "no list file is there")
 	for range 10 {
-		w.write("g.toml", text(0, "x", "f", "g", "h"))
+		w.write("g.toml", listText(0, "x", "f", "g", "h"))
 		time.Sleep(5 * time.Millisecond)
 		w.write("g.toml", bare)
 		time.Sleep(5 * time.Millisecond)
@@ -160,70 +160,70 @@
 }
 
 func TestReplacedWhileADrainIsRunning(t *testing.T) {
-	w := watched(t, "f.toml")
+	w := watchFiles(t, "f.toml")
 	w.want("refused", "no list file is there")
-	w.rename("f.toml", text(5, "a", "b", "c"))
+	w.rename("f.toml", listText(5, "a", "b", "c"))
 	w.want("a", "b", "c")
-	w.rename("f.toml", text(6, "a", "b!", "c"))
+	w.rename("f.toml", listText(6, "a", "b!", "c"))
 	w.want("a", "b!", "c")
-	w.rename("f.toml", text(5, "a", "b", "c")) // an old copy
+	w.rename("f.toml", listText(5, "a", "b", "c")) // an old copy
 	w.want("refused", "found 5, allowed from 6 on")
-	w.rename("f.toml", text(7, "a", "b!", "c!"))
+	w.rename("f.toml", listText(7, "a", "b!", "c!"))
 	w.want("a", "b!", "c!")
-	w.rename("f.toml", text(8, "a", "b", "c!"))
+	w.rename("f.toml", listText(8, "a", "b", "c!"))
 	w.want("a", "b", "c!")
 	// Lists that are not numbered cannot say that they are newer.
-	w = watched(t, "g.toml")
+	w = watchFiles(t, "g.toml")
 	w.want("refused", "no list file is there")
-	w.rename("g.toml", text(0, "a", "b!", "c"))
+	w.rename("g.toml", listText(0, "a", "b!", "c"))
 	w.want("a", "b!", "c")
-	w.rename("g.toml", text(0, "a", "b", "c"))
+	w.rename("g.toml", listText(0, "a", "b", "c"))
 	w.want("refused", `"b" was told draining`)
-	w.rename("g.toml", bytes.Replace(text(0, "a", "b", "c"), []byte(`id = "b"`),
+	w.rename("g.toml", bytes.Replace(listText(0, "a", "b", "c"), []byte(`id = "b"`),
 		[]byte(`id = "b"`+"\nstarted = 2199-01-01T00:00:00Z"), 1))
 	w.want("a", "b", "c")
 }
 
 func TestSeveralFilesAreOneList(t *testing.T) {
-	w := watched(t, "*.toml")
+	w := watchFiles(t, "*.toml")
 	w.want("refused", "no list file is there")
-	w.rename("1.toml", text(1, "a", "b"))
+	w.rename("1.toml", listText(1, "a", "b"))
 	w.want("a", "b")
-	w.rename("2.toml", text(1, "c", "d", "e"))
+	w.rename("2.toml", listText(1, "c", "d", "e"))
 	w.want("a", "b", "c", "d", "e")
 	w.rename("2.toml", []byte("[[server"))
 	w.want("refused", "2.toml:1: document")
-	w.rename("1.toml", text(2, "a", "b!")) // waits with the other
-	w.quiet(100 * time.Millisecond)
-	w.rename("2.toml", text(2, "c", "d", "e"))
+	w.rename("1.toml", listText(2, "a", "b!")) // waits with the other
+	w.wantNone(100 * time.Millisecond)
+	w.rename("2.toml", listText(2, "c", "d", "e"))
 	w.want("a", "b!", "c", "d", "e")
-	w.rename("1.toml", text(3, "a", "b!", "e"))
+	w.rename("1.toml", listText(3, "a", "b!", "e"))
 	w.want("refused", `server "e" stands in`)
-	w.rename("1.toml", text(4, "a", "b!"))
+	w.rename("1.toml", listText(4, "a", "b!"))
 	w.want("a", "b!", "c", "d", "e")
 	// Gone for a moment is not gone.
 	os.Remove(filepath.Join(w.dir, "1.toml"))
 	time.Sleep(50 * time.Millisecond)
-	w.rename("1.toml", text(4, "a", "b!"))
-	w.quiet(250 * time.Millisecond)
+	w.rename("1.toml", listText(4, "a", "b!"))
+	w.wantNone(250 * time.Millisecond)
 	os.Remove(filepath.Join(w.dir, "1.toml"))
 	w.want("c", "d", "e")
-	w.rename("2.toml", text(3, "c", "d!", "e!"))
+	w.rename("2.toml", listText(3, "c", "d!", "e!"))
 	w.want("refused", "takes away 2 of 3 ready servers, 67% of the weight, allowed 60%")
-	out, _, _ := endpointfiles.Seal("2", text(3, "c", "d!", "e!"), 4, 2)
+	out, _, _ := endpointfiles.Seal("2", listText(3, "c", "d!", "e!"), 4, 2)
 	w.rename("2.toml", out)
 	w.want("c", "d!", "e!")
-	w.rename("2.toml", text(5))
+	w.rename("2.toml", listText(5))
 	w.want("refused", "takes away 1 of 1")
 }
 
 func TestLinksAndFolders(t *testing.T) {
-	w := watched(t, "live/f.toml")
+	w := watchFiles(t, "live/f.toml")
 	w.want("refused", "no list file is there")
 	for i, uids := range [][]string{{"a", "b", "c"}, {"a", "b", "d"}} {
 		dir := filepath.Join(w.dir, fmt.Sprint("v", i))
 		os.Mkdir(dir, 0o700)
-		os.WriteFile(filepath.Join(dir, "f.toml"), text(endpointfiles.Issue(i+1), uids...), 0o600)
+		os.WriteFile(filepath.Join(dir, "f.toml"), listText(endpointfiles.Issue(i+1), uids...), 0o600)
 	}
 	swap := func(to string) {
 		os.Symlink(to, filepath.Join(w.dir, "next"))
@@ -243,7 +243,7 @@
 	os.RemoveAll(filepath.Join(w.dir, "v1"))
 	time.Sleep(30 * time.Millisecond)
 	os.Mkdir(filepath.Join(w.dir, "v1"), 0o700)
-	w.write("v1/f.toml", text(3, "a", "b"))
+	w.write("v1/f.toml", listText(3, "a", "b"))
 	w.want("a", "b")
 	os.RemoveAll(filepath.Join(w.dir, "v1"))
 	w.want("refused", "no list file is there")
@@ -254,46 +254,46 @@
 	w.want("refused", "found no plain file")
 }
 
-// The last list is kept, with the drains and issues that an old copy must not undo; a damaged one is a line and nothing more.
-func TestListIsKeptOverARestart(t *testing.T) {
+// The last list is cached, with the drains and issues that an old copy must not undo; a damaged one is noted, and ignored.
+func TestListIsCachedOverARestart(t *testing.T) {
 	dir := t.TempDir()
 	list, state := filepath.Join(dir, "f.toml"), filepath.Join(dir, "state")
-	os.WriteFile(list, text(6, "a", "b!", "c"), 0o600)
-	keep := func() *watch {
-		return start(t, dir, NewCached(NewFiles([]string{list}, terms, clock.New().Now), state, clock.New().Now))
+	os.WriteFile(list, listText(6, "a", "b!", "c"), 0o600)
+	restart := func() *runningSource {
+		return start(t, dir, NewCached(NewFiles([]string{list}, limits, clock.New().Now), state, clock.New().Now))
 	}
-	w := keep()
+	w := restart()
 	w.want("a", "b!", "c")
-	w.rename("f.toml", text(7, "a", "b!", "c", "d"))
+	w.rename("f.toml", listText(7, "a", "b!", "c", "d"))
 	w.want("a", "b!", "c", "d")
-	w.end()
-	w = keep()
-	w.want("a", "b!", "c", "d") // as it was kept
+	w.stop()
+	w = restart()
+	w.want("a", "b!", "c", "d") // from the cache
 	w.want("a", "b!", "c", "d") // as the file has it
-	w.end()
-	os.WriteFile(list, text(6, "a", "b", "c"), 0o600)
-	w = keep()
+	w.stop()
+	os.WriteFile(list, listText(6, "a", "b", "c"), 0o600)
+	w = restart()
 	w.want("a", "b!", "c", "d")
 	w.want("refused", "found 6, allowed from 7 on")
-	w.end()
-	kept := filepath.Join(state, "servers")
-	whole, err := os.ReadFile(kept)
+	w.stop()
+	cachePath := filepath.Join(state, "servers")
+	content, err := os.ReadFile(cachePath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	os.WriteFile(kept, whole[:len(whole)-5], 0o600)
-	w = keep()
+	os.WriteFile(cachePath, content[:len(content)-5], 0o600)
+	w = restart()
 	w.want("note", "kept list: left out: ")
 	w.want("a", "b", "c")
-	w.end()
-	// Changes are kept as what they come to.
-	in := map[string]Entry{}
+	w.stop()
+	// Changes are merged into the list.
+	entries := map[string]Entry{}
 	e := func(uid string, s policy.EndpointStatus) Entry {
 		return Entry{UID: uid, Member: policy.Member{Status: s}}
 	}
-	merge(in, List{Kind: policy.ListFull, Entries: []Entry{e("a", 0), e("b", 0)}})
-	merge(in, List{Kind: policy.ListChanges, Entries: []Entry{e("b", policy.Draining), e("a", policy.Gone), e("c", 0)}})
-	if len(in) != 2 || in["b"].Status != policy.Draining || in["c"].UID != "c" {
-		t.Errorf("%v", in)
+	merge(entries, List{Kind: policy.ListFull, Entries: []Entry{e("a", 0), e("b", 0)}})
+	merge(entries, List{Kind: policy.ListChanges, Entries: []Entry{e("b", policy.Draining), e("a", policy.Gone), e("c", 0)}})
+	if len(entries) != 2 || entries["b"].Status != policy.Draining || entries["c"].UID != "c" {
+		t.Errorf("%v", entries)
 	}
 }
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -32,16 +32,16 @@
 	return want
 }
 
-// A list that an earlier build has kept is read, and kept again in the same bytes.
-func TestKeptListKeepsItsBytes(t *testing.T) {
+// A list that an earlier build has cached is read, and written again in the same bytes.
+func TestCachedListKeepsItsBytes(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "servers")
-	kept := NewCached(&Fixed{}, dir, func() policy.Time { return 1 })
-	save := func(entries []Entry, memo endpointfiles.State) []byte {
+	cached := NewCached(&Fixed{}, dir, func() policy.Time { return 1 })
+	save := func(entries []Entry, state endpointfiles.State) []byte {
 		t.Helper()
 		byUID := map[string]Entry{}
 		merge(byUID, List{Kind: policy.ListFull, Entries: entries})
-		if err := kept.save(kept.document(byUID, memo)); err != nil {
+		if err := cached.save(cached.document(byUID, state)); err != nil {
 			t.Fatal(err)
 		}
 		file, err := os.ReadFile(path)
@@ -51,14 +51,14 @@
 		return file
 	}
 	// A distinct value in every field, so that a key that is lost, renamed or swapped with another changes the encoding.
-	server := func(uid, address string, member policy.Member) Entry {
+	endpoint := func(uid, address string, member policy.Member) Entry {
 		member.ID = endpointfiles.EndpointID(uid)
 		return Entry{UID: uid, Addr: address, Member: member}
 	}
 	encoded := save([]Entry{
-		server("server-1", "10.0.0.1:80", policy.Member{Weight: 2.5, Cell: 3, Zone: "zone-1", Status: policy.Draining, Started: 4}),
-		server("server-2", "10.0.0.2:80", policy.Member{Weight: 5.5, Cell: 6, Zone: "zone-2", Status: policy.Ready, Started: 7}),
-		server("server-3", "10.0.0.3:80", policy.Member{}),
+		endpoint("server-1", "10.0.0.1:80", policy.Member{Weight: 2.5, Cell: 3, Zone: "zone-1", Status: policy.Draining, Started: 4}),
+		endpoint("server-2", "10.0.0.2:80", policy.Member{Weight: 5.5, Cell: 6, Zone: "zone-2", Status: policy.Ready, Started: 7}),
+		endpoint("server-3", "10.0.0.3:80", policy.Member{}),
 	}, endpointfiles.State{
 		Issues: map[string]endpointfiles.Issue{"file-1": 8, "file-2": 9},
 		Drains: map[string]endpointfiles.Drain{"server-1": {FirstListed: 10, LastListed: 11}, "server-4": {FirstListed: 12, LastListed: 13}},
@@ -70,11 +70,11 @@
 	if err := os.WriteFile(path, want, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	entries, memo, err := kept.load()
+	entries, state, err := cached.load()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again := save(entries, memo); !bytes.Equal(again, want) {
+	if again := save(entries, state); !bytes.Equal(again, want) {
 		t.Errorf("decoded and encoded again\n%s\nwant\n%s", again, want)
 	}
 }
--- /dev/null
+++ b/internal/discovery/platform_agent_test.go
@@ -0,0 +1,314 @@
+package discovery
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"pepperlead/policy"
+)
+
+// scriptedAgent is an agent that handles each call by the next of its steps, and all further calls by the last one.
+type scriptedAgent struct {
+	net.Listener
+	mu    sync.Mutex
+	steps []func(c net.Conn, call *http.Request) (keepOpen bool)
+	calls []string
+}
+
+func newScriptedAgent(t *testing.T, steps ...func(c net.Conn, call *http.Request) bool) *scriptedAgent {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := &scriptedAgent{Listener: l, steps: steps}
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			t.Cleanup(func() { c.Close() })
+			go func() {
+				for in := bufio.NewReader(c); ; {
+					call, err := http.ReadRequest(in)
+					if err != nil {
+						c.Close()
+						return
+					}
+					s.mu.Lock()
+					s.calls = append(s.calls, call.URL.String())
+					do := s.steps[0]
+					if len(s.steps) > 1 {
+						s.steps = s.steps[1:]
+					}
+					s.mu.Unlock()
+					if !do(c, call) {
+						c.Close()
+						return
+					}
+				}
+			}()
+		}
+	}()
+	t.Cleanup(func() { l.Close() })
+	return s
+}
+
+// requested returns the calls so far: "all", or the revision from which changes are requested.
+func (s *scriptedAgent) requested() (all []string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, c := range s.calls {
+		_, from, watch := strings.Cut(c, "from=")
+		if from, _, _ = strings.Cut(from, "&"); !watch {
+			from = "all"
+		}
+		all = append(all, from)
+	}
+	return all
+}
+
+func respond(text string) func(net.Conn, *http.Request) bool {
+	return func(c net.Conn, _ *http.Request) bool {
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+		return true
+	}
+}
+
+func listAt(rev int, all bool, state string) string {
+	return fmt.Sprintf("{\n\t\"rev\": %d,\n\t\"all\": %v,\n\t\"targets\": [\n\t\t{\"uid\":\"s-1\",\"endpoint\":\"10.1.0.18:9000\",\"az\":\"a\","+
+		"\"pod_group\":3,\"state\":\"%s\",\"boot_ms\":0}\n\t]\n}\n", rev, all, state)
+}
+
+// restarted is an agent that has restarted with lower revisions: it answers requests for the whole list, and holds watches from a
+// revision before its restart.
+func restarted(list string) func(net.Conn, *http.Request) bool {
+	return func(c net.Conn, call *http.Request) bool {
+		return call.URL.RawQuery != "" || respond(list)(c, call)
+	}
+}
+
+// However a call fails, the list of the agent is known within the grace, and requested in full: its revisions may have restarted.
+func TestDrainsAreKnownInTimeAfterAFailedCall(t *testing.T) {
+	const grace = 400 * time.Millisecond
+	first := respond(listAt(41, true, "Ready"))
+	for name, do := range map[string]func(net.Conn, *http.Request) bool{
+		"reset":            func(c net.Conn, _ *http.Request) bool { c.(*net.TCPConn).SetLinger(0); return false },
+		"closed":           func(net.Conn, *http.Request) bool { return false },
+		"malformed status": func(c net.Conn, _ *http.Request) bool { fmt.Fprint(c, "HTTP/1.1 5x3 \r\n\r\n"); return true },
+		"another status": func(c net.Conn, _ *http.Request) bool {
+			fmt.Fprint(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
+			return true
+		},
+		"incomplete": func(c net.Conn, _ *http.Request) bool {
+			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"rev\":42")
+			return false
+		},
+		"stops in its body": func(c net.Conn, _ *http.Request) bool {
+			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"rev\":42")
+			return true
+		},
+		"unreadable":    respond(`{"rev":42,"all":false,"targets":[{"uid":"s-1"}]}`),
+		"lower numbers": respond(`{"rev":2,"all":false,"targets":[]}`),
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			var at atomic.Int64
+			broken := func(c net.Conn, call *http.Request) bool { at.Store(time.Now().UnixNano()); return do(c, call) }
+			s := newScriptedAgent(t, first, broken, restarted(listAt(3, true, "Terminating")))
+			delay := drainDelay(t, s, grace, func() time.Time { return time.Unix(0, at.Load()) })
+			if delay > grace {
+				t.Errorf("known after %v", delay)
+			}
+		})
+	}
+}
+
+// drainDelay returns how long after a moment the source emits that s-1 drains.
+func drainDelay(t *testing.T, s *scriptedAgent, grace time.Duration, since func() time.Time) time.Duration {
+	p := NewPlatform(s.Addr().String(), false)
+	p.Grace, p.WatchTimeout = grace, WatchTimeout(true, 1)
+	p.Follow(true)
+	ctx, cancel := context.WithCancel(context.Background())
+	drained, ended := make(chan time.Time, 1), make(chan struct{})
+	go func() {
+		defer close(ended)
+		p.Run(ctx, func(event Event) {
+			if event.List != nil && len(event.List.Entries) > 0 && event.List.Entries[0].Status == policy.Draining {
+				select {
+				case drained <- time.Now():
+				default:
+				}
+			}
+		})
+	}()
+	defer func() { cancel(); <-ended }()
+	select {
+	case at := <-drained:
+		return at.Sub(since())
+	case <-time.After(5 * time.Second):
+		t.Fatalf("not known at all; requested %v", s.requested())
+	}
+	return 0
+}
+
+// An agent that does not answer for long, because discovery is down, and recovers with a drain: it takes effect at once.
+func TestDrainIsKnownWhenASilentAgentRecovers(t *testing.T) {
+	const grace = 500 * time.Millisecond
+	for name, start := range map[string][]func(net.Conn, *http.Request) bool{
+		"from the first call": {},
+		"after a list":        {respond(listAt(41, true, "Ready")), func(net.Conn, *http.Request) bool { return false }},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			recovery := time.Now().Add(1500 * time.Millisecond)
+			down := func(c net.Conn, call *http.Request) bool {
+				if time.Now().After(recovery) {
+					return respond(listAt(42, true, "Terminating"))(c, call)
+				}
+				return true // never answered, also not later
+			}
+			s := newScriptedAgent(t, append(start, down)...)
+			if delay := drainDelay(t, s, grace, func() time.Time { return recovery }); delay > grace {
+				t.Errorf("known %v after its recovery", delay)
+			}
+			if n := len(s.requested()); n > 20 {
+				t.Errorf("%d calls in an outage of 1.5 s", n)
+			}
+		})
+	}
+}
+
+// An agent that closes its connection between two calls and restarts with lower revisions delays a change by the grace at most, one
+// that stops to answer during a watch by the watch: a change is known within 6 s in either case.
+func TestAgentThatRestartsOrStopsToAnswerDuringAWatch(t *testing.T) {
+	const grace = 400 * time.Millisecond
+	silent := func(net.Conn, *http.Request) bool { return true }
+	for name, k := range map[string]struct {
+		second func(net.Conn, *http.Request) bool // handles the second call, a watch
+		limit  time.Duration
+	}{
+		"ends between two calls": {func(c net.Conn, _ *http.Request) bool {
+			respond(`{"rev":41,"all":false,"targets":[]}`)(c, nil)
+			return false
+		}, grace},
+		"silent":                     {silent, 6*time.Second - grace},
+		"waits with an old revision": {respond(`{"rev":2,"all":false,"targets":[]}`), grace},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			var at atomic.Int64
+			broken := func(c net.Conn, call *http.Request) bool { at.Store(time.Now().UnixNano()); return k.second(c, call) }
+			s := newScriptedAgent(t, respond(listAt(41, true, "Ready")), broken, restarted(listAt(3, true, "Terminating")))
+			if delay := drainDelay(t, s, grace, func() time.Time { return time.Unix(0, at.Load()) }); delay > k.limit {
+				t.Errorf("known after %v, in at most %v; requested %v", delay, k.limit, s.requested())
+			}
+		})
+	}
+}
+
+// Watches of an agent end after two seconds; those of a shared service are held longer the more instances watch.
+func TestWatchTimeout(t *testing.T) {
+	for _, k := range []struct {
+		agent     bool
+		instances int
+		want      time.Duration
+	}{{true, 1, 2 * time.Second}, {true, 350, 2 * time.Second}, {false, 8, 2 * time.Second}, {false, 350, 3500 * time.Millisecond},
+		{false, 60000, 20 * time.Second}} {
+		if got := WatchTimeout(k.agent, k.instances); got != k.want {
+			t.Errorf("%+v: %v", k, got)
+		}
+	}
+}
+
+// A list of some thousand servers with long names, indented, is read, from an agent that gives it in chunks.
+func TestLongListsAreDecoded(t *testing.T) {
+	var b strings.Builder
+	b.WriteString("{\n    \"rev\": 7,\n    \"all\": true,\n    \"targets\": [\n")
+	const n = 5000
+	for i := range n {
+		if i > 0 {
+			b.WriteString(",\n")
+		}
+		fmt.Fprintf(&b, "        {\n            \"uid\": \"%s-%d\",\n            \"endpoint\": \"10.1.0.18:9000\",\n            \"az\": \"a\",\n"+
+			"            \"pod_group\": 3,\n            \"state\": \"Ready\",\n            \"boot_ms\": 0\n        }", strings.Repeat("long", 60), i)
+	}
+	b.WriteString("\n    ]\n}\n")
+	s := newScriptedAgent(t, func(c net.Conn, _ *http.Request) bool {
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", b.Len(), b.String())
+		return true
+	}, func(net.Conn, *http.Request) bool { return true })
+	p := NewPlatform(s.Addr().String(), false)
+	p.Follow(true)
+	ctx, end := context.WithTimeout(context.Background(), 5*time.Second)
+	defer end()
+	p.Run(ctx, func(event Event) {
+		if event.List == nil || len(event.List.Entries) != n {
+			t.Errorf("of %d servers in %d bytes: %v", n, b.Len(), event.Failed)
+		}
+		end()
+	})
+	if len(s.requested()) == 0 {
+		t.Error("not requested")
+	}
+}
+
+// An idle connection that was closed unnoticed is detected when it is used: the call is repeated at once on another.
+func TestClosedIdleConnectionCostsNoTime(t *testing.T) {
+	var closed atomic.Int64
+	first := func(c net.Conn, call *http.Request) bool {
+		respond(listAt(41, true, "Ready"))(c, call)
+		closed.Store(time.Now().UnixNano())
+		return false // the agent closes behind its answer, and does not say so
+	}
+	s := newScriptedAgent(t, first, respond(listAt(42, true, "Terminating"))) // to every call that follows
+	if delay := drainDelay(t, s, time.Second, func() time.Time { return time.Unix(0, closed.Load()) }); delay > 300*time.Millisecond {
+		t.Errorf("known after %v", delay)
+	}
+}
+
+// Retries of a service elsewhere back off.
+func TestRetriesBackOff(t *testing.T) {
+	p := NewPlatform("127.0.0.1:1", false)
+	var last time.Duration
+	for n := 1; n < 20; n++ {
+		if got := p.retryDelay(n); got < last || got > maxRetryDelay || n > 6 && got != maxRetryDelay {
+			t.Errorf("after %d failures %v, before %v", n, got, last)
+		} else {
+			last = got
+		}
+	}
+	if p.AnswerTimeout() != answerTimeout {
+		t.Errorf("an answer may take %v", p.AnswerTimeout())
+	}
+}
+
+// One outage fails the calls of all instances in the same moment; their retries must not come in the same moment too. An agent serves
+// one instance, which retries at once.
+func TestRetriesOfASharedServiceHaveJitter(t *testing.T) {
+	shared, agent := NewPlatform("127.0.0.1:1", false), NewPlatform("127.0.0.1:1", false)
+	agent.Grace = time.Second
+	moments := map[time.Duration]bool{}
+	for range 300 {
+		wait := shared.jitter(time.Second)
+		if wait < time.Second/2 || wait > time.Second {
+			t.Fatalf("%v for a second", wait)
+		}
+		moments[wait/(10*time.Millisecond)] = true
+		if got := agent.jitter(time.Second); got != time.Second {
+			t.Fatalf("%v for a second at an agent", got)
+		}
+	}
+	if len(moments) < 40 {
+		t.Errorf("300 calls in %d moments of 10 ms", len(moments))
+	}
+}
