--- /dev/null
+++ b/internal/endpointfiles/endpoint.go
@@ -0,0 +1,62 @@
+package endpointfiles
+
+import (
+	"net/netip"
+	"strings"
+
+	"github.com/cespare/xxhash/v2"
+
+	"pepperlead/internal/tomlfile"
+	"pepperlead/policy"
+)
+
+// Bounds on the keys of an endpoint.
+const (
+	maxCell   = 1<<31 - 1
+	minWeight = 1e-6
+	maxWeight = 1e9
+)
+
+// Entry is an endpoint as a list has it, and its address.
+type Entry struct {
+	policy.Member
+	UID, Addr string
+}
+
+// EndpointID returns the id by which the decision module knows the endpoint with a uid.
+func EndpointID(uid string) policy.EndpointID { return policy.EndpointID(xxhash.Sum64String(uid)) }
+
+// ReadEndpoint reads an endpoint from a table of its own.
+func ReadEndpoint(table *tomlfile.Table) Entry {
+	table.Require("id", "address")
+	entry := Entry{UID: table.String("id", ""), Addr: table.String("address", "")}
+	entry.Member = policy.Member{
+		ID:      EndpointID(entry.UID),
+		Zone:    policy.Zone(table.String("zone", "")),
+		Cell:    policy.Cell(table.Count("pod", 0, 0, maxCell)),
+		Weight:  table.Float("weight", 1, minWeight, maxWeight),
+		Status:  policy.EndpointStatus(table.OneOf("state", int(policy.Ready), "ready", "draining")),
+		Started: table.Timestamp("started"),
+	}
+	if entry.Addr != "" && !ValidAddress(entry.Addr) {
+		table.Fault("address", table.Found("address"), "an IP address and port, as 10.0.0.4:9000 or [::1]:9000")
+	}
+	if strings.ContainsFunc(entry.UID, isSpaceOrControl) {
+		table.Fault("id", table.Found("id"), "a text without spaces")
+	}
+	table.RejectUnknown()
+	return entry
+}
+
+// isSpaceOrControl reports whether a character is an ASCII space or control character.
+func isSpaceOrControl(r rune) bool {
+	const del = 0x7f
+	return r <= ' ' || r == del
+}
+
+// ValidAddress reports whether a text is an IP address with a port. Host names are not allowed: the result of resolving
+// them may come late or change, and so make two lists of one.
+func ValidAddress(text string) bool {
+	address, err := netip.ParseAddrPort(text)
+	return err == nil && address.Port() > 0
+}
--- a/internal/endpointfiles/text_test.go
+++ b/internal/endpointfiles/file_test.go
@@ -8,13 +8,13 @@
 	"testing"
 )
 
-// written is a list file of n servers that differ from those of another turn.
-func written(n, turn int) string {
+// listText is a list file of n endpoints, without a closing table. Endpoints differ between variants.
+func listText(n, variant int) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "# turn %d\n", turn)
+	fmt.Fprintf(&b, "# variant %d\n", variant)
 	for i := range n {
-		fmt.Fprintf(&b, "\n[[server]]\nid = \"s-%d\"\naddress = \"127.0.0.1:%d\"\nweight = %d.5\n", i, 9000+i, 1+(i+turn)%9)
-		if (i+turn)%3 == 0 {
+		fmt.Fprintf(&b, "\n[[server]]\nid = \"s-%d\"\naddress = \"127.0.0.1:%d\"\nweight = %d.5\n", i, 9000+i, 1+(i+variant)%9)
+		if (i+variant)%3 == 0 {
 			b.WriteString("state = \"draining\"\n")
 		}
 	}
@@ -30,25 +30,25 @@
 	return string(out), f
 }
 
-// A file cut off anywhere is told from a whole one, with a digest and without.
-func TestCutOffListsAreNotWhole(t *testing.T) {
-	text, whole := sealed(t, written(7, 1), 12)
+// A file that is truncated anywhere is not accepted, with a digest and without.
+func TestTruncatedListsAreRejected(t *testing.T) {
+	text, complete := sealed(t, listText(7, 1), 12)
 	bare := text[:strings.Index(text, "digest")]
 	for _, in := range []string{text, bare} {
 		for i := range in {
-			if f := Parse("f", []byte(in[:i])); f.Problem == "" && !reflect.DeepEqual(f.Entries, whole.Entries) {
-				t.Fatalf("taken as whole: %s", in[:i])
+			if f := Parse("f", []byte(in[:i])); f.Problem == "" && !reflect.DeepEqual(f.Entries, complete.Entries) {
+				t.Fatalf("accepted: %s", in[:i])
 			}
 		}
 	}
 }
 
-// An editor that writes in place leaves, up to some byte, the new text over the old. Where a digest is in it, what is taken
-// for whole is the one or the other.
-func TestMixedListsAreNotWhole(t *testing.T) {
+// An editor that writes in place leaves, up to some byte, the new text over the old. With a digest, only the one or the other is
+// accepted.
+func TestMixedListsAreRejected(t *testing.T) {
 	for _, sizes := range [][2]int{{5, 5}, {3, 8}, {8, 3}, {12, 12}} {
-		old, a := sealed(t, written(sizes[0], 1), 3)
-		new, b := sealed(t, written(sizes[1], 2), 4)
+		old, a := sealed(t, listText(sizes[0], 1), 3)
+		new, b := sealed(t, listText(sizes[1], 2), 4)
 		for i := 0; i <= len(new); i++ {
 			mixed := new[:i]
 			if i < len(old) {
@@ -56,19 +56,19 @@
 			}
 			f := Parse("f", []byte(mixed))
 			if f.Problem == "" && !reflect.DeepEqual(f.Entries, a.Entries) && !reflect.DeepEqual(f.Entries, b.Entries) {
-				t.Fatalf("taken as whole: %s", mixed)
+				t.Fatalf("accepted: %s", mixed)
 			}
 		}
-		// Truncated first and written on: what stands there is the new text up to some byte.
+		// Overwritten without being truncated: the old end stands behind the new text.
 		over := new + old[min(len(new), len(old)):]
 		if f := Parse("f", []byte(over)); len(old) > len(new)+1 && f.Problem == "" {
-			t.Errorf("new head and old tail: taken as whole: %s", over)
+			t.Errorf("new head and old tail: accepted: %s", over)
 		}
 	}
 }
 
-func TestListFaultsNameTheirPlace(t *testing.T) {
-	whole, _ := sealed(t, written(3, 1), 1)
+func TestFaultsNameTheirPlace(t *testing.T) {
+	valid, _ := sealed(t, listText(3, 1), 1)
 	for _, k := range [][3]string{
 		{`id = "s-0"`, `id = 5`, "f:4: server[0].id: found 5, allowed a text"},
 		{`id = "s-0"`, `id = "a b"`, "f:4: server[0].id: found \"a b\", allowed a text without spaces"},
@@ -83,16 +83,16 @@
 		{"[whole]", "[whole]\nservers = 3\n[whole]", "f:20: document: found "},
 		{"issue = 1", "issue = 1\ntakes_away = 1.5", "f:21: whole.takes_away: found 1.5, allowed a whole number"},
 	} {
-		in := strings.Replace(whole, k[0], k[1], 1)
-		if f := Parse("f", []byte(in)); !strings.Contains(f.Problem, k[2]) || in == whole {
+		in := strings.Replace(valid, k[0], k[1], 1)
+		if f := Parse("f", []byte(in)); !strings.Contains(f.Problem, k[2]) || in == valid {
 			t.Errorf("%s for %s: %s; want %s", k[1], k[0], f.Problem, k[2])
 		}
 	}
 }
 
-func TestJoinFindsTwins(t *testing.T) {
-	a, b := Parse("a", []byte(one("x", 1))), Parse("b", []byte(one("x", 2)))
-	c := Parse("c", []byte(one("y", 1)))
+func TestJoinFindsConflicts(t *testing.T) {
+	a, b := Parse("a", []byte(listOfOne("x", 1))), Parse("b", []byte(listOfOne("x", 2)))
+	c := Parse("c", []byte(listOfOne("y", 1)))
 	for _, k := range []struct {
 		files []File
 		want  string
@@ -103,30 +103,30 @@
 	}
 }
 
-func one(id string, port int) string {
+func listOfOne(id string, port int) string {
 	return fmt.Sprintf("[[server]]\nid = %q\naddress = \"127.0.0.1:%d\"\n[whole]\nservers = 1\n", id, port)
 }
 
-// Whatever stands in a list file: no panic, and what is whole stays the same through sealing, with a higher issue.
+// No text causes a panic, and a valid list stays the same when it is sealed, with a higher issue.
 func FuzzListText(f *testing.F) {
-	text, _, _ := Seal("f", []byte(written(3, 1)), 4, 2)
-	for _, in := range []string{string(text), one("a", 1), "server = [{id = 'a', address = '[::1]:1'}]\n[whole]\nservers = 1",
+	text, _, _ := Seal("f", []byte(listText(3, 1)), 4, 2)
+	for _, in := range []string{string(text), listOfOne("a", 1), "server = [{id = 'a', address = '[::1]:1'}]\n[whole]\nservers = 1",
 		"a.b.c.d.e.f.g.h.i.j = 1", "a = [[[[[[[[[[1]]]]]]]]]]", "[whole]\nservers = 1_0\n", "\"\\u0000\" = 1"} {
 		f.Add([]byte(in))
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
-		is := Parse("f", in)
-		if is.Problem != "" {
-			if !strings.HasPrefix(is.Problem, "f:") || len(is.Entries) > 0 {
-				t.Fatalf("%q", is.Problem)
+		parsed := Parse("f", in)
+		if parsed.Problem != "" {
+			if !strings.HasPrefix(parsed.Problem, "f:") || len(parsed.Entries) > 0 {
+				t.Fatalf("%q", parsed.Problem)
 			}
 			return
 		}
-		out, again, err := Seal("f", in, 0, 0)
-		if is.Issue >= 1<<53 {
+		out, sealed, err := Seal("f", in, 0, 0)
+		if parsed.Issue >= 1<<53 {
 			return
 		}
-		if err != nil || !again.Sealed || !slices.Equal(is.Entries, again.Entries) || again.Issue != is.Issue+1 {
+		if err != nil || !sealed.Sealed || !slices.Equal(parsed.Entries, sealed.Entries) || sealed.Issue != parsed.Issue+1 {
 			t.Fatalf("%v: %q sealed as %q", err, in, out)
 		}
 	})
--- a/internal/endpointfiles/golden_test.go
+++ b/internal/endpointfiles/golden_test.go
@@ -7,7 +7,7 @@
 	"pepperlead/internal/golden"
 )
 
-// TestListsAreSealedAsBefore holds the text that a seal writes to what it wrote before.
+// TestListsAreSealedAsBefore compares the text of a sealed list with what was written before.
 func TestListsAreSealedAsBefore(t *testing.T) {
 	text, err := os.ReadFile("testdata/every-key.toml")
 	if err != nil {
@@ -20,9 +20,9 @@
 	golden.Compare(t, "sealed.toml", sealed)
 }
 
-// TestListsAreReadAsBefore holds the values that the repository's list of servers, and a sealed one with each key, are read as to
-// those that they were read as before.
-func TestListsAreReadAsBefore(t *testing.T) {
+// TestListsAreParsedAsBefore compares the values of the repository's list of endpoints, and of a sealed one with each key, with those
+// that were parsed before.
+func TestListsAreParsedAsBefore(t *testing.T) {
 	for path, name := range map[string]string{"../../deploy/servers.toml": "servers.values", "testdata/sealed.toml": "sealed.values"} {
 		text, err := os.ReadFile(path)
 		if err != nil {
--- a/internal/endpointfiles/listing_test.go
+++ b/internal/endpointfiles/validator_test.go
@@ -13,21 +13,22 @@
 	"pepperlead/policy"
 )
 
-// The model knows the whole history and works everything out of it anew at each reading, by plain loops.
+// model is a second implementation of the rules. It keeps the complete history and computes everything from it at each reading, by plain
+// loops.
 type model struct {
-	terms   Limits
+	limits  Limits
 	history []reading
 }
 
 type reading struct {
-	now   policy.Time
-	files []File
-	taken bool
+	now      policy.Time
+	files    []File
+	accepted bool
 }
 
 func (m *model) last() *reading {
 	for i := len(m.history) - 1; i >= 0; i-- {
-		if m.history[i].taken {
+		if m.history[i].accepted {
 			return &m.history[i]
 		}
 	}
@@ -43,7 +44,7 @@
 	return nil
 }
 
-// since is the first moment of the unbroken run of readings, up to the last, of which the test holds.
+// since returns the time of the first of the consecutive readings, up to the last one, for which the condition holds.
 func (m *model) since(holds func(reading) bool) policy.Time {
 	at := m.history[len(m.history)-1].now
 	for i := len(m.history) - 1; i >= 0 && holds(m.history[i]); i-- {
@@ -52,7 +53,7 @@
 	return at
 }
 
-func (m *model) weigh(now policy.Time, files []File) Verdict {
+func (m *model) evaluate(now policy.Time, files []File) Verdict {
 	m.history = append(m.history, reading{now: now, files: files})
 	this, last := &m.history[len(m.history)-1], m.last()
 	inForce := func(name string) *File {
@@ -61,13 +62,13 @@
 		}
 		return find(last.files, name)
 	}
-	// Still in the making?
+	// Still being written?
 	for _, f := range files {
 		if was := inForce(f.Name); was != nil && was.Digest == f.Digest || f.Sealed && f.Problem == "" {
 			continue
 		}
 		same := func(r reading) bool { g := find(r.files, f.Name); return g != nil && g.Digest == f.Digest }
-		if now < m.since(same)+m.terms.SettleTime {
+		if now < m.since(same)+m.limits.SettleTime {
 			return Wait
 		}
 	}
@@ -75,7 +76,7 @@
 	if last != nil {
 		for _, f := range last.files {
 			g := find(files, f.Name)
-			if g == nil && now < m.since(func(r reading) bool { return find(r.files, f.Name) == nil })+m.terms.MissingTime {
+			if g == nil && now < m.since(func(r reading) bool { return find(r.files, f.Name) == nil })+m.limits.MissingTime {
 				return Wait
 			}
 			same = same && g != nil && g.Digest == f.Digest
@@ -84,23 +85,23 @@
 	if same {
 		return Unchanged
 	}
-	// Whole, newer, plausible?
+	// Complete, newer, plausible?
 	ids, addrs, ready := map[string]int{}, map[string]int{}, map[string]bool{}
-	says := 0
+	declared := 0
 	for _, f := range files {
 		issue := Issue(0)
 		for _, r := range m.history {
-			if g := find(r.files, f.Name); r.taken && g != nil {
+			if g := find(r.files, f.Name); r.accepted && g != nil {
 				issue = g.Issue
 			}
 		}
 		was := inForce(f.Name)
-		if f.Problem != "" || m.terms.RequireDigest && !f.Sealed || f.Issue < issue ||
+		if f.Problem != "" || m.limits.RequireDigest && !f.Sealed || f.Issue < issue ||
 			f.Issue == issue && issue > 0 && last != nil && (was == nil || was.Digest != f.Digest) {
 			return Rejected
 		}
 		if was == nil || was.Digest != f.Digest {
-			says += f.Removes
+			declared += f.Removes
 		}
 		for _, e := range f.Entries {
 			ids[e.UID]++
@@ -118,67 +119,66 @@
 			return Rejected
 		}
 	}
-	for _, name := range m.terms.RequiredFiles {
+	for _, name := range m.limits.RequiredFiles {
 		if find(files, name) == nil {
 			return Rejected
 		}
 	}
-	lost, weight, gone, before := 0.0, 0.0, 0, 0
+	removedWeight, weight, removed := 0.0, 0.0, 0
 	if last != nil {
 		for _, f := range last.files {
 			for _, e := range f.Entries {
 				if e.Status == policy.Ready {
-					before++
 					weight += e.Weight
 					if !ready[e.UID] {
-						gone++
-						lost += e.Weight
+						removed++
+						removedWeight += e.Weight
 					}
 				}
 			}
 		}
 	}
-	nothing := len(ready) == 0
-	if len(files) == 0 || last == nil && nothing || gone > says && (lost > m.terms.MaxRemovedShare*weight || nothing) {
+	noneReady := len(ready) == 0
+	if len(files) == 0 || last == nil && noneReady || removed > declared && (removedWeight > m.limits.MaxRemovedShare*weight || noneReady) {
 		return Rejected
 	}
-	this.taken = true
+	this.accepted = true
 	return Accepted
 }
 
-// drained tells whether the lists taken so far have the server drain, and none has given a reason for its return.
+// drained reports whether the lists accepted so far drain the endpoint, and none gives a reason for its return.
 func (m *model) drained(now policy.Time, e Entry) bool {
-	told, named := policy.Time(-1), policy.Time(-1)
+	firstListed, lastListed := policy.Time(-1), policy.Time(-1)
 	for _, r := range m.history {
-		if !r.taken {
+		if !r.accepted {
 			continue
 		}
-		if told >= 0 && r.now-named >= m.terms.DrainMemory && !slices.ContainsFunc(r.files, func(f File) bool {
+		if firstListed >= 0 && r.now-lastListed >= m.limits.DrainMemory && !slices.ContainsFunc(r.files, func(f File) bool {
 			return slices.ContainsFunc(f.Entries, func(x Entry) bool { return x.UID == e.UID })
 		}) {
-			told = -1
+			firstListed = -1
 		}
 		for _, f := range r.files {
 			for _, x := range f.Entries {
 				switch {
 				case x.UID != e.UID:
 				case x.Status == policy.Ready:
-					told = -1
+					firstListed = -1
 				default:
-					if named = r.now; told < 0 {
-						told = r.now
+					if lastListed = r.now; firstListed < 0 {
+						firstListed = r.now
 					}
 				}
 			}
 		}
 	}
-	return told >= 0 && e.Started <= told && now-named < m.terms.DrainMemory
+	return firstListed >= 0 && e.Started <= firstListed && now-lastListed < m.limits.DrainMemory
 }
 
 // edit changes some files as people, programs and accidents do.
 func edit(rnd *rand.Rand, now policy.Time, files map[string]File) {
 	name := fmt.Sprint("f", rnd.IntN(3))
-	f, there := files[name]
+	f, exists := files[name]
 	f.Name, f.Entries = name, slices.Clone(f.Entries)
 	f.Digest = Digest(rnd.Uint64())
 	f.Problem = ""
@@ -186,7 +186,7 @@
 		f.Removes = rnd.IntN(4)
 	}
 	switch act := rnd.IntN(12); {
-	case act == 0 && there:
+	case act == 0 && exists:
 		delete(files, name)
 		return
 	case act == 1:
@@ -219,19 +219,19 @@
 	files[name] = f
 }
 
-func TestKeeperAgainstTheModel(t *testing.T) {
+func TestValidatorAgainstTheModel(t *testing.T) {
 	var seen [Accepted + 1]int
 	history := func(seed uint64) bool {
 		rnd := rand.New(rand.NewPCG(seed, 1))
-		terms := Limits{MaxRemovedShare: []float64{0, 0.4, 1}[rnd.IntN(3)], SettleTime: policy.Time(rnd.IntN(4)) * 100,
+		limits := Limits{MaxRemovedShare: []float64{0, 0.4, 1}[rnd.IntN(3)], SettleTime: policy.Time(rnd.IntN(4)) * 100,
 			MissingTime: policy.Time(rnd.IntN(4)) * 200, DrainMemory: 3000, RequireDigest: rnd.IntN(8) == 0}
 		if rnd.IntN(4) == 0 {
-			terms.RequiredFiles = []string{"f0"}
+			limits.RequiredFiles = []string{"f0"}
 		}
-		keeper, plain := New(terms), &model{terms: terms}
+		validator, reference := New(limits), &model{limits: limits}
 		files, copied := map[string]File{}, map[string]File{}
 		now := policy.Time(1000)
-		var inForce []Entry
+		var current []Entry
 		for step := range 60 {
 			now += policy.Time(rnd.IntN(300))
 			switch rnd.IntN(8) {
@@ -239,12 +239,12 @@
 				copied = maps.Clone(files)
 			case 1:
 				files = maps.Clone(copied) // an old copy is put back
-			case 2, 3: // just another look
+			case 2, 3: // read again
 			default:
 				edit(rnd, now, files)
 			}
 			read := slices.SortedFunc(maps.Values(files), func(a, b File) int { return len(a.Name) - len(b.Name) })
-			got, want := keeper.Evaluate(now, slices.Clone(read)), plain.weigh(now, slices.Clone(read))
+			got, want := validator.Evaluate(now, slices.Clone(read)), reference.evaluate(now, slices.Clone(read))
 			seen[got.Verdict]++
 			if got.Verdict != want {
 				t.Logf("seed %d step %d: %d (%s), the model says %d", seed, step, got.Verdict, got.Reason, want)
@@ -257,14 +257,14 @@
 			if got.Verdict != Accepted {
 				continue
 			}
-			inForce = nil
+			current = nil
 			for _, f := range read {
-				inForce = append(inForce, f.Entries...)
+				current = append(current, f.Entries...)
 			}
 			byUID := func(a, b Entry) int { return cmp.Compare(a.UID, b.UID) }
-			a, b := slices.SortedFunc(slices.Values(inForce), byUID), slices.SortedFunc(slices.Values(got.Entries), byUID)
+			a, b := slices.SortedFunc(slices.Values(current), byUID), slices.SortedFunc(slices.Values(got.Entries), byUID)
 			if !slices.Equal(a, b) {
-				t.Logf("seed %d step %d: took %v of %v", seed, step, b, a)
+				t.Logf("seed %d step %d: accepted %v of %v", seed, step, b, a)
 				return false
 			}
 		}
@@ -278,11 +278,11 @@
 	}
 }
 
-// What is resumed counts like what was taken: drains and issues, and the part that may be taken away.
+// A resumed list counts like an accepted one: drains, issues, and the share that may be removed.
 func TestResumedListsCount(t *testing.T) {
-	file := func(issue Issue, standings ...policy.EndpointStatus) File {
-		f := File{Name: "f", Digest: Digest(issue)<<8 + Digest(len(standings)), Sealed: true, Issue: issue}
-		for i, s := range standings {
+	file := func(issue Issue, statuses ...policy.EndpointStatus) File {
+		f := File{Name: "f", Digest: Digest(issue)<<8 + Digest(len(statuses)), Sealed: true, Issue: issue}
+		for i, s := range statuses {
 			uid := fmt.Sprint("s", i)
 			f.Entries = append(f.Entries, Entry{UID: uid, Addr: uid, Member: policy.Member{ID: EndpointID(uid), Weight: 1, Status: s}})
 		}
@@ -300,9 +300,9 @@
 		{file(0, R, R, D), file(0, R, R, R), Rejected},
 	} {
 		first := New(Limits{MaxRemovedShare: 0.5, DrainMemory: 1000})
-		taken := first.Evaluate(1, []File{k.before})
-		next := New(first.terms)
-		next.Resume(taken.Entries, first.State())
+		accepted := first.Evaluate(1, []File{k.before})
+		next := New(first.limits)
+		next.Resume(accepted.Entries, first.State())
 		if got := next.Evaluate(500, []File{k.after}); got.Verdict != k.want {
 			t.Errorf("%d after %d: %+v", k.after.Issue, k.before.Issue, got)
 		}
