--- a/internal/faultproxy/tcp.go
+++ b/internal/faultproxy/tcp.go
@@ -7,126 +7,139 @@
 	"time"
 )
 
-// TCP relays connections that come to listen on to target, which is at the place to. It returns the address that it listens on. A
-// connection comes up also where the way is cut, as no process can refuse to take its packets; then it says nothing.
+const (
+	// chunkSize is how many bytes of a connection are read at once.
+	chunkSize = 16 << 10
+	// maxChunksInFlight is how many chunks of a connection may be delayed at once in each direction.
+	maxChunksInFlight = 64
+	// dialTimeout is how long the target may take to accept a connection.
+	dialTimeout = time.Second
+	// acceptRetryDelay is the wait after a connection could not be accepted, as for lack of file descriptors.
+	acceptRetryDelay = time.Millisecond
+)
+
+// TCP relays connections from an address to a target, which belongs to a process. It returns the address on which it
+// listens. As the kernel accepts connections, they come up even where the direction is blocked, but carry nothing.
 func (n *Net) TCP(listen string, to Place, target string) (string, error) {
-	l, err := net.Listen("tcp", listen)
+	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return "", err
 	}
-	if err := n.added(l); err != nil {
+	if err := n.addListener(listener); err != nil {
 		return "", err
 	}
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				if errors.Is(err, net.ErrClosed) {
-					return
-				}
-				time.Sleep(time.Millisecond) // no descriptors, or the like: the next may be had
-				continue
-			}
-			go n.join(c.(*net.TCPConn), to, target)
+	go n.acceptTCP(listener, to, target)
+	return listener.Addr().String(), nil
+}
+
+// acceptTCP relays the connections of a listener until that is closed.
+func (n *Net) acceptTCP(listener net.Listener, to Place, target string) {
+	for {
+		conn, err := listener.Accept()
+		switch {
+		case err == nil:
+			go n.relayConn(conn.(*net.TCPConn), to, target)
+		case errors.Is(err, net.ErrClosed):
+			return
+		default:
+			time.Sleep(acceptRetryDelay)
 		}
-	}()
-	return l.Addr().String(), nil
+	}
 }
 
-func (n *Net) join(in *net.TCPConn, to Place, target string) {
-	if !n.keep(in) {
+// relayConn connects to the target and relays a connection in both directions until both have ended.
+func (n *Net) relayConn(in *net.TCPConn, to Place, target string) {
+	if !n.addConn(in) {
 		return
 	}
-	defer n.let(in)
-	there := Way{n.from(in.RemoteAddr()), to}
+	defer n.closeConn(in)
+	request := Way{From: n.placeOf(in.RemoteAddr()), To: to}
+	response := Way{From: request.To, To: request.From}
 	n.mu.Lock()
-	n.count(there).Connections++
+	n.count(request).Connections++
 	n.mu.Unlock()
-	// Both ways must be open once for a connection to come up.
-	if !n.open(there) || !n.open(Way{there.To, there.From}) {
+	// A handshake needs both directions.
+	if !n.waitUntilOpen(request) || !n.waitUntilOpen(response) {
 		return
 	}
-	c, err := (&net.Dialer{Timeout: dialIn}).Dial("tcp", target)
+	conn, err := net.DialTimeout("tcp", target, dialTimeout)
 	if err != nil {
-		in.SetLinger(0) // refused there, so reset here
+		_ = in.SetLinger(0) // the target refused, so the caller gets a reset
 		return
 	}
-	out := c.(*net.TCPConn)
-	if !n.keep(out) {
+	out := conn.(*net.TCPConn)
+	if !n.addConn(out) {
 		return
 	}
-	defer n.let(out)
-	done := make(chan struct{})
-	go func() { n.pump(Way{there.To, there.From}, out, in); close(done) }()
-	n.pump(there, in, out)
-	<-done
-}
-
-// open waits until the way is not cut. False when the links have ended.
-func (n *Net) open(w Way) bool {
-	for {
-		n.mu.Lock()
-		cut, healed, ended := n.ways[w].Cut, n.healed, n.ended
-		n.mu.Unlock()
-		if !cut || ended {
-			return !ended
-		}
-		<-healed
-	}
+	defer n.closeConn(out)
+	responseDone := make(chan struct{})
+	go func() {
+		defer close(responseDone)
+		n.relayBytes(response, out, in)
+	}()
+	n.relayBytes(request, in, out)
+	<-responseDone
 }
 
-// piece is a part of what goes one way, its end, or its breaking off.
-type piece struct {
-	bytes []byte
-	came  time.Time
-	due   time.Time
-	end   error
+// chunk is a part of the bytes in one direction, or their end.
+type chunk struct {
+	bytes      []byte
+	receivedAt time.Time
+	dueAt      time.Time
+	end        error // io.EOF, or why the connection broke; nil: there is more
 }
 
-// pump passes bytes one way, in order, each piece when it is due and the way is open.
-func (n *Net) pump(w Way, from, to *net.TCPConn) {
-	ahead := make(chan piece, mostAhead)
-	go func() {
-		defer close(ahead)
-		for {
-			b := make([]byte, chunk)
-			k, err := from.Read(b)
-			p := piece{bytes: b[:k], came: time.Now(), end: err}
-			n.mu.Lock()
-			p.due = p.came.Add(n.wait(n.ways[w]))
-			c := n.count(w)
-			c.Chunks++
-			if n.ways[w].Cut {
-				c.Held++
-			}
-			n.mu.Unlock()
-			ahead <- p
-			if err != nil {
-				return
-			}
+// relayBytes passes bytes in one direction, in order, each chunk when it is due and the direction is open.
+func (n *Net) relayBytes(way Way, from, to *net.TCPConn) {
+	chunks := make(chan chunk, maxChunksInFlight)
+	go n.readChunks(way, from, chunks)
+	for c := range chunks {
+		time.Sleep(time.Until(c.dueAt))
+		blockedSince := time.Now()
+		if !n.waitUntilOpen(way) {
+			continue // the channel must be emptied, so that its writer ends
 		}
-	}()
-	for p := range ahead {
-		time.Sleep(time.Until(p.due))
-		start := time.Now()
-		if !n.open(w) {
-			continue // emptied, so that the reader ends
-		}
-		held := time.Since(start)
-		if len(p.bytes) > 0 {
-			if _, err := to.Write(p.bytes); err != nil {
-				from.SetLinger(0)
-				from.Close()
+		blocked := time.Since(blockedSince)
+		if len(c.bytes) > 0 {
+			if _, err := to.Write(c.bytes); err != nil {
+				reset(from)
 			}
 		}
-		n.took(time.Since(p.came) - held - p.due.Sub(p.came))
+		n.recordOverhead(time.Since(c.receivedAt) - blocked - c.dueAt.Sub(c.receivedAt))
 		switch {
-		case p.end == nil:
-		case errors.Is(p.end, io.EOF):
-			to.CloseWrite()
+		case c.end == nil:
+		case errors.Is(c.end, io.EOF):
+			_ = to.CloseWrite() // fails where the other end has closed already
 		default:
-			to.SetLinger(0)
-			to.Close()
+			reset(to)
 		}
 	}
 }
+
+// readChunks reads a connection until it ends.
+func (n *Net) readChunks(way Way, from *net.TCPConn, chunks chan<- chunk) {
+	defer close(chunks)
+	for {
+		buffer := make([]byte, chunkSize)
+		size, err := from.Read(buffer)
+		c := chunk{bytes: buffer[:size], receivedAt: time.Now(), end: err}
+		n.mu.Lock()
+		c.dueAt = c.receivedAt.Add(n.drawDelay(n.ways[way]))
+		count := n.count(way)
+		count.Chunks++
+		if n.ways[way].Cut {
+			count.Held++
+		}
+		n.mu.Unlock()
+		chunks <- c
+		if err != nil {
+			return
+		}
+	}
+}
+
+// reset closes a connection by a reset.
+func reset(conn *net.TCPConn) {
+	_ = conn.SetLinger(0) // fails only on a closed connection
+	_ = conn.Close()
+}
--- a/internal/faultproxy/udp.go
+++ b/internal/faultproxy/udp.go
@@ -4,122 +4,148 @@
 	"errors"
 	"net"
 	"net/netip"
+	"slices"
 	"time"
 )
 
-// door is where packets to one target come.
-type door struct {
-	to Place
-	l  *net.UDPConn
+// maxPacketSize is how many bytes a packet may have.
+const maxPacketSize = 64 << 10
+
+// udpProxy is the proxy for packets to one target.
+type udpProxy struct {
+	to   Place
+	conn *net.UDPConn
 }
 
-// UDP relays packets that come to listen on to target, which is at the place to, and its answers back. It returns the address that it
-// listens on. What one caller sends leaves from one socket of its own, whomever it is for: an answer is told by who sends it, and
-// hundreds of processes that all know each other take hundreds of sockets, not their square.
+// UDP relays packets from an address to a target, which belongs to a process, and the target's answers back. It returns
+// the address on which it listens. All packets of one caller leave from one socket, whatever their target, as answers
+// are told apart by the target that sends them. So the number of sockets grows with that of the processes, not with its
+// square.
 func (n *Net) UDP(listen string, to Place, target netip.AddrPort) (string, error) {
-	at, err := net.ResolveUDPAddr("udp", listen)
+	address, err := net.ResolveUDPAddr("udp", listen)
 	if err != nil {
 		return "", err
 	}
-	l, err := net.ListenUDP("udp", at)
+	conn, err := net.ListenUDP("udp", address)
 	if err != nil {
 		return "", err
 	}
-	if err := n.added(l); err != nil {
+	if err := n.addListener(conn); err != nil {
 		return "", err
 	}
+	proxy := udpProxy{to, conn}
 	n.mu.Lock()
-	n.doors[target] = door{to, l}
+	n.udpProxies[target] = proxy
 	n.mu.Unlock()
-	go func() {
-		b := make([]byte, packet)
-		for {
-			k, from, err := l.ReadFromUDPAddrPort(b)
-			if errors.Is(err, net.ErrClosed) {
-				return
-			} else if err != nil {
-				continue // word of an earlier packet that found nobody
-			}
-			came := time.Now()
-			if out := n.caller(from); out != nil {
-				w := Way{n.from(net.UDPAddrFromAddrPort(from)), to}
-				n.packet(w, came, append([]byte(nil), b[:k]...), func(p []byte) { out.WriteToUDPAddrPort(p, target) })
-			}
+	go n.relayRequests(proxy, target)
+	return conn.LocalAddr().String(), nil
+}
+
+// relayRequests passes packets of all callers to the target until the proxy's socket is closed.
+func (n *Net) relayRequests(proxy udpProxy, target netip.AddrPort) {
+	receivePackets(proxy.conn, func(packet []byte, from netip.AddrPort, receivedAt time.Time) {
+		sender := n.senderFor(from)
+		if sender == nil {
+			return
 		}
-	}()
-	return l.LocalAddr().String(), nil
+		way := Way{From: n.placeOf(net.UDPAddrFromAddrPort(from)), To: proxy.to}
+		n.relayPacket(way, receivedAt, func() {
+			_, _ = sender.WriteToUDPAddrPort(packet, target) // a packet may be lost
+		})
+	})
 }
 
-// caller gives the socket from which a caller's packets leave; nil: none can be had.
-func (n *Net) caller(from netip.AddrPort) *net.UDPConn {
-	n.mu.Lock()
-	out := n.callers[from]
-	n.mu.Unlock()
-	if out != nil {
-		return out
-	}
-	out, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
-	if err != nil || !n.keep(out) {
-		return nil
-	}
-	n.mu.Lock()
-	if other := n.callers[from]; other != nil { // two doors at once
+// relayAnswers passes packets of all targets to one caller until the sender's socket is closed.
+func (n *Net) relayAnswers(sender *net.UDPConn, caller netip.AddrPort) {
+	receivePackets(sender, func(packet []byte, from netip.AddrPort, receivedAt time.Time) {
+		n.mu.Lock()
+		proxy, known := n.udpProxies[from]
 		n.mu.Unlock()
-		n.let(out)
-		return other
-	}
-	n.callers[from] = out
-	n.mu.Unlock()
-	go n.back(out, from)
-	return out
+		if !known {
+			return
+		}
+		way := Way{From: proxy.to, To: n.placeOf(net.UDPAddrFromAddrPort(caller))}
+		n.relayPacket(way, receivedAt, func() {
+			_, _ = proxy.conn.WriteToUDPAddrPort(packet, caller) // a packet may be lost
+		})
+	})
 }
 
-// back passes answers to one caller.
-func (n *Net) back(out *net.UDPConn, to netip.AddrPort) {
-	b := make([]byte, packet)
+// receivePackets calls handle with a copy of each packet until the socket is closed.
+func receivePackets(conn *net.UDPConn, handle func(packet []byte, from netip.AddrPort, receivedAt time.Time)) {
+	buffer := make([]byte, maxPacketSize)
 	for {
-		k, from, err := out.ReadFromUDPAddrPort(b)
+		size, from, err := conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
-		} else if err != nil {
-			continue
 		}
-		n.mu.Lock()
-		d, known := n.doors[from]
-		n.mu.Unlock()
-		if known {
-			w := Way{d.to, n.from(net.UDPAddrFromAddrPort(to))}
-			n.packet(w, time.Now(), append([]byte(nil), b[:k]...), func(p []byte) { d.l.WriteToUDPAddrPort(p, to) })
+		if err != nil {
+			continue // an ICMP error for an earlier packet
 		}
+		handle(slices.Clone(buffer[:size]), from, time.Now())
 	}
 }
 
-// packet loses one, or passes it when it is due.
-func (n *Net) packet(w Way, came time.Time, p []byte, send func([]byte)) {
+// senderFor returns the socket from which a caller's packets leave, or nil if none can be opened.
+func (n *Net) senderFor(caller netip.AddrPort) *net.UDPConn {
 	n.mu.Lock()
-	s, c := n.ways[w], n.count(w)
-	c.Packets++
-	lost := s.Cut || s.Drop > 0 && n.chance.Float64() < s.Drop
-	if lost {
-		c.Lost++
+	sender := n.udpSenders[caller]
+	n.mu.Unlock()
+	if sender != nil {
+		return sender
 	}
-	var waits []time.Duration
-	if !lost {
-		waits = append(waits, n.wait(s))
+	sender, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil || !n.addConn(sender) {
+		return nil
 	}
-	if !lost && s.Twice > 0 && n.chance.Float64() < s.Twice {
-		waits = append(waits, n.wait(s))
+	n.mu.Lock()
+	other := n.udpSenders[caller]
+	if other == nil {
+		n.udpSenders[caller] = sender
 	}
 	n.mu.Unlock()
-	for _, wait := range waits {
-		pass := func() {
-			send(p)
-			n.took(time.Since(came) - wait)
+	if other != nil { // another proxy has opened one meanwhile
+		n.closeConn(sender)
+		return other
+	}
+	go n.relayAnswers(sender, caller)
+	return sender
+}
+
+// relayPacket sends a packet when it is due, once or twice, or drops it.
+func (n *Net) relayPacket(way Way, receivedAt time.Time, send func()) {
+	for _, delay := range n.drawPacketDelays(way) {
+		relay := func() {
+			send()
+			n.recordOverhead(time.Since(receivedAt) - delay)
 		}
-		if wait == 0 {
-			pass()
+		if delay == 0 {
+			relay()
 		} else {
-			time.AfterFunc(wait, pass)
+			time.AfterFunc(delay, relay)
 		}
 	}
 }
+
+// drawPacketDelays counts a packet and draws the delay of each of its copies; none if it is lost.
+func (n *Net) drawPacketDelays(way Way) []time.Duration {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	state := n.ways[way]
+	count := n.count(way)
+	count.Packets++
+	if state.Cut || n.happens(state.Drop) {
+		count.Lost++
+		return nil
+	}
+	delays := []time.Duration{n.drawDelay(state)}
+	if n.happens(state.Twice) {
+		delays = append(delays, n.drawDelay(state))
+	}
+	return delays
+}
+
+// happens draws whether an event of a probability happens. The caller holds the lock.
+func (n *Net) happens(probability float64) bool {
+	return probability > 0 && n.random.Float64() < probability
+}
