--- /dev/null
+++ b/internal/migration/json.go
@@ -0,0 +1,64 @@
+package migration
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+
+	"pepperlead/internal/daemon"
+)
+
+// convertJSON converts the platform's configuration.
+func convertJSON(file string, text []byte, pool Pool) (Made, error) {
+	if len(text) > maxConfigSize {
+		return Made{}, fmt.Errorf("%s:1: document: found %d bytes, allowed at most %d", file, len(text), maxConfigSize)
+	}
+	if _, err := daemon.Parse(file, text, noEnvironment); err != nil {
+		return Made{}, err
+	}
+	var document map[string]any
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.UseNumber()
+	if err := decoder.Decode(&document); err != nil {
+		return Made{}, err
+	}
+	settings, _ := document["settings"].(map[string]any) // a valid configuration has both
+	limits, _ := settings["limits"].(map[string]any)
+	if settings["weight_kind"] == "live" {
+		lines, _ := daemon.JSONLines(file, text) // it was parsed before
+		return Made{}, fmt.Errorf("%s:%d: settings.weight_kind: found live, allowed nominal, rough or silent: "+
+			"this file has the new shape already", file, lines["settings.weight_kind"])
+	}
+	var converted Made
+	converted.noteClients(fmt.Sprint(document["listen"]))
+	converted.setMember(document, "", "listen", pool.Listen)
+	converted.setMember(settings, "settings.", "balancers", pool.Sidecar)
+	converted.setMember(settings, "settings.", "weight_kind", "live")
+	converted.setMember(limits, "settings.limits.", "streams_per_conn", pool.Streams)
+	document["seed"] = fmt.Sprintf("%016x", pool.Seed)
+	converted.addUnconverted("seed", "each sidecar of a pool has its own; a new one was drawn")
+	if document["known"] != nil {
+		delete(document, "known")
+		converted.addUnconverted("known", "the list in it has nominal sizes; the sidecar asks for a new one")
+	}
+	encoded, err := json.MarshalIndent(document, "", "  ")
+	if err != nil {
+		return Made{}, err
+	}
+	converted.Text = append(encoded, '\n')
+	return converted, nil
+}
+
+// setMember sets a member of an object whose path in the document is given.
+func (m *Made) setMember(object map[string]any, path, name string, value any) {
+	old, exists := object[name]
+	object[name] = value
+	from := fmt.Sprint(old)
+	to := fmt.Sprint(value)
+	switch {
+	case !exists:
+		m.addChange(path+name, "nothing", to)
+	case from != to:
+		m.addChange(path+name, from, to)
+	}
+}
--- a/internal/migration/migration_test.go
+++ b/internal/migration/migration_test.go
@@ -8,11 +8,11 @@
 	"pepperlead/internal/daemon"
 )
 
-const old = "../../deploy/standalone.toml"
+const oldTOML = "../../deploy/standalone.toml"
 
-var to = Pool{Listen: "10.0.0.7:9000", Sidecar: 12, Streams: 100, Seed: 0xabc}
+var pool = Pool{Listen: "10.0.0.7:9000", Sidecar: 12, Streams: 100, Seed: 0xabc}
 
-const sent = `{"name":"n3","listen":"127.0.0.4:9000","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
+const oldJSON = `{"name":"n3","listen":"127.0.0.4:9000","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"rev":1,"all":true,"targets":[]},
 "settings":{"balancers":3,"zone":"a","zones":["a","b"],"weight_kind":"rough","membership_mode":"pushed","tick_s":0.005,
 "limits":{"cancel":true,"max_pushes":3,"retry_after":true,
@@ -20,29 +20,29 @@
 "rules":{"cold_from":0.13,"cold_s":24.0,"fall_multiple":3.0},"offerings":[
 {"name":"step","credit":5.0,"overdue_credit":0.2,"quoted_time_s":1.5,"cut_off_s":2.0,"idempotency":"retryable"}]}}`
 
-func text(t *testing.T) string {
-	b, err := os.ReadFile(old)
+func readOldTOML(t *testing.T) string {
+	b, err := os.ReadFile(oldTOML)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return string(b)
 }
 
-// All but what the pool needs is read back as it was; what was dropped is told.
-func TestCounterpartsSayWhatTheOldFileSaid(t *testing.T) {
-	toml := strings.NewReplacer("# [state]\n# folder", "[state]\nfolder", `name = "desk-1" `, "seed = 'ab'\nname = \"desk-1\" ").Replace(text(t))
-	for name, in := range map[string]string{"old.toml": toml, "old.json": sent} {
-		m, err := Make(name, []byte(in), to)
+// Everything but what the pool needs has its old value; what was not converted is noted.
+func TestConvertedConfigurationsKeepOtherValues(t *testing.T) {
+	toml := strings.NewReplacer("# [state]\n# folder", "[state]\nfolder", `name = "desk-1" `, "seed = 'ab'\nname = \"desk-1\" ").Replace(readOldTOML(t))
+	for name, in := range map[string]string{"old.toml": toml, "old.json": oldJSON} {
+		m, err := Make(name, []byte(in), pool)
 		if err != nil {
 			t.Fatal(err)
 		}
-		was, _ := daemon.Parse(name, []byte(in), nobody)
-		is, err := daemon.Parse(name, m.Text, nobody)
+		was, _ := daemon.Parse(name, []byte(in), noEnvironment)
+		is, err := daemon.Parse(name, m.Text, noEnvironment)
 		if err != nil {
 			t.Fatal(err)
 		}
 		c := *is.Settings
-		if c.FixedWeights || c.StreamsPerConnection != 100 || c.Instances != 12 || is.Listen != to.Listen || len(m.Changed) != 4 || len(m.Left) < 3 {
+		if c.FixedWeights || c.StreamsPerConnection != 100 || c.Instances != 12 || is.Listen != pool.Listen || len(m.Changed) != 4 || len(m.Left) < 3 {
 			t.Errorf("%s: %+v\n%q\n%q", name, c, m.Changed, m.Left)
 		}
 		a := *was.Settings
@@ -50,35 +50,35 @@
 			c.MaxRetryAfter != a.MaxRetryAfter || c.Zones != a.Zones || is.ShutdownTime != was.ShutdownTime || is.Descriptors != was.Descriptors {
 			t.Errorf("%s: something else has changed:\n%s", name, m.Text)
 		}
-		told := strings.Join(m.Left, "\n")
+		unconverted := strings.Join(m.Left, "\n")
 		for _, key := range map[string][]string{"old.toml": {"instance.seed", "state.folder"}, "old.json": {"seed", "known"}}[name] {
-			if !strings.Contains(told, key+": ") {
-				t.Errorf("%s: %s is not told of:\n%s", name, key, told)
+			if !strings.Contains(unconverted, key+": ") {
+				t.Errorf("%s: %s is not noted:\n%s", name, key, unconverted)
 			}
 		}
 		if strings.Contains(string(m.Text), "8c1f30d27a5be964") || strings.Contains(string(m.Text), "\nseed") {
 			t.Errorf("%s: the seed was kept", name)
 		}
-		if _, err := Make(name, m.Text, to); err == nil || !strings.Contains(err.Error(), "new shape already") {
-			t.Errorf("%s: made twice: %v", name, err)
+		if _, err := Make(name, m.Text, pool); err == nil || !strings.Contains(err.Error(), "new shape already") {
+			t.Errorf("%s: converted twice: %v", name, err)
 		}
 	}
 }
 
-// What cannot be used is told with file, line and key; nothing is made of it.
+// What can't be converted is an error with file, line and key.
 func TestFaultsHaveTheirPlace(t *testing.T) {
-	whole := text(t)
+	valid := readOldTOML(t)
 	for _, c := range []struct{ name, in, want string }{
-		{"a.toml", strings.Replace(whole, "cancel = true", "cancel = 7", 1), "a.toml:26: limits.cancel: found 7, allowed true or false"},
-		{"a.toml", strings.Replace(whole, "[limits]", "[limits", 1), "a.toml:22: document"},
-		{"a.toml", strings.Replace(whole, "instances = 1 ", "instances = 0x1 ", 1), ""},
-		{"a.toml", "instance.instances = 1\n" + strings.Replace(whole, "[instance]", "[log2]", 1), "a.toml:"},
-		{"a.json", strings.Replace(sent, `"retry_after":true`, `"retry_after":3`, 1), "a.json:4: settings: limits.retry_after"},
-		{"a.json", strings.Replace(sent, `"quoted_time_s":1.5,`, "", 1), "a.json:7: settings: offerings.0.quoted_time_s: found nothing, allowed"},
-		{"a.json", strings.Replace(sent, `"max_pushes":3`, `"max_pushes":3,"streams_per_conn":0`, 1), "a.json:4: settings: limits.streams_per_conn"},
-		{"a.json", sent[:len(sent)-1], "a.json:7: document"}, {"a.json", sent + "1", "a.json:7: document"}, {"a.json", "{}", "a.json:1: "},
+		{"a.toml", strings.Replace(valid, "cancel = true", "cancel = 7", 1), "a.toml:26: limits.cancel: found 7, allowed true or false"},
+		{"a.toml", strings.Replace(valid, "[limits]", "[limits", 1), "a.toml:22: document"},
+		{"a.toml", strings.Replace(valid, "instances = 1 ", "instances = 0x1 ", 1), ""},
+		{"a.toml", "instance.instances = 1\n" + strings.Replace(valid, "[instance]", "[log2]", 1), "a.toml:"},
+		{"a.json", strings.Replace(oldJSON, `"retry_after":true`, `"retry_after":3`, 1), "a.json:4: settings: limits.retry_after"},
+		{"a.json", strings.Replace(oldJSON, `"quoted_time_s":1.5,`, "", 1), "a.json:7: settings: offerings.0.quoted_time_s: found nothing, allowed"},
+		{"a.json", strings.Replace(oldJSON, `"max_pushes":3`, `"max_pushes":3,"streams_per_conn":0`, 1), "a.json:4: settings: limits.streams_per_conn"},
+		{"a.json", oldJSON[:len(oldJSON)-1], "a.json:7: document"}, {"a.json", oldJSON + "1", "a.json:7: document"}, {"a.json", "{}", "a.json:1: "},
 	} {
-		m, err := Make(c.name, []byte(c.in), to)
+		m, err := Make(c.name, []byte(c.in), pool)
 		if c.want == "" {
 			if err != nil {
 				t.Error(err)
@@ -89,9 +89,9 @@
 			t.Errorf("want %q, got %v", c.want, err)
 		}
 	}
-	for _, bad := range []Pool{{Listen: "here", Sidecar: 1, Streams: 2}, {Listen: to.Listen, Streams: 2}, {Listen: to.Listen, Sidecar: 1, Streams: 1}} {
-		if _, err := Make("a.toml", []byte(whole), bad); err == nil {
-			t.Errorf("%+v was taken", bad)
+	for _, invalid := range []Pool{{Listen: "here", Sidecar: 1, Streams: 2}, {Listen: pool.Listen, Streams: 2}, {Listen: pool.Listen, Sidecar: 1, Streams: 1}} {
+		if _, err := Make("a.toml", []byte(valid), invalid); err == nil {
+			t.Errorf("%+v was accepted", invalid)
 		}
 	}
 }
