--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -1,92 +1,110 @@
 package engine
 
-import (
-	"pepperlead/policy"
-)
-
-func (e *Engine) want(h policy.Handle, n step) *Request {
-	n.request = e.byPlace[h.Place()]
-	n.request.PendingSteps++
-	e.steps = append(e.steps, n)
-	return n.request
+import "pepperlead/policy"
+
+// step is an action that the module has decided on. It is carried out at the end of the round.
+type step struct {
+	run      func(e *Engine, now policy.Time, s step)
+	request  *Request
+	endpoint policy.EndpointID
+	attempt  policy.AttemptNo
+	duration policy.Time // until the attempt's time-out, or until a rejected client may retry
+}
+
+// addStep adds a step for the request of that handle.
+func (e *Engine) addStep(h policy.Handle, s step) *Request {
+	s.request = e.requests[h.Place()]
+	s.request.PendingSteps++
+	e.steps = append(e.steps, s)
+	return s.request
 }
 
+// Attempt implements policy.Front.
 func (e *Engine) Attempt(h policy.Handle, to policy.EndpointID, wait policy.Time) {
-	t := e.want(h, step{do: (*Engine).send, endpoint: to, span: wait})
-	t.InFlight, t.Endpoint, t.AttemptNo, t.decided = true, to, policy.AttemptNo(t.Attempts), e.acted()
+	t := e.addStep(h, step{run: sendAttempt, endpoint: to, duration: wait})
+	t.InFlight = true
+	t.Endpoint = to
+	t.AttemptNo = policy.AttemptNo(t.Attempts)
+	t.rulesVersion = e.rulesVersion()
 	t.Attempts++
 }
 
+// Cancel implements policy.Front.
 func (e *Engine) Cancel(h policy.Handle, n policy.AttemptNo) {
-	e.want(h, step{do: (*Engine).cancel, attempt: n})
+	e.addStep(h, step{run: cancelAttempt, attempt: n})
 }
 
+// Succeed implements policy.Front.
 func (e *Engine) Succeed(h policy.Handle, _ policy.AttemptNo) {
-	e.want(h, step{do: func(_ *Engine, now policy.Time, t *Request, _ step) { t.Front.Succeed(now, t) }}).Decided = true
+	e.addStep(h, step{run: succeed}).Decided = true
 }
 
+// Reject implements policy.Front.
 func (e *Engine) Reject(h policy.Handle, retryIn policy.Time) {
-	e.want(h, step{do: func(_ *Engine, now policy.Time, t *Request, n step) { t.Front.Reject(now, t, n.span) }, span: retryIn}).Decided = true
+	e.addStep(h, step{run: reject, duration: retryIn}).Decided = true
 }
 
+// Fail implements policy.Front.
 func (e *Engine) Fail(h policy.Handle) {
-	e.want(h, step{do: func(_ *Engine, now policy.Time, t *Request, _ step) { t.Front.Fail(now, t) }}).Decided = true
+	e.addStep(h, step{run: fail}).Decided = true
 }
 
+// Wake implements policy.Front.
 func (e *Engine) Wake(in policy.Time) {
-	if at := e.Clock.Now() + in; !e.wake.Active() || at < e.wake.At() {
-		e.Timers.Set(&e.wake, at)
+	if at := e.Clock.Now() + in; !e.wakeTimer.Active() || at < e.wakeTimer.At() {
+		e.Timers.Set(&e.wakeTimer, at)
 	}
 }
 
+// FollowList implements policy.Front.
 func (e *Engine) FollowList(on bool) { e.list.follow(on) }
 
+// Log implements policy.Front.
 func (e *Engine) Log(line string) { e.Logger.Info(line) }
 
-// Release closes what stands idle to an endpoint that stays listed.
+// Release implements policy.Front: it closes the idle connections to an endpoint that stays listed.
 func (e *Engine) Release(id policy.EndpointID) {
 	if s := e.Endpoints[id]; s != nil {
-		for _, f := range e.fronts {
-			f.CloseIdle(s)
-		}
+		e.closeIdle(s)
 	}
 }
 
-// Forget lets an endpoint go that is listed no more. Its connections, if any are left, close when they are free.
+// Forget implements policy.Front: it drops an endpoint that is not listed any more. Connections that are in use close
+// when they become idle.
 func (e *Engine) Forget(id policy.EndpointID) {
-	if s := e.Endpoints[id]; s != nil {
-		e.retire(s)
-		for _, f := range e.fronts {
-			f.Forget(s)
-		}
-		delete(e.Endpoints, id)
+	s := e.Endpoints[id]
+	if s == nil {
+		return
 	}
-}
-
-// retire has no connection to the endpoint kept for later.
-func (e *Engine) retire(s *Endpoint) {
-	s.Draining = true
-	s.Generation++
+	e.retire(s)
 	for _, f := range e.fronts {
-		f.CloseIdle(s)
+		f.Forget(s)
 	}
+	delete(e.Endpoints, id)
 }
 
-func (e *Engine) send(now policy.Time, t *Request, n step) {
+func sendAttempt(e *Engine, now policy.Time, s step) {
+	t := s.request
 	t.SentAt = now
-	s := e.Endpoints[n.endpoint]
-	if t.Decided || s == nil || !e.AttemptStillValid(now, t) {
+	to := e.Endpoints[s.endpoint]
+	if t.Decided || to == nil || !e.AttemptStillValid(now, t) {
 		e.AttemptEnded(now, t, policy.NotSent)
 		return
 	}
 	e.Counters.Attempts++
-	e.recordAttempt(now, t, s)
-	e.Timers.Set(&t.AttemptTimer, now+n.span)
-	t.Front.Send(now, t, s)
+	e.recordAttempt(now, t, to)
+	e.Timers.Set(&t.AttemptTimer, now+s.duration)
+	t.Front.Send(now, t, to)
 }
 
-func (e *Engine) cancel(now policy.Time, t *Request, n step) {
-	if t.InFlight && t.AttemptNo == n.attempt {
+func cancelAttempt(_ *Engine, now policy.Time, s step) {
+	if t := s.request; t.InFlight && t.AttemptNo == s.attempt {
 		t.Front.CancelAttempt(now, t)
 	}
 }
+
+func succeed(_ *Engine, now policy.Time, s step) { s.request.Front.Succeed(now, s.request) }
+
+func reject(_ *Engine, now policy.Time, s step) { s.request.Front.Reject(now, s.request, s.duration) }
+
+func fail(_ *Engine, now policy.Time, s step) { s.request.Front.Fail(now, s.request) }
--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -7,25 +7,43 @@
 	"pepperlead/policy"
 )
 
-// Counters count what is taken in, sent and answered.
+// Counters count what the engine and its fronts have done.
 type Counters struct {
-	ClientConns, ClientConnsBroken                 int
-	ClientsSilent                                  int // closed as nothing came
-	Requests, BadRequests, Overflowed, ClientsGone int
-	Succeeded, Rejected, Failed                    int
-	Declined                                       int // requests that an endpoint could not use
-	Unsent                                         int // final answers that found no client
-	LargeBodies, StreamedBodies                    int // of requests; of these, such as went on to an endpoint before they were whole
-	Streams, StreamsBroken                         int // answers handed on as they came; of these, such as stayed a part
-	Attempts, Dials, Reused                        int
-	Outcomes                                       [policy.Declined + 1]int
-	Lists, ListEntries, ListFailures               int
-	ListsRefused                                   int // by the checks on files: the last good one stayed
-	Reconfigurations                               int // new configurations gone over to
-	BytesIn, BytesOut                              int64
+	ClientConns       int
+	ClientConnsBroken int
+	ClientsSilent     int // closed, as they sent nothing
+	Requests          int
+	BadRequests       int
+	Overflowed        int
+	ClientsGone       int
+	Succeeded         int
+	Rejected          int
+	Failed            int
+	Declined          int // requests that an endpoint could not use
+	Unsent            int // final answers that found no client
+	LargeBodies       int // of requests
+	StreamedBodies    int // of these, passed on before they were complete
+	Streams           int // responses passed on while they came
+	StreamsBroken     int // of these, never completed
+	Attempts          int
+	Dials             int
+	Reused            int
+	Outcomes          [policy.Declined + 1]int
+	Lists             int
+	ListEntries       int
+	ListFailures      int
+	ListsRefused      int // by the checks on files
+	Reconfigurations  int
+	BytesIn           int64
+	BytesOut          int64
 }
 
-// Each hands over every counter, in the order in which they are shown.
+// outcomeNames are the outcomes of attempts as the counters have them.
+var outcomeNames = [policy.Declined + 1]string{
+	"honoured", "errors", "turned_away", "timed_out", "not_connected", "broken", "called_off", "not_sent", "declined",
+}
+
+// Each passes every counter, in the order in which they are shown.
 func (c *Counters) Each(line func(name string, n int64)) {
 	line("client_connections", int64(c.ClientConns))
 	line("client_connections_cut", int64(c.ClientConnsBroken))
@@ -46,20 +64,19 @@
 	line("pushes", int64(c.Attempts))
 	line("dials", int64(c.Dials))
 	line("pushes_on_kept_connections", int64(c.Reused))
-	for i, name := range []string{"honoured", "errors", "turned_away", "timed_out", "not_connected", "broken",
-		"called_off", "not_sent", "declined"} {
-		line("pushes_"+name, int64(c.Outcomes[i]))
+	for outcome, name := range outcomeNames {
+		line("pushes_"+name, int64(c.Outcomes[outcome]))
 	}
 	line("lists", int64(c.Lists))
 	line("list_entries", int64(c.ListEntries))
 	line("list_failures", int64(c.ListFailures))
 	line("lists_refused", int64(c.ListsRefused))
 	line("configurations_renewed", int64(c.Reconfigurations))
-	line("bytes_in", int64(c.BytesIn))
-	line("bytes_out", int64(c.BytesOut))
+	line("bytes_in", c.BytesIn)
+	line("bytes_out", c.BytesOut)
 }
 
-// String has one line a counter, for whoever asks and for the log at the end.
+// String has one line a counter.
 func (c *Counters) String() string {
 	var b strings.Builder
 	c.Each(func(name string, n int64) { fmt.Fprintf(&b, "%s %d\n", name, n) })
--- a/internal/engine/members_test.go
+++ b/internal/engine/endpointlist_test.go
@@ -21,19 +21,19 @@
 	log.SetOutput(io.Discard)
 	e := New(Config{Settings: &policy.Settings{Instances: 1}}, log)
 	m := policy.Member{ID: 7}
-	if !e.list.know(discovery.Entry{Member: m, UID: "a", Addr: "127.0.0.1:1"}) ||
-		e.list.know(discovery.Entry{Member: m, UID: "b", Addr: "127.0.0.1:2"}) ||
-		!e.list.know(discovery.Entry{Member: m, UID: "a", Addr: "127.0.0.1:3"}) || e.Endpoints[7].Addr != "127.0.0.1:3" {
-		t.Error("two servers were merged")
+	if !e.updateEndpoint(discovery.Entry{Member: m, UID: "a", Addr: "127.0.0.1:1"}) ||
+		e.updateEndpoint(discovery.Entry{Member: m, UID: "b", Addr: "127.0.0.1:2"}) ||
+		!e.updateEndpoint(discovery.Entry{Member: m, UID: "a", Addr: "127.0.0.1:3"}) || e.Endpoints[7].Addr != "127.0.0.1:3" {
+		t.Error("two endpoints were merged")
 	}
 }
 
-// flood is a source that always has another list.
-type flood struct{ discovery.Source }
+// endlessSource is a source that always has another list.
+type endlessSource struct{ discovery.Source }
 
-func (flood) Follow(bool) {}
+func (endlessSource) Follow(bool) {}
 
-func (flood) Run(ctx context.Context, tell func(discovery.Event)) {
+func (endlessSource) Run(ctx context.Context, report func(discovery.Event)) {
 	var all sync.WaitGroup
 	for range 4 {
 		all.Go(func() {
@@ -42,7 +42,7 @@
 				for id := range policy.EndpointID(100) {
 					list.Entries = append(list.Entries, discovery.Entry{Member: policy.Member{ID: id, Weight: float64(1 + (n+int(id))%2)}})
 				}
-				tell(discovery.Event{List: &list})
+				report(discovery.Event{List: &list})
 			}
 		})
 	}
@@ -53,29 +53,29 @@
 func TestListsWithoutEndHoldUpNothing(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	e := New(Config{Settings: &policy.Settings{Instances: 1, FixedWeights: true}, Source: flood{}}, log)
+	e := New(Config{Settings: &policy.Settings{Instances: 1, FixedWeights: true}, Source: endlessSource{}}, log)
 	e.list.start(e.Source)
-	defer e.list.end()
-	for n := 0; len(e.list.news) < mostNews; n++ {
+	defer e.list.cancel()
+	for len(e.list.events) < maxPendingEvents {
 		time.Sleep(time.Millisecond)
 	}
-	e.hear(0)
-	if n := e.Counters.Lists; n < mostNews || n > mostNews+1 {
-		t.Errorf("%d lists taken at once, of the %d that waited and those that came meanwhile", n, mostNews)
+	e.handlePending(0)
+	if n := e.Counters.Lists; n < maxPendingEvents || n > maxPendingEvents+1 {
+		t.Errorf("%d lists taken at once, of the %d that waited and those that came meanwhile", n, maxPendingEvents)
 	}
 }
 
-// An endpoint that had gone before a new version came could not be taken out there: its id was taken for a slip of the pen.
+// An endpoint that had gone before a new version came could not be taken out there: its id counted as a typing error.
 func TestIdsSeenPassOn(t *testing.T) {
 	old, next := New(Config{Settings: &policy.Settings{}}, logrus.New()), New(Config{Settings: &policy.Settings{}}, logrus.New())
-	for n := range mostSeen + 10 {
-		old.list.saw(endpointfiles.EndpointID(fmt.Sprint("s-", n)))
+	for n := range maxSeenIDs + 10 {
+		old.list.seen.add(endpointfiles.EndpointID(fmt.Sprint("s-", n)))
 	}
 	next.ImportSeen(old.SeenEndpoints())
-	if next.Listed("s-9") || !next.Listed("s-10") || !next.Listed(fmt.Sprint("s-", mostSeen+9)) || next.Listed("s-x") {
+	if next.Listed("s-9") || !next.Listed("s-10") || !next.Listed(fmt.Sprint("s-", maxSeenIDs+9)) || next.Listed("s-x") {
 		t.Error("not those that were seen")
 	}
-	if next.list.saw(1); next.Listed("s-10") || !next.Listed("s-11") {
+	if next.list.seen.add(1); next.Listed("s-10") || !next.Listed("s-11") {
 		t.Error("another than the oldest was forgotten")
 	}
 }
@@ -83,18 +83,18 @@
 // A part of a network that is cut off knows of few instances, and must not take the others' part of the budgets; nor may a new configuration.
 func TestBudgetsAreNeverSharedAmongFewer(t *testing.T) {
 	source := &discovery.Fixed{Label: "none"}
-	campaign := func(sidecars int) *policy.Settings {
-		return &policy.Settings{Instances: sidecars, Tick: 5 * policy.Millisecond}
+	settings := func(instances int) *policy.Settings {
+		return &policy.Settings{Instances: instances, Tick: 5 * policy.Millisecond}
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	e := New(Config{Settings: campaign(3), Source: source}, log)
-	for i, k := range []struct{ there, renewed, want int }{{5, 0, 5}, {1, 0, 3}, {0, 8, 8}, {9, 0, 9}, {0, 2, 9}, {1, 0, 2}} {
-		if k.there > 0 {
-			e.SetInstances(k.there)
+	e := New(Config{Settings: settings(3), Source: source}, log)
+	for i, k := range []struct{ live, configured, want int }{{5, 0, 5}, {1, 0, 3}, {0, 8, 8}, {9, 0, 9}, {0, 2, 9}, {1, 0, 2}} {
+		if k.live > 0 {
+			e.SetInstances(k.live)
 		}
-		if k.renewed > 0 {
-			e.Reconfigure(Config{Settings: campaign(k.renewed), Source: source})
+		if k.configured > 0 {
+			e.Reconfigure(Config{Settings: settings(k.configured), Source: source})
 		}
 		if e.Settings.Instances != k.want {
 			t.Errorf("step %d: shared among %d, not %d", i, e.Settings.Instances, k.want)
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -17,7 +17,7 @@
 	golden.Compare(t, "counters.txt", []byte(counters.String()))
 }
 
-// TestFiguresOfOperatorsHaveTheirNames holds the figures that the operators' door shows to what they were before.
+// TestFiguresOfOperatorsHaveTheirNames holds the figures that operators see to what they were before.
 func TestFiguresOfOperatorsHaveTheirNames(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -41,7 +41,7 @@
 	engine := New(Config{Settings: &policy.Settings{Instances: 1, Classes: []policy.Class{{Name: "step"}}}}, log)
 	for answer, times := range []int{1, 10, 100, 1000, 10000} {
 		for range times {
-			engine.owedNoMore(&Request{ClientWaiting: true}, answer)
+			engine.endWait(&Request{ClientWaiting: true}, answer)
 		}
 	}
 	golden.Compare(t, "results.txt", engine.AppendFigures(nil))
--- a/internal/engine/record.go
+++ b/internal/engine/record.go
@@ -8,32 +8,37 @@
 	"pepperlead/policy"
 )
 
-// left is how a request ends whose client has gone, beside the four answers of Latency.
-const left = 4
-
-// observe measures a final answer, and records it.
+// observe measures and records a final answer.
 func (e *Engine) observe(now policy.Time, t *Request, answer int) {
-	if e.Latency != nil && answer != left {
-		e.Latency.Observe(t.Class, answer, max(0, now-t.ReceivedAt))
+	spent := max(0, now-t.ReceivedAt)
+	if e.Latency != nil && answer != answerClientLeft {
+		e.Latency.Observe(t.Class, answer, spent)
 	}
-	if r := e.Recorder; r != nil {
-		r.Put(trace.Record{Kind: trace.Answer, At: now, No: t.No, A: int64(answer), C: max(0, now-t.ReceivedAt)})
+	if e.Recorder != nil {
+		e.Recorder.Put(trace.Record{Kind: trace.Answer, At: now, No: t.No, A: int64(answer), C: spent})
 	}
 }
 
-func (e *Engine) recordRequest(now policy.Time, t *Request, f policy.TenantID, key string, repeat bool, span policy.Time) {
-	r := e.Recorder
-	if r == nil {
+func (e *Engine) recordRequest(now policy.Time, t *Request, tenant policy.TenantID, key string, repeat bool,
+	timeout policy.Time) {
+	if e.Recorder == nil {
 		return
 	}
-	one := trace.Record{Kind: trace.Ticket, At: now, No: t.No, A: int64(t.Class), B: int64(f), C: max(0, span)}
+	record := trace.Record{
+		Kind: trace.Ticket,
+		At:   now,
+		No:   t.No,
+		A:    int64(t.Class),
+		B:    int64(tenant),
+		C:    max(0, timeout),
+	}
 	if key != "" {
-		one.Key = xxhash.Sum64String(key)
+		record.Key = xxhash.Sum64String(key)
 	}
 	if repeat {
-		one.D = 1
+		record.D = 1
 	}
-	r.Put(one)
+	e.Recorder.Put(record)
 }
 
 func (e *Engine) recordAttempt(now policy.Time, t *Request, to *Endpoint) {
@@ -42,15 +47,31 @@
 	}
 }
 
-func (e *Engine) recordEnd(now policy.Time, t *Request, o policy.Outcome, spent policy.Time) {
-	if r := e.Recorder; r != nil {
-		r.Put(trace.Record{Kind: trace.Ended, At: now, No: t.No, A: r.Known(t.Endpoint), B: int64(o), C: spent})
+func (e *Engine) recordEnd(now policy.Time, t *Request, outcome policy.Outcome, spent policy.Time) {
+	r := e.Recorder
+	if r == nil {
+		return
 	}
+	r.Put(trace.Record{
+		Kind: trace.Ended,
+		At:   now,
+		No:   t.No,
+		A:    r.Known(t.Endpoint),
+		B:    int64(outcome),
+		C:    spent,
+	})
 }
 
-func (e *Engine) recordListed(now policy.Time, of discovery.Entry) {
-	if r := e.Recorder; r != nil {
-		r.Put(trace.Record{Kind: trace.Listed, At: now, No: uint64(r.ServerNo(now, of.Member, of.UID)), A: int64(of.Status),
-			B: int64(of.Started)})
+func (e *Engine) recordListed(now policy.Time, entry discovery.Entry) {
+	r := e.Recorder
+	if r == nil {
+		return
 	}
+	r.Put(trace.Record{
+		Kind: trace.Listed,
+		At:   now,
+		No:   uint64(r.ServerNo(now, entry.Member, entry.UID)),
+		A:    int64(entry.Status),
+		B:    int64(entry.Started),
+	})
 }
--- a/internal/engine/tally.go
+++ b/internal/engine/tally.go
@@ -6,62 +6,65 @@
 	"pepperlead/policy"
 )
 
-// Result is what became of a request, as whoever sent it saw it.
+// figuresInterval is between updates of the figures about endpoints.
+const figuresInterval = 200 * policy.Millisecond
+
+// Result is how a request ended for its client.
 type Result uint8
 
 const (
+	// Completed is a request that was served.
 	Completed Result = iota
-	Rejected         // trying again is harmless
+	// Rejected is a request that can be retried without harm.
+	Rejected
+	// Failed is any other.
 	Failed
-	Results // how many there are
+	// Results is how many there are.
+	Results
 )
 
-// resultOf is the result behind each answer of Latency.
-var resultOf = [...]Result{Completed, Failed, Rejected, Failed, left: Failed}
-
-// Tally is kept by the loop, and read by any goroutine without asking it.
-type Tally struct {
-	Answered    [][Results]atomic.Int64 // by class; where these change, by name
-	Written     atomic.Int64            // attempts of which the kernel has the last byte
-	Pending     atomic.Int64            // requests taken and not answered
-	Endpoints   atomic.Int64            // endpoints in the list
-	Unavailable atomic.Int64            // of these, taken out by hand or ejected by the module
-	HasList     atomic.Bool             // some list is there
+// resultOf is the result of each kind of answer.
+var resultOf = [...]Result{
+	AnswerSucceeded:  Completed,
+	AnswerDeclined:   Failed,
+	AnswerRejected:   Rejected,
+	AnswerFailed:     Failed,
+	answerClientLeft: Failed,
 }
 
-const figuresEvery = 200 * policy.Millisecond // between looks at who is avoided
-
-// Count counts a request's end. What never became a request is counted by their front.
-func (e *Engine) Count(o policy.ClassID, r Result) {
-	if e.terms != nil {
-		o = policy.ClassID(e.terms.rows[o])
-	}
-	e.Tally.Answered[o][r].Add(1)
+// Tally are figures that the loop keeps and any goroutine may read.
+type Tally struct {
+	Answered    [][Results]atomic.Int64 // by class, or by name where classes come and go
+	Written     atomic.Int64            // attempts whose last byte the kernel has
+	Pending     atomic.Int64            // requests admitted and not answered
+	Endpoints   atomic.Int64            // in the list
+	Unavailable atomic.Int64            // of these, administratively drained or ejected
+	HasList     atomic.Bool
 }
 
-// owedNoMore counts a request's end, once.
-func (e *Engine) owedNoMore(t *Request, answer int) {
-	if t.ClientWaiting {
-		t.ClientWaiting = false
-		e.Tally.Pending.Add(-1)
-		e.Count(t.Class, resultOf[answer])
+// Count counts the end of a request. What never became a request is counted by its front.
+func (e *Engine) Count(class policy.ClassID, result Result) {
+	row := int(class)
+	if e.rules != nil {
+		row = e.rules.classRows[class]
 	}
+	e.Tally.Answered[row][result].Add(1)
 }
 
-// publish renews what is shown of the endpoints.
-func (e *Engine) publish(now policy.Time) {
-	var members, avoided int64
+// publishFigures updates the figures about endpoints.
+func (e *Engine) publishFigures(now policy.Time) {
+	var listed, unavailable int64
 	for _, s := range e.Endpoints {
 		if !s.Listed {
 			continue
 		}
-		members++
-		if e.list.byHand[s.UID].out || e.Module.Ejected(now, s.ID) {
-			avoided++
+		listed++
+		if e.list.drained[s.UID].drained || e.Module.Ejected(now, s.ID) {
+			unavailable++
 		}
 	}
-	e.Tally.HasList.Store(e.list.heard)
-	e.Tally.Endpoints.Store(members)
-	e.Tally.Unavailable.Store(avoided)
-	e.Timers.Set(&e.show, now+figuresEvery)
+	e.Tally.HasList.Store(e.list.known)
+	e.Tally.Endpoints.Store(listed)
+	e.Tally.Unavailable.Store(unavailable)
+	e.Timers.Set(&e.figuresTimer, now+figuresInterval)
 }
