--- a/internal/daemon/agreed.go
+++ b/internal/daemon/agreed.go
@@ -11,6 +11,8 @@
 	"pepperlead/internal/config"
 	"pepperlead/internal/endpointfiles"
 	"pepperlead/internal/engine"
+	"pepperlead/internal/httpproxy"
+	"pepperlead/internal/membership"
 	"pepperlead/internal/ruleset"
 	"pepperlead/policy"
 )
@@ -22,20 +24,21 @@
 	mostHeard = 64                     // words that wait to be taken in
 )
 
-// agreed keeps a sidecar's versions and lease as they are.
-type agreed struct {
-	*among
-	heard  chan []byte
-	from   string // who granted last
-	fromAt time.Time
-	soon   bool // to ask at once
+// leaseClient keeps a sidecar's versions and lease as they are.
+type leaseClient struct {
+	*httpproxy.Proxy
+	cluster *atomic.Pointer[membership.Cluster]
+	heard   chan []byte
+	from    string // who granted last
+	fromAt  time.Time
+	soon    bool // to ask at once
 
-	leased, version                         atomic.Uint64
+	leased, revision                        atomic.Uint64
 	granted, learned, refused, unread, lost atomic.Uint64
 }
 
-// ownVersion is what the sidecar's own file says, as the version that is in force where the cluster has none.
-func ownVersion(c *policy.Settings, cutOffs []policy.Time) *engine.RuleSet {
+// fileRuleSet is what the sidecar's own file says, as the version that is in force where the cluster has none.
+func fileRuleSet(c *policy.Settings, cutOffs []policy.Time) *engine.RuleSet {
 	own := *c
 	own.Classes, own.Tenants = slices.Clone(c.Classes), slices.Clone(c.Tenants)
 	return &engine.RuleSet{RuleSet: ruleset.RuleSet{Rules: ruleset.NewRules(&own, cutOffs, nil, nil)}, Settings: &own}
@@ -59,7 +62,11 @@
 	return all
 }
 
-func (g *agreed) hear(b []byte) {
+func newLeaseClient(proxy *httpproxy.Proxy, cluster *atomic.Pointer[membership.Cluster]) *leaseClient {
+	return &leaseClient{Proxy: proxy, cluster: cluster, heard: make(chan []byte, mostHeard)}
+}
+
+func (g *leaseClient) handleMessage(b []byte) {
 	select {
 	case g.heard <- b:
 	default: // it is asked for again
@@ -67,7 +74,7 @@
 }
 
 // run asks for leases and takes in what is said, until the sidecar ends.
-func (g *agreed) run(stop <-chan struct{}) {
+func (g *leaseClient) run(stop <-chan struct{}) {
 	ears := ruleset.MessageHandler{Lease: g.grantedBy, Revision: g.told}
 	next := time.NewTimer(0)
 	for {
@@ -90,8 +97,8 @@
 }
 
 // ask asks the keeper that granted last, or all of them where it has been silent.
-func (g *agreed) ask() {
-	c := g.of.Load()
+func (g *leaseClient) ask() {
+	c := g.cluster.Load()
 	if c == nil {
 		return
 	}
@@ -100,7 +107,7 @@
 		keepers = []string{g.from}
 	}
 	var b []byte
-	if len(keepers) == 0 || !g.RunOnLoopWithin(countIn, func() {
+	if len(keepers) == 0 || !g.RunOnLoopWithin(loopTimeout, func() {
 		ask, knows := g.NewLeaseRequest()
 		b = ruleset.EncodeLeaseRequest(c.Address(), ask, knows)
 		g.note()
@@ -113,10 +120,10 @@
 }
 
 // note keeps what others are told. The loop calls it.
-func (g *agreed) note() {
+func (g *leaseClient) note() {
 	of, leased := g.LeasedRevisions()
 	if len(of) > 0 {
-		g.version.Store(uint64(of[len(of)-1]))
+		g.revision.Store(uint64(of[len(of)-1]))
 	}
 	was := g.leased.Swap(map[bool]uint64{true: 1}[leased])
 	if was == 1 && !leased {
@@ -124,8 +131,8 @@
 	}
 }
 
-func (g *agreed) grantedBy(from string, by ruleset.Lease) {
-	g.RunOnLoopWithin(countIn, func() {
+func (g *leaseClient) grantedBy(from string, by ruleset.Lease) {
+	g.RunOnLoopWithin(loopTimeout, func() {
 		if g.AcceptLease(by) {
 			g.from, g.fromAt = from, time.Now()
 			g.granted.Add(1)
@@ -134,7 +141,7 @@
 	})
 }
 
-func (g *agreed) told(from string, p ruleset.Revision) {
+func (g *leaseClient) told(from string, p ruleset.Revision) {
 	if sha256.Sum256(p.Text) != p.Digest {
 		g.refuse(p, "its digest is that of another text")
 		return
@@ -144,7 +151,7 @@
 		g.refuse(p, strings.ReplaceAll(err.Error(), "\n", "; "))
 		return
 	}
-	g.RunOnLoopWithin(countIn, func() {
+	g.RunOnLoopWithin(loopTimeout, func() {
 		switch {
 		case g.AddRuleSet(v):
 			g.learned.Add(1)
@@ -155,14 +162,14 @@
 	})
 }
 
-func (g *agreed) refuse(p ruleset.Revision, why string) {
+func (g *leaseClient) refuse(p ruleset.Revision, why string) {
 	g.refused.Add(1)
 	g.Logger.WithField("why", why).Errorf("rules: version %d is left out, what is in force stays", p.Number)
 }
 
-// figures hands over what is counted of versions.
-func (g *agreed) figures(each func(name string, value float64, rises bool)) {
-	each("rules_version", float64(g.version.Load()), false)
+// eachMetric hands over what is counted of versions.
+func (g *leaseClient) eachMetric(each func(name string, value float64, rises bool)) {
+	each("rules_version", float64(g.revision.Load()), false)
 	each("rules_leased", float64(g.leased.Load()), false)
 	each("rules_leases_lost", float64(g.lost.Load()), true)
 	each("rules_leases", float64(g.granted.Load()), true)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -16,7 +16,7 @@
 	"pepperlead/policy"
 )
 
-const told = `{"name":"n3","listen":"127.0.0.4:9000","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
+const platformText = `{"name":"n3","listen":"127.0.0.4:9000","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"rev":1,"all":true,"targets":[]},
 "settings":{"balancers":3,"beyond_share_credit":0.05,"zone":"a","zones":["a","b,c"],"weight_kind":"rough",
 "membership_mode":"pushed","tick_s":0.005,"limits":{"cancel":true,"max_pushes":3,"retry_after":true,
@@ -36,21 +36,21 @@
 }
 
 func TestConfigurationIsRead(t *testing.T) {
-	post, err := Read(write(t, told), func(name string) string { return map[string]string{"GW_LISTEN": "127.9.9.9:1"}[name] })
+	post, err := Read(write(t, platformText), func(name string) string { return map[string]string{"GW_LISTEN": "127.9.9.9:1"}[name] })
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := post.Settings
 	if post.Listen != "127.9.9.9:1" || post.Discovery != "127.2.0.1:8500" || post.Seed != 0x8c1f30d27a5be964 ||
 		post.Descriptors != 1024 || post.ConnectTimeout != policy.Second/5 || post.IdleTimeout != 60*policy.Second ||
-		post.ShutdownTime != longest+acceptFor || c.Zones != 2 || c.Instances != 3 || len(c.Classes) != 2 || c.TotalQuota != 30 ||
+		post.ShutdownTime != maxShutdownDeadline+acceptTime || c.Zones != 2 || c.Instances != 3 || len(c.Classes) != 2 || c.TotalQuota != 30 ||
 		c.StreamsPerConnection != 1 || c.Classes[1].Deadline != 4*policy.Second || c.Classes[0].Name != "step, first" || c.Classes[1].Group != policy.GroupCell || !c.FixedWeights {
 		t.Errorf("%+v\n%+v", post, c)
 	}
 }
 
 func TestPoolsAreRead(t *testing.T) {
-	text := strings.NewReplacer(`"rough"`, `"live"`, `"max_pushes":3`, `"max_pushes":3,"streams_per_conn":100`).Replace(told)
+	text := strings.NewReplacer(`"rough"`, `"live"`, `"max_pushes":3`, `"max_pushes":3,"streams_per_conn":100`).Replace(platformText)
 	post, err := Read(write(t, text), func(string) string { return "" })
 	if err != nil || post.Settings.FixedWeights || post.Settings.StreamsPerConnection != 100 {
 		t.Errorf("%v %+v", err, post.Settings)
@@ -63,10 +63,10 @@
 		{"192", "1"}, {`"127.0.0.4:9000"`, `""`}, {`"tick_s":0.005,`, ""}, {`"rough"`, `"odd"`},
 		{`"max_pushes":3`, `"max_pushes":3,"streams_per_conn":0`}, {"0.13", `"much"`},
 		{`"quoted_time_s":1.5`, `"quoted_time_s":-1`}, {`"offerings":[`, `"offers":[`}, {"0.2,", "{},"}, {`"conn_idle_s":60.0`, `"x":1`}} {
-		text := strings.Replace(told, change[0], change[1], 1)
+		text := strings.Replace(platformText, change[0], change[1], 1)
 		path := write(t, text)
 		_, err := Read(path, none)
-		if text == told || err == nil || !strings.HasPrefix(err.Error(), path+":") || strings.Contains(err.Error(), "\n") {
+		if text == platformText || err == nil || !strings.HasPrefix(err.Error(), path+":") || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q for %q: %v", change[1], change[0], err)
 		}
 	}
@@ -75,10 +75,10 @@
 	}
 }
 
-// All that is wrong is told at once, a line each, with the line of the file, what was found and what is allowed.
+// All that is wrong is platformText at once, a line each, with the line of the file, what was found and what is allowed.
 func TestEveryFaultOfAConfigurationIsTold(t *testing.T) {
 	text := strings.NewReplacer(`"8c1f30d27a5be964"`, `"xx"`, "1024", "8", `"cancel":true`, `"cancel":"maybe"`, `"max_pushes":3,`, "",
-		`"quoted_time_s":1.5,"cut_off_s":4.0`, `"quoted_time_s":-1,"cut_off_s":"soon"`, `"retryable"`, `"odd"`).Replace(told)
+		`"quoted_time_s":1.5,"cut_off_s":4.0`, `"quoted_time_s":-1,"cut_off_s":"soon"`, `"retryable"`, `"odd"`).Replace(platformText)
 	path := write(t, text)
 	_, err := Read(path, func(string) string { return "" })
 	if err == nil {
@@ -88,7 +88,7 @@
 		":4: settings: limits.max_pushes: found nothing, allowed", ":8: settings: offerings.1.quoted_time_s: found -1, allowed",
 		":8: settings: offerings.1.cut_off_s: found soon, allowed", ":7: settings: offerings.0.idempotency: found odd, allowed retryable"} {
 		if strings.Count(err.Error(), path+want) != 1 {
-			t.Errorf("not told, or twice: %s", want)
+			t.Errorf("not platformText, or twice: %s", want)
 		}
 	}
 	if n := strings.Count(err.Error(), "\n") + 1; n != 7 {
@@ -98,7 +98,7 @@
 
 // SIGHUP may come as the process ends, when nobody takes a new configuration any more.
 func TestNewConfigurationAtTheEndHoldsNothingUp(t *testing.T) {
-	path := write(t, told)
+	path := write(t, platformText)
 	post, err := Read(path, func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
@@ -106,7 +106,8 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	again, over, ended := make(chan os.Signal), make(chan struct{}), make(chan struct{})
-	go func() { reread(path, post, again, make(chan httpproxy.Config), over, log); close(ended) }()
+	r := reloader{path: path, current: post, configs: make(chan httpproxy.Config), stopped: over, log: log}
+	go func() { r.run(again); close(ended) }()
 	again <- syscall.SIGHUP
 	close(over)
 	select {
@@ -118,7 +119,7 @@
 
 // The file is read anew at a signal; one that cannot be served is a line in the log, and the next good one counts again.
 func TestFileIsReadAgain(t *testing.T) {
-	path := write(t, told)
+	path := write(t, platformText)
 	post, err := Read(path, func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
@@ -129,10 +130,11 @@
 	log.SetOutput(lines)
 	again, fresh := make(chan os.Signal), make(chan httpproxy.Config)
 	ended := make(chan bool)
-	go func() { reread(path, post, again, fresh, nil, log); close(ended) }()
-	for _, k := range []struct{ in, discovery string }{{told, "127.2.0.9:1"}, {"{", ""},
-		{strings.Replace(told, "127.2.0.1", "127.2.0.2", 1), "127.2.0.2:8500"}, {strings.Replace(told, `"seed"`, `"s"`, 1), ""},
-		{told, "127.2.0.1:8500"}} {
+	r := reloader{path: path, current: post, configs: fresh, log: log}
+	go func() { r.run(again); close(ended) }()
+	for _, k := range []struct{ in, discovery string }{{platformText, "127.2.0.9:1"}, {"{", ""},
+		{strings.Replace(platformText, "127.2.0.1", "127.2.0.2", 1), "127.2.0.2:8500"}, {strings.Replace(platformText, `"seed"`, `"s"`, 1), ""},
+		{platformText, "127.2.0.1:8500"}} {
 		if err := os.WriteFile(path, []byte(k.in), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -143,7 +145,7 @@
 				t.Errorf("for %.20q: %s", k.in, line)
 			}
 		case next := <-fresh:
-			if next.Source.Name() != "discovery at "+k.discovery || next.MessageMemory != post.MessageMemory*bufferPercent/100 {
+			if next.Source.Name() != "discovery at "+k.discovery || next.MessageMemory != messageMemory(post.MessageMemory) {
 				t.Errorf("%s, %d bytes; want %s", next.Source.Name(), next.MessageMemory, k.discovery)
 			}
 		case <-time.After(5 * time.Second):
@@ -162,17 +164,17 @@
 	return len(b), nil
 }
 
-// The door and the listener are told in either kind of file or by the environment, which goes first, and take descriptors of their own.
+// The door and the listener are platformText in either kind of file or by the environment, which goes first, and take descriptors of their own.
 func TestDoorAndListenerAreTold(t *testing.T) {
-	with := strings.Replace(told, `"name":"n3",`, `"name":"n3","admin":"127.0.0.4:9100",`, 1)
-	plain, err := Read(write(t, told), func(string) string { return "" })
-	if err != nil || plain.AdminAddress != "" || plain.ReservedDescriptors != 0 || plain.together() {
+	with := strings.Replace(platformText, `"name":"n3",`, `"name":"n3","admin":"127.0.0.4:9100",`, 1)
+	plain, err := Read(write(t, platformText), func(string) string { return "" })
+	if err != nil || plain.AdminAddress != "" || plain.ReservedDescriptors != 0 || plain.hasProcessGroup() {
 		t.Errorf("%v %+v", err, plain)
 	}
 	for _, c := range []struct{ text, admin, fd, door, fault string }{
-		{with, "", "", "127.0.0.4:9100", ""}, {with, "127.0.0.5:9100", "7", "127.0.0.5:9100", ""}, {told, "", "7", "", ""},
-		{told, "here", "", "", `admin: found "here", allowed`}, {told, "", "seven", "", `GW_INHERITED_FD: found "seven", allowed`},
-		{told, "", "2", "", "GW_INHERITED_FD"}} {
+		{with, "", "", "127.0.0.4:9100", ""}, {with, "127.0.0.5:9100", "7", "127.0.0.5:9100", ""}, {platformText, "", "7", "", ""},
+		{platformText, "here", "", "", `admin: found "here", allowed`}, {platformText, "", "seven", "", `GW_INHERITED_FD: found "seven", allowed`},
+		{platformText, "", "2", "", "GW_INHERITED_FD"}} {
 		o, err := Read(write(t, c.text), func(name string) string {
 			return map[string]string{"GW_ADMIN": c.admin, "GW_INHERITED_FD": c.fd}[name]
 		})
@@ -182,7 +184,7 @@
 			}
 			continue
 		}
-		if err != nil || o.AdminAddress != c.door || (o.InheritedListener == 7) != (c.fd == "7") || o.ReservedDescriptors == 0 || !o.together() || o.Name != "n3" {
+		if err != nil || o.AdminAddress != c.door || (o.InheritedListener == 7) != (c.fd == "7") || o.ReservedDescriptors == 0 || !o.hasProcessGroup() || o.Name != "n3" {
 			t.Errorf("%q %q: %v %+v", c.admin, c.fd, err, o)
 		}
 	}
--- a/internal/daemon/golden_orders_test.go
+++ b/internal/daemon/golden_config_test.go
@@ -19,15 +19,15 @@
 			"GW_DISCOVERY": "127.9.9.2:2", "GW_NAME": "named", "GW_ADMIN": "127.9.9.3:3", "GW_INHERITED_FD": "7"}},
 	}
 	for _, read := range reads {
-		orders, err := Read(read.path, func(name string) string { return read.environment[name] })
+		config, err := Read(read.path, func(name string) string { return read.environment[name] })
 		if err != nil {
 			t.Fatal(err)
 		}
-		if orders.Latency != nil || orders.Recorder != nil || orders.ImportState != nil {
+		if config.Latency != nil || config.Recorder != nil || config.ImportState != nil {
 			t.Errorf("%s: found what the platform's configuration does not say", read.golden)
 		}
-		source := orders.Source.Name()
-		orders.Source = nil
-		golden.Compare(t, read.golden, append(golden.Values(orders), golden.Values(source)...))
+		source := config.Source.Name()
+		config.Source = nil
+		golden.Compare(t, read.golden, append(golden.Values(config), golden.Values(source)...))
 	}
 }
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -32,9 +32,9 @@
 	return want
 }
 
-// filledHeritage has a distinct value in every field, so that a key that is lost, renamed or swapped with another changes the encoding.
-func filledHeritage() heritage {
-	return heritage{
+// filledLearnedState has a distinct value in every field, so that a key that is lost, renamed or swapped with another changes the encoding.
+func filledLearnedState() learnedState {
+	return learnedState{
 		LearnedState: policy.LearnedState{
 			Baseline: 1.5, LatencyPerReported: 2.5, Limit: 3.5, InUse: 4.5, Lateness: 5.5, RetryBudget: 6.5, NearShare: 7.5,
 			ZoneLatency:   [2]float64{8.5, 9.5},
@@ -50,9 +50,9 @@
 	}
 }
 
-// A process of an earlier build reads these bytes, and tells what it has learned in them.
-func TestHeritageKeepsItsKeys(t *testing.T) {
-	encoded, err := json.Marshal(filledHeritage())
+// A process of an earlier build reads these bytes, and writes what it has learned in them.
+func TestLearnedStateKeepsItsKeys(t *testing.T) {
+	encoded, err := json.Marshal(filledLearnedState())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,7 +60,7 @@
 	if !bytes.Equal(encoded, want) {
 		t.Errorf("encoded\n%s\nwant\n%s", encoded, want)
 	}
-	var decoded heritage
+	var decoded learnedState
 	if err := json.Unmarshal(want, &decoded); err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/daemon/logger.go
@@ -0,0 +1,30 @@
+package daemon
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/sirupsen/logrus"
+)
+
+const textTimestamp = "15:04:05.000"
+
+// NewLogger makes a logger of that level and format, text or json, on standard error.
+func NewLogger(level, format string) (*logrus.Logger, error) {
+	log := logrus.New()
+	switch format {
+	case "text":
+		log.SetFormatter(&logrus.TextFormatter{
+			DisableColors:   true,
+			FullTimestamp:   true,
+			TimestampFormat: textTimestamp,
+		})
+	case "json":
+		log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano})
+	default:
+		return nil, fmt.Errorf("log format: found %q, allowed text, json", format)
+	}
+	var err error
+	log.Level, err = logrus.ParseLevel(level)
+	return log, err
+}
--- a/internal/daemon/rewrite_test.go
+++ b/internal/daemon/rewrite_test.go
@@ -26,40 +26,40 @@
 	"pepperlead/internal/httpproxy"
 )
 
-// here is an address of this run's own, so that runs side by side never meet on a port that one has just left.
-var here = fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()>>14%64, os.Getpid()>>7%128, 1+os.Getpid()%128)
+// localIP is an address of this run's own, so that runs side by side never meet on a port that one has just left.
+var localIP = fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()>>14%64, os.Getpid()>>7%128, 1+os.Getpid()%128)
 
-// tap hands lists through and keeps what it saw.
-type tap struct {
+// recordingSource passes lists on and records them.
+type recordingSource struct {
 	discovery.Source
 	mu    sync.Mutex
 	lists []*discovery.List
 }
 
-func (p *tap) Run(ctx context.Context, say func(discovery.Event)) {
+func (p *recordingSource) Run(ctx context.Context, report func(discovery.Event)) {
 	p.Source.Run(ctx, func(n discovery.Event) {
 		if n.List != nil {
 			p.mu.Lock()
 			p.lists = append(p.lists, n.List)
 			p.mu.Unlock()
 		}
-		say(n)
+		report(n)
 	})
 }
 
-// fleet is a daemon on list files, its stand-in servers, and clients that never stop.
+// fleet is a daemon on list files, its fake backends, and clients that never stop.
 type fleet struct {
 	t        *testing.T
 	dir      string
 	addr     string
-	sidecar  *httpproxy.Proxy
-	tap      *tap
+	proxy    *httpproxy.Proxy
+	source   *recordingSource
 	servers  []*fakebackend.Server
 	mu       sync.Mutex
 	drained  map[int]time.Time // since when the file, whole, has a server drain
 	late     []string          // requests that came to one of these over a second after
 	asked    atomic.Int64
-	answered [3]atomic.Int64 // honoured, turned back, given up
+	answered [3]atomic.Int64 // succeeded, rejected, failed
 	lost     atomic.Int64
 }
 
@@ -107,7 +107,7 @@
 	t.Helper()
 	f := &fleet{t: t, dir: t.TempDir(), drained: map[int]time.Time{}}
 	for i := range servers {
-		s, err := fakebackend.Start(here+":0", fakebackend.Traits{Name: fmt.Sprintf("s-%d", i), Cores: 4, Queue: 64,
+		s, err := fakebackend.Start(localIP+":0", fakebackend.Traits{Name: fmt.Sprintf("s-%d", i), Cores: 4, Queue: 64,
 			Work: time.Millisecond, Seed: uint64(i), Seen: func(id, _ string, at time.Time) {
 				f.mu.Lock()
 				defer f.mu.Unlock()
@@ -125,8 +125,8 @@
 }
 
 // serve starts the daemon from the configuration, as `serve` reads it, and clients before it.
-func (f *fleet) serve(clients int) (fresh chan httpproxy.Config, path string, end func()) {
-	free, err := net.Listen("tcp", here+":0")
+func (f *fleet) serve(clients int) (configs chan httpproxy.Config, path string, end func()) {
+	free, err := net.Listen("tcp", localIP+":0")
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -134,20 +134,20 @@
 	f.addr = free.Addr().String()
 	path = filepath.Join(f.dir, "pepperlead.toml")
 	os.WriteFile(path, fmt.Appendf(nil, rewriteConfig, f.addr, ""), 0o600)
-	orders, err := Read(path, os.Getenv)
+	loaded, err := Read(path, os.Getenv)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.tap = &tap{Source: orders.Source}
-	orders.Source = f.tap
+	f.source = &recordingSource{Source: loaded.Source}
+	loaded.Source = f.source
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	orders.MessageMemory /= 4
-	f.sidecar = httpproxy.New(orders.Config, log)
+	loaded.MessageMemory /= 4
+	f.proxy = httpproxy.New(loaded.Config, log)
 	stop, ended := make(chan os.Signal, 1), make(chan error, 1)
-	fresh = make(chan httpproxy.Config)
-	go func() { ended <- f.sidecar.Run(stop, fresh) }()
-	for i := 0; !f.sidecar.Ready(); i++ {
+	configs = make(chan httpproxy.Config)
+	go func() { ended <- f.proxy.Run(stop, configs) }()
+	for i := 0; !f.proxy.Ready(); i++ {
 		if i > 1000 {
 			f.t.Fatal("no list")
 		}
@@ -157,7 +157,7 @@
 	for c := range clients {
 		clientsDone.Go(func() { f.client(c, over) })
 	}
-	return fresh, path, func() {
+	return configs, path, func() {
 		close(over)
 		clientsDone.Wait()
 		stop <- syscall.SIGTERM
@@ -167,7 +167,7 @@
 	}
 }
 
-// client asks one thing after another. A ticket that gets no whole answer is lost.
+// client sends one request after another. One that gets no complete answer is lost.
 func (f *fleet) client(c int, over chan struct{}) {
 	transport := &http.Transport{DisableCompression: true}
 	defer transport.CloseIdleConnections()
@@ -177,9 +177,9 @@
 			return
 		case <-time.After(time.Millisecond):
 		}
-		offering := []string{"step", "call"}[n%2]
+		class := []string{"step", "call"}[n%2]
 		body := fmt.Sprintf("%d-%d", c, n)
-		r, _ := http.NewRequest(http.MethodPost, "http://"+f.addr+"/"+offering, strings.NewReader(body))
+		r, _ := http.NewRequest(http.MethodPost, "http://"+f.addr+"/"+class, strings.NewReader(body))
 		r.Header.Set("X-Request-ID", "id-"+body)
 		r.Header.Set("X-Route-Key", fmt.Sprint(n%97))
 		f.asked.Add(1)
@@ -208,7 +208,7 @@
 
 // TestThousandRewrites writes list files in all the ways in which people and programs do, whole and not, under load. No list
 // that is not one of those written whole is ever applied, no server that drains gets anything new a second later, and no
-// ticket is lost.
+// request is lost.
 func TestThousandRewrites(t *testing.T) {
 	f := newFleet(t, 8)
 	rnd := rand.New(rand.NewPCG(41, 1))
@@ -234,7 +234,7 @@
 		note(file, now[file])
 		os.WriteFile(path(file), now[file], 0o600)
 	}
-	fresh, config, end := f.serve(6)
+	configs, config, end := f.serve(6)
 	began := time.Now()
 	changed := [8]time.Time{}
 	kinds := map[string]int{}
@@ -312,10 +312,10 @@
 		case 8: // a new configuration in the middle of it
 			kinds["SIGHUP"]++
 			os.WriteFile(path(file), next[:len(next)/2], 0o600)
-			if orders, err := Read(config, os.Getenv); err != nil {
+			if loaded, err := Read(config, os.Getenv); err != nil {
 				t.Error(err)
 			} else {
-				fresh <- orders.Config // its source has the same name, so the one that runs stays
+				configs <- loaded.Config // its source has the same name, so the one that runs stays
 			}
 			os.WriteFile(path(file), next, 0o600)
 		}
@@ -333,9 +333,9 @@
 	end()
 
 	at := [2]int{}
-	f.tap.mu.Lock()
-	lists := f.tap.lists
-	f.tap.mu.Unlock()
+	f.source.mu.Lock()
+	lists := f.source.lists
+	f.source.mu.Unlock()
 	for n, l := range lists {
 		got := truth{}
 		for _, e := range l.Entries {
@@ -349,21 +349,21 @@
 		t.Errorf("%d lists were applied, the last of issues %v of %d and %d", len(lists), at, len(truths[0]), len(truths[1]))
 	}
 	if len(f.late) > 0 {
-		t.Errorf("%d late pushes: %v", len(f.late), f.late[0])
+		t.Errorf("%d late attempts: %v", len(f.late), f.late[0])
 	}
 	if f.lost.Load() > 0 || f.asked.Load() < 2000 ||
 		f.answered[0].Load()+f.answered[1].Load()+f.answered[2].Load() != f.asked.Load() {
 		t.Errorf("asked %d, lost %d", f.asked.Load(), f.lost.Load())
 	}
-	// Servers take up to 64 at once and work for 1 ms: nothing here is a reason not to honour.
+	// Servers take up to 64 at once and work for 1 ms: nothing here is a reason to fail.
 	if bad := f.answered[1].Load() + f.answered[2].Load(); bad*100 > f.asked.Load() {
-		t.Errorf("of %d tickets %d were turned back and %d given up", f.asked.Load(), f.answered[1].Load(), f.answered[2].Load())
+		t.Errorf("of %d requests %d were rejected and %d failed", f.asked.Load(), f.answered[1].Load(), f.answered[2].Load())
 	}
-	if c := f.sidecar.Counters; c.ListsRefused == 0 || c.Reconfigurations == 0 || broken < 300 {
+	if c := f.proxy.Counters; c.ListsRefused == 0 || c.Reconfigurations == 0 || broken < 300 {
 		t.Errorf("too little was provoked: %v, %d refused", kinds, c.ListsRefused)
 	}
-	t.Logf("%v: %d lists applied, %d refusals told, %d tickets, %d turned back, %d given up", kinds, len(lists),
-		f.sidecar.Counters.ListsRefused, f.asked.Load(), f.answered[1].Load(), f.answered[2].Load())
+	t.Logf("%v: %d lists applied, %d refused, %d requests, %d rejected, %d failed", kinds, len(lists),
+		f.proxy.Counters.ListsRefused, f.asked.Load(), f.answered[1].Load(), f.answered[2].Load())
 }
 
 // boundaries are the offsets at which an entry of a list file begins, and that of its closing table.
--- a/internal/daemon/seed.go
+++ b/internal/daemon/seed.go
@@ -7,12 +7,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// instanceSeed gives the seed of one instance's choices from the one that its configuration states. One file may serve many instances,
-// and with one seed all of them would make the same choices at the same moments. It is the same after a restart.
+// instanceSeed derives an instance's seed from the one that its configuration states, and is the same after a restart.
+// One file may serve many instances, which must not all make the same choices at the same moments.
 func instanceSeed(stated uint64, listen string) uint64 {
 	host, err := os.Hostname()
 	if err != nil {
-		host = "" // the address is left to tell it from others
+		host = "" // the address still tells instances apart
 	}
 	return hostSeed(stated, host, listen)
 }
--- a/internal/daemon/seed_test.go
+++ b/internal/daemon/seed_test.go
@@ -26,18 +26,18 @@
 	seeds := map[uint64]string{}
 	for _, listen := range []string{"127.0.0.1:9000", "127.0.0.1:9001", "127.0.0.2:9000"} {
 		text := []byte(strings.Replace(seededConfiguration, "127.0.0.1:9000", listen, 1))
-		orders, err := product("x.toml", text)
+		config, err := parseProduct("x.toml", text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := product("x.toml", text)
-		if err != nil || again.Seed != orders.Seed {
-			t.Errorf("%s: seed %x, then %x (%v)", listen, orders.Seed, again.Seed, err)
+		again, err := parseProduct("x.toml", text)
+		if err != nil || again.Seed != config.Seed {
+			t.Errorf("%s: seed %x, then %x (%v)", listen, config.Seed, again.Seed, err)
 		}
-		if other, taken := seeds[orders.Seed]; taken {
+		if other, taken := seeds[config.Seed]; taken {
 			t.Errorf("%s and %s have one seed", listen, other)
 		}
-		seeds[orders.Seed] = listen
+		seeds[config.Seed] = listen
 	}
 	for _, host := range []string{"one", "two", "onetwo"} {
 		seed := hostSeed(7, host, "127.0.0.1:9000")
--- /dev/null
+++ b/internal/daemon/serve.go
@@ -0,0 +1,209 @@
+package daemon
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"os/signal"
+	"runtime"
+	"runtime/debug"
+	"strings"
+	"syscall"
+
+	"github.com/sirupsen/logrus"
+
+	"pepperlead/internal/admin"
+	"pepperlead/internal/clock"
+	"pepperlead/internal/engine"
+	"pepperlead/internal/hotrestart"
+	"pepperlead/internal/httpproxy"
+	"pepperlead/internal/trace"
+	"pepperlead/policy"
+)
+
+const (
+	// messageMemoryPercent is the part of the memory that requests and responses may take.
+	messageMemoryPercent = 35
+	// heapMemoryShare is the part of the memory under which the garbage collector keeps the heap.
+	heapMemoryShare = 0.6
+	// minThreads lets one thread wait in the kernel for sockets while another works. With one alone the loop would
+	// start only when the runtime notices that, up to 10 ms later.
+	minThreads = 2
+
+	// StallAfter is the time without a round after which an engine refreshes its endpoint list before it decides.
+	StallAfter = 400 * policy.Millisecond
+)
+
+var errRecordAgreedRules = errors.New(
+	"record: a trace has one set of offerings, and with peers.agree these come and go")
+
+// server is an instance with all that surrounds it.
+type server struct {
+	config     Config
+	log        *logrus.Logger
+	proxy      *httpproxy.Proxy
+	operations *adminOperations
+	reporter   admin.Reporter
+	closers    []func() // run at the end, the last one first
+}
+
+// Serve runs an instance by the configuration of the file at that path until it receives SIGTERM or SIGINT. With a
+// record path it writes a trace there.
+func Serve(config Config, path, record string, log *logrus.Logger) error {
+	limitResources(&config, log)
+	stop := make(chan os.Signal, 2)
+	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP)
+
+	s := &server{config: config, log: log, operations: &adminOperations{}}
+	defer s.close()
+	if err := s.startTrace(record); err != nil {
+		return err
+	}
+	s.joinProcessGroup()
+	s.newProxy()
+	configs := make(chan httpproxy.Config)
+	r := reloader{path: path, current: s.config, configs: configs, stopped: s.proxy.Stopped(), log: log}
+	go r.run(reload)
+	for _, start := range []func() error{s.startOperations, s.startCluster, s.startMetrics, s.startCommands} {
+		if err := start(); err != nil {
+			return err
+		}
+	}
+	if err := s.proxy.Run(stop, configs); err != nil {
+		return err
+	}
+	log.Info("end: " + strings.ReplaceAll(strings.TrimSpace(s.proxy.Report()), "\n", ", "))
+	return nil
+}
+
+// limitResources sets the process's limits and the configuration's memory for messages. The instance keeps to its
+// limit on descriptors by itself; the kernel enforces it where clients connect faster than they are accepted.
+func limitResources(config *Config, log *logrus.Logger) {
+	runtime.GOMAXPROCS(max(minThreads, runtime.GOMAXPROCS(0)))
+	debug.SetMemoryLimit(int64(float64(config.MessageMemory) * heapMemoryShare))
+	config.MessageMemory = messageMemory(config.MessageMemory)
+	limit := syscall.Rlimit{Cur: uint64(config.Descriptors), Max: uint64(config.Descriptors)}
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
+		log.WithError(err).Warn("the limit on descriptors cannot be set")
+	}
+}
+
+// messageMemory is the part of the memory, in bytes, that messages may take.
+func messageMemory(memory int) int { return memory * messageMemoryPercent / 100 }
+
+// close closes what was started.
+func (s *server) close() {
+	for i := len(s.closers) - 1; i >= 0; i-- {
+		s.closers[i]()
+	}
+}
+
+func (s *server) onClose(closer func()) { s.closers = append(s.closers, closer) }
+
+// startTrace opens the trace, if there is to be one.
+func (s *server) startTrace(path string) error {
+	if path == "" {
+		return nil
+	}
+	if s.config.AgreedRules {
+		return errRecordAgreedRules
+	}
+	recorder, err := trace.Create(path, traceHead(s.config))
+	if err != nil {
+		return fmt.Errorf("record: %w", err)
+	}
+	s.config.Recorder = recorder
+	s.onClose(func() {
+		if err := recorder.Close(); err != nil || recorder.Dropped() > 0 {
+			s.log.WithError(err).WithField("dropped", recorder.Dropped()).Warn("the trace is not whole")
+		}
+	})
+	return nil
+}
+
+func traceHead(config Config) trace.Head {
+	head := trace.Head{Start: clock.New().Now(), Name: config.Name, Zone: config.Settings.Zone}
+	for _, class := range config.Settings.Classes {
+		head.Offerings = append(head.Offerings, class.Name)
+	}
+	for _, tenant := range config.Settings.Tenants {
+		head.Franchises = append(head.Franchises, tenant.Name)
+	}
+	return head
+}
+
+// joinProcessGroup joins the other processes of the instance, if there may be any. If that fails the process serves
+// without: drained endpoints are forgotten at its end, and a process that takes over finds no state.
+func (s *server) joinProcessGroup() {
+	if !s.config.hasProcessGroup() {
+		return
+	}
+	group, err := hotrestart.Join(hotrestart.Directory(s.config.Name, s.config.Listen), s.log)
+	if err != nil {
+		s.log.WithError(err).Error("handover: left out")
+		group = hotrestart.Standalone(err, s.log)
+	}
+	s.onClose(group.Close)
+	s.operations.group = group
+	s.config.Successor = group.Processes() > 1
+}
+
+func (s *server) newProxy() {
+	s.config.ImportState = s.operations.importState
+	s.proxy = httpproxy.New(s.config.Config, s.log)
+	s.operations.Proxy = s.proxy
+	s.reporter = s.proxy
+}
+
+func (s *server) startOperations() error {
+	if s.operations.group == nil {
+		return nil
+	}
+	return s.operations.start()
+}
+
+func (s *server) startCluster() error {
+	if s.config.Membership == nil {
+		return nil
+	}
+	var own *engine.RuleSet
+	if s.config.AgreedRules {
+		own = fileRuleSet(s.config.Settings, s.config.Deadlines)
+	}
+	member := joinCluster(s.proxy, *s.config.Membership, own)
+	s.onClose(member.close)
+	s.reporter = member
+	return nil
+}
+
+func (s *server) startMetrics() error {
+	if s.config.MetricsAddress == "" {
+		return nil
+	}
+	latency, _ := s.config.Latency.(*admin.Latency) // of this type where there are metrics
+	metrics, err := admin.ListenMetrics(s.config.MetricsAddress, s.reporter, latency)
+	if err != nil {
+		return fmt.Errorf("pages: %w", err)
+	}
+	s.onClose(func() {
+		_ = metrics.Close() // the process ends
+	})
+	return nil
+}
+
+func (s *server) startCommands() error {
+	address := s.config.AdminAddress
+	if address == "" {
+		return nil
+	}
+	commands, err := admin.ListenCommands(address, s.operations)
+	if err != nil {
+		return fmt.Errorf("admin: found %q, allowed an address that can be listened on: %w", address, err)
+	}
+	s.onClose(func() {
+		_ = commands.Close() // the process ends
+	})
+	return nil
+}
