--- a/internal/emulator/read.go
+++ b/internal/emulator/read.go
@@ -253,12 +253,12 @@
 func (sc *Scenario) readFault(t *tomlfile.Table) {
 	t.Require("kind", "at")
 	f := Fault{
-		Kind:     FaultKind(t.OneOf("kind", 0, faultNames[:]...)),
-		At:       t.Duration("at", 0, 0, day),
-		Duration: t.Duration("for", 0, 0, day),
-		Share:    t.Float("part", 0, 0, 1),
-		Count:    int(t.Count("count", 0, 0, maxEndpoints)),
-		Zone: policy.Zone(t.String("zone", "")),
+		Kind:             FaultKind(t.OneOf("kind", 0, faultNames[:]...)),
+		At:               t.Duration("at", 0, 0, day),
+		Duration:         t.Duration("for", 0, 0, day),
+		Share:            t.Float("part", 0, 0, 1),
+		Count:            int(t.Count("count", 0, 0, maxEndpoints)),
+		Zone:             policy.Zone(t.String("zone", "")),
 		Pod:              int(t.Count("pod", -1, 0, maxEndpoints)),
 		Size:             t.Float("size", 0, 0, 1e6),
 		Every:            t.Duration("every", 0, 0, day),
