--- /dev/null
+++ b/internal/httpproxy/admission.go
@@ -0,0 +1,160 @@
+package httpproxy
+
+import (
+	"bytes"
+	"net/http"
+	"strings"
+
+	"github.com/cespare/xxhash/v2"
+
+	"pepperlead/internal/connstate"
+	"pepperlead/internal/engine"
+	"pepperlead/policy"
+)
+
+// refusal is the response to a request that cannot be served.
+type refusal struct {
+	status int // 0: the request can be served
+	text   string
+}
+
+// candidate is a request with what its headers say about its admission.
+type candidate struct {
+	parsedRequest
+	class      policy.ClassID
+	classKnown bool
+	id         []byte
+	idHash     uint64
+	timeLeft   policy.Time // how long the client waits
+	hasTimeout bool
+}
+
+// handleRequest admits a request or answers it; buf holds its bytes, and at is when the last of them came.
+func (p *Proxy) handleRequest(now, at policy.Time, c *connstate.Conn, buf *connstate.Buffer, request parsedRequest) {
+	if strings.HasPrefix(asString(request.target), localPrefix) && p.serveLocal(now, c, request.requestHead) {
+		p.buffers.Put(buf)
+		return
+	}
+	incoming := p.classify(request)
+	if refused := p.check(&incoming); refused.status != 0 {
+		if incoming.classKnown {
+			p.Count(incoming.class, engine.Failed)
+		}
+		c.Upload.State = connstate.NoUpload
+		p.refuse(now, c, refused)
+		p.buffers.Put(buf)
+		return
+	}
+	if p.buffers.Full() {
+		// An answer costs nothing, while the request might cost the process. No attempt has been made, so the client
+		// may safely try again.
+		p.Count(incoming.class, engine.Rejected)
+		p.buffers.Put(buf)
+		p.rejectForMemory(now, c)
+		return
+	}
+	p.admit(now, at, c, buf, &incoming)
+}
+
+// classify reads what the headers say about the admission of the request.
+func (p *Proxy) classify(request parsedRequest) candidate {
+	incoming := candidate{parsedRequest: request}
+	headers := request.headers
+	incoming.class, incoming.classKnown = p.classes[string(className(request.target, headers))]
+	if !incoming.classKnown && p.defaultClass != policy.NoClass && headerValue(headers, headerClass) == nil {
+		incoming.class = p.defaultClass
+		incoming.classKnown = true
+	}
+	incoming.timeLeft, incoming.hasTimeout = p.timeLeft(incoming.class, headerValue(headers, headerTimeout))
+	incoming.id = headerValue(headers, headerRequestID)
+	incoming.idHash = xxhash.Sum64(incoming.id)
+	return incoming
+}
+
+// check returns why the request cannot be served, if it cannot.
+func (p *Proxy) check(incoming *candidate) refusal {
+	if !servedMethod(incoming.method) {
+		return refusal{http.StatusBadRequest, "this method is not served\n"}
+	}
+	headers := incoming.headers
+	switch {
+	case !incoming.classKnown:
+		return refusal{http.StatusNotFound, "no such offering\n"}
+	case len(incoming.id) == 0 && !p.config.Anonymous || !incoming.hasTimeout:
+		return refusal{http.StatusBadRequest, "X-Request-ID or X-Timeout is missing\n"}
+	case hasAmbiguousID(headers):
+		return refusal{http.StatusBadRequest,
+			"X-Request-ID or Idempotency-Key is given twice, or for this connection only\n"}
+	case len(incoming.id) > 0 && p.idInUse(incoming):
+		// Otherwise a client that uses another's id could get its response.
+		return refusal{http.StatusConflict, "a request with this X-Request-ID is in hand\n"}
+	case p.config.Settings.Classes[incoming.class].Idempotency == policy.Keyed &&
+		headerValue(headers, headerIdempotencyKey) == nil:
+		return refusal{http.StatusBadRequest, "Idempotency-Key is missing\n"}
+	}
+	return refusal{}
+}
+
+func servedMethod(method []byte) bool {
+	switch string(method) {
+	case http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete,
+		http.MethodOptions:
+		return true
+	}
+	return false
+}
+
+// idInUse reports whether a request in flight has the same id.
+func (p *Proxy) idInUse(incoming *candidate) bool {
+	other := p.requests.Find(incoming.idHash)
+	return other != nil && bytes.Equal(headerValue(other.Head, headerRequestID), incoming.id)
+}
+
+// admit hands the request to the engine.
+func (p *Proxy) admit(now, at policy.Time, c *connstate.Conn, buf *connstate.Buffer, incoming *candidate) {
+	headers := incoming.headers
+	tenant, known := p.tenants[string(headerValue(headers, headerTenant))]
+	if !known {
+		tenant = policy.NoTenant
+	}
+	r := connstate.AsRequest(p.NewRequest(p.frontIndex))
+	r.Client = c
+	r.Received = buf
+	r.Method = incoming.method
+	r.Target = incoming.target
+	r.Head = headers
+	r.Body = incoming.body
+	r.CloseAfter = incoming.closeAfter
+	r.HTTP10 = incoming.http10
+	r.ClientTimeLeft = incoming.timeLeft
+	r.Response.NoBody = string(incoming.method) == http.MethodHead
+	r.Upload.Active = c.Upload.State == connstate.StreamingUpload
+	r.Upload.Size = incoming.bodySize
+	c.Request = r
+	if len(incoming.id) > 0 {
+		p.requests.Add(r, incoming.idHash)
+	}
+	if p.TracesRequests() {
+		p.RulesLog().WithField("id", string(incoming.id)).Debug(engine.LogRequestAdmitted)
+	}
+	routeKey := asString(headerValue(headers, headerRouteKey))
+	retried := string(headerValue(headers, headerRetried)) == "1"
+	p.Admit(now, at, r.Request, incoming.class, tenant, routeKey, retried, incoming.timeLeft)
+	if r.Upload.Active {
+		p.BodyBegun(r.Request)
+	}
+}
+
+// timeLeft returns how long the client of a request waits: as its header says, and no longer than its class allows
+// where that has a deadline. It is not ok where neither says it.
+func (p *Proxy) timeLeft(class policy.ClassID, header []byte) (timeLeft policy.Time, ok bool) {
+	timeLeft, ok = parseSeconds(header)
+	if p.config.Deadlines == nil {
+		return timeLeft, ok
+	}
+	deadline := p.config.Deadlines[class]
+	if header == nil {
+		return deadline, true
+	}
+	return min(timeLeft, deadline), ok
+}
--- a/internal/httpproxy/attempts.go
+++ b/internal/httpproxy/attempts.go
@@ -8,268 +8,312 @@
 	"pepperlead/policy"
 )
 
-// restTime is how long a connection stands idle before it is used again: what an endpoint may send behind an answer, a copy say, some
-// milliseconds late, shows in that time. Nothing in an answer says to which request it belongs, so a copy that comes once the next request
-// is written would be taken for its answer.
+// restTime is how long a connection is idle before it is used again. Bytes that an endpoint sends behind a response,
+// such as a late copy of it, show in that time. Nothing in a response says to which request it belongs, so a copy that
+// comes after the next request is written would be taken for its response.
 const restTime = 20 * policy.Millisecond
 
-// restWaitPart is the part of its target latency that an attempt waits for a connection to have rested, rather than have another opened: that costs the
-// endpoint work, and this request a handshake.
+// restWaitPart is the part of its target latency that an attempt waits for a connection to have rested. Otherwise
+// another one is opened, which costs the endpoint work and this request a handshake.
 const restWaitPart = 32
 
-// Send sends a request to an endpoint, on a connection that stands idle or on a new one.
-func (s *Proxy) Send(now policy.Time, of *engine.Request, to *engine.Endpoint) {
-	t, server := connstate.AsRequest(of), s.endpointConns(to)
-	if t.Upload.Active {
-		s.Timers.Stop(&t.AttemptTimer) // its time begins when its body is whole
-	}
-	if t.Upload.Forwarded {
-		s.AttemptEnded(now, of, policy.NotSent) // a part of its body went with an earlier attempt, and is gone
+// Send begins an attempt, on an idle connection to the endpoint or on a new one.
+func (p *Proxy) Send(now policy.Time, request *engine.Request, to *engine.Endpoint) {
+	r := connstate.AsRequest(request)
+	endpoint := p.endpointConns(to)
+	if r.Upload.Active {
+		p.Timers.Stop(&r.AttemptTimer) // the attempt's time begins when the body is complete
+	}
+	if r.Upload.Forwarded {
+		// A part of the body was forwarded with an earlier attempt and not kept.
+		p.AttemptEnded(now, request, policy.NotSent)
 		return
 	}
-	for c := s.conns.TakeIdle(server, now-restTime); c != nil; c = s.conns.TakeIdle(server, now-restTime) {
-		s.Timers.Stop(&c.Timer)
-		if !c.Socket.Idle(c) {
-			// Something unasked stands there, or its end.
-			s.closeConn(c)
-			continue
-		}
-		s.Counters.Reused++
-		t.AttemptConn, c.Request = c, t
-		s.writeRequest(now, t)
+	if c := p.takeIdle(now, endpoint); c != nil {
+		p.Counters.Reused++
+		r.AttemptConn = c
+		c.Request = r
+		p.writeRequest(now, r)
 		return
 	}
-	if s.waitForRest(now, t, server) {
+	if p.waitForRest(now, r, endpoint) {
 		return
 	}
-	if s.conns.Count(connstate.EndpointSide) >= s.conns.Limit[connstate.EndpointSide] && !s.closeOldestIdle(connstate.EndpointSide, now, now) {
-		// Every descriptor carries an attempt: nothing was sent, and that is no fault of the endpoint.
-		s.AttemptEnded(now, of, policy.NotSent)
+	full := p.conns.Count(connstate.EndpointSide) >= p.conns.Limit[connstate.EndpointSide]
+	if full && !p.closeOldestIdle(connstate.EndpointSide, now, now) {
+		// Every descriptor carries an attempt: nothing was sent, and the endpoint is not at fault.
+		p.AttemptEnded(now, request, policy.NotSent)
 		return
 	}
-	c := &connstate.Conn{Side: connstate.EndpointSide, Endpoint: server, Generation: to.Generation, Request: t}
-	c.Output.RequestsWritten = &s.Tally.Written
-	c.Timer.Run = func(now policy.Time) { s.endpointTimerDue(now, c) }
-	t.AttemptConn = c
-	s.conns.Add(c)
-	s.Counters.Dials++
-	s.sockets.dial(c, to.Addr, s.config.ConnectTimeout)
+	p.dialFor(r, endpoint)
+}
+
+// takeIdle returns a rested connection to the endpoint, nil if there is none. It closes those on which something has
+// come unasked, or that the endpoint has closed.
+func (p *Proxy) takeIdle(now policy.Time, endpoint *connstate.Endpoint) *connstate.Conn {
+	for {
+		c := p.conns.TakeIdle(endpoint, now-restTime)
+		if c == nil {
+			return nil
+		}
+		p.Timers.Stop(&c.Timer)
+		if c.Socket.Idle(c) {
+			return c
+		}
+		p.closeConn(c)
+	}
+}
+
+// dialFor opens a connection for the request's attempt.
+func (p *Proxy) dialFor(r *connstate.Request, endpoint *connstate.Endpoint) {
+	to := endpoint.Endpoint
+	c := &connstate.Conn{Side: connstate.EndpointSide, Endpoint: endpoint, Generation: to.Generation, Request: r}
+	c.Output.RequestsWritten = &p.Tally.Written
+	c.Timer.Run = func(now policy.Time) { p.endpointTimerDue(now, c) }
+	r.AttemptConn = c
+	p.conns.Add(c)
+	p.Counters.Dials++
+	p.sockets.dial(c, to.Addr, p.config.ConnectTimeout)
 }
 
-// waitForRest has an attempt wait for the connection that will have rested next, once, if that is soon.
-func (s *Proxy) waitForRest(now policy.Time, t *connstate.Request, server *connstate.Endpoint) bool {
-	if t.RestAwaited || t.Upload.Active || server.Awaited >= len(server.Idle) {
-		t.RestAwaited = false
+// waitForRest has an attempt wait, once, for the connection that will have rested next, and reports whether it does.
+func (p *Proxy) waitForRest(now policy.Time, r *connstate.Request, endpoint *connstate.Endpoint) bool {
+	if r.RestAwaited || r.Upload.Active || endpoint.Awaited >= len(endpoint.Idle) {
+		r.RestAwaited = false
 		return false
 	}
-	in := server.Idle[server.Awaited].IdleSince + restTime - now
-	if in > s.config.Settings.Classes[t.Class].Target/restWaitPart {
+	wait := endpoint.Idle[endpoint.Awaited].IdleSince + restTime - now
+	if wait > p.config.Settings.Classes[r.Class].Target/restWaitPart {
 		return false
 	}
-	if t.RestTimer.Run == nil {
-		t.RestTimer.Run = func(now policy.Time) { s.afterRest(now, t) }
+	if r.RestTimer.Run == nil {
+		r.RestTimer.Run = func(now policy.Time) { p.afterRest(now, r) }
 	}
-	t.RestAwaited, t.AttemptEndpoint = true, server.Endpoint
-	server.Awaited++
-	s.Timers.Set(&t.RestTimer, now+in)
+	r.RestAwaited = true
+	r.AttemptEndpoint = endpoint.Endpoint
+	endpoint.Awaited++
+	p.Timers.Set(&r.RestTimer, now+wait)
 	return true
 }
 
-// afterRest has an attempt that waited go on, unless it may not be made any more.
-func (s *Proxy) afterRest(now policy.Time, t *connstate.Request) {
-	s.endpointConns(t.AttemptEndpoint).Awaited--
+// afterRest resumes an attempt that waited for a connection, unless it is not allowed any more.
+func (p *Proxy) afterRest(now policy.Time, r *connstate.Request) {
+	p.endpointConns(r.AttemptEndpoint).Awaited--
 	switch {
-	case t.AttemptEndpoint.Draining:
-		s.endAttempt(now, t, policy.NotConnected, false)
-	case t.Decided || !s.AttemptStillValid(now, t.Request):
-		s.endAttempt(now, t, policy.NotSent, false)
+	case r.AttemptEndpoint.Draining:
+		p.endAttempt(now, r, policy.NotConnected, false)
+	case r.Decided || !p.AttemptStillValid(now, r.Request):
+		p.endAttempt(now, r, policy.NotSent, false)
 	default:
-		s.Send(now, t.Request, t.AttemptEndpoint)
+		p.Send(now, r.Request, r.AttemptEndpoint)
 	}
 }
 
-// endpointConnected is told that a connection to an endpoint is up.
-func (s *Proxy) endpointConnected(now policy.Time, c *connstate.Conn) {
+// endpointConnected handles a connection to an endpoint that has been established.
+func (p *Proxy) endpointConnected(now policy.Time, c *connstate.Conn) {
 	switch {
 	case c.Request == nil:
-		s.keepIdle(now, c) // its request did not wait for it
-	case c.Endpoint.Endpoint.Draining || c.Generation != c.Endpoint.Endpoint.Generation:
-		// The endpoint was ready when this was dialled and is not any more, or another process stands there: it gets nothing new.
-		s.endAttempt(now, c.Request, policy.NotConnected, false)
-	case c.Request.Decided || !s.AttemptStillValid(now, c.Request.Request):
-		// The request has its answer, or its client has left; or the rules or the list have changed since, or the window in which it may
-		// be sent again has closed: what was decided then may not be done now.
-		s.endAttempt(now, c.Request, policy.NotSent, true)
+		p.returnIdle(now, c) // its request did not wait for it
+	case outdated(c):
+		p.endAttempt(now, c.Request, policy.NotConnected, false)
+	case c.Request.Decided || !p.AttemptStillValid(now, c.Request.Request):
+		// The request is answered, or its client has left; or the rules or the list have changed, or the window in
+		// which it may be retried has closed since the attempt was decided on.
+		p.endAttempt(now, c.Request, policy.NotSent, true)
 	default:
-		s.writeRequest(now, c.Request)
+		p.writeRequest(now, c.Request)
 	}
 }
 
-// writeRequest writes the request. Nothing of it is sent again by itself.
-func (s *Proxy) writeRequest(now policy.Time, t *connstate.Request) {
-	if s.TracesRequests() {
-		s.RulesLog().WithFields(logrus.Fields{"id": asString(headerValue(t.Head, "X-Request-ID")), "no": int(t.Request.AttemptNo),
-			"server": t.AttemptConn.Endpoint.Endpoint.UID}).Debug(engine.LogAttemptStarted)
-	}
-	size, wait := len(t.Body), t.AttemptTimer.At()-now
-	if t.Upload.Buffer != nil {
-		size += len(t.Upload.Buffer.B)
-	}
-	if t.Upload.Active {
-		size, wait = t.Upload.Size, t.ClientTimeLeft
+// outdated reports whether the endpoint is draining, or another process stands in its place, since the connection was
+// dialled: it gets no new attempts.
+func outdated(c *connstate.Conn) bool {
+	endpoint := c.Endpoint.Endpoint
+	return endpoint.Draining || c.Generation != endpoint.Generation
+}
+
+// writeRequest writes the request to its connection. Nothing of it is sent again without a new attempt.
+func (p *Proxy) writeRequest(now policy.Time, r *connstate.Request) {
+	p.traceAttempt(r)
+	size := len(r.Body)
+	if r.Upload.Buffer != nil {
+		size += len(r.Upload.Buffer.B)
+	}
+	timeout := r.AttemptTimer.At() - now
+	if r.Upload.Active {
+		size = r.Upload.Size
+		timeout = r.ClientTimeLeft
+	}
+	c := r.AttemptConn
+	c.Used = true
+	p.scratch = appendRequestHead(p.scratch[:0], r.Method, r.Target, r.Head, size, timeout)
+	switch {
+	case r.Upload.Active:
+		p.write(c, p.scratch)
+		p.writeBody(r)
+		p.continueUpload(r)
+	case len(r.Body) <= connstate.SmallBuffer && r.Upload.Buffer == nil:
+		p.scratch = append(p.scratch, r.Body...)
+		c.Output.CompleteAt.Store(c.Output.Queued + int64(len(p.scratch)))
+		p.write(c, p.scratch)
+	default:
+		c.Output.CompleteAt.Store(c.Output.Queued + int64(len(p.scratch)+size))
+		p.write(c, p.scratch)
+		r.Upload.Size = size
+		p.writeBody(r)
 	}
-	t.AttemptConn.Used = true
-	s.scratch = appendRequestHead(s.scratch[:0], t.Method, t.Target, t.Head, size, wait)
-	if !t.Upload.Active && len(t.Body) <= connstate.SmallBuffer && t.Upload.Buffer == nil {
-		s.scratch = append(s.scratch, t.Body...)
-		t.AttemptConn.Output.CompleteAt.Store(t.AttemptConn.Output.Queued + int64(len(s.scratch)))
-		s.write(t.AttemptConn, s.scratch)
+}
+
+func (p *Proxy) traceAttempt(r *connstate.Request) {
+	if !p.TracesRequests() {
 		return
 	}
-	if !t.Upload.Active {
-		t.AttemptConn.Output.CompleteAt.Store(t.AttemptConn.Output.Queued + int64(len(s.scratch)+size))
-	}
-	s.write(t.AttemptConn, s.scratch)
-	if !t.Upload.Active {
-		t.Upload.Size = size
-	}
-	s.writeBodyPart(t, t.Body)
-	if t.Upload.Buffer != nil {
-		s.writeBodyPart(t, t.Upload.Buffer.B)
-	}
-	if t.Upload.Active && t.Client != nil {
-		t.Upload.Forwarded, t.AttemptConn.Progress.At = true, 0
-		s.buffers.Put(t.Upload.Buffer)
-		t.Upload.Buffer = nil
-		s.resumeReading(t.Client)
-		s.applyBackpressure(t.Client, t.AttemptConn)
-	}
+	p.RulesLog().WithFields(logrus.Fields{
+		"id":     asString(headerValue(r.Head, headerRequestID)),
+		"no":     int(r.AttemptNo),
+		"server": r.AttemptConn.Endpoint.Endpoint.UID,
+	}).Debug(engine.LogAttemptStarted)
 }
 
-// keepIdle keeps a connection for the next attempt to its endpoint, but closes it well before the endpoint would: what is
-// written as the endpoint closes may have run or not.
-func (s *Proxy) keepIdle(now policy.Time, c *connstate.Conn) {
-	if c.Endpoint.Endpoint.Draining || c.Generation != c.Endpoint.Endpoint.Generation {
-		s.closeConn(c) // an answer that came after the list: where it leads, nothing new goes, or another process stands
+// returnIdle keeps a connection for the next attempt to its endpoint. It is closed well before the endpoint would close
+// it: what is written at that moment may have been processed or not.
+func (p *Proxy) returnIdle(now policy.Time, c *connstate.Conn) {
+	if outdated(c) {
+		p.closeConn(c)
 		return
 	}
-	s.conns.PutIdle(c, now)
-	s.Timers.Set(&c.Timer, now+s.config.IdleTimeout*3/4)
+	p.conns.PutIdle(c, now)
+	p.Timers.Set(&c.Timer, now+p.config.IdleTimeout*3/4)
 }
 
-// readResponse takes the answer once it is whole.
-func (s *Proxy) readResponse(now, at policy.Time, c *connstate.Conn) {
-	t := c.Request
-	if t == nil {
-		s.closeConn(c) // it says something unasked
+// readResponse handles bytes from an endpoint. It ends the attempt once the response is complete, or starts to stream
+// it. at is when the last bytes came.
+func (p *Proxy) readResponse(now, at policy.Time, c *connstate.Conn) {
+	r := c.Request
+	if r == nil {
+		p.closeConn(c) // these bytes answer no request
 		return
 	}
-	if len(c.Input.Buffer.B) < c.Input.Needed {
+	in := c.Input.Buffer.B
+	if len(in) < c.Input.Needed {
 		return
 	}
-	n, status, head, body, stays, ok := parseResponse(c.Input.Buffer.B, false, t.Response.NoBody, maxBody)
+	response, ok := parseResponse(in, false, r.Response.NoBody, maxBody)
 	switch {
-	case n > 0:
-		stays = stays && n == len(c.Input.Buffer.B) && c.Flushed() && !t.Upload.Active
-		s.keepResponse(t, c, status, head, body)
-		s.endAttempt(at, t, outcomeOf(status, head), stays)
-	case s.tryStream(now, at, c, !ok):
+	case response.length > 0:
+		reusable := response.reusable && response.length == len(in) && c.Flushed() && !r.Upload.Active
+		p.takeResponse(r, c, response)
+		p.endAttempt(at, r, outcomeOf(response.status, response.headers), reusable)
+	case p.tryStream(now, at, c, !ok):
 	case !ok:
-		s.endAttempt(at, t, policy.ConnectionLost, false)
+		p.endAttempt(at, r, policy.ConnectionLost, false)
 	}
 }
 
-// keepResponse moves the answer's buffer from the connection to the request.
-func (s *Proxy) keepResponse(t *connstate.Request, c *connstate.Conn, status int, head, body []byte) {
-	t.Response.Buffer, t.Response.Status, t.Response.Head, t.Response.Body = c.Input.Buffer, status, head, body
+// takeResponse moves the response with its buffer from the connection to the request.
+func (p *Proxy) takeResponse(r *connstate.Request, c *connstate.Conn, response parsedResponse) {
+	r.Response.Buffer = c.Input.Buffer
+	r.Response.Status = response.status
+	r.Response.Head = response.headers
+	r.Response.Body = response.body
 	c.Input.Buffer = nil
 }
 
-// endpointClosed is told that a connection to an endpoint has ended, or never came up.
-func (s *Proxy) endpointClosed(at policy.Time, c *connstate.Conn) {
-	t := c.Request
-	if t == nil {
+// endpointClosed handles the end of a connection to an endpoint, or a dial that failed.
+func (p *Proxy) endpointClosed(at policy.Time, c *connstate.Conn) {
+	r := c.Request
+	if r == nil {
 		return
 	}
-	over := c.Input.EOF.Load() // a reset ends no answer
-	if t.Response.Streaming {
-		if over && c.Frame.Kind == bodyUntilClose {
-			s.endStream(s.Clock.Now(), t, false)
+	ended := c.Input.EOF.Load() // a reset does not complete a response
+	if r.Response.Streaming {
+		if ended && c.Frame.Kind == bodyUntilClose {
+			p.endStream(p.Clock.Now(), r, false)
 		} else {
-			s.breakStream(at, t)
+			p.breakStream(at, r)
 		}
 		return
 	}
-	if !c.Connected || !c.Flushed() || t.Upload.Active {
-		s.endAttempt(at, t, policy.NotConnected, false)
+	if !c.Connected || !c.Flushed() || r.Upload.Active {
+		p.endAttempt(at, r, policy.NotConnected, false)
 		return
 	}
 	if c.Input.Buffer != nil {
-		if n, status, head, body, _, ok := parseResponse(c.Input.Buffer.B, over, t.Response.NoBody, maxBody); ok && n > 0 {
-			s.keepResponse(t, c, status, head, body)
-			s.endAttempt(at, t, outcomeOf(status, head), false)
+		response, ok := parseResponse(c.Input.Buffer.B, ended, r.Response.NoBody, maxBody)
+		if ok && response.length > 0 {
+			p.takeResponse(r, c, response)
+			p.endAttempt(at, r, outcomeOf(response.status, response.headers), false)
 			return
 		}
 	}
-	s.endAttempt(at, t, policy.ConnectionLost, false)
+	p.endAttempt(at, r, policy.ConnectionLost, false)
 }
 
-// TimedOut is the end of an attempt's time. A request that has not been written whole is cut off with its connection, so
-// it never runs.
-func (s *Proxy) TimedOut(now policy.Time, of *engine.Request) {
-	t := connstate.AsRequest(of)
-	o := policy.TimedOut
-	if s.abortUnwritten(t) {
-		o = policy.NotConnected
-	}
-	s.endAttempt(now, t, o, false)
+// TimedOut ends an attempt at its timeout. A request that has not been written completely is cut short by the end of
+// its connection, so it is never processed.
+func (p *Proxy) TimedOut(now policy.Time, request *engine.Request) {
+	r := connstate.AsRequest(request)
+	outcome := policy.TimedOut
+	if p.abortUnwritten(r) {
+		outcome = policy.NotConnected
+	}
+	p.endAttempt(now, r, outcome, false)
 }
 
-// abortUnwritten ends the connection of an attempt that has not gone out whole, and tells whether it never will. What waits to be written goes out
-// beside the loop: looked at first and closed then, its last byte could slip through between, and what has run be sent again.
-func (s *Proxy) abortUnwritten(t *connstate.Request) bool {
-	c := t.AttemptConn
-	if c == nil || !c.Connected || t.Upload.Active {
+// abortUnwritten closes the connection of an attempt that has not been written completely, and reports whether it
+// never will be. Pending bytes are written beside the loop: if they were checked before the close, the last one could
+// go out in between, and a request that was processed would be retried.
+func (p *Proxy) abortUnwritten(r *connstate.Request) bool {
+	c := r.AttemptConn
+	if c == nil || !c.Connected || r.Upload.Active {
 		return true
 	}
 	if c.Flushed() {
 		return false
 	}
-	c.Socket.Close()
+	_ = c.Socket.Close() // its end is reported by the poller
 	return !c.Flushed()
 }
 
-// CancelAttempt ends an attempt that nobody waits for any more.
-func (s *Proxy) CancelAttempt(now policy.Time, of *engine.Request) {
-	if t := connstate.AsRequest(of); (t.AttemptConn != nil || t.RestTimer.Active()) && !t.Response.Streaming {
-		s.endAttempt(now, t, policy.Cancelled, false)
+// CancelAttempt ends an attempt whose response is not needed any more.
+func (p *Proxy) CancelAttempt(now policy.Time, request *engine.Request) {
+	r := connstate.AsRequest(request)
+	if attempting(r) && !r.Response.Streaming {
+		p.endAttempt(now, r, policy.Cancelled, false)
 	}
 }
 
-// endAttempt ends the attempt that is out.
-func (s *Proxy) endAttempt(at policy.Time, t *connstate.Request, o policy.Outcome, stays bool) {
-	s.detach(at, t, stays)
-	s.AttemptEnded(at, t.Request, o)
+// attempting reports whether an attempt has a connection, or waits for one to have rested.
+func attempting(r *connstate.Request) bool { return r.AttemptConn != nil || r.RestTimer.Active() }
+
+// endAttempt ends the attempt in flight.
+func (p *Proxy) endAttempt(at policy.Time, r *connstate.Request, outcome policy.Outcome, reusable bool) {
+	p.detachEndpoint(at, r, reusable)
+	p.AttemptEnded(at, r.Request, outcome)
 }
 
-// detach takes the request off its connection to an endpoint, which is kept or closed.
-func (s *Proxy) detach(at policy.Time, t *connstate.Request, stays bool) {
-	if t.RestAwaited = false; t.RestTimer.Active() {
-		s.Timers.Stop(&t.RestTimer)
-		s.endpointConns(t.AttemptEndpoint).Awaited--
-	}
-	c := t.AttemptConn
+// detachEndpoint separates the request from its connection to an endpoint, which is kept if it is reusable and closed
+// otherwise. A connection that is not established yet carries nothing and is kept once it is.
+func (p *Proxy) detachEndpoint(at policy.Time, r *connstate.Request, reusable bool) {
+	r.RestAwaited = false
+	if r.RestTimer.Active() {
+		p.Timers.Stop(&r.RestTimer)
+		p.endpointConns(r.AttemptEndpoint).Awaited--
+	}
+	c := r.AttemptConn
 	if c == nil {
 		return
 	}
-	t.AttemptConn, c.Request, c.Input.Needed, c.Input.HeadAt = nil, nil, 0, 0
+	r.AttemptConn = nil
+	c.Request = nil
+	c.Input.Needed = 0
+	c.Input.HeadAt = 0
 	c.Input.Paused.Store(false)
-	s.Timers.Stop(&c.Timer)
+	p.Timers.Stop(&c.Timer)
 	switch {
-	case stays:
-		s.keepIdle(at, c)
+	case reusable:
+		p.returnIdle(at, c)
 	case c.Connected:
-		s.closeConn(c)
+		p.closeConn(c)
 	}
-	// One that is not up yet carries nothing and is kept when it comes.
 }
--- /dev/null
+++ b/internal/httpproxy/chunked.go
@@ -0,0 +1,109 @@
+package httpproxy
+
+import "bytes"
+
+// Limits of the line before a chunk.
+const (
+	maxChunkSizeLine   = 256
+	maxChunkSizeDigits = 8
+)
+
+// chunkedExtent is the extent of a chunked body.
+type chunkedExtent struct {
+	length int // with chunk sizes and trailers; 0: the body is incomplete
+	size   int // of the body itself, as far as it is known
+}
+
+// measureChunks measures the chunked body at the front of b. It isn't ok where the body is malformed or longer than
+// limit; in the latter case size is over limit.
+func measureChunks(b []byte, limit int) (extent chunkedExtent, ok bool) {
+	length, size := 0, 0
+	for {
+		if length > maxChunkOverhead*limit {
+			return chunkedExtent{size: limit + 1}, false
+		}
+		chunk, lineLength, ok := parseChunkSize(b[length:])
+		if !ok || size+chunk > limit {
+			return chunkedExtent{size: size + chunk}, false
+		}
+		if lineLength == 0 {
+			return chunkedExtent{size: size}, true
+		}
+		length += lineLength
+		if chunk == 0 {
+			return measureTrailers(b, chunkedExtent{length, size})
+		}
+		end := length + chunk
+		if len(b) < end+len(lineEnd) {
+			return chunkedExtent{size: size + chunk}, true
+		}
+		if !bytes.HasPrefix(b[end:], lineEnd) {
+			return chunkedExtent{size: size}, false
+		}
+		length = end + len(lineEnd)
+		size += chunk
+	}
+}
+
+// measureTrailers adds the trailers, which are ignored, to the extent of the body before them.
+func measureTrailers(b []byte, body chunkedExtent) (extent chunkedExtent, ok bool) {
+	length := body.length
+	for {
+		end := bytes.Index(b[length:], lineEnd)
+		switch {
+		case end < 0:
+			return chunkedExtent{size: body.size}, len(b)-length <= maxHead
+		case end == 0:
+			return chunkedExtent{length + len(lineEnd), body.size}, true
+		}
+		length += end + len(lineEnd)
+	}
+}
+
+// parseChunkSize reads the line before a chunk. The length of the line is 0 while it is incomplete.
+func parseChunkSize(b []byte) (size, length int, ok bool) {
+	end := bytes.Index(b, lineEnd)
+	if end < 0 {
+		return 0, 0, len(b) <= maxChunkSizeLine
+	}
+	digits, extension, _ := bytes.Cut(b[:end], []byte{';'})
+	digits = bytes.Trim(digits, " \t")
+	if len(digits) == 0 || len(digits) > maxChunkSizeDigits || end > maxChunkSizeLine ||
+		bytes.ContainsAny(extension, "\r\n") {
+		return 0, 0, false
+	}
+	for _, c := range digits {
+		digit, ok := hexDigit(c)
+		if !ok {
+			return 0, 0, false
+		}
+		size = size<<4 + digit
+	}
+	return size, end + len(lineEnd), true
+}
+
+// joinChunks moves the data of a complete chunked body together, at its front.
+func joinChunks(b []byte) []byte {
+	joined, at := 0, 0
+	for {
+		size, length, _ := parseChunkSize(b[at:])
+		if size == 0 {
+			return b[:joined]
+		}
+		at += length
+		joined += copy(b[joined:], b[at:at+size])
+		at += size + len(lineEnd)
+	}
+}
+
+func hexDigit(c byte) (digit int, ok bool) {
+	switch {
+	case '0' <= c && c <= '9':
+		return int(c - '0'), true
+	case 'a' <= c && c <= 'f':
+		return int(c-'a') + 10, true
+	case 'A' <= c && c <= 'F':
+		return int(c-'A') + 10, true
+	}
+	return 0, false
+}
--- a/internal/httpproxy/classes.go
+++ b/internal/httpproxy/classes.go
@@ -2,26 +2,28 @@
 
 import "pepperlead/policy"
 
-// SetClass has requests for that class come in at that place of the settings, cut off at that time; NoClass: they are refused from now on.
-// What is in hand stays where it is.
-func (s *Proxy) SetClass(name string, at policy.ClassID, cutOff policy.Time) {
-	if at == policy.NoClass {
-		delete(s.classes, name)
+// SetClass maps the class of that name to an id of the settings, with the deadline of its requests. With NoClass they
+// are refused from now on. Requests in flight keep their class.
+func (p *Proxy) SetClass(name string, id policy.ClassID, deadline policy.Time) {
+	if id == policy.NoClass {
+		delete(p.classes, name)
 	} else {
-		s.classes[name] = at
-		for len(s.config.Deadlines) <= int(at) {
-			s.config.Deadlines = append(s.config.Deadlines, 0)
+		p.classes[name] = id
+		for len(p.config.Deadlines) <= int(id) {
+			p.config.Deadlines = append(p.config.Deadlines, 0)
 		}
-		s.config.Deadlines[at] = cutOff
+		p.config.Deadlines[id] = deadline
 	}
-	if name == s.config.DefaultClass {
-		s.defaultClass = at
+	if name == p.config.DefaultClass {
+		p.defaultClass = id
 	}
 }
 
-// SetTenant has requests of that tenant count at that place; NoTenant: as nobody's.
-func (s *Proxy) SetTenant(name string, at policy.TenantID) {
-	if s.tenants[name] = at; at == policy.NoTenant {
-		delete(s.tenants, name)
+// SetTenant maps the tenant of that name to an id of the settings. With NoTenant its requests count for no tenant.
+func (p *Proxy) SetTenant(name string, id policy.TenantID) {
+	if id == policy.NoTenant {
+		delete(p.tenants, name)
+		return
 	}
+	p.tenants[name] = id
 }
--- a/internal/httpproxy/crossing_test.go
+++ b/internal/httpproxy/crossing_test.go
@@ -163,7 +163,7 @@
 		server, plain := connect(connstate.EndpointSide)
 		for _, one := range s.Endpoints {
 			server.Endpoint = s.endpointConns(one)
-			s.keepIdle(1, server)
+			s.returnIdle(1, server)
 		}
 		buf := s.buffers.Get(connstate.SmallBuffer)
 		buf.B = append(buf.B, "GET /step/a HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Timeout: 1\r\n\r\n"...)
--- a/internal/httpproxy/dial.go
+++ b/internal/httpproxy/dial.go
@@ -12,40 +12,53 @@
 	"pepperlead/policy"
 )
 
-// newConnector opens connections that leave from that address; nil: from whichever the kernel picks.
-func newConnector(from net.IP) func(addr string, within policy.Time) (net.Conn, error) {
-	var leave net.Addr
-	if from != nil {
-		leave = &net.TCPAddr{IP: from}
+// connector opens a connection to an address within a time.
+type connector func(addr string, timeout policy.Time) (net.Conn, error)
+
+// newConnector returns a connector whose connections have that local address; nil: the kernel picks one.
+func newConnector(source net.IP) connector {
+	var local net.Addr
+	if source != nil {
+		local = &net.TCPAddr{IP: source}
 	}
-	return func(addr string, within policy.Time) (net.Conn, error) {
-		d := net.Dialer{Timeout: time.Duration(within), KeepAlive: -1, LocalAddr: leave, Control: func(_, _ string, c syscall.RawConn) error {
-			return c.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, endpointReceiveBuffer) })
-		}}
+	return func(addr string, timeout policy.Time) (net.Conn, error) {
+		d := net.Dialer{
+			Timeout:   time.Duration(timeout),
+			KeepAlive: -1,
+			LocalAddr: local,
+			Control:   setReceiveBuffer,
+		}
 		return d.Dial("tcp", addr)
 	}
 }
 
-// dial opens the connection and tells the loop; dialling waits in a goroutine, as nbio's own neither says which
-// connection failed nor lets one be told apart before it is up.
-func (s *sockets) dial(conn *connstate.Conn, addr string, within policy.Time) {
+func setReceiveBuffer(_, _ string, c syscall.RawConn) error {
+	return c.Control(func(fd uintptr) {
+		// Where this fails the kernel's default holds.
+		_ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, endpointReceiveBuffer)
+	})
+}
+
+// dial opens the connection and posts the result. It waits in a goroutine of its own, as nbio's dialler neither says
+// which connection has failed nor lets one be identified before it is established.
+func (s *sockets) dial(conn *connstate.Conn, addr string, timeout policy.Time) {
 	go func() {
-		up, err := s.connect(addr, within)
+		up, err := s.connect(addr, timeout)
 		if err != nil {
 			s.post(event{kind: eventClosed, conn: conn})
 			return
 		}
 		c, err := nbio.NBConn(up)
 		if err != nil {
-			up.Close()
+			_ = up.Close() // it has carried nothing
 			s.post(event{kind: eventClosed, conn: conn})
 			return
 		}
 		conn.Socket = newSocket(c)
 		c.SetSession(conn)
 		if _, err := s.engine.AddConn(c); err != nil {
-			c.Close()
-			s.post(event{kind: eventClosed, conn: conn}) // told twice at the most, which is harmless
+			_ = c.Close()                                // it has carried nothing
+			s.post(event{kind: eventClosed, conn: conn}) // a second event of the same end is ignored
 		}
 	}()
 }
--- a/internal/httpproxy/frame.go
+++ b/internal/httpproxy/frame.go
@@ -2,29 +2,29 @@
 
 import "pepperlead/internal/connstate"
 
-// How a body is framed.
+// Kinds of framing, in connstate.Frame.
 const (
 	sizedBody = iota
 	chunkedBody
-	bodyUntilClose // of its connection
+	bodyUntilClose // the body ends with its connection
 )
 
-// Where in a chunked body the next byte stands.
+// Phases of a chunked body, in connstate.Frame: what the next byte belongs to.
 const (
-	atSize = iota
-	afterDigits
-	inExtension
-	atSizeEnd
-	inData
-	atDataCR
-	atDataLF
-	atTrailer // the first byte of a line
-	inTrailer
-	atTrailerEnd
-	atLastLF
+	phaseSize = iota
+	phaseAfterDigits
+	phaseExtension
+	phaseSizeLF
+	phaseData
+	phaseDataCR
+	phaseDataLF
+	phaseTrailerStart // the first byte of a line
+	phaseTrailer
+	phaseTrailerLF
+	phaseLastLF
 )
 
-// maxStreamedBody is what a body may hold that is handed on as it comes.
+// maxStreamedBody is how long a body may be that is forwarded as it comes.
 const maxStreamedBody = 64 << 20
 
 func newFrame(size int, chunked bool) connstate.Frame {
@@ -37,111 +37,135 @@
 	return connstate.Frame{Kind: bodyUntilClose}
 }
 
-// decodeBody takes what b has of a body: b[:n] is the body's own from then on, used is how much of b belonged to it. All of b is used
-// unless the body is done. What chunks and measures by the whole in CutRequest is read here byte by byte, by the same rules.
-func decodeBody(f *connstate.Frame, b []byte) (n, used int, done, ok bool) {
+// decoded is the result of decoding some bytes of a message.
+type decoded struct {
+	size int  // bytes of the body, moved to the front of the input
+	used int  // bytes of the input that belong to the message; all of them unless done
+	done bool // the body is complete
+}
+
+// decodeBody decodes the next bytes of a body in place. It follows the same rules as measureChunks and joinChunks,
+// which work on complete bodies.
+func decodeBody(f *connstate.Frame, b []byte) (part decoded, ok bool) {
 	switch f.Kind {
 	case sizedBody:
-		n = int(min(f.Remaining, int64(len(b))))
+		n := int(min(f.Remaining, int64(len(b))))
 		f.Remaining -= int64(n)
 		f.Received += int64(n)
-		return n, n, f.Remaining == 0, true
+		return decoded{size: n, used: n, done: f.Remaining == 0}, true
 	case bodyUntilClose:
 		f.Received += int64(len(b))
-		return len(b), len(b), false, f.Received <= maxStreamedBody
+		return decoded{size: len(b), used: len(b)}, f.Received <= maxStreamedBody
 	}
-	for used < len(b) {
-		if f.Phase == inData {
-			part := int(min(f.Remaining, int64(len(b)-used)))
-			copy(b[n:], b[used:used+part])
-			n, used = n+part, used+part
-			f.Remaining -= int64(part)
-			f.Received += int64(part)
+	return decodeChunked(f, b)
+}
+
+func decodeChunked(f *connstate.Frame, b []byte) (part decoded, ok bool) {
+	for part.used < len(b) {
+		if f.Phase == phaseData {
+			n := int(min(f.Remaining, int64(len(b)-part.used)))
+			copy(b[part.size:], b[part.used:part.used+n])
+			part.size += n
+			part.used += n
+			f.Remaining -= int64(n)
+			f.Received += int64(n)
 			if f.Remaining == 0 {
-				f.Phase = atDataCR
+				f.Phase = phaseDataCR
 			}
 			continue
 		}
-		c := b[used]
-		used++
-		if !decodeFraming(f, c) {
-			return n, used, false, false
+		c := b[part.used]
+		part.used++
+		if !decodeFramingByte(f, c) {
+			return part, false
 		}
-		if f.Phase == atLastLF && c == '\n' {
-			return n, used, true, true
+		if f.Phase == phaseLastLF && c == '\n' {
+			part.done = true
+			return part, true
 		}
 	}
-	f.RawReceived += int64(used)
-	return n, used, false, f.Received <= maxStreamedBody && f.RawReceived <= maxChunkOverhead*maxStreamedBody
+	f.RawReceived += int64(part.used)
+	return part, f.Received <= maxStreamedBody && f.RawReceived <= maxChunkOverhead*maxStreamedBody
 }
 
-// decodeFraming goes on by one byte that is not the body's own.
-func decodeFraming(f *connstate.Frame, c byte) bool {
-	next := func(phase uint8, want byte) bool {
-		f.Phase, f.LineLength = phase, 0
-		return c == want
-	}
+// decodeFramingByte takes one byte of a chunked body that is not data, and reports whether it is valid.
+func decodeFramingByte(f *connstate.Frame, c byte) bool {
 	f.LineLength++
 	switch f.Phase {
-	case atSize, afterDigits, inExtension:
-		blank := c == ' ' || c == '\t'
-		digit, hex := hexDigit(c)
-		switch {
-		case f.LineLength > 257 || f.LineLength == 257 && c != '\r':
-			return false
-		case c == '\r':
-			f.Phase = atSizeEnd
-			return f.Digits > 0
-		case f.Phase == inExtension:
-		case c == ';':
-			f.Phase = inExtension
-			return f.Digits > 0
-		case blank && f.Digits > 0:
-			f.Phase = afterDigits
-		case blank:
-		case f.Phase == afterDigits || !hex || f.Digits >= 8:
-			return false
-		default:
-			f.ChunkSize, f.Digits = f.ChunkSize<<4+digit, f.Digits+1
-		}
+	case phaseSize, phaseAfterDigits, phaseExtension:
+		return decodeSizeLineByte(f, c)
+	case phaseSizeLF:
+		return beginChunk(f) && c == '\n'
+	case phaseDataCR:
+		f.Phase = phaseDataLF
+		f.LineLength = 0
+		return c == '\r'
+	case phaseDataLF:
+		f.Phase = phaseSize
+		f.LineLength = 0
+		return c == '\n'
+	}
+	return decodeTrailerByte(f, c)
+}
+
+// decodeSizeLineByte takes a byte of the line with the size of a chunk.
+func decodeSizeLineByte(f *connstate.Frame, c byte) bool {
+	if f.LineLength > maxChunkSizeLine+1 || f.LineLength == maxChunkSizeLine+1 && c != '\r' {
+		return false
+	}
+	if c == '\r' {
+		f.Phase = phaseSizeLF
+		return f.Digits > 0
+	}
+	if f.Phase == phaseExtension {
 		return c != '\n'
-	case atSizeEnd:
-		f.Remaining = int64(f.ChunkSize)
-		f.ChunkSize, f.Digits, f.LineLength = 0, 0, 0
-		if f.Phase = inData; f.Remaining == 0 {
-			f.Phase = atTrailer
-		}
-		return c == '\n' && f.Remaining <= maxStreamedBody
-	case atDataCR:
-		return next(atDataLF, '\r')
-	case atDataLF:
-		return next(atSize, '\n')
-	case atTrailer, inTrailer, atTrailerEnd, atLastLF:
-		// Nothing here reads trailers; a line ends with CRLF, and an empty one is the last. Line counts all of them.
-		switch {
-		case c == '\n' && f.Phase == atTrailerEnd:
-			f.Phase = atTrailer
-		case c == '\n' && f.Phase == atLastLF:
-		case c == '\r' && f.Phase == atTrailer:
-			f.Phase = atLastLF
-		case c == '\r':
-			f.Phase = atTrailerEnd
-		default:
-			f.Phase = inTrailer
+	}
+	switch c {
+	case ';':
+		f.Phase = phaseExtension
+		return f.Digits > 0
+	case ' ', '\t':
+		if f.Digits > 0 {
+			f.Phase = phaseAfterDigits
 		}
-		return f.LineLength <= maxHead
+		return true
+	}
+	digit, ok := hexDigit(c)
+	if !ok || f.Phase == phaseAfterDigits || f.Digits >= maxChunkSizeDigits {
+		return false
+	}
+	f.ChunkSize = f.ChunkSize<<4 + digit
+	f.Digits++
+	return true
+}
+
+// beginChunk goes over to the data of a chunk, or to the trailers behind the last one.
+func beginChunk(f *connstate.Frame) bool {
+	f.Remaining = int64(f.ChunkSize)
+	f.ChunkSize = 0
+	f.Digits = 0
+	f.LineLength = 0
+	f.Phase = phaseData
+	if f.Remaining == 0 {
+		f.Phase = phaseTrailerStart
 	}
-	return false
+	return f.Remaining <= maxStreamedBody
 }
 
-func hexDigit(c byte) (int, bool) {
+// decodeTrailerByte takes a byte of the trailers, which are ignored. Lines end with CRLF, and an empty one is the last.
+// LineLength counts the bytes of all of them.
+func decodeTrailerByte(f *connstate.Frame, c byte) bool {
 	switch {
-	case '0' <= c && c <= '9':
-		return int(c - '0'), true
-	case 'a' <= c && c <= 'f':
-		return int(c-'a') + 10, true
-	case 'A' <= c && c <= 'F':
-		return int(c-'A') + 10, true
+	case c == '\n' && f.Phase == phaseTrailerLF:
+		f.Phase = phaseTrailerStart
+	case c == '\n' && f.Phase == phaseLastLF:
+		// The body is complete.
+	case c == '\r' && f.Phase == phaseTrailerStart:
+		f.Phase = phaseLastLF
+	case c == '\r':
+		f.Phase = phaseTrailerLF
+	default:
+		f.Phase = phaseTrailer
 	}
-	return 0, false
+	return f.LineLength <= maxHead
 }
--- a/internal/httpproxy/header.go
+++ b/internal/httpproxy/header.go
@@ -1,5 +1,3 @@
-// Package proto is what the instance speaks: HTTP/1.1 to clients and to endpoints, and the list of endpoints. The parsers
-// and writers work on slices alone; sockets are served by sockets.go, and the loop in sidecar.go holds all together.
 package httpproxy
 
 import (
@@ -7,49 +5,71 @@
 	"unsafe"
 )
 
+// Limits of a message.
 const (
 	maxHead          = 16 << 10
 	maxBody          = 64 << 10
-	maxChunkOverhead = 8 // times its body that a message may take with its chunk sizes
+	maxChunkOverhead = 8 // a chunked message with its chunk sizes may be so many times as long as its body
 )
 
-var emptyLine = []byte("\r\n\r\n")
+var (
+	lineEnd   = []byte("\r\n")
+	emptyLine = []byte("\r\n\r\n")
+)
 
-// asString reads bytes as a string for the length of a call that does not keep it.
+// asString returns the bytes as a string without copying. It must not be kept beyond the life of the bytes.
 func asString(b []byte) string { return unsafe.String(unsafe.SliceData(b), len(b)) }
 
-// splitHead takes the first line and the header lines off the front of b, the latter each with its line end. n is where
-// the body begins; 0: not whole yet.
-func splitHead(b []byte) (first, head []byte, n int) {
+// messageHead is the first line and the header lines of a message.
+type messageHead struct {
+	firstLine []byte
+	headers   []byte // each line with its line end
+	length    int    // of the head with the empty line behind it; 0: the head is incomplete
+}
+
+// splitHead returns the head at the front of b.
+func splitHead(b []byte) messageHead {
 	end := bytes.Index(b, emptyLine)
 	if end < 0 {
-		return nil, nil, 0
+		return messageHead{}
+	}
+	lines := b[:end+len(lineEnd)]
+	firstEnd := bytes.Index(lines, lineEnd)
+	return messageHead{
+		firstLine: lines[:firstEnd],
+		headers:   lines[firstEnd+len(lineEnd):],
+		length:    end + len(emptyLine),
 	}
-	head = b[:end+2]
-	at := bytes.Index(head, emptyLine[:2])
-	return head[:at], head[at+2:], end + 4
 }
 
-// nextHeader takes one header line off the front of the head.
-func nextHeader(head []byte) (name, value, rest []byte, ok bool) {
-	line, rest, ok := bytes.Cut(head, emptyLine[:2])
+// header is one header line.
+type header struct{ name, value []byte }
+
+// nextHeader splits the first header line off the headers.
+func nextHeader(headers []byte) (first header, rest []byte, ok bool) {
+	line, rest, ok := bytes.Cut(headers, lineEnd)
 	if !ok {
-		return nil, nil, nil, false
+		return header{}, nil, false
 	}
-	name, value, ok = bytes.Cut(line, []byte{':'})
-	if !ok || len(name) == 0 {
-		return nil, nil, nil, false
+	name, value, ok := bytes.Cut(line, []byte{':'})
+	if !ok || len(name) == 0 || !isToken(name) {
+		return header{}, nil, false
 	}
-	for _, c := range name {
+	value = bytes.Trim(value, " \t")
+	return header{name, value}, rest, !bytes.ContainsAny(value, "\x00\r\n")
+}
+
+// isToken reports whether the bytes are all allowed in methods and header names.
+func isToken(b []byte) bool {
+	for _, c := range b {
 		if !tokenByte[c] {
-			return nil, nil, nil, false
+			return false
 		}
 	}
-	value = bytes.Trim(value, " \t")
-	return name, value, rest, !bytes.ContainsAny(value, "\x00\r\n")
+	return true
 }
 
-// noControlBytes tells whether there is no control byte in it that could pass for the end of a line.
+// noControlBytes reports whether no byte of the value could be taken for the end of a line.
 func noControlBytes(value []byte) bool {
 	for _, c := range value {
 		if c < ' ' && c != '\t' || c == 0x7f {
@@ -59,6 +79,7 @@
 	return true
 }
 
+// tokenByte marks the bytes of methods and header names (RFC 9110, section 5.6.2).
 var tokenByte = func() (t [256]bool) {
 	for c := '0'; c <= '9'; c++ {
 		t[c] = true
@@ -72,168 +93,99 @@
 	return t
 }()
 
-// headerValue is the value of a header, nil where the head lacks it.
-func headerValue(head []byte, name string) []byte {
-	for len(head) > 0 {
-		n, value, rest, ok := nextHeader(head)
+// headerValue returns the value of the first header of that name, nil if there is none.
+func headerValue(headers []byte, name string) []byte {
+	for len(headers) > 0 {
+		first, rest, ok := nextHeader(headers)
 		if !ok {
 			return nil
 		}
-		if equalFold(n, name) {
-			return value
+		if equalFold(first.name, name) {
+			return first.value
 		}
-		head = rest
+		headers = rest
 	}
 	return nil
 }
 
-// equalFold compares a header's name, in whatever letters.
-func equalFold(b []byte, name string) bool {
-	if len(b) != len(name) {
+// equalFold compares ASCII text without regard to case.
+func equalFold(b []byte, s string) bool {
+	if len(b) != len(s) {
 		return false
 	}
-	for i, c := range b {
-		d := name[i]
-		if 'A' <= c && c <= 'Z' {
-			c += 'a' - 'A'
-		}
-		if 'A' <= d && d <= 'Z' {
-			d += 'a' - 'A'
-		}
-		if c != d {
+	for i := range b {
+		if lowerASCII(b[i]) != lowerASCII(s[i]) {
 			return false
 		}
 	}
 	return true
 }
 
-// hasToken tells whether a comma-separated value has the word.
-func hasToken(value []byte, word string) bool {
+func lowerASCII(c byte) byte {
+	if 'A' <= c && c <= 'Z' {
+		return c + 'a' - 'A'
+	}
+	return c
+}
+
+// hasToken reports whether a comma-separated value contains the token.
+func hasToken(value []byte, token string) bool {
 	for len(value) > 0 {
 		var part []byte
 		part, value, _ = bytes.Cut(value, []byte{','})
-		if equalFold(bytes.Trim(part, " \t"), word) {
+		if equalFold(bytes.Trim(part, " \t"), token) {
 			return true
 		}
 	}
 	return false
 }
 
-// parseFraming reads how long the body is: size bytes, or chunked, or (-1) not told. strict: no value may hold control bytes.
-func parseFraming(head []byte, strict bool) (size int, chunked, closing, ok bool) {
-	size = -1
-	for len(head) > 0 {
-		name, value, rest, fine := nextHeader(head)
-		if !fine || strict && !noControlBytes(value) {
-			return 0, false, false, false
+// framing is what the headers say about the length of the body and the end of the connection.
+type framing struct {
+	size    int // of the body; -1: unknown
+	chunked bool
+	closing bool // the connection closes after the message
+}
+
+// parseFraming reads the framing headers. In strict mode no header value may contain control bytes.
+func parseFraming(headers []byte, strict bool) (f framing, ok bool) {
+	f.size = -1
+	for len(headers) > 0 {
+		first, rest, ok := nextHeader(headers)
+		if !ok || strict && !noControlBytes(first.value) {
+			return framing{}, false
 		}
-		head = rest
+		headers = rest
 		switch {
-		case equalFold(name, "Content-Length"):
-			n, fine := parseDigits(value)
-			if !fine || size >= 0 && n != size {
-				return 0, false, false, false
+		case equalFold(first.name, "Content-Length"):
+			size, ok := parseDigits(first.value)
+			if !ok || f.size >= 0 && size != f.size {
+				return framing{}, false
 			}
-			size = n
-		case equalFold(name, "Transfer-Encoding"):
-			if chunked || !equalFold(value, "chunked") {
-				return 0, false, false, false
+			f.size = size
+		case equalFold(first.name, "Transfer-Encoding"):
+			if f.chunked || !equalFold(first.value, "chunked") {
+				return framing{}, false
 			}
-			chunked = true
-		case equalFold(name, "Connection"):
-			closing = closing || hasToken(value, "close")
+			f.chunked = true
+		case equalFold(first.name, "Connection"):
+			f.closing = f.closing || hasToken(first.value, "close")
 		}
 	}
-	// Both at once is how a request is smuggled past one of two readers.
-	return size, chunked, closing, !chunked || size < 0
+	// Both at once is how requests are smuggled past one of two parsers.
+	return f, !f.chunked || f.size < 0
 }
 
-// parseDigits reads a number that is written in digits alone.
-func parseDigits(b []byte) (int, bool) {
-	n := 0
+// maxParsed keeps parseDigits from overflowing.
+const maxParsed = 1 << 40
+
+// parseDigits reads a number written in decimal digits alone.
+func parseDigits(b []byte) (n int, ok bool) {
 	for _, c := range b {
-		if c < '0' || c > '9' || n > 1<<40 {
+		if c < '0' || c > '9' || n > maxParsed {
 			return 0, false
 		}
 		n = 10*n + int(c-'0')
 	}
 	return n, len(b) > 0
 }
-
-// measureChunks measures a chunked body: n bytes in all, size of them the body. n is 0 while it is not whole.
-func measureChunks(b []byte, most int) (n, size int, ok bool) {
-	for {
-		if n > maxChunkOverhead*most {
-			return 0, most + 1, false
-		}
-		part, at, ok := parseChunkSize(b[n:])
-		if !ok || size+part > most {
-			return 0, size + part, false
-		}
-		if at == 0 {
-			return 0, size, true
-		}
-		n += at
-		if part == 0 {
-			break
-		}
-		if len(b) < n+part+2 {
-			return 0, size + part, true
-		}
-		if b[n+part] != '\r' || b[n+part+1] != '\n' {
-			return 0, size, false
-		}
-		n, size = n+part+2, size+part
-	}
-	for { // trailers, which nothing here reads
-		end := bytes.Index(b[n:], emptyLine[:2])
-		switch {
-		case end < 0:
-			return 0, size, len(b)-n <= maxHead
-		case end == 0:
-			return n + 2, size, true
-		}
-		n += end + 2
-	}
-}
-
-// parseChunkSize reads the line before a chunk; n is its length, 0 while it is not whole.
-func parseChunkSize(b []byte) (size, n int, ok bool) {
-	end := bytes.Index(b, emptyLine[:2])
-	if end < 0 {
-		return 0, 0, len(b) <= 256
-	}
-	digits, extension, _ := bytes.Cut(b[:end], []byte{';'})
-	digits = bytes.Trim(digits, " \t")
-	if len(digits) == 0 || len(digits) > 8 || end > 256 || bytes.ContainsAny(extension, "\r\n") {
-		return 0, 0, false
-	}
-	for _, c := range digits {
-		switch {
-		case '0' <= c && c <= '9':
-			c -= '0'
-		case 'a' <= c && c <= 'f':
-			c -= 'a' - 10
-		case 'A' <= c && c <= 'F':
-			c -= 'A' - 10
-		default:
-			return 0, 0, false
-		}
-		size = size<<4 + int(c)
-	}
-	return size, end + 2, true
-}
-
-// joinChunks moves the parts of a whole chunked body together, at its front.
-func joinChunks(b []byte) []byte {
-	to, at := 0, 0
-	for {
-		part, n, _ := parseChunkSize(b[at:])
-		if part == 0 {
-			return b[:to]
-		}
-		at += n
-		to += copy(b[to:], b[at:at+part])
-		at += part + 2
-	}
-}
--- a/internal/httpproxy/limits.go
+++ b/internal/httpproxy/limits.go
@@ -2,23 +2,24 @@
 
 import "pepperlead/policy"
 
-// Share has the process keep to its part of the limits while it is one of so many that are one instance. Any goroutine may call it.
-func (s *Proxy) Share(processes int) {
-	s.processes.Store(int64(processes))
-	s.Signal()
+// Share has the process keep to its share of the limits while it is one of so many processes of the instance. Any
+// goroutine may call it.
+func (p *Proxy) Share(processes int) {
+	p.processes.Store(int64(processes))
+	p.Signal()
 }
 
-// applyShare goes over to the part that holds now. Connections beyond it go as any that are too many.
-func (s *Proxy) applyShare(now policy.Time) {
-	n := int(s.processes.Load())
-	if n == s.sharedBy {
+// applyShare applies a new share of the limits. Excess connections are closed as they become idle.
+func (p *Proxy) applyShare(now policy.Time) {
+	processes := int(p.processes.Load())
+	if processes == p.sharedBy {
 		return
 	}
-	s.sharedBy = n
-	s.conns.SetLimits(s.config.Descriptors-s.config.ReservedDescriptors, n)
-	s.buffers.SetLimit(s.config.MessageMemory / n)
-	s.sockets.maxClients.Store(int64(s.conns.AcceptLimit))
-	s.sockets.signalRoom()
-	s.makeRoom(now)
-	s.Logger.WithField("processes", n).Info("handover: the limits are shared by so many processes")
+	p.sharedBy = processes
+	p.conns.SetLimits(p.config.Descriptors-p.config.ReservedDescriptors, processes)
+	p.buffers.SetLimit(p.config.MessageMemory / processes)
+	p.sockets.maxClients.Store(int64(p.conns.AcceptLimit))
+	p.sockets.signalRoom()
+	p.makeRoom(now)
+	p.Logger.WithField("processes", processes).Info("handover: the limits are shared by so many processes")
 }
--- a/internal/httpproxy/listener.go
+++ b/internal/httpproxy/listener.go
@@ -10,58 +10,60 @@
 	"golang.org/x/sys/unix"
 )
 
-// clientListener lets clients in while there is room. One accepted without would have to be closed at once, and with it the request
-// that it may have sent; outside, it waits for as long as the queue of the kernel lasts. Where other processes listen on the same
-// queue, what this one does not take is theirs.
+// clientListener accepts clients while there is room. A client accepted without room would have to be closed at once,
+// and its request with it; otherwise it waits in the kernel's queue. Where other processes listen on the same queue,
+// they accept what this one does not.
 type clientListener struct {
 	net.Listener
-	sockets *sockets
-	opened  chan struct{} // closed once clients may come in
-	closed  chan struct{} // closed once none may any more
-	once    sync.Once
-	stopped atomic.Bool // whoever takes clients from the queue knows that, and has told the loop of all that it took
+	sockets   *sockets
+	opened    chan struct{} // closed once clients may be accepted
+	closed    chan struct{} // closed once no more may be accepted
+	closeOnce sync.Once
+	stopped   atomic.Bool // the acceptor has seen the close and posted all that it accepted
 }
 
-func (g *clientListener) Accept() (net.Conn, error) {
+// Accept waits for room and then for a client.
+func (l *clientListener) Accept() (net.Conn, error) {
 	select {
-	case <-g.opened:
-	case <-g.closed:
+	case <-l.opened:
+	case <-l.closed:
 	}
-	for g.sockets.clients.Load() >= g.sockets.maxClients.Load() {
+	for l.sockets.clients.Load() >= l.sockets.maxClients.Load() {
 		select {
-		case <-g.sockets.roomFreed:
-		case <-g.closed:
+		case <-l.sockets.roomFreed:
+		case <-l.closed:
 			return nil, net.ErrClosed
 		}
 	}
-	return g.Listener.Accept()
+	return l.Listener.Accept()
 }
 
-// hasPending tells whether somebody waits in the kernel to be accepted.
-func (g *clientListener) hasPending() (is bool) {
-	l, ok := g.Listener.(*net.TCPListener)
+// hasPending reports whether a client waits in the kernel's queue.
+func (l *clientListener) hasPending() bool {
+	tcp, ok := l.Listener.(*net.TCPListener)
 	if !ok {
 		return false
 	}
-	raw, err := l.SyscallConn()
+	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return false
 	}
-	raw.Control(func(fd uintptr) {
-		of := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
-		n, err := unix.Poll(of, 0)
-		is = err == nil && n > 0 && of[0].Revents == unix.POLLIN
+	pending := false
+	err = raw.Control(func(fd uintptr) {
+		polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
+		n, err := unix.Poll(polled, 0)
+		pending = err == nil && n > 0 && polled[0].Revents == unix.POLLIN
 	})
-	return is
+	return err == nil && pending
 }
 
-// Close leaves the queue; a listener that others have too is not shut down by it.
-func (g *clientListener) Close() error {
-	g.once.Do(func() { close(g.closed) })
-	return g.Listener.Close()
+// Close closes this process's listener. One that is shared with other processes is not shut down by it.
+func (l *clientListener) Close() error {
+	l.closeOnce.Do(func() { close(l.closed) })
+	return l.Listener.Close()
 }
 
-// openListener opens the address, or takes the listener that the process was started with.
+// openListener listens on the address, or takes the listener that the process has inherited.
 func openListener(network, addr string, inherited int) (net.Listener, error) {
 	if inherited == 0 {
 		return net.Listen(network, addr)
@@ -70,7 +72,7 @@
 	if f == nil {
 		return nil, fmt.Errorf("inherited listener: %d is no descriptor", inherited)
 	}
-	defer f.Close() // FileListener has a duplicate
+	defer func() { _ = f.Close() }() // FileListener has duplicated it
 	l, err := net.FileListener(f)
 	if err != nil {
 		return nil, fmt.Errorf("inherited listener: descriptor %d: %w", inherited, err)
--- a/internal/httpproxy/parse_test.go
+++ b/internal/httpproxy/parse_test.go
@@ -44,24 +44,25 @@
 		r := rand.New(rand.NewSource(seed))
 		body, rest := message(r)
 		request := append([]byte("POST /step/a?b=1 HTTP/1.1\r\n"), rest...)
-		answer := append([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n"), rest...)
+		response := append([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n"), rest...)
 		for i := range request {
-			if n, _, _, fault := parseRequest(bytes.Clone(request[:i]), maxBody); n != 0 || fault != 0 {
+			if got, status := parseRequest(bytes.Clone(request[:i]), maxBody); got.length != 0 || status != 0 {
 				return false
 			}
 		}
-		for i := range answer {
-			if n, _, _, _, _, ok := parseResponse(bytes.Clone(answer[:i]), false, false, maxBody); n != 0 || !ok {
+		for i := range response {
+			if got, ok := parseResponse(bytes.Clone(response[:i]), false, false, maxBody); got.length != 0 || !ok {
 				return false
 			}
-			if n, _, _, _, _, ok := parseResponse(bytes.Clone(answer[:i]), true, false, maxBody); n != 0 || ok {
-				return false // broken off is never whole
+			if got, ok := parseResponse(bytes.Clone(response[:i]), true, false, maxBody); got.length != 0 || ok {
+				return false // a truncated response is never complete
 			}
 		}
-		n, a, got, fault := parseRequest(append(bytes.Clone(request), "GET"...), maxBody)
-		m, status, _, back, stays, ok := parseResponse(append(bytes.Clone(answer), '!'), false, false, maxBody)
-		return n == len(request) && string(a.method) == "POST" && string(a.target) == "/step/a?b=1" && !a.closeAfter && fault == 0 &&
-			bytes.Equal(got, body) && m == len(answer) && status == 200 && bytes.Equal(back, body) && stays && ok
+		asked, status := parseRequest(append(bytes.Clone(request), "GET"...), maxBody)
+		answered, ok := parseResponse(append(bytes.Clone(response), '!'), false, false, maxBody)
+		return asked.length == len(request) && string(asked.method) == "POST" && string(asked.target) == "/step/a?b=1" &&
+			!asked.closeAfter && status == 0 && bytes.Equal(asked.body, body) && answered.length == len(response) &&
+			answered.status == 200 && bytes.Equal(answered.body, body) && answered.reusable && ok
 	})
 }
 
@@ -101,8 +102,8 @@
 		"G@T / HTTP/1.1\r\nHost: a\r\n\r\n":   400,
 		"GET /\x7f HTTP/1.1\r\nHost: a\r\n\r": 0, // not whole: told once it is
 	} {
-		if _, _, _, fault := parseRequest([]byte(in), maxBody); fault != want {
-			t.Errorf("%.80q: fault %d, want %d", in, fault, want)
+		if _, status := parseRequest([]byte(in), maxBody); status != want {
+			t.Errorf("%.80q: status %d, want %d", in, status, want)
 		}
 	}
 }
@@ -129,16 +130,17 @@
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n0\r\n\r":                    policy.ConnectionLost,
 	} {
 		got := policy.ConnectionLost
-		if n, status, head, _, _, ok := parseResponse([]byte(in), false, false, maxBody); ok && n > 0 {
-			got = outcomeOf(status, head)
+		if response, ok := parseResponse([]byte(in), false, false, maxBody); ok && response.length > 0 {
+			got = outcomeOf(response.status, response.headers)
 		}
 		if got != want {
 			t.Errorf("%.80q: %d, want %d", in, got, want)
 		}
 	}
-	n, _, _, body, stays, ok := parseResponse([]byte("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nto the end"), true, false, maxBody)
-	if n == 0 || string(body) != "to the end" || stays || !ok {
-		t.Errorf("a body that ends with the connection: %d %q %v %v", n, body, stays, ok)
+	in := "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nto the end"
+	response, ok := parseResponse([]byte(in), true, false, maxBody)
+	if response.length == 0 || string(response.body) != "to the end" || response.reusable || !ok {
+		t.Errorf("a body that ends with the connection: %+v %v", response, ok)
 	}
 }
 
@@ -150,7 +152,7 @@
 		"HTTP/1.1 " + strings.Repeat("2", 300), strings.Repeat("HTTP/1.1 102 P\r\n\r\n", maxHead/18+1),
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1;"+strings.Repeat("x", 99)+"\r\na\r\n", 6000),
 		"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: pppppppppppp\r\n", maxHead/21+1)} {
-		if _, _, _, _, _, ok := parseResponse([]byte(in), false, false, maxBody); ok {
+		if _, ok := parseResponse([]byte(in), false, false, maxBody); ok {
 			t.Errorf("%.80q: more is waited for", in)
 		}
 	}
@@ -183,32 +185,36 @@
 	}
 }
 
-func FuzzCutRequest(f *testing.F) {
+func FuzzParseRequest(f *testing.F) {
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		whole := bytes.Clone(in)
-		n, a, body, fault := parseRequest(in, maxBody)
-		if n > len(in) || n > 0 && fault != 0 || len(body) > maxBody {
-			t.Fatalf("%d of %d, fault %d, body %d", n, len(in), fault, len(body))
+		original := bytes.Clone(in)
+		request, status := parseRequest(in, maxBody)
+		if request.length > len(in) || request.length > 0 && status != 0 || len(request.body) > maxBody {
+			t.Fatalf("%d of %d, status %d, body %d", request.length, len(in), status, len(request.body))
 		}
-		if n == 0 {
+		if request.length == 0 {
 			return
 		}
-		// What goes on to an endpoint must be read there as one request with the same body.
-		out := append(appendRequestHead(nil, a.method, a.target, a.headers, len(body), policy.Second), body...)
-		m, again, same, fault := parseRequest(append(out, whole[n:]...), maxBody)
-		if fault != 0 || (m != len(out) || !bytes.Equal(same, body) || !bytes.Equal(again.target, a.target)) {
-			t.Fatalf("%q went on as %q", whole, out)
+		// What is forwarded to an endpoint must be read there as one request with the same body.
+		size := len(request.body)
+		out := appendRequestHead(nil, request.method, request.target, request.headers, size, policy.Second)
+		out = append(out, request.body...)
+		again, status := parseRequest(append(out, original[request.length:]...), maxBody)
+		if status != 0 || (again.length != len(out) || !bytes.Equal(again.body, request.body) ||
+			!bytes.Equal(again.target, request.target)) {
+			t.Fatalf("%q was forwarded as %q", original, out)
 		}
 	})
 }
 
-func FuzzCutAnswer(f *testing.F) {
+func FuzzParseResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"), false)
-	f.Fuzz(func(t *testing.T, in []byte, over bool) {
-		n, status, _, body, _, ok := parseResponse(in, over, false, maxBody)
-		if n > len(in) || n > 0 && !ok || status == 200 && len(body) > maxBody {
-			t.Fatalf("%d of %d, %v, body %d", n, len(in), ok, len(body))
+	f.Fuzz(func(t *testing.T, in []byte, ended bool) {
+		response, ok := parseResponse(in, ended, false, maxBody)
+		if response.length > len(in) || response.length > 0 && !ok ||
+			response.status == 200 && len(response.body) > maxBody {
+			t.Fatalf("%d of %d, %v, body %d", response.length, len(in), ok, len(response.body))
 		}
 	})
 }
--- a/internal/httpproxy/proxy_test.go
+++ b/internal/httpproxy/proxy_test.go
@@ -263,7 +263,7 @@
 	server, pushes := connect(connstate.EndpointSide)
 	for _, one := range s.Endpoints {
 		server.Endpoint = s.endpointConns(one)
-		s.keepIdle(1, server)
+		s.returnIdle(1, server)
 	}
 	request := []byte("GET /step/a HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Route-Key: k\r\nX-Timeout: 1\r\n\r\n")
 	answer := []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
@@ -305,7 +305,7 @@
 		for _, one := range s.Endpoints {
 			c.Endpoint, c.Used = s.endpointConns(one), true
 		}
-		s.keepIdle(now+policy.Time(i)*policy.Millisecond, c)
+		s.returnIdle(now+policy.Time(i)*policy.Millisecond, c)
 		idle, all = append(idle, k), append(all, c)
 	}
 	idle[2].noisy = true
@@ -336,7 +336,7 @@
 		client.Timer.Run = func(now policy.Time) { s.clientTimerDue(now, client) }
 		for _, one := range s.Endpoints {
 			server.Endpoint, server.Generation = s.endpointConns(one), one.Generation // dialled to it as it stands now
-			s.keepIdle(now, server)
+			s.returnIdle(now, server)
 			break
 		}
 		for range 6 {
--- a/internal/httpproxy/reconfigure.go
+++ b/internal/httpproxy/reconfigure.go
@@ -7,28 +7,38 @@
 	"pepperlead/policy"
 )
 
-// reconfigure goes over to a new configuration. Requests, connections and all that is known of endpoints stay.
-func (s *Proxy) reconfigure(post Config) {
-	var late []string // takes a new start
-	keep := func(name string, same bool) {
-		if !same {
-			late = append(late, name)
-		}
+// reconfigure applies a new configuration. Requests, connections and what is known of endpoints stay. Settings that
+// take effect only after a restart are logged.
+func (p *Proxy) reconfigure(config Config) {
+	var afterRestart []string
+	if config.Listen != p.config.Listen {
+		afterRestart = append(afterRestart, "listen")
 	}
-	keep("listen", post.Listen == s.config.Listen)
-	keep("limits", post.Descriptors == s.config.Descriptors && post.MessageMemory == s.config.MessageMemory)
-	if post.DefaultClass != s.config.DefaultClass {
-		post.Settings = &policy.Settings{} // of another shape: who names nothing would get another class under a request in hand
+	if config.Descriptors != p.config.Descriptors || config.MessageMemory != p.config.MessageMemory {
+		afterRestart = append(afterRestart, "limits")
 	}
-	alike := s.Reconfigure(engine.Config{Settings: post.Settings, Source: post.Source, ShutdownTime: post.ShutdownTime})
-	keep("settings", alike)
-	if alike {
-		s.config.Deadlines, s.config.Anonymous = post.Deadlines, post.Anonymous
+	if config.DefaultClass != p.config.DefaultClass {
+		// Requests in flight that name no class would get another one: such settings do not fit.
+		config.Settings = &policy.Settings{}
 	}
-	s.config.Source, s.config.ConnectTimeout, s.config.IdleTimeout, s.config.AcceptTime = post.Source, post.ConnectTimeout, post.IdleTimeout, post.AcceptTime
-	log := s.Logger.WithField("servers", post.Source.Name())
-	if len(late) > 0 {
-		log = log.WithField("from the next start on", strings.Join(late, " "))
+	applied := p.Reconfigure(engine.Config{
+		Settings:     config.Settings,
+		Source:       config.Source,
+		ShutdownTime: config.ShutdownTime,
+	})
+	if applied {
+		p.config.Deadlines = config.Deadlines
+		p.config.Anonymous = config.Anonymous
+	} else {
+		afterRestart = append(afterRestart, "settings")
+	}
+	p.config.Source = config.Source
+	p.config.ConnectTimeout = config.ConnectTimeout
+	p.config.IdleTimeout = config.IdleTimeout
+	p.config.AcceptTime = config.AcceptTime
+	log := p.Logger.WithField("servers", config.Source.Name())
+	if len(afterRestart) > 0 {
+		log = log.WithField("from the next start on", strings.Join(afterRestart, " "))
 	}
 	log.Info("new configuration")
 }
--- a/internal/httpproxy/reports.go
+++ b/internal/httpproxy/reports.go
@@ -7,63 +7,78 @@
 	"pepperlead/internal/connstate"
 )
 
-// eachFigure hands over the counters, and what is held now.
-func (s *Proxy) eachFigure(line func(name string, n int64, rises bool)) {
-	s.Counters.Each(func(name string, n int64) { line(name, n, true) })
+// figure is a counter or a gauge of the instance.
+type figure struct {
+	name    string
+	value   int64
+	counter bool // it only rises
+}
+
+// figures returns the counters and the gauges, in the order of the reports.
+func (p *Proxy) figures() []figure {
+	var all []figure
+	p.Counters.Each(func(name string, value int64) { all = append(all, figure{name, value, true}) })
 	refused := int64(0)
-	if _, why := s.ListStatus(); why != "" {
+	if _, why := p.ListStatus(); why != "" {
 		refused = 1
 	}
-	decides := s.Module.Gauges()
-	for _, g := range []struct {
-		name string
-		n    int64
-	}{{"tickets_in_hand", int64(s.InFlight)}, {"client_connections_open", int64(s.conns.Count(connstate.ClientSide))},
-		{"server_connections_open", int64(s.conns.Count(connstate.EndpointSide))}, {"buffer_bytes_lent", int64(s.buffers.Lent())},
-		{"timers_set", int64(s.Timers.Len())}, {"servers_known", int64(len(s.Endpoints))}, {"list_refused", refused},
-		{"pushes_out", int64(decides.InFlight)}, {"tickets_waiting", int64(decides.Waiting)}, {"servers_aside", int64(decides.Ejected)},
-		{"pace", int64(decides.TotalLimit)}, {"limit_of_a_server", int64(decides.Limit)}, {"lateness_percent", int64(100 * decides.Lateness)}} {
-		line(g.name, g.n, false)
+	module := p.Module.Gauges()
+	gauges := []struct {
+		name  string
+		value int64
+	}{
+		{"tickets_in_hand", int64(p.InFlight)},
+		{"client_connections_open", int64(p.conns.Count(connstate.ClientSide))},
+		{"server_connections_open", int64(p.conns.Count(connstate.EndpointSide))},
+		{"buffer_bytes_lent", int64(p.buffers.Lent())},
+		{"timers_set", int64(p.Timers.Len())},
+		{"servers_known", int64(len(p.Endpoints))},
+		{"list_refused", refused},
+		{"pushes_out", int64(module.InFlight)},
+		{"tickets_waiting", int64(module.Waiting)},
+		{"servers_aside", int64(module.Ejected)},
+		{"pace", int64(module.TotalLimit)},
+		{"limit_of_a_server", int64(module.Limit)},
+		{"lateness_percent", int64(100 * module.Lateness)},
+	}
+	for _, gauge := range gauges {
+		all = append(all, figure{gauge.name, gauge.value, false})
 	}
+	return all
 }
 
-func (s *Proxy) report() string {
+// report returns the figures, a line each.
+func (p *Proxy) report() string {
 	var b strings.Builder
-	s.eachFigure(func(name string, n int64, _ bool) { fmt.Fprintf(&b, "%s %d\n", name, n) })
+	for _, f := range p.figures() {
+		fmt.Fprintf(&b, "%s %d\n", f.name, f.value)
+	}
 	return b.String()
 }
 
-// ---- for other goroutines ----
-
-// Report is the counters, and what is held now, a line each; also once the instance has ended.
-func (s *Proxy) Report() (report string) {
-	if !s.RunOnLoop(func() { report = s.report() }) {
-		report = s.report()
+// Report returns the counters and gauges, a line each, also once the instance has ended. Any goroutine may call it.
+func (p *Proxy) Report() (report string) {
+	if !p.RunOnLoop(func() { report = p.report() }) {
+		report = p.report()
 	}
 	return report
 }
 
-// ServersReport is the list as it stands.
-func (s *Proxy) ServersReport() (report string) {
-	s.RunOnLoop(func() { report = s.endpointList() })
+// ServersReport returns the current list of endpoints. Any goroutine may call it.
+func (p *Proxy) ServersReport() (report string) {
+	p.RunOnLoop(func() { report = p.endpointList() })
 	return report
 }
 
-// Ready tells whether this process can serve: it listens, a list of endpoints is known, and it is not about to end.
-func (s *Proxy) Ready() bool { return s.serving.Load() && s.Tally.HasList.Load() }
+// Ready reports whether this process can serve: it listens, has a list of endpoints and is not shutting down. Any
+// goroutine may call it.
+func (p *Proxy) Ready() bool { return p.serving.Load() && p.Tally.HasList.Load() }
 
-// EachMetric hands over each counter, and each figure that goes up and down.
-func (s *Proxy) EachMetric(each func(name string, value float64, rises bool)) {
-	type figure struct {
-		name  string
-		n     int64
-		rises bool
-	}
+// EachMetric calls each for every counter, which rises only, and every gauge. Any goroutine may call it.
+func (p *Proxy) EachMetric(each func(name string, value float64, rises bool)) {
 	var all []figure
-	s.RunOnLoop(func() {
-		s.eachFigure(func(name string, n int64, rises bool) { all = append(all, figure{name, n, rises}) })
-	})
+	p.RunOnLoop(func() { all = p.figures() })
 	for _, f := range all {
-		each(f.name, float64(f.n), f.rises)
+		each(f.name, float64(f.value), f.counter)
 	}
 }
--- a/internal/httpproxy/request.go
+++ b/internal/httpproxy/request.go
@@ -2,161 +2,212 @@
 
 import (
 	"bytes"
+	"net/http"
 	"strconv"
 
 	"pepperlead/policy"
 )
 
+// Headers with a meaning of their own.
+const (
+	headerRequestID      = "X-Request-ID"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerClass          = "X-Priority-Class"
+	headerTenant         = "X-Tenant-Id"
+	headerRouteKey       = "X-Route-Key"
+	headerRetried        = "X-Retried"
+	headerTimeout        = "X-Timeout"
+	headerNotProcessed   = "X-Not-Processed"
+)
+
+// maxMethod is how many bytes of a method are waited for.
+const maxMethod = 32
+
+// maxSeconds is the longest timeout in seconds, exclusive.
+const maxSeconds = 1e6
+
 // requestHead is what the head of a request says.
 type requestHead struct {
-	bodyStart  int // where its body begins; 0: it is not whole
+	bodyStart  int // offset of the body; 0: the head is incomplete
 	method     []byte
 	target     []byte
 	headers    []byte
-	bodySize   int // of the body; -1: not told
+	bodySize   int // -1: unknown
 	chunked    bool
-	http10     bool // HTTP/1.0
-	closeAfter bool // the connection is to end after the answer
+	http10     bool
+	closeAfter bool // the connection is closed after the response
 }
 
-// parseRequestHead reads the head at the front of b; fault is the status of the answer where it is none that can be served.
-func parseRequestHead(b []byte) (a requestHead, fault int) {
-	first, head, at := splitHead(b)
+// parseRequestHead reads the head at the front of b. A request that cannot be served has the status of its response,
+// others have 0.
+func parseRequestHead(b []byte) (head requestHead, status int) {
+	raw := splitHead(b)
 	switch {
-	case at == 0 && len(b) > maxHead || at > maxHead:
-		return a, 431
-	case at == 0 && !mayBeRequest(b):
-		return a, 400
-	case at == 0:
-		return a, 0
-	}
-	method, rest, ok := bytes.Cut(first, []byte{' '})
-	target, version, ok2 := bytes.Cut(rest, []byte{' '})
-	target = originForm(target)
-	if !ok || !ok2 || len(target) == 0 || target[0] != '/' || !noControlBytes(target) || bytes.ContainsAny(target, "\t") {
-		return a, 400
+	case raw.length == 0 && len(b) > maxHead || raw.length > maxHead:
+		return head, http.StatusRequestHeaderFieldsTooLarge
+	case raw.length == 0 && !mayBeRequest(b):
+		return head, http.StatusBadRequest
+	case raw.length == 0:
+		return head, 0
 	}
-	for _, c := range method {
-		if !tokenByte[c] {
-			return a, 400
-		}
+	head, ok := parseRequestLine(raw.firstLine)
+	if !ok {
+		return head, http.StatusBadRequest
 	}
-	a = requestHead{bodyStart: at, method: method, target: target, headers: head, http10: string(version) == "HTTP/1.0"}
-	size, chunked, closing, ok := parseFraming(head, true)
-	if !ok || !a.http10 && string(version) != "HTTP/1.1" || len(method) == 0 || a.http10 && chunked || headerValue(head, "Host") == nil {
-		return a, 400
+	body, ok := parseFraming(raw.headers, true)
+	if !ok || head.http10 && body.chunked || headerValue(raw.headers, "Host") == nil {
+		return head, http.StatusBadRequest
 	}
-	a.chunked, a.closeAfter = chunked, a.http10 || closing
-	if a.bodySize = max(0, size); chunked {
-		a.bodySize = -1
+	head.bodyStart = raw.length
+	head.headers = raw.headers
+	head.chunked = body.chunked
+	head.closeAfter = head.http10 || body.closing
+	head.bodySize = max(0, body.size)
+	if body.chunked {
+		head.bodySize = -1
 	}
-	return a, 0
+	return head, 0
 }
 
-// originForm is the target without the scheme and authority that an absolute form has before it.
+// parseRequestLine reads the first line of a request.
+func parseRequestLine(line []byte) (head requestHead, ok bool) {
+	method, rest, ok := bytes.Cut(line, []byte{' '})
+	if !ok || len(method) == 0 || !isToken(method) {
+		return head, false
+	}
+	target, version, ok := bytes.Cut(rest, []byte{' '})
+	target = originForm(target)
+	if !ok || len(target) == 0 || target[0] != '/' || !noControlBytes(target) || bytes.ContainsAny(target, "\t") {
+		return head, false
+	}
+	http10 := string(version) == "HTTP/1.0"
+	if !http10 && string(version) != "HTTP/1.1" {
+		return head, false
+	}
+	return requestHead{method: method, target: target, http10: http10}, true
+}
+
+var rootPath = []byte("/")
+
+// originForm returns the target without the scheme and authority of the absolute form.
 func originForm(target []byte) []byte {
-	if len(target) < 8 || !equalFold(target[:7], "http://") {
+	const scheme = "http://"
+	if len(target) <= len(scheme) || !equalFold(target[:len(scheme)], scheme) {
 		return target
 	}
-	at := bytes.IndexAny(target[7:], "/?#")
-	if at < 0 {
-		return slash
+	path := bytes.IndexAny(target[len(scheme):], "/?#")
+	if path < 0 {
+		return rootPath
 	}
-	return target[7+at:]
+	return target[len(scheme)+path:]
 }
 
-var slash = []byte("/")
+// parsedRequest is a request that has been read with its body.
+type parsedRequest struct {
+	requestHead
+	length int // of the message; 0: it is incomplete
+	body   []byte
+}
 
-// parseRequest takes one request off the front of b. n is its length, 0 while it is not whole; fault is the status of
-// the answer where it is none that can be served, 413 where its body holds more than most.
-func parseRequest(b []byte, most int) (n int, a requestHead, body []byte, fault int) {
-	a, fault = parseRequestHead(b)
+// parseRequest reads the request at the front of b. A request that cannot be served has the status of its response,
+// which is 413 for a body over maxSize; others have 0.
+func parseRequest(b []byte, maxSize int) (request parsedRequest, status int) {
+	head, status := parseRequestHead(b)
+	request.requestHead = head
 	switch {
-	case fault != 0 || a.bodyStart == 0:
-		return 0, a, nil, fault
-	case a.bodySize > most:
-		return 0, a, nil, 413
-	case a.chunked:
-		used, size, ok := measureChunks(b[a.bodyStart:], most)
+	case status != 0 || head.bodyStart == 0:
+		return request, status
+	case head.bodySize > maxSize:
+		return request, http.StatusRequestEntityTooLarge
+	case head.chunked:
+		extent, ok := measureChunks(b[head.bodyStart:], maxSize)
 		switch {
-		case size > most:
-			return 0, a, nil, 413
+		case extent.size > maxSize:
+			return request, http.StatusRequestEntityTooLarge
 		case !ok:
-			return 0, a, nil, 400
-		case used == 0:
-			return 0, a, nil, 0
+			return request, http.StatusBadRequest
+		case extent.length == 0:
+			return request, 0
 		}
-		return a.bodyStart + used, a, joinChunks(b[a.bodyStart : a.bodyStart+used]), 0
-	case len(b) < a.bodyStart+a.bodySize:
-		return 0, a, nil, 0
+		request.length = head.bodyStart + extent.length
+		request.body = joinChunks(b[head.bodyStart:request.length])
+		return request, 0
+	case len(b) < head.bodyStart+head.bodySize:
+		return request, 0
 	}
-	return a.bodyStart + a.bodySize, a, b[a.bodyStart : a.bodyStart+a.bodySize], 0
+	request.length = head.bodyStart + head.bodySize
+	request.body = b[head.bodyStart:request.length]
+	return request, 0
 }
 
-// mayBeRequest tells whether these bytes may become a request, so that other things are not waited for.
+// mayBeRequest reports whether these bytes may become a request, so that nothing else is waited for.
 func mayBeRequest(b []byte) bool {
 	for i, c := range b {
 		if c == ' ' {
 			return i > 0
 		}
-		if !tokenByte[c] || i > 32 {
+		if !tokenByte[c] || i > maxMethod {
 			return false
 		}
 	}
 	return true
 }
 
-// expectsContinue tells whether the client waits to be asked for the body.
+// expectsContinue reports whether the client waits for 100 Continue before it sends the body.
 func expectsContinue(b []byte) bool {
-	_, head, at := splitHead(b)
-	return at > 0 && equalFold(headerValue(head, "Expect"), "100-continue")
+	head := splitHead(b)
+	return head.length > 0 && equalFold(headerValue(head.headers, "Expect"), "100-continue")
 }
 
-// className is the class that a request names: its header, or else the first part of the path.
-func className(target, head []byte) []byte {
-	if v := headerValue(head, "X-Priority-Class"); v != nil {
-		return v
+// className returns the class that a request names, in its header or else as the first part of its path.
+func className(target, headers []byte) []byte {
+	if name := headerValue(headers, headerClass); name != nil {
+		return name
 	}
 	path, _, _ := bytes.Cut(target[1:], []byte{'?'})
-	path, _, _ = bytes.Cut(path, []byte{'/'})
-	return path
+	name, _, _ := bytes.Cut(path, []byte{'/'})
+	return name
 }
 
-// parseSeconds reads a span of time, written in digits with or without a point.
-func parseSeconds(b []byte) (policy.Time, bool) {
+// parseSeconds reads a duration in seconds, written in digits with or without a point.
+func parseSeconds(b []byte) (duration policy.Time, ok bool) {
 	for _, c := range b {
 		if c != '.' && (c < '0' || c > '9') {
 			return 0, false
 		}
 	}
-	s, err := strconv.ParseFloat(asString(b), 64)
-	if err != nil || !(s >= 0 && s < 1e6) {
+	seconds, err := strconv.ParseFloat(asString(b), 64)
+	if err != nil || !(seconds >= 0 && seconds < maxSeconds) {
 		return 0, false
 	}
-	return policy.Time(s * float64(policy.Second)), true
+	return policy.Time(seconds * float64(policy.Second)), true
 }
 
-// hasAmbiguousID tells whether an endpoint could read another id or key than was read here, or none.
-func hasAmbiguousID(head []byte) bool {
-	dropped := headerValue(head, "Connection")
-	for _, name := range [...]string{"X-Request-ID", "Idempotency-Key"} {
+// hasAmbiguousID reports whether an endpoint could read another id or key than was read here, or none.
+func hasAmbiguousID(headers []byte) bool {
+	dropped := headerValue(headers, "Connection")
+	for _, name := range [...]string{headerRequestID, headerIdempotencyKey} {
 		if hasToken(dropped, name) {
 			return true
 		}
 		seen := false
-		for at := head; len(at) > 0; {
-			var n []byte
-			n, _, at, _ = nextHeader(at)
-			if equalFold(n, name) && seen {
+		for rest := headers; len(rest) > 0; {
+			var next header
+			next, rest, _ = nextHeader(rest)
+			if !equalFold(next.name, name) {
+				continue
+			}
+			if seen {
 				return true
 			}
-			seen = seen || equalFold(n, name)
+			seen = true
 		}
 	}
 	return false
 }
 
-// isHopByHop tells whether a header is for this connection alone, or written anew.
+// isHopByHop reports whether a header is for one connection only, or written anew for each attempt. It goes by the
+// length first, as it is called for every header.
 func isHopByHop(name []byte) bool {
 	switch len(name) {
 	case 2:
@@ -166,7 +217,7 @@
 	case 7:
 		return equalFold(name, "Trailer") || equalFold(name, "Upgrade")
 	case 9:
-		return equalFold(name, "X-Timeout")
+		return equalFold(name, headerTimeout)
 	case 10:
 		return equalFold(name, "Connection") || equalFold(name, "Keep-Alive")
 	case 14:
@@ -179,34 +230,40 @@
 	return false
 }
 
-// appendEndToEnd writes the headers that go on from one side to the other.
-func appendEndToEnd(to, head []byte) []byte {
-	named := headerValue(head, "Connection")
-	for len(head) > 0 {
-		name, value, rest, ok := nextHeader(head)
+// appendEndToEnd appends the headers that are forwarded from one side to the other.
+func appendEndToEnd(to, headers []byte) []byte {
+	dropped := headerValue(headers, "Connection")
+	for len(headers) > 0 {
+		next, rest, ok := nextHeader(headers)
 		if !ok {
 			break
 		}
-		if !isHopByHop(name) && noControlBytes(value) && !hasToken(named, asString(name)) {
-			to = append(append(append(append(to, name...), ": "...), value...), "\r\n"...)
+		if !isHopByHop(next.name) && noControlBytes(next.value) && !hasToken(dropped, asString(next.name)) {
+			to = append(to, next.name...)
+			to = append(to, ": "...)
+			to = append(to, next.value...)
+			to = append(to, lineEnd...)
 		}
-		head = rest
+		headers = rest
 	}
 	return to
 }
 
-// appendRequestHead writes the head of a request as it goes on to an endpoint, which is told how long the answer is waited for. size is that
-// of the body, -1 where it is not known yet.
-func appendRequestHead(to, method, target, head []byte, size int, wait policy.Time) []byte {
-	to = append(append(append(append(to, method...), ' '), target...), " HTTP/1.1\r\n"...)
-	to = appendEndToEnd(to, head)
-	to = append(to, "X-Timeout: "...)
-	to = strconv.AppendFloat(to, max(0, float64(wait)/float64(policy.Second)), 'f', 4, 64)
-	if size < 0 {
+// appendRequestHead appends the head of a request as it goes to an endpoint, with the time for which the response
+// is waited for. A bodySize of -1 is unknown: the body goes in chunks.
+func appendRequestHead(to, method, target, headers []byte, bodySize int, timeout policy.Time) []byte {
+	to = append(to, method...)
+	to = append(to, ' ')
+	to = append(to, target...)
+	to = append(to, " HTTP/1.1\r\n"...)
+	to = appendEndToEnd(to, headers)
+	to = append(to, headerTimeout+": "...)
+	to = strconv.AppendFloat(to, max(0, float64(timeout)/float64(policy.Second)), 'f', 4, 64)
+	if bodySize < 0 {
 		to = append(to, "\r\nTransfer-Encoding: chunked"...)
-	} else if size > 0 || !equalFold(method, "GET") && !equalFold(method, "HEAD") {
+	} else if bodySize > 0 || !equalFold(method, "GET") && !equalFold(method, "HEAD") {
 		to = append(to, "\r\nContent-Length: "...)
-		to = strconv.AppendInt(to, int64(size), 10)
+		to = strconv.AppendInt(to, int64(bodySize), 10)
 	}
-	return append(to, "\r\n\r\n"...)
+	return append(to, emptyLine...)
 }
--- a/internal/httpproxy/response.go
+++ b/internal/httpproxy/response.go
@@ -2,134 +2,199 @@
 
 import (
 	"bytes"
+	"net/http"
 	"strconv"
 
 	"pepperlead/policy"
 )
 
-// parseResponseHead reads the head of an answer, and of those before it that are none yet (1xx). at is where its body begins, 0 while the
-// head is not whole; size -1: not told. over says that nothing more will come, bodiless that the request was one whose answer has no
-// body. stays: the connection can carry more. An answer that cannot be read is not ok, and that is told as soon as it shows: its
-// endpoint may leave the connection open.
-func parseResponseHead(b []byte, over, bodiless bool) (at, status int, head []byte, size int, chunked, stays, ok bool) {
+// maxStatusLine is how many bytes of a status line are waited for.
+const maxStatusLine = 256
+
+// responseHead is what the head of a response says.
+type responseHead struct {
+	bodyStart int // offset of the body; 0: the head is incomplete
+	status    int
+	headers   []byte
+	bodySize  int // -1: unknown
+	chunked   bool
+	reusable  bool // the connection can carry more after the response
+}
+
+// parseResponseHead reads the head of a response and skips interim responses (1xx) before it. ended tells that
+// nothing more comes, and noBody that the response to this request has no body. A response that cannot be read is not
+// ok as soon as that shows: its endpoint may leave the connection open.
+func parseResponseHead(b []byte, ended, noBody bool) (response responseHead, ok bool) {
+	bodyStart := 0
 	for {
-		first, head, n := splitHead(b[at:])
-		if n == 0 {
-			return 0, 0, nil, 0, false, false, !over && len(b)-at <= maxHead && mayBeResponse(b[at:])
+		rest := b[bodyStart:]
+		raw := splitHead(rest)
+		if raw.length == 0 {
+			return responseHead{}, !ended && len(rest) <= maxHead && mayBeResponse(rest)
+		}
+		status, ok := parseStatusLine(raw.firstLine)
+		if !ok {
+			return responseHead{}, false
 		}
-		status, old, ok := parseStatusLine(first)
-		size, chunked, closing, ok2 := parseFraming(head, false)
-		if at += n; !ok || !ok2 || at > maxHead || status == 101 {
-			return 0, 0, nil, 0, false, false, false
+		body, ok := parseFraming(raw.headers, false)
+		bodyStart += raw.length
+		if !ok || bodyStart > maxHead || status.code == http.StatusSwitchingProtocols {
+			return responseHead{}, false
 		}
-		if status/100 == 1 {
+		if status.code/100 == 1 {
 			continue
 		}
-		stays = !old && !closing
-		if bodiless || status == 204 || status == 304 {
-			size, chunked = 0, false
+		if noBody || status.code == http.StatusNoContent || status.code == http.StatusNotModified {
+			body.size = 0
+			body.chunked = false
 		}
-		// One without a length would end with the connection, which must be said to end: else a part could not be told from it.
-		return at, status, head, size, chunked, stays, size >= 0 || chunked || !stays
+		response = responseHead{
+			bodyStart: bodyStart,
+			status:    status.code,
+			headers:   raw.headers,
+			bodySize:  body.size,
+			chunked:   body.chunked,
+			reusable:  !status.http10 && !body.closing,
+		}
+		// A body without a length ends with the connection, and the response must say that it does: otherwise a part of
+		// it could not be told from the complete body.
+		return response, body.size >= 0 || body.chunked || !response.reusable
 	}
 }
 
-// parseResponse takes one answer off the front of b. n is its length, 0 while it is not whole, and most what its body may hold.
-func parseResponse(b []byte, over, bodiless bool, most int) (n, status int, head, body []byte, stays, ok bool) {
-	at, status, head, size, chunked, stays, ok := parseResponseHead(b, over, bodiless)
+// parsedResponse is a response that has been read with its body.
+type parsedResponse struct {
+	length   int // of the message; 0: it is incomplete
+	status   int
+	headers  []byte
+	body     []byte
+	reusable bool // the connection can carry more after the response
+}
+
+// parseResponse reads the response at the front of b, whose body may hold maxSize bytes. The other parameters are those
+// of parseResponseHead.
+func parseResponse(b []byte, ended, noBody bool, maxSize int) (response parsedResponse, ok bool) {
+	head, ok := parseResponseHead(b, ended, noBody)
 	switch {
-	case !ok || at == 0 || size > most:
-		return 0, 0, nil, nil, false, ok && size <= most
-	case chunked:
-		used, _, ok := measureChunks(b[at:], most)
-		if !ok || used == 0 {
-			return 0, 0, nil, nil, false, ok && !over
+	case !ok || head.bodyStart == 0 || head.bodySize > maxSize:
+		return parsedResponse{}, ok && head.bodySize <= maxSize
+	case head.chunked:
+		extent, ok := measureChunks(b[head.bodyStart:], maxSize)
+		if !ok || extent.length == 0 {
+			return parsedResponse{}, ok && !ended
 		}
-		return at + used, status, head, joinChunks(b[at : at+used]), stays, true
-	case size < 0:
-		if !over || len(b)-at > most {
-			return 0, 0, nil, nil, false, len(b)-at <= most
+		end := head.bodyStart + extent.length
+		return head.withBody(end, joinChunks(b[head.bodyStart:end])), true
+	case head.bodySize < 0:
+		fits := len(b)-head.bodyStart <= maxSize
+		if !ended || !fits {
+			return parsedResponse{}, fits
 		}
-		return len(b), status, head, b[at:], false, true
-	case len(b) < at+size:
-		return 0, 0, nil, nil, false, !over
+		return head.withBody(len(b), b[head.bodyStart:]), true
+	case len(b) < head.bodyStart+head.bodySize:
+		return parsedResponse{}, !ended
 	}
-	return at + size, status, head, b[at : at+size], stays, true
+	end := head.bodyStart + head.bodySize
+	return head.withBody(end, b[head.bodyStart:end]), true
 }
 
-// mayBeResponse tells whether the beginning of a head may still become one.
+func (h responseHead) withBody(length int, body []byte) parsedResponse {
+	return parsedResponse{length: length, status: h.status, headers: h.headers, body: body, reusable: h.reusable}
+}
+
+// mayBeResponse reports whether an incomplete head may still become one.
 func mayBeResponse(b []byte) bool {
-	first, head, whole := bytes.Cut(b, emptyLine[:2])
-	if !whole {
-		want := "HTTP/1."[:min(len(b), 7)]
-		return string(b[:len(want)]) == want && len(b) <= 256
+	firstLine, headers, complete := bytes.Cut(b, lineEnd)
+	if !complete {
+		const version = "HTTP/1."
+		want := version[:min(len(b), len(version))]
+		return string(b[:len(want)]) == want && len(b) <= maxStatusLine
 	}
-	_, _, ok := parseStatusLine(first)
-	for ok {
-		at := bytes.Index(head, emptyLine[:2])
-		if at < 0 {
-			break
-		}
-		_, _, head, ok = nextHeader(head)
+	_, ok := parseStatusLine(firstLine)
+	for ok && bytes.Contains(headers, lineEnd) {
+		_, headers, ok = nextHeader(headers)
 	}
 	return ok
 }
 
-// parseStatusLine reads the first line of an answer; old: of a version that keeps no connections.
-func parseStatusLine(first []byte) (status int, old, ok bool) {
-	version, rest, _ := bytes.Cut(first, []byte{' '})
+// statusLine is the first line of a response.
+type statusLine struct {
+	code   int
+	http10 bool // the version keeps no connections
+}
+
+func parseStatusLine(line []byte) (status statusLine, ok bool) {
+	version, rest, _ := bytes.Cut(line, []byte{' '})
 	digits, _, _ := bytes.Cut(rest, []byte{' '})
-	if string(version) != "HTTP/1.1" && string(version) != "HTTP/1.0" || len(digits) != 3 {
-		return 0, false, false
+	http10 := string(version) == "HTTP/1.0"
+	if !http10 && string(version) != "HTTP/1.1" || len(digits) != 3 {
+		return statusLine{}, false
 	}
-	status, ok = parseDigits(digits)
-	return status, string(version) == "HTTP/1.0", ok && status >= 100
+	code, ok := parseDigits(digits)
+	return statusLine{code, http10}, ok && code >= 100
 }
 
-// outcomeOf is what a whole answer means.
-func outcomeOf(status int, head []byte) policy.Outcome {
+// outcomeOf returns the outcome of an attempt that a complete response has ended.
+func outcomeOf(status int, headers []byte) policy.Outcome {
 	switch {
-	case status == 200:
+	case status == http.StatusOK:
 		return policy.Succeeded
-	case (status == 503 || status == 504) && string(headerValue(head, "X-Not-Processed")) == "1":
+	case (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) &&
+		string(headerValue(headers, headerNotProcessed)) == "1":
 		return policy.Rejected
-	case status/100 == 4 && status != 408 && status != 429:
+	case status/100 == 4 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests:
 		return policy.Declined
 	}
 	return policy.Errored
 }
 
-// appendResponseHead writes the head of an answer that passes an endpoint's on; the body follows.
-func appendResponseHead(to []byte, status int, head []byte, size int, last bool) []byte {
-	to = appendEndToEnd(appendStatusLine(to, status), head)
-	return appendLength(to, size, last)
+// appendResponseHead appends the head of an endpoint's response as it goes to the client.
+func appendResponseHead(to []byte, status int, headers []byte, bodySize int, closing bool) []byte {
+	to = appendStatusLine(to, status)
+	to = appendEndToEnd(to, headers)
+	return appendLength(to, bodySize, closing)
 }
 
-func appendLength(to []byte, size int, last bool) []byte {
+// appendLength appends the framing headers and the end of the head.
+func appendLength(to []byte, bodySize int, closing bool) []byte {
 	to = append(to, "Content-Length: "...)
-	to = strconv.AppendInt(to, int64(size), 10)
-	if last {
+	to = strconv.AppendInt(to, int64(bodySize), 10)
+	if closing {
 		to = append(to, "\r\nConnection: close"...)
 	}
-	return append(to, "\r\n\r\n"...)
+	return append(to, emptyLine...)
 }
 
-// appendLocalResponse writes an answer of the instance's own.
-func appendLocalResponse(to []byte, status int, body string, retryIn policy.Time, last bool) []byte {
-	to = append(appendStatusLine(to, status), "Content-Type: text/plain\r\n"...)
-	if retryIn > 0 {
+// appendLocalResponse appends a response that no endpoint made.
+func appendLocalResponse(to []byte, status int, body string, retryAfter policy.Time, closing bool) []byte {
+	to = appendStatusLine(to, status)
+	to = append(to, "Content-Type: text/plain\r\n"...)
+	if retryAfter > 0 {
 		to = append(to, "Retry-After: "...)
-		to = strconv.AppendFloat(to, float64(retryIn)/float64(policy.Second), 'f', 3, 64)
-		to = append(to, "\r\n"...)
+		to = strconv.AppendFloat(to, float64(retryAfter)/float64(policy.Second), 'f', 3, 64)
+		to = append(to, lineEnd...)
 	}
-	return append(appendLength(to, len(body), last), body...)
+	to = appendLength(to, len(body), closing)
+	return append(to, body...)
 }
 
 func appendStatusLine(to []byte, status int) []byte {
 	to = append(to, "HTTP/1.1 "...)
 	to = strconv.AppendInt(to, int64(status), 10)
-	return append(append(append(to, ' '), reasonPhrases[status]...), "\r\n"...)
+	to = append(to, ' ')
+	to = append(to, reasonPhrases[status]...)
+	return append(to, lineEnd...)
 }
 
-var reasonPhrases = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 408: "Request Timeout",
-	409: "Conflict", 413: "Content Too Large", 431: "Request Header Fields Too Large", 502: "Bad Gateway", 503: "Service Unavailable"}
+// reasonPhrases are the phrases of the statuses that the instance sends itself; other responses have none.
+var reasonPhrases = map[int]string{
+	http.StatusOK:                          "OK",
+	http.StatusBadRequest:                  "Bad Request",
+	http.StatusNotFound:                    "Not Found",
+	http.StatusRequestTimeout:              "Request Timeout",
+	http.StatusConflict:                    "Conflict",
+	http.StatusRequestEntityTooLarge:       "Content Too Large",
+	http.StatusRequestHeaderFieldsTooLarge: "Request Header Fields Too Large",
+	http.StatusBadGateway:                  "Bad Gateway",
+	http.StatusServiceUnavailable:          "Service Unavailable",
+}
--- a/internal/httpproxy/responses.go
+++ b/internal/httpproxy/responses.go
@@ -1,68 +1,150 @@
 package httpproxy
 
 import (
+	"net/http"
+
 	"pepperlead/internal/connstate"
 	"pepperlead/internal/engine"
 	"pepperlead/policy"
 )
 
-// detachClient takes the client off a request that is being answered; nil if it has left.
-func (s *Proxy) detachClient(now policy.Time, t *connstate.Request, kind int) *connstate.Conn {
-	c := t.Client
-	t.Client = nil
-	s.requests.Remove(t)
+// Kinds of final answers, as the engine counts them.
+const (
+	answerSucceeded = iota
+	answerDeclined
+	answerRejected
+	answerFailed
+)
+
+// localResponse is a response that no endpoint made.
+type localResponse struct {
+	status     int
+	body       string
+	retryAfter policy.Time // 0: no advice
+}
+
+// detachClient separates the client from a request that is being answered, and returns its connection, nil if it has
+// left.
+func (p *Proxy) detachClient(now policy.Time, r *connstate.Request, answer int) *connstate.Conn {
+	c := r.Client
+	r.Client = nil
+	p.requests.Remove(r)
 	if c == nil || c.Closing {
 		if c != nil {
-			c.Request = nil // the request's place may be another's by the time this connection's end is told
+			c.Request = nil // the request's slot may be reused before the end of this connection is reported
 		}
-		s.Counters.Unsent++
-		s.Unanswered(t.Request)
+		p.Counters.Unsent++
+		p.Unanswered(r.Request)
 		return nil
 	}
-	s.Answered(now, t.Request, kind)
+	p.Answered(now, r.Request, answer)
 	return c
 }
 
-// Succeed passes an endpoint's answer on, also one that declines.
-func (s *Proxy) Succeed(now policy.Time, of *engine.Request) {
-	t, kind := connstate.AsRequest(of), 0
-	if t.Response.Status != 200 {
-		kind = 1
+// detachClientOf detaches the client for an endpoint's response, and counts that as a success or as declined.
+func (p *Proxy) detachClientOf(now policy.Time, r *connstate.Request) *connstate.Conn {
+	answer := answerSucceeded
+	counter := &p.Counters.Succeeded
+	if r.Response.Status != http.StatusOK {
+		answer = answerDeclined
+		counter = &p.Counters.Declined
 	}
-	if c := s.detachClient(now, t, kind); c != nil {
-		last := t.CloseAfter || s.closesAfterResponse()
-		if kind == 0 {
-			s.Counters.Succeeded++
-		} else {
-			// The endpoint cannot use the request. What else its sender has ready is not taken for better.
-			s.Counters.Declined++
-			last = true
-		}
-		s.scratch = appendResponseHead(s.scratch[:0], t.Response.Status, t.Response.Head, len(t.Response.Body), last)
-		if len(t.Response.Body) <= connstate.SmallBuffer {
-			s.scratch = append(s.scratch, t.Response.Body...)
-			s.write(c, s.scratch)
-		} else {
-			s.write(c, s.scratch)
-			s.write(c, t.Response.Body)
-		}
-		s.responseSent(now, c, last)
+	c := p.detachClient(now, r, answer)
+	if c != nil {
+		*counter++
+	}
+	return c
+}
+
+// Succeed forwards an endpoint's response, also one that declines the request.
+func (p *Proxy) Succeed(now policy.Time, request *engine.Request) {
+	r := connstate.AsRequest(request)
+	c := p.detachClientOf(now, r)
+	if c == nil {
+		return
+	}
+	response := &r.Response
+	// After a request that the endpoint cannot use, what else the client has sent is not trusted.
+	closing := r.CloseAfter || p.closesAfterResponse() || response.Status != http.StatusOK
+	p.scratch = appendResponseHead(p.scratch[:0], response.Status, response.Head, len(response.Body), closing)
+	if len(response.Body) <= connstate.SmallBuffer {
+		p.scratch = append(p.scratch, response.Body...)
+		p.write(c, p.scratch)
+	} else {
+		p.write(c, p.scratch)
+		p.write(c, response.Body)
 	}
+	p.responseSent(now, c, closing)
 }
 
-// Reject and Fail answer for the module.
-func (s *Proxy) Reject(now policy.Time, of *engine.Request, retryIn policy.Time) {
-	t := connstate.AsRequest(of)
-	if c := s.detachClient(now, t, 2); c != nil {
-		s.Counters.Rejected++
-		s.respond(now, c, 503, "turned back\n", retryIn, t.CloseAfter)
+// Reject answers a request that the module rejects.
+func (p *Proxy) Reject(now policy.Time, request *engine.Request, retryAfter policy.Time) {
+	r := connstate.AsRequest(request)
+	if c := p.detachClient(now, r, answerRejected); c != nil {
+		p.Counters.Rejected++
+		response := localResponse{http.StatusServiceUnavailable, "turned back\n", retryAfter}
+		p.respond(now, c, response, r.CloseAfter)
 	}
 }
 
-func (s *Proxy) Fail(now policy.Time, of *engine.Request) {
-	t := connstate.AsRequest(of)
-	if c := s.detachClient(now, t, 3); c != nil {
-		s.Counters.Failed++
-		s.respond(now, c, 502, "given up\n", 0, t.CloseAfter)
+// Fail answers a request that the module has failed.
+func (p *Proxy) Fail(now policy.Time, request *engine.Request) {
+	r := connstate.AsRequest(request)
+	if c := p.detachClient(now, r, answerFailed); c != nil {
+		p.Counters.Failed++
+		p.respond(now, c, localResponse{status: http.StatusBadGateway, body: "given up\n"}, r.CloseAfter)
+	}
+}
+
+// rejectForMemory answers a request for which there is no memory.
+func (p *Proxy) rejectForMemory(now policy.Time, c *connstate.Conn) {
+	p.Counters.Overflowed++
+	p.respond(now, c, localResponse{status: http.StatusServiceUnavailable, body: "out of room\n"}, true)
+}
+
+// refuse answers a request that cannot be served, and closes the connection: where the next request begins is unknown.
+func (p *Proxy) refuse(now policy.Time, c *connstate.Conn, refused refusal) {
+	p.Counters.BadRequests++
+	p.respond(now, c, localResponse{status: refused.status, body: refused.text}, true)
+	p.Timers.Set(&c.Timer, now+lingerTime)
+}
+
+// respond sends a response that no endpoint made.
+func (p *Proxy) respond(now policy.Time, c *connstate.Conn, response localResponse, closing bool) {
+	closing = closing || p.closesAfterResponse()
+	p.scratch = appendLocalResponse(p.scratch[:0], response.status, response.body, response.retryAfter, closing)
+	p.write(c, p.scratch)
+	p.responseSent(now, c, closing)
+}
+
+// closesAfterResponse reports whether client connections are closed with their next response. While there are too many,
+// that is the one moment at which no request can be on its way.
+func (p *Proxy) closesAfterResponse() bool {
+	_, shuttingDown := p.ShuttingDown()
+	return shuttingDown || p.noRoom || p.conns.RestingCount > p.conns.ExcessResting
+}
+
+// responseSent lets a client's connection go on to its next request, or closes it once the response is written.
+func (p *Proxy) responseSent(now policy.Time, c *connstate.Conn, closing bool) {
+	c.Request = nil
+	c.IdleSince = now
+	c.Used = true
+	c.Progress.At = 0
+	switch {
+	case c.Upload.State == connstate.StreamingUpload:
+		// The client is still sending a body that is not needed any more, and may read the response only after that.
+		c.Upload.CloseAfter = closing
+		p.resumeReading(c)
+	case closing:
+		c.Output.CloseWhenFlushed = true
+		c.Socket.DiscardInput()
+		p.buffers.Put(c.Input.Buffer)
+		c.Input.Buffer = nil
+		p.Timers.Set(&c.Timer, now)
+	case c.Input.Buffer != nil:
+		p.ready = append(p.ready, c)
+	default:
+		p.conns.MarkResting(c)
+		p.Timers.Set(&c.Timer, now+idleCloseAfter)
 	}
 }
--- a/internal/httpproxy/shutdown.go
+++ b/internal/httpproxy/shutdown.go
@@ -8,68 +8,91 @@
 	"pepperlead/policy"
 )
 
+// Timing of a shutdown.
 const (
-	lastWriteTime = 100 * policy.Millisecond // for a client to take the last answer
-	closeTimeout  = 50 * policy.Millisecond  // for connections to close
-	recentUseTime = 700 * policy.Millisecond // idle, where others take new clients: a client that has just used a connection uses it again
-	reconnectTime = 50 * policy.Millisecond  // for a client to come again that had its connection closed as it sent
+	// lastWriteTime is how long a client has to take the last response.
+	lastWriteTime = 100 * policy.Millisecond
+	// closeTimeout is how long connections have to close.
+	closeTimeout = 50 * policy.Millisecond
+	// recentUseTime is how long a client's connection stays open after its last use while other processes accept new
+	// clients: a client that has just used a connection uses it again.
+	recentUseTime = 700 * policy.Millisecond
+	// reconnectTime is how long a client has to come again whose connection was closed while it was sending.
+	reconnectTime = 50 * policy.Millisecond
 )
 
-// BeginShutdown begins the end: for a while clients may still come, and every answer now closes its connection.
-func (s *Proxy) BeginShutdown(now policy.Time) {
-	if s.awaitingList {
-		s.admitClients(now) // whoever came before the first list is owed an answer too
+// BeginShutdown begins the shutdown: clients are accepted for a while, and every response closes its connection.
+func (p *Proxy) BeginShutdown(now policy.Time) {
+	if p.awaitingList {
+		p.admitClients(now) // clients that came before the first list get an answer as well
 	}
-	s.serving.Store(false)
-	s.acceptUntil = now + s.config.AcceptTime
-	if s.config.InheritedListener > 0 {
-		// The queue stays, and whoever else has it takes from it. What this process has taken is its own.
-		s.acceptUntil = now
-		s.sockets.listener.Close()
+	p.serving.Store(false)
+	p.acceptUntil = now + p.config.AcceptTime
+	if p.sharesListener() {
+		// The queue stays, and the other processes accept from it. This one answers what it has accepted.
+		p.acceptUntil = now
+		_ = p.sockets.listener.Close() // the descriptor is closed either way
 	}
 }
 
-// Drained tells whether none can come any more.
-func (s *Proxy) Drained(now policy.Time) bool {
-	leaveBy, _ := s.ShuttingDown()
-	if now < s.acceptUntil {
+// sharesListener reports whether other processes listen on the same queue.
+func (p *Proxy) sharesListener() bool { return p.config.InheritedListener > 0 }
+
+// Drained reports whether no request can come any more.
+func (p *Proxy) Drained(now policy.Time) bool {
+	shutdownBy, _ := p.ShuttingDown()
+	if now < p.acceptUntil {
 		return false
 	}
-	// One may have been taken from the queue and not have come to the loop yet: its request is this process's to answer.
-	waiting := s.config.InheritedListener > 0 && !s.sockets.listener.stopped.Load()
-	if s.config.InheritedListener == 0 && s.sockets.listener.hasPending() {
-		// It was let in by the kernel, and what it asks counts as taken. Whoever accepts may have stood still, or had no room till now.
-		waiting = true
+	acceptPending := p.acceptPending()
+	clientsLeft := p.closeIdleClients(now, now < shutdownBy)
+	if acceptPending || clientsLeft {
+		p.drainedAt = now + reconnectTime
 	}
-	for c := range s.conns.Open {
-		if c.Side == connstate.ClientSide && !c.Closing {
-			stays := s.config.InheritedListener > 0 && now-c.IdleSince < recentUseTime && now < leaveBy // its next answer ends it
-			if c.Request == nil && c.Input.Buffer == nil && !c.Output.CloseWhenFlushed && c.Upload.State == connstate.NoUpload && !stays && c.Socket.CloseIfIdle(c) {
-				s.conns.CountEnd(c)
-			}
-			waiting = true
-		}
+	return now >= min(max(p.drainedAt, p.acceptUntil), shutdownBy+lastWriteTime)
+}
+
+// acceptPending reports whether a client that this process must answer may not have come to the loop yet.
+func (p *Proxy) acceptPending() bool {
+	if p.sharesListener() {
+		return !p.sockets.listener.stopped.Load()
 	}
-	if waiting {
-		s.quietAt = now + reconnectTime
+	return p.sockets.listener.hasPending()
+}
+
+// closeIdleClients closes client connections that are idle, and reports whether any client is connected. Where other
+// processes accept new clients, those used recently are kept if keepRecent: their next response closes them.
+func (p *Proxy) closeIdleClients(now policy.Time, spareRecent bool) bool {
+	connected := false
+	for c := range p.conns.Open {
+		if c.Side != connstate.ClientSide || c.Closing {
+			continue
+		}
+		connected = true
+		recent := p.sharesListener() && spareRecent && now-c.IdleSince < recentUseTime
+		idle := c.Request == nil && c.Input.Buffer == nil && !c.Output.CloseWhenFlushed &&
+			c.Upload.State == connstate.NoUpload
+		if idle && !recent && c.Socket.CloseIfIdle(c) {
+			p.conns.CountEnd(c)
+		}
 	}
-	return now >= min(max(s.quietAt, s.acceptUntil), leaveBy+lastWriteTime)
+	return connected
 }
 
-// Close gives back what is still held: connections, their buffers.
-func (s *Proxy) Close() {
-	for c := range s.conns.Open {
-		s.closeConn(c)
+// Close closes the connections and releases what they hold.
+func (p *Proxy) Close() {
+	for c := range p.conns.Open {
+		p.closeConn(c)
 	}
-	// Dialling may take its time; what the process holds ends with it.
-	for end := s.Clock.Now() + closeTimeout; len(s.conns.Open) > 0 && s.Clock.Now() < end; {
-		s.Round(s.Clock.Now())
+	// A dial may take longer; what the process holds ends with it.
+	for end := p.Clock.Now() + closeTimeout; len(p.conns.Open) > 0 && p.Clock.Now() < end; {
+		p.Round(p.Clock.Now())
 		time.Sleep(time.Millisecond)
 	}
-	s.Timers.Stop(&s.roomTimer)
-	s.Timers.Stop(&s.startTimer)
-	close(s.sockets.stopped)
-	enough, cancel := context.WithTimeout(context.Background(), time.Duration(closeTimeout))
+	p.Timers.Stop(&p.roomTimer)
+	p.Timers.Stop(&p.startTimer)
+	close(p.sockets.stopped)
+	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(closeTimeout))
 	defer cancel()
-	s.sockets.engine.Shutdown(enough)
+	_ = p.sockets.engine.Shutdown(ctx) // it may not end in time
 }
--- a/internal/httpproxy/socket.go
+++ b/internal/httpproxy/socket.go
@@ -1,6 +1,7 @@
 package httpproxy
 
 import (
+	"errors"
 	"net"
 	"sync"
 	"sync/atomic"
@@ -12,161 +13,170 @@
 	"pepperlead/internal/connstate"
 )
 
-// socket is a connection as the loop uses it. Its descriptor is closed in one place, by nbio's poller, when the socket has
-// ended: closed from elsewhere it could be a new connection's by the time the poller comes to what it had to tell of the
-// old one, and that new one would be closed in its place.
+// socket is the socket of a connection, for the poller and the loop. Its descriptor is closed in one place, by nbio's
+// poller, when the socket has ended. If it were closed elsewhere, its number could belong to a new connection by the
+// time the poller handles an event of the old one, and would close the new one.
 type socket struct {
 	nb           *nbio.Conn
 	fd           int
-	mu           sync.Mutex
-	inputLeft    atomic.Bool // more may stand in the socket than has been read
-	ended        bool        // ended: the descriptor may be another's at any moment
-	failed       bool        // a read or a write has
-	readShut     bool        // what still comes is not read
-	discarding   bool        // it is read and thrown away
-	discardLimit int         // so many bytes of it at most
+	inputLeft    atomic.Bool // more may be in the socket than has been read
+	mu           sync.Mutex  // guards the rest
+	ended        bool        // the descriptor may belong to another connection at any moment
+	failed       bool        // a read or a write has failed
+	readShut     bool        // further input is not read
+	discarding   bool        // further input is read and discarded
+	discardLimit int         // how much of it at most
 }
 
 func newSocket(c *nbio.Conn) *socket {
-	l := &socket{nb: c}
-	raw, _ := c.SyscallConn()
-	raw.Control(func(fd uintptr) { l.fd = int(fd) })
-	return l
+	s := &socket{nb: c}
+	raw, _ := c.SyscallConn()                            // nbio's never fails
+	_ = raw.Control(func(fd uintptr) { s.fd = int(fd) }) // fails only where raw is invalid
+	return s
 }
 
-// read takes what is there, false if that is nothing. It is called with the lock held.
-func (l *socket) read(conn *connstate.Conn, buf *connstate.Buffer) bool {
-	if l.readShut {
-		l.ended = true
+// read reads what is available into buf and reports whether there was anything. The lock must be held.
+func (s *socket) read(conn *connstate.Conn, buf *connstate.Buffer) bool {
+	if s.readShut {
+		s.ended = true
 		return false
 	}
-	if l.discarding && l.discardLimit <= 0 {
-		return false // what is more stands in the kernel, and so holds up its sender, until the connection is closed
+	if s.discarding && s.discardLimit <= 0 {
+		return false // the rest stays in the kernel, which slows down its sender, until the connection is closed
 	}
 	for {
-		switch n, err := l.nb.Read(buf.B[:cap(buf.B)]); {
-		case n > 0 && l.discarding:
-			if l.discardLimit -= n; l.discardLimit <= 0 {
+		n, err := s.nb.Read(buf.B[:cap(buf.B)])
+		switch {
+		case n > 0 && s.discarding:
+			s.discardLimit -= n
+			if s.discardLimit <= 0 {
 				return false
 			}
 		case n > 0:
 			buf.B = buf.B[:n]
 			conn.Input.Unread.Add(int64(n))
 			return true
-		case err == syscall.EINTR:
+		case errors.Is(err, unix.EINTR):
 		case n == 0 && err == nil:
-			// The socket tells of a reset once, to a write or a read: whatever is read after that looks like an orderly end.
-			conn.Input.EOF.Store(!l.failed)
-			l.ended = true
+			// The socket reports a reset once, to a write or a read: a read after that looks like an orderly end.
+			conn.Input.EOF.Store(!s.failed)
+			s.ended = true
 			return false
-		case err == syscall.EAGAIN:
+		case errors.Is(err, unix.EAGAIN):
 			return false
 		default:
-			l.ended, l.failed = true, true
+			s.ended = true
+			s.failed = true
 			return false
 		}
 	}
 }
 
-// peerClosed tells whether the other end has closed.
-func (l *socket) peerClosed() bool {
-	of := []unix.PollFd{{Fd: int32(l.fd), Events: unix.POLLRDHUP}}
-	n, err := unix.Poll(of, 0)
-	return !l.ended && err == nil && n > 0 && of[0].Revents != 0
+// peerClosed reports whether the peer has closed. The lock must be held.
+func (s *socket) peerClosed() bool {
+	polled := []unix.PollFd{{Fd: int32(s.fd), Events: unix.POLLRDHUP}}
+	n, err := unix.Poll(polled, 0)
+	return !s.ended && err == nil && n > 0 && polled[0].Revents != 0
 }
 
-// Cut ends a connection on which nothing is under way. It refuses where bytes have come: their sender would take the end
-// for the loss of a request. What comes later is left unread, and so reset by the kernel: the client sends it again.
-func (l *socket) CloseIfIdle(conn *connstate.Conn) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !l.idle(conn) {
+// CloseIfIdle closes a connection on which nothing is under way. It refuses where bytes have come: their sender would
+// take the close for the loss of a request. What comes later is left unread and reset by the kernel: the client sends
+// it again.
+func (s *socket) CloseIfIdle(conn *connstate.Conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.idle(conn) {
 		return false
 	}
-	l.readShut = true
-	return syscall.Shutdown(l.fd, syscall.SHUT_RDWR) == nil
+	s.readShut = true
+	return syscall.Shutdown(s.fd, syscall.SHUT_RDWR) == nil
 }
 
-// Quiet tells whether nothing has come that the loop has not heard of. What stands there before a request is sent is no
-// answer to it.
-func (l *socket) Idle(conn *connstate.Conn) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.idle(conn)
+// Idle reports whether nothing has come that the loop has not processed. What comes before a request is sent is no
+// response to it.
+func (s *socket) Idle(conn *connstate.Conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.idle(conn)
 }
 
-func (l *socket) idle(conn *connstate.Conn) bool {
-	if l.ended || conn.Input.Unread.Load() > 0 {
+func (s *socket) idle(conn *connstate.Conn) bool {
+	if s.ended || conn.Input.Unread.Load() > 0 {
 		return false
 	}
-	// Neither bytes nor the other end's close, which the poller may not have come to yet.
+	// Neither bytes nor the peer's close, which the poller may not have handled yet.
 	var one [1]byte
-	_, _, err := unix.Recvfrom(l.fd, one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	_, _, err := unix.Recvfrom(s.fd, one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return err == unix.EAGAIN
 }
 
-// Hush is called with the last answer. A client that goes on sending must cost neither memory nor the loop's time, and still
-// gets to read what it is told: closed at once, the kernel would throw that away.
-func (l *socket) DiscardInput() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.discarding, l.discardLimit = true, maxDiscarded
+// DiscardInput is called with the last response. A client that keeps sending must cost neither memory nor the loop's
+// time, and still gets to read its response: closed at once, the kernel would throw that away.
+func (s *socket) DiscardInput() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.discarding = true
+	s.discardLimit = maxDiscarded
 }
 
-// Write sends what the kernel takes and leaves the rest to nbio. A failure is told by the poller, as the socket's end.
-func (l *socket) Write(b []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.ended {
+// Write sends what the kernel takes and leaves the rest to nbio. A failure is reported by the poller, as the socket's
+// end.
+func (s *socket) Write(b []byte) (int, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.ended {
 		return 0, net.ErrClosed
 	}
-	conn := l.nb.Session().(*connstate.Conn)
+	conn := s.nb.Session().(*connstate.Conn)
 	if conn.Flushed() {
-		n, err := syscall.Write(l.fd, b)
+		n, err := syscall.Write(s.fd, b)
 		if n > 0 {
-			conn.RecordWritten(n) // the loop itself looks what it waits for
+			conn.RecordWritten(n) // no event: the loop checks by itself what it waits for
 			b = b[n:]
 		}
-		if err != nil && err != syscall.EAGAIN && err != syscall.EINTR {
-			l.failed = true
+		if err != nil && !errors.Is(err, unix.EAGAIN) && !errors.Is(err, unix.EINTR) {
+			s.failed = true
 			return n, err
 		}
 		if len(b) == 0 {
 			return n, nil
 		}
 	}
-	return l.nb.Write(b)
+	return s.nb.Write(b)
 }
 
-// shutdown closes the socket to a sender of too much. It is called with the lock held.
-func (l *socket) shutdown() {
-	if !l.ended && !l.readShut {
-		l.readShut = true
-		syscall.Shutdown(l.fd, syscall.SHUT_RDWR)
+// shutdown closes the socket to a sender of too much. The lock must be held.
+func (s *socket) shutdown() {
+	if !s.ended && !s.readShut {
+		s.readShut = true
+		_ = syscall.Shutdown(s.fd, syscall.SHUT_RDWR) // fails only where the peer has ended it already
 	}
 }
 
-// Close ends the socket both ways; the poller hears of it and closes. After it no byte more goes out, and Written tells of all that did.
-func (l *socket) Close() error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.ended {
+// Close shuts the socket down both ways; the poller notices it and closes the descriptor. After it no more bytes are
+// sent, and Conn.Output.Written counts all that were.
+func (s *socket) Close() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.ended {
 		return nil
 	}
-	err := syscall.Shutdown(l.fd, syscall.SHUT_RDWR)
-	l.nb.Write(nil) // waits for what nbio is writing just now
+	err := syscall.Shutdown(s.fd, syscall.SHUT_RDWR)
+	_, _ = s.nb.Write(nil) // waits for a write of nbio that is under way
 	return err
 }
 
-// Reset ends the socket without an end of its stream: where neither length nor chunks tell a part from the whole, nothing else does. Its
-// reading side is shut, of which the poller hears; when that closes it, the kernel sends a reset, as it is told not to linger.
-func (l *socket) Reset() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.ended {
+// Reset ends the socket without an orderly end of its stream: where neither a length nor chunks tell a part from the
+// complete body, nothing else does. The reading side is shut down, which the poller notices; when it closes the socket,
+// the kernel sends a reset, as it must not linger.
+func (s *socket) Reset() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.ended {
 		return
 	}
-	l.readShut = true
-	unix.SetsockoptLinger(l.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
-	syscall.Shutdown(l.fd, syscall.SHUT_RD)
+	s.readShut = true
+	// Both fail only where the peer has ended the socket already.
+	_ = unix.SetsockoptLinger(s.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
+	_ = syscall.Shutdown(s.fd, syscall.SHUT_RD)
 }
--- a/internal/httpproxy/startup.go
+++ b/internal/httpproxy/startup.go
@@ -2,57 +2,61 @@
 
 import "pepperlead/policy"
 
-const startCheckInterval = 20 * policy.Millisecond // between looks whether a list is there
+// startCheckInterval is the time between checks whether there is a list.
+const startCheckInterval = 20 * policy.Millisecond
 
-// start lets clients in as soon as that does no harm.
-func (s *Proxy) start(now policy.Time) {
+// start accepts clients as soon as they can be served.
+func (p *Proxy) start(now policy.Time) {
 	switch {
-	case s.config.Successor:
-		// Another process serves: what this one takes before it can serve would wait.
-		s.startTimer.Run = s.startWhenReady
-		s.Timers.Set(&s.startTimer, now+startCheckInterval)
-	case s.config.FirstListTimeout > 0:
-		// The saved list may be old, and what the source has to tell binds from the first attempt on. It is asked first; where it is silent
-		// clients wait no longer than this outside the door, and the saved list serves.
-		s.awaitingList = true
-		s.startTimer.Run = s.admitClients
-		s.Timers.Set(&s.startTimer, now+s.config.FirstListTimeout)
+	case p.config.Successor:
+		// Another process serves: clients that this one accepted before it can serve would wait.
+		p.startTimer.Run = p.startWhenReady
+		p.Timers.Set(&p.startTimer, now+startCheckInterval)
+	case p.config.FirstListTimeout > 0:
+		// The saved list may be outdated, and the source's counts from the first attempt on. The source is asked first;
+		// while it is silent clients wait for no longer than this, and the saved list is used after that.
+		p.awaitingList = true
+		p.startTimer.Run = p.admitClients
+		p.Timers.Set(&p.startTimer, now+p.config.FirstListTimeout)
 	default:
-		s.admitClients(now)
+		p.admitClients(now)
 	}
 }
 
-// admitClients lets clients in, once.
-func (s *Proxy) admitClients(now policy.Time) {
-	if s.awaitingList {
-		waited := now - (s.startTimer.At() - s.config.FirstListTimeout)
-		s.Logger.WithField("waited_ms", waited/policy.Millisecond).Info(map[bool]string{true: "list: told by the source before the first client",
-			false: "list: the source is silent, clients come in by the saved one"}[s.ListFresh()])
+// admitClients has the listener accept clients. It is called once.
+func (p *Proxy) admitClients(now policy.Time) {
+	if p.awaitingList {
+		began := p.startTimer.At() - p.config.FirstListTimeout
+		message := "list: the source is silent, clients come in by the saved one"
+		if p.ListFresh() {
+			message = "list: told by the source before the first client"
+		}
+		p.Logger.WithField("waited_ms", (now-began)/policy.Millisecond).Info(message)
 	}
-	s.awaitingList = false
-	s.Timers.Stop(&s.startTimer)
-	close(s.sockets.listener.opened)
-	_, leaving := s.ShuttingDown()
-	s.serving.Store(!leaving)
+	p.awaitingList = false
+	p.Timers.Stop(&p.startTimer)
+	close(p.sockets.listener.opened)
+	_, shuttingDown := p.ShuttingDown()
+	p.serving.Store(!shuttingDown)
 }
 
-// startWhenReady lets clients in to a process that follows another, once it knows a list and what the other has learned.
-func (s *Proxy) startWhenReady(now policy.Time) {
-	if _, leaving := s.ShuttingDown(); leaving {
+// startWhenReady accepts clients in a process that succeeds another, once it has a list and what the other has learned.
+func (p *Proxy) startWhenReady(now policy.Time) {
+	if _, shuttingDown := p.ShuttingDown(); shuttingDown {
 		return
 	}
-	if heard, _ := s.ListStatus(); !heard {
-		s.Timers.Set(&s.startTimer, now+startCheckInterval)
+	if hasList, _ := p.ListStatus(); !hasList {
+		p.Timers.Set(&p.startTimer, now+startCheckInterval)
 		return
 	}
 	go func() {
-		s.config.ImportState()
-		s.RunOnLoop(func() {
-			if _, leaving := s.ShuttingDown(); leaving {
-				return // it was told to end while it learned
+		p.config.ImportState()
+		p.RunOnLoop(func() {
+			if _, shuttingDown := p.ShuttingDown(); shuttingDown {
+				return // the shutdown began during the import
 			}
-			s.admitClients(s.Clock.Now())
-			s.Logger.Info("handover: clients are taken from now on")
+			p.admitClients(p.Clock.Now())
+			p.Logger.Info("handover: clients are taken from now on")
 		})
 	}()
 }
--- a/internal/httpproxy/stream.go
+++ b/internal/httpproxy/stream.go
@@ -1,6 +1,7 @@
 package httpproxy
 
 import (
+	"net/http"
 	"strconv"
 
 	"pepperlead/internal/connstate"
@@ -8,239 +9,276 @@
 	"pepperlead/policy"
 )
 
+// Timing of streamed responses.
 const (
-	streamAfter         = 300 * policy.Millisecond // an answer of unknown length that is still coming goes on to the client as it comes
-	streamStallTimeout  = 5 * policy.Second        // the client has taken nothing of what waits for it: the stream is over
-	longBodySilence     = policy.Second            // past the deadline, the endpoint has sent nothing more of a long answer: what it still gives is not cut off
-	shortBodySilence    = 300 * policy.Millisecond // the same of one that may turn out to be short: that is lost half a second after the deadline
-	streamCheckInterval = 250 * policy.Millisecond // between looks
-	minPendingBytes     = 16 << 10                 // may be under way of one stream, however many there are
+	// streamAfter is how long a response of unknown length may take before it is streamed.
+	streamAfter = 300 * policy.Millisecond
+	// streamStallTimeout is how long the client may take nothing of what is pending.
+	streamStallTimeout = 5 * policy.Second
+	// longBodyPause is how long after its last bytes a long body may pause once the deadline has passed.
+	longBodyPause = policy.Second
+	// shortBodyPause is the same for a body that may turn out to be short: that one is lost half a second after the
+	// deadline.
+	shortBodyPause = 300 * policy.Millisecond
+	// streamCheckInterval is the time between checks of a stream.
+	streamCheckInterval = 250 * policy.Millisecond
 )
 
+// minPendingBytes may be pending of each stream, however many there are.
+const minPendingBytes = 16 << 10
+
 var lastChunk = []byte("0\r\n\r\n")
 
-// tryStream looks at an answer that is not whole, or (long) too long to be held. From when it goes on to the client as it comes, a
-// fault can only be shown to that; until then it costs an attempt. So a short one is held till it is whole or its attempt is over. One that may
-// turn out to be long goes on once it has taken its time and still comes: where its endpoint has fallen silent, nothing is gained by
-// that, and the attempt is lost. dealt: nothing else is to be done about it now.
-func (s *Proxy) tryStream(now, at policy.Time, c *connstate.Conn, long bool) (dealt bool) {
-	t, b := c.Request, c.Input.Buffer.B
-	n, status, head, size, chunked, stays, ok := parseResponseHead(b, false, t.Response.NoBody)
-	if !ok || n == 0 || size > maxStreamedBody || t.Client == nil || t.Decided {
+// tryStream starts to stream an incomplete response to the client where that is due, and reports whether nothing else
+// is to be done about it. tooLong tells that the response is too long to be kept.
+//
+// Once a response is streamed, a fault can only be shown to the client; until then it costs an attempt. So a short
+// response is kept until it is complete or its attempt is over. One of unknown length is streamed once it has taken
+// some time and more of it comes. Where its endpoint has gone silent, nothing is gained by that, and the attempt is
+// lost.
+func (p *Proxy) tryStream(now, at policy.Time, c *connstate.Conn, tooLong bool) bool {
+	r := c.Request
+	in := c.Input.Buffer.B
+	head, ok := parseResponseHead(in, false, r.Response.NoBody)
+	if !ok || head.bodyStart == 0 || head.bodySize > maxStreamedBody || r.Client == nil || r.Decided {
 		return false
 	}
-	if c.Input.HeadAt == 0 {
-		c.Input.HeadAt = at
-		if c.Input.Needed = 0; size >= 0 && size <= maxBody {
-			c.Input.Needed = n + size
-		}
-	}
-	if o := outcomeOf(status, head); o != policy.Succeeded && o != policy.Declined {
-		if size > maxBody {
-			// What an endpoint says at length of a failure is not waited for.
-			s.endAttempt(at, t, o, false)
-			return true
+	noteHead(c, at, head)
+	outcome := outcomeOf(head.status, head.headers)
+	if outcome != policy.Succeeded && outcome != policy.Declined {
+		if head.bodySize <= maxBody {
+			return false
 		}
-		return false
+		// The long body of a failure is not waited for.
+		p.endAttempt(at, r, outcome, false)
+		return true
 	}
-	due := size < 0 && at-c.Input.HeadAt >= streamAfter
-	if !long && !due && size <= maxBody && len(b)-n <= maxBody {
+	body := in[head.bodyStart:]
+	due := head.bodySize < 0 && at-c.Input.HeadAt >= streamAfter
+	if !tooLong && !due && head.bodySize <= maxBody && len(body) <= maxBody {
 		return false
 	}
-	c.Frame = newFrame(size, chunked)
-	got, used, done, ok := decodeBody(&c.Frame, b[n:])
-	if !ok || done || used < len(b)-n {
-		s.endAttempt(at, t, policy.ConnectionLost, false)
+	c.Frame = newFrame(head.bodySize, head.chunked)
+	part, ok := decodeBody(&c.Frame, body)
+	if !ok || part.done || part.used < len(body) {
+		p.endAttempt(at, r, policy.ConnectionLost, false)
 		return true
 	}
-	s.beginStream(now, at, c, t, status, head, b[n:n+got], stays)
-	s.buffers.Put(c.Input.Buffer)
+	p.beginStream(at, c, head)
+	p.writeStreamed(c, r, body[:part.size])
+	p.checkStream(now, c, r)
+	p.buffers.Put(c.Input.Buffer)
 	c.Input.Buffer = nil
 	return true
 }
 
-func (s *Proxy) beginStream(now, at policy.Time, c *connstate.Conn, t *connstate.Request, status int, head, body []byte, stays bool) {
-	// For the module the attempt ends with the first bytes, as the endpoint's work does; the rest is a matter of the sockets.
-	t.Decided = true
-	s.AttemptEnded(at, t.Request, outcomeOf(status, head))
-	s.Counters.Streams++
-	s.streamCount++
-	s.sharePendingBytes()
-	t.Response.Streaming, t.Response.Status, t.Response.Reusable = true, status, stays
-	t.Response.Chunked = c.Frame.Kind != sizedBody && !t.HTTP10
-	t.Response.UntilClose = c.Frame.Kind != sizedBody && t.HTTP10
-	t.CloseAfter = t.CloseAfter || s.closesAfterResponse() || status != 200 || c.Frame.Kind != sizedBody && t.HTTP10
-	s.scratch = appendEndToEnd(appendStatusLine(s.scratch[:0], status), head)
+// noteHead notes when the head of a response was complete, and how many bytes make the response complete.
+func noteHead(c *connstate.Conn, at policy.Time, head responseHead) {
+	if c.Input.HeadAt != 0 {
+		return
+	}
+	c.Input.HeadAt = at
+	c.Input.Needed = 0
+	if head.bodySize >= 0 && head.bodySize <= maxBody {
+		c.Input.Needed = head.bodyStart + head.bodySize
+	}
+}
+
+// beginStream ends the attempt and writes the head of the response to the client. For the module the attempt ends with
+// the first bytes, as the endpoint's work does.
+func (p *Proxy) beginStream(at policy.Time, c *connstate.Conn, head responseHead) {
+	r := c.Request
+	r.Decided = true
+	p.AttemptEnded(at, r.Request, outcomeOf(head.status, head.headers))
+	p.Counters.Streams++
+	p.streamCount++
+	p.sharePendingBytes()
+	hasSize := c.Frame.Kind == sizedBody
+	r.Response.Streaming = true
+	r.Response.Status = head.status
+	r.Response.Reusable = head.reusable
+	r.Response.Chunked = !hasSize && !r.HTTP10
+	r.Response.UntilClose = !hasSize && r.HTTP10
+	r.CloseAfter = r.CloseAfter || p.closesAfterResponse() || head.status != http.StatusOK || r.Response.UntilClose
+	p.scratch = appendStatusLine(p.scratch[:0], head.status)
+	p.scratch = appendEndToEnd(p.scratch, head.headers)
 	switch {
-	case t.Response.Chunked:
-		s.scratch = append(s.scratch, "Transfer-Encoding: chunked\r\n"...)
-	case c.Frame.Kind == sizedBody:
-		s.scratch = append(strconv.AppendInt(append(s.scratch, "Content-Length: "...), c.Frame.Remaining+c.Frame.Received, 10), "\r\n"...)
+	case r.Response.Chunked:
+		p.scratch = append(p.scratch, "Transfer-Encoding: chunked\r\n"...)
+	case hasSize:
+		p.scratch = append(p.scratch, "Content-Length: "...)
+		p.scratch = strconv.AppendInt(p.scratch, c.Frame.Remaining+c.Frame.Received, 10)
+		p.scratch = append(p.scratch, lineEnd...)
 	}
-	if t.CloseAfter {
-		s.scratch = append(s.scratch, "Connection: close\r\n"...)
+	if r.CloseAfter {
+		p.scratch = append(p.scratch, "Connection: close\r\n"...)
 	}
-	s.write(t.Client, append(s.scratch, "\r\n"...))
-	c.Progress.At, t.Client.Progress.At = at, 0
-	s.writeStreamed(c, t, body)
-	s.checkStream(now, c, t)
+	p.write(r.Client, append(p.scratch, lineEnd...))
+	c.Progress.At = at
+	r.Client.Progress.At = 0
 }
 
-// streamData hands on what has come of an answer.
-func (s *Proxy) streamData(now, at policy.Time, c *connstate.Conn, t *connstate.Request, b []byte) {
+// streamData forwards bytes of a streamed response.
+func (p *Proxy) streamData(now, at policy.Time, c *connstate.Conn, b []byte) {
+	r := c.Request
 	c.Progress.At = at
-	n, used, done, ok := decodeBody(&c.Frame, b)
-	if t.Client != nil {
-		s.writeStreamed(c, t, b[:n])
+	part, ok := decodeBody(&c.Frame, b)
+	if r.Client != nil {
+		p.writeStreamed(c, r, b[:part.size])
 	}
 	switch {
 	case !ok:
-		s.breakStream(at, t)
-	case done:
-		s.endStream(now, t, t.Response.Reusable && used == len(b) && c.Flushed())
+		p.breakStream(at, r)
+	case part.done:
+		p.endStream(now, r, r.Response.Reusable && part.used == len(b) && c.Flushed())
 	}
 }
 
-// writeStreamed writes a part of the body to the client; where that has much to take, the endpoint waits.
-func (s *Proxy) writeStreamed(c *connstate.Conn, t *connstate.Request, b []byte) {
+// writeStreamed writes a part of the body to the client. Where much is pending there, the endpoint waits.
+func (p *Proxy) writeStreamed(c *connstate.Conn, r *connstate.Request, b []byte) {
 	if len(b) == 0 {
 		return
 	}
-	if t.Response.Chunked {
-		s.scratch = append(strconv.AppendInt(s.scratch[:0], int64(len(b)), 16), "\r\n"...)
-		s.write(t.Client, s.scratch)
-		s.write(t.Client, b)
-		s.write(t.Client, emptyLine[:2])
+	if r.Response.Chunked {
+		p.writeChunk(r.Client, b)
 	} else {
-		s.write(t.Client, b)
+		p.write(r.Client, b)
 	}
-	s.applyBackpressure(c, t.Client)
+	p.applyBackpressure(c, r.Client)
 }
 
-// applyBackpressure has the one who sends wait for the one who takes, until that has taken most of what waits.
-func (s *Proxy) applyBackpressure(from, to *connstate.Conn) {
-	ahead := s.sockets.maxPending.Load()
-	if to.Unwritten() <= ahead {
+// writeChunk writes a chunk of a body.
+func (p *Proxy) writeChunk(c *connstate.Conn, b []byte) {
+	p.scratch = strconv.AppendInt(p.scratch[:0], int64(len(b)), 16)
+	p.scratch = append(p.scratch, lineEnd...)
+	p.write(c, p.scratch)
+	p.write(c, b)
+	p.write(c, lineEnd)
+}
+
+// applyBackpressure pauses reading from the sender while too much is pending to the receiver, until most of that has
+// been taken.
+func (p *Proxy) applyBackpressure(sender, receiver *connstate.Conn) {
+	limit := p.sockets.maxPending.Load()
+	if receiver.Unwritten() <= limit {
 		return
 	}
-	from.Input.Paused.Store(true)
-	at := to.Output.Queued - ahead/4
-	to.Output.NotifyAt.Store(at)
-	if to.Output.Written.Load() >= at && to.Output.NotifyAt.CompareAndSwap(at, 0) {
-		s.resumeReading(from) // taken meanwhile
+	sender.Input.Paused.Store(true)
+	notifyAt := receiver.Output.Queued - limit/4
+	receiver.Output.NotifyAt.Store(notifyAt)
+	if receiver.Output.Written.Load() >= notifyAt && receiver.Output.NotifyAt.CompareAndSwap(notifyAt, 0) {
+		p.resumeReading(sender) // taken meanwhile
 	}
 }
 
-// resumeReading has a sender that waited go on.
-func (s *Proxy) resumeReading(from *connstate.Conn) {
-	from.Input.Paused.Store(false)
-	if from.Connected && !from.Closing {
-		s.sockets.resume(from)
+// resumeReading continues reading from a sender that was paused.
+func (p *Proxy) resumeReading(sender *connstate.Conn) {
+	sender.Input.Paused.Store(false)
+	if sender.Connected && !sender.Closing {
+		p.sockets.resume(sender)
 	}
 }
 
-// outputDrained is told that a connection has taken most of what waited.
-func (s *Proxy) outputDrained(c *connstate.Conn) {
-	switch t := c.Request; {
-	case t == nil || c.Closing:
-	case c.Side == connstate.ClientSide && t.AttemptConn != nil:
-		s.resumeReading(t.AttemptConn)
-	case c.Side == connstate.EndpointSide && t.Client != nil:
-		s.resumeReading(t.Client)
+// outputDrained resumes the other side of a connection that has taken most of what was pending.
+func (p *Proxy) outputDrained(c *connstate.Conn) {
+	r := c.Request
+	switch {
+	case r == nil || c.Closing:
+	case c.Side == connstate.ClientSide && r.AttemptConn != nil:
+		p.resumeReading(r.AttemptConn)
+	case c.Side == connstate.EndpointSide && r.Client != nil:
+		p.resumeReading(r.Client)
 	}
 }
 
-// sharePendingBytes shares the memory for messages out over the streams there are.
-func (s *Proxy) sharePendingBytes() {
-	s.sockets.maxPending.Store(int64(min(maxPendingBytes, max(minPendingBytes, s.buffers.Limit/4/max(1, s.streamCount)))))
+// sharePendingBytes divides a quarter of the memory for messages among the streams.
+func (p *Proxy) sharePendingBytes() {
+	share := p.buffers.Limit / 4 / max(1, p.streamCount)
+	p.sockets.maxPending.Store(int64(min(maxPendingBytes, max(minPendingBytes, share))))
 }
 
-// endStream is the end of an answer that has come whole.
-func (s *Proxy) endStream(now policy.Time, t *connstate.Request, stays bool) {
-	kind := 0
-	if t.Response.Status != 200 {
-		kind = 1
+// endStream ends a stream whose response is complete.
+func (p *Proxy) endStream(now policy.Time, r *connstate.Request, reusable bool) {
+	if r.Response.Chunked && r.Client != nil {
+		p.write(r.Client, lastChunk)
 	}
-	if t.Response.Chunked && t.Client != nil {
-		s.write(t.Client, lastChunk)
+	p.detachStream(now, r, reusable)
+	if c := p.detachClientOf(now, r); c != nil {
+		p.responseSent(now, c, r.CloseAfter)
 	}
-	s.detachStream(now, t, stays)
-	if c := s.detachClient(now, t, kind); c != nil {
-		if kind == 0 {
-			s.Counters.Succeeded++
-		} else {
-			s.Counters.Declined++
-		}
-		s.responseSent(now, c, t.CloseAfter)
-	}
-	s.Done(t.Request)
+	p.Done(r.Request)
 }
 
-// breakStream is the end of one that stays a part. Its client is shown that by a close before the end that was announced.
-func (s *Proxy) breakStream(now policy.Time, t *connstate.Request) {
-	s.Counters.StreamsBroken++
-	s.detachStream(now, t, false)
-	if c := t.Client; c != nil {
-		c.Request, t.Client = nil, nil
-		s.requests.Remove(t)
-		s.Unanswered(t.Request)
-		if t.Response.UntilClose && !c.Closing {
-			s.conns.CountEnd(c) // an HTTP/1.0 client, told no length, takes an orderly end for the answer's
+// breakStream ends a stream whose response stays incomplete. The client notices it by a close before the announced end.
+func (p *Proxy) breakStream(now policy.Time, r *connstate.Request) {
+	p.Counters.StreamsBroken++
+	p.detachStream(now, r, false)
+	if c := r.Client; c != nil {
+		c.Request = nil
+		r.Client = nil
+		p.requests.Remove(r)
+		p.Unanswered(r.Request)
+		if r.Response.UntilClose && !c.Closing {
+			p.conns.CountEnd(c) // an orderly close would look like the end of the response
 			c.Socket.Reset()
 		} else {
-			s.closeConn(c)
+			p.closeConn(c)
 		}
 	}
-	s.Done(t.Request)
+	p.Done(r.Request)
 }
 
-func (s *Proxy) detachStream(now policy.Time, t *connstate.Request, stays bool) {
-	t.Response.Streaming = false
-	s.detach(now, t, stays)
-	s.streamCount--
-	s.sharePendingBytes()
+func (p *Proxy) detachStream(now policy.Time, r *connstate.Request, reusable bool) {
+	r.Response.Streaming = false
+	p.detachEndpoint(now, r, reusable)
+	p.streamCount--
+	p.sharePendingBytes()
 }
 
-// endpointTimerDue is the one timer of a connection to an endpoint: idle for too long, or a stream that may move no more.
-func (s *Proxy) endpointTimerDue(now policy.Time, c *connstate.Conn) {
-	switch t := c.Request; {
-	case t == nil:
-		s.closeConn(c)
-	case t.Response.Streaming:
-		s.checkStream(now, c, t)
+// endpointTimerDue handles the one timer of a connection to an endpoint: it has been idle for too long, or its stream
+// is to be checked.
+func (p *Proxy) endpointTimerDue(now policy.Time, c *connstate.Conn) {
+	r := c.Request
+	switch {
+	case r == nil:
+		p.closeConn(c)
+	case r.Response.Streaming:
+		p.checkStream(now, c, r)
 	}
 }
 
-// checkStream ends a stream in which nothing moves any more, and sets the next look.
-func (s *Proxy) checkStream(now policy.Time, c *connstate.Conn, t *connstate.Request) {
-	if t.Client == nil {
-		s.breakStream(now, t)
+// checkStream breaks a stream that makes no progress, or sets the time of the next check.
+func (p *Proxy) checkStream(now policy.Time, c *connstate.Conn, r *connstate.Request) {
+	if r.Client == nil {
+		p.breakStream(now, r)
 		return
 	}
-	by := now + streamStallTimeout
+	deadline := now + streamStallTimeout
 	switch {
-	case t.Client.Unwritten() > 0:
-		c.Progress.At = now // the endpoint is not at fault: it may have to wait
-		if !t.Client.Progressed(now, t.Client.Output.Written.Load(), streamStallTimeout) {
-			by = now
+	case r.Client.Unwritten() > 0:
+		c.Progress.At = now // the endpoint may have to wait for the client
+		if !r.Client.Progressed(now, r.Client.Output.Written.Load(), streamStallTimeout) {
+			deadline = now
 		}
-	case t.Upload.Active: // its time has not begun
-		by = c.Progress.At + streamStallTimeout
+	case r.Upload.Active: // the request's time has not begun
+		deadline = c.Progress.At + streamStallTimeout
 	default:
-		by = streamDeadline(c.Frame, c.Progress.At, t.ReceivedAt+t.ClientTimeLeft-engine.BeforeDeadline*s.Settings.Tick)
+		clientDeadline := r.ReceivedAt + r.ClientTimeLeft - engine.BeforeDeadline*p.Settings.Tick
+		deadline = streamDeadline(c.Frame, c.Progress.At, clientDeadline)
 	}
-	if now >= by {
-		s.breakStream(now, t)
+	if now >= deadline {
+		p.breakStream(now, r)
 		return
 	}
-	s.Timers.Set(&c.Timer, min(by, now+streamCheckInterval))
+	p.Timers.Set(&c.Timer, min(deadline, now+streamCheckInterval))
 }
 
-// streamDeadline is when a stream ends whose endpoint sends nothing more: its client knows by its deadline that it gets no more, or, where
-// some came just before that, soon after it.
-func streamDeadline(f connstate.Frame, movedAt, deadline policy.Time) policy.Time {
-	if f.Kind == sizedBody || f.Received > maxBody { // it is long: a short one of known size is never passed on before it is whole
-		return max(deadline, movedAt+longBodySilence)
+// streamDeadline returns when a stream is broken whose endpoint sends nothing more. Its client knows by its deadline
+// that it gets no more, or, where some bytes came just before that, soon after it.
+func streamDeadline(f connstate.Frame, progressAt, clientDeadline policy.Time) policy.Time {
+	pause := shortBodyPause
+	if f.Kind == sizedBody || f.Received > maxBody { // a short body of known size is never streamed
+		pause = longBodyPause
 	}
-	return max(deadline, movedAt+shortBodySilence)
+	return max(clientDeadline, progressAt+pause)
 }
--- a/internal/httpproxy/stream_test.go
+++ b/internal/httpproxy/stream_test.go
@@ -18,26 +18,28 @@
 	"pepperlead/internal/connstate"
 )
 
-// What is read byte by byte as it comes is what is measured whole, however it is cut.
-func FuzzTakeBody(f *testing.F) {
+// A chunked body that is decoded as it comes is the one that is measured at once, however it is split.
+func FuzzDecodeBody(f *testing.F) {
 	for _, in := range []string{"5\r\nhello\r\n0\r\n\r\n", "5 ; x=1\r\nhello\r\n1\r\n!\r\n0;y\r\nA: b\r\nC: d\r\n\r\nmore", "g\r\n", "5\nhello", "0\r\n\r\n", "\r\n",
 		" 3\r\nabc\r\n000\r\n\r\n", "3\r\nabcd\r\n", "ffffffffff\r\n", "3\r\nabc\r\n0\r\nA: b\r\r\n\r\n"} {
 		f.Add([]byte(in), int64(3))
 	}
 	f.Fuzz(func(t *testing.T, in []byte, seed int64) {
-		used, _, ok := measureChunks(in, maxBody)
-		whole := ok && used > 0
+		extent, ok := measureChunks(in, maxBody)
+		used := extent.length
+		complete := ok && used > 0
 		var want []byte
-		if whole {
+		if complete {
 			want = bytes.Clone(joinChunks(bytes.Clone(in[:used])))
 		}
 		rnd, frame, got := rand.New(rand.NewSource(seed)), newFrame(-1, true), []byte(nil)
 		for at := 0; at < len(in); {
 			part := bytes.Clone(in[at:min(len(in), at+1+rnd.Intn(9))])
-			n, took, done, fine := decodeBody(&frame, part)
-			got = append(got, part[:n]...)
-			at += took
-			if done != (done && fine) || !fine && whole {
+			decoded, fine := decodeBody(&frame, part)
+			done := decoded.done
+			got = append(got, part[:decoded.size]...)
+			at += decoded.used
+			if done != (done && fine) || !fine && complete {
 				t.Fatalf("%q: refused at %d, but it is whole", in, at)
 			}
 			if !fine {
@@ -45,13 +47,13 @@
 			}
 			if done {
 				// What is refused here for a part of a trailer that is no line may be whole there, never the other way round.
-				if !whole || at != used || !bytes.Equal(got, want) {
+				if !complete || at != used || !bytes.Equal(got, want) {
 					t.Fatalf("%q: took %d, %q; whole: %d, %q", in, at, got, used, want)
 				}
 				return
 			}
 		}
-		if whole {
+		if complete {
 			t.Fatalf("%q: not done, but whole at %d", in, used)
 		}
 	})
--- a/internal/httpproxy/upload.go
+++ b/internal/httpproxy/upload.go
@@ -1,175 +1,230 @@
 package httpproxy
 
 import (
-	"strconv"
+	"net/http"
 
 	"pepperlead/internal/connstate"
 	"pepperlead/policy"
 )
 
-// A body over 64 KiB is collected while it fits, so that it can be sent again and no endpoint waits for its client; else it goes on to
-// an endpoint as it comes, and an attempt that fails in the middle of it is the request's last.
+// A request body over maxBody is collected while it fits, so that it can be sent again and no endpoint waits for its
+// client. Otherwise it is streamed to an endpoint, and an attempt that fails in the middle of it is the request's last.
 
-// maxCollected is how much of one body is collected.
-func (s *Proxy) maxCollected() int {
-	if s.buffers.Lent() > s.buffers.Limit/2 {
+// maxCollected returns how much of one body is collected.
+func (p *Proxy) maxCollected() int {
+	if p.buffers.Lent() > p.buffers.Limit/2 {
 		return maxBody
 	}
-	return max(maxBody, s.buffers.Limit/6)
+	return max(maxBody, p.buffers.Limit/6)
 }
 
-// beginUpload begins with the body of a request whose head is whole.
-func (s *Proxy) beginUpload(now, at policy.Time, c *connstate.Conn, a requestHead) {
-	if !c.Upload.ContinueSent && expectsContinue(c.Input.Buffer.B) {
-		c.Upload.ContinueSent = true
-		s.write(c, []byte("HTTP/1.1 100 Continue\r\n\r\n"))
-	}
-	s.conns.MarkBusy(c)
-	s.Counters.LargeBodies++
-	c.Upload.State, c.Upload.Size, c.Upload.Start, c.Input.Needed = connstate.CollectingUpload, a.bodySize, a.bodyStart, 0
+// beginUpload begins with the long body of a request whose head is complete.
+func (p *Proxy) beginUpload(now, at policy.Time, c *connstate.Conn, head requestHead) {
+	p.sendContinue(c)
+	p.conns.MarkBusy(c)
+	p.Counters.LargeBodies++
+	c.Upload.State = connstate.CollectingUpload
+	c.Upload.Size = head.bodySize
+	c.Upload.Start = head.bodyStart
+	c.Input.Needed = 0
 	if c.Input.HeadAt == 0 {
 		c.Input.HeadAt = now
 	}
-	c.Frame = newFrame(a.bodySize, a.chunked)
-	rest := s.buffers.Get(max(1, len(c.Input.Buffer.B)-a.bodyStart))
-	rest.B = append(rest.B, c.Input.Buffer.B[a.bodyStart:]...)
-	c.Input.Buffer.B = c.Input.Buffer.B[:a.bodyStart]
-	s.uploadData(now, at, c, rest)
+	c.Frame = newFrame(head.bodySize, head.chunked)
+	in := c.Input.Buffer
+	body := p.buffers.Get(max(1, len(in.B)-head.bodyStart))
+	body.B = append(body.B, in.B[head.bodyStart:]...)
+	in.B = in.B[:head.bodyStart]
+	p.uploadData(now, at, c, body)
 }
 
-// uploadData takes what has come of it.
-func (s *Proxy) uploadData(now, at policy.Time, c *connstate.Conn, buf *connstate.Buffer) {
-	n, used, done, ok := decodeBody(&c.Frame, buf.B)
+// uploadData handles bytes of a long body.
+func (p *Proxy) uploadData(now, at policy.Time, c *connstate.Conn, buf *connstate.Buffer) {
+	part, ok := decodeBody(&c.Frame, buf.B)
+	if !ok {
+		p.buffers.Put(buf)
+		p.failUpload(now, c, refusal{http.StatusBadRequest, "the body cannot be read, or is too long\n"})
+		return
+	}
 	var next *connstate.Buffer
-	if done && used < len(buf.B) {
-		next = s.buffers.Get(len(buf.B) - used)
-		next.B = append(next.B, buf.B[used:]...)
+	if part.done {
+		next = p.copyOf(buf.B[part.used:])
 	}
-	buf.B = buf.B[:n]
-	t := c.Request
-	switch {
-	case !ok:
-		s.buffers.Put(buf)
-		s.failUpload(now, c, 400, "the body cannot be read, or is too long\n")
+	buf.B = buf.B[:part.size]
+	if c.Upload.State == connstate.CollectingUpload {
+		p.collectUpload(now, at, c, buf, part.done)
+	} else {
+		p.forwardUpload(c, buf)
+	}
+	if part.done {
+		p.uploadComplete(now, at, c, next)
 		return
-	case c.Upload.State == connstate.CollectingUpload:
-		c.Input.Buffer = s.buffers.Join(c.Input.Buffer, buf)
-		if hold := s.maxCollected(); !done && (c.Upload.Size > hold || len(c.Input.Buffer.B)-c.Upload.Start > hold) {
-			s.streamUpload(now, at, c)
-		}
-	case t == nil:
-		s.buffers.Put(buf)
-	case t.Upload.Forwarded && t.AttemptConn != nil:
-		s.writeBodyPart(t, buf.B)
-		s.buffers.Put(buf)
-		s.applyBackpressure(c, t.AttemptConn)
+	}
+	if c.Upload.State != connstate.NoUpload {
+		p.setUploadTimer(now, c)
+	}
+}
+
+// collectUpload keeps a part of a body, and begins to stream the body once it is too long to be collected.
+func (p *Proxy) collectUpload(now, at policy.Time, c *connstate.Conn, buf *connstate.Buffer, done bool) {
+	c.Input.Buffer = p.buffers.Join(c.Input.Buffer, buf)
+	if done {
+		return
+	}
+	limit := p.maxCollected()
+	if c.Upload.Size > limit || len(c.Input.Buffer.B)-c.Upload.Start > limit {
+		p.streamUpload(now, at, c)
+	}
+}
+
+// forwardUpload forwards a part of a body to the endpoint, or keeps it until there is an attempt.
+func (p *Proxy) forwardUpload(c *connstate.Conn, buf *connstate.Buffer) {
+	r := c.Request
+	switch {
+	case r == nil:
+		p.buffers.Put(buf)
+	case r.Upload.Forwarded && r.AttemptConn != nil:
+		p.writeBodyPart(r, buf.B)
+		p.buffers.Put(buf)
+		p.applyBackpressure(c, r.AttemptConn)
 	default:
-		t.Upload.Buffer = s.buffers.Join(t.Upload.Buffer, buf)
+		r.Upload.Buffer = p.buffers.Join(r.Upload.Buffer, buf)
 		c.Input.Paused.Store(true) // until an attempt takes it
 	}
-	if !done {
-		if c.Upload.State != connstate.NoUpload {
-			by := s.uploadDeadline(c)
-			if c.Input.Paused.Load() {
-				by = min(by, now+streamCheckInterval) // it waits for its endpoint, which may take no more
-			}
-			s.Timers.Set(&c.Timer, by)
-		}
-		return
+}
+
+func (p *Proxy) setUploadTimer(now policy.Time, c *connstate.Conn) {
+	deadline := uploadDeadline(c)
+	if c.Input.Paused.Load() {
+		deadline = min(deadline, now+streamCheckInterval) // it waits for its endpoint, which may have stalled
 	}
-	s.uploadComplete(now, at, c, next)
+	p.Timers.Set(&c.Timer, deadline)
 }
 
-// streamUpload admits a request whose body has not come whole.
-func (s *Proxy) streamUpload(now, at policy.Time, c *connstate.Conn) {
+// streamUpload admits a request whose body is incomplete.
+func (p *Proxy) streamUpload(now, at policy.Time, c *connstate.Conn) {
 	buf := c.Input.Buffer
-	s.Counters.StreamedBodies++
-	c.Input.Buffer, c.Upload.State = nil, connstate.StreamingUpload
-	a, _ := parseRequestHead(buf.B)
-	s.handleRequest(now, at, c, buf, a, buf.B[a.bodyStart:])
+	p.Counters.StreamedBodies++
+	c.Input.Buffer = nil
+	c.Upload.State = connstate.StreamingUpload
+	head, _ := parseRequestHead(buf.B) // it has been parsed before
+	p.handleRequest(now, at, c, buf, parsedRequest{requestHead: head, body: buf.B[head.bodyStart:]})
 }
 
-// uploadComplete is told that the body is whole; next came behind it.
-func (s *Proxy) uploadComplete(now, at policy.Time, c *connstate.Conn, next *connstate.Buffer) {
-	was, t := c.Upload.State, c.Request
-	s.Timers.Stop(&c.Timer)
-	c.Upload.State, c.Upload.ContinueSent, c.Input.HeadAt = connstate.NoUpload, false, 0
+// uploadComplete handles the end of a body; next holds what came behind it.
+func (p *Proxy) uploadComplete(now, at policy.Time, c *connstate.Conn, next *connstate.Buffer) {
+	collected := c.Upload.State == connstate.CollectingUpload
+	r := c.Request
 	buf := c.Input.Buffer
+	p.Timers.Stop(&c.Timer)
+	c.Upload.State = connstate.NoUpload
+	c.Upload.ContinueSent = false
+	c.Input.HeadAt = 0
 	c.Input.Buffer = next
 	switch {
-	case was == connstate.CollectingUpload:
-		a, _ := parseRequestHead(buf.B)
-		a.bodySize, a.chunked = len(buf.B)-a.bodyStart, false
-		s.handleRequest(now, at, c, buf, a, buf.B[a.bodyStart:])
-	case t == nil:
-		s.responseSent(now, c, c.Upload.CloseAfter)
+	case collected:
+		head, _ := parseRequestHead(buf.B) // it has been parsed before
+		body := buf.B[head.bodyStart:]
+		head.bodySize = len(body)
+		head.chunked = false
+		p.handleRequest(now, at, c, buf, parsedRequest{requestHead: head, body: body})
+	case r == nil:
+		p.responseSent(now, c, c.Upload.CloseAfter)
 	default:
-		t.Upload.Active = false
-		if t.Upload.Forwarded && t.AttemptConn != nil {
-			s.writeBodyEnd(t)
+		r.Upload.Active = false
+		if r.Upload.Forwarded && r.AttemptConn != nil {
+			p.writeBodyEnd(r)
 		}
-		s.BodyComplete(now, t.Request, t.ClientTimeLeft)
+		p.BodyComplete(now, r.Request, r.ClientTimeLeft)
 	}
 }
 
-// writeBodyPart writes a part of the body to the endpoint.
-func (s *Proxy) writeBodyPart(t *connstate.Request, b []byte) {
-	if len(b) == 0 {
-		return
+// writeBody writes to the endpoint what is kept of the body.
+func (p *Proxy) writeBody(r *connstate.Request) {
+	p.writeBodyPart(r, r.Body)
+	if r.Upload.Buffer != nil {
+		p.writeBodyPart(r, r.Upload.Buffer.B)
 	}
-	if t.Upload.Size >= 0 {
-		s.write(t.AttemptConn, b)
+}
+
+// continueUpload resumes reading the body of a request whose first part has been written to the endpoint.
+func (p *Proxy) continueUpload(r *connstate.Request) {
+	if r.Client == nil {
 		return
 	}
-	s.scratch = append(strconv.AppendInt(s.scratch[:0], int64(len(b)), 16), "\r\n"...)
-	s.write(t.AttemptConn, s.scratch)
-	s.write(t.AttemptConn, b)
-	s.write(t.AttemptConn, emptyLine[:2])
+	r.Upload.Forwarded = true
+	r.AttemptConn.Progress.At = 0
+	p.buffers.Put(r.Upload.Buffer)
+	r.Upload.Buffer = nil
+	p.resumeReading(r.Client)
+	p.applyBackpressure(r.Client, r.AttemptConn)
+}
+
+// writeBodyPart writes a part of the body to the endpoint.
+func (p *Proxy) writeBodyPart(r *connstate.Request, b []byte) {
+	switch {
+	case len(b) == 0:
+	case r.Upload.Size >= 0:
+		p.write(r.AttemptConn, b)
+	default:
+		p.writeChunk(r.AttemptConn, b)
+	}
 }
 
-// writeBodyEnd says that all of it was written.
-func (s *Proxy) writeBodyEnd(t *connstate.Request) {
-	c := t.AttemptConn
-	if t.Upload.Size < 0 {
+// writeBodyEnd ends the body to the endpoint.
+func (p *Proxy) writeBodyEnd(r *connstate.Request) {
+	c := r.AttemptConn
+	if r.Upload.Size < 0 {
 		c.Output.CompleteAt.Store(c.Output.Queued + int64(len(lastChunk)))
-		s.write(c, lastChunk)
+		p.write(c, lastChunk)
 		return
 	}
 	c.Output.CompleteAt.Store(c.Output.Queued)
-	c.RecordWritten(0) // all of it may be written already
+	c.RecordWritten(0) // all of it may have been written already
 }
 
-// uploadDeadline is by when more must have come.
-func (s *Proxy) uploadDeadline(c *connstate.Conn) policy.Time {
-	return c.Input.HeadAt + bodyTimeout + policy.Time(c.Frame.Received)*policy.Second/minBodyRate
+// uploadDeadline returns by when more of the body must have come.
+func uploadDeadline(c *connstate.Conn) policy.Time {
+	return c.Input.HeadAt + bodyTimeout + transferTime(c.Frame.Received)
 }
 
-// checkUpload looks whether a body still comes. While its client has to wait, it is the endpoint that must take something.
-func (s *Proxy) checkUpload(now policy.Time, c *connstate.Conn) {
-	t := c.Request
+// transferTime returns how long so many bytes of a body may take.
+func transferTime(bytes int64) policy.Time {
+	return policy.Time(bytes) * policy.Second / minBodyRate
+}
+
+// checkUpload checks whether a body still comes. While the client has to wait, the endpoint must take something.
+func (p *Proxy) checkUpload(now policy.Time, c *connstate.Conn) {
+	r := c.Request
 	switch {
-	case c.Input.Paused.Load() && t != nil:
-		if t.Upload.Forwarded && t.AttemptConn != nil && !t.AttemptConn.Progressed(now, t.AttemptConn.Output.Written.Load(), flushTimeout) {
-			if t.Response.Streaming {
-				s.breakStream(now, t) // its endpoint answers already
+	case c.Input.Paused.Load() && r != nil:
+		if p.endpointStalled(now, r) {
+			if r.Response.Streaming {
+				p.breakStream(now, r) // the endpoint is responding already
 				return
 			}
-			s.TimedOut(now, t.Request)
+			p.TimedOut(now, r.Request)
 		}
-		c.Input.HeadAt = now - policy.Time(c.Frame.Received)*policy.Second/minBodyRate
-		s.Timers.Set(&c.Timer, now+streamCheckInterval)
-	case now < s.uploadDeadline(c):
-		s.Timers.Set(&c.Timer, s.uploadDeadline(c))
+		c.Input.HeadAt = now - transferTime(c.Frame.Received)
+		p.Timers.Set(&c.Timer, now+streamCheckInterval)
+	case now < uploadDeadline(c):
+		p.Timers.Set(&c.Timer, uploadDeadline(c))
 	default:
-		s.failUpload(now, c, 408, "the request came too slowly\n")
+		p.failUpload(now, c, refusal{http.StatusRequestTimeout, "the request came too slowly\n"})
 	}
 }
 
-// failUpload ends a request that does not come whole.
-func (s *Proxy) failUpload(now policy.Time, c *connstate.Conn, status int, why string) {
-	if t := c.Request; t != nil {
-		s.abandonRequest(now, c, t)
+// endpointStalled reports whether the endpoint has taken nothing of a forwarded body for too long.
+func (p *Proxy) endpointStalled(now policy.Time, r *connstate.Request) bool {
+	to := r.AttemptConn
+	return r.Upload.Forwarded && to != nil && !to.Progressed(now, to.Output.Written.Load(), flushTimeout)
+}
+
+// failUpload ends a request whose body stays incomplete.
+func (p *Proxy) failUpload(now policy.Time, c *connstate.Conn, refused refusal) {
+	if r := c.Request; r != nil {
+		p.abandonRequest(now, c, r)
 	}
 	c.Upload.State = connstate.NoUpload
-	s.refuse(now, c, status, why)
+	p.refuse(now, c, refused)
 }
