--- a/internal/httpproxy/attempts_test.go
+++ b/internal/httpproxy/attempts_test.go
@@ -16,13 +16,13 @@
 	"pepperlead/policy"
 )
 
-func TestBodiesGoThroughUnchangedOnKeptConnections(t *testing.T) {
-	server := newStandIn(t)
-	r, _ := run(t, nil, server.Addr().String())
+func TestBodiesAreForwardedUnchangedOnReusedConnections(t *testing.T) {
+	server := newFakeEndpoint(t)
+	r, _ := startProxy(t, nil, server.Addr().String())
 	c := r.client()
 	for _, size := range []int{0, 1, 2000, 5000, maxBody} {
 		for _, act := range []string{"echo", "slow"} {
-			time.Sleep(time.Duration(restTime + 5*policy.Millisecond)) // for what may still come behind the last answer
+			time.Sleep(time.Duration(restTime + 5*policy.Millisecond)) // for what may still come behind the last response
 			body := strings.Repeat("b", size)
 			id := c.send("step/"+act, body, "X-Priority-Class: step\r\nX-Attrs: a=1\r\n")
 			if answer, got := c.receive(); answer.StatusCode != 200 || got != body || answer.Close {
@@ -44,9 +44,9 @@
 	}
 }
 
-func TestFramingsOfTheServersAnswerAndOfTheRequest(t *testing.T) {
-	server := newStandIn(t)
-	r, _ := run(t, nil, server.Addr().String())
+func TestRequestAndResponseFramings(t *testing.T) {
+	server := newFakeEndpoint(t)
+	r, _ := startProxy(t, nil, server.Addr().String())
 	for _, act := range []string{"chunked", "close"} {
 		c := r.client()
 		c.send("step/"+act, "some body that is longer than one piece", "")
@@ -66,7 +66,7 @@
 	if answer, got := c.receive(); answer.StatusCode != 200 || got != "abcde" {
 		t.Errorf("%d %q", answer.StatusCode, got)
 	}
-	// Two requests at once: answered one after the other.
+	// Two pipelined requests are answered one after the other.
 	first, second := c.send("step/slow", "1", ""), c.send("step/echo", "2", "")
 	for _, want := range []string{"1", "2"} {
 		if _, got := c.receive(); got != want {
@@ -75,11 +75,11 @@
 	}
 }
 
-// Each way for an attempt to end, by the kind of request: how often it may be seen, and what the client is told.
-func TestEndingsOfPushes(t *testing.T) {
+// Each way in which an attempt ends, by the idempotency of the request: how often endpoints see it, and what the client gets.
+func TestOutcomesOfAttempts(t *testing.T) {
 	for _, k := range []struct {
 		act            string
-		step, note     int // status of the answer, idempotent and keyed
+		step, note     int // status of the response, idempotent and keyed
 		once, onceSeen int
 		outcome        policy.Outcome
 	}{
@@ -93,45 +93,45 @@
 		{"declined", 422, 422, 422, 1, policy.Declined},
 		{"silent", 503, 502, 502, 1, policy.TimedOut},
 	} {
-		servers := []*standIn{newStandIn(t), newStandIn(t), newStandIn(t)}
+		servers := []*fakeEndpoint{newFakeEndpoint(t), newFakeEndpoint(t), newFakeEndpoint(t)}
 		var addrs []string
 		for _, s := range servers {
 			addrs = append(addrs, s.Addr().String())
 		}
-		r, _ := run(t, nil, addrs...)
-		for offering, want := range map[string]int{"step": k.step, "note": k.note, "once": k.once} {
+		r, _ := startProxy(t, nil, addrs...)
+		for class, want := range map[string]int{"step": k.step, "note": k.note, "once": k.once} {
 			c, began := r.client(), time.Now()
-			id := c.send(offering+"/"+k.act, "b", "")
+			id := c.send(class+"/"+k.act, "b", "")
 			answer, _ := c.receive()
 			if answer.StatusCode != want || answer.StatusCode == 503 && answer.Header.Get("Retry-After") == "" {
-				t.Errorf("%s of %s: %d, want %d", k.act, offering, answer.StatusCode, want)
+				t.Errorf("%s of %s: %d, want %d", k.act, class, answer.StatusCode, want)
 			}
 			if took := time.Since(began); took > 1050*time.Millisecond || k.act == "icy" && took > 200*time.Millisecond {
-				t.Errorf("%s of %s: answered after %v", k.act, offering, time.Since(began))
+				t.Errorf("%s of %s: answered after %v", k.act, class, time.Since(began))
 			}
 			seen := 0
 			for _, s := range servers {
 				n, _ := s.count(id)
 				seen += n
 			}
-			if offering == "once" && seen != k.onceSeen || seen == 0 || seen > 3 {
-				t.Errorf("%s of %s: seen %d times", k.act, offering, seen)
+			if class == "once" && seen != k.onceSeen || seen == 0 || seen > 3 {
+				t.Errorf("%s of %s: seen %d times", k.act, class, seen)
 			}
 		}
-		r.end()
+		r.shutdown()
 		if r.Counters.Outcomes[k.outcome] < 3 {
 			t.Errorf("%s: outcomes %v", k.act, r.Counters.Outcomes)
 		}
 	}
 }
 
-// What stands behind an answer is no answer to the next request.
-func TestCopiesBehindAnswersReachNobody(t *testing.T) {
-	server := newStandIn(t)
-	r, _ := run(t, nil, server.Addr().String())
+// Bytes behind a response are not the response to the next request.
+func TestDuplicateResponsesAreDiscarded(t *testing.T) {
+	server := newFakeEndpoint(t)
+	r, _ := startProxy(t, nil, server.Addr().String())
 	c := r.client()
 	for i := range 300 {
-		body := strings.Repeat(fmt.Sprint(i%10), 1+i*43) // also across the sizes of buffers
+		body := strings.Repeat(fmt.Sprint(i%10), 1+i*43) // also over the capacities of buffers
 		c.send("step/copy", body, "")
 		if answer, got := c.receive(); answer.StatusCode != 200 || got != body {
 			t.Fatalf("%d: %d, %d bytes of %.1q, want %d of %.1q", i, answer.StatusCode, len(got), got, len(body), body)
@@ -139,11 +139,11 @@
 	}
 }
 
-// A connection that never came up proves that nothing ran, also for what must run only once.
-func TestRefusedConnectionsAreNoRun(t *testing.T) {
-	up, down := newStandIn(t), newStandIn(t)
+// A connection that was never established proves that nothing was processed, also for non-idempotent requests.
+func TestRefusedConnectionsAreRetried(t *testing.T) {
+	up, down := newFakeEndpoint(t), newFakeEndpoint(t)
 	down.Close()
-	r, _ := run(t, nil, up.Addr().String(), down.Addr().String())
+	r, _ := startProxy(t, nil, up.Addr().String(), down.Addr().String())
 	for range 20 {
 		c := r.client()
 		c.send("once/echo", "b", "")
@@ -151,15 +151,15 @@
 			t.Errorf("%d", answer.StatusCode)
 		}
 	}
-	r.end()
+	r.shutdown()
 	if r.Counters.Outcomes[policy.NotConnected] == 0 {
 		t.Error("the test reached no server that is down")
 	}
 }
 
-// A request that did not go out whole has not run: here the endpoint reads nothing, so the kernel takes only a part.
-func TestCutOffBeforeTheLastByteIsNoRun(t *testing.T) {
-	l, err := net.Listen("tcp", here)
+// A request that was written only in part was not processed. Here the endpoint reads nothing, so the kernel takes only a part.
+func TestPartlyWrittenRequestIsNotConnected(t *testing.T) {
+	l, err := net.Listen("tcp", loopbackAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -169,8 +169,8 @@
 		c := &connstate.Conn{Side: connstate.EndpointSide, Connected: true, Endpoint: &connstate.Endpoint{Endpoint: &engine.Endpoint{}}}
 		c.Output.Queued = queued
 		c.Output.Written.Store(10)
-		ticket := connstate.AsRequest(s.NewRequest(s.frontIndex))
-		ticket.AttemptConn, c.Request = c, ticket
+		request := connstate.AsRequest(s.NewRequest(s.frontIndex))
+		request.AttemptConn, c.Request = c, request
 		s.conns.Add(c)
 		s.connClosed(1, 1, c)
 		if s.RunSteps(1); s.Counters.Outcomes[want] != 1 {
@@ -179,9 +179,9 @@
 	}
 }
 
-func TestClientsThatLeaveTakeTheirPushWithThem(t *testing.T) {
-	server := newStandIn(t)
-	r, _ := run(t, nil, server.Addr().String())
+func TestAttemptEndsWithItsClient(t *testing.T) {
+	server := newFakeEndpoint(t)
+	r, _ := startProxy(t, nil, server.Addr().String())
 	for range 5 {
 		c := r.client()
 		id := c.send("step/silent", "b", "")
@@ -194,7 +194,7 @@
 		c.Close()
 	}
 	time.Sleep(50 * time.Millisecond)
-	r.end()
+	r.shutdown()
 	if r.Counters.ClientsGone != 5 || r.Counters.Outcomes[policy.Cancelled] != 5 {
 		t.Errorf("left %d, outcomes %v", r.Counters.ClientsGone, r.Counters.Outcomes)
 	}
--- a/internal/httpproxy/delay_test.go
+++ b/internal/httpproxy/delay_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// watchDelays measures how late the machine wakes a goroutine that does nothing but sleep: the delay that any timer of this process may
-// have had meanwhile, whatever the code under test does. stop ends the watch and gives the longest delay; it may be called again.
+// watchDelays measures how late the machine wakes a goroutine that only sleeps: the delay that any timer of this process may have had
+// meanwhile, whatever the code under test does. stop ends it and returns the longest delay; it may be called again.
 func watchDelays() (stop func() time.Duration) {
 	end, longest := make(chan struct{}), make(chan time.Duration, 1)
 	go measureDelays(end, longest)
--- a/internal/httpproxy/harness_test.go
+++ b/internal/httpproxy/harness_test.go
@@ -22,30 +22,30 @@
 	"pepperlead/policy"
 )
 
-// here is an address of this run's own, so that runs side by side never meet on a port that one has just left.
-var here = fmt.Sprintf("127.%d.%d.%d:0", 64+os.Getpid()>>14%64, os.Getpid()>>7%128, 1+os.Getpid()%128)
+// loopbackAddr is an address of this process's own, so that runs side by side never use a port that another has just released.
+var loopbackAddr = fmt.Sprintf("127.%d.%d.%d:0", 64+os.Getpid()>>14%64, os.Getpid()>>7%128, 1+os.Getpid()%128)
 
-// lateCopyAfter is how long after an answer a stand-in endpoint sends it again, where it is asked to.
+// lateCopyAfter is how long after a response a fake endpoint sends it again, where it is asked to.
 const lateCopyAfter = 10 * time.Millisecond
 
-// standIn is an endpoint of the fleet that does as the path says, and writes down what it was sent.
-type standIn struct {
+// fakeEndpoint is an endpoint that behaves as the path of a request says, and counts what it was sent.
+type fakeEndpoint struct {
 	net.Listener
 	mu    sync.Mutex
 	seen  map[string]int // requests by id
 	last  *http.Request
 	conns int
 
-	copies, overdue int // second answers, and those that came too late to be told apart
+	copies, overdue int // duplicate responses, and those that came too late to be recognised
 }
 
-func newStandIn(t *testing.T) *standIn {
+func newFakeEndpoint(t *testing.T) *fakeEndpoint {
 	t.Helper()
-	l, err := net.Listen("tcp", here)
+	l, err := net.Listen("tcp", loopbackAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &standIn{Listener: l, seen: map[string]int{}}
+	s := &fakeEndpoint{Listener: l, seen: map[string]int{}}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -62,13 +62,13 @@
 	return s
 }
 
-func (s *standIn) count(id string) (seen, conns int) {
+func (s *fakeEndpoint) count(id string) (seen, conns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.seen[id], s.conns
 }
 
-func (s *standIn) serve(c net.Conn) {
+func (s *fakeEndpoint) serve(c net.Conn) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -84,12 +84,12 @@
 		s.seen[r.Header.Get("X-Request-ID")]++
 		s.last = r
 		s.mu.Unlock()
-		whole := func(status, more string) {
+		respond := func(status, more string) {
 			fmt.Fprintf(c, "HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, more, len(body), body)
 		}
 		switch _, act, _ := strings.Cut(strings.Trim(r.URL.Path, "/"), "/"); act {
 		case "echo":
-			whole("200 OK", "X-Made-By: server\r\n")
+			respond("200 OK", "X-Made-By: server\r\n")
 		case "chunked":
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 			for i, b := range body {
@@ -104,11 +104,11 @@
 			return
 		case "slow":
 			time.Sleep(100 * time.Millisecond)
-			whole("200 OK", "")
+			respond("200 OK", "")
 		case "error":
-			whole("500 Oh", "")
+			respond("500 Oh", "")
 		case "away":
-			whole("503 Full", "X-Not-Processed: 1\r\n")
+			respond("503 Full", "X-Not-Processed: 1\r\n")
 		case "reset":
 			return
 		case "half":
@@ -122,19 +122,19 @@
 				_, err = c.Write(bytes.Repeat([]byte("x"), 1<<20))
 			}
 		case "declined":
-			whole("422 Useless", "")
+			respond("422 Useless", "")
 		case "copy":
 			answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 			io.WriteString(c, answer+answer)
-		case "late": // a second copy that comes when the next request may have been written
+		case "late": // a duplicate that comes when the next request may have been written
 			began := time.Now()
-			whole("200 OK", "")
+			respond("200 OK", "")
 			time.Sleep(lateCopyAfter)
-			whole("200 OK", "")
+			respond("200 OK", "")
 			s.mu.Lock()
 			s.copies++
 			if policy.Time(time.Since(began)) >= restTime {
-				s.overdue++ // this process stood still: later than a connection rests
+				s.overdue++ // this process was delayed: later than a connection rests
 			}
 			s.mu.Unlock()
 		case "garbage":
@@ -146,28 +146,28 @@
 	}
 }
 
-// agent is a stand-in for discovery; what it tells can be changed.
-type agent struct {
+// fakeDiscovery is a discovery service whose list can be changed.
+type fakeDiscovery struct {
 	net.Listener
-	mu    sync.Mutex
-	rev   int
-	told  string
-	news  chan struct{}
-	calls []string
-	hasty bool // answers at once, also if there is nothing new
+	mu      sync.Mutex
+	rev     int
+	list    string
+	changed chan struct{}
+	calls   []string
+	hasty   bool // answers at once, also if nothing has changed
 }
 
-func newAgent(t *testing.T, told string) *agent {
+func newFakeDiscovery(t *testing.T, list string) *fakeDiscovery {
 	t.Helper()
-	l, err := net.Listen("tcp", here)
+	l, err := net.Listen("tcp", loopbackAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &agent{Listener: l, rev: 1, told: told, news: make(chan struct{})}
+	a := &fakeDiscovery{Listener: l, rev: 1, list: list, changed: make(chan struct{})}
 	server := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		a.mu.Lock()
 		a.calls = append(a.calls, r.URL.String())
-		known, news, hasty := fmt.Sprint(a.rev), a.news, a.hasty
+		known, news, hasty := fmt.Sprint(a.rev), a.changed, a.hasty
 		a.mu.Unlock()
 		if !hasty && r.URL.Query().Get("from") == known {
 			select {
@@ -178,23 +178,23 @@
 		}
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		fmt.Fprint(w, a.told)
+		fmt.Fprint(w, a.list)
 	})}
 	go server.Serve(l)
 	t.Cleanup(func() { server.Close() })
 	return a
 }
 
-func (a *agent) tell(told string) {
+func (a *fakeDiscovery) setList(list string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.rev++
-	a.told = strings.Replace(told, "REV", fmt.Sprint(a.rev), 1)
-	close(a.news)
-	a.news = make(chan struct{})
+	a.list = strings.Replace(list, "REV", fmt.Sprint(a.rev), 1)
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-// listOf names the endpoints at the addresses as a list of theirs; an address may be followed by a state.
+// listOf returns the list of the endpoints at these addresses; an address may be followed by a state.
 func listOf(addrs ...string) string {
 	var all []string
 	for i, at := range addrs {
@@ -208,42 +208,42 @@
 	return `{"rev":REV,"all":true,"targets":[` + strings.Join(all, ",") + `]}`
 }
 
-type running struct {
+type runningProxy struct {
 	*Proxy
-	t    *testing.T
-	addr string
-	stop chan os.Signal
-	new  chan Config
-	done chan error
+	t       *testing.T
+	addr    string
+	stop    chan os.Signal
+	configs chan Config
+	done    chan error
 }
 
-// run starts an instance before the endpoints named; whatever the test did, nothing may be held at its end.
-func run(t *testing.T, change func(*Config), addrs ...string) (*running, *agent) {
+// startProxy starts an instance with these endpoints. Whatever the test does, nothing may be left at its end.
+func startProxy(t *testing.T, change func(*Config), addrs ...string) (*runningProxy, *fakeDiscovery) {
 	t.Helper()
-	told := strings.Replace(listOf(addrs...), "REV", "1", 1)
-	a := newAgent(t, told)
-	free, err := net.Listen("tcp", here)
+	list := strings.Replace(listOf(addrs...), "REV", "1", 1)
+	a := newFakeDiscovery(t, list)
+	free, err := net.Listen("tcp", loopbackAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	free.Close()
 	s := time.Second.Nanoseconds()
-	post := Config{Listen: free.Addr().String(), Source: discovery.NewPlatform(a.Addr().String(), false), Seed: 5, Descriptors: 256, MessageMemory: 32 << 20,
+	config := Config{Listen: free.Addr().String(), Source: discovery.NewPlatform(a.Addr().String(), false), Seed: 5, Descriptors: 256, MessageMemory: 32 << 20,
 		ConnectTimeout: policy.Time(s / 5), IdleTimeout: policy.Time(s * 60), ShutdownTime: policy.Time(s), AcceptTime: policy.Time(s / 20),
-		SavedList: []byte(told), Settings: &policy.Settings{Instances: 1, Zone: "a", Zones: 1, MayCancel: true, MaxAttempts: 3,
+		SavedList: []byte(list), Settings: &policy.Settings{Instances: 1, Zone: "a", Zones: 1, MayCancel: true, MaxAttempts: 3,
 			MaxRetryAfter: policy.Second, Tick: 5 * policy.Millisecond, ColdCapacity: 0.2, ColdTime: policy.Second, OverloadMultiple: 3,
 			Classes: []policy.Class{{Name: "step", Value: 1, Target: policy.Second / 4},
 				{Name: "note", Value: 1, Target: policy.Second / 4, Idempotency: policy.Keyed, Group: policy.GroupCell,
 					Window: policy.Second},
 				{Name: "once", Value: 1, Target: policy.Second / 4, Idempotency: policy.NonIdempotent}}}}
 	if change != nil {
-		change(&post)
+		change(&config)
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	r := &running{Proxy: New(post, log), t: t, addr: post.Listen, stop: make(chan os.Signal, 1),
-		new: make(chan Config), done: make(chan error, 1)}
-	go func() { r.done <- r.Run(r.stop, r.new) }()
+	r := &runningProxy{Proxy: New(config, log), t: t, addr: config.Listen, stop: make(chan os.Signal, 1),
+		configs: make(chan Config), done: make(chan error, 1)}
+	go func() { r.done <- r.Run(r.stop, r.configs) }()
 	for i := 0; ; i++ {
 		if c, err := net.Dial("tcp", r.addr); err == nil {
 			c.Close()
@@ -254,11 +254,11 @@
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	t.Cleanup(r.end)
+	t.Cleanup(r.shutdown)
 	return r, a
 }
 
-func (r *running) end() {
+func (r *runningProxy) shutdown() {
 	select {
 	case r.stop <- syscall.SIGTERM:
 	default:
@@ -275,18 +275,18 @@
 	r.done <- nil
 	if r.InFlight != 0 || r.Timers.Len() != 0 || r.buffers.Lent() != 0 || len(r.conns.Open) != 0 ||
 		r.conns.Count(connstate.ClientSide) != 0 || r.conns.Count(connstate.EndpointSide) != 0 {
-		r.t.Errorf("held at the end: %s", r.Report())
+		r.t.Errorf("left at the end: %s", r.Report())
 	}
 }
 
-// client is one connection of an application.
-type client struct {
+// testClient is one connection of an application.
+type testClient struct {
 	net.Conn
 	t  *testing.T
 	in *bufio.Reader
 }
 
-func (r *running) client() *client {
+func (r *runningProxy) client() *testClient {
 	r.t.Helper()
 	c, err := net.Dial("tcp", r.addr)
 	if err != nil {
@@ -294,22 +294,22 @@
 	}
 	r.t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(5 * time.Second))
-	return &client{c, r.t, bufio.NewReader(c)}
+	return &testClient{c, r.t, bufio.NewReader(c)}
 }
 
-var serial int
+var lastID int
 
-// send asks for a class to be treated in some way, and gives the request's id.
-func (c *client) send(path, body, more string) string {
-	serial++
-	id := fmt.Sprint("id-", serial)
-	offering, _, _ := strings.Cut(path, "/")
+// send sends a request with this path and returns its id.
+func (c *testClient) send(path, body, more string) string {
+	lastID++
+	id := fmt.Sprint("id-", lastID)
+	class, _, _ := strings.Cut(path, "/")
 	fmt.Fprintf(c, "POST /%s?q=1 HTTP/1.1\r\nHost: o\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\nX-Timeout: 1.0\r\n"+
-		"Idempotency-Key: k-%s\r\n%sContent-Length: %d\r\n\r\n%s", path, id, offering, id, more, len(body), body)
+		"Idempotency-Key: k-%s\r\n%sContent-Length: %d\r\n\r\n%s", path, id, class, id, more, len(body), body)
 	return id
 }
 
-func (c *client) receive() (*http.Response, string) {
+func (c *testClient) receive() (*http.Response, string) {
 	c.t.Helper()
 	answer, err := http.ReadResponse(c.in, nil)
 	if err != nil {
--- a/internal/httpproxy/limits_test.go
+++ b/internal/httpproxy/limits_test.go
@@ -17,11 +17,11 @@
 	"pepperlead/internal/connstate"
 )
 
-// With few descriptors all clients are still answered: the long idle are cut, and while room is short each answer ends its
-// connection.
+// With few descriptors all clients are still answered: long idle connections are closed, and while there are too many each response
+// closes its connection.
 func TestMoreClientsThanDescriptors(t *testing.T) {
-	server := newStandIn(t)
-	r, _ := run(t, func(p *Config) { p.Descriptors = 30 }, server.Addr().String())
+	server := newFakeEndpoint(t)
+	r, _ := startProxy(t, func(p *Config) { p.Descriptors = 30 }, server.Addr().String())
 	for range 3 {
 		c := r.client()
 		c.send("step/echo", "b", "")
@@ -30,7 +30,7 @@
 		}
 	}
 	time.Sleep(2050 * time.Millisecond)
-	var clients []*client
+	var clients []*testClient
 	for range 40 {
 		c := r.client()
 		c.send("step/slow", "b", "")
@@ -52,19 +52,19 @@
 	if answer, _ := c.receive(); answer.StatusCode != 200 {
 		t.Errorf("after them: %d", answer.StatusCode)
 	}
-	r.end()
+	r.shutdown()
 	if r.Counters.ClientConnsBroken == 0 {
 		t.Errorf("the limits were not reached: %s", r.Report())
 	}
 }
 
-// Clients that say nothing, or only a part, by hundreds: they end in time, and others neither wait for them nor lose their
-// connections to them, also while they pause.
-func TestSilentClientsCostOthersNothing(t *testing.T) {
-	server := newStandIn(t)
-	r, _ := run(t, func(p *Config) { p.Descriptors = 160 }, server.Addr().String())
+// Hundreds of clients send nothing, or only a part of a request: they are closed in time, and others neither wait for them nor lose
+// their connections to them, also while they pause.
+func TestSilentClientsDoNotAffectOthers(t *testing.T) {
+	server := newFakeEndpoint(t)
+	r, _ := startProxy(t, func(p *Config) { p.Descriptors = 160 }, server.Addr().String())
 	usual := r.client()
-	ask := func(c *client) {
+	ask := func(c *testClient) {
 		t.Helper()
 		began := time.Now()
 		c.send("step/echo", "b", "")
@@ -74,7 +74,7 @@
 	}
 	ask(usual)
 	began := time.Now()
-	var silent []*client
+	var silent []*testClient
 	for i := range 100 {
 		c := r.client()
 		if i%20 == 0 {
@@ -95,16 +95,16 @@
 		t.Errorf("all closed after %v", took)
 	}
 	ask(usual)
-	r.end()
+	r.shutdown()
 	if k := r.Counters; k.ClientConnsBroken+k.ClientsSilent != 95 || k.ClientsSilent == 0 || k.ClientConnsBroken == 0 {
 		t.Errorf("%s", k.String())
 	}
 }
 
-// Clients that ask once and stay: beyond a few of them answers end connections, and those that rest for long are closed.
+// Clients send one request and stay connected: beyond a few of them responses close connections, and those that rest for long are closed.
 func TestClientsThatStayMakeRoom(t *testing.T) {
-	r, _ := run(t, func(p *Config) { p.Descriptors = 160 }, newStandIn(t).Addr().String())
-	var stay []*client
+	r, _ := startProxy(t, func(p *Config) { p.Descriptors = 160 }, newFakeEndpoint(t).Addr().String())
+	var stay []*testClient
 	closes := 0
 	for range 40 {
 		c := r.client()
@@ -123,7 +123,7 @@
 		t.Errorf("%d answers closed, %d may rest", closes, idle)
 	}
 	time.Sleep(2300 * time.Millisecond)
-	last := stay[idle/2-2] // rests for no longer than the others, and may go on
+	last := stay[idle/2-2] // rests for no longer than the others, and may stay
 	ended := 0
 	for _, c := range stay {
 		c.SetReadDeadline(time.Now().Add(time.Millisecond))
@@ -135,16 +135,16 @@
 		t.Errorf("%d of 40 ended", ended)
 	}
 	last.Close()
-	r.end()
+	r.shutdown()
 	if r.conns.RestingCount != 0 {
 		t.Errorf("%d rest at the end", r.conns.RestingCount)
 	}
 }
 
-// The id of a request in hand is refused to others, and free again once that has its answer.
-func TestIDInHandIsNotTakenTwice(t *testing.T) {
-	server := newStandIn(t)
-	r, _ := run(t, nil, server.Addr().String())
+// The id of a request in flight is refused to others, and free again once the request is answered.
+func TestIDInUseIsRefused(t *testing.T) {
+	server := newFakeEndpoint(t)
+	r, _ := startProxy(t, nil, server.Addr().String())
 	first, second := r.client(), r.client()
 	request := "GET /step/slow HTTP/1.1\r\nHost: o\r\nX-Request-ID: same\r\nX-Timeout: 1\r\n\r\n"
 	io.WriteString(first, request)
@@ -162,7 +162,7 @@
 		}
 		io.WriteString(first, request)
 	}
-	first.Close() // leaves while its third is in hand
+	first.Close() // leaves while its third is in flight
 	time.Sleep(20 * time.Millisecond)
 	third := r.client()
 	io.WriteString(third, request)
@@ -171,9 +171,9 @@
 	}
 }
 
-// Full memory is answered, not filled further.
-func TestFullMemoryTurnsBack(t *testing.T) {
-	r, _ := run(t, func(p *Config) { p.MessageMemory = 0 }, newStandIn(t).Addr().String())
+// While memory is full requests are rejected.
+func TestFullMemoryRejects(t *testing.T) {
+	r, _ := startProxy(t, func(p *Config) { p.MessageMemory = 0 }, newFakeEndpoint(t).Addr().String())
 	for i := range 3 {
 		c := r.client()
 		if i < 2 {
@@ -187,9 +187,9 @@
 	}
 }
 
-// A peer that sends without end is cut off, whatever the loop does.
-func TestFloodsAreCutOff(t *testing.T) {
-	r, _ := run(t, nil, newStandIn(t).Addr().String())
+// A peer that sends without end is closed, whatever the loop does.
+func TestFloodingClientsAreClosed(t *testing.T) {
+	r, _ := startProxy(t, nil, newFakeEndpoint(t).Addr().String())
 	c := r.client()
 	c.send("step/silent", "b", "")
 	var err error
@@ -202,9 +202,9 @@
 	c.Close()
 }
 
-// A client that sends requests and reads no answers holds one answer, and not for long.
-func TestClientsThatReadNothingAreBounded(t *testing.T) {
-	r, _ := run(t, nil, newStandIn(t).Addr().String())
+// A client that sends requests and reads no responses has one response pending, and not for long.
+func TestClientsThatReadNothingAreClosed(t *testing.T) {
+	r, _ := startProxy(t, nil, newFakeEndpoint(t).Addr().String())
 	c := r.client()
 	began := time.Now()
 	body := strings.Repeat("x", maxBody)
@@ -217,16 +217,16 @@
 		t.Error("not closed")
 	}
 	c.Close()
-	r.end()
-	// What the kernel took at either end is not the instance's.
+	r.shutdown()
+	// What the kernels at either end buffer does not count.
 	if r.Counters.BytesOut > 24<<20 || r.Counters.Succeeded > 200 {
 		t.Errorf("%d bytes were sent to one that reads nothing: %s", r.Counters.BytesOut, r.Report())
 	}
 }
 
-// Connections that both ends close at once free their descriptors for new ones, which nothing of the old may touch.
+// Connections that both ends close at once free their descriptors for new ones, which events of the old must not affect.
 func TestQuickClosesLoseNothing(t *testing.T) {
-	r, _ := run(t, nil, newStandIn(t).Addr().String())
+	r, _ := startProxy(t, nil, newFakeEndpoint(t).Addr().String())
 	var wait sync.WaitGroup
 	lost := make(chan error, 8)
 	for range 8 {
@@ -255,10 +255,10 @@
 	}
 }
 
-// pair is a connection as the instance holds it, and its other end.
-func pair(t *testing.T) (far net.Conn, nb *nbio.Conn, conn *connstate.Conn) {
+// connectedPair is a connection as the instance has it, and its peer's end.
+func connectedPair(t *testing.T) (far net.Conn, nb *nbio.Conn, conn *connstate.Conn) {
 	t.Helper()
-	l, err := net.Listen("tcp", here)
+	l, err := net.Listen("tcp", loopbackAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -279,15 +279,15 @@
 	return far, nb, conn
 }
 
-// Where memory is full and more, whoever has sent much that nobody has looked at yet sends no more.
-func TestFloodsEndWhereMemoryIsFull(t *testing.T) {
-	far, nb, conn := pair(t)
+// Where memory is overcommitted, a client with much unprocessed input is closed.
+func TestFloodingClientsAreClosedWhenMemoryIsFull(t *testing.T) {
+	far, nb, conn := connectedPair(t)
 	s := &sockets{buffers: &connstate.Buffers{Limit: connstate.SmallBuffer}, signal: func() {}}
 	s.maxPending.Store(maxPendingBytes)
 	held := s.buffers.Get(connstate.LargeBuffer)
 	fmt.Fprint(far, "GET")
 	time.Sleep(20 * time.Millisecond)
-	s.read(nb) // a little is always taken, to be rejected
+	s.read(nb) // a little is always read, to be rejected
 	if conn.Socket.(*socket).readShut || conn.Input.Unread.Load() != 3 {
 		t.Errorf("cut at its first bytes, or they were not read: %d", conn.Input.Unread.Load())
 	}
@@ -300,9 +300,9 @@
 	s.buffers.Put(held)
 }
 
-// A connection with bytes on it is not cut: their sender would have lost a request.
+// A connection on which bytes have come is not closed: their sender would have lost a request.
 func TestOnlyQuietConnectionsAreCut(t *testing.T) {
-	far, _, conn := pair(t)
+	far, _, conn := connectedPair(t)
 	buffers := &connstate.Buffers{}
 	if !conn.Socket.Idle(conn) {
 		t.Error("not quiet before anything came")
--- a/internal/httpproxy/manners_test.go
+++ b/internal/httpproxy/mixed_test.go
@@ -13,16 +13,16 @@
 	"time"
 )
 
-// Clients and endpoints of all manners at once: each request gets one answer or none if its client left, what may run only
-// once is not sent again once it may have run, and (at the end of run) nothing is held.
+// Clients and endpoints of all behaviours at once: each request gets one response, or none if its client left, non-idempotent requests
+// are not retried once they may have been processed, and nothing is left at the end.
 func TestAllMannersAtOnce(t *testing.T) {
-	var servers []*standIn
+	var servers []*fakeEndpoint
 	var addrs []string
 	for range 4 {
-		servers = append(servers, newStandIn(t))
+		servers = append(servers, newFakeEndpoint(t))
 		addrs = append(addrs, servers[len(servers)-1].Addr().String())
 	}
-	r, a := run(t, nil, addrs...)
+	r, a := startProxy(t, nil, addrs...)
 	acts := []string{"echo", "echo", "echo", "chunked", "close", "slow", "error", "away", "reset", "half", "garbage", "silent"}
 	var wait sync.WaitGroup
 	for n := range 16 {
@@ -33,11 +33,11 @@
 			var c net.Conn
 			var in *bufio.Reader
 			for i := range 40 {
-				offering, act := []string{"step", "note", "once"}[rnd.Intn(3)], acts[rnd.Intn(len(acts))]
+				class, act := []string{"step", "note", "once"}[rnd.Intn(3)], acts[rnd.Intn(len(acts))]
 				body := strings.Repeat("x", rnd.Intn(3)*rnd.Intn(9000))
 				id := fmt.Sprintf("%d-%d", n, i)
 				message := fmt.Sprintf("POST /%s/%s HTTP/1.1\r\nHost: o\r\nX-Request-ID: %s\r\nX-Timeout: 0.3\r\nX-Route-Key: %d\r\n"+
-					"Idempotency-Key: %s\r\nContent-Length: %d\r\n\r\n%s", offering, act, id, rnd.Intn(20), id, len(body), body)
+					"Idempotency-Key: %s\r\nContent-Length: %d\r\n\r\n%s", class, act, id, rnd.Intn(20), id, len(body), body)
 				if c == nil {
 					var err error
 					if c, err = net.Dial("tcp", r.addr); err != nil {
@@ -77,22 +77,22 @@
 					k, _ := s.count(id)
 					seen += k
 				}
-				if offering == "once" && act != "away" && seen > 1 || seen > 3 {
-					t.Errorf("%s of %s: sent %d times", act, offering, seen)
+				if class == "once" && act != "away" && seen > 1 || seen > 3 {
+					t.Errorf("%s of %s: sent %d times", act, class, seen)
 				}
 				if answer.Close {
 					c.Close()
 					c = nil
 				}
 				if n == 0 && i%10 == 0 {
-					a.tell(listOf(addrs[:2+i/20]...))
+					a.setList(listOf(addrs[:2+i/20]...))
 				}
 			}
 		}()
 	}
 	wait.Wait()
 	time.Sleep(50 * time.Millisecond)
-	r.end()
+	r.shutdown()
 	if k := r.Counters; k.Requests < 400 || k.Succeeded == 0 || k.Failed == 0 || k.Rejected == 0 || k.ClientsGone == 0 {
 		t.Errorf("the histories reach too little: %s", k.String())
 	}
--- a/internal/httpproxy/operated_test.go
+++ b/internal/httpproxy/operated_test.go
@@ -14,17 +14,17 @@
 	"pepperlead/policy"
 )
 
-func (r *running) byHand(uids ...string) {
+func (r *runningProxy) drainByOperator(uids ...string) {
 	r.t.Helper()
 	if !r.RunOnLoopWithin(time.Second, func() { r.SetDrained(r.Clock.Now(), uids) }) {
 		r.t.Fatal("the loop does not come")
 	}
 }
 
-// An endpoint that is out by hand gets nothing, whatever lists say meanwhile; called back it is cold, and used.
-func TestOutByHandWhateverTheListSays(t *testing.T) {
-	one, two := newStandIn(t), newStandIn(t)
-	r, a := run(t, nil, one.Addr().String(), two.Addr().String())
+// An administratively drained endpoint gets no requests, whatever the list says; once it is back it is cold, and used.
+func TestAdministrativeDrainOverridesList(t *testing.T) {
+	one, two := newFakeEndpoint(t), newFakeEndpoint(t)
+	r, a := startProxy(t, nil, one.Addr().String(), two.Addr().String())
 	c := r.client()
 	asked := func(n int) (to [2]int) {
 		t.Helper()
@@ -33,7 +33,7 @@
 			if answer, _ := c.receive(); answer.StatusCode != 200 {
 				t.Fatal(answer.Status)
 			}
-			for i, s := range []*standIn{one, two} {
+			for i, s := range []*fakeEndpoint{one, two} {
 				seen, _ := s.count(id)
 				to[i] += seen
 			}
@@ -43,11 +43,11 @@
 	if to := asked(40); to[0] == 0 || to[1] == 0 {
 		t.Fatal("both should be used", to)
 	}
-	r.byHand("s-0")
+	r.drainByOperator("s-0")
 	list := listOf(one.Addr().String(), two.Addr().String())
 	for i, told := range []string{"", list, listOf(one.Addr().String()+" Terminating", two.Addr().String()), listOf("127.0.0.1:1 Gone", two.Addr().String()), list} {
 		if told != "" {
-			a.tell(told)
+			a.setList(told)
 			time.Sleep(20 * time.Millisecond)
 		}
 		if to := asked(20); to[0] != 0 {
@@ -61,7 +61,7 @@
 		t.Error(listed, never, r.Tally.Endpoints.Load(), r.Tally.Unavailable.Load())
 	}
 	before := r.Clock.Now()
-	r.byHand()
+	r.drainByOperator()
 	r.RunOnLoop(func() {
 		for _, s := range r.Endpoints {
 			if s.UID == "s-0" {
@@ -81,10 +81,10 @@
 	}
 }
 
-// Each request is counted once, by class and result, and each attempt once it is written.
-func TestFiguresAreWhatPeersSaw(t *testing.T) {
-	one := newStandIn(t)
-	r, _ := run(t, nil, one.Addr().String())
+// Each request is counted once by class and result, and each attempt once it is written.
+func TestFiguresMatchWhatPeersSaw(t *testing.T) {
+	one := newFakeEndpoint(t)
+	r, _ := startProxy(t, nil, one.Addr().String())
 	want := map[string]int{}
 	for i, act := range []string{"echo", "error", "away", "declined", "reset", "echo", "once"} {
 		c := r.client()
@@ -125,10 +125,10 @@
 	}
 }
 
-// One process goes and another comes on the listener that both have: no client is kept out, and no request is lost.
-func TestListenerPassesFromOneToTheNext(t *testing.T) {
-	one := newStandIn(t)
-	l, err := net.Listen("tcp", here)
+// One process succeeds another on a shared listener: no client is refused, and no request is lost.
+func TestListenerHandover(t *testing.T) {
+	one := newFakeEndpoint(t)
+	l, err := net.Listen("tcp", loopbackAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,8 +138,8 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	next := func(follows bool) *running {
-		r, _ := run(t, func(p *Config) {
+	next := func(follows bool) *runningProxy {
+		r, _ := startProxy(t, func(p *Config) {
 			p.Listen, p.Successor, p.ImportState = l.Addr().String(), follows, func() {}
 			if p.InheritedListener, err = syscall.Dup(int(f.Fd())); err != nil {
 				t.Fatal(err)
@@ -155,7 +155,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			// With its key a request is sent once more where its connection was closed before it was read, as clients do.
+			// A keyed request is sent again where its connection was closed before it was read, as clients do.
 			client := http.Client{Transport: &http.Transport{}, Timeout: 2 * time.Second}
 			for i := 0; time.Now().Before(end); i++ {
 				r, _ := http.NewRequest("POST", "http://"+l.Addr().String()+"/step/echo", strings.NewReader("x"))
@@ -178,7 +178,7 @@
 			t.Error("ready with no list")
 		}
 		time.Sleep(100 * time.Millisecond)
-		old.end()
+		old.shutdown()
 		if old.Ready() {
 			t.Error("ready after its end")
 		}
--- a/internal/httpproxy/parse_test.go
+++ b/internal/httpproxy/parse_test.go
@@ -11,15 +11,15 @@
 	"pepperlead/policy"
 )
 
-func check(t *testing.T, seed int64, f any) {
+func quickCheck(t *testing.T, seed int64, f any) {
 	t.Helper()
 	if err := quick.Check(f, &quick.Config{MaxCount: 300, Rand: rand.New(rand.NewSource(seed))}); err != nil {
 		t.Error(err)
 	}
 }
 
-// chunkUp writes a body in chunks of drawn sizes.
-func chunkUp(r *rand.Rand, body []byte) []byte {
+// randomChunks returns the body in chunks of random sizes.
+func randomChunks(r *rand.Rand, body []byte) []byte {
 	var out []byte
 	for len(body) > 0 {
 		n := 1 + r.Intn(len(body))
@@ -29,20 +29,20 @@
 	return append(out, "0\r\nTrailer: x\r\n\r\n"...)
 }
 
-// message draws a body and the bytes that carry it after the first line.
-func message(r *rand.Rand) (body, rest []byte) {
+// randomMessage returns a random body and the bytes of a message behind its first line.
+func randomMessage(r *rand.Rand) (body, rest []byte) {
 	body = make([]byte, r.Intn(300))
 	r.Read(body)
 	if r.Intn(2) == 0 {
-		return body, append([]byte("Host: a\r\nTransfer-Encoding: chunked\r\n\r\n"), chunkUp(r, body)...)
+		return body, append([]byte("Host: a\r\nTransfer-Encoding: chunked\r\n\r\n"), randomChunks(r, body)...)
 	}
 	return body, append([]byte(fmt.Sprintf("Host: a\r\ncontent-length:  %d \r\n\r\n", len(body))), body...)
 }
 
-func TestMessagesAreReadAlikeHoweverTheyAreSplit(t *testing.T) {
-	check(t, 1, func(seed int64) bool {
+func TestMessagesAreParsedHoweverTheyAreSplit(t *testing.T) {
+	quickCheck(t, 1, func(seed int64) bool {
 		r := rand.New(rand.NewSource(seed))
-		body, rest := message(r)
+		body, rest := randomMessage(r)
 		request := append([]byte("POST /step/a?b=1 HTTP/1.1\r\n"), rest...)
 		response := append([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n"), rest...)
 		for i := range request {
@@ -66,7 +66,7 @@
 	})
 }
 
-func TestBadRequestsAreToldApart(t *testing.T) {
+func TestBadRequestsHaveTheirStatus(t *testing.T) {
 	long := strings.Repeat("x", maxHead)
 	for in, want := range map[string]int{
 		"GET / HTTP/1.1\r\nHost: a\r\n\r\n":                                                         0,
@@ -94,13 +94,13 @@
 		"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999999999999999999999999999999\r\n\r\n": 400,
 		"GET / HTTP/1.1\r\nHost: a\r\nA: " + long + "\r\n\r\n":                                      431,
 		"GET /" + long:                                        431,
-		"\x16\x03\x01\x02\x00\x01\x00":                        400, // someone speaks TLS
+		"\x16\x03\x01\x02\x00\x01\x00":                        400, // a TLS client
 		strings.Repeat("A", 64):                               400,
 		"GET http://a.b:1/step?x HTTP/1.1\r\nHost: a\r\n\r\n": 0,
 		"POST / HTTP/1.0\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n": 400,
 		"{\"json\":1}":                        400,
 		"G@T / HTTP/1.1\r\nHost: a\r\n\r\n":   400,
-		"GET /\x7f HTTP/1.1\r\nHost: a\r\n\r": 0, // not whole: told once it is
+		"GET /\x7f HTTP/1.1\r\nHost: a\r\n\r": 0, // incomplete: refused once it is complete
 	} {
 		if _, status := parseRequest([]byte(in), maxBody); status != want {
 			t.Errorf("%.80q: status %d, want %d", in, status, want)
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestAnswersMeanWhatTheProtocolSays(t *testing.T) {
+func TestOutcomesOfResponses(t *testing.T) {
 	for in, want := range map[string]policy.Outcome{
 		"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n":                                                         policy.Succeeded,
 		"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n":                                                         policy.Errored,
@@ -144,8 +144,8 @@
 	}
 }
 
-// What cannot become an answer is told while it is not whole: its endpoint may leave the connection open, and say no more.
-func TestSpoiltAnswersAreToldEarly(t *testing.T) {
+// What cannot become a response is detected while it is incomplete: its endpoint may leave the connection open and send no more.
+func TestMalformedResponsesAreDetectedEarly(t *testing.T) {
 	for _, in := range []string{"\x93\x0c", "HTTQ", "ICY 200 OK\r\n", "HTTP/1.1 2x0 OK\r\n", "HTTP/1.1 OK 200\r\nA: b",
 		"HTTP/1.1 200 OK\r\nno colon here\r\nA", "HTTP/1.1 200 OK\r\nA: \x00\r\n", "HTTP/1.1 200 OK\r\n\r\nand no length",
 		"HTTP/1.1 500 Oh\r\nContent-Length: 3000000000\r\n\r\n", "HTTP/1.1 101 Switching\r\n\r\n",
@@ -159,7 +159,7 @@
 }
 
 // An endpoint must not be able to read another id or key than the instance did.
-func TestIDsAreGivenOnce(t *testing.T) {
+func TestAmbiguousIDs(t *testing.T) {
 	for head, want := range map[string]bool{"X-Request-ID: 1\r\nIdempotency-Key: 2\r\nConnection: close\r\n": false,
 		"X-Request-ID: 1\r\nx-request-id: 2\r\n":               true,
 		"Idempotency-Key: 1\r\nA: b\r\nIdempotency-Key: 1\r\n": true, "X-Request-ID: 1\r\nConnection: close, Idempotency-Key\r\n": true} {
@@ -174,7 +174,7 @@
 	}
 }
 
-func TestOnlyWhatIsForTheOtherSideGoesThrough(t *testing.T) {
+func TestOnlyEndToEndHeadersAreForwarded(t *testing.T) {
 	head := []byte("Host: a\r\nconnection: keep-alive, X-Mine\r\nX-Mine: 1\r\nX-Request-ID: 7\r\nIdempotency-Key: k\r\n" +
 		"X-Timeout: 9\r\nContent-Length: 3\r\nTE: x\r\nExpect: 100-continue\r\nX-Attrs: a=1,b=2\r\n")
 	want := "POST /s?q=1 HTTP/1.1\r\nHost: a\r\nX-Request-ID: 7\r\nIdempotency-Key: k\r\nX-Attrs: a=1,b=2\r\n" +
--- a/internal/httpproxy/proxy_test.go
+++ b/internal/httpproxy/proxy_test.go
@@ -17,9 +17,9 @@
 	"pepperlead/policy"
 )
 
-func TestBadRequestsAreAnsweredClosedAndNotPushed(t *testing.T) {
-	server := newStandIn(t)
-	r, _ := run(t, nil, server.Addr().String())
+func TestBadRequestsAreAnsweredAndClosed(t *testing.T) {
+	server := newFakeEndpoint(t)
+	r, _ := startProxy(t, nil, server.Addr().String())
 	for in, want := range map[string]int{
 		"GET /step/echo HTTP/1.1\r\nHost: o\r\nX-Timeout: 1\r\n\r\n":                                      400, // no id
 		"GET /step/echo HTTP/1.1\r\nHost: o\r\nX-Request-ID: a\r\n\r\n":                                   400, // no time
@@ -50,8 +50,8 @@
 	}
 }
 
-func TestOwnPages(t *testing.T) {
-	r, a := run(t, func(p *Config) { p.SavedList = nil }, newStandIn(t).Addr().String())
+func TestLocalPaths(t *testing.T) {
+	r, a := startProxy(t, func(p *Config) { p.SavedList = nil }, newFakeEndpoint(t).Addr().String())
 	ready := func() int {
 		c := r.client()
 		io.WriteString(c, "GET /_health HTTP/1.1\r\nHost: o\r\n\r\n")
@@ -81,8 +81,8 @@
 }
 
 func TestListIsFollowed(t *testing.T) {
-	old, new := newStandIn(t), newStandIn(t)
-	r, a := run(t, nil, old.Addr().String())
+	old, new := newFakeEndpoint(t), newFakeEndpoint(t)
+	r, a := startProxy(t, nil, old.Addr().String())
 	ask := func() (tookOld int) {
 		c := r.client()
 		id := c.send("step/echo", "b", "")
@@ -96,13 +96,13 @@
 		ask()
 	}
 	for _, broken := range []string{"{", `{"rev":9,"all":true,"targets":[{"uid":"x"}]}`, "", strings.Repeat("[", 1000)} {
-		a.tell(broken)
+		a.setList(broken)
 		time.Sleep(20 * time.Millisecond)
 		if ask() != 1 {
 			t.Errorf("the list %.20q was taken", broken)
 		}
 	}
-	a.tell(listOf(old.Addr().String()+" Terminating", new.Addr().String()))
+	a.setList(listOf(old.Addr().String()+" Terminating", new.Addr().String()))
 	for i := 0; ask() != 0; i++ {
 		if i > 500 {
 			t.Fatal("the change was not heard")
@@ -116,13 +116,13 @@
 	}
 }
 
-// Discovery that never waits must not be asked in a circle.
-func TestNothingNewIsNotAskedForWithoutPause(t *testing.T) {
-	_, a := run(t, nil, newStandIn(t).Addr().String())
+// Discovery that never waits must not be polled in a busy loop.
+func TestUnchangedListIsNotPolledWithoutPause(t *testing.T) {
+	_, a := startProxy(t, nil, newFakeEndpoint(t).Addr().String())
 	a.mu.Lock()
 	a.hasty = true
 	a.mu.Unlock()
-	a.tell(strings.Replace(a.told, `"rev":1`, `"rev":REV`, 1))
+	a.setList(strings.Replace(a.list, `"rev":1`, `"rev":REV`, 1))
 	time.Sleep(300 * time.Millisecond)
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -131,19 +131,19 @@
 	}
 }
 
-// A new configuration moves discovery and nothing else: requests in hand are answered, and connections to endpoints stay.
+// A new configuration changes discovery and nothing else: requests in flight are answered, and connections to endpoints stay.
 func TestNewConfigurationUnderLoad(t *testing.T) {
-	old, new := newStandIn(t), newStandIn(t)
-	r, first := run(t, nil, old.Addr().String())
-	second := newAgent(t, strings.Replace(listOf(old.Addr().String()+" Terminating", new.Addr().String()), "REV", "1", 1))
+	old, new := newFakeEndpoint(t), newFakeEndpoint(t)
+	r, first := startProxy(t, nil, old.Addr().String())
+	second := newFakeDiscovery(t, strings.Replace(listOf(old.Addr().String()+" Terminating", new.Addr().String()), "REV", "1", 1))
 	slow, kept := r.client(), r.client()
 	kept.send("step/echo", "a", "")
 	kept.receive()
 	slow.send("once/slow", "b", "")
 	time.Sleep(20 * time.Millisecond)
-	post := r.config
-	post.Source = discovery.NewPlatform(second.Addr().String(), false)
-	r.new <- post
+	config := r.config
+	config.Source = discovery.NewPlatform(second.Addr().String(), false)
+	r.configs <- config
 	first.Close()
 	if answer, got := slow.receive(); answer.StatusCode != 200 || got != "b" || answer.Close {
 		t.Errorf("in hand: %d %q, closes %v", answer.StatusCode, got, answer.Close)
@@ -161,16 +161,16 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	post.Settings = &policy.Settings{Classes: []policy.Class{{Name: "other"}}}
-	r.new <- post // what the module counts by cannot change under it
+	config.Settings = &policy.Settings{Classes: []policy.Class{{Name: "other"}}}
+	r.configs <- config // the module's classes cannot change while it runs
 	kept.send("step/echo", "d", "")
 	if answer, _ := kept.receive(); answer.StatusCode != 200 {
 		t.Errorf("after settings of another shape: %d", answer.StatusCode)
 	}
 	changed := *r.config.Settings
 	changed.MaxRetryAfter = 2 * policy.Second
-	post.Settings = &changed
-	r.new <- post
+	config.Settings = &changed
+	r.configs <- config
 	kept.send("step/away", "e", "")
 	if answer, _ := kept.receive(); answer.StatusCode != 503 {
 		t.Errorf("turned away: %d", answer.StatusCode)
@@ -180,15 +180,15 @@
 		t.Errorf("asked %v", second.calls)
 	}
 	second.mu.Unlock()
-	r.end()
+	r.shutdown()
 	if r.Counters.Reconfigurations != 3 || r.config.Settings.MaxRetryAfter != 2*policy.Second {
 		t.Errorf("renewed %d times, advice %d", r.Counters.Reconfigurations, r.config.Settings.MaxRetryAfter)
 	}
 }
 
 func TestLeaving(t *testing.T) {
-	server := newStandIn(t)
-	r, _ := run(t, func(p *Config) { p.AcceptTime, p.ShutdownTime = 200*policy.Millisecond, 600*policy.Millisecond }, server.Addr().String())
+	server := newFakeEndpoint(t)
+	r, _ := startProxy(t, func(p *Config) { p.AcceptTime, p.ShutdownTime = 200*policy.Millisecond, 600*policy.Millisecond }, server.Addr().String())
 	idle, slow, silent := r.client(), r.client(), r.client()
 	idle.send("step/echo", "b", "")
 	idle.receive()
@@ -212,35 +212,35 @@
 	if answer, _ := silent.receive(); answer.StatusCode != 502 || time.Since(began) > 650*time.Millisecond {
 		t.Errorf("silent: %d after %v", answer.StatusCode, time.Since(began))
 	}
-	r.end()
+	r.shutdown()
 	if took := time.Since(began); took > 900*time.Millisecond {
 		t.Errorf("ended after %v", took)
 	}
 }
 
-// sink is a socket that takes all and keeps the last of it.
-type sink struct {
-	conn  *connstate.Conn
-	last  []byte
-	noisy bool // something unasked has come
+// recordingSocket is a socket that accepts everything and records the last write.
+type recordingSocket struct {
+	conn     *connstate.Conn
+	last     []byte
+	hasInput bool // unexpected bytes have come
 }
 
-func (k *sink) Write(b []byte) (int, error) {
+func (k *recordingSocket) Write(b []byte) (int, error) {
 	k.last = append(k.last[:0], b...)
 	k.conn.Output.Written.Add(int64(len(b)))
 	return len(b), nil
 }
-func (k *sink) Close() error                     { return nil }
-func (k *sink) CloseIfIdle(*connstate.Conn) bool { return true }
-func (k *sink) DiscardInput()                    {}
-func (k *sink) Reset()                           {}
-func (k *sink) Idle(*connstate.Conn) bool        { return !k.noisy }
+func (k *recordingSocket) Close() error                     { return nil }
+func (k *recordingSocket) CloseIfIdle(*connstate.Conn) bool { return true }
+func (k *recordingSocket) DiscardInput()                    {}
+func (k *recordingSocket) Reset()                           {}
+func (k *recordingSocket) Idle(*connstate.Conn) bool        { return !k.hasInput }
 
-// still is an instance that knows one endpoint and does not run, and a way to connect to it without sockets.
-func still(t *testing.T) (*Proxy, func(side connstate.Side) (*connstate.Conn, *sink)) {
+// newStoppedProxy returns an instance that has one endpoint and does not run, and a function that connects to it without sockets.
+func newStoppedProxy(t *testing.T) (*Proxy, func(side connstate.Side) (*connstate.Conn, *recordingSocket)) {
 	t.Helper()
-	r, _ := run(t, nil, "127.0.0.1:1")
-	r.end()
+	r, _ := startProxy(t, nil, "127.0.0.1:1")
+	r.shutdown()
 	s := New(r.config, r.Logger)
 	s.sockets.connect = func(string, policy.Time) (net.Conn, error) { return nil, net.ErrClosed }
 	_, _, entries, err := discovery.DecodeList(s.config.SavedList)
@@ -248,9 +248,9 @@
 		t.Fatal(err)
 	}
 	s.Apply(1, &discovery.List{Kind: policy.ListSaved, Entries: entries})
-	return s, func(side connstate.Side) (*connstate.Conn, *sink) {
+	return s, func(side connstate.Side) (*connstate.Conn, *recordingSocket) {
 		c := &connstate.Conn{Side: side, Connected: true, Timer: engine.Timer{Run: func(policy.Time) {}}}
-		k := &sink{conn: c}
+		k := &recordingSocket{conn: c}
 		c.Socket = k
 		s.conns.Add(c)
 		return c, k
@@ -258,9 +258,9 @@
 }
 
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
-	s, connect := still(t)
-	client, answers := connect(connstate.ClientSide)
-	server, pushes := connect(connstate.EndpointSide)
+	s, connect := newStoppedProxy(t)
+	client, responses := connect(connstate.ClientSide)
+	server, attempts := connect(connstate.EndpointSide)
 	for _, one := range s.Endpoints {
 		server.Endpoint = s.endpointConns(one)
 		s.returnIdle(1, server)
@@ -285,20 +285,20 @@
 		once()
 	}
 	if n := testing.AllocsPerRun(200, once); n > 0 {
-		t.Errorf("%v allocations a ticket", n)
+		t.Errorf("%v allocations a request", n)
 	}
-	if !bytes.HasSuffix(answers.last, []byte("\r\n\r\nok")) || !bytes.HasPrefix(pushes.last, []byte("GET /step/a ")) ||
+	if !bytes.HasSuffix(responses.last, []byte("\r\n\r\nok")) || !bytes.HasPrefix(attempts.last, []byte("GET /step/a ")) ||
 		s.Counters.Succeeded < 700 {
-		t.Errorf("%q %q %s", answers.last, pushes.last, s.report())
+		t.Errorf("%q %q %s", responses.last, attempts.last, s.report())
 	}
 }
 
-// A connection on which something unasked stands, or whose last answer is only just there, is not the one for the next attempt.
+// A connection with unexpected input, or whose last response has only just come, is not used for the next attempt.
 func TestPushesGoOutOnQuietConnections(t *testing.T) {
-	s, connect := still(t)
+	s, connect := newStoppedProxy(t)
 	client, _ := connect(connstate.ClientSide)
 	now := s.Clock.Now()
-	var idle []*sink
+	var idle []*recordingSocket
 	var all []*connstate.Conn
 	for i := range 4 {
 		c, k := connect(connstate.EndpointSide)
@@ -308,11 +308,11 @@
 		s.returnIdle(now+policy.Time(i)*policy.Millisecond, c)
 		idle, all = append(idle, k), append(all, c)
 	}
-	idle[2].noisy = true
+	idle[2].hasInput = true
 	buf := s.buffers.Get(connstate.SmallBuffer)
 	buf.B = append(buf.B, "GET /step/a HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Timeout: 1\r\n\r\n"...)
 	client.Input.Buffer = buf
-	now += 2*policy.Millisecond + restTime // the last is not rested yet, the one before is noisy
+	now += 2*policy.Millisecond + restTime // the last has not rested yet, the one before has input
 	s.readRequests(now, now, client)
 	s.Round(now)
 	if len(idle[1].last) == 0 || len(idle[0].last)+len(idle[2].last)+len(idle[3].last) > 0 || !all[2].Closing || all[3].Closing {
@@ -320,9 +320,9 @@
 	}
 }
 
-// Whatever clients, endpoints and discovery say, in whatever pieces: the process goes on, and all is given back.
-func TestNothingReadEndsTheProcess(t *testing.T) {
-	s, connect := still(t)
+// Whatever clients, endpoints and discovery send, in whatever pieces: the process goes on, and everything is released.
+func TestMalformedInputIsSurvived(t *testing.T) {
+	s, connect := newStoppedProxy(t)
 	texts := []string{"GET /step/a HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Route-Key: k\r\nX-Timeout: 1\r\n\r\n",
 		"POST /note HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nIdempotency-Key: 2\r\nX-Timeout: 1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n",
 		"GET / HTTP/1.1\r\nHost: o\r\nConnection: close\r\n\r\n", "GET /_health HTTP/1.1\r\nHost: o\r\n\r\n",
@@ -335,7 +335,7 @@
 		server, _ := connect(connstate.EndpointSide)
 		client.Timer.Run = func(now policy.Time) { s.clientTimerDue(now, client) }
 		for _, one := range s.Endpoints {
-			server.Endpoint, server.Generation = s.endpointConns(one), one.Generation // dialled to it as it stands now
+			server.Endpoint, server.Generation = s.endpointConns(one), one.Generation // of its current generation
 			s.returnIdle(now, server)
 			break
 		}
@@ -375,7 +375,7 @@
 			s.Round(now)
 		}
 		now += 2 * policy.Second
-		for i := 0; i < 1000 && (i < 2 || len(s.conns.Open) > 0); i++ { // what is being dialled fails by itself
+		for i := 0; i < 1000 && (i < 2 || len(s.conns.Open) > 0); i++ { // pending dials fail by themselves
 			s.Round(now)
 			if i > 2 {
 				time.Sleep(100 * time.Microsecond)
--- a/internal/httpproxy/crossing_test.go
+++ b/internal/httpproxy/races_test.go
@@ -19,10 +19,10 @@
 	"pepperlead/policy"
 )
 
-// Each test here forces two events to cross that do so rarely by themselves; docs/crossings.md has the table.
+// Each test here forces a race of two events that is rare by itself; docs/crossings.md has the table.
 
-// until waits for what the loop knows to be so.
-func (r *running) until(what string, is func() bool) {
+// waitUntil waits until the condition, checked on the loop, holds.
+func (r *runningProxy) waitUntil(what string, is func() bool) {
 	r.t.Helper()
 	for i := 0; ; i++ {
 		so := false
@@ -37,8 +37,8 @@
 	}
 }
 
-// dials holds the connections to endpoints that are opened from the nth on, until they are let go.
-func (r *running) dials(from int) (begun chan string, release chan struct{}) {
+// holdDials blocks the dials to endpoints from the nth on until they are released.
+func (r *runningProxy) holdDials(from int) (begun chan string, release chan struct{}) {
 	begun, release = make(chan string, 8), make(chan struct{})
 	r.RunOnLoop(func() {
 		really, n := r.sockets.connect, 0
@@ -53,54 +53,60 @@
 	return begun, release
 }
 
-// A connection that comes up late finds a request whose attempt may not be made any more: its client has left, its endpoint drains or stands
-// elsewhere, or the window in which its repeat would be dropped has closed. Nothing is sent on it.
+// A connection is established when its request's attempt is not allowed any more: its client has left, its endpoint drains or has moved,
+// or the window in which duplicates are dropped has closed. Nothing is sent on it.
 func TestLateConnectionsCarryNothingThatIsOver(t *testing.T) {
 	type scene struct {
-		*running
-		*agent
-		*client
-		one, two *standIn
+		*runningProxy
+		*fakeDiscovery
+		*testClient
+		one, two *fakeEndpoint
 		id       string
 	}
 	for name, k := range map[string]struct {
 		path   string
-		from   int // which dial is held
+		from   int // which dial is blocked
 		cancel bool
-		meets  func(s *scene) // the other event
+		meets  func(s *scene) // the event that races with the dial
 	}{
-		"client left":            {"step/echo", 1, true, func(s *scene) { s.client.Close(); s.until("left", func() bool { return s.Counters.ClientsGone == 1 }) }},
-		"client left, no cancel": {"step/echo", 1, false, func(s *scene) { s.client.Close(); s.until("left", func() bool { return s.Counters.ClientsGone == 1 }) }},
+		"client left": {"step/echo", 1, true, func(s *scene) {
+			s.testClient.Close()
+			s.waitUntil("left", func() bool { return s.Counters.ClientsGone == 1 })
+		}},
+		"client left, no cancel": {"step/echo", 1, false, func(s *scene) {
+			s.testClient.Close()
+			s.waitUntil("left", func() bool { return s.Counters.ClientsGone == 1 })
+		}},
 		"server drains": {"step/echo", 1, true, func(s *scene) {
-			s.tell(listOf(s.one.Addr().String()+" Terminating", s.two.Addr().String()))
-			s.until("told", func() bool { return s.Counters.Lists > 2 })
+			s.setList(listOf(s.one.Addr().String()+" Terminating", s.two.Addr().String()))
+			s.waitUntil("the list is applied", func() bool { return s.Counters.Lists > 2 })
 		}},
 		"server moves": {"step/echo", 1, true, func(s *scene) {
-			s.tell(listOf(s.two.Addr().String(), s.two.Addr().String()+" Terminating"))
-			s.until("told", func() bool { return s.Counters.Lists > 2 })
+			s.setList(listOf(s.two.Addr().String(), s.two.Addr().String()+" Terminating"))
+			s.waitUntil("the list is applied", func() bool { return s.Counters.Lists > 2 })
 		}},
 		"window closes": {"note/reset", 2, true, func(s *scene) { time.Sleep(400 * time.Millisecond) }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := &scene{one: newStandIn(t), two: newStandIn(t)}
+			s := &scene{one: newFakeEndpoint(t), two: newFakeEndpoint(t)}
 			addrs := []string{s.one.Addr().String(), s.two.Addr().String() + " Terminating"}
 			if k.from > 1 {
 				addrs[1] = s.two.Addr().String()
 			}
-			s.running, s.agent = run(t, func(p *Config) {
+			s.runningProxy, s.fakeDiscovery = startProxy(t, func(p *Config) {
 				p.Settings.MayCancel, p.ConnectTimeout = k.cancel, 2*policy.Second
 				p.Settings.Classes[1].Target, p.Settings.Classes[1].Window = 2*policy.Second, 300*policy.Millisecond
 			}, addrs...)
-			s.until("told", func() bool { return s.Counters.Lists == 2 })
-			begun, release := s.dials(k.from)
-			s.client = s.running.client()
+			s.waitUntil("the list is applied", func() bool { return s.Counters.Lists == 2 })
+			begun, release := s.holdDials(k.from)
+			s.testClient = s.runningProxy.client()
 			s.id = s.send(k.path, "b", "X-Timeout: 3.0\r\n")
 			held := <-begun
 			k.meets(s)
 			close(release)
-			s.until("no push out", func() bool { return s.Module.Gauges().InFlight == 0 })
+			s.waitUntil("no attempt in flight", func() bool { return s.Module.Gauges().InFlight == 0 })
 			time.Sleep(30 * time.Millisecond)
-			for _, to := range []*standIn{s.one, s.two} {
+			for _, to := range []*fakeEndpoint{s.one, s.two} {
 				if n, _ := to.count(s.id); to.Addr().String() == held && n != 0 {
 					t.Errorf("sent %d times on the connection that came up late", n)
 				}
@@ -109,15 +115,15 @@
 	}
 }
 
-// A request and its sender's end stand in the kernel together, as where nobody accepted for a while: nobody waits for its answer, and it
-// is not sent on.
+// A request and its client's close are in the kernel together, as when accepting was delayed: no one waits for the response, and it is
+// not forwarded.
 func TestRequestThatComesWithItsEndIsNotSentOn(t *testing.T) {
 	for name, leave := range map[string]func(c *net.TCPConn){
 		"closed":      func(c *net.TCPConn) { c.Close() },
 		"half closed": func(c *net.TCPConn) { c.CloseWrite() },
 	} {
-		s, _ := still(t)
-		far, nb, conn := pair(t)
+		s, _ := newStoppedProxy(t)
+		far, nb, conn := connectedPair(t)
 		conn.Side, conn.Connected = connstate.ClientSide, true
 		s.conns.Add(conn)
 		fmt.Fprint(far, "GET /step/a HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Timeout: 1\r\n\r\n")
@@ -130,26 +136,26 @@
 		}
 		s.Round(now)
 		if s.Counters.BytesIn == 0 || s.Counters.Requests != 0 || s.Counters.Dials != 0 {
-			t.Errorf("%s: %d bytes read, %d tickets, %d dials", name, s.Counters.BytesIn, s.Counters.Requests, s.Counters.Dials)
+			t.Errorf("%s: %d bytes read, %d requests, %d dials", name, s.Counters.BytesIn, s.Counters.Requests, s.Counters.Dials)
 		}
 	}
 }
 
-// slipping is a socket whose last bytes go out at the very moment at which it is closed.
-type slipping struct {
-	*sink
-	slips bool
+// flushingSocket is a socket whose last bytes are written at the moment at which it is closed.
+type flushingSocket struct {
+	*recordingSocket
+	flushesOnClose bool
 }
 
-func (k *slipping) Close() error {
-	if k.slips {
+func (k *flushingSocket) Close() error {
+	if k.flushesOnClose {
 		k.conn.Output.Written.Store(k.conn.Output.Queued)
 	}
 	return nil
 }
 
-// What has been written only in part never runs, unless the rest slips out just before the end of its connection. So is told whether a
-// attempt that is cut off at its time-out, or as its client leaves, may have run; and one that cannot is ended also where none may be cancelled.
+// A request written in part is never processed, unless the rest is written just before its connection closes. That decides whether an
+// attempt may have been processed that ends at its timeout or with its client; one that was not ends even where none may be cancelled.
 func TestPushCutOffAsItsLastBytesGoOut(t *testing.T) {
 	for _, k := range []struct {
 		slips, left bool
@@ -157,7 +163,7 @@
 		none        bool
 	}{{slips: false, want: policy.NotConnected}, {slips: true, want: policy.TimedOut}, {left: true, want: policy.Cancelled},
 		{left: true, slips: true, none: true}} {
-		s, connect := still(t)
+		s, connect := newStoppedProxy(t)
 		s.Engine.Settings.MayCancel = false
 		client, _ := connect(connstate.ClientSide)
 		server, plain := connect(connstate.EndpointSide)
@@ -171,34 +177,34 @@
 		now := s.Clock.Now()
 		s.readRequests(now, now, client)
 		s.Round(now)
-		ticket := server.Request
-		if ticket == nil {
-			t.Fatal("not pushed")
+		request := server.Request
+		if request == nil {
+			t.Fatal("no attempt")
 		}
-		server.Socket = &slipping{plain, k.slips}
+		server.Socket = &flushingSocket{plain, k.slips}
 		server.Output.Queued++ // the kernel has all but one byte
 		if k.left {
 			s.clientLeft(now, client)
 		} else {
-			s.TimedOut(now, ticket.Request)
+			s.TimedOut(now, request.Request)
 		}
 		s.RunSteps(now)
-		if n := s.Counters.Outcomes[k.want]; !k.none && n != 1 || k.none && ticket.AttemptConn == nil {
+		if n := s.Counters.Outcomes[k.want]; !k.none && n != 1 || k.none && request.AttemptConn == nil {
 			t.Errorf("%+v: outcomes %v", k, s.Counters.Outcomes)
 		}
 	}
 }
 
-// At the end one still waits in the kernel to be accepted, with its request: it counts as taken, and is answered.
+// During the shutdown a client with its request waits in the kernel to be accepted: it is accepted and answered.
 func TestWhoWaitsToBeAcceptedAtTheEndIsAnswered(t *testing.T) {
-	server := newStandIn(t)
-	r, _ := run(t, func(p *Config) { p.ShutdownTime = 2 * policy.Second }, server.Addr().String())
+	server := newFakeEndpoint(t)
+	r, _ := startProxy(t, func(p *Config) { p.ShutdownTime = 2 * policy.Second }, server.Addr().String())
 	first := r.client()
 	first.send("step/echo", "a", "")
 	first.receive()
-	most := r.sockets.maxClients.Swap(0) // whoever accepts takes one more, and then has no room
+	most := r.sockets.maxClients.Swap(0) // the acceptor accepts one more, and then has no room
 	r.client()
-	r.until("the last with room", func() bool { return r.conns.Count(connstate.ClientSide) == 2 })
+	r.waitUntil("the last with room", func() bool { return r.conns.Count(connstate.ClientSide) == 2 })
 	waits := r.client()
 	waits.send("step/echo", "b", "")
 	r.stop <- syscall.SIGTERM
@@ -208,13 +214,13 @@
 	if answer, got := waits.receive(); answer.StatusCode != 200 || got != "b" || !answer.Close {
 		t.Errorf("%d %q, closes %v", answer.StatusCode, got, answer.Close)
 	}
-	r.end()
+	r.shutdown()
 }
 
-// held is discovery that says nothing before it is let go.
-func held(t *testing.T, told string) (addr string, release chan struct{}) {
+// blockedDiscovery is a discovery service that does not answer until it is released.
+func blockedDiscovery(t *testing.T, list string) (addr string, release chan struct{}) {
 	release = make(chan struct{})
-	l, err := net.Listen("tcp", here)
+	l, err := net.Listen("tcp", loopbackAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -222,7 +228,7 @@
 		select {
 		case <-release:
 			if r.URL.RawQuery == "" {
-				fmt.Fprint(w, told)
+				fmt.Fprint(w, list)
 				return
 			}
 			<-r.Context().Done()
@@ -234,13 +240,13 @@
 	return l.Addr().String(), release
 }
 
-// What the agent has binds from a process's first attempt on, and the list that it was started with may be old: the agent is heard first. Where it
-// is silent, clients wait no longer than told, and the saved list serves; also to a process that is told to end meanwhile.
+// The agent's list counts from the first attempt on, and the saved list may be outdated: the agent is asked first. Where it is silent,
+// clients wait no longer than configured, and the saved list is used; also in a process that shuts down meanwhile.
 func TestAgentIsHeardBeforeTheFirstPush(t *testing.T) {
 	for _, name := range []string{"agent answers", "agent is silent", "told to end"} {
-		drained, ready := newStandIn(t), newStandIn(t)
-		addr, release := held(t, strings.Replace(listOf(drained.Addr().String()+" Terminating", ready.Addr().String()), "REV", "7", 1))
-		r, _ := run(t, func(p *Config) {
+		drained, ready := newFakeEndpoint(t), newFakeEndpoint(t)
+		addr, release := blockedDiscovery(t, strings.Replace(listOf(drained.Addr().String()+" Terminating", ready.Addr().String()), "REV", "7", 1))
+		r, _ := startProxy(t, func(p *Config) {
 			source := discovery.NewPlatform(addr, false)
 			source.Grace = time.Second
 			p.Source, p.FirstListTimeout = source, 300*policy.Millisecond
@@ -264,7 +270,7 @@
 		if n, _ := drained.count(id); answer.StatusCode != 200 || n != want || time.Since(began) > 600*time.Millisecond {
 			t.Errorf("%s: %d, sent %d times to the server that drains, after %v", name, answer.StatusCode, n, time.Since(began))
 		}
-		r.end()
+		r.shutdown()
 		lines := 0
 		for _, e := range log.AllEntries() {
 			if _, says := e.Data["waited_ms"]; says && strings.Contains(e.Message, "silent") == (name != "agent answers") {
@@ -277,21 +283,21 @@
 	}
 }
 
-// A second answer comes milliseconds behind the first, when the next request may have been written already: it is nobody's.
+// A second response comes milliseconds behind the first, when the next request may have been written already: it is discarded.
 func TestLateCopiesReachNobody(t *testing.T) {
 	for range 10 {
-		if lateCopiesInTime(t) {
+		if lateCopiesArriveInTime(t) {
 			return
 		}
-		// The machine let the endpoint sleep for longer than a connection rests: that play has shown nothing.
+		// The machine let the endpoint sleep for longer than a connection rests: that run has shown nothing.
 	}
-	t.Error("no second answer came in time in ten plays: the machine is too busy for this test")
+	t.Error("no duplicate came in time in ten runs: the machine is too busy for this test")
 }
 
-// lateCopiesInTime plays requests whose answers come twice, and tells whether a second one came in time to be mistaken.
-func lateCopiesInTime(t *testing.T) bool {
-	server := newStandIn(t)
-	r, _ := run(t, nil, server.Addr().String())
+// lateCopiesArriveInTime sends requests whose responses come twice, and reports whether a second one came in time to be mistaken.
+func lateCopiesArriveInTime(t *testing.T) bool {
+	server := newFakeEndpoint(t)
+	r, _ := startProxy(t, nil, server.Addr().String())
 	c := r.client()
 	stopWatch := watchDelays()
 	defer stopWatch()
@@ -303,47 +309,47 @@
 			if answer.StatusCode == 200 && got == body {
 				continue
 			}
-			time.Sleep(time.Duration(2 * restTime)) // for the endpoint to have noted it
+			time.Sleep(time.Duration(2 * restTime)) // for the endpoint to have counted it
 			server.mu.Lock()
 			overdue := server.overdue
 			server.mu.Unlock()
-			// A copy that left the endpoint in time is overdue all the same where this process was held up before it read it.
+			// A copy that left the endpoint in time is overdue as well where this process was delayed before it read it.
 			if overdue == 0 {
 				if heldUp := stopWatch(); heldUp < time.Duration(restTime)-lateCopyAfter {
-					t.Fatalf("%d %q, want %q; the machine held this process up for %v", answer.StatusCode, got, body, heldUp)
+					t.Fatalf("%d %q, want %q; the machine delayed this process by %v", answer.StatusCode, got, body, heldUp)
 				}
 				return false
 			}
-			c = r.client() // what it reads here may be a copy of before
+			c = r.client() // what it reads here may be an earlier copy
 		}
 	}
-	// Forty requests may be over before the first second answer is due.
+	// Forty requests may be over before the first duplicate is due.
 	time.Sleep(time.Duration(restTime))
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	return server.copies > server.overdue
 }
 
-// A client closes while its request has not been sent yet, or has failed and would be sent again. Whatever path the request is on, no
-// attempt begins after that, also where the settings allow no cancel.
+// A client closes while its request has not been sent yet, or has failed and would be retried. No attempt begins after that, also where
+// attempts may not be cancelled.
 func TestNothingBeginsForAClientThatHasLeft(t *testing.T) {
 	for name, k := range map[string]struct {
 		quoted policy.Time
-		before func(r *running) // what stands in the way
+		before func(r *runningProxy) // what delays the attempt
 		path   string
-		stays  time.Duration // of the client, after it has sent
+		stays  time.Duration // how long the client stays after it has sent
 		seen   int           // attempts that had begun by then
 	}{
 		"behind another on its connection": {policy.Second / 4, nil, "step/slow", 30 * time.Millisecond, 1},
 		"a further attempt":                {policy.Second / 4, nil, "step/fail", 30 * time.Millisecond, 1},
-		"queued, every server at its limit": {2 * policy.Second, func(r *running) {
+		"queued, every server at its limit": {2 * policy.Second, func(r *runningProxy) {
 			for range 8 {
 				c := r.client()
 				c.send("step/slow", "b", "")
 			}
-			r.until("full", func() bool { return r.Module.Gauges().Waiting > 1 })
+			r.waitUntil("full", func() bool { return r.Module.Gauges().Waiting > 1 })
 		}, "step/x", 10 * time.Millisecond, 0},
-		"waits for a connection to rest": {2 * policy.Second, func(r *running) {
+		"waits for a connection to rest": {2 * policy.Second, func(r *runningProxy) {
 			c := r.client()
 			c.send("step/x", "b", "")
 			c.receive()
@@ -366,13 +372,13 @@
 					fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 					return true
 				}
-				one, _ := peer(t, serve)
+				one, _ := scriptedEndpoint(t, serve)
 				addrs := []string{one}
-				if !strings.HasPrefix(name, "waits") { // with two endpoints the request may find a connection of its own
-					two, _ := peer(t, serve)
+				if !strings.HasPrefix(name, "waits") { // with two endpoints the request may get a new connection
+					two, _ := scriptedEndpoint(t, serve)
 					addrs = append(addrs, two)
 				}
-				r, _ := run(t, func(p *Config) { p.Settings.MayCancel, p.Settings.Classes[0].Target = cancel, k.quoted }, addrs...)
+				r, _ := startProxy(t, func(p *Config) { p.Settings.MayCancel, p.Settings.Classes[0].Target = cancel, k.quoted }, addrs...)
 				if k.before != nil {
 					k.before(r)
 				}
@@ -387,15 +393,15 @@
 				if n := int(seen.Load()); n != k.seen {
 					t.Errorf("%d attempts, want %d", n, k.seen)
 				}
-				r.until("ended", func() bool { return r.InFlight == 0 })
+				r.waitUntil("ended", func() bool { return r.InFlight == 0 })
 			})
 		}
 	}
 }
 
-// What is written goes out at once on either side: what the kernel still held back would be lost with a reset.
+// Bytes are sent at once on either side: what the kernel still delayed would be lost with a reset.
 func TestSmallWritesAreNotHeldBack(t *testing.T) {
-	r, _ := run(t, nil, newStandIn(t).Addr().String())
+	r, _ := startProxy(t, nil, newFakeEndpoint(t).Addr().String())
 	c := r.client()
 	c.send("step/echo", "b", "")
 	c.receive()
--- a/internal/httpproxy/stream_test.go
+++ b/internal/httpproxy/stream_test.go
@@ -40,29 +40,29 @@
 			got = append(got, part[:decoded.size]...)
 			at += decoded.used
 			if done != (done && fine) || !fine && complete {
-				t.Fatalf("%q: refused at %d, but it is whole", in, at)
+				t.Fatalf("%q: refused at %d, but it is complete", in, at)
 			}
 			if !fine {
 				return
 			}
 			if done {
-				// What is refused here for a part of a trailer that is no line may be whole there, never the other way round.
+				// A partial trailer line may be refused here and complete there, never the other way round.
 				if !complete || at != used || !bytes.Equal(got, want) {
-					t.Fatalf("%q: took %d, %q; whole: %d, %q", in, at, got, used, want)
+					t.Fatalf("%q: took %d, %q; complete: %d, %q", in, at, got, used, want)
 				}
 				return
 			}
 		}
 		if complete {
-			t.Fatalf("%q: not done, but whole at %d", in, used)
+			t.Fatalf("%q: not done, but complete at %d", in, used)
 		}
 	})
 }
 
-// peer is an endpoint that does with each request as told, until that says no; seen counts them.
-func peer(t *testing.T, serve func(c net.Conn, r *http.Request, n int) bool) (addr string, seen *atomic.Int64) {
+// scriptedEndpoint is an endpoint that serves each request by the function, until that returns false; seen counts them.
+func scriptedEndpoint(t *testing.T, serve func(c net.Conn, r *http.Request, n int) bool) (addr string, seen *atomic.Int64) {
 	t.Helper()
-	l, err := net.Listen("tcp", here)
+	l, err := net.Listen("tcp", loopbackAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,9 +88,9 @@
 	return l.Addr().String(), seen
 }
 
-// giver answers with a head, then so many bytes in some framing.
-func giver(t *testing.T, answer func(w io.Writer, body *rand.Rand)) string {
-	addr, _ := peer(t, func(c net.Conn, r *http.Request, _ int) bool {
+// respondingEndpoint is an endpoint whose responses the function writes.
+func respondingEndpoint(t *testing.T, answer func(w io.Writer, body *rand.Rand)) string {
+	addr, _ := scriptedEndpoint(t, func(c net.Conn, r *http.Request, _ int) bool {
 		io.Copy(io.Discard, r.Body)
 		answer(c, rand.New(rand.NewSource(1)))
 		return true
@@ -98,24 +98,24 @@
 	return addr
 }
 
-const long = 3 << 20
+const longBody = 3 << 20
 
-func sum(n int64) [32]byte {
+func digestOf(n int64) [32]byte {
 	h := sha256.New()
 	io.CopyN(h, rand.New(rand.NewSource(1)), n)
 	return [32]byte(h.Sum(nil))
 }
 
-// Long answers come through whole in every framing, to clients that read slowly too, and cost no more memory than may be ahead.
-func TestLongAnswersComeAsTheyAre(t *testing.T) {
+// Long responses are streamed unchanged in every framing, to slow clients too, and take no more memory than may be pending.
+func TestLongResponsesAreStreamedUnchanged(t *testing.T) {
 	for name, answer := range map[string]func(w io.Writer, body *rand.Rand){
 		"sized": func(w io.Writer, body *rand.Rand) {
-			fmt.Fprintf(w, "HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nX-Made-By: server\r\nContent-Length: %d\r\n\r\n", long)
-			io.CopyN(w, body, long)
+			fmt.Fprintf(w, "HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nX-Made-By: server\r\nContent-Length: %d\r\n\r\n", longBody)
+			io.CopyN(w, body, longBody)
 		},
 		"in chunks": func(w io.Writer, body *rand.Rand) {
 			io.WriteString(w, "HTTP/1.1 200 OK\r\nX-Made-By: server\r\nTransfer-Encoding: chunked\r\n\r\n")
-			for left := long; left > 0; {
+			for left := longBody; left > 0; {
 				n := min(left, 70001)
 				fmt.Fprintf(w, "%x;x=y\r\n", n)
 				io.CopyN(w, body, int64(n))
@@ -126,12 +126,12 @@
 		},
 		"to the end": func(w io.Writer, body *rand.Rand) {
 			io.WriteString(w, "HTTP/1.1 200 OK\r\nX-Made-By: server\r\nConnection: close\r\n\r\n")
-			io.CopyN(w, body, long)
+			io.CopyN(w, body, longBody)
 			w.(net.Conn).Close()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, _ := run(t, nil, giver(t, answer))
+			r, _ := startProxy(t, nil, respondingEndpoint(t, answer))
 			for _, pace := range []time.Duration{0, 5 * time.Millisecond} {
 				c := r.client()
 				c.send("step/x", "", "")
@@ -145,7 +145,7 @@
 					most = max(most, int64(r.buffers.Lent()))
 					time.Sleep(pace)
 				}
-				if [32]byte(h.Sum(nil)) != sum(long) {
+				if [32]byte(h.Sum(nil)) != digestOf(longBody) {
 					t.Error("not the bytes that the server sent")
 				}
 				if most > maxPendingBytes+3*connstate.LargeBuffer {
@@ -159,29 +159,29 @@
 	}
 }
 
-// A long answer that breaks off, or cannot be read further, ends before its end for the client, and is never asked for again.
+// A long response that breaks off, or becomes malformed, ends early for the client, and is not retried.
 func TestFaultsInMidAnswerShow(t *testing.T) {
 	for name, answer := range map[string]func(w io.Writer, body *rand.Rand){
 		"sized": func(w io.Writer, body *rand.Rand) {
-			fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", long)
-			io.CopyN(w, body, long/2)
+			fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", longBody)
+			io.CopyN(w, body, longBody/2)
 			w.(net.Conn).Close()
 		},
 		"in chunks": func(w io.Writer, body *rand.Rand) {
-			io.WriteString(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+strconv.FormatInt(long/2, 16)+"\r\n")
-			io.CopyN(w, body, long/2)
+			io.WriteString(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+strconv.FormatInt(longBody/2, 16)+"\r\n")
+			io.CopyN(w, body, longBody/2)
 			io.WriteString(w, "\r\nnonsense\r\n")
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, _ := run(t, nil, giver(t, answer))
+			r, _ := startProxy(t, nil, respondingEndpoint(t, answer))
 			c := r.client()
 			c.send("step/x", "", "")
 			a, err := http.ReadResponse(c.in, nil)
 			if err != nil || a.StatusCode != 200 {
 				t.Fatal(err, a)
 			}
-			if n, err := io.Copy(io.Discard, a.Body); err == nil || n > long/2 {
+			if n, err := io.Copy(io.Discard, a.Body); err == nil || n > longBody/2 {
 				t.Errorf("%d bytes came, %v", n, err)
 			}
 			r.RunOnLoop(func() {
@@ -193,9 +193,9 @@
 	}
 }
 
-// Clients may be slow over a head and a body; one that says no more is told so soon.
-func TestSlowRequestsHaveTheirTime(t *testing.T) {
-	r, _ := run(t, nil, newStandIn(t).Addr().String())
+// Clients may send a head and a body slowly; one that sends no more soon gets 408.
+func TestSlowRequestsTimeOut(t *testing.T) {
+	r, _ := startProxy(t, nil, newFakeEndpoint(t).Addr().String())
 	slow := r.client()
 	go func() {
 		for _, part := range []string{"POST /step/echo HTTP/1.1\r\nHost: o\r\n", "X-Request-ID: slow\r\nX-Timeout: 1\r\nContent-Length: 60000\r\n\r\n"} {
@@ -218,9 +218,9 @@
 	}
 }
 
-// taker reads each request's body as told, and answers with its length and sum.
-func taker(t *testing.T, take func(r *http.Request, n int) (int64, [32]byte, bool)) (string, *atomic.Int64) {
-	return peer(t, func(c net.Conn, r *http.Request, no int) bool {
+// readingEndpoint is an endpoint that reads each body by the function, and responds with its length and digest.
+func readingEndpoint(t *testing.T, take func(r *http.Request, n int) (int64, [32]byte, bool)) (string, *atomic.Int64) {
+	return scriptedEndpoint(t, func(c net.Conn, r *http.Request, no int) bool {
 		n, sum, goesOn := take(r, no)
 		if answer := fmt.Sprintf("%d %x", n, sum); goesOn {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answer), answer)
@@ -229,17 +229,17 @@
 	})
 }
 
-func all(r *http.Request, _ int) (int64, [32]byte, bool) {
+func readAll(r *http.Request, _ int) (int64, [32]byte, bool) {
 	h := sha256.New()
 	n, err := io.Copy(h, r.Body)
 	return n, [32]byte(h.Sum(nil)), err == nil
 }
 
-// bring sends a request with a body of n bytes, in chunks where that is asked for.
-func (c *client) bring(n int64, chunked bool) {
+// sendLongBody sends a request with a body of n bytes, optionally in chunks.
+func (c *testClient) sendLongBody(n int64, chunked bool) {
 	body := rand.New(rand.NewSource(1))
-	serial++
-	fmt.Fprintf(c, "POST http://o/step/x HTTP/1.1\r\nHost: o\r\nX-Request-ID: id-%d\r\nX-Timeout: 1\r\n", serial)
+	lastID++
+	fmt.Fprintf(c, "POST http://o/step/x HTTP/1.1\r\nHost: o\r\nX-Request-ID: id-%d\r\nX-Timeout: 1\r\n", lastID)
 	if !chunked {
 		fmt.Fprintf(c, "Content-Length: %d\r\n\r\n", n)
 		io.CopyN(c, body, n)
@@ -254,16 +254,16 @@
 	io.WriteString(c, "0\r\nX-Trailer: 1\r\n\r\n")
 }
 
-// little is memory for messages of which one body may take 1 MiB.
-func little(p *Config) { p.MessageMemory = 6 << 20 }
+// withLittleMemory limits the memory for messages, so that one body may take 1 MiB.
+func withLittleMemory(p *Config) { p.MessageMemory = 6 << 20 }
 
-// Long bodies come to the endpoint as they were sent, collected or passed on, and the connection goes on to its next request.
-func TestLongBodiesComeAsTheyAre(t *testing.T) {
-	addr, _ := taker(t, func(r *http.Request, n int) (int64, [32]byte, bool) {
+// Long bodies reach the endpoint unchanged, collected or streamed, and the connection carries its next request.
+func TestLongBodiesAreForwardedUnchanged(t *testing.T) {
+	addr, _ := readingEndpoint(t, func(r *http.Request, n int) (int64, [32]byte, bool) {
 		time.Sleep(50 * time.Millisecond) // its client has to wait
-		return all(r, n)
+		return readAll(r, n)
 	})
-	r, _ := run(t, little, addr)
+	r, _ := startProxy(t, withLittleMemory, addr)
 	c := r.client()
 	var most atomic.Int64
 	over := make(chan struct{})
@@ -280,9 +280,9 @@
 	}()
 	for _, n := range []int64{100 << 10, 1 << 20, 5 << 20, 3} {
 		for _, chunked := range []bool{false, true} {
-			c.bring(n, chunked)
+			c.sendLongBody(n, chunked)
 			a, body := c.receive()
-			if want := fmt.Sprintf("%d %x", n, sum(n)); a.StatusCode != 200 || body != want {
+			if want := fmt.Sprintf("%d %x", n, digestOf(n)); a.StatusCode != 200 || body != want {
 				t.Fatalf("%d bytes, chunked %v: %s %q, want %q", n, chunked, a.Status, body, want)
 			}
 		}
@@ -296,33 +296,33 @@
 	}
 }
 
-// A collected body is sent again elsewhere; one that was passed on is not, and its client is told to come again, as it never ran.
-func TestLongBodiesWhoseServerBreaksOff(t *testing.T) {
+// A collected body is retried elsewhere; one that was streamed is not, and its client gets 503, as it was never processed.
+func TestLongBodiesWhoseEndpointFails(t *testing.T) {
 	broken := func(r *http.Request, n int) (int64, [32]byte, bool) {
 		if n == 1 {
 			io.CopyN(io.Discard, r.Body, 70<<10)
 			return 0, [32]byte{}, false
 		}
-		return all(r, n)
+		return readAll(r, n)
 	}
 	for _, c := range []struct {
 		n      int64
 		status int
 	}{{1 << 20, 200}, {5 << 20, 503}} {
-		addr, seen := taker(t, broken)
-		other, also := taker(t, func(r *http.Request, n int) (int64, [32]byte, bool) { return broken(r, n+1) })
-		r, _ := run(t, little, addr, other)
+		addr, seen := readingEndpoint(t, broken)
+		other, also := readingEndpoint(t, func(r *http.Request, n int) (int64, [32]byte, bool) { return broken(r, n+1) })
+		r, _ := startProxy(t, withLittleMemory, addr, other)
 		for i := 0; seen.Load() == 0; i++ {
 			client := r.client()
-			client.bring(c.n, false)
+			client.sendLongBody(c.n, false)
 			a, _ := client.receive()
 			if seen.Load() == 0 {
-				continue // it went to the other at once
+				continue // it was sent to the other at once
 			}
 			if a.StatusCode != c.status || c.status == 200 && also.Load() == 0 {
 				t.Errorf("%d bytes: %s, %d and %d requests", c.n, a.Status, seen.Load(), also.Load())
 			}
-			client.bring(3, false) // the connection carries on
+			client.sendLongBody(3, false) // the connection carries on
 			if a, _ := client.receive(); a.StatusCode != 200 {
 				t.Error(a.Status)
 			}
@@ -330,14 +330,14 @@
 	}
 }
 
-// Who stops in the middle of a long body is told so and closed, and its request ends without a trace.
+// A client that stops in the middle of a long body gets 408 and is closed, and its request ends.
 func TestLongBodiesThatStop(t *testing.T) {
-	addr, _ := taker(t, all)
-	r, _ := run(t, nil, addr)
+	addr, _ := readingEndpoint(t, readAll)
+	r, _ := startProxy(t, nil, addr)
 	for _, n := range []int{100 << 10, 5 << 20} {
 		c := r.client()
-		serial++
-		fmt.Fprintf(c, "POST /step/x HTTP/1.1\r\nHost: o\r\nX-Request-ID: id-%d\r\nX-Timeout: 1\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n", serial, n)
+		lastID++
+		fmt.Fprintf(c, "POST /step/x HTTP/1.1\r\nHost: o\r\nX-Request-ID: id-%d\r\nX-Timeout: 1\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n", lastID, n)
 		if line, _ := c.in.ReadString('\n'); line != "HTTP/1.1 100 Continue\r\n" {
 			t.Errorf("%q", line)
 		}
