--- a/internal/httpproxy/parse_test.go
+++ b/internal/httpproxy/parse_test.go
@@ -11,15 +11,15 @@
 	"pepperlead/policy"
 )
 
-func check(t *testing.T, seed int64, f any) {
+func quickCheck(t *testing.T, seed int64, f any) {
 	t.Helper()
 	if err := quick.Check(f, &quick.Config{MaxCount: 300, Rand: rand.New(rand.NewSource(seed))}); err != nil {
 		t.Error(err)
 	}
 }
 
-// chunkUp writes a body in chunks of drawn sizes.
-func chunkUp(r *rand.Rand, body []byte) []byte {
+// randomChunks returns the body in chunks of random sizes.
+func randomChunks(r *rand.Rand, body []byte) []byte {
 	var out []byte
 	for len(body) > 0 {
 		n := 1 + r.Intn(len(body))
@@ -29,43 +29,44 @@
 	return append(out, "0\r\nTrailer: x\r\n\r\n"...)
 }
 
-// message draws a body and the bytes that carry it after the first line.
-func message(r *rand.Rand) (body, rest []byte) {
+// randomMessage returns a random body and the bytes of a message behind its first line.
+func randomMessage(r *rand.Rand) (body, rest []byte) {
 	body = make([]byte, r.Intn(300))
 	r.Read(body)
 	if r.Intn(2) == 0 {
-		return body, append([]byte("Host: a\r\nTransfer-Encoding: chunked\r\n\r\n"), chunkUp(r, body)...)
+		return body, append([]byte("Host: a\r\nTransfer-Encoding: chunked\r\n\r\n"), randomChunks(r, body)...)
 	}
 	return body, append([]byte(fmt.Sprintf("Host: a\r\ncontent-length:  %d \r\n\r\n", len(body))), body...)
 }
 
-func TestMessagesAreReadAlikeHoweverTheyAreSplit(t *testing.T) {
-	check(t, 1, func(seed int64) bool {
+func TestMessagesAreParsedHoweverTheyAreSplit(t *testing.T) {
+	quickCheck(t, 1, func(seed int64) bool {
 		r := rand.New(rand.NewSource(seed))
-		body, rest := message(r)
+		body, rest := randomMessage(r)
 		request := append([]byte("POST /step/a?b=1 HTTP/1.1\r\n"), rest...)
-		answer := append([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n"), rest...)
+		response := append([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n"), rest...)
 		for i := range request {
-			if n, _, _, fault := parseRequest(bytes.Clone(request[:i]), maxBody); n != 0 || fault != 0 {
+			if got, status := parseRequest(bytes.Clone(request[:i]), maxBody); got.length != 0 || status != 0 {
 				return false
 			}
 		}
-		for i := range answer {
-			if n, _, _, _, _, ok := parseResponse(bytes.Clone(answer[:i]), false, false, maxBody); n != 0 || !ok {
+		for i := range response {
+			if got, ok := parseResponse(bytes.Clone(response[:i]), false, false, maxBody); got.length != 0 || !ok {
 				return false
 			}
-			if n, _, _, _, _, ok := parseResponse(bytes.Clone(answer[:i]), true, false, maxBody); n != 0 || ok {
-				return false // broken off is never whole
+			if got, ok := parseResponse(bytes.Clone(response[:i]), true, false, maxBody); got.length != 0 || ok {
+				return false // a truncated response is never complete
 			}
 		}
-		n, a, got, fault := parseRequest(append(bytes.Clone(request), "GET"...), maxBody)
-		m, status, _, back, stays, ok := parseResponse(append(bytes.Clone(answer), '!'), false, false, maxBody)
-		return n == len(request) && string(a.method) == "POST" && string(a.target) == "/step/a?b=1" && !a.closeAfter && fault == 0 &&
-			bytes.Equal(got, body) && m == len(answer) && status == 200 && bytes.Equal(back, body) && stays && ok
+		asked, status := parseRequest(append(bytes.Clone(request), "GET"...), maxBody)
+		answered, ok := parseResponse(append(bytes.Clone(response), '!'), false, false, maxBody)
+		return asked.length == len(request) && string(asked.method) == "POST" && string(asked.target) == "/step/a?b=1" &&
+			!asked.closeAfter && status == 0 && bytes.Equal(asked.body, body) && answered.length == len(response) &&
+			answered.status == 200 && bytes.Equal(answered.body, body) && answered.reusable && ok
 	})
 }
 
-func TestBadRequestsAreToldApart(t *testing.T) {
+func TestBadRequestsHaveTheirStatus(t *testing.T) {
 	long := strings.Repeat("x", maxHead)
 	for in, want := range map[string]int{
 		"GET / HTTP/1.1\r\nHost: a\r\n\r\n":                                                         0,
@@ -93,21 +94,21 @@
 		"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999999999999999999999999999999\r\n\r\n": 400,
 		"GET / HTTP/1.1\r\nHost: a\r\nA: " + long + "\r\n\r\n":                                      431,
 		"GET /" + long:                                        431,
-		"\x16\x03\x01\x02\x00\x01\x00":                        400, // someone speaks TLS
+		"\x16\x03\x01\x02\x00\x01\x00":                        400, // a TLS client
 		strings.Repeat("A", 64):                               400,
 		"GET http://a.b:1/step?x HTTP/1.1\r\nHost: a\r\n\r\n": 0,
 		"POST / HTTP/1.0\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n": 400,
 		"{\"json\":1}":                        400,
 		"G@T / HTTP/1.1\r\nHost: a\r\n\r\n":   400,
-		"GET /\x7f HTTP/1.1\r\nHost: a\r\n\r": 0, // not whole: told once it is
+		"GET /\x7f HTTP/1.1\r\nHost: a\r\n\r": 0, // incomplete: refused once it is complete
 	} {
-		if _, _, _, fault := parseRequest([]byte(in), maxBody); fault != want {
-			t.Errorf("%.80q: fault %d, want %d", in, fault, want)
+		if _, status := parseRequest([]byte(in), maxBody); status != want {
+			t.Errorf("%.80q: status %d, want %d", in, status, want)
 		}
 	}
 }
 
-func TestAnswersMeanWhatTheProtocolSays(t *testing.T) {
+func TestOutcomesOfResponses(t *testing.T) {
 	for in, want := range map[string]policy.Outcome{
 		"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n":                                                         policy.Succeeded,
 		"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n":                                                         policy.Errored,
@@ -129,35 +130,36 @@
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n0\r\n\r":                    policy.ConnectionLost,
 	} {
 		got := policy.ConnectionLost
-		if n, status, head, _, _, ok := parseResponse([]byte(in), false, false, maxBody); ok && n > 0 {
-			got = outcomeOf(status, head)
+		if response, ok := parseResponse([]byte(in), false, false, maxBody); ok && response.length > 0 {
+			got = outcomeOf(response.status, response.headers)
 		}
 		if got != want {
 			t.Errorf("%.80q: %d, want %d", in, got, want)
 		}
 	}
-	n, _, _, body, stays, ok := parseResponse([]byte("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nto the end"), true, false, maxBody)
-	if n == 0 || string(body) != "to the end" || stays || !ok {
-		t.Errorf("a body that ends with the connection: %d %q %v %v", n, body, stays, ok)
+	in := "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nto the end"
+	response, ok := parseResponse([]byte(in), true, false, maxBody)
+	if response.length == 0 || string(response.body) != "to the end" || response.reusable || !ok {
+		t.Errorf("a body that ends with the connection: %+v %v", response, ok)
 	}
 }
 
-// What cannot become an answer is told while it is not whole: its endpoint may leave the connection open, and say no more.
-func TestSpoiltAnswersAreToldEarly(t *testing.T) {
+// What cannot become a response is detected while it is incomplete: its endpoint may leave the connection open and send no more.
+func TestMalformedResponsesAreDetectedEarly(t *testing.T) {
 	for _, in := range []string{"\x93\x0c", "HTTQ", "ICY 200 OK\r\n", "HTTP/1.1 2x0 OK\r\n", "HTTP/1.1 OK 200\r\nA: b",
 		"HTTP/1.1 200 OK\r\nno colon here\r\nA", "HTTP/1.1 200 OK\r\nA: \x00\r\n", "HTTP/1.1 200 OK\r\n\r\nand no length",
 		"HTTP/1.1 500 Oh\r\nContent-Length: 3000000000\r\n\r\n", "HTTP/1.1 101 Switching\r\n\r\n",
 		"HTTP/1.1 " + strings.Repeat("2", 300), strings.Repeat("HTTP/1.1 102 P\r\n\r\n", maxHead/18+1),
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1;"+strings.Repeat("x", 99)+"\r\na\r\n", 6000),
 		"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: pppppppppppp\r\n", maxHead/21+1)} {
-		if _, _, _, _, _, ok := parseResponse([]byte(in), false, false, maxBody); ok {
+		if _, ok := parseResponse([]byte(in), false, false, maxBody); ok {
 			t.Errorf("%.80q: more is waited for", in)
 		}
 	}
 }
 
 // An endpoint must not be able to read another id or key than the instance did.
-func TestIDsAreGivenOnce(t *testing.T) {
+func TestAmbiguousIDs(t *testing.T) {
 	for head, want := range map[string]bool{"X-Request-ID: 1\r\nIdempotency-Key: 2\r\nConnection: close\r\n": false,
 		"X-Request-ID: 1\r\nx-request-id: 2\r\n":               true,
 		"Idempotency-Key: 1\r\nA: b\r\nIdempotency-Key: 1\r\n": true, "X-Request-ID: 1\r\nConnection: close, Idempotency-Key\r\n": true} {
@@ -172,7 +174,7 @@
 	}
 }
 
-func TestOnlyWhatIsForTheOtherSideGoesThrough(t *testing.T) {
+func TestOnlyEndToEndHeadersAreForwarded(t *testing.T) {
 	head := []byte("Host: a\r\nconnection: keep-alive, X-Mine\r\nX-Mine: 1\r\nX-Request-ID: 7\r\nIdempotency-Key: k\r\n" +
 		"X-Timeout: 9\r\nContent-Length: 3\r\nTE: x\r\nExpect: 100-continue\r\nX-Attrs: a=1,b=2\r\n")
 	want := "POST /s?q=1 HTTP/1.1\r\nHost: a\r\nX-Request-ID: 7\r\nIdempotency-Key: k\r\nX-Attrs: a=1,b=2\r\n" +
@@ -183,32 +185,36 @@
 	}
 }
 
-func FuzzCutRequest(f *testing.F) {
+func FuzzParseRequest(f *testing.F) {
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		whole := bytes.Clone(in)
-		n, a, body, fault := parseRequest(in, maxBody)
-		if n > len(in) || n > 0 && fault != 0 || len(body) > maxBody {
-			t.Fatalf("%d of %d, fault %d, body %d", n, len(in), fault, len(body))
+		original := bytes.Clone(in)
+		request, status := parseRequest(in, maxBody)
+		if request.length > len(in) || request.length > 0 && status != 0 || len(request.body) > maxBody {
+			t.Fatalf("%d of %d, status %d, body %d", request.length, len(in), status, len(request.body))
 		}
-		if n == 0 {
+		if request.length == 0 {
 			return
 		}
-		// What goes on to an endpoint must be read there as one request with the same body.
-		out := append(appendRequestHead(nil, a.method, a.target, a.headers, len(body), policy.Second), body...)
-		m, again, same, fault := parseRequest(append(out, whole[n:]...), maxBody)
-		if fault != 0 || (m != len(out) || !bytes.Equal(same, body) || !bytes.Equal(again.target, a.target)) {
-			t.Fatalf("%q went on as %q", whole, out)
+		// What is forwarded to an endpoint must be read there as one request with the same body.
+		size := len(request.body)
+		out := appendRequestHead(nil, request.method, request.target, request.headers, size, policy.Second)
+		out = append(out, request.body...)
+		again, status := parseRequest(append(out, original[request.length:]...), maxBody)
+		if status != 0 || (again.length != len(out) || !bytes.Equal(again.body, request.body) ||
+			!bytes.Equal(again.target, request.target)) {
+			t.Fatalf("%q was forwarded as %q", original, out)
 		}
 	})
 }
 
-func FuzzCutAnswer(f *testing.F) {
+func FuzzParseResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"), false)
-	f.Fuzz(func(t *testing.T, in []byte, over bool) {
-		n, status, _, body, _, ok := parseResponse(in, over, false, maxBody)
-		if n > len(in) || n > 0 && !ok || status == 200 && len(body) > maxBody {
-			t.Fatalf("%d of %d, %v, body %d", n, len(in), ok, len(body))
+	f.Fuzz(func(t *testing.T, in []byte, ended bool) {
+		response, ok := parseResponse(in, ended, false, maxBody)
+		if response.length > len(in) || response.length > 0 && !ok ||
+			response.status == 200 && len(response.body) > maxBody {
+			t.Fatalf("%d of %d, %v, body %d", response.length, len(in), ok, len(response.body))
 		}
 	})
 }
