--- a/policy/coldfleet_test.go
+++ b/policy/coldbudget_test.go
@@ -6,54 +6,55 @@
 	"testing"
 )
 
-// coldFleet is one cold endpoint before many instances that share nothing, each with the budget that it alone keeps. What they may send in sum
-// is held against what the settings allow: N calls of mean work in the time in which a cold endpoint falls, beyond which only
-// 2 roots of N and 2 more are chance.
+// coldFleet is one cold endpoint before many instances that share nothing, each with the budget that it alone keeps.
+// What they may send in sum is held against what the settings allow: N calls of mean work in the time in which a cold
+// endpoint falls, beyond which only 2 roots of N and 2 more are chance.
 type coldFleet struct {
 	*Settings
-	all      []*Balancer
-	cold     []*endpoint // as each instance has it
-	capacity float64     // calls of mean work that the endpoint bears in a second when warm
-	started  Time
-	used     float64 // part of what the warm endpoints bear that is asked of them
-	queue    []int   // whose calls it still has to answer
-	works    float64
-	sent     []Time
-	worst    float64 // sum over what is allowed
-	at       Time
+	balancers    []*Balancer
+	endpoints    []*endpoint // as each instance has it
+	capacity     float64     // calls of mean work that the endpoint bears in a second when warm
+	started      Time
+	utilization  float64 // part of what the warm endpoints bear that is asked of them
+	queue        []int   // whose calls it still has to answer
+	capacityLeft float64
+	sent         []Time
+	worst        float64 // sum over what is allowed
+	worstAt      Time
 }
 
 func newColdFleet(n int, capacity, used float64, fall Time, from float64, seed uint64) *coldFleet {
-	f := &coldFleet{capacity: capacity, used: used, Settings: &Settings{Instances: n, FixedWeights: true, MaxAttempts: 3, Tick: 5 * Millisecond,
+	f := &coldFleet{capacity: capacity, utilization: used, Settings: &Settings{Instances: n, FixedWeights: true, MaxAttempts: 3, Tick: 5 * Millisecond,
 		ColdCapacity: from, ColdTime: 20 * Second, OverloadMultiple: 3, OverloadWindow: fall, Classes: []Class{{Name: "r", Target: Second}}}}
 	for i := range n {
 		b := &Balancer{random: newRandomSource((seed*1000 + uint64(i)) * 0x9e3779b97f4a7c15),
 			warmup: warmup{settings: f.Settings, rate: used * capacity / float64(n)}}
-		f.all, f.cold = append(f.all, b), append(f.cold, nil)
+		f.balancers, f.endpoints = append(f.balancers, b), append(f.endpoints, nil)
 	}
 	return f
 }
 
-// start has the instances from one on hear that the endpoint has started, as they do of a new one, one that is back, or when they start themselves.
+// start has the instances from one on hear that the endpoint has started, as they do of a new one, one that is back,
+// or when they start themselves.
 func (f *coldFleet) start(now, at Time, from int) {
 	f.started = at
-	for i := from; i < len(f.all); i++ {
-		f.cold[i] = &endpoint{Member: Member{ID: 1, Weight: 1, Started: at}, coldBudget: f.all[i].random.fraction(), budgetUpdatedAt: now}
+	for i := from; i < len(f.balancers); i++ {
+		f.endpoints[i] = &endpoint{Member: Member{ID: 1, Weight: 1, Started: at}, coldBudget: f.balancers[i].random.fraction(), budgetUpdatedAt: now}
 	}
 }
 
 // step has all that may send, of those asked for, do so, and the endpoint answer what it can.
 func (f *coldFleet) step(now, step Time, asks func(i int) bool) {
-	for i, b := range f.all {
-		for asks(i) && b.warmup.growBudget(now, f.cold[i]) >= 1 {
-			f.cold[i].coldBudget--
+	for i, b := range f.balancers {
+		for asks(i) && b.warmup.growBudget(now, f.endpoints[i]) >= 1 {
+			f.endpoints[i].coldBudget--
 			f.sent, f.queue = append(f.sent, now), append(f.queue, i)
 		}
 	}
 	share := min(1, f.ColdCapacity+(1-f.ColdCapacity)*float64(now-f.started)/float64(f.ColdTime))
-	for f.works += f.capacity * share * float64(step) / float64(Second); f.works >= 1; f.works-- {
+	for f.capacityLeft += f.capacity * share * float64(step) / float64(Second); f.capacityLeft >= 1; f.capacityLeft-- {
 		if len(f.queue) > 0 {
-			f.cold[f.queue[0]].successes.count(now)
+			f.endpoints[f.queue[0]].successes.count(now)
 			f.queue = f.queue[1:]
 		}
 	}
@@ -62,13 +63,13 @@
 	}
 	n := f.OverloadMultiple * share * f.capacity * float64(f.OverloadWindow) / float64(Second)
 	if sum := float64(len(f.sent)) / (n + 2*math.Sqrt(n) + 2); sum > f.worst {
-		f.worst, f.at = sum, now
+		f.worst, f.worstAt = sum, now
 	}
 }
 
-// Whoever asks and whenever, what all send a cold endpoint in sum stays within what is allowed: from the first moment, after it was left
-// alone for as long as may be, in bursts, when it comes back, and with instances that restart. Instances and sizes are those of
-// deployments, from a few processes to the largest.
+// Whoever asks and whenever, what all send a cold endpoint in sum stays within what is allowed: from the first
+// moment, after it was left alone for as long as may be, in bursts, when it comes back, and with instances that
+// restart. Instances and sizes are those of deployments, from a few processes to the largest.
 func TestFleetKeepsTheColdBudget(t *testing.T) {
 	const step = 40 * Millisecond
 	for _, n := range []int{4, 8, 24, 30, 60, 300, 350} {
@@ -86,7 +87,7 @@
 							"restarts": func(f *coldFleet, now Time) func(int) bool {
 								if now%Second < step {
 									started := f.started
-									f.start(now, started, len(f.all)*9/10) // the last tenth, again and again
+									f.start(now, started, len(f.balancers)*9/10) // the last tenth, again and again
 								}
 								return func(int) bool { return true }
 							},
@@ -105,7 +106,7 @@
 								f.step(now, step, func(i int) bool { return (now >= quiet || name == "back after half") && may(i) })
 							}
 							if f.worst > worst {
-								worst, where = f.worst, fmt.Sprintf("%s, after %d s, at %d ms", name, quiet/Second, f.at/Millisecond)
+								worst, where = f.worst, fmt.Sprintf("%s, after %d s, at %d ms", name, quiet/Second, f.worstAt/Millisecond)
 							}
 						}
 					}
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -11,7 +11,8 @@
 
 var writeGolden = flag.Bool("write-golden", false, "write golden files that do not exist yet; those that do are never changed")
 
-// goldenFile gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the encoding first.
+// goldenFile gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the
+// encoding first.
 func goldenFile(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -30,8 +31,9 @@
 	return want
 }
 
-// filledKnowledge has a distinct value in every field, so that a key that is lost, renamed or swapped with another changes the encoding.
-func filledKnowledge() LearnedState {
+// filledLearnedState has a distinct value in every field, so that a key that is lost, renamed or swapped with another
+// changes the encoding.
+func filledLearnedState() LearnedState {
 	return LearnedState{
 		Baseline: 1.5, LatencyPerReported: 2.5, Limit: 3.5, InUse: 4.5, Lateness: 5.5, RetryBudget: 6.5, NearShare: 7.5,
 		ZoneLatency:   [2]float64{8.5, 9.5},
@@ -47,9 +49,9 @@
 	}
 }
 
-// A process of an earlier build is told in these bytes what was learned, and tells it in them.
-func TestKnowledgeKeepsItsKeys(t *testing.T) {
-	encoded, err := json.Marshal(filledKnowledge())
+// Processes of other builds pass on what was learned in these bytes.
+func TestLearnedStateKeepsItsKeys(t *testing.T) {
+	encoded, err := json.Marshal(filledLearnedState())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/policy/spread_test.go
+++ b/policy/selection_test.go
@@ -9,37 +9,38 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// lived is an instance of a fleet of 200 that has had n requests, four a second, answered in time.
-func lived(n, keys int) (*Balancer, *quiet) {
-	b, q := started(fleet(200, "a"))
+// balancerAfter is an instance of a fleet of 200 that has had n requests, four a second, answered in time.
+func balancerAfter(n, keys int) (*Balancer, *recordingFront) {
+	b, q := newTestBalancer(testMembers(200, "a"))
 	for i := range n {
-		push(b, q, 2*Second+Time(i)*250*Millisecond, fmt.Sprint(i%keys), Succeeded, 100*Millisecond)
+		sendRequest(b, q, 2*Second+Time(i)*250*Millisecond, fmt.Sprint(i%keys), Succeeded, 100*Millisecond)
 	}
 	return b, q
 }
 
 // oslo-skript-later at full size: the most asked keys are each more than an endpoint can do.
-func TestHotKeysAreDealtOverServers(t *testing.T) {
-	_, q := lived(200, 10)
-	slices.Sort(q.to)
-	if n := len(slices.Compact(q.to)); n < 100 {
+func TestHotKeysAreSpreadOverEndpoints(t *testing.T) {
+	_, q := balancerAfter(200, 10)
+	slices.Sort(q.sentTo)
+	if n := len(slices.Compact(q.sentTo)); n < 100 {
 		t.Errorf("ten keys with a tenth of the traffic each went to %d of 200 endpoints", n)
 	}
 }
 
-// Hundreds of instances see an endpoint seldom: a key that becomes hot, and an endpoint that answers late, must show within a few requests.
+// Hundreds of instances see an endpoint seldom: a key that becomes hot, and an endpoint that answers late, must show
+// within a few requests.
 func TestLittleIsEnoughToSeeAHotKey(t *testing.T) {
-	b, q := started(fleet(100, "a"))
+	b, q := newTestBalancer(testMembers(100, "a"))
 	for i := range 256 {
-		push(b, q, 2*Second+Time(i)*Second/10, fmt.Sprint(i), Succeeded, Second/10)
+		sendRequest(b, q, 2*Second+Time(i)*Second/10, fmt.Sprint(i), Succeeded, Second/10)
 	}
 	to := map[EndpointID]int{}
 	for i := range 24 { // a quarter of an instance's traffic, at 13 requests a second for two seconds, is about one thing
 		at := 30*Second + Time(i)*Second/13
 		if i%4 > 0 {
-			push(b, q, at, fmt.Sprint("other", i), Succeeded, Second/10)
+			sendRequest(b, q, at, fmt.Sprint("other", i), Succeeded, Second/10)
 		} else {
-			to[push(b, q, at, "hot", Succeeded, Second/10)]++
+			to[sendRequest(b, q, at, "hot", Succeeded, Second/10)]++
 		}
 	}
 	if len(to) < 4 {
@@ -49,7 +50,7 @@
 
 // The less loaded of two: of the endpoints that a hot key may go to, those whose answers take long get less.
 func TestHotKeysGoToTheLessLoadedOfTwo(t *testing.T) {
-	b, _ := started(fleet(10, "a"))
+	b, _ := newTestBalancer(testMembers(10, "a"))
 	b.concurrency.latenessMean = b.baseline
 	share := [2]int{}
 	for i := range b.table.endpoints {
@@ -67,7 +68,8 @@
 	if share[0] > 1500 || share[0] < 500 {
 		t.Errorf("of 4000 requests of hot keys %d went to the loaded half", share[0])
 	}
-	// A cold one that has answered nothing yet is no less loaded one: it would be sent all that its budget allows, in work that is known elsewhere.
+	// A cold one that has answered nothing yet is no less loaded one: it would be sent all that its budget allows, in
+	// work that is known elsewhere.
 	cold := 0
 	for i := range b.table.endpoints {
 		if b.table.endpoints[i].latencyRatio = b.baseline; i%2 == 0 {
@@ -92,12 +94,12 @@
 	}
 }
 
-// Where the list shows no load, an endpoint whose answers take longer than the bound over the mean is walked past in part, and in none where all
-// are late alike. One answer after a long silence is enough.
-func TestOwnAnswersShowALoadedServer(t *testing.T) {
-	b, q := started(fleet(10, "a"))
-	home := push(b, q, 2*Second, "k", Succeeded, Second/4)
-	push(b, q, 60*Second, "k", Succeeded, 2*Second) // the target latency is one second
+// Where the list shows no load, an endpoint whose answers take longer than the bound over the mean is walked past in
+// part, and in none where all are late alike. One answer after a long silence is enough.
+func TestOwnAnswersShowALoadedEndpoint(t *testing.T) {
+	b, q := newTestBalancer(testMembers(10, "a"))
+	home := sendRequest(b, q, 2*Second, "k", Succeeded, Second/4)
+	sendRequest(b, q, 60*Second, "k", Succeeded, 2*Second) // the target latency is one second
 	kept := func() (n int) {
 		for range 1000 {
 			tk := request{key: xxhash.Sum64String("k")}
@@ -126,20 +128,20 @@
 	}
 }
 
-// Requests without a key are spread over the endpoints by all instances together: instances that have each seen little must not follow
-// each other over the same endpoints of the same table.
+// Requests without a key are spread over the endpoints by all instances together: instances that have each seen
+// little must not follow each other over the same endpoints of the same table.
 func TestKeylessRequestsOfManyInstancesAreSpread(t *testing.T) {
-	const instances, servers, each = 350, 100, 3
+	const instances, endpoints, each = 350, 100, 3
 	at := map[EndpointID]int{}
 	for i := range instances {
-		w := &quiet{}
-		b := New(w, campaign(), uint64(i+1), Second)
-		b.UpdateEndpoints(Second, ListFull, fleet(servers, "a"))
+		w := &recordingFront{}
+		b := New(w, testSettings(), uint64(i+1), Second)
+		b.UpdateEndpoints(Second, ListFull, testMembers(endpoints, "a"))
 		for range each {
-			h := w.ask(b, 2*Second, "", false, 2*Second)
-			b.AttemptEnded(2*Second, h, 0, w.to[len(w.to)-1], Cancelled, 0, true)
+			h := w.admit(b, 2*Second, "", false, 2*Second)
+			b.AttemptEnded(2*Second, h, 0, w.sentTo[len(w.sentTo)-1], Cancelled, 0, true)
 		}
-		for _, id := range w.to {
+		for _, id := range w.sentTo {
 			at[id]++
 		}
 	}
@@ -148,7 +150,7 @@
 	for _, n := range at {
 		most = max(most, n)
 	}
-	if most > 35 || len(at) < servers*95/100 {
-		t.Errorf("%d requests: %d of %d endpoints met, the busiest %d times", instances*each, len(at), servers, most)
+	if most > 35 || len(at) < endpoints*95/100 {
+		t.Errorf("%d requests: %d of %d endpoints met, the busiest %d times", instances*each, len(at), endpoints, most)
 	}
 }
--- a/policy/table_test.go
+++ b/policy/tablecodec_test.go
@@ -6,9 +6,10 @@
 	"testing"
 )
 
-// Whoever assigns the same lists has the same table; a change moves no more slots than the shares ask for; and one that lives through the lists
-// and adopts each table stays with it while endpoints that went away leave it after their time.
-func TestDealtTablesAreOneForAll(t *testing.T) {
+// All that assign the same lists have the same table; a change moves no more slots than the shares ask for; and one
+// that lives through the lists and adopts each table stays with it while endpoints that went away leave it after
+// their time.
+func TestAssignedTablesAreTheSameForAll(t *testing.T) {
 	chance := rand.New(rand.NewPCG(7, 0))
 	list := func() (all []Member) {
 		for id := range 40 {
@@ -27,22 +28,22 @@
 		if chance.IntN(4) == 0 && was != nil && was[len(was)-1].ID != 5 {
 			next = append(slices.Clone(was), Member{ID: 5, Weight: 2})
 		}
-		dealt := AssignSlots(table, was, next)
-		if again := AssignSlots(DecodeTable(EncodeTable(table, was), was), was, slices.Clone(next)); !slices.Equal(dealt, again) {
-			t.Fatal("two assigned alike and have two tables")
+		assigned := AssignSlots(table, was, next)
+		if again := AssignSlots(DecodeTable(EncodeTable(table, was), was), was, slices.Clone(next)); !slices.Equal(assigned, again) {
+			t.Fatal("two assigned the same lists and have two tables")
 		}
 		total, share := 0.0, map[EndpointID]float64{}
 		for _, m := range next {
 			total += m.Weight
 		}
-		for _, id := range dealt {
+		for _, id := range assigned {
 			share[id]++
 		}
 		moved, needed := 0, 0.0
 		before := map[EndpointID]float64{}
 		for i, id := range table {
 			before[id]++
-			if dealt[i] != id {
+			if assigned[i] != id {
 				moved++
 			}
 		}
@@ -57,7 +58,7 @@
 			t.Errorf("%d slots moved, %v had to", moved, needed)
 		}
 		live.UpdateEndpoints(now, ListFull, next)
-		if !live.AdoptTable(dealt) {
+		if !live.AdoptTable(assigned) {
 			t.Fatal("the table of its own list is not taken")
 		}
 		for range 200 { // past slotHoldTime
@@ -65,13 +66,13 @@
 			live.UpdateEndpoints(now, ListFull, next)
 			live.Woken(now)
 		}
-		if !slices.Equal(live.table.ownerIDs(), dealt) {
+		if !slices.Equal(live.table.ownerIDs(), assigned) {
 			t.Error("it has left the table that it took")
 		}
-		if live.AdoptTable(append([]EndpointID{1}, dealt[1:]...)) || !slices.Equal(live.table.ownerIDs(), dealt) {
+		if live.AdoptTable(append([]EndpointID{1}, assigned[1:]...)) || !slices.Equal(live.table.ownerIDs(), assigned) {
 			t.Error("a table with a stranger in it is taken")
 		}
-		table, was = dealt, next
+		table, was = assigned, next
 	}
 	if AssignSlots(table, was, nil) != nil || AssignSlots(nil, nil, nil) != nil {
 		t.Error("slots are assigned without an endpoint")
