--- a/cmd/pepperlead-sim/replay.go
+++ b/cmd/pepperlead-sim/replay.go
@@ -59,7 +59,7 @@
 		}
 		v := r.Verdict
 		fmt.Fprintf(c.OutOrStdout(), "%d traces (%d cut off): %d requests, %d further tries left out, %d servers; of their tickets %.3f were honoured\n",
-			len(all), took.Cut, took.Arrivals, took.Further, took.Servers, took.Honoured)
+			len(all), took.Truncated, took.Arrivals, took.Retries, took.Endpoints, took.SucceededShare)
 		for _, f := range took.Faults {
 			fmt.Fprintln(c.OutOrStdout(), "  "+f)
 		}
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -73,7 +73,7 @@
 	golden.Fill(&result)
 	golden.Fill(&series)
 	result.Verdict.ViolationCounts[1] = 0 // one rule that was kept
-	series.Curves = map[string][]Points{result.Latency[0].Offering: {{X: 50, Y: 1}, {X: 99, Y: 2}}}
+	series.Curves = map[string][]Point{result.Latency[0].Class: {{X: 50, Y: 1}, {X: 99, Y: 2}}}
 	folder := t.TempDir()
 	if err := Write(folder, &result, &series); err != nil {
 		t.Fatal(err)
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -31,7 +31,7 @@
 		}
 		return i
 	}
-	points := map[string]*bars{}
+	points := map[string]*intervalPoints{}
 	for _, r := range rows {
 		label := r.Scenario
 		if r.Set != "" {
@@ -40,7 +40,7 @@
 		x := place(&groups, "scenario "+label, label)
 		n := place(&policies, "policy "+r.Policy, r.Policy)
 		if points[r.Policy] == nil {
-			points[r.Policy] = &bars{}
+			points[r.Policy] = &intervalPoints{}
 		}
 		b := points[r.Policy]
 		b.XYs = append(b.XYs, plotter.XY{X: float64(x) + 0.08*float64(n), Y: r.Service})
@@ -60,12 +60,12 @@
 		if err != nil {
 			return err
 		}
-		marks.GlyphStyle = draw.GlyphStyle{Color: ink(i), Radius: vg.Points(3), Shape: shapes[i%len(shapes)]}
+		marks.GlyphStyle = draw.GlyphStyle{Color: paletteColor(i), Radius: vg.Points(3), Shape: shapes[i%len(shapes)]}
 		spread, err := plotter.NewYErrorBars(points[name])
 		if err != nil {
 			return err
 		}
-		spread.Color = ink(i)
+		spread.Color = paletteColor(i)
 		p.Add(spread, marks)
 		p.Legend.Add(name, marks)
 	}
@@ -79,8 +79,8 @@
 	return snapshot.Replace(path, b.Bytes())
 }
 
-// bars are points with their intervals.
-type bars struct {
+// intervalPoints are points with their intervals.
+type intervalPoints struct {
 	plotter.XYs
 	plotter.YErrors
 }
@@ -88,4 +88,4 @@
 var shapes = []draw.GlyphDrawer{draw.CircleGlyph{}, draw.SquareGlyph{}, draw.TriangleGlyph{}, draw.CrossGlyph{}, draw.PlusGlyph{},
 	draw.PyramidGlyph{}, draw.RingGlyph{}}
 
-func ink(i int) color.Color { return inks[i%len(inks)] }
+func paletteColor(i int) color.Color { return palette[i%len(palette)] }
--- a/internal/experiment/replay.go
+++ b/internal/experiment/replay.go
@@ -13,12 +13,12 @@
 
 // Replayed says what a replay has taken from its traces.
 type Replayed struct {
-	Arrivals int      `json:"arrivals"`
-	Further  int      `json:"further"` // tries left out, as the emulated clients make their own
-	Servers  int      `json:"servers"`
-	Faults   []string `json:"faults"`
-	Cut      int      `json:"cut"`      // traces that break off
-	Honoured float64  `json:"honoured"` // part of the recorded tickets that were
+	Arrivals       int      `json:"arrivals"`
+	Retries        int      `json:"further"` // tries left out, as the emulated clients make their own
+	Endpoints      int      `json:"servers"`
+	Faults         []string `json:"faults"`
+	Truncated      int      `json:"cut"`      // traces that break off
+	SucceededShare float64  `json:"honoured"` // part of the recorded tickets that were
 }
 
 // FromTraces puts what traces recorded in place of a scenario's load, and what they show to have gone wrong in place of its
@@ -39,12 +39,12 @@
 	}
 	first, last, tickets, honoured := policy.Time(-1), policy.Time(0), 0, 0
 	for _, t := range all {
-		offerings, franchises, err := match(sc, t)
+		offerings, franchises, err := matchNames(sc, t)
 		if err != nil {
 			return nil, err
 		}
 		if t.Cut {
-			out.Cut++
+			out.Truncated++
 		}
 		for _, r := range t.Records {
 			at := t.Start - begin + r.At
@@ -56,7 +56,7 @@
 				}
 			case trace.Ticket:
 				if r.D == 1 {
-					out.Further++
+					out.Retries++
 					continue
 				}
 				if int(r.A) >= len(offerings) || r.A < 0 || int(r.B) >= len(franchises) || r.C < 0 {
@@ -85,16 +85,16 @@
 	}
 	sc.Length = last - first + 1
 	sc.Instances = len(names)
-	sc.Faults = faults(sc, all, begin+first, out)
+	sc.Faults = inferFaults(sc, all, begin+first, out)
 	out.Arrivals = len(sc.Arrivals)
 	if tickets > 0 {
-		out.Honoured = float64(honoured) / float64(tickets)
+		out.SucceededShare = float64(honoured) / float64(tickets)
 	}
 	return out, nil
 }
 
-// match finds a trace's offerings and franchises in the scenario, by name.
-func match(sc *emulator.Scenario, t *trace.Trace) (offerings []policy.ClassID, franchises []policy.TenantID, err error) {
+// matchNames finds a trace's offerings and franchises in the scenario, by name.
+func matchNames(sc *emulator.Scenario, t *trace.Trace) (offerings []policy.ClassID, franchises []policy.TenantID, err error) {
 	for _, name := range t.Offerings {
 		i := slices.IndexFunc(sc.Classes, func(o emulator.Class) bool { return o.Name == name })
 		if i < 0 {
@@ -112,22 +112,22 @@
 	return offerings, franchises, nil
 }
 
-// trouble is what a trace shows of one server at a moment.
-type trouble struct {
-	at      policy.Time // Unix time
-	started policy.Time // it has started anew; 0: not
-	bad     bool        // a push failed as it does where a server is not there
-	good    bool        // a push was honoured
-	mute    bool        // it failed with no word at all
+// observation is what a trace shows of one server at a moment.
+type observation struct {
+	at        policy.Time // Unix time
+	started   policy.Time // it has started anew; 0: not
+	failed    bool        // a push failed as it does where a server is not there
+	succeeded bool        // a push was honoured
+	silent    bool        // it failed with no word at all
 }
 
-// inRow is how many pushes in a row, by all sidecars together, must fail for a server to count as not there.
-const inRow = 4
+// failuresInRow is how many pushes in a row, by all sidecars together, must fail for a server to count as not there.
+const failuresInRow = 4
 
-// faults works out what went wrong from lists and from the ends of pushes: a server that starts anew was down from its first
+// inferFaults works out what went wrong from lists and from the ends of pushes: a server that starts anew was down from its first
 // failure, if there was one, else from a moment before; one that fails in a row was silent, or had crashed if it refused.
-func faults(sc *emulator.Scenario, all []*trace.Trace, zero policy.Time, out *Replayed) []emulator.Fault {
-	by := map[string][]trouble{}
+func inferFaults(sc *emulator.Scenario, all []*trace.Trace, zero policy.Time, out *Replayed) []emulator.Fault {
+	by := map[string][]observation{}
 	for _, t := range all {
 		uids := map[int64]string{}
 		seen := map[int64]policy.Time{}
@@ -139,15 +139,15 @@
 			case trace.Listed:
 				no := int64(r.No)
 				if was, known := seen[no]; known && policy.Time(r.B) > was {
-					by[uids[no]] = append(by[uids[no]], trouble{at: policy.Time(r.B), started: policy.Time(r.B)})
+					by[uids[no]] = append(by[uids[no]], observation{at: policy.Time(r.B), started: policy.Time(r.B)})
 				}
 				seen[no] = max(seen[no], policy.Time(r.B))
 			case trace.Ended:
 				o := policy.Outcome(r.B)
-				one := trouble{at: at, good: o == policy.Succeeded, bad: o == policy.NotConnected || o == policy.TimedOut || o == policy.ConnectionLost,
-					mute: o == policy.TimedOut || o == policy.NotConnected && r.C > 50*policy.Millisecond}
-				if one.good || one.bad {
-					if one.bad {
+				one := observation{at: at, succeeded: o == policy.Succeeded, failed: o == policy.NotConnected || o == policy.TimedOut || o == policy.ConnectionLost,
+					silent: o == policy.TimedOut || o == policy.NotConnected && r.C > 50*policy.Millisecond}
+				if one.succeeded || one.failed {
+					if one.failed {
 						one.at -= r.C // it had gone when the push went out
 					}
 					by[uids[r.A]] = append(by[uids[r.A]], one)
@@ -162,9 +162,9 @@
 		if !known {
 			continue
 		}
-		out.Servers++
-		slices.SortStableFunc(events, func(a, b trouble) int { return cmp.Compare(a.at, b.at) })
-		for _, w := range windows(events) {
+		out.Endpoints++
+		slices.SortStableFunc(events, func(a, b observation) int { return cmp.Compare(a.at, b.at) })
+		for _, w := range findOutages(events) {
 			f := emulator.Fault{Kind: emulator.Silent, At: max(0, w.from-zero), Duration: max(policy.Millisecond, w.to-w.from), Pod: -1, Endpoints: []int{i},
 				Cold: w.cold}
 			if w.crash {
@@ -180,13 +180,13 @@
 	return found
 }
 
-type window struct {
+type outage struct {
 	from, to    policy.Time
 	cold, crash bool
 }
 
-// windows finds the spans in which a server was not there.
-func windows(events []trouble) (all []window) {
+// findOutages finds the spans in which a server was not there.
+func findOutages(events []observation) (all []outage) {
 	var from, last policy.Time
 	row, mute := 0, 0
 	done := policy.Time(0) // latest start that was taken: each sidecar tells of the same
@@ -200,11 +200,11 @@
 			if row == 0 {
 				from = e.started - 200*policy.Millisecond
 			}
-			all = append(all, window{from: min(from, e.started-1), to: e.started, cold: true, crash: 2*mute <= row})
+			all = append(all, outage{from: min(from, e.started-1), to: e.started, cold: true, crash: 2*mute <= row})
 			row, mute = 0, 0
-		case e.good:
-			if row >= inRow {
-				all = append(all, window{from: from, to: max(last, from+1), crash: 2*mute <= row, cold: 2*mute <= row})
+		case e.succeeded:
+			if row >= failuresInRow {
+				all = append(all, outage{from: from, to: max(last, from+1), crash: 2*mute <= row, cold: 2*mute <= row})
 			}
 			row, mute = 0, 0
 		default:
@@ -213,7 +213,7 @@
 			}
 			row++
 			last = e.at
-			if e.mute {
+			if e.silent {
 				mute++
 			}
 		}
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -23,9 +23,9 @@
 )
 
 //go:embed report.html
-var page string
+var reportTemplate string
 
-var inks = []color.Color{color.RGBA{0x1f, 0x5f, 0xa8, 0xff}, color.RGBA{0xc0, 0x4a, 0x1c, 0xff}, color.RGBA{0x2f, 0x8f, 0x4e, 0xff},
+var palette = []color.Color{color.RGBA{0x1f, 0x5f, 0xa8, 0xff}, color.RGBA{0xc0, 0x4a, 0x1c, 0xff}, color.RGBA{0x2f, 0x8f, 0x4e, 0xff},
 	color.RGBA{0x7a, 0x3f, 0x98, 0xff}, color.RGBA{0x8a, 0x6d, 0x1b, 0xff}, color.RGBA{0x44, 0x44, 0x44, 0xff}}
 
 // Report writes one HTML file about a day, all in it, from what run has written into the folder. It gives the file's path.
@@ -48,7 +48,7 @@
 		"ms":      func(v any) string { return fmt.Sprint(v) },
 		"seconds": func(v policy.Time) string { return fmt.Sprintf("%.3f s", float64(v)/1e9) },
 		"rule":    func(i int) string { return ruleNames[i] },
-	}).Parse(page))
+	}).Parse(reportTemplate))
 	if err := shape.Execute(&out, map[string]any{"R": r, "S": s, "Plots": plots}); err != nil {
 		return "", err
 	}
@@ -82,17 +82,17 @@
 			if err != nil {
 				return fmt.Errorf("%s: %w", title, err)
 			}
-			l.Color, l.Width = inks[i%len(inks)], vg.Points(1.2)
+			l.Color, l.Width = palette[i%len(palette)], vg.Points(1.2)
 			p.Add(l)
-			if len(order) <= len(inks) {
+			if len(order) <= len(palette) {
 				p.Legend.Add(name, l)
 			}
 		}
 		p.Legend.Top = true
 		if faults {
-			bands(p, s.Faults)
+			drawFaultBands(p, s.Faults)
 		}
-		svg, err := draw1(p)
+		svg, err := renderSVG(p)
 		all = append(all, Plot{title, note, svg})
 		return err
 	}
@@ -109,7 +109,7 @@
 		"service", true, 0, 1.02, map[string]plotter.XYs{"service": service}, []string{"service"}); err != nil {
 		return nil, err
 	}
-	few := pushes(s)
+	few := attemptLines(s)
 	if err := add("Pushes out by server", few.note, "pushes", true, 0, math.NaN(), few.lines, few.order); err != nil {
 		return nil, err
 	}
@@ -135,11 +135,11 @@
 	curves := map[string]plotter.XYs{}
 	var names []string
 	for _, l := range r.Latency {
-		for _, c := range s.Curves[l.Offering] {
-			curves[l.Offering] = append(curves[l.Offering], plotter.XY{X: c.X, Y: c.Y})
+		for _, c := range s.Curves[l.Class] {
+			curves[l.Class] = append(curves[l.Class], plotter.XY{X: c.X, Y: c.Y})
 		}
 		if l.Count > 0 {
-			names = append(names, l.Offering)
+			names = append(names, l.Class)
 		}
 	}
 	if len(names) > 0 {
@@ -151,22 +151,22 @@
 	return all, nil
 }
 
-type pushLines struct {
+type lineSet struct {
 	lines map[string]plotter.XYs
 	order []string
 	note  string
 }
 
-// pushes draws a line for each server where they are few, else quantiles over the servers.
-func pushes(s *Series) pushLines {
-	out := pushLines{lines: map[string]plotter.XYs{}, note: "One line a server."}
+// attemptLines draws a line for each server where they are few, else quantiles over the servers.
+func attemptLines(s *Series) lineSet {
+	out := lineSet{lines: map[string]plotter.XYs{}, note: "One line a server."}
 	most := 0
 	for _, one := range s.Samples {
 		most = max(most, len(one.Attempts))
 	}
 	if most <= 16 {
 		for i := range most {
-			name := s.Servers[i]
+			name := s.Endpoints[i]
 			out.order = append(out.order, name)
 			for _, one := range s.Samples {
 				if i < len(one.Attempts) {
@@ -188,8 +188,8 @@
 	return out
 }
 
-// bands draws the faults in behind the lines.
-func bands(p *plot.Plot, faults []Span) {
+// drawFaultBands draws the faults in behind the lines.
+func drawFaultBands(p *plot.Plot, faults []Span) {
 	for i, f := range faults {
 		poly, err := plotter.NewPolygon(plotter.XYs{{X: f.FromS, Y: p.Y.Min}, {X: f.ToS, Y: p.Y.Min}, {X: f.ToS, Y: p.Y.Max}, {X: f.FromS, Y: p.Y.Max}})
 		if err != nil {
@@ -207,7 +207,7 @@
 	}
 }
 
-func draw1(p *plot.Plot) (template.HTML, error) {
+func renderSVG(p *plot.Plot) (template.HTML, error) {
 	c := vgsvg.New(vg.Points(720), vg.Points(230))
 	p.Draw(draw.New(c))
 	var b bytes.Buffer
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -22,12 +22,12 @@
 
 // Latency is how long honoured tickets of an offering took, from reaching the sidecar to its answer.
 type Latency struct {
-	Offering string        `json:"offering"`
-	Count    int64         `json:"count"`
-	P50      time.Duration `json:"p50_ns"`
-	P90      time.Duration `json:"p90_ns"`
-	P99      time.Duration `json:"p99_ns"`
-	Max      time.Duration `json:"max_ns"`
+	Class string        `json:"offering"`
+	Count int64         `json:"count"`
+	P50   time.Duration `json:"p50_ns"`
+	P90   time.Duration `json:"p90_ns"`
+	P99   time.Duration `json:"p99_ns"`
+	Max   time.Duration `json:"max_ns"`
 }
 
 // Result is what a day came to.
@@ -44,14 +44,14 @@
 
 // Series is what a report shows beside the result.
 type Series struct {
-	Servers []string            `json:"servers"`
-	Samples []emulator.Sample   `json:"samples"`
-	Curves  map[string][]Points `json:"curves"` // latency by percentile, by offering
-	Faults  []Span              `json:"faults"`
+	Endpoints []string           `json:"servers"`
+	Samples   []emulator.Sample  `json:"samples"`
+	Curves    map[string][]Point `json:"curves"` // latency by percentile, by offering
+	Faults    []Span             `json:"faults"`
 }
 
-// Points is one point of a curve.
-type Points struct {
+// Point is one point of a curve.
+type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
 }
@@ -95,26 +95,26 @@
 	}, sets...)
 }
 
-// watcher keeps latencies.
-type watcher struct{ by []*hdrhistogram.Histogram }
+// latencyRecorder keeps latencies.
+type latencyRecorder struct{ byClass []*hdrhistogram.Histogram }
 
-func newWatcher(sc *emulator.Scenario) *watcher {
-	w := &watcher{}
+func newLatencyRecorder(sc *emulator.Scenario) *latencyRecorder {
+	w := &latencyRecorder{}
 	for range sc.Classes {
-		w.by = append(w.by, hdrhistogram.New(1000, int64(24*time.Hour), 3))
+		w.byClass = append(w.byClass, hdrhistogram.New(1000, int64(24*time.Hour), 3))
 	}
 	return w
 }
 
 // Answer counts an honoured ticket.
-func (w *watcher) Answer(o policy.ClassID, a judge.Answer, spent policy.Time) {
+func (w *latencyRecorder) Answer(o policy.ClassID, a judge.Answer, spent policy.Time) {
 	if a == judge.Succeeded {
-		w.by[o].RecordValue(int64(max(spent, 1000)))
+		w.byClass[o].RecordValue(int64(max(spent, 1000)))
 	}
 }
 
-func (w *watcher) latencies(sc *emulator.Scenario) (all []Latency) {
-	for i, h := range w.by {
+func (w *latencyRecorder) latencies(sc *emulator.Scenario) (all []Latency) {
+	for i, h := range w.byClass {
 		at := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) }
 		all = append(all, Latency{sc.Classes[i].Name, h.TotalCount(), at(50), at(90), at(99), time.Duration(h.Max())})
 	}
@@ -127,7 +127,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	watch := newWatcher(sc)
+	watch := newLatencyRecorder(sc)
 	var sample emulator.Sampler = watch
 	world := emulator.New(sc, seed, maker, sample)
 	verdict := world.Run()
@@ -136,14 +136,14 @@
 	if !wantSeries {
 		return out, nil, nil
 	}
-	return out, &Series{Samples: world.Series, Curves: watch.curves(sc), Servers: world.EndpointNames(), Faults: Spans(sc)}, nil
+	return out, &Series{Samples: world.Series, Curves: watch.curves(sc), Endpoints: world.EndpointNames(), Faults: Spans(sc)}, nil
 }
 
-func (w *watcher) curves(sc *emulator.Scenario) map[string][]Points {
-	all := map[string][]Points{}
-	for i, h := range w.by {
+func (w *latencyRecorder) curves(sc *emulator.Scenario) map[string][]Point {
+	all := map[string][]Point{}
+	for i, h := range w.byClass {
 		for _, q := range []float64{1, 5, 10, 20, 30, 40, 50, 60, 70, 80, 90, 95, 98, 99, 99.5, 99.9, 100} {
-			all[sc.Classes[i].Name] = append(all[sc.Classes[i].Name], Points{q, float64(h.ValueAtQuantile(q)) / 1e9})
+			all[sc.Classes[i].Name] = append(all[sc.Classes[i].Name], Point{q, float64(h.ValueAtQuantile(q)) / 1e9})
 		}
 	}
 	return all
--- a/internal/livetest/rehearsal_test.go
+++ b/internal/livetest/rehearsal_test.go
@@ -98,7 +98,7 @@
 		t.Fatal(err)
 	}
 	// What reached a sidecar while it was down was not recorded.
-	if took.Arrivals < v.ClientRequests*8/10 || took.Arrivals > v.ClientRequests || took.Servers != 4 || len(took.Faults) == 0 ||
+	if took.Arrivals < v.ClientRequests*8/10 || took.Arrivals > v.ClientRequests || took.Endpoints != 4 || len(took.Faults) == 0 ||
 		!strings.HasPrefix(took.Faults[0], "s-00001: crash from ") {
 		t.Errorf("of %d requests: %+v", v.ClientRequests, took)
 	}
@@ -106,8 +106,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := r.Verdict.Service - took.Honoured; !r.Verdict.RulesKept() || d < -0.15 || d > 0.15 {
-		t.Errorf("replayed: %v, service %.3f, of the recorded tickets %.3f were honoured", r.Verdict.ViolationCounts, r.Verdict.Service, took.Honoured)
+	if d := r.Verdict.Service - took.SucceededShare; !r.Verdict.RulesKept() || d < -0.15 || d > 0.15 {
+		t.Errorf("replayed: %v, service %.3f, of the recorded tickets %.3f were honoured", r.Verdict.ViolationCounts, r.Verdict.Service, took.SucceededShare)
 	}
 	sc.Arrivals, sc.Instances = nil, mostSidecars+1
 	if _, err := Run(context.Background(), Play{Scenario: sc, Daemon: daemon}); err == nil || !strings.Contains(err.Error(), fmt.Sprint(sc.Instances, " sidecars")) {
