--- /dev/null
+++ b/internal/experiment/charts.go
@@ -0,0 +1,284 @@
+package experiment
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"html/template"
+	"image/color"
+	"slices"
+	"strings"
+
+	"gonum.org/v1/plot"
+	"gonum.org/v1/plot/plotter"
+	"gonum.org/v1/plot/vg"
+	"gonum.org/v1/plot/vg/draw"
+	"gonum.org/v1/plot/vg/vgsvg"
+
+	"pepperlead/internal/emulator"
+)
+
+var palette = []color.Color{
+	color.RGBA{0x1f, 0x5f, 0xa8, 0xff},
+	color.RGBA{0xc0, 0x4a, 0x1c, 0xff},
+	color.RGBA{0x2f, 0x8f, 0x4e, 0xff},
+	color.RGBA{0x7a, 0x3f, 0x98, 0xff},
+	color.RGBA{0x8a, 0x6d, 0x1b, 0xff},
+	color.RGBA{0x44, 0x44, 0x44, 0xff},
+}
+
+// Plot is one chart of a report.
+type Plot struct {
+	Title string
+	Note  string
+	SVG   template.HTML
+}
+
+// lineSet is the lines of a chart, in order.
+type lineSet struct {
+	lines map[string]plotter.XYs
+	order []string
+}
+
+func (l *lineSet) add(name string, points plotter.XYs) {
+	if l.lines == nil {
+		l.lines = map[string]plotter.XYs{}
+	}
+	if _, known := l.lines[name]; !known {
+		l.order = append(l.order, name)
+	}
+	l.lines[name] = append(l.lines[name], points...)
+}
+
+// chart describes a line chart over seconds.
+type chart struct {
+	title  string
+	note   string
+	yLabel string
+	yMin   float64
+	yMax   float64 // 0: that of the lines
+	faults []Span  // drawn behind the lines
+	lines  lineSet
+}
+
+const (
+	// maxService leaves room above a service of 1.
+	maxService = 1.02
+	// maxTotalLimit cuts off the line of instances without a limit.
+	maxTotalLimit = 200
+	// waitingScale scales waiting jobs to the scale of the share of cores.
+	waitingScale = 10
+)
+
+// plots returns the charts of a report.
+func plots(r *Result, s *Series) ([]Plot, error) {
+	service := serviceLine(r)
+	if len(service) == 0 {
+		return nil, errors.New("the result has no seconds: only days that run has played have a report")
+	}
+	charts := []chart{{
+		title:  "Service",
+		note:   "Credit in time over credit asked for, by the second in which a request was first sent. Grey: faults.",
+		yLabel: "service",
+		yMax:   maxService,
+		faults: s.Faults,
+	}}
+	charts[0].lines.add("service", service)
+	charts = append(charts, attemptsChart(s), limitsChart(s), endpointsChart(s))
+	if latency := latencyChart(r, s); len(latency.lines.order) > 0 {
+		charts = append(charts, latency)
+	}
+	var all []Plot
+	for _, c := range charts {
+		p, err := c.draw()
+		if err != nil {
+			return nil, err
+		}
+		all = append(all, p)
+	}
+	return all, nil
+}
+
+func serviceLine(r *Result) plotter.XYs {
+	var line plotter.XYs
+	for i, second := range r.Verdict.Seconds {
+		if second.Offered > 0 {
+			line = append(line, plotter.XY{X: float64(i), Y: second.Earned / second.Offered})
+		}
+	}
+	return line
+}
+
+// sampled returns a value of each sample as a line.
+func sampled(s *Series, value func(emulator.Sample) float64) plotter.XYs {
+	var line plotter.XYs
+	for _, sample := range s.Samples {
+		line = append(line, plotter.XY{X: float64(sample.At) / 1e9, Y: value(sample)})
+	}
+	return line
+}
+
+func limitsChart(s *Series) chart {
+	c := chart{
+		title:  "Limits and pace",
+		note:   "Mean over the sidecars: pushes that may be out in all, and to one server; servers set aside.",
+		yLabel: "pushes, servers",
+		faults: s.Faults,
+	}
+	c.lines.add("pace", sampled(s, func(x emulator.Sample) float64 { return min(x.TotalLimit, maxTotalLimit) }))
+	c.lines.add("limit", sampled(s, func(x emulator.Sample) float64 { return x.Limit }))
+	c.lines.add("aside", sampled(s, func(x emulator.Sample) float64 { return x.Ejected }))
+	return c
+}
+
+func endpointsChart(s *Series) chart {
+	c := chart{
+		title:  "Servers",
+		note:   "Part of all cores at work, and jobs in servers beyond their cores, in tens.",
+		yLabel: "part, tens of jobs",
+		faults: s.Faults,
+	}
+	c.lines.add("busy", sampled(s, func(x emulator.Sample) float64 { return x.Busy }))
+	c.lines.add("waiting", sampled(s, func(x emulator.Sample) float64 { return float64(x.Waiting) / waitingScale }))
+	return c
+}
+
+func latencyChart(r *Result, s *Series) chart {
+	c := chart{
+		title:  "Latency of honoured tickets",
+		note:   "Seconds from reaching the sidecar to the answer, over percentiles.",
+		yLabel: "seconds",
+	}
+	for _, latency := range r.Latency {
+		if latency.Count == 0 {
+			continue
+		}
+		var curve plotter.XYs
+		for _, point := range s.Curves[latency.Class] {
+			curve = append(curve, plotter.XY{X: point.X, Y: point.Y})
+		}
+		c.lines.add(latency.Class, curve)
+	}
+	return c
+}
+
+// maxEndpointLines is how many endpoints have a line each; more are shown by quantiles.
+const maxEndpointLines = 16
+
+// attemptsChart draws the attempts in flight: a line for each endpoint where they are few, else quantiles over them.
+func attemptsChart(s *Series) chart {
+	c := chart{
+		title:  "Pushes out by server",
+		note:   "One line a server.",
+		yLabel: "pushes",
+		faults: s.Faults,
+	}
+	endpoints := 0
+	for _, sample := range s.Samples {
+		endpoints = max(endpoints, len(sample.Attempts))
+	}
+	if endpoints > maxEndpointLines {
+		c.note = "Over the servers: the least, the middle, the 90th percentile and the most."
+		c.lines = attemptQuantiles(s)
+		return c
+	}
+	for i := range endpoints {
+		var line plotter.XYs
+		for _, sample := range s.Samples {
+			if i < len(sample.Attempts) {
+				line = append(line, plotter.XY{X: float64(sample.At) / 1e9, Y: float64(sample.Attempts[i])})
+			}
+		}
+		c.lines.add(s.Endpoints[i], line)
+	}
+	return c
+}
+
+func attemptQuantiles(s *Series) lineSet {
+	var quantiles lineSet
+	for _, sample := range s.Samples {
+		sorted := slices.Sorted(slices.Values(sample.Attempts))
+		add := func(name string, index int) {
+			point := plotter.XY{X: float64(sample.At) / 1e9, Y: float64(sorted[index])}
+			quantiles.add(name, plotter.XYs{point})
+		}
+		add("least", 0)
+		add("middle", len(sorted)/2)
+		add("90%", len(sorted)*9/10)
+		add("most", len(sorted)-1)
+	}
+	return quantiles
+}
+
+// draw draws the chart.
+func (c *chart) draw() (Plot, error) {
+	p := plot.New()
+	p.X.Label.Text = "seconds"
+	p.Y.Label.Text = c.yLabel
+	p.Y.Min = c.yMin
+	if c.yMax > 0 {
+		p.Y.Max = c.yMax
+	}
+	for i, name := range c.lines.order {
+		line, err := plotter.NewLine(c.lines.lines[name])
+		if err != nil {
+			return Plot{}, fmt.Errorf("%s: %w", c.title, err)
+		}
+		line.Color = paletteColor(i)
+		line.Width = vg.Points(1.2)
+		p.Add(line)
+		if len(c.lines.order) <= len(palette) {
+			p.Legend.Add(name, line)
+		}
+	}
+	p.Legend.Top = true
+	if c.faults != nil {
+		drawFaultBands(p, c.faults)
+	}
+	svg, err := renderSVG(p)
+	return Plot{c.title, c.note, svg}, err
+}
+
+// drawFaultBands draws faults as grey bands with labels on four levels.
+func drawFaultBands(p *plot.Plot, faults []Span) {
+	for i, f := range faults {
+		band, err := plotter.NewPolygon(plotter.XYs{
+			{X: f.FromS, Y: p.Y.Min},
+			{X: f.ToS, Y: p.Y.Min},
+			{X: f.ToS, Y: p.Y.Max},
+			{X: f.FromS, Y: p.Y.Max},
+		})
+		if err != nil {
+			continue
+		}
+		band.Color = color.NRGBA{0x60, 0x60, 0x60, 0x22}
+		band.Width = 0
+		p.Add(band)
+		labelY := p.Y.Max - (p.Y.Max-p.Y.Min)*0.05*float64(1+i%4)
+		labels, err := plotter.NewLabels(plotter.XYLabels{
+			XYs:    plotter.XYs{{X: f.FromS, Y: labelY}},
+			Labels: []string{f.What},
+		})
+		if err == nil {
+			labels.TextStyle[0].Color = color.NRGBA{0x50, 0x50, 0x50, 0xff}
+			p.Add(labels)
+		}
+	}
+}
+
+// renderSVG returns the plot as an SVG element.
+func renderSVG(p *plot.Plot) (template.HTML, error) {
+	c := vgsvg.New(vg.Points(720), vg.Points(230))
+	p.Draw(draw.New(c))
+	var b bytes.Buffer
+	if _, err := c.WriteTo(&b); err != nil {
+		return "", err
+	}
+	svg := b.String()
+	if at := strings.Index(svg, "<svg"); at > 0 {
+		svg = svg[at:] // the XML declaration has no place inside HTML
+	}
+	return template.HTML(svg), nil
+}
+
+func paletteColor(i int) color.Color { return palette[i%len(palette)] }
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -3,7 +3,7 @@
 import (
 	"bytes"
 	"fmt"
-	"image/color"
+	"slices"
 
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
@@ -14,69 +14,88 @@
 	"pepperlead/internal/snapshot"
 )
 
-// PlotRows draws a sweep's table into an SVG file: service by scenario, or by the values of a figure, a mark for each policy with its
+// PlotRows draws a sweep's table into an SVG file: the service by scenario and setting, for each policy a mark with its
 // interval.
 func PlotRows(path string, rows []Row) error {
 	if len(rows) == 0 {
 		return fmt.Errorf("%s: nothing to draw", path)
 	}
-	var groups, policies []string
-	at := map[string]int{}
-	place := func(list *[]string, key, label string) int {
-		i, known := at[key]
-		if !known {
-			i = len(*list)
-			at[key] = i
-			*list = append(*list, label)
-		}
-		return i
-	}
-	points := map[string]*intervalPoints{}
-	for _, r := range rows {
-		label := r.Scenario
-		if r.Set != "" {
-			label += " " + r.Set
-		}
-		x := place(&groups, "scenario "+label, label)
-		n := place(&policies, "policy "+r.Policy, r.Policy)
-		if points[r.Policy] == nil {
-			points[r.Policy] = &intervalPoints{}
-		}
-		b := points[r.Policy]
-		b.XYs = append(b.XYs, plotter.XY{X: float64(x) + 0.08*float64(n), Y: r.Service})
-		b.YErrors = append(b.YErrors, struct{ Low, High float64 }{r.Half, r.Half})
-	}
-	p := plot.New()
-	p.Title.Text, p.Y.Label.Text = "Service, mean and 95% interval", "service"
-	p.Y.Min, p.Y.Max = 0, 1.02
-	p.NominalX(groups...)
-	p.X.Tick.Label.Rotation = 0.6
-	p.X.Tick.Label.XAlign = draw.XRight
-	grid := plotter.NewGrid()
-	grid.Vertical.Width = 0
-	p.Add(grid)
+	groups, policies, points := groupRows(rows)
+	p := newServicePlot(groups)
 	for i, name := range policies {
 		marks, err := plotter.NewScatter(points[name].XYs)
 		if err != nil {
 			return err
 		}
 		marks.GlyphStyle = draw.GlyphStyle{Color: paletteColor(i), Radius: vg.Points(3), Shape: shapes[i%len(shapes)]}
-		spread, err := plotter.NewYErrorBars(points[name])
+		intervals, err := plotter.NewYErrorBars(points[name])
 		if err != nil {
 			return err
 		}
-		spread.Color = paletteColor(i)
-		p.Add(spread, marks)
+		intervals.Color = paletteColor(i)
+		p.Add(intervals, marks)
 		p.Legend.Add(name, marks)
 	}
-	p.Legend.Top, p.Legend.Left = false, true
-	c := vgsvg.New(vg.Points(float64(180+60*len(groups))), vg.Points(420))
-	p.Draw(draw.New(c))
-	var b bytes.Buffer
-	if _, err := c.WriteTo(&b); err != nil {
+	const (
+		leftWidth  = 180
+		groupWidth = 60
+		height     = 420
+	)
+	canvas := vgsvg.New(vg.Points(float64(leftWidth+groupWidth*len(groups))), vg.Points(height))
+	p.Draw(draw.New(canvas))
+	var out bytes.Buffer
+	if _, err := canvas.WriteTo(&out); err != nil {
 		return err
 	}
-	return snapshot.Replace(path, b.Bytes())
+	return snapshot.Replace(path, out.Bytes())
+}
+
+// groupRows returns the scenarios with their settings, the policies, and the points of each policy.
+func groupRows(rows []Row) (groups, policies []string, points map[string]*intervalPoints) {
+	const policyOffset = 0.08 // between the marks of a group
+	points = map[string]*intervalPoints{}
+	for _, row := range rows {
+		label := row.Scenario
+		if row.Set != "" {
+			label += " " + row.Set
+		}
+		var group, policyNumber int
+		groups, group = indexOf(groups, label)
+		policies, policyNumber = indexOf(policies, row.Policy)
+		if points[row.Policy] == nil {
+			points[row.Policy] = &intervalPoints{}
+		}
+		ofPolicy := points[row.Policy]
+		x := float64(group) + policyOffset*float64(policyNumber)
+		ofPolicy.XYs = append(ofPolicy.XYs, plotter.XY{X: x, Y: row.Service})
+		ofPolicy.YErrors = append(ofPolicy.YErrors, struct{ Low, High float64 }{row.Half, row.Half})
+	}
+	return groups, policies, points
+}
+
+// indexOf returns the index of the name, which is appended if the list has not got it.
+func indexOf(list []string, name string) (extended []string, index int) {
+	if index = slices.Index(list, name); index >= 0 {
+		return list, index
+	}
+	return append(list, name), len(list)
+}
+
+func newServicePlot(groups []string) *plot.Plot {
+	p := plot.New()
+	p.Title.Text = "Service, mean and 95% interval"
+	p.Y.Label.Text = "service"
+	p.Y.Min = 0
+	p.Y.Max = maxService
+	p.NominalX(groups...)
+	p.X.Tick.Label.Rotation = 0.6
+	p.X.Tick.Label.XAlign = draw.XRight
+	grid := plotter.NewGrid()
+	grid.Vertical.Width = 0
+	p.Add(grid)
+	p.Legend.Top = false
+	p.Legend.Left = true
+	return p
 }
 
 // intervalPoints are points with their intervals.
@@ -85,7 +104,12 @@
 	plotter.YErrors
 }
 
-var shapes = []draw.GlyphDrawer{draw.CircleGlyph{}, draw.SquareGlyph{}, draw.TriangleGlyph{}, draw.CrossGlyph{}, draw.PlusGlyph{},
-	draw.PyramidGlyph{}, draw.RingGlyph{}}
-
-func paletteColor(i int) color.Color { return palette[i%len(palette)] }
+var shapes = []draw.GlyphDrawer{
+	draw.CircleGlyph{},
+	draw.SquareGlyph{},
+	draw.TriangleGlyph{},
+	draw.CrossGlyph{},
+	draw.PlusGlyph{},
+	draw.PyramidGlyph{},
+	draw.RingGlyph{},
+}
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -1,7 +1,6 @@
 package experiment
 
 import (
-	"cmp"
 	"context"
 	"errors"
 	"fmt"
@@ -34,6 +33,7 @@
 	Progress  io.Writer // nil: none
 }
 
+// job is one day of a grid.
 type job struct {
 	path   string
 	seed   uint64
@@ -41,50 +41,26 @@
 	policy string
 }
 
-// Sweep plays all days of a grid, several at once. The results stand in the grid's order, whoever finishes first.
+// Sweep plays all days of a grid, several at once. The results are in the grid's order, whichever day ends first.
 func Sweep(ctx context.Context, g Grid) ([]*Result, error) {
-	var jobs []job
-	values := g.Values
-	if g.Vary == "" {
-		values = []string{""}
-	}
-	for _, path := range g.Scenarios {
-		for _, v := range values {
-			set := ""
-			if g.Vary != "" {
-				set = g.Vary + "=" + v
-			}
-			if _, err := Load(path, Sets(set)...); err != nil {
-				return nil, err // before hours are spent on the others
-			}
-			for _, seed := range g.Seeds {
-				for _, p := range g.Policies {
-					jobs = append(jobs, job{path, seed, set, p})
-				}
-			}
-		}
+	jobs, err := g.jobs()
+	if err != nil {
+		return nil, err
 	}
-	out, errs := make([]*Result, len(jobs)), make([]error, len(jobs))
+	results := make([]*Result, len(jobs))
+	errs := make([]error, len(jobs))
 	workers := g.Workers
 	if workers <= 0 {
 		workers = runtime.GOMAXPROCS(0)
 	}
-	var bar *mpb.Bar
-	var bars *mpb.Progress
-	if g.Progress != nil {
-		bars = mpb.New(mpb.WithOutput(g.Progress), mpb.WithWidth(50))
-		bar = bars.AddBar(int64(len(jobs)), mpb.PrependDecorators(decor.CountersNoUnit("%d of %d days ")),
-			mpb.AppendDecorators(decor.AverageETA(decor.ET_STYLE_GO)))
-	}
+	progress := newProgress(g.Progress, len(jobs))
 	next := make(chan int)
-	var done sync.WaitGroup
+	var running sync.WaitGroup
 	for range workers {
-		done.Go(func() {
+		running.Go(func() {
 			for i := range next {
-				out[i], errs[i] = jobs[i].play()
-				if bar != nil {
-					bar.Increment()
-				}
+				results[i], errs[i] = jobs[i].play()
+				progress.increment()
 			}
 		})
 	}
@@ -95,17 +71,71 @@
 		next <- i
 	}
 	close(next)
-	done.Wait()
-	if bar != nil {
-		bar.Abort(false) // ends the bar, also where not all days were played
-		bars.Wait()
-	}
+	running.Wait()
+	progress.end()
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	return out, errors.Join(errs...)
+	return results, errors.Join(errs...)
+}
+
+// jobs lists the days of the grid. A scenario that cannot be loaded is an error before any day is played.
+func (g *Grid) jobs() ([]job, error) {
+	sets := []string{""}
+	if g.Vary != "" {
+		sets = nil
+		for _, value := range g.Values {
+			sets = append(sets, g.Vary+"="+value)
+		}
+	}
+	var jobs []job
+	for _, path := range g.Scenarios {
+		for _, set := range sets {
+			if _, err := Load(path, Sets(set)...); err != nil {
+				return nil, err
+			}
+			for _, seed := range g.Seeds {
+				for _, policyName := range g.Policies {
+					jobs = append(jobs, job{path, seed, set, policyName})
+				}
+			}
+		}
+	}
+	return jobs, nil
 }
 
+// progress shows how many days were played; its zero value shows nothing.
+type progress struct {
+	bars *mpb.Progress
+	bar  *mpb.Bar
+}
+
+func newProgress(out io.Writer, days int) progress {
+	if out == nil {
+		return progress{}
+	}
+	const width = 50
+	bars := mpb.New(mpb.WithOutput(out), mpb.WithWidth(width))
+	bar := bars.AddBar(int64(days), mpb.PrependDecorators(decor.CountersNoUnit("%d of %d days ")),
+		mpb.AppendDecorators(decor.AverageETA(decor.ET_STYLE_GO)))
+	return progress{bars: bars, bar: bar}
+}
+
+func (p progress) increment() {
+	if p.bar != nil {
+		p.bar.Increment()
+	}
+}
+
+// end ends the bar, also where not all days were played.
+func (p progress) end() {
+	if p.bar != nil {
+		p.bar.Abort(false)
+		p.bars.Wait()
+	}
+}
+
+// play plays the day, without its seconds: a sweep has thousands of days.
 func (j job) play() (*Result, error) {
 	sc, err := Load(j.path, Sets(j.set)...)
 	if err != nil {
@@ -116,7 +146,7 @@
 		return nil, err
 	}
 	r.Set = j.set
-	r.Verdict.Seconds = nil // a sweep has thousands of days
+	r.Verdict.Seconds = nil
 	return r, nil
 }
 
@@ -186,7 +216,7 @@
 	Broken [4]int `json:"broken"` // days on which the rule was broken
 }
 
-// Table sums a sweep up.
+// Table summarizes a sweep.
 func Table(all []*Result) []Row {
 	type key struct{ scenario, set, policy string }
 	at := map[key]int{}
@@ -217,26 +247,32 @@
 		row := &rows[i]
 		row.Service, row.Half = Interval(service[key{row.Scenario, row.Set, row.Policy}])
 		n := float64(row.Days)
-		row.Worst10, row.Wasted, row.Crossed = row.Worst10/n, row.Wasted/n, row.Crossed/n
+		row.Worst10 /= n
+		row.Wasted /= n
+		row.Crossed /= n
 		for i := range row.Scatter {
-			row.Scatter[i], row.Forced[i] = row.Scatter[i]/n, row.Forced[i]/n
+			row.Scatter[i] /= n
+			row.Forced[i] /= n
 		}
-		row.Busiest, row.IdleSeconds = row.Busiest/n, row.IdleSeconds/n
+		row.Busiest /= n
+		row.IdleSeconds /= n
 	}
 	return rows
 }
 
-// add takes a day's figures in: sums of those that are means, the most of the others.
+// add adds a day: sums of the values of which the mean is shown, the maximum of the others.
 func (r *Row) add(e *judge.Spread) {
 	for i := range e.Scatter {
 		r.Scatter[i] += e.Scatter[i]
 		r.Forced[i] += e.Forced[i]
 	}
-	r.Busiest, r.IdleSeconds = r.Busiest+e.Busiest, r.IdleSeconds+e.IdleSeconds
-	r.BusiestMax, r.Herd = max(r.BusiestMax, e.BusiestMax), max(r.Herd, e.Herd)
+	r.Busiest += e.Busiest
+	r.IdleSeconds += e.IdleSeconds
+	r.BusiestMax = max(r.BusiestMax, e.BusiestMax)
+	r.Herd = max(r.Herd, e.Herd)
 }
 
-// Interval is the mean of some figures and half the width of its 95% interval, by Student's distribution.
+// Interval returns the mean of some values and half the width of its 95% interval, by Student's distribution.
 func Interval(all []float64) (mean, half float64) {
 	n := float64(len(all))
 	for _, v := range all {
@@ -253,75 +289,7 @@
 	return mean, t * math.Sqrt(sum/(n-1)/n)
 }
 
-// Comparison is one scenario of two sweeps, paired by seed.
-type Comparison struct {
-	Scenario string  `json:"scenario"`
-	Set      string  `json:"set,omitempty"`
-	Pairs    int     `json:"pairs"`
-	A        float64 `json:"a"`
-	B        float64 `json:"b"`
-	Gain     float64 `json:"gain"`   // of B over A
-	Half     float64 `json:"half"`   // of its 95% interval
-	Breaks   int     `json:"breaks"` // days on which B broke a rule and A did not
-}
-
-// Compare pairs the days of two sweeps by scenario, figure and seed. A sweep of several policies is narrowed by name.
-func Compare(a, b []*Result) ([]Comparison, error) {
-	type key struct {
-		scenario, set string
-		seed          uint64
-	}
-	first := map[key]*Result{}
-	for _, r := range a {
-		k := key{r.Scenario, r.Set, r.Seed}
-		if _, twice := first[k]; twice {
-			return nil, fmt.Errorf("%s, seed %d is there twice: name one policy", r.Scenario, r.Seed)
-		}
-		first[k] = r
-	}
-	gains := map[[2]string][]float64{}
-	out := map[[2]string]*Comparison{}
-	seen := map[key]bool{}
-	for _, r := range b {
-		k := key{r.Scenario, r.Set, r.Seed}
-		if seen[k] {
-			return nil, fmt.Errorf("%s, seed %d is there twice: name one policy", r.Scenario, r.Seed)
-		}
-		seen[k] = true
-		with, paired := first[k]
-		if !paired {
-			continue
-		}
-		name := [2]string{r.Scenario, r.Set}
-		c := out[name]
-		if c == nil {
-			c = &Comparison{Scenario: r.Scenario, Set: r.Set}
-			out[name] = c
-		}
-		c.Pairs++
-		c.A += with.Verdict.Service
-		c.B += r.Verdict.Service
-		gains[name] = append(gains[name], r.Verdict.Service-with.Verdict.Service)
-		if !r.Verdict.RulesKept() && with.Verdict.RulesKept() {
-			c.Breaks++
-		}
-	}
-	if len(out) == 0 {
-		return nil, errors.New("the two have no day in common")
-	}
-	var all []Comparison
-	for name, c := range out {
-		c.A, c.B = c.A/float64(c.Pairs), c.B/float64(c.Pairs)
-		c.Gain, c.Half = Interval(gains[name])
-		all = append(all, *c)
-	}
-	slices.SortFunc(all, func(x, y Comparison) int {
-		return cmp.Or(cmp.Compare(x.Scenario, y.Scenario), cmp.Compare(x.Set, y.Set))
-	})
-	return all, nil
-}
-
-// ReadResults reads what run or sweep have written into a folder, or one such file.
+// ReadResults reads the results that run or sweep have written into a directory, or one such file.
 func ReadResults(path string) ([]*Result, error) {
 	for _, name := range []string{filepath.Join(path, "sweep.json"), path} {
 		var all []*Result
