--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -137,13 +137,13 @@
 	return nil
 }
 
-func head(o Config) trace.Head {
-	h := trace.Head{Start: clock.New().Now(), Name: o.Name, Zone: o.Settings.Zone}
+func head(o Config) trace.Header {
+	h := trace.Header{Start: clock.New().Now(), Name: o.Name, Zone: o.Settings.Zone}
 	for _, f := range o.Settings.Classes {
-		h.Offerings = append(h.Offerings, f.Name)
+		h.Classes = append(h.Classes, f.Name)
 	}
 	for _, f := range o.Settings.Tenants {
-		h.Franchises = append(h.Franchises, f.Name)
+		h.Tenants = append(h.Tenants, f.Name)
 	}
 	return h
 }
--- a/internal/engine/record.go
+++ b/internal/engine/record.go
@@ -17,7 +17,7 @@
 		e.Latency.Observe(t.Class, answer, max(0, now-t.ReceivedAt))
 	}
 	if r := e.Recorder; r != nil {
-		r.Put(trace.Record{Kind: trace.Answer, At: now, No: t.No, A: int64(answer), C: max(0, now-t.ReceivedAt)})
+		r.Put(trace.Record{Kind: trace.RequestEnd, At: now, No: t.No, A: int64(answer), C: max(0, now-t.ReceivedAt)})
 	}
 }
 
@@ -26,7 +26,7 @@
 	if r == nil {
 		return
 	}
-	one := trace.Record{Kind: trace.Ticket, At: now, No: t.No, A: int64(t.Class), B: int64(f), C: max(0, span)}
+	one := trace.Record{Kind: trace.Request, At: now, No: t.No, A: int64(t.Class), B: int64(f), C: max(0, span)}
 	if key != "" {
 		one.Key = xxhash.Sum64String(key)
 	}
@@ -38,19 +38,19 @@
 
 func (e *Engine) recordAttempt(now policy.Time, t *Request, to *Endpoint) {
 	if r := e.Recorder; r != nil {
-		r.Put(trace.Record{Kind: trace.Push, At: now, No: t.No, A: r.Known(to.ID)})
+		r.Put(trace.Record{Kind: trace.Attempt, At: now, No: t.No, A: r.KnownEndpoint(to.ID)})
 	}
 }
 
 func (e *Engine) recordEnd(now policy.Time, t *Request, o policy.Outcome, spent policy.Time) {
 	if r := e.Recorder; r != nil {
-		r.Put(trace.Record{Kind: trace.Ended, At: now, No: t.No, A: r.Known(t.Endpoint), B: int64(o), C: spent})
+		r.Put(trace.Record{Kind: trace.AttemptEnd, At: now, No: t.No, A: r.KnownEndpoint(t.Endpoint), B: int64(o), C: spent})
 	}
 }
 
 func (e *Engine) recordListed(now policy.Time, of discovery.Entry) {
 	if r := e.Recorder; r != nil {
-		r.Put(trace.Record{Kind: trace.Listed, At: now, No: uint64(r.ServerNo(now, of.Member, of.UID)), A: int64(of.Status),
+		r.Put(trace.Record{Kind: trace.Listed, At: now, No: uint64(r.EndpointNumber(now, of.Member, of.UID)), A: int64(of.Status),
 			B: int64(of.Started)})
 	}
 }
--- a/internal/experiment/replay.go
+++ b/internal/experiment/replay.go
@@ -43,18 +43,18 @@
 		if err != nil {
 			return nil, err
 		}
-		if t.Cut {
+		if t.Truncated {
 			out.Cut++
 		}
 		for _, r := range t.Records {
 			at := t.Start - begin + r.At
 			switch r.Kind {
-			case trace.Answer:
+			case trace.RequestEnd:
 				tickets++
 				if r.A == 0 {
 					honoured++
 				}
-			case trace.Ticket:
+			case trace.Request:
 				if r.D == 1 {
 					out.Further++
 					continue
@@ -95,14 +95,14 @@
 
 // match finds a trace's offerings and franchises in the scenario, by name.
 func match(sc *emulator.Scenario, t *trace.Trace) (offerings []policy.ClassID, franchises []policy.TenantID, err error) {
-	for _, name := range t.Offerings {
+	for _, name := range t.Classes {
 		i := slices.IndexFunc(sc.Offerings, func(o emulator.Offering) bool { return o.Name == name })
 		if i < 0 {
 			return nil, nil, fmt.Errorf("trace of %s: offering %q is not in the scenario", t.Name, name)
 		}
 		offerings = append(offerings, policy.ClassID(i))
 	}
-	for _, name := range t.Franchises {
+	for _, name := range t.Tenants {
 		i := slices.IndexFunc(sc.Franchise, func(f emulator.Franchise) bool { return f.Name == name })
 		if i < 0 {
 			return nil, nil, fmt.Errorf("trace of %s: franchise %q is not in the scenario", t.Name, name)
@@ -134,7 +134,7 @@
 		for _, r := range t.Records {
 			at := t.Start + r.At
 			switch r.Kind {
-			case trace.Server:
+			case trace.Endpoint:
 				uids[int64(r.No)] = r.UID
 			case trace.Listed:
 				no := int64(r.No)
@@ -142,7 +142,7 @@
 					by[uids[no]] = append(by[uids[no]], trouble{at: policy.Time(r.B), started: policy.Time(r.B)})
 				}
 				seen[no] = max(seen[no], policy.Time(r.B))
-			case trace.Ended:
+			case trace.AttemptEnd:
 				o := policy.Outcome(r.B)
 				one := trouble{at: at, good: o == policy.Succeeded, bad: o == policy.NotConnected || o == policy.TimedOut || o == policy.ConnectionLost,
 					mute: o == policy.TimedOut || o == policy.NotConnected && r.C > 50*policy.Millisecond}
--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -11,12 +11,12 @@
 )
 
 // goldenTrace is a trace that has each kind of record once, with a value of its own in each field.
-func goldenTrace() (Head, []Record) {
-	var header Head
+func goldenTrace() (Header, []Record) {
+	var header Header
 	golden.Fill(&header)
 	header.Format, header.Version = format, version
 	var records []Record
-	for _, kind := range []Kind{Server, Listed, Ticket, Push, Ended, Answer} {
+	for _, kind := range []Kind{Endpoint, Listed, Request, Attempt, AttemptEnd, RequestEnd} {
 		var record Record
 		golden.Fill(&record)
 		record.Kind = kind
@@ -57,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(read.Head, header) || !reflect.DeepEqual(read.Records, records) || read.Cut {
+	if !reflect.DeepEqual(read.Header, header) || !reflect.DeepEqual(read.Records, records) || read.Truncated {
 		t.Errorf("got %+v, want %+v and %+v", read, header, records)
 	}
 }
--- a/internal/trace/reader.go
+++ b/internal/trace/reader.go
@@ -14,15 +14,15 @@
 const (
 	maxNesting       = 4
 	maxArrayElements = 1 << 16
-	// maxLastRecord is how many bytes the record that exceeds MostBytes may add, with what was buffered.
+	// maxLastRecord is how many bytes the record that exceeds MaxSize may add, with what was buffered.
 	maxLastRecord = 1 << 20
 )
 
 // Trace is a trace that was read.
 type Trace struct {
-	Head
-	Records []Record
-	Cut     bool // it ends within a record
+	Header
+	Records   []Record
+	Truncated bool // it ends within a record
 }
 
 // Read reads a trace up to its last complete record.
@@ -32,7 +32,7 @@
 		return nil, err
 	}
 	t := &Trace{}
-	if err := decoder.Decode(&t.Head); err != nil {
+	if err := decoder.Decode(&t.Header); err != nil {
 		return nil, fmt.Errorf("trace: its head cannot be read: %w", err)
 	}
 	if t.Format != format || t.Version != version {
@@ -48,7 +48,7 @@
 		case errors.Is(err, io.EOF):
 			return t, nil
 		case errors.Is(err, io.ErrUnexpectedEOF):
-			t.Cut = true
+			t.Truncated = true
 			return t, nil
 		default:
 			return t, fmt.Errorf("trace: record %d cannot be read: %w", len(t.Records)+1, err)
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, err
 	}
-	limited := io.LimitReader(from, MostBytes+maxLastRecord)
+	limited := io.LimitReader(from, MaxSize+maxLastRecord)
 	return mode.NewDecoder(bufio.NewReader(limited)), nil
 }
 
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -30,7 +30,7 @@
 // records that come faster than the disk takes them are dropped and counted. Its methods are for the loop's goroutine,
 // but for Dropped.
 type Recorder struct {
-	header    Head
+	header    Header
 	records   chan Record
 	result    chan error // of the writer, once it has ended
 	dropped   atomic.Int64
@@ -38,7 +38,7 @@
 }
 
 // Create starts a trace in a file, in place of what the file has.
-func Create(path string, header Head) (*Recorder, error) {
+func Create(path string, header Header) (*Recorder, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, traceFileMode)
 	if err != nil {
 		return nil, err
@@ -73,7 +73,7 @@
 			if !open {
 				return errors.Join(failure, buffer.Flush())
 			}
-			if failure != nil || written.bytes > MostBytes {
+			if failure != nil || written.bytes > MaxSize {
 				r.dropped.Add(1)
 				continue
 			}
@@ -109,15 +109,15 @@
 	}
 }
 
-// ServerNo returns the number of an endpoint in this trace. It introduces the endpoint the first time.
-func (r *Recorder) ServerNo(now policy.Time, member policy.Member, uid string) int64 {
+// EndpointNumber returns the number of an endpoint in this trace. It introduces the endpoint the first time.
+func (r *Recorder) EndpointNumber(now policy.Time, member policy.Member, uid string) int64 {
 	if number, known := r.endpoints[member.ID]; known {
 		return number
 	}
 	number := int64(len(r.endpoints))
 	r.endpoints[member.ID] = number
 	r.Put(Record{
-		Kind: Server,
+		Kind: Endpoint,
 		At:   now,
 		No:   uint64(number),
 		A:    int64(member.Cell),
@@ -128,8 +128,8 @@
 	return number
 }
 
-// Known returns the number of an endpoint, or -1 if it was not introduced.
-func (r *Recorder) Known(id policy.EndpointID) int64 {
+// KnownEndpoint returns the number of an endpoint, or -1 if it was not introduced.
+func (r *Recorder) KnownEndpoint(id policy.EndpointID) int64 {
 	if number, known := r.endpoints[id]; known {
 		return number
 	}
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -11,19 +11,19 @@
 	version = 1
 )
 
-// MostBytes is how many bytes a trace may have. Later records are dropped and counted.
-const MostBytes = 1 << 30
+// MaxSize is how many bytes a trace may have. Later records are dropped and counted.
+const MaxSize = 1 << 30
 
-// Head is the first item of a trace.
-type Head struct {
-	_          struct{} `cbor:",toarray"`
-	Format     string
-	Version    int
-	Start      policy.Time // Unix time; the times of records count from it
-	Name       string      // of the sidecar
-	Zone       policy.Zone
-	Offerings  []string // names, by the ids that records have
-	Franchises []string // names, by the ids that records have
+// Header is the first item of a trace.
+type Header struct {
+	_       struct{} `cbor:",toarray"`
+	Format  string
+	Version int
+	Start   policy.Time // Unix time; the times of records count from it
+	Name    string      // of the sidecar
+	Zone    policy.Zone
+	Classes []string // names, by the ids that records have
+	Tenants []string // names, by the ids that records have
 }
 
 // Kind tells what a record is about, and so what its fields mean.
@@ -31,20 +31,21 @@
 
 // The kinds of records. Endpoints have numbers of their own in a trace: records name them by these.
 const (
-	// Server introduces an endpoint. No: its number; UID, Zone; A: its pod; B: its weight in millionths.
-	Server Kind = iota + 1
+	// Endpoint introduces an endpoint. No: its number; UID, Zone; A: its pod; B: its weight in millionths.
+	Endpoint Kind = iota + 1
 	// Listed is an endpoint as a list has it. No: of the endpoint; A: its status; B: its start in Unix time.
 	Listed
-	// Ticket is a request that has arrived. No: its number; A: class; B: tenant; C: time until its deadline; Key: hash
+	// Request is a request that has arrived. No: its number; A: class; B: tenant; C: time until its deadline; Key: hash
 	// of its idempotency key, or 0; D: 1 for a retry by the client, else 0.
-	Ticket
-	// Push is the start of an attempt. No: of the request; A: the endpoint's number.
-	Push
-	// Ended is the end of an attempt. No: of the request; A: the endpoint's number; B: the outcome; C: its duration.
-	Ended
-	// Answer is the end of a request. No: of the request; A: 0 succeeded, 1 declined by the endpoint, 2 rejected, 3
+	Request
+	// Attempt is the start of an attempt. No: of the request; A: the endpoint's number.
+	Attempt
+	// AttemptEnd is the end of an attempt. No: of the request; A: the endpoint's number; B: the outcome; C: its
+	// duration.
+	AttemptEnd
+	// RequestEnd is the end of a request. No: of the request; A: 0 succeeded, 1 declined by the endpoint, 2 rejected, 3
 	// failed, 4 the client has left; C: time since it arrived.
-	Answer
+	RequestEnd
 )
 
 // Record is an item of a trace. The meaning of its fields depends on its kind.
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -12,20 +12,20 @@
 
 func write(t testing.TB) ([]byte, []Record) {
 	path := filepath.Join(t.TempDir(), "t")
-	r, err := Create(path, Head{Start: 1000, Name: "n", Zone: "a", Offerings: []string{"step"}})
+	r, err := Create(path, Header{Start: 1000, Name: "n", Zone: "a", Classes: []string{"step"}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var want []Record
-	number := r.ServerNo(1001, policy.Member{ID: 7, Cell: 3, Weight: 1.5, Zone: "a"}, "s-1")
-	want = append(want, Record{Kind: Server, At: 1, A: 3, B: 1500000, UID: "s-1", Zone: "a"})
+	number := r.EndpointNumber(1001, policy.Member{ID: 7, Cell: 3, Weight: 1.5, Zone: "a"}, "s-1")
+	want = append(want, Record{Kind: Endpoint, At: 1, A: 3, B: 1500000, UID: "s-1", Zone: "a"})
 	for i := range policy.Time(50) {
-		record := Record{Kind: Ticket, At: 1002 + i, No: uint64(i), C: policy.Second, Key: 1 << 63}
+		record := Record{Kind: Request, At: 1002 + i, No: uint64(i), C: policy.Second, Key: 1 << 63}
 		r.Put(record)
 		record.At -= 1000
 		want = append(want, record)
 	}
-	if again := r.ServerNo(2000, policy.Member{ID: 7}, "s-1"); again != number || r.Known(7) != number || r.Known(8) != -1 {
+	if again := r.EndpointNumber(2000, policy.Member{ID: 7}, "s-1"); again != number || r.KnownEndpoint(7) != number || r.KnownEndpoint(8) != -1 {
 		t.Error("an endpoint has two numbers")
 	}
 	if err := r.Close(); err != nil || r.Dropped() != 0 {
@@ -50,7 +50,7 @@
 		if n := len(got.Records); n < last || n > last+1 && last >= 0 || n > 0 && !reflect.DeepEqual(got.Records, want[:n]) {
 			t.Fatalf("truncated at %d: %d records after %d", i, n, last)
 		}
-		if n := len(got.Records); n == last && !got.Cut {
+		if n := len(got.Records); n == last && !got.Truncated {
 			t.Fatalf("truncated at %d: not reported", i)
 		}
 		last = len(got.Records)
@@ -66,7 +66,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		got, err := Read(bytes.NewReader(b))
 		if err == nil && got.Version != version {
-			t.Fatalf("%+v", got.Head)
+			t.Fatalf("%+v", got.Header)
 		}
 	})
 }
