--- a/internal/faultproxy/network.go
+++ b/internal/faultproxy/network.go
@@ -22,41 +22,42 @@
 	overheadDigits    = 3
 )
 
-// Place is a process or a server. Empty: any that has no address of its own.
-type Place string
+// Node is a process or a server. Empty: any that has no address of its own.
+type Node string
 
-// Way is one direction between two places.
-type Way struct {
-	From Place
-	To   Place
+// Link is one direction between two nodes.
+type Link struct {
+	From Node
+	To   Node
 }
 
-// State is the faults in one direction.
-type State struct {
-	// Cut blocks all. Bytes of connections are held until that ends, as a sender would repeat them; packets are lost.
-	Cut   bool
-	Delay time.Duration // of everything
-	// Spread is the maximum of a further random delay. It reorders packets, but not the bytes of a connection.
-	Spread time.Duration
-	Drop   float64 // share of packets that are lost; on connections, a loss would only be a delay
-	Twice  float64 // share of packets that are duplicated, each with a delay of its own
+// Faults are the faults of a link.
+type Faults struct {
+	// Blocked blocks all. Bytes of connections are held until that ends, as a sender would repeat them; packets are
+	// lost.
+	Blocked bool
+	Delay   time.Duration // of everything
+	// Jitter is the maximum of a further random delay. It reorders packets, but not the bytes of a connection.
+	Jitter    time.Duration
+	Drop      float64 // share of packets that are lost; on connections, a loss would only be a delay
+	Duplicate float64 // share of packets that are duplicated, each with a delay of its own
 }
 
-// Count is what was sent in one direction, and what became of it.
-type Count struct {
+// Counters count what was sent over a link, and what became of it.
+type Counters struct {
 	Connections uint64 // opened
 	Chunks      uint64 // of bytes on connections
 	Packets     uint64
-	Held        uint64 // chunks that came while the direction was blocked
+	Held        uint64 // chunks that came while the link was blocked
 	Lost        uint64 // packets that were dropped or blocked
 }
 
-// Net is the proxies of one test and the faults between its processes.
-type Net struct {
+// Network holds the proxies of one test and the faults of their links.
+type Network struct {
 	mu       sync.Mutex
-	places   map[netip.Addr]Place
-	ways     map[Way]State
-	counts   map[Way]*Count
+	nodes    map[netip.Addr]Node
+	faults   map[Link]Faults
+	counters map[Link]*Counters
 	changed  chan struct{} // closed and replaced at each change of faults
 	random   *rand.Rand
 	overhead *hdrhistogram.Histogram // of the proxies, in microseconds
@@ -69,11 +70,11 @@
 }
 
 // New returns a network without faults. The seed is that of its random numbers.
-func New(seed uint64) *Net {
-	return &Net{
-		places:     map[netip.Addr]Place{},
-		ways:       map[Way]State{},
-		counts:     map[Way]*Count{},
+func New(seed uint64) *Network {
+	return &Network{
+		nodes:      map[netip.Addr]Node{},
+		faults:     map[Link]Faults{},
+		counters:   map[Link]*Counters{},
 		changed:    make(chan struct{}),
 		random:     rand.New(rand.NewPCG(seed, 0)),
 		overhead:   hdrhistogram.New(minOverheadMicros, maxOverheadMicros, overheadDigits),
@@ -83,57 +84,57 @@
 	}
 }
 
-// At sets the address from which a process calls.
-func (n *Net) At(place Place, address netip.Addr) {
+// SetAddress sets the address from which a process calls.
+func (n *Network) SetAddress(node Node, address netip.Addr) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.places[address.Unmap()] = place
+	n.nodes[address.Unmap()] = node
 }
 
-// Set sets the faults in one direction.
-func (n *Net) Set(way Way, state State) {
+// Set sets the faults of a link.
+func (n *Network) Set(link Link, faults Faults) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.ways[way] = state
+	n.faults[link] = faults
 	n.notifyChange()
 }
 
-// Part blocks both directions between any two members of two groups.
-func (n *Net) Part(some, others []Place) {
+// Partition blocks the links, in both directions, between any two members of two groups.
+func (n *Network) Partition(some, others []Node) {
 	for _, a := range some {
 		for _, b := range others {
-			n.Set(Way{From: a, To: b}, State{Cut: true})
-			n.Set(Way{From: b, To: a}, State{Cut: true})
+			n.Set(Link{From: a, To: b}, Faults{Blocked: true})
+			n.Set(Link{From: b, To: a}, Faults{Blocked: true})
 		}
 	}
 }
 
 // Heal ends all faults.
-func (n *Net) Heal() {
+func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	clear(n.ways)
+	clear(n.faults)
 	n.notifyChange()
 }
 
 // notifyChange wakes what waits for the end of a fault. The caller holds the lock.
-func (n *Net) notifyChange() {
+func (n *Network) notifyChange() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// Open reports whether a direction is not blocked.
-func (n *Net) Open(way Way) bool {
+// Open reports whether a link is not blocked.
+func (n *Network) Open(link Link) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.ways[way].Cut
+	return !n.faults[link].Blocked
 }
 
-// waitUntilOpen blocks while a direction is blocked. It returns false once the network is closed.
-func (n *Net) waitUntilOpen(way Way) bool {
+// waitUntilOpen blocks while a link is blocked. It returns false once the network is closed.
+func (n *Network) waitUntilOpen(link Link) bool {
 	for {
 		n.mu.Lock()
-		blocked := n.ways[way].Cut
+		blocked := n.faults[link].Blocked
 		changed := n.changed
 		closed := n.closed
 		n.mu.Unlock()
@@ -147,58 +148,58 @@
 	}
 }
 
-// Counted returns what was sent in one direction. A test of a fault that nothing met shows nothing.
-func (n *Net) Counted(way Way) Count {
+// Counters returns the counters of a link. A test of a fault that nothing met shows nothing.
+func (n *Network) Counters(link Link) Counters {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return *n.count(way)
+	return *n.countersOf(link)
 }
 
-// count returns the counters of one direction. The caller holds the lock.
-func (n *Net) count(way Way) *Count {
-	count := n.counts[way]
-	if count == nil {
-		count = &Count{}
-		n.counts[way] = count
+// countersOf returns the counters of a link, which it creates if need be. The caller holds the lock.
+func (n *Network) countersOf(link Link) *Counters {
+	counters := n.counters[link]
+	if counters == nil {
+		counters = &Counters{}
+		n.counters[link] = counters
 	}
-	return count
+	return counters
 }
 
-// Own returns a percentile of the time that the proxies took beyond the delays that were set.
-func (n *Net) Own(percentile float64) time.Duration {
+// Overhead returns a percentile of the time that the proxies took beyond the delays that were set.
+func (n *Network) Overhead(percentile float64) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return time.Duration(n.overhead.ValueAtQuantile(percentile)) * time.Microsecond
 }
 
 // recordOverhead records the time that a proxy took.
-func (n *Net) recordOverhead(overhead time.Duration) {
+func (n *Network) recordOverhead(overhead time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	_ = n.overhead.RecordValue(max(minOverheadMicros, overhead.Microseconds())) // over a minute: no proxy takes that
 }
 
-// placeOf returns the process that calls from an address.
-func (n *Net) placeOf(address net.Addr) Place {
+// nodeOf returns the process that calls from an address.
+func (n *Network) nodeOf(address net.Addr) Node {
 	parsed, err := netip.ParseAddrPort(address.String())
 	if err != nil {
 		return ""
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.places[parsed.Addr().Unmap()]
+	return n.nodes[parsed.Addr().Unmap()]
 }
 
 // drawDelay draws the delay of what comes now. The caller holds the lock.
-func (n *Net) drawDelay(state State) time.Duration {
-	if state.Spread <= 0 {
-		return state.Delay
+func (n *Network) drawDelay(faults Faults) time.Duration {
+	if faults.Jitter <= 0 {
+		return faults.Delay
 	}
-	return state.Delay + time.Duration(n.random.Int64N(int64(state.Spread)))
+	return faults.Delay + time.Duration(n.random.Int64N(int64(faults.Jitter)))
 }
 
 // Close closes all proxies and their connections.
-func (n *Net) Close() {
+func (n *Network) Close() {
 	n.mu.Lock()
 	n.closed = true
 	listeners := n.listeners
--- a/internal/faultproxy/network_test.go
+++ b/internal/faultproxy/network_test.go
@@ -14,10 +14,10 @@
 )
 
 // newNetwork returns a network with the processes a and b.
-func newNetwork(t *testing.T) *Net {
+func newNetwork(t *testing.T) *Network {
 	n := New(7)
-	n.At("a", addressA)
-	n.At("b", addressB)
+	n.SetAddress("a", addressA)
+	n.SetAddress("b", addressB)
 	t.Cleanup(n.Close)
 	return n
 }
@@ -67,7 +67,7 @@
 	return err == nil
 }
 
-func TestBlockedDirectionHoldsBytesUntilItHeals(t *testing.T) {
+func TestBlockedLinkHoldsBytesUntilItHeals(t *testing.T) {
 	n := newNetwork(t)
 	proxy, err := n.TCP("127.0.0.1:0", "b", startServer(t))
 	if err != nil {
@@ -78,28 +78,28 @@
 	if !receives(c, time.Second) {
 		t.Fatal("nothing passes")
 	}
-	for _, w := range []Way{{"a", "b"}, {"b", "a"}} {
-		before := n.Counted(w)
-		n.Set(w, State{Cut: true})
+	for _, link := range []Link{{"a", "b"}, {"b", "a"}} {
+		before := n.Counters(link)
+		n.Set(link, Faults{Blocked: true})
 		c.Write([]byte{1})
 		if receives(c, 50*time.Millisecond) {
-			t.Errorf("%v: a byte passes a blocked direction", w)
+			t.Errorf("%v: a byte passes a blocked link", link)
 		}
 		late := dial(t, addressA, proxy)
 		late.Write([]byte{1})
 		if receives(late, 50*time.Millisecond) {
-			t.Errorf("%v: a connection is relayed through a blocked direction", w)
+			t.Errorf("%v: a connection is relayed through a blocked link", link)
 		}
 		n.Heal()
 		if !receives(c, time.Second) || !receives(late, time.Second) {
-			t.Errorf("%v: nothing passes after the end of the fault", w)
+			t.Errorf("%v: nothing passes after the end of the fault", link)
 		}
-		if now := n.Counted(w); now.Held != before.Held+1 || now.Chunks <= before.Chunks {
-			t.Errorf("%v: %+v after %+v", w, now, before)
+		if now := n.Counters(link); now.Held != before.Held+1 || now.Chunks <= before.Chunks {
+			t.Errorf("%v: %+v after %+v", link, now, before)
 		}
 	}
 	other := dial(t, netip.MustParseAddr("127.3.0.9"), proxy)
-	n.Part([]Place{"a"}, []Place{"b"})
+	n.Partition([]Node{"a"}, []Node{"b"})
 	other.Write([]byte{1})
 	if !receives(other, time.Second) {
 		t.Error("a partition of two processes blocks a third")
@@ -112,14 +112,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.Set(Way{"a", "b"}, State{Delay: 40 * time.Millisecond})
+	n.Set(Link{"a", "b"}, Faults{Delay: 40 * time.Millisecond})
 	c := dial(t, addressA, proxy)
 	start := time.Now()
 	c.Write([]byte{1})
 	if !receives(c, time.Second) || time.Since(start) < 40*time.Millisecond {
 		t.Errorf("answered after %v", time.Since(start))
 	}
-	if overhead := n.Own(50); overhead > 20*time.Millisecond {
+	if overhead := n.Overhead(50); overhead > 20*time.Millisecond {
 		t.Errorf("the proxy took %v", overhead)
 	}
 	c.(*net.TCPConn).CloseWrite()
@@ -157,7 +157,7 @@
 		t.Fatal(err)
 	}
 	defer from.Close()
-	n.Set(Way{"a", "b"}, State{Drop: 0.2, Spread: 20 * time.Millisecond})
+	n.Set(Link{"a", "b"}, Faults{Drop: 0.2, Jitter: 20 * time.Millisecond})
 	const sent = 250
 	for i := range sent {
 		from.Write([]byte{byte(i)})
@@ -176,7 +176,7 @@
 		}
 		last = int(p[0])
 	}
-	if c := n.Counted(Way{"a", "b"}); c.Packets != sent || int(c.Lost) != sent-received || received < sent*7/10 ||
+	if c := n.Counters(Link{"a", "b"}); c.Packets != sent || int(c.Lost) != sent-received || received < sent*7/10 ||
 		received > sent*9/10 || reordered == 0 {
 		t.Errorf("%+v, %d received, %d reordered", c, received, reordered)
 	}
@@ -187,7 +187,7 @@
 	if !answered() {
 		t.Error("no answer")
 	}
-	if n.Set(Way{"b", "a"}, State{Cut: true}); answered() {
-		t.Error("a packet passed a blocked direction")
+	if n.Set(Link{"b", "a"}, Faults{Blocked: true}); answered() {
+		t.Error("a packet passed a blocked link")
 	}
 }
--- a/internal/faultproxy/resources.go
+++ b/internal/faultproxy/resources.go
@@ -11,7 +11,7 @@
 
 // addConn adds a connection that Close closes. If the network is closed already, it closes the connection and returns
 // false.
-func (n *Net) addConn(conn net.Conn) bool {
+func (n *Network) addConn(conn net.Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
@@ -23,7 +23,7 @@
 }
 
 // closeConn closes and removes a connection.
-func (n *Net) closeConn(conn net.Conn) {
+func (n *Network) closeConn(conn net.Conn) {
 	_ = conn.Close() // all that was to be sent has been
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -31,7 +31,7 @@
 }
 
 // addListener adds a listener that Close closes. If the network is closed already, it closes the listener.
-func (n *Net) addListener(listener io.Closer) error {
+func (n *Network) addListener(listener io.Closer) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
--- a/internal/faultproxy/tcp.go
+++ b/internal/faultproxy/tcp.go
@@ -19,8 +19,8 @@
 )
 
 // TCP relays connections from an address to a target, which belongs to a process. It returns the address on which it
-// listens. As the kernel accepts connections, they come up even where the direction is blocked, but carry nothing.
-func (n *Net) TCP(listen string, to Place, target string) (string, error) {
+// listens. As the kernel accepts connections, they come up even where the link is blocked, but carry nothing.
+func (n *Network) TCP(listen string, to Node, target string) (string, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return "", err
@@ -33,7 +33,7 @@
 }
 
 // acceptTCP relays the connections of a listener until that is closed.
-func (n *Net) acceptTCP(listener net.Listener, to Place, target string) {
+func (n *Network) acceptTCP(listener net.Listener, to Node, target string) {
 	for {
 		conn, err := listener.Accept()
 		switch {
@@ -48,15 +48,15 @@
 }
 
 // relayConn connects to the target and relays a connection in both directions until both have ended.
-func (n *Net) relayConn(in *net.TCPConn, to Place, target string) {
+func (n *Network) relayConn(in *net.TCPConn, to Node, target string) {
 	if !n.addConn(in) {
 		return
 	}
 	defer n.closeConn(in)
-	request := Way{From: n.placeOf(in.RemoteAddr()), To: to}
-	response := Way{From: request.To, To: request.From}
+	request := Link{From: n.nodeOf(in.RemoteAddr()), To: to}
+	response := Link{From: request.To, To: request.From}
 	n.mu.Lock()
-	n.count(request).Connections++
+	n.countersOf(request).Connections++
 	n.mu.Unlock()
 	// A handshake needs both directions.
 	if !n.waitUntilOpen(request) || !n.waitUntilOpen(response) {
@@ -89,14 +89,14 @@
 	end        error // io.EOF, or why the connection broke; nil: there is more
 }
 
-// relayBytes passes bytes in one direction, in order, each chunk when it is due and the direction is open.
-func (n *Net) relayBytes(way Way, from, to *net.TCPConn) {
+// relayBytes passes bytes in one direction, in order, each chunk when it is due and the link is open.
+func (n *Network) relayBytes(link Link, from, to *net.TCPConn) {
 	chunks := make(chan chunk, maxChunksInFlight)
-	go n.readChunks(way, from, chunks)
+	go n.readChunks(link, from, chunks)
 	for c := range chunks {
 		time.Sleep(time.Until(c.dueAt))
 		blockedSince := time.Now()
-		if !n.waitUntilOpen(way) {
+		if !n.waitUntilOpen(link) {
 			continue // the channel must be emptied, so that its writer ends
 		}
 		blocked := time.Since(blockedSince)
@@ -117,18 +117,18 @@
 }
 
 // readChunks reads a connection until it ends.
-func (n *Net) readChunks(way Way, from *net.TCPConn, chunks chan<- chunk) {
+func (n *Network) readChunks(link Link, from *net.TCPConn, chunks chan<- chunk) {
 	defer close(chunks)
 	for {
 		buffer := make([]byte, chunkSize)
 		size, err := from.Read(buffer)
 		c := chunk{bytes: buffer[:size], receivedAt: time.Now(), end: err}
 		n.mu.Lock()
-		c.dueAt = c.receivedAt.Add(n.drawDelay(n.ways[way]))
-		count := n.count(way)
-		count.Chunks++
-		if n.ways[way].Cut {
-			count.Held++
+		c.dueAt = c.receivedAt.Add(n.drawDelay(n.faults[link]))
+		counters := n.countersOf(link)
+		counters.Chunks++
+		if n.faults[link].Blocked {
+			counters.Held++
 		}
 		n.mu.Unlock()
 		chunks <- c
--- a/internal/faultproxy/udp.go
+++ b/internal/faultproxy/udp.go
@@ -13,7 +13,7 @@
 
 // udpProxy is the proxy for packets to one target.
 type udpProxy struct {
-	to   Place
+	to   Node
 	conn *net.UDPConn
 }
 
@@ -21,7 +21,7 @@
 // the address on which it listens. All packets of one caller leave from one socket, whatever their target, as answers
 // are told apart by the target that sends them. So the number of sockets grows with that of the processes, not with its
 // square.
-func (n *Net) UDP(listen string, to Place, target netip.AddrPort) (string, error) {
+func (n *Network) UDP(listen string, to Node, target netip.AddrPort) (string, error) {
 	address, err := net.ResolveUDPAddr("udp", listen)
 	if err != nil {
 		return "", err
@@ -42,21 +42,21 @@
 }
 
 // relayRequests passes packets of all callers to the target until the proxy's socket is closed.
-func (n *Net) relayRequests(proxy udpProxy, target netip.AddrPort) {
+func (n *Network) relayRequests(proxy udpProxy, target netip.AddrPort) {
 	receivePackets(proxy.conn, func(packet []byte, from netip.AddrPort, receivedAt time.Time) {
 		sender := n.senderFor(from)
 		if sender == nil {
 			return
 		}
-		way := Way{From: n.placeOf(net.UDPAddrFromAddrPort(from)), To: proxy.to}
-		n.relayPacket(way, receivedAt, func() {
+		link := Link{From: n.nodeOf(net.UDPAddrFromAddrPort(from)), To: proxy.to}
+		n.relayPacket(link, receivedAt, func() {
 			_, _ = sender.WriteToUDPAddrPort(packet, target) // a packet may be lost
 		})
 	})
 }
 
 // relayAnswers passes packets of all targets to one caller until the sender's socket is closed.
-func (n *Net) relayAnswers(sender *net.UDPConn, caller netip.AddrPort) {
+func (n *Network) relayAnswers(sender *net.UDPConn, caller netip.AddrPort) {
 	receivePackets(sender, func(packet []byte, from netip.AddrPort, receivedAt time.Time) {
 		n.mu.Lock()
 		proxy, known := n.udpProxies[from]
@@ -64,8 +64,8 @@
 		if !known {
 			return
 		}
-		way := Way{From: proxy.to, To: n.placeOf(net.UDPAddrFromAddrPort(caller))}
-		n.relayPacket(way, receivedAt, func() {
+		link := Link{From: proxy.to, To: n.nodeOf(net.UDPAddrFromAddrPort(caller))}
+		n.relayPacket(link, receivedAt, func() {
 			_, _ = proxy.conn.WriteToUDPAddrPort(packet, caller) // a packet may be lost
 		})
 	})
@@ -87,7 +87,7 @@
 }
 
 // senderFor returns the socket from which a caller's packets leave, or nil if none can be opened.
-func (n *Net) senderFor(caller netip.AddrPort) *net.UDPConn {
+func (n *Network) senderFor(caller netip.AddrPort) *net.UDPConn {
 	n.mu.Lock()
 	sender := n.udpSenders[caller]
 	n.mu.Unlock()
@@ -113,8 +113,8 @@
 }
 
 // relayPacket sends a packet when it is due, once or twice, or drops it.
-func (n *Net) relayPacket(way Way, receivedAt time.Time, send func()) {
-	for _, delay := range n.drawPacketDelays(way) {
+func (n *Network) relayPacket(link Link, receivedAt time.Time, send func()) {
+	for _, delay := range n.drawPacketDelays(link) {
 		relay := func() {
 			send()
 			n.recordOverhead(time.Since(receivedAt) - delay)
@@ -128,24 +128,24 @@
 }
 
 // drawPacketDelays counts a packet and draws the delay of each of its copies; none if it is lost.
-func (n *Net) drawPacketDelays(way Way) []time.Duration {
+func (n *Network) drawPacketDelays(link Link) []time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	state := n.ways[way]
-	count := n.count(way)
-	count.Packets++
-	if state.Cut || n.happens(state.Drop) {
-		count.Lost++
+	faults := n.faults[link]
+	counters := n.countersOf(link)
+	counters.Packets++
+	if faults.Blocked || n.happens(faults.Drop) {
+		counters.Lost++
 		return nil
 	}
-	delays := []time.Duration{n.drawDelay(state)}
-	if n.happens(state.Twice) {
-		delays = append(delays, n.drawDelay(state))
+	delays := []time.Duration{n.drawDelay(faults)}
+	if n.happens(faults.Duplicate) {
+		delays = append(delays, n.drawDelay(faults))
 	}
 	return delays
 }
 
 // happens draws whether an event of a probability happens. The caller holds the lock.
-func (n *Net) happens(probability float64) bool {
+func (n *Network) happens(probability float64) bool {
 	return probability > 0 && n.random.Float64() < probability
 }
--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -54,7 +54,7 @@
 	quoted = 500 * time.Millisecond
 	work   = 20 * time.Millisecond
 
-	discovery = faultproxy.Place("discovery")
+	discovery = faultproxy.Node("discovery")
 	// How long after the way to discovery is open again a sidecar may not have heard it: a call is given up after 2 s, the next one is made
 	// within 2 s, and what was held in the link comes at once (internal/discovery). A watch waits longer than drills cut it off.
 	hearsIn  = 5 * time.Second
@@ -182,7 +182,7 @@
 			return nil, err
 		}
 		c.servers = append(c.servers, s)
-		door, err := c.Links.TCP(fmt.Sprintf("127.9.%d.%d:0", i/250, i%250+1), faultproxy.Place(name), s.Addr())
+		door, err := c.Links.TCP(fmt.Sprintf("127.9.%d.%d:0", i/250, i%250+1), faultproxy.Node(name), s.Addr())
 		if err != nil {
 			return nil, err
 		}
--- a/internal/faulttest/peers.go
+++ b/internal/faulttest/peers.go
@@ -66,8 +66,8 @@
 	after, share := sums(all), 1/idleIn.Seconds()/float64(count)
 	c.Packets, c.Bytes, c.CPU, c.FalseAlarms = (after[0]-before[0])*share, (after[1]-before[1])*share, (after[2]-before[2])*share, after[3]-before[3]
 
-	one := faultproxy.Way{From: all[0].Name, To: all[1].Name}
-	s.Links.Set(one, faultproxy.State{Cut: true})
+	one := faultproxy.Link{From: all[0].Name, To: all[1].Name}
+	s.Links.Set(one, faultproxy.Faults{Blocked: true})
 	select {
 	case <-ctx.Done():
 	case <-time.After(3 * time.Second):
@@ -77,7 +77,7 @@
 
 	half := 2 * count / 5
 	all[half+1].Kill()
-	var some, others []faultproxy.Place
+	var some, others []faultproxy.Node
 	for i, p := range all {
 		if i < half {
 			some = append(some, p.Name)
@@ -85,11 +85,11 @@
 			others = append(others, p.Name)
 		}
 	}
-	s.Links.Part(some, others)
+	s.Links.Partition(some, others)
 	left := append(append([]*Process{}, all[:half+1]...), all[half+2:]...)
 	know("one killed, the company cut in two: the smaller part", left[:half], half)
 	know("the larger part", left[half:], count-half-1)
-	lost := func(c faultproxy.Count) uint64 { return c.Lost }
+	lost := func(c faultproxy.Counters) uint64 { return c.Lost }
 	if err == nil && (s.count(some, others, lost) == 0 || s.count(others, some, lost) == 0) {
 		err = fmt.Errorf("one side has not tried to pass the cut")
 	}
@@ -109,19 +109,19 @@
 	}
 	know("the killed one is back", append(left[1:], all[half+1]), count-1)
 	for _, p := range strangers {
-		if n := p.Alive(); err == nil && (n != 1 || s.count([]faultproxy.Place{p.Name}, some, func(c faultproxy.Count) uint64 { return c.Connections }) == 0) {
+		if n := p.Alive(); err == nil && (n != 1 || s.count([]faultproxy.Node{p.Name}, some, func(c faultproxy.Counters) uint64 { return c.Connections }) == 0) {
 			err = fmt.Errorf("stranger %s holds %d to be there, or has not tried", p.Name, n)
 		}
 	}
-	c.OwnDelay, c.LatestClock = s.Links.Own(99).Seconds(), late().Seconds()
+	c.OwnDelay, c.LatestClock = s.Links.Overhead(99).Seconds(), late().Seconds()
 	return c, err
 }
 
 // count adds up what was tried from some to others.
-func (s *Stage) count(some, others []faultproxy.Place, of func(faultproxy.Count) uint64) (n uint64) {
+func (s *Stage) count(some, others []faultproxy.Node, of func(faultproxy.Counters) uint64) (n uint64) {
 	for _, a := range some {
 		for _, b := range others {
-			n += of(s.Links.Counted(faultproxy.Way{From: a, To: b}))
+			n += of(s.Links.Counters(faultproxy.Link{From: a, To: b}))
 		}
 	}
 	return n
--- a/internal/faulttest/play.go
+++ b/internal/faulttest/play.go
@@ -148,7 +148,7 @@
 	}
 	h.Ran, h.Asked, h.Down, h.Listed, h.Deaf = c.ran, c.asked, c.down, c.listed, c.deaf
 	r.History, r.Verdict = h, judge.Judge(h)
-	r.OwnDelay, r.Late = c.Links.Own(99).Seconds(), late().Seconds()
+	r.OwnDelay, r.Late = c.Links.Overhead(99).Seconds(), late().Seconds()
 	lease, _ := time.ParseDuration(s.Lease)
 	r.Void = r.Late > lease.Seconds()
 	r.spread(h)
--- a/internal/faulttest/stage.go
+++ b/internal/faulttest/stage.go
@@ -25,7 +25,7 @@
 
 // Stage holds the processes of a drill. Its folder holds their configurations and logs.
 type Stage struct {
-	Links     *faultproxy.Net
+	Links     *faultproxy.Network
 	Processes []*Process
 	dir       string
 	program   string
@@ -34,7 +34,7 @@
 
 // Process is one sidecar.
 type Process struct {
-	Name   faultproxy.Place
+	Name   faultproxy.Node
 	Log    string // file
 	stage  *Stage
 	verb   string // serve or keep
@@ -120,16 +120,16 @@
 
 // process adds one that does not run yet.
 func (s *Stage) process(name, verb, pages string) *Process {
-	one := &Process{Name: faultproxy.Place(name), Log: filepath.Join(s.dir, name+".log"), stage: s, verb: verb, pages: pages}
+	one := &Process{Name: faultproxy.Node(name), Log: filepath.Join(s.dir, name+".log"), stage: s, verb: verb, pages: pages}
 	s.Processes = append(s.Processes, one)
 	return one
 }
 
 // meet opens the links to where a process meets others: it listens at the one address, and is reached at the other.
-func (s *Stage) meet(name faultproxy.Place, i, port int) (listen, door string, err error) {
+func (s *Stage) meet(name faultproxy.Node, i, port int) (listen, door string, err error) {
 	listen, door = fmt.Sprintf("%s:%d", own(i), port), fmt.Sprintf("%s:%d", reached(i), port)
 	at := netip.MustParseAddrPort(listen)
-	s.Links.At(name, at.Addr())
+	s.Links.SetAddress(name, at.Addr())
 	if _, err = s.Links.TCP(door, name, listen); err == nil {
 		_, err = s.Links.UDP(door, name, at)
 	}
--- a/internal/faulttest/steps.go
+++ b/internal/faulttest/steps.go
@@ -99,13 +99,13 @@
 }
 
 // places are the processes and servers that a script means.
-func (c *Cluster) places(names []string, half []int) (all []faultproxy.Place) {
+func (c *Cluster) places(names []string, half []int) (all []faultproxy.Node) {
 	for _, p := range c.who(names, half) {
 		all = append(all, p.Name)
 	}
 	for i := range c.servers {
 		if name := fmt.Sprint("s", i+1); slices.Contains(names, name) || slices.Contains(names, "servers") {
-			all = append(all, faultproxy.Place(name))
+			all = append(all, faultproxy.Node(name))
 		}
 	}
 	if slices.Contains(names, string(discovery)) {
@@ -131,18 +131,18 @@
 		}
 		changes.Go(func() { c.change(ctx, d, at, r, begin) })
 	case "part":
-		c.Links.Part(c.places(d.From, half), c.places(d.To, half))
+		c.Links.Partition(c.places(d.From, half), c.places(d.To, half))
 	case "cut":
 		for _, a := range c.places(d.From, half) {
 			for _, b := range c.places(d.To, half) {
-				c.Links.Set(faultproxy.Way{From: a, To: b}, faultproxy.State{Cut: true})
+				c.Links.Set(faultproxy.Link{From: a, To: b}, faultproxy.Faults{Blocked: true})
 			}
 		}
 	case "weather":
 		for _, a := range c.Processes {
 			for _, b := range c.Processes {
 				if a != b {
-					c.Links.Set(faultproxy.Way{From: a.Name, To: b.Name}, faultproxy.State{Drop: d.Drop, Twice: d.Twice, Delay: d.Delay, Spread: d.Spread})
+					c.Links.Set(faultproxy.Link{From: a.Name, To: b.Name}, faultproxy.Faults{Drop: d.Drop, Duplicate: d.Twice, Delay: d.Delay, Jitter: d.Spread})
 				}
 			}
 		}
@@ -188,7 +188,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, p := range c.sidecars {
-		open := c.Links.Open(faultproxy.Way{From: p.Name, To: discovery}) && c.Links.Open(faultproxy.Way{From: discovery, To: p.Name})
+		open := c.Links.Open(faultproxy.Link{From: p.Name, To: discovery}) && c.Links.Open(faultproxy.Link{From: discovery, To: p.Name})
 		from, deaf := c.unheard[p]
 		switch now := int64(clock.True()); {
 		case open && deaf:
