--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -123,13 +123,13 @@
 	return nil
 }
 
-func traceHead(config Config) trace.Head {
-	head := trace.Head{Start: clock.New().Now(), Name: config.Name, Zone: config.Settings.Zone}
+func traceHead(config Config) trace.Header {
+	head := trace.Header{Start: clock.New().Now(), Name: config.Name, Zone: config.Settings.Zone}
 	for _, class := range config.Settings.Classes {
-		head.Offerings = append(head.Offerings, class.Name)
+		head.Classes = append(head.Classes, class.Name)
 	}
 	for _, tenant := range config.Settings.Tenants {
-		head.Franchises = append(head.Franchises, tenant.Name)
+		head.Tenants = append(head.Tenants, tenant.Name)
 	}
 	return head
 }
--- a/internal/engine/record.go
+++ b/internal/engine/record.go
@@ -15,7 +15,7 @@
 		e.Latency.Observe(t.Class, answer, spent)
 	}
 	if e.Recorder != nil {
-		e.Recorder.Put(trace.Record{Kind: trace.Answer, At: now, No: t.No, A: int64(answer), C: spent})
+		e.Recorder.Put(trace.Record{Kind: trace.RequestEnd, At: now, No: t.No, A: int64(answer), C: spent})
 	}
 }
 
@@ -25,7 +25,7 @@
 		return
 	}
 	record := trace.Record{
-		Kind: trace.Ticket,
+		Kind: trace.Request,
 		At:   now,
 		No:   t.No,
 		A:    int64(t.Class),
@@ -43,7 +43,7 @@
 
 func (e *Engine) recordAttempt(now policy.Time, t *Request, to *Endpoint) {
 	if r := e.Recorder; r != nil {
-		r.Put(trace.Record{Kind: trace.Push, At: now, No: t.No, A: r.Known(to.ID)})
+		r.Put(trace.Record{Kind: trace.Attempt, At: now, No: t.No, A: r.KnownEndpoint(to.ID)})
 	}
 }
 
@@ -53,10 +53,10 @@
 		return
 	}
 	r.Put(trace.Record{
-		Kind: trace.Ended,
+		Kind: trace.AttemptEnd,
 		At:   now,
 		No:   t.No,
-		A:    r.Known(t.Endpoint),
+		A:    r.KnownEndpoint(t.Endpoint),
 		B:    int64(outcome),
 		C:    spent,
 	})
@@ -70,7 +70,7 @@
 	r.Put(trace.Record{
 		Kind: trace.Listed,
 		At:   now,
-		No:   uint64(r.ServerNo(now, entry.Member, entry.UID)),
+		No:   uint64(r.EndpointNumber(now, entry.Member, entry.UID)),
 		A:    int64(entry.Status),
 		B:    int64(entry.Started),
 	})
--- a/internal/experiment/outages.go
+++ b/internal/experiment/outages.go
@@ -70,7 +70,7 @@
 	started := map[int64]policy.Time{}
 	for _, record := range t.Records {
 		switch record.Kind {
-		case trace.Server:
+		case trace.Endpoint:
 			uids[int64(record.No)] = record.UID
 		case trace.Listed:
 			number := int64(record.No)
@@ -80,7 +80,7 @@
 				observations[uid] = append(observations[uid], observation{at: start, started: start})
 			}
 			started[number] = max(started[number], start)
-		case trace.Ended:
+		case trace.AttemptEnd:
 			if o, conclusive := observeEnd(t.Start+record.At, record); conclusive {
 				uid := uids[record.A]
 				observations[uid] = append(observations[uid], o)
--- a/internal/experiment/replay.go
+++ b/internal/experiment/replay.go
@@ -87,17 +87,17 @@
 	if err != nil {
 		return err
 	}
-	if t.Cut {
+	if t.Truncated {
 		r.result.Truncated++
 	}
 	for _, record := range t.Records {
 		switch record.Kind {
-		case trace.Answer:
+		case trace.RequestEnd:
 			r.answers++
 			if record.A == 0 {
 				r.succeeded++
 			}
-		case trace.Ticket:
+		case trace.Request:
 			if err := r.addRequest(t, names, record); err != nil {
 				return err
 			}
@@ -142,14 +142,14 @@
 
 // matchNames finds a trace's classes and tenants in the scenario, by name.
 func matchNames(scenario *emulator.Scenario, t *trace.Trace) (names matchedNames, err error) {
-	for _, name := range t.Offerings {
+	for _, name := range t.Classes {
 		i := slices.IndexFunc(scenario.Classes, func(c emulator.Class) bool { return c.Name == name })
 		if i < 0 {
 			return names, fmt.Errorf("trace of %s: offering %q is not in the scenario", t.Name, name)
 		}
 		names.classes = append(names.classes, policy.ClassID(i))
 	}
-	for _, name := range t.Franchises {
+	for _, name := range t.Tenants {
 		i := slices.IndexFunc(scenario.Tenants, func(f emulator.Tenant) bool { return f.Name == name })
 		if i < 0 {
 			return names, fmt.Errorf("trace of %s: franchise %q is not in the scenario", t.Name, name)
