--- /dev/null
+++ b/internal/admin/collector.go
@@ -0,0 +1,67 @@
+package admin
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+
+	"github.com/prometheus/client_golang/prometheus"
+)
+
+// collector passes the reporter's metrics and figures to Prometheus, made anew at each scrape.
+type collector struct{ reporter Reporter }
+
+// Describe describes nothing, as the metrics are known only when they are collected.
+func (collector) Describe(chan<- *prometheus.Desc) {}
+
+// Collect implements prometheus.Collector.
+func (c collector) Collect(metrics chan<- prometheus.Metric) {
+	c.reporter.EachMetric(Metric(metrics, "See docs/oncall.md."))
+	c.reporter.EachFigure(func(name, labels string, n int64, isCounter bool) {
+		names, values, err := parseLabels(labels)
+		if err != nil {
+			return
+		}
+		description := prometheus.NewDesc(name, "See docs/operators.md.", names, nil)
+		metrics <- prometheus.MustNewConstMetric(description, valueType(isCounter), float64(n), values...)
+	})
+}
+
+// Metric returns a function that passes each value on as a metric of the product, with that help text.
+func Metric(metrics chan<- prometheus.Metric, help string) func(name string, value float64, isCounter bool) {
+	return func(name string, value float64, isCounter bool) {
+		fullName := "pepperlead_" + name
+		if isCounter {
+			fullName += "_total"
+		}
+		description := prometheus.NewDesc(fullName, help, nil, nil)
+		metrics <- prometheus.MustNewConstMetric(description, valueType(isCounter), value)
+	}
+}
+
+func valueType(isCounter bool) prometheus.ValueType {
+	if isCounter {
+		return prometheus.CounterValue
+	}
+	return prometheus.GaugeValue
+}
+
+// parseLabels parses labels as the command server shows them: {lane="...",result="..."}, or nothing.
+func parseLabels(labels string) (names, values []string, err error) {
+	rest := strings.Trim(labels, "{}")
+	for rest != "" {
+		name, remainder, _ := strings.Cut(rest, "=")
+		literal, err := strconv.QuotedPrefix(remainder)
+		if err != nil {
+			return nil, nil, fmt.Errorf("label %s: %w", name, err)
+		}
+		value, err := strconv.Unquote(literal)
+		if err != nil {
+			return nil, nil, fmt.Errorf("label %s: %w", name, err)
+		}
+		names = append(names, name)
+		values = append(values, value)
+		rest = strings.TrimPrefix(remainder[len(literal):], ",")
+	}
+	return names, values, nil
+}
--- a/internal/admin/door_test.go
+++ b/internal/admin/commandserver_test.go
@@ -10,22 +10,23 @@
 	"time"
 )
 
-type operated struct{ out atomic.Value }
+// fakeOperations has one endpoint, s-1, and records whether it is drained.
+type fakeOperations struct{ drained atomic.Value }
 
-func (o *operated) Ready() bool { return true }
-func (o *operated) AppendFigures(to []byte) []byte {
+func (o *fakeOperations) Ready() bool { return true }
+func (o *fakeOperations) AppendFigures(to []byte) []byte {
 	return append(to, "edge_gw_pending 2\n"...)
 }
-func (o *operated) SetDrained(uid string, out bool) error {
+func (o *fakeOperations) SetDrained(uid string, drained bool) error {
 	if uid != "s-1" {
 		return errors.New("no list has\never named this id")
 	}
-	o.out.Store(out)
+	o.drained.Store(drained)
 	return nil
 }
 
-// ask sends bytes to the door and gives all that comes back.
-func ask(t *testing.T, d *CommandServer, in string) string {
+// sendCommand sends bytes and returns all that comes back.
+func sendCommand(t *testing.T, d *CommandServer, in string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", d.Addr())
 	if err != nil {
@@ -41,15 +42,15 @@
 	return string(all)
 }
 
-// Each call gets its one answer, whatever was sent, also beside callers that hold more connections than there may be.
-func TestDoorAnswersBesideThoseThatHoldIt(t *testing.T) {
-	of := &operated{}
-	d, err := ListenCommands("127.0.0.1:0", of)
+// Each command gets its one answer, whatever was sent, also beside clients that hold more connections than there may be.
+func TestCommandsAreAnsweredBesideIdleConnections(t *testing.T) {
+	operations := &fakeOperations{}
+	d, err := ListenCommands("127.0.0.1:0", operations)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer d.Close()
-	for i := range 3 * doorMost {
+	for i := range 3 * maxCommandConnections {
 		c, err := net.Dial("tcp", d.Addr())
 		if err != nil {
 			t.Fatal(err)
@@ -64,16 +65,16 @@
 		{"disable-server s-2\n", "ERR disable-server: no list has; ever named this id\n"}, {"disable-server\n", "ERR disable-server: found no id"},
 		{"enable-server s-1 s-2\n", "ERR enable-server: found no id"}, {"\n", "ERR no such call; allowed: ready, "},
 		{"\x00\xff\n", "ERR no such call"}, {strings.Repeat("x", 20<<10) + "\n", "ERR no such call"}} {
-		if got := ask(t, d, c[0]); !strings.HasPrefix(got, c[1]) || !strings.HasSuffix(got, "\n") || got[0] == 'E' && strings.Count(got, "\n") != 1 {
+		if got := sendCommand(t, d, c[0]); !strings.HasPrefix(got, c[1]) || !strings.HasSuffix(got, "\n") || got[0] == 'E' && strings.Count(got, "\n") != 1 {
 			t.Errorf("%.30q: %q", c[0], got)
 		}
 	}
-	if of.out.Load() != false {
-		t.Error("not called back")
+	if operations.drained.Load() != false {
+		t.Error("not put back into use")
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.open > doorMost || d.silent.Len() > d.open {
-		t.Errorf("%d open, %d of them silent", d.open, d.silent.Len())
+	if d.open > maxCommandConnections || d.waiting.Len() > d.open {
+		t.Errorf("%d open, %d of them waiting", d.open, d.waiting.Len())
 	}
 }
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -12,21 +12,21 @@
 	"pepperlead/policy"
 )
 
-// sidecarAmongPeers is a stand-in that has a page of peers too.
-type sidecarAmongPeers struct{ sidecar }
+// fakeReporterWithPeers is a reporter with peers.
+type fakeReporterWithPeers struct{ fakeReporter }
 
-func (s *sidecarAmongPeers) PeersReport() string { return "n-1 alive\n" }
+func (s *fakeReporterWithPeers) PeersReport() string { return "n-1 alive\n" }
 
 // TestPagesAreAsBefore holds the paths, statuses, types and texts of the pages, and the names, kinds, helps and labels of the
 // metrics, to what they were before. Metrics of the Go runtime and of the process are left out.
 func TestPagesAreAsBefore(t *testing.T) {
-	of := &sidecarAmongPeers{}
+	reporter := &fakeReporterWithPeers{}
 	latency := NewLatency([]policy.Class{{Name: "step"}, {Name: "call"}})
 	for answer := range AnswerNames {
 		latency.Observe(1, answer, 30*policy.Millisecond)
 	}
 	latency.SetClassName(0, "renamed")
-	server, err := ListenMetrics("127.0.0.1:0", of, latency)
+	server, err := ListenMetrics("127.0.0.1:0", reporter, latency)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,7 +45,7 @@
 		fmt.Fprintf(&pages, "GET %s: %s, %q\n%s\n", path, answer.Status, answer.Header["Content-Type"], ownMetrics(path, string(body)))
 	}
 	show("/_health")
-	of.ready = true
+	reporter.ready = true
 	for _, path := range []string{"/_health", "/_counters", "/_servers", "/_peers", "/metrics", "/other"} {
 		show(path)
 	}
@@ -66,17 +66,17 @@
 	return own.String()
 }
 
-// TestDoorAnswersAsBefore holds the door's answer to each call to what it was before.
-func TestDoorAnswersAsBefore(t *testing.T) {
-	door, err := ListenCommands("127.0.0.1:0", &operated{})
+// TestCommandsAreAnsweredAsBefore holds the answer to each command to what it was before.
+func TestCommandsAreAnsweredAsBefore(t *testing.T) {
+	commands, err := ListenCommands("127.0.0.1:0", &fakeOperations{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer door.Close()
+	defer commands.Close()
 	var answers bytes.Buffer
-	for _, call := range []string{"ready", "ready now", "show-stat", "show-stat x", "disable-server s-1", "enable-server s-1",
+	for _, command := range []string{"ready", "ready now", "show-stat", "show-stat x", "disable-server s-1", "enable-server s-1",
 		"disable-server", "disable-server s-2", "enable-server s-1 s-2", " ready ", "Ready", "stat", ""} {
-		fmt.Fprintf(&answers, "%q: %q\n", call, ask(t, door, call+"\n"))
+		fmt.Fprintf(&answers, "%q: %q\n", command, sendCommand(t, commands, command+"\n"))
 	}
 	golden.Compare(t, "door.txt", answers.Bytes())
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/metricsserver_test.go
@@ -12,28 +12,29 @@
 	"pepperlead/policy"
 )
 
-type sidecar struct{ ready bool }
+// fakeReporter has a few fixed figures.
+type fakeReporter struct{ ready bool }
 
-func (s *sidecar) Ready() bool           { return s.ready }
-func (s *sidecar) Report() string        { return "tickets 7\n" }
-func (s *sidecar) ServersReport() string { return "s-1\n" }
-func (s *sidecar) EachMetric(each func(string, float64, bool)) {
+func (r *fakeReporter) Ready() bool           { return r.ready }
+func (r *fakeReporter) Report() string        { return "tickets 7\n" }
+func (r *fakeReporter) ServersReport() string { return "s-1\n" }
+func (r *fakeReporter) EachMetric(each func(string, float64, bool)) {
 	each("tickets", 7, true)
 	each("tickets_in_hand", 2, false)
 }
-func (s *sidecar) EachFigure(one func(string, string, int64, bool)) {
+func (r *fakeReporter) EachFigure(one func(string, string, int64, bool)) {
 	one("edge_gw_downstream_requests_total", `{lane="a\"b,c",result="failed"}`, 3, true)
 	one("edge_gw_pending", "", 2, false)
 }
 
 func TestPagesAndMetrics(t *testing.T) {
-	of := &sidecar{}
+	reporter := &fakeReporter{}
 	l := NewLatency([]policy.Class{{Name: "step"}, {Name: "call"}})
 	l.Observe(1, 3, 30*policy.Millisecond)
 	if n := testing.AllocsPerRun(100, func() { l.Observe(0, 0, policy.Millisecond/2) }); n > 0 {
 		t.Errorf("%v allocations an observation", n)
 	}
-	s, err := ListenMetrics("127.0.0.1:0", of, l)
+	s, err := ListenMetrics("127.0.0.1:0", reporter, l)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +51,7 @@
 	if status, _ := get("/_health"); status != 503 {
 		t.Errorf("health: %d", status)
 	}
-	of.ready = true
+	reporter.ready = true
 	if status, _ := get("/_health"); status != 200 {
 		t.Errorf("health: %d", status)
 	}
@@ -67,7 +68,7 @@
 	if _, page := get("/_counters"); page != "tickets 7\n" {
 		t.Error(page)
 	}
-	// Whoever holds connections open keeps others waiting, and takes no more than was set aside.
+	// Clients that hold connections open keep others waiting, and take no more than was reserved.
 	var held []net.Conn
 	for range MaxConnections + 4 {
 		c, err := net.Dial("tcp", s.Addr())
