--- a/cmd/pepperlead/demo.go
+++ b/cmd/pepperlead/demo.go
@@ -12,22 +12,31 @@
 	"pepperlead/internal/demo"
 )
 
+const defaultDemoServers = 5
+
 func demoCommand() *cobra.Command {
-	c := &cobra.Command{Use: "demo", Args: exactly(0), Short: "Show the daemon on stand-in servers, in one process, without a file",
-		Example: "  pepperlead demo\n  pepperlead demo --listen 127.0.0.1:9000 --servers 10 --seed 7 --for 10s"}
-	var sc demo.Scene
-	c.Flags().StringVar(&sc.Listen, "listen", "127.0.0.1:0", "`address` of the daemon; port 0 takes any that is free")
-	c.Flags().IntVar(&sc.Servers, "servers", 5, "how many stand-in servers there are")
-	c.Flags().Uint64Var(&sc.Seed, "seed", 1, "of all chance: one seed, one sequence of faults at each server")
-	c.Flags().DurationVar(&sc.For, "for", 0, "how long it runs (default until Ctrl-C)")
+	c := &cobra.Command{
+		Use:   "demo",
+		Args:  exactly(0),
+		Short: "Show the daemon on stand-in servers, in one process, without a file",
+		Example: "  pepperlead demo\n" +
+			"  pepperlead demo --listen 127.0.0.1:9000 --servers 10 --seed 7 --for 10s",
+	}
+	var scene demo.Scene
+	c.Flags().StringVar(&scene.Listen, "listen", "127.0.0.1:0",
+		"`address` of the daemon; port 0 takes any that is free")
+	c.Flags().IntVar(&scene.Servers, "servers", defaultDemoServers, "how many stand-in servers there are")
+	c.Flags().Uint64Var(&scene.Seed, "seed", 1,
+		"of all chance: one seed, one sequence of faults at each server")
+	c.Flags().DurationVar(&scene.For, "for", 0, "how long it runs (default until Ctrl-C)")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		log, err := daemon.NewLogger("warning", "text")
 		if err != nil {
 			return err
 		}
-		ctx, end := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-		defer end()
-		return demo.Run(ctx, sc, log, c.OutOrStdout())
+		ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+		defer cancel()
+		return demo.Run(ctx, scene, log, c.OutOrStdout())
 	}
 	return c
 }
--- a/cmd/pepperlead/migrate.go
+++ b/cmd/pepperlead/migrate.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 	"math/rand/v2"
 	"os"
 	"path/filepath"
@@ -13,66 +14,80 @@
 	"pepperlead/internal/migration"
 )
 
+const defaultStreams = 100
+
 func migrateCommand() *cobra.Command {
-	c := &cobra.Command{Use: "migrate OLD NEW", Args: exactly(2),
+	c := &cobra.Command{
+		Use:   "migrate OLD NEW",
+		Args:  exactly(2),
 		Short: "Write a pool's counterpart of a configuration for one client's sidecar",
-		Long: `Read a configuration of the old shape (TOML, or the platform's JSON), write its counterpart for a sidecar of a pool, and list
-what changed and what could not be carried over. NEW must not exist. With --dry-run nothing is written. docs/migration.md has
-the steps around it.`,
-		Example: "  pepperlead migrate --dry-run --listen 10.0.0.7:9000 --instances 12 old.toml new.toml"}
-	to := migration.Pool{Seed: rand.Uint64()}
-	c.Flags().StringVar(&to.Listen, "listen", "", "`address` at which the pool's front reaches this sidecar")
-	c.Flags().IntVar(&to.Sidecar, "instances", 0, "`number` of sidecars in the pool")
-	c.Flags().IntVar(&to.Streams, "streams", 100, "`number` of tickets that one connection carries at once")
-	dry := c.Flags().Bool("dry-run", false, "only say what would change; write nothing")
-	c.RunE = func(c *cobra.Command, names []string) error {
-		if to.Listen == "" || to.Sidecar == 0 {
+		Long: "Read a configuration of the old shape (TOML, or the platform's JSON), write its " +
+			"counterpart for a sidecar of a pool, and list\n" +
+			"what changed and what could not be carried over. NEW must not exist. With --dry-run " +
+			"nothing is written. docs/migration.md has\n" +
+			"the steps around it.",
+		Example: "  pepperlead migrate --dry-run --listen 10.0.0.7:9000 --instances 12 old.toml new.toml",
+	}
+	pool := migration.Pool{Seed: rand.Uint64()}
+	c.Flags().StringVar(&pool.Listen, "listen", "", "`address` at which the pool's front reaches this sidecar")
+	c.Flags().IntVar(&pool.Sidecar, "instances", 0, "`number` of sidecars in the pool")
+	c.Flags().IntVar(&pool.Streams, "streams", defaultStreams,
+		"`number` of tickets that one connection carries at once")
+	dryRun := c.Flags().Bool("dry-run", false, "only say what would change; write nothing")
+	c.RunE = func(c *cobra.Command, args []string) error {
+		if pool.Listen == "" || pool.Sidecar == 0 {
 			return fmt.Errorf("migrate: --listen and --instances must be given; %w", errUsage)
 		}
-		text, err := discovery.ReadFile(names[0])
-		if err != nil {
-			return err
-		}
-		made, err := migration.Make(names[0], text, to)
-		if err != nil {
+		return migrate(c.OutOrStdout(), args[0], args[1], pool, *dryRun)
+	}
+	return c
+}
+
+// migrate writes the counterpart of a configuration to a new file and prints what is different.
+func migrate(out io.Writer, from, to string, pool migration.Pool, dryRun bool) error {
+	text, err := discovery.ReadFile(from)
+	if err != nil {
+		return err
+	}
+	result, err := migration.Make(from, text, pool)
+	if err != nil {
+		return err
+	}
+	if !dryRun {
+		if err := writeNew(to, result.Text); err != nil {
 			return err
 		}
-		if !*dry {
-			if err := writeNew(names[1], made.Text); err != nil {
-				return err
-			}
-		} else if _, err := os.Lstat(names[1]); err == nil {
-			return fmt.Errorf("%s: it exists, and would not be overwritten", names[1])
-		}
-		for _, line := range made.Changed {
-			fmt.Fprintln(c.OutOrStdout(), "changed", line)
-		}
-		for _, line := range made.Left {
-			fmt.Fprintln(c.OutOrStdout(), "not carried over", line)
-		}
-		if *dry {
-			fmt.Fprintln(c.OutOrStdout(), "nothing was written")
-		}
-		return nil
+	} else if _, err := os.Lstat(to); err == nil {
+		return fmt.Errorf("%s: it exists, and would not be overwritten", to)
 	}
-	return c
+	for _, line := range result.Changed {
+		printf(out, "changed %s\n", line)
+	}
+	for _, line := range result.Left {
+		printf(out, "not carried over %s\n", line)
+	}
+	if dryRun {
+		printf(out, "nothing was written\n")
+	}
+	return nil
 }
 
-// writeNew writes a file that must not be there yet, whole or not at all.
-func writeNew(path string, text []byte) (err error) {
+// writeNew writes a file that must not exist yet. It is complete as soon as it exists.
+func writeNew(path string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), ".migrate-*")
 	if err != nil {
 		return err
 	}
-	defer os.Remove(f.Name())
+	defer func() {
+		_ = os.Remove(f.Name()) // the file stays under its new name
+	}()
 	_, err = f.Write(text)
-	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
+	if err := errors.Join(err, f.Sync(), f.Close()); err != nil {
 		return err
 	}
-	if err := os.Link(f.Name(), path); errors.Is(err, os.ErrExist) {
+	err = os.Link(f.Name(), path)
+	if errors.Is(err, os.ErrExist) {
 		return fmt.Errorf("%s: it exists, and is not overwritten", path)
-	} else if err != nil {
-		return err
 	}
-	return nil
+	return err
 }
--- /dev/null
+++ b/cmd/pepperlead/query.go
@@ -0,0 +1,93 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+)
+
+const (
+	reportTimeout      = 2 * time.Second
+	callConnectTimeout = 2 * time.Second
+	callTimeout        = 5 * time.Second
+)
+
+// reportCommand prints a report of a running sidecar.
+func reportCommand(report, short string) *cobra.Command {
+	c := &cobra.Command{
+		Use:     report,
+		Short:   short,
+		Args:    exactly(0),
+		Example: "  pepperlead " + report + " --at 127.0.0.1:9000",
+	}
+	address := c.Flags().String("at", os.Getenv("GW_LISTEN"),
+		"`address` of the sidecar, or of its pages (default $GW_LISTEN)")
+	c.RunE = func(c *cobra.Command, _ []string) error {
+		return printReport(c.OutOrStdout(), *address, report)
+	}
+	return c
+}
+
+func printReport(out io.Writer, address, report string) error {
+	client := http.Client{Timeout: reportTimeout}
+	response, err := client.Get("http://" + address + "/_" + report)
+	if err != nil {
+		return err
+	}
+	defer func() {
+		_ = response.Body.Close() // it was only read
+	}()
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("%s: status %d: no sidecar answers there", address, response.StatusCode)
+	}
+	_, err = io.Copy(out, response.Body)
+	return err
+}
+
+// callCommand sends a command to a running sidecar's command server.
+func callCommand() *cobra.Command {
+	c := &cobra.Command{
+		Use:   "call CALL [ID]",
+		Short: "Make a call at the operators' door of a sidecar that runs",
+		Args:  atLeast(1),
+		Long: "Make a call at the operators' door of a sidecar that runs: " +
+			"ready, show-stat, disable-server ID or enable-server ID.",
+		Example: "  pepperlead call --at 127.0.0.1:9002 disable-server s-1",
+	}
+	address := c.Flags().String("at", os.Getenv("GW_ADMIN"), "`address` of the door (default $GW_ADMIN)")
+	c.RunE = func(c *cobra.Command, args []string) error {
+		response, err := call(*address, strings.Join(args, " "))
+		if err != nil {
+			return err
+		}
+		if reason, failed := strings.CutPrefix(string(response), "ERR "); failed {
+			return errors.New(strings.TrimSpace(reason))
+		}
+		_, err = c.OutOrStdout().Write(response)
+		return err
+	}
+	return c
+}
+
+// call sends a line to a command server and returns its response.
+func call(address, line string) ([]byte, error) {
+	conn, err := net.DialTimeout("tcp", address, callConnectTimeout)
+	if err != nil {
+		return nil, err
+	}
+	defer func() {
+		_ = conn.Close() // all was read, or an error is returned
+	}()
+	_ = conn.SetDeadline(time.Now().Add(callTimeout)) // on a broken connection the write fails too
+	if _, err := fmt.Fprintln(conn, line); err != nil {
+		return nil, err
+	}
+	return io.ReadAll(conn)
+}
