--- a/internal/simprotocol/actions.go
+++ b/internal/simprotocol/actions.go
@@ -6,95 +6,109 @@
 	"pepperlead/policy"
 )
 
-func (i *instance) action(word string) {
-	i.out.WriteString(word)
-	i.out.WriteString(" sidecar_id=")
-	i.out.Write(i.name)
+// The methods of policy.Front write what the module asks for as lines of the reply.
+
+// beginLine begins a line about the instance.
+func (i *instance) beginLine(keyword string) {
+	i.reply.WriteString(keyword)
+	i.reply.WriteString(" sidecar_id=")
+	i.reply.Write(i.name)
 }
 
-func (i *instance) about(word string, h policy.Handle) {
-	i.action(word)
-	i.out.WriteString(" tid=")
-	i.out.Write(i.ids[h.Place()][:])
+// beginRequestLine begins a line about a request.
+func (i *instance) beginRequestLine(keyword string, h policy.Handle) {
+	i.beginLine(keyword)
+	i.reply.WriteString(" tid=")
+	i.reply.Write(i.ids[h.Place()][:])
 }
 
-func (i *instance) whole(name string, n uint64) {
-	i.out.WriteByte(' ')
-	i.out.WriteString(name)
-	i.out.WriteByte('=')
-	i.out.Write(strconv.AppendUint(i.out.AvailableBuffer(), n, 10))
+func (i *instance) endLine() { i.reply.WriteByte('\n') }
+
+func (i *instance) writeNumber(name string, n uint64) {
+	i.reply.WriteByte(' ')
+	i.reply.WriteString(name)
+	i.reply.WriteByte('=')
+	i.reply.Write(strconv.AppendUint(i.reply.AvailableBuffer(), n, 10))
 }
 
-// span writes nanoseconds as seconds.
-func (i *instance) span(name string, t policy.Time) {
-	i.whole(name, uint64(t/policy.Second))
-	i.out.WriteByte('.')
-	rest := t % policy.Second
+// writeDuration writes a duration in seconds, with nine decimals.
+func (i *instance) writeDuration(name string, t policy.Time) {
+	i.writeNumber(name, uint64(t/policy.Second))
+	i.reply.WriteByte('.')
+	fraction := t % policy.Second
 	for unit := policy.Second / 10; unit > 0; unit /= 10 {
-		i.out.WriteByte(byte('0' + rest/unit%10))
+		i.reply.WriteByte(byte('0' + fraction/unit%10))
 	}
 }
 
-func (i *instance) Attempt(h policy.Handle, s policy.EndpointID, wait policy.Time) {
-	i.about("route", h)
-	i.whole("endpoint", uint64(s))
-	if wait > 0 {
-		i.span("max_wait_s", wait)
+// Attempt sends a request to an endpoint.
+func (i *instance) Attempt(h policy.Handle, endpoint policy.EndpointID, timeout policy.Time) {
+	i.beginRequestLine("route", h)
+	i.writeNumber("endpoint", uint64(endpoint))
+	if timeout > 0 {
+		i.writeDuration("max_wait_s", timeout)
 	}
-	i.out.WriteByte('\n')
+	i.endLine()
 }
 
-func (i *instance) Cancel(h policy.Handle, n policy.AttemptNo) {
-	i.about("undo_send", h)
-	i.whole("send_no", uint64(n))
-	i.out.WriteByte('\n')
+// Cancel cancels an attempt.
+func (i *instance) Cancel(h policy.Handle, attempt policy.AttemptNo) {
+	i.beginRequestLine("undo_send", h)
+	i.writeNumber("send_no", uint64(attempt))
+	i.endLine()
 }
 
-// Succeed has nothing to write: the bench passes a server's answer on by itself.
+// Succeed writes nothing: the simulator forwards an endpoint's response by itself.
 func (i *instance) Succeed(policy.Handle, policy.AttemptNo) {}
 
-// Release gives the connections to a server back.
-func (i *instance) Release(s policy.EndpointID) {
-	i.action("release")
-	i.whole("endpoint", uint64(s))
-	i.out.WriteByte('\n')
+// Release closes idle connections to an endpoint.
+func (i *instance) Release(endpoint policy.EndpointID) {
+	i.beginLine("release")
+	i.writeNumber("endpoint", uint64(endpoint))
+	i.endLine()
 }
 
-// Forget has nothing to do: servers are named by their ids alone.
+// Forget does nothing: endpoints have no state here.
 func (i *instance) Forget(policy.EndpointID) {}
 
-func (i *instance) Reject(h policy.Handle, retryIn policy.Time) {
-	i.about("busy", h)
-	if retryIn > 0 {
-		i.span("backoff_s", retryIn)
+// Reject rejects a request, with the time after which it may be tried again.
+func (i *instance) Reject(h policy.Handle, retryAfter policy.Time) {
+	i.beginRequestLine("busy", h)
+	if retryAfter > 0 {
+		i.writeDuration("backoff_s", retryAfter)
 	}
-	i.out.WriteByte('\n')
+	i.endLine()
 }
 
+// Fail fails a request.
 func (i *instance) Fail(h policy.Handle) {
-	i.about("drop_request", h)
-	i.out.WriteByte('\n')
+	i.beginRequestLine("drop_request", h)
+	i.endLine()
 }
 
-func (i *instance) Wake(in policy.Time) {
-	i.action("wake_at")
-	i.span("delay_s", in)
-	i.out.WriteString(" cookie=w\n")
+// Wake asks for a wake event after a delay.
+func (i *instance) Wake(delay policy.Time) {
+	i.beginLine("wake_at")
+	i.writeDuration("delay_s", delay)
+	i.reply.WriteString(" cookie=w")
+	i.endLine()
 }
 
+// FollowList subscribes to the list of endpoints, or ends the subscription.
 func (i *instance) FollowList(on bool) {
-	i.action("subscribe")
-	n := uint64(0)
+	want := uint64(0)
 	if on {
-		n = 1
+		want = 1
 	}
-	i.whole("want", n)
-	i.out.WriteByte('\n')
+	i.beginLine("subscribe")
+	i.writeNumber("want", want)
+	i.endLine()
 }
 
+// Log writes a line to the simulator's log.
 func (i *instance) Log(line string) {
-	i.action("emit")
-	i.out.WriteString(" what=")
-	i.out.WriteString(line)
-	i.out.WriteByte('\n')
+	i.beginLine("emit")
+	i.reply.WriteString(" what=")
+	i.reply.WriteString(line)
+	i.endLine()
 }
--- a/internal/simprotocol/fields.go
+++ b/internal/simprotocol/fields.go
@@ -9,7 +9,11 @@
 	"pepperlead/policy"
 )
 
-func (a *Adapter) split(rest []byte) {
+// field is a name with its value in a line.
+type field struct{ name, value []byte }
+
+// splitFields reads the fields behind the keyword of a line. Parts that are not fields are ignored.
+func (a *adapter) splitFields(rest []byte) {
 	a.fields = a.fields[:0]
 	for len(rest) > 0 {
 		var part []byte
@@ -20,7 +24,8 @@
 	}
 }
 
-func (a *Adapter) get(name string) ([]byte, bool) {
+// lookup returns the value of an optional field.
+func (a *adapter) lookup(name string) (value []byte, found bool) {
 	for _, f := range a.fields {
 		if string(f.name) == name {
 			return f.value, true
@@ -29,51 +34,51 @@
 	return nil, false
 }
 
-func (a *Adapter) need(name string) ([]byte, error) {
-	v, ok := a.get(name)
-	if !ok || len(v) == 0 {
+// text returns the value of a field that must not be missing or empty.
+func (a *adapter) text(name string) ([]byte, error) {
+	value, found := a.lookup(name)
+	if !found || len(value) == 0 {
 		return nil, fmt.Errorf("%s is missing", name)
 	}
-	return v, nil
+	return value, nil
 }
 
-func (a *Adapter) id() (ticketID, error) {
-	v, err := a.need("tid")
-	if err == nil && len(v) != len(ticketID{}) {
-		err = fmt.Errorf("tid %q is not %d characters", v, len(ticketID{}))
-	}
+// requestID returns the id of the request that the line is about.
+func (a *adapter) requestID() (requestID, error) {
+	value, err := a.text("tid")
 	if err != nil {
-		return ticketID{}, err
+		return requestID{}, err
 	}
-	return ticketID(v), nil
+	if len(value) != len(requestID{}) {
+		return requestID{}, fmt.Errorf("tid %q is not %d characters", value, len(requestID{}))
+	}
+	return requestID(value), nil
 }
 
-func (a *Adapter) number(name string) (uint64, error) {
-	v, err := a.need(name)
+func (a *adapter) number(name string) (uint64, error) {
+	value, err := a.text(name)
 	if err != nil {
 		return 0, err
 	}
-	n, err := strconv.ParseUint(string(v), 10, 64)
+	n, err := strconv.ParseUint(string(value), 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("%s=%s is not a whole number", name, v)
+		return 0, fmt.Errorf("%s=%s is not a whole number", name, value)
 	}
 	return n, nil
 }
 
-func (a *Adapter) flag(name string) (bool, error) {
-	v, err := a.need(name)
+func (a *adapter) boolean(name string) (bool, error) {
+	value, err := a.text(name)
 	if err != nil {
 		return false, err
 	}
-	return platformsettings.ParseBool(name, string(v))
+	return platformsettings.ParseBool(name, string(value))
 }
 
-func (a *Adapter) time(name string) (policy.Time, error) {
-	v, err := a.need(name)
+func (a *adapter) duration(name string) (policy.Time, error) {
+	value, err := a.text(name)
 	if err != nil {
 		return 0, err
 	}
-	return platformsettings.ParseDuration(name, string(v))
+	return platformsettings.ParseDuration(name, string(value))
 }
-
-// ---- events ----
--- /dev/null
+++ b/internal/simprotocol/instance.go
@@ -0,0 +1,84 @@
+package simprotocol
+
+import (
+	"bytes"
+	"errors"
+	"strings"
+
+	"pepperlead/internal/platformsettings"
+	"pepperlead/policy"
+)
+
+// requestID is the id of a request, as the protocol writes it.
+type requestID [36]byte
+
+// instance is one instance of the module with its surroundings. It is the module's front.
+type instance struct {
+	name     []byte
+	reply    *bytes.Buffer
+	balancer *policy.Balancer
+	classes  map[string]policy.ClassID
+	tenants  map[string]policy.TenantID
+	handles  map[requestID]policy.Handle
+	ids      []requestID // by the place of the handle
+}
+
+var _ policy.Front = (*instance)(nil)
+
+// newInstance starts an instance; rest is the line behind its keyword.
+func (a *adapter) newInstance(rest []byte) error {
+	name, err := a.text("sidecar_id")
+	if err != nil {
+		return err
+	}
+	seed, err := a.number("rng_seed")
+	if err != nil {
+		return err
+	}
+	if !bytes.Contains(rest, []byte("offerings.count=")) {
+		return errors.New("offerings.count is missing")
+	}
+	settings, err := a.settings()
+	if err != nil {
+		return err
+	}
+	i := &instance{
+		name:    bytes.Clone(name),
+		reply:   &a.reply,
+		classes: map[string]policy.ClassID{},
+		tenants: map[string]policy.TenantID{},
+		handles: map[requestID]policy.Handle{},
+	}
+	for n, class := range settings.Classes {
+		i.classes[class.Name] = policy.ClassID(n)
+	}
+	for n, tenant := range settings.Tenants {
+		i.tenants[tenant.Name] = policy.TenantID(n)
+	}
+	a.instances[string(i.name)] = i
+	i.balancer = policy.New(i, settings, seed, a.now)
+	return nil
+}
+
+// settings reads the settings in the fields of the line.
+func (a *adapter) settings() (*policy.Settings, error) {
+	values := &platformsettings.Values{Text: make(map[string]string, len(a.fields))}
+	for _, f := range a.fields {
+		values.Text[string(f.name)] = string(f.value)
+	}
+	settings, err := platformsettings.Read(values)
+	if err != nil {
+		return nil, errors.New(strings.ReplaceAll(err.Error(), "\n", "; ")) // errors are reported in one line
+	}
+	return settings, nil
+}
+
+// setHandle notes the handle of a request. The request whose handle had the same place before has ended.
+func (i *instance) setHandle(id requestID, h policy.Handle) {
+	for len(i.ids) <= h.Place() {
+		i.ids = append(i.ids, requestID{})
+	}
+	delete(i.handles, i.ids[h.Place()])
+	i.ids[h.Place()] = id
+	i.handles[id] = h
+}
