--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -32,7 +32,7 @@
 	return l.b.String()
 }
 
-// The addresses that the demo prints are served, and what went through them is counted at its end.
+// The addresses that the demo prints are served, and the requests to them are counted at its end.
 func TestDemoServesWhatItPrints(t *testing.T) {
 	var out lines
 	log := logrus.New()
@@ -47,20 +47,20 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	honoured := 0
+	succeeded := 0
 	for range 20 {
 		answer, err := http.Get(url.FindStringSubmatch(out.String())[1])
 		if err != nil {
 			t.Fatal(err)
 		}
 		if answer.Body.Close(); answer.StatusCode == 200 && strings.HasPrefix(answer.Header.Get("X-Made-By"), "s-") {
-			honoured++
+			succeeded++
 		}
 	}
 	end()
-	if err := <-ended; err != nil || honoured < 18 || !strings.Contains(out.String(), "    tickets 20\n") ||
+	if err := <-ended; err != nil || succeeded < 18 || !strings.Contains(out.String(), "    tickets 20\n") ||
 		!strings.Contains(out.String(), "    s-3: ") {
-		t.Errorf("%v, %d honoured: %s", err, honoured, out.String())
+		t.Errorf("%v, %d succeeded: %s", err, succeeded, out.String())
 	}
 	if err := Run(ctx, Scene{Servers: 0}, log, &out); err == nil || !strings.Contains(err.Error(), "allowed 1 to 200") {
 		t.Error(err)
