--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -107,7 +107,7 @@
 		b.front.Succeed(r.handle(), result.attempt)
 		return
 	}
-	if result.outcome.mayHaveRun() && !r.mayHaveRun {
+	if result.outcome.MayHaveRun() && !r.mayHaveRun {
 		r.mayHaveRun = true
 		r.ranAt = r.sentAt
 		r.ranOn = result.endpoint
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -22,7 +22,7 @@
 type Settings struct {
 	Instances            int
 	Zone                 Zone
-	Zones                int
+	Zones                int // number of zones; decides nothing, compared when settings are read again
 	Classes              []Class
 	Tenants              []Tenant
 	TotalQuota           float64 // of all tenants
--- a/policy/types.go
+++ b/policy/types.go
@@ -62,8 +62,8 @@
 	Declined               // a client error: no sign of the endpoint's state
 )
 
-// mayHaveRun reports whether the endpoint may have processed an attempt that ended so.
-func (o Outcome) mayHaveRun() bool {
+// MayHaveRun reports whether the endpoint may have processed an attempt that ended so.
+func (o Outcome) MayHaveRun() bool {
 	return o != Rejected && o != NotConnected && o != NotSent
 }
 
--- a/policy/warmup.go
+++ b/policy/warmup.go
@@ -45,9 +45,9 @@
 	s := w.settings
 	growth := w.budgetGrowth(now, e)
 	budget := e.coldBudget + growth*float64(now-e.budgetUpdatedAt)
-	keepLimit := growth * unusedBudgetPart * float64(cmp.Or(s.OverloadWindow, Second))
-	budget -= max(0, math.Ceil(budget-1-keepLimit)) // one at most is kept, and for no longer
-	e.coldBudget = min(2-math.Floor(min(1, keepLimit)), s.OverloadMultiple, budget)
+	maxUnused := growth * unusedBudgetPart * float64(cmp.Or(s.OverloadWindow, Second))
+	budget -= max(0, math.Ceil(budget-1-maxUnused)) // one at most is kept, and for no longer
+	e.coldBudget = min(2-math.Floor(min(1, maxUnused)), s.OverloadMultiple, budget)
 	e.budgetUpdatedAt = now
 	return e.coldBudget
 }
--- a/rpc/bench_test.go
+++ b/rpc/bench_test.go
@@ -63,8 +63,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkCall is a small unary call over a bare connection to one server, gRPC's own round_robin over three, and the plug-in over
-// three: go test ./rpc -run xxx -bench Call -benchmem
+// BenchmarkCall is a small unary call over a bare connection to one server, gRPC's own round_robin over three, and
+// the plug-in over three: go test ./rpc -run xxx -bench Call -benchmem
 func BenchmarkCall(b *testing.B) {
 	all := children(b, 3)
 	bare, err := grpc.NewClient("passthrough:///"+all[0].addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -91,7 +91,7 @@
 							var mine []int64
 							for left.Add(-1) >= 0 {
 								at := time.Now()
-								if _, err := say(k.conn, context.Background(), "Step", "x"); err != nil {
+								if _, err := invoke(k.conn, context.Background(), "Step", "x"); err != nil {
 									failed.Add(1)
 								}
 								mine = append(mine, int64(time.Since(at)))
@@ -125,8 +125,8 @@
 	}
 }
 
-// BenchmarkZoneLoss has half of six servers fall silent for four of eight seconds, and counts calls answered within 300 ms:
-// go test ./rpc -run xxx -bench ZoneLoss -benchtime 1x
+// BenchmarkZoneLoss has half of six servers fall silent for four of eight seconds, and counts calls answered within
+// 300 ms: go test ./rpc -run xxx -bench ZoneLoss -benchtime 1x
 func BenchmarkZoneLoss(b *testing.B) {
 	for _, name := range []string{"round_robin", "plugin"} {
 		b.Run(name, func(b *testing.B) {
@@ -164,7 +164,7 @@
 						ctx, end := context.WithTimeout(context.Background(), 300*time.Millisecond)
 						defer end()
 						asked.Add(1)
-						if _, err := say(conn, ctx, "Step", fmt.Sprint(n)); err == nil {
+						if _, err := invoke(conn, ctx, "Step", fmt.Sprint(n)); err == nil {
 							good.Add(1)
 						}
 					})
--- /dev/null
+++ b/rpc/callcontext.go
@@ -0,0 +1,78 @@
+package rpc
+
+import (
+	"context"
+
+	"google.golang.org/grpc/metadata"
+	"google.golang.org/protobuf/proto"
+
+	"pepperlead/policy"
+)
+
+type keyContextKey struct{}
+
+type tenantContextKey struct{}
+
+// WithKey sets the key of the calls made with the context: calls with one key go to one endpoint.
+func WithKey(ctx context.Context, key string) context.Context {
+	return context.WithValue(ctx, keyContextKey{}, key)
+}
+
+// WithTenant sets the tenant on whose behalf calls are made with the context.
+func WithTenant(ctx context.Context, name string) context.Context {
+	return context.WithValue(ctx, tenantContextKey{}, name)
+}
+
+// WithFranchise sets the tenant of the calls made with the context.
+//
+// Deprecated: use WithTenant.
+func WithFranchise(ctx context.Context, name string) context.Context { return WithTenant(ctx, name) }
+
+// key finds the key of a call: in the context, else in its metadata, else in a field of the request.
+func (c *Conn) key(ctx context.Context, request any) string {
+	if key, ok := ctx.Value(keyContextKey{}).(string); ok {
+		return key
+	}
+	if key, ok := c.metadataKey(ctx); ok {
+		return key
+	}
+	return c.fieldKey(request)
+}
+
+func (c *Conn) metadataKey(ctx context.Context) (key string, found bool) {
+	if c.keyMetadata == "" {
+		return "", false
+	}
+	md, ok := metadata.FromOutgoingContext(ctx)
+	if !ok {
+		return "", false
+	}
+	values := md.Get(c.keyMetadata)
+	if len(values) == 0 {
+		return "", false
+	}
+	return values[0], true
+}
+
+func (c *Conn) fieldKey(request any) string {
+	message, ok := request.(proto.Message)
+	if !ok || c.keyField == "" {
+		return ""
+	}
+	reflected := message.ProtoReflect()
+	field := reflected.Descriptor().Fields().ByName(c.keyField)
+	if field == nil || field.IsList() || field.IsMap() || !reflected.Has(field) {
+		return ""
+	}
+	return reflected.Get(field).String()
+}
+
+// tenant finds the tenant of a call by its context.
+func (c *Conn) tenant(ctx context.Context) policy.TenantID {
+	if name, ok := ctx.Value(tenantContextKey{}).(string); ok {
+		if tenant, known := c.tenants[name]; known {
+			return tenant
+		}
+	}
+	return policy.NoTenant
+}
--- a/rpc/rough_test.go
+++ b/rpc/faultyserver_test.go
@@ -15,9 +15,9 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 )
 
-// rough is a server that speaks HTTP/2 by itself and ends streams in all ways there are: refused, reset before and after it has run,
-// by GOAWAY with and without having looked, with lost trailers, by a lost connection.
-type rough struct {
+// faultyServer is a server that speaks HTTP/2 by itself and ends streams in all ways there are: refused, reset before
+// and after it has run, by GOAWAY with and without having looked, with lost trailers, by a lost connection.
+type faultyServer struct {
 	net.Listener
 	mu    sync.Mutex
 	rnd   *rand.Rand
@@ -25,12 +25,12 @@
 	kinds map[string]int
 }
 
-func newRough(t *testing.T, seed uint64) *rough {
+func newFaultyServer(t *testing.T, seed uint64) *faultyServer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rough{Listener: l, rnd: rand.New(rand.NewPCG(seed, 1)), ran: map[string]int{}, kinds: map[string]int{}}
+	r := &faultyServer{Listener: l, rnd: rand.New(rand.NewPCG(seed, 1)), ran: map[string]int{}, kinds: map[string]int{}}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -44,7 +44,7 @@
 	return r
 }
 
-func (r *rough) serve(c net.Conn) {
+func (r *faultyServer) serve(c net.Conn) {
 	defer c.Close()
 	if _, err := io.ReadFull(c, make([]byte, len(http2.ClientPreface))); err != nil {
 		return
@@ -82,7 +82,7 @@
 }
 
 // end runs a call or not, and ends its stream in some way; false: the connection goes with it.
-func (r *rough) end(f *http2.Framer, stream uint32, id string) bool {
+func (r *faultyServer) end(f *http2.Framer, stream uint32, id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	did := func(kind string, runs bool) {
@@ -139,13 +139,13 @@
 	return true
 }
 
-// A thousand at-most-once calls to such servers run at most once each; what is told honoured has run, and what is turned back has
-// not.
+// A thousand at-most-once calls to such servers run at most once each; what succeeded has run, and what was rejected
+// has not.
 func TestAtMostOnceAgainstRoughServers(t *testing.T) {
 	var all []member
-	var servers []*rough
+	var servers []*faultyServer
 	for i := range 4 {
-		r := newRough(t, uint64(i))
+		r := newFaultyServer(t, uint64(i))
 		servers = append(servers, r)
 		all = append(all, member{id: fmt.Sprint("r", i), addr: r.Addr().String()})
 	}
@@ -158,25 +158,25 @@
 		}
 		return n
 	}
-	told := map[string]int{}
+	ends := map[string]int{}
 	for n := range 1000 {
 		id := fmt.Sprint("call-", n)
-		got, err := say(c, withID(id), "Once", id)
+		got, err := invoke(c, withID(id), "Once", id)
 		times := ran(id)
-		how := "given up"
+		how := "failed"
 		switch {
 		case err == nil:
-			how = "honoured"
+			how = "succeeded"
 			if times != 1 || got != "ok" {
-				t.Errorf("%s: honoured with %q, ran %d times", id, got, times)
+				t.Errorf("%s: succeeded with %q, ran %d times", id, got, times)
 			}
 		case bytes.Contains([]byte(err.Error()), []byte("turned back")):
-			how = "turned back"
+			how = "rejected"
 			if times != 0 {
-				t.Errorf("%s: turned back, ran %d times: %v", id, times, err)
+				t.Errorf("%s: rejected, ran %d times: %v", id, times, err)
 			}
 		}
-		told[how]++
+		ends[how]++
 		if times > 1 {
 			t.Errorf("%s: ran %d times: %v", id, times, err)
 		}
@@ -187,9 +187,9 @@
 			kinds[k] += n
 		}
 	}
-	if len(kinds) != 9 || told["honoured"] < 50 || told["given up"] < 100 {
-		t.Errorf("too little was provoked: %v, told %v", kinds, told)
+	if len(kinds) != 9 || ends["succeeded"] < 50 || ends["failed"] < 100 {
+		t.Errorf("too little was provoked: %v, ends %v", kinds, ends)
 	}
-	nothingHeld(t, c)
-	t.Logf("%v, told %v", kinds, told)
+	waitUntilNoneOpen(t, c)
+	t.Logf("%v, ends %v", kinds, ends)
 }
--- a/rpc/norace_test.go
+++ b/rpc/norace_test.go
@@ -2,4 +2,4 @@
 
 package rpc
 
-const keys = 10000
+const keyCount = 10000
--- a/rpc/rpc_test.go
+++ b/rpc/rpc_test.go
@@ -36,7 +36,7 @@
 // TestMain is also the host process that is stopped: see TestAPauseInADrain.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("RPC_HOST"); dir != "" {
-		host(dir)
+		runCaller(dir)
 		return
 	}
 	if n, err := strconv.Atoi(os.Getenv("RPC_SERVERS")); err == nil {
@@ -63,7 +63,7 @@
 	}
 	c, rpcDir := dial(t, 1, grpcs[:5]...)
 	dir := t.TempDir()
-	write(t, dir, list(1, https[:5]...))
+	writeList(t, dir, listText(1, https[:5]...))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -84,8 +84,8 @@
 	web := &http.Client{}
 	for i, in := range [][]int{{0, 5}, {1, 9}, {3, 8}} {
 		if i > 0 {
-			write(t, rpcDir, list(i+1, grpcs[in[0]:in[1]]...))
-			write(t, dir, list(i+1, https[in[0]:in[1]]...))
+			writeList(t, rpcDir, listText(i+1, grpcs[in[0]:in[1]]...))
+			writeList(t, dir, listText(i+1, https[in[0]:in[1]]...))
 		}
 		for n := in[1] - in[0]; ; time.Sleep(2 * time.Millisecond) {
 			there := 0
@@ -99,9 +99,9 @@
 			}
 		}
 		differ := 0
-		for k := range keys {
+		for k := range keyCount {
 			key := fmt.Sprintf("key-%d", k)
-			ours, err := say(c, WithKey(context.Background(), key), "Step", "x")
+			ours, err := invoke(c, WithKey(context.Background(), key), "Step", "x")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -119,7 +119,7 @@
 			}
 		}
 		if differ > 0 {
-			t.Errorf("list %d: %d keys of %d differ", i, differ, keys)
+			t.Errorf("list %d: %d keys of %d differ", i, differ, keyCount)
 		}
 	}
 	for _, s := range servers {
@@ -129,25 +129,25 @@
 	}
 }
 
-// host calls without end and writes down nothing; what the servers see counts.
-func host(dir string) {
+// runCaller calls without end and writes down nothing; what the servers see counts.
+func runCaller(dir string) {
 	c, err := New(filepath.Join(dir, "pepperlead.toml"))
 	if err != nil {
 		fmt.Println(err)
 		os.Exit(1)
 	}
 	for n := 0; ; n++ {
-		say(c, context.Background(), "Step", fmt.Sprint(n))
+		invoke(c, context.Background(), "Step", fmt.Sprint(n))
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// The host process stands still for two seconds while its list says that a server drains: when it goes on, that comes before
-// any push.
+// The host process stands still for two seconds while its list says that a server drains: when it goes on, that comes
+// before any attempt.
 func TestAPauseInADrain(t *testing.T) {
 	a, b := newServer(t, "a"), newServer(t, "b")
 	dir := t.TempDir()
-	write(t, dir, list(1, a.member(), b.member()))
+	writeList(t, dir, listText(1, a.member(), b.member()))
 	os.WriteFile(filepath.Join(dir, "pepperlead.toml"), []byte(configuration), 0o600)
 	p := exec.Command(os.Args[0])
 	p.Env = append(os.Environ(), "RPC_HOST="+dir)
@@ -156,7 +156,7 @@
 		t.Fatal(err)
 	}
 	defer func() { p.Process.Kill(); p.Wait() }()
-	issue, drained, lates := 1, -1, 0
+	issue, drained, lateTotal := 1, -1, 0
 	servers := []*server{a, b}
 	for i := 0; a.calls() < 20 || b.calls() < 20; i++ {
 		if i > 5000 {
@@ -171,8 +171,8 @@
 		issue++
 		m := []member{a.member(), b.member()}
 		m[drained].drains = true
-		write(t, dir, list(issue, m...))
-		told := time.Now()
+		writeList(t, dir, listText(issue, m...))
+		listedAt := time.Now()
 		time.Sleep(2 * time.Second)
 		p.Process.Signal(syscall.SIGCONT)
 		time.Sleep(400 * time.Millisecond)
@@ -180,16 +180,17 @@
 			s.mu.Lock()
 			late := 0
 			for _, at := range s.at {
-				if at.Sub(told) > time.Second {
+				if at.Sub(listedAt) > time.Second {
 					late++
 				}
 			}
 			s.mu.Unlock()
-			// Between the guard's look and the kernel's taking the bytes a process can be stopped too, and no process can see
-			// that: one call in all rounds is let pass for it, as the rounds before the guard had one in three.
+			// Between the guard's look and the kernel's taking the bytes a process can be stopped too, and no process
+			// can see that: one call in all rounds is let pass for it, as the rounds before the guard had one in
+			// three.
 			if i == drained {
-				if lates += late; lates > 1 || late > 1 {
-					t.Errorf("round %d: %d calls at servers that drain, over a second after it was told", round, lates)
+				if lateTotal += late; lateTotal > 1 || late > 1 {
+					t.Errorf("round %d: %d calls at servers that drain, over a second after the list said so", round, lateTotal)
 				}
 			}
 			if i != drained && late < 20 {
@@ -199,7 +200,7 @@
 	}
 }
 
-// Two in one process with lists of different ages: each obeys what it was told.
+// Two in one process with lists of different ages: each obeys its own.
 func TestTwoListAges(t *testing.T) {
 	a, b := newServer(t, "a"), newServer(t, "b")
 	old, _ := dial(t, 1, a.member(), b.member())
@@ -207,7 +208,7 @@
 	seen := map[string]int{}
 	for n := range 100 {
 		for name, c := range map[string]*Conn{"old": old, "new": new} {
-			got, err := say(c, context.Background(), "Step", fmt.Sprint("k", n))
+			got, err := invoke(c, context.Background(), "Step", fmt.Sprint("k", n))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -219,8 +220,8 @@
 	}
 }
 
-// Every code, unary and as a stream, said by a server that has begun, or that says it has not looked: what the caller gets, and how
-// often the call ran.
+// Every code, unary and as a stream, said by a server that has begun, or that says it has not looked: what the caller
+// gets, and how often the call ran.
 func TestEveryCode(t *testing.T) {
 	final := map[codes.Code]bool{codes.OK: true, codes.InvalidArgument: true, codes.NotFound: true, codes.AlreadyExists: true,
 		codes.PermissionDenied: true, codes.FailedPrecondition: true, codes.OutOfRange: true, codes.Unimplemented: true,
@@ -228,24 +229,24 @@
 	a, b, d := newServer(t, "a"), newServer(t, "b"), newServer(t, "d")
 	ran := func(id string) int { return a.count(id) + b.count(id) + d.count(id) }
 	for code := codes.OK; code <= codes.Unauthenticated; code++ {
-		// New for each code, as servers that err again and again are set aside.
+		// New for each code, as servers that fail again and again are ejected.
 		c, _ := dial(t, 1, a.member(), b.member(), d.member())
 		for method, again := range map[string]bool{"Step": true, "Once": false} {
 			id := fmt.Sprint(method, code)
-			_, err := say(c, withID(id), method, fmt.Sprintf("code %d", code))
+			_, err := invoke(c, withID(id), method, fmt.Sprintf("code %d", code))
 			is, n := status.Code(err), ran(id)
 			switch {
 			case final[code]:
 				if is != code || n != 1 {
-					t.Errorf("%s %v: told %v, ran %d times", method, code, err, n)
+					t.Errorf("%s %v: %v, ran %d times", method, code, err, n)
 				}
-			case again: // up to three pushes, then turned back
+			case again: // up to three attempts, then rejected
 				if is != codes.Unavailable || n < 2 || n > 3 {
-					t.Errorf("%s %v: told %v, ran %d times", method, code, err, n)
+					t.Errorf("%s %v: %v, ran %d times", method, code, err, n)
 				}
 			default:
 				if is != codes.Unknown || n != 1 || !strings.Contains(err.Error(), "it may have run") {
-					t.Errorf("%s %v: told %v, ran %d times", method, code, err, n)
+					t.Errorf("%s %v: %v, ran %d times", method, code, err, n)
 				}
 			}
 			s, err := c.NewStream(withID("stream "+id), &grpc.StreamDesc{ServerStreams: true, ClientStreams: true}, "/test.S/"+method)
@@ -259,16 +260,16 @@
 				err = s.RecvMsg(&m)
 			}
 			if code == codes.OK && err != io.EOF || code != codes.OK && status.Code(err) != code || ran("stream "+id) != 1 {
-				t.Errorf("%s %v as a stream: told %v, ran %d times", method, code, err, ran("stream "+id))
+				t.Errorf("%s %v as a stream: %v, ran %d times", method, code, err, ran("stream "+id))
 			}
 		}
 		c.Close()
 	}
 	c, _ := dial(t, 1, a.member(), b.member(), d.member())
 	for _, method := range []string{"Step", "Once"} {
-		_, err := say(c, withID("away "+method), method, "away")
+		_, err := invoke(c, withID("away "+method), method, "away")
 		if status.Code(err) != codes.Unavailable || ran("away "+method) != 0 {
-			t.Errorf("%s turned away: %v", method, err)
+			t.Errorf("%s rejected: %v", method, err)
 		}
 		var wait time.Duration
 		for _, detail := range status.Convert(err).Details() {
@@ -276,8 +277,8 @@
 				wait = r.RetryDelay.AsDuration()
 			}
 		}
-		if wait != 500*time.Millisecond { // the quoted time, which is less than the longest advice
-			t.Errorf("%s turned away: told to come again in %v", method, wait)
+		if wait != 500*time.Millisecond { // the target latency, which is less than the longest Retry-After
+			t.Errorf("%s rejected: retry after %v", method, wait)
 		}
 	}
 	// Before anything is sent: nobody listens at one server of two.
@@ -286,7 +287,7 @@
 	c, _ = dial(t, 1, a.member(), gone.member())
 	for n := range 40 {
 		for _, method := range []string{"Once", "Step"} {
-			if got, err := say(c, withID(fmt.Sprint("gone", method, n)), method, fmt.Sprint("x", n)); err != nil || got != "a" || ran(fmt.Sprint("gone", method, n)) != 1 {
+			if got, err := invoke(c, withID(fmt.Sprint("gone", method, n)), method, fmt.Sprint("x", n)); err != nil || got != "a" || ran(fmt.Sprint("gone", method, n)) != 1 {
 				t.Errorf("%s: %q %v, ran %d times", method, got, err, ran(fmt.Sprint("gone", method, n)))
 			}
 		}
@@ -301,11 +302,11 @@
 		}
 	}
 	if n := c.Counters(); n["pushes_not_connected"] == 0 {
-		t.Error("no push went to the server that is gone")
+		t.Error("no attempt went to the server that has stopped")
 	}
 }
 
-// Streams that are open go on while their server drains; none is opened there anew; nothing is held in the end.
+// Streams that are open go on while their server drains; none is opened there anew; none stays open in the end.
 func TestStreamsInADrain(t *testing.T) {
 	a, b := newServer(t, "a"), newServer(t, "b")
 	c, dir := dial(t, 1, a.member())
@@ -331,7 +332,7 @@
 		}
 		open = append(open, s)
 	}
-	write(t, dir, list(2, member{id: "a", addr: a.addr, drains: true}, b.member()))
+	writeList(t, dir, listText(2, member{id: "a", addr: a.addr, drains: true}, b.member()))
 	for i := 0; ; i++ {
 		s, err := c.NewStream(context.Background(), both, "/test.S/Once")
 		if err != nil {
@@ -372,14 +373,14 @@
 	if a.calls() != before {
 		t.Error("a stream was opened at a server that drains")
 	}
-	nothingHeld(t, c)
+	waitUntilNoneOpen(t, c)
 }
 
-func nothingHeld(t *testing.T, c *Conn) {
+func waitUntilNoneOpen(t *testing.T, c *Conn) {
 	t.Helper()
 	for i := 0; c.Open() > 0; i++ {
 		if i > 1000 {
-			t.Fatalf("%d calls are still held", c.Open())
+			t.Fatalf("%d calls are still open", c.Open())
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
@@ -394,7 +395,7 @@
 	var cancelled atomic.Int32
 	for range 20 {
 		wait.Go(func() {
-			if _, err := say(c, ctx, "Once", "hang"); status.Code(err) == codes.Canceled {
+			if _, err := invoke(c, ctx, "Once", "hang"); status.Code(err) == codes.Canceled {
 				cancelled.Add(1)
 			}
 		})
@@ -405,25 +406,25 @@
 	if cancelled.Load() < 2 || a.calls() > 19 {
 		t.Errorf("%d cancelled, %d calls came", cancelled.Load(), a.calls())
 	}
-	nothingHeld(t, c)
-	// Without a deadline the offering's cut-off ends it.
+	waitUntilNoneOpen(t, c)
+	// Without a deadline that of its class ends it.
 	at := time.Now()
-	if _, err := say(c, context.Background(), "Once", "hang"); status.Code(err) != codes.DeadlineExceeded || time.Since(at) > 3500*time.Millisecond {
+	if _, err := invoke(c, context.Background(), "Once", "hang"); status.Code(err) != codes.DeadlineExceeded || time.Since(at) > 3500*time.Millisecond {
 		t.Errorf("%v after %v", err, time.Since(at))
 	}
 	short, end := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer end()
 	at = time.Now()
-	if _, err := say(c, short, "Once", "hang"); status.Code(err) != codes.DeadlineExceeded || time.Since(at) > 400*time.Millisecond {
+	if _, err := invoke(c, short, "Once", "hang"); status.Code(err) != codes.DeadlineExceeded || time.Since(at) > 400*time.Millisecond {
 		t.Errorf("%v after %v", err, time.Since(at))
 	}
-	if _, err := say(c, context.Background(), "../Other", "x"); status.Code(err) != codes.OK && status.Code(err) != codes.Unimplemented {
+	if _, err := invoke(c, context.Background(), "../Other", "x"); status.Code(err) != codes.OK && status.Code(err) != codes.Unimplemented {
 		t.Error(err)
 	}
 	if err := c.Invoke(context.Background(), "/other.S/X", wrapperspb.String("x"), &wrapperspb.StringValue{}); status.Code(err) != codes.Unimplemented {
 		t.Errorf("a method bound to nothing: %v", err)
 	}
-	nothingHeld(t, c)
+	waitUntilNoneOpen(t, c)
 }
 
 func TestTenThousandCallers(t *testing.T) {
@@ -433,14 +434,14 @@
 	}
 	c, _ := dial(t, 1, all...)
 	var wait sync.WaitGroup
-	var honoured, back, other atomic.Int32
+	var succeeded, rejected, other atomic.Int32
 	for n := range 10000 {
 		wait.Go(func() {
-			switch _, err := say(c, context.Background(), "Step", fmt.Sprint(n)); status.Code(err) {
+			switch _, err := invoke(c, context.Background(), "Step", fmt.Sprint(n)); status.Code(err) {
 			case codes.OK:
-				honoured.Add(1)
+				succeeded.Add(1)
 			case codes.Unavailable:
-				back.Add(1)
+				rejected.Add(1)
 			default:
 				if other.Add(1) < 4 {
 					t.Error(err)
@@ -449,20 +450,20 @@
 		})
 	}
 	wait.Wait()
-	if honoured.Load() < 10 || honoured.Load()+back.Load() != 10000 {
-		t.Errorf("%d honoured, %d turned back, %d other", honoured.Load(), back.Load(), other.Load())
+	if succeeded.Load() < 10 || succeeded.Load()+rejected.Load() != 10000 {
+		t.Errorf("%d succeeded, %d rejected, %d other", succeeded.Load(), rejected.Load(), other.Load())
 	}
-	nothingHeld(t, c)
-	t.Logf("%d honoured, %d turned back", honoured.Load(), back.Load())
+	waitUntilNoneOpen(t, c)
+	t.Logf("%d succeeded, %d rejected", succeeded.Load(), rejected.Load())
 }
 
-// Close lets what is under way end, turns new calls back, and answers whatever is left.
+// Close lets what is under way end, rejects new calls, and answers whatever is left.
 func TestCloseWithCallsOpen(t *testing.T) {
 	a := newServer(t, "a")
 	c, _ := dial(t, 1, a.member())
 	slow, hang := make(chan error, 1), make(chan error, 1)
-	go func() { _, err := say(c, context.Background(), "Step", "slow"); slow <- err }()
-	go func() { _, err := say(c, context.Background(), "Once", "hang"); hang <- err }()
+	go func() { _, err := invoke(c, context.Background(), "Step", "slow"); slow <- err }()
+	go func() { _, err := invoke(c, context.Background(), "Once", "hang"); hang <- err }()
 	time.Sleep(50 * time.Millisecond)
 	at := time.Now()
 	go c.Close()
@@ -470,17 +471,17 @@
 		t.Errorf("slow: %v", err)
 	}
 	time.Sleep(20 * time.Millisecond)
-	if _, err := say(c, context.Background(), "Step", "x"); status.Code(err) != codes.Unavailable && status.Code(err) != codes.Canceled {
+	if _, err := invoke(c, context.Background(), "Step", "x"); status.Code(err) != codes.Unavailable && status.Code(err) != codes.Canceled {
 		t.Errorf("while closing: %v", err)
 	}
 	if err := <-hang; err == nil {
-		t.Error("hang: honoured")
+		t.Error("hang: succeeded")
 	}
 	c.Close()
 	if took := time.Since(at); took > 2*time.Second {
 		t.Errorf("closed after %v", took)
 	}
-	if _, err := say(c, context.Background(), "Step", "x"); status.Code(err) != codes.Canceled {
+	if _, err := invoke(c, context.Background(), "Step", "x"); status.Code(err) != codes.Canceled {
 		t.Errorf("once closed: %v", err)
 	}
 }
@@ -513,7 +514,7 @@
 func TestCallersOptionsStillWork(t *testing.T) {
 	a := newServer(t, "a")
 	dir := t.TempDir()
-	write(t, dir, list(1, a.member()))
+	writeList(t, dir, listText(1, a.member()))
 	h, intercepted := &counting{}, 0
 	c := open(t, dir, grpc.WithStatsHandler(h), grpc.WithUnaryInterceptor(func(ctx context.Context, method string, req, reply any,
 		cc *grpc.ClientConn, invoker grpc.UnaryInvoker, opts ...grpc.CallOption) error {
@@ -525,11 +526,11 @@
 		return err
 	}))
 	k, trailer := &token{}, metadata.MD{}
-	if got, err := say(c, context.Background(), "Step", "x", grpc.PerRPCCredentials(k)); err != nil || got != "a" || k.asked.Load() != 1 ||
+	if got, err := invoke(c, context.Background(), "Step", "x", grpc.PerRPCCredentials(k)); err != nil || got != "a" || k.asked.Load() != 1 ||
 		a.count("by-token") != 1 || h.begun.Load() != 1 || intercepted != 1 {
 		t.Errorf("%q %v, credentials asked %d times, begun %d, intercepted %d", got, err, k.asked.Load(), h.begun.Load(), intercepted)
 	}
-	say(c, context.Background(), "Step", "away", grpc.Trailer(&trailer))
+	invoke(c, context.Background(), "Step", "away", grpc.Trailer(&trailer))
 	if v := trailer.Get(NotProcessed); len(v) != 1 {
 		t.Errorf("the caller's trailer: %v", trailer)
 	}
@@ -541,7 +542,7 @@
 		}
 		return invoker(ctx, method, req, reply, cc, opts...)
 	}))
-	say(twice, withID("twice"), "Once", "code 13")
+	invoke(twice, withID("twice"), "Once", "code 13")
 	if n := a.count("twice"); n != 1 {
 		t.Errorf("sent %d times", n)
 	}
--- a/rpc/stream.go
+++ b/rpc/stream.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"io"
 	"runtime"
 	"sync"
@@ -14,121 +15,137 @@
 	"pepperlead/policy"
 )
 
-// NewStream opens a stream. Its server is chosen now; what could not be opened, as nothing has run, is opened elsewhere, what may
-// have run never. Once open it has the context's deadline and no cut-off, and goes on where its server drains.
-func (c *Conn) NewStream(ctx context.Context, desc *grpc.StreamDesc, method string, opts ...grpc.CallOption) (grpc.ClientStream, error) {
-	k, end, err := c.begin(ctx, method, nil)
+// NewStream opens a stream. Its endpoint is chosen now; what could not be opened, as nothing has run, is opened
+// elsewhere, what may have run never. Once open it has the context's deadline and no other, and goes on where its
+// endpoint drains.
+func (c *Conn) NewStream(
+	ctx context.Context, desc *grpc.StreamDesc, method string, opts ...grpc.CallOption,
+) (grpc.ClientStream, error) {
+	k, deadline, err := c.newCall(ctx, method, nil)
 	if err != nil {
 		return nil, err
 	}
 	k.stream = true
-	all := k.options(opts)
-	c.front.post(posting{do: (*front).begins, call: k})
-	var last error
+	options := k.withOptions(opts)
+	c.front.post(event{handle: (*front).callStarted, call: k})
+	var lastErr error
 	for {
-		o, err := c.next(ctx, k)
-		switch {
-		case err != nil:
+		o, err := c.nextAttempt(ctx, k, deadline, lastErr)
+		if err != nil {
 			return nil, err
-		case o.to == nil:
-			return nil, c.finish(k, o, end, last)
 		}
-		if c.stale(o) {
-			c.front.post(posting{do: (*front).ended, call: k, seq: o.seq, to: o.to, outcome: policy.NotSent})
-			continue
+		attemptCtx, cancel := k.startAttempt(ctx, o.sequence, time.Time{})
+		grpcStream, err := o.backend.conn.NewStream(attemptCtx, desc, method, options...)
+		if err == nil {
+			state := &streamState{front: c.front, call: k, sequence: o.sequence, backend: o.backend, cancel: cancel}
+			return openedStream(ctx, grpcStream, desc.ServerStreams, state), nil
 		}
-		k.on, k.decided = o.to, o.at
-		push, cancel := k.pushing(ctx, o.seq, time.Time{})
-		in, err := o.to.conn.NewStream(push, desc, method, all...)
-		if err != nil {
-			cancel()
-			o.to.begun.drop(k.mark.Load())
-			how := k.ended(err)
-			p := posting{do: (*front).ended, call: k, seq: o.seq, to: o.to, outcome: how}
-			if ctx.Err() != nil {
-				p.last, err = true, status.FromContextError(ctx.Err()).Err()
-			}
-			// With an error no stream is open, but gRPC may have begun one: then it is not begun again.
-			p.last = p.last || how != policy.NotConnected && how != policy.Rejected
-			c.front.post(p)
-			if p.last {
-				return nil, err
-			}
-			last = err
-			continue
+		cancel()
+		k.forgetPending()
+		ended := event{handle: (*front).attemptEnded, call: k, sequence: o.sequence, backend: o.backend}
+		ended.outcome = k.finishAttempt(err)
+		if ctx.Err() != nil {
+			ended.last = true
+			err = status.FromContextError(ctx.Err()).Err()
+		}
+		// With an error no stream is open, but gRPC may have begun one: then it is not begun again.
+		ended.last = ended.last || ended.outcome.MayHaveRun()
+		c.front.post(ended)
+		if ended.last {
+			return nil, err
 		}
-		c.front.post(posting{do: (*front).opened, call: k, seq: o.seq})
-		s := &stream{ClientStream: in, c: c, desc: desc}
-		s.state = &streamState{front: c.front, call: k, seq: o.seq, to: o.to, cancel: cancel}
-		// A caller that drops a stream without reading it to its end, or cancelling its context, must not hold the server's place.
-		runtime.AddCleanup(s, (*streamState).dropped, s.state)
-		context.AfterFunc(ctx, func() { s.state.end(policy.Cancelled) })
-		return s, nil
+		lastErr = err
 	}
 }
 
-// stream tells the loop once how its opening ended: with the first message of the server, or the end.
+// openedStream returns a stream that gRPC has opened, and notifies the loop.
+func openedStream(ctx context.Context, in grpc.ClientStream, serverStreams bool, state *streamState) *stream {
+	state.front.post(event{handle: (*front).streamOpened, call: state.call, sequence: state.sequence})
+	s := &stream{ClientStream: in, serverStreams: serverStreams, state: state}
+	// A caller that drops a stream without reading it to its end, or cancelling its context, must not take up the
+	// endpoint's capacity.
+	runtime.AddCleanup(s, (*streamState).cancelled, state)
+	context.AfterFunc(ctx, func() { s.state.cancelled() })
+	return s
+}
+
+// stream notifies the loop once how its opening ended: with the endpoint's first message, or the end.
 type stream struct {
 	grpc.ClientStream
-	c     *Conn
-	desc  *grpc.StreamDesc
-	state *streamState
+	serverStreams bool
+	state         *streamState
 }
 
+// streamState is what the loop has to be notified of; it outlives a stream that its caller drops.
 type streamState struct {
-	front  *front
-	call   *call
-	seq    uint32
-	to     *backend
-	cancel context.CancelFunc
-	mu     sync.Mutex
-	told   bool // how it began
-	over   bool
+	front    *front
+	call     *call
+	sequence uint32
+	backend  *backend
+	cancel   context.CancelFunc
+
+	mu       sync.Mutex // guards the fields below
+	answered bool       // the loop knows that the opening succeeded
+	over     bool
 }
 
-// began tells of the first message, after which nothing is held against the server.
-func (t *streamState) began() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if !t.told {
-		t.told = true
-		t.front.post(posting{do: (*front).streams, call: t.call, seq: t.seq, outcome: policy.Succeeded})
+// firstMessage notifies the loop of the endpoint's first message, after which nothing counts against the endpoint.
+func (s *streamState) firstMessage() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.answered {
+		return
 	}
+	s.answered = true
+	s.front.post(event{
+		handle:   (*front).streamAnswered,
+		call:     s.call,
+		sequence: s.sequence,
+		outcome:  policy.Succeeded,
+	})
 }
 
-// end tells of the end, and gives the connection back.
-func (t *streamState) end(o policy.Outcome) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.over {
+// end notifies the loop of the stream's end, once, and gives the connection back.
+func (s *streamState) end(outcome policy.Outcome) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.over {
 		return
 	}
-	t.over = true
-	t.cancel()
-	t.to.begun.drop(t.call.mark.Load())
-	if t.told {
-		o = policy.Succeeded
+	s.over = true
+	s.cancel()
+	s.backend.pending.remove(s.call.pendingID.Load())
+	if s.answered {
+		outcome = policy.Succeeded
 	}
-	t.told = true
-	t.front.post(posting{do: (*front).ended, call: t.call, seq: t.seq, to: t.to, outcome: o, last: true})
+	s.answered = true
+	s.front.post(event{
+		handle:   (*front).attemptEnded,
+		call:     s.call,
+		sequence: s.sequence,
+		backend:  s.backend,
+		outcome:  outcome,
+		last:     true,
+	})
 }
 
-func (t *streamState) dropped() { t.end(policy.Cancelled) }
+func (s *streamState) cancelled() { s.end(policy.Cancelled) }
 
+// RecvMsg receives a message.
 func (s *stream) RecvMsg(m any) error {
 	err := s.ClientStream.RecvMsg(m)
 	switch {
-	case err == nil && s.desc.ServerStreams:
-		s.state.began()
-	case err == nil || err == io.EOF:
+	case err == nil && s.serverStreams:
+		s.state.firstMessage()
+	case err == nil || errors.Is(err, io.EOF):
 		s.state.end(policy.Succeeded)
 	default:
-		v := s.Trailer().Get(NotProcessed)
-		s.state.end(outcome(1, status.Code(err), len(v) > 0 && v[0] == "1"))
+		s.state.end(outcome(1, status.Code(err), isNotProcessed(s.Trailer())))
 	}
 	return err
 }
 
+// Header returns the endpoint's header metadata.
 func (s *stream) Header() (metadata.MD, error) {
 	md, err := s.ClientStream.Header()
 	if err != nil {
--- a/rpc/standin_test.go
+++ b/rpc/testserver_test.go
@@ -23,9 +23,9 @@
 	"pepperlead/internal/endpointfiles"
 )
 
-// server is a stand-in for a gRPC server: any method, with texts for messages. What a message says is done: "code N" ends with
-// that code, "away" without having looked at it, "slow" after a while, "hang" not before its caller has gone; all else is
-// answered with the server's name.
+// server is a stand-in for a gRPC server: any method, with texts for messages. What a message says is done: "code N"
+// ends with that code, "away" without having looked at it, "slow" after a while, "hang" not before its caller has
+// gone; all else is answered with the server's name.
 type server struct {
 	name   string
 	addr   string
@@ -123,7 +123,7 @@
 	pod      int
 }
 
-func list(issue int, all ...member) []byte {
+func listText(issue int, all ...member) []byte {
 	var b strings.Builder
 	for _, m := range all {
 		fmt.Fprintf(&b, "[[server]]\nid = %q\naddress = %q\npod = %d\n", m.id, m.addr, m.pod)
@@ -173,8 +173,8 @@
 level = "error"
 `
 
-// write replaces a list whole.
-func write(t testing.TB, dir string, text []byte) {
+// writeList replaces a list whole.
+func writeList(t testing.TB, dir string, text []byte) {
 	t.Helper()
 	path := filepath.Join(dir, "servers.toml")
 	if err := os.WriteFile(path+".tmp", text, 0o600); err != nil {
@@ -189,7 +189,7 @@
 func dial(t testing.TB, issue int, all ...member) (*Conn, string) {
 	t.Helper()
 	dir := t.TempDir()
-	write(t, dir, list(issue, all...))
+	writeList(t, dir, listText(issue, all...))
 	return open(t, dir), dir
 }
 
@@ -215,8 +215,8 @@
 
 func (s *server) member() member { return member{id: s.name, addr: s.addr} }
 
-// say calls a method and gives the server's answer.
-func say(c grpc.ClientConnInterface, ctx context.Context, method, text string, opts ...grpc.CallOption) (string, error) {
+// invoke calls a method and gives the server's answer.
+func invoke(c grpc.ClientConnInterface, ctx context.Context, method, text string, opts ...grpc.CallOption) (string, error) {
 	var out wrapperspb.StringValue
 	err := c.Invoke(ctx, "/test.S/"+method, wrapperspb.String(text), &out, opts...)
 	return out.Value, err
