--- a/cmd/pepperlead-sim/drill.go
+++ b/cmd/pepperlead-sim/drill.go
@@ -36,7 +36,7 @@
 			return err
 		}
 		defer os.RemoveAll(dir)
-		s, err := faulttest.Begin(faulttest.Post{Program: *daemon, Dir: dir, Count: *count, Strangers: 2, Instances: *count, Seed: *seed})
+		s, err := faulttest.Begin(faulttest.StageConfig{Program: *daemon, Dir: dir, Count: *count, Strangers: 2, Instances: *count, Seed: *seed})
 		if err != nil {
 			return err
 		}
--- a/cmd/pepperlead-sim/drillplay.go
+++ b/cmd/pepperlead-sim/drillplay.go
@@ -45,7 +45,7 @@
 				return err
 			}
 			if *count > 0 {
-				s.Sidecars = *count
+				s.Instances = *count
 			}
 			if *rate > 0 {
 				s.Rate = *rate
@@ -110,20 +110,20 @@
 		word = "FAILED"
 	}
 	fmt.Fprintf(out, "%s, seed %d: %s; contradiction %v (allowed %v), %d broken rules, %d pushes (%d without a lease), %d effects twice\n", r.Drill, r.Seed, word,
-		v.Contradiction, s.AgreeWithin, v.Broken, v.Pushes, v.Unleased, v.Repeats)
+		v.Contradiction, s.AgreeWithin, v.Broken, v.Attempts, v.Unleased, v.Repeats)
 	fmt.Fprintf(out, "  clients: %d asked, %d honoured, %d turned back, %d given up, %d lost with their sidecar; without a lease %d of %d honoured\n",
-		v.Asked, v.Honoured, v.TurnedBack, v.GivenUp, v.Lost, v.CutOff[1], v.CutOff[0])
+		v.ClientRequests, v.Succeeded, v.Rejected, v.Failed, v.Lost, v.UnleasedRequests[1], v.UnleasedRequests[0])
 	for _, a := range r.Applied {
 		if a.Failed != "" {
 			fmt.Fprintf(out, "  %s at %.1f s: failed after %.1f s: %s\n", a.Version, a.At, a.Agreed, a.Failed)
 			continue
 		}
 		fmt.Fprintf(out, "  %s at %.1f s: version %d, known to sidecars within %.2f s (half), %.2f s (99%%), %.2f s (all), alone within %.2f s\n", a.Version,
-			a.At, a.Number, a.P50, a.P99, a.Most, a.Alone)
+			a.At, a.Number, a.P50, a.P99, a.Max, a.Alone)
 	}
 	fmt.Fprintf(out, "  agreed %.1f s after all was healed; %.1f s without a lease and %.0f times held to be gone over all; one sidecar: %.1f packets and %.0f bytes a second, %.4f of a core\n",
-		r.Converged, r.Unleased, r.Gone, r.Packets, r.Bytes, r.CPU)
-	fmt.Fprintf(out, "  links took %.1f ms (99%%), the clock was looked at %.0f ms late at the worst; %.0f%% of the machine was in use\n", r.OwnDelay*1000, r.Late*1000, r.Busy*100)
+		r.Converged, r.Unleased, r.FalseDeaths, r.Packets, r.Bytes, r.CPU)
+	fmt.Fprintf(out, "  links took %.1f ms (99%%), the clock was looked at %.0f ms late at the worst; %.0f%% of the machine was in use\n", r.OwnDelay*1000, r.ClockLateness*1000, r.Busy*100)
 	if r.Tables > 0 {
 		fmt.Fprintf(out, "  %d slot tables at the end\n", r.Tables)
 	}
--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -21,44 +21,44 @@
 // Cluster is a stage with sidecars, keepers of versions, servers and clients.
 type Cluster struct {
 	*Stage
-	script   *Script
-	sidecars []*Process
-	keepers  []*Process
-	servers  []*fakebackend.Server
-	catalog  *fakebackend.Catalog // nil: each sidecar has its servers in its file
-	doors    map[string]string
-	chance   *rand.Rand
-	front    int
-	inForce  int      // version
-	last     int      // given out
-	led      *Process // latest leader that was known
-	knows    *Process // keeper that knows the latest version
-	client   http.Client
-	asking   sync.WaitGroup
-	over     chan struct{} // closed: the script is
-	quiet    chan struct{} // closed: clients ask no more
+	script            *Script
+	instances         []*Process
+	coordinators      []*Process
+	endpoints         []*fakebackend.Server
+	catalog           *fakebackend.Catalog // nil: each sidecar has its servers in its file
+	endpointAddresses map[string]string
+	random            *rand.Rand
+	frontPort         int
+	activeRevision    int      // version
+	lastRevision      int      // given out
+	lastLeader        *Process // latest leader that was known
+	upToDate          *Process // keeper that knows the latest version
+	client            http.Client
+	requesting        sync.WaitGroup
+	scriptEnded       chan struct{} // closed: the script is
+	clientsEnded      chan struct{} // closed: clients ask no more
 
-	mu    sync.Mutex
-	ran   []judge.Ran
-	asked []judge.Asked
-	down  []judge.Down
+	mu             sync.Mutex
+	executions     []judge.Execution
+	clientRequests []judge.ClientRequest
+	down           []judge.Down
 	// What discovery has told, and from when to when which sidecars may not have heard it.
-	listed  []judge.Listed
-	deaf    []judge.Down
-	unheard map[*Process]int64
-	since   map[*Process]int64 // that stand still or are not there
+	lists           []judge.EndpointList
+	unnotified      []judge.Down
+	unnotifiedSince map[*Process]int64
+	downSince       map[*Process]int64 // that stand still or are not there
 }
 
 const (
-	cutOff = 2 * time.Second // of the drills' offering
-	quoted = 500 * time.Millisecond
-	work   = 20 * time.Millisecond
+	deadline      = 2 * time.Second // of the drills' offering
+	targetLatency = 500 * time.Millisecond
+	endpointWork  = 20 * time.Millisecond
 
 	discovery = faultproxy.Node("discovery")
 	// How long after the way to discovery is open again a sidecar may not have heard it: a call is given up after 2 s, the next one is made
 	// within 2 s, and what was held in the link comes at once (internal/discovery). A watch waits longer than drills cut it off.
-	hearsIn  = 5 * time.Second
-	answerIn = cutOff + 3*time.Second
+	notifyTimeout = 5 * time.Second
+	answerTimeout = deadline + 3*time.Second
 )
 
 // BeginCluster starts all processes at once. The caller ends them by Close; after an error all that was started has ended.
@@ -73,9 +73,9 @@
 
 // beginCluster gives what it has started, also with an error.
 func beginCluster(program, dir string, script *Script, seed uint64) (*Cluster, error) {
-	c := &Cluster{Stage: &Stage{Links: faultproxy.New(seed), dir: dir, program: program, asks: http.Client{Timeout: 2 * time.Second}}, script: script,
-		chance: rand.New(rand.NewPCG(seed, 1)), quiet: make(chan struct{}), over: make(chan struct{}), since: map[*Process]int64{}, unheard: map[*Process]int64{}}
-	c.client = http.Client{Timeout: answerIn, Transport: &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Second}}
+	c := &Cluster{Stage: &Stage{Links: faultproxy.New(seed), dir: dir, program: program, client: http.Client{Timeout: 2 * time.Second}}, script: script,
+		random: rand.New(rand.NewPCG(seed, 1)), clientsEnded: make(chan struct{}), scriptEnded: make(chan struct{}), downSince: map[*Process]int64{}, unnotifiedSince: map[*Process]int64{}}
+	c.client = http.Client{Timeout: answerTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Second}}
 	key := base64.StdEncoding.EncodeToString([]byte(fmt.Sprintf("%016x", seed)))
 	if err := os.WriteFile(filepath.Join(dir, "key"), []byte(key), 0o600); err != nil {
 		return c, err
@@ -84,7 +84,7 @@
 	if err != nil {
 		return c, err
 	}
-	c.front = front
+	c.frontPort = front
 	source, err := c.serve(seed)
 	if err != nil {
 		return c, err
@@ -95,37 +95,37 @@
 			return c, err
 		}
 	}
-	logs, err := freePort(own(most))
+	logs, err := freePort(own(maxProcesses))
 	if err != nil {
 		return c, err
 	}
 	var members, join strings.Builder
-	for k := range script.Keepers {
-		fmt.Fprintf(&members, "[[keeper]]\nname = \"k%d\"\nlog = \"%s:%d\"\npages = \"%s:%d\"\n", k+1, reached(most+k), logs, own(most+k), pages)
-		fmt.Fprintf(&join, "%q, ", fmt.Sprintf("%s:%d", reached(most+k), meets))
+	for k := range script.Coordinators {
+		fmt.Fprintf(&members, "[[keeper]]\nname = \"k%d\"\nlog = \"%s:%d\"\npages = \"%s:%d\"\n", k+1, reached(maxProcesses+k), logs, own(maxProcesses+k), pages)
+		fmt.Fprintf(&join, "%q, ", fmt.Sprintf("%s:%d", reached(maxProcesses+k), meets))
 	}
-	for i := range script.Sidecars + script.Keepers {
+	for i := range script.Instances + script.Coordinators {
 		name, at, verb := fmt.Sprint("n", i+1), i, "serve"
-		if k := i - script.Sidecars; k >= 0 {
-			name, at, verb = fmt.Sprint("k", k+1), most+k, "keep"
+		if k := i - script.Instances; k >= 0 {
+			name, at, verb = fmt.Sprint("k", k+1), maxProcesses+k, "keep"
 		}
 		one := c.process(name, verb, fmt.Sprintf("%s:%d", own(at), pages))
-		one.clock = script.Clocks[name]
+		one.clockSkew = script.Clocks[name]
 		listen, door, err := c.meet(one.Name, at, meets)
 		if err != nil {
 			return c, err
 		}
 		text := fmt.Sprintf("[instance]\nname = %q\n", name)
 		if verb == "keep" {
-			c.keepers = append(c.keepers, one)
+			c.coordinators = append(c.coordinators, one)
 			if _, err := c.Links.TCP(fmt.Sprintf("%s:%d", reached(at), logs), one.Name, fmt.Sprintf("%s:%d", own(at), logs)); err != nil {
 				return c, err
 			}
 			text += fmt.Sprintf("[keep]\nfolder = %q\nlisten = \"%s:%d\"\nlease = %q\n%s[log]\nlevel = \"debug\"\n", name+".kept", own(at), logs, script.Lease, members.String())
 		} else {
-			c.sidecars = append(c.sidecars, one)
-			text += fmt.Sprintf("instances = %d\nseed = \"%x\"\n[front.http]\nlisten = \"%s:%d\"\n[pages]\nlisten = %q\n", script.Sidecars,
-				seed*1000+uint64(i), own(at), front, one.pages) + offering(script.Versions[0]) + fmt.Sprintf("[limits]\nfrom = %q\n", own(at)) +
+			c.instances = append(c.instances, one)
+			text += fmt.Sprintf("instances = %d\nseed = \"%x\"\n[front.http]\nlisten = \"%s:%d\"\n[pages]\nlisten = %q\n", script.Instances,
+				seed*1000+uint64(i), own(at), front, one.metricsAddress) + offering(script.RuleSets[0]) + fmt.Sprintf("[limits]\nfrom = %q\n", own(at)) +
 				list + "[log]\nlevel = \"debug\"\nformat = \"json\"\n"
 		}
 		text += fmt.Sprintf("[peers]\nlisten = %q\nadvertise = %q\ncluster = \"drill\"\nkey_file = \"key\"\njoin = [%s]\n", listen, door,
@@ -137,13 +137,13 @@
 			return c, err
 		}
 	}
-	for _, v := range script.Versions {
-		text := fmt.Sprintf("# %s\n[fleet]\ninstances = %d\n", v.Name, script.Sidecars) + offering(v)
-		if len(v.Bans) > 0 {
-			text += "[bans]\nservers = [\"" + strings.Join(v.Bans, "\", \"") + "\"]\n"
+	for _, v := range script.RuleSets {
+		text := fmt.Sprintf("# %s\n[fleet]\ninstances = %d\n", v.Name, script.Instances) + offering(v)
+		if len(v.Drained) > 0 {
+			text += "[bans]\nservers = [\"" + strings.Join(v.Drained, "\", \"") + "\"]\n"
 		}
-		if v.Servers != nil {
-			text += source(v.Servers)
+		if v.Endpoints != nil {
+			text += source(v.Endpoints)
 		}
 		if err := os.WriteFile(filepath.Join(dir, v.Name+".version"), []byte(text), 0o600); err != nil {
 			return c, err
@@ -158,9 +158,9 @@
 }
 
 // offering is what all versions say of it, but for how it may be repeated.
-func offering(v Version) string {
-	text := fmt.Sprintf("[[offering]]\nname = \"step\"\nquoted_time = \"%v\"\ncut_off = \"%v\"\nrepeats = %q\n", quoted, cutOff, v.Repeats)
-	if v.Repeats == "numbered" {
+func offering(v RuleSet) string {
+	text := fmt.Sprintf("[[offering]]\nname = \"step\"\nquoted_time = \"%v\"\ncut_off = \"%v\"\nrepeats = %q\n", targetLatency, deadline, v.Idempotency)
+	if v.Idempotency == "numbered" {
 		text += fmt.Sprintf("group = \"all\"\nwindow = \"%v\"\n", v.Window)
 	}
 	return text
@@ -168,25 +168,25 @@
 
 // serve starts the servers, which write down what they do. source lists some of them, nil: all.
 func (c *Cluster) serve(seed uint64) (source func(names []string) string, err error) {
-	c.doors = map[string]string{}
+	c.endpointAddresses = map[string]string{}
 	var all []string
-	for i := range c.script.Servers {
+	for i := range c.script.Endpoints {
 		name := fmt.Sprint("s", i+1)
-		s, err := fakebackend.Start("127.8.0.1:0", fakebackend.Traits{Name: name, Cores: 64, Queue: 1000, Work: work, Faults: fakebackend.Faults{Resets: c.script.Resets},
+		s, err := fakebackend.Start("127.8.0.1:0", fakebackend.Traits{Name: name, Cores: 64, Queue: 1000, Work: endpointWork, Faults: fakebackend.Faults{Resets: c.script.Resets},
 			Seed: seed + uint64(i), Seen: func(id, _ string, _ time.Time) {
 				c.mu.Lock()
 				defer c.mu.Unlock()
-				c.ran = append(c.ran, judge.Ran{ID: id, Server: name, At: int64(clock.True())})
+				c.executions = append(c.executions, judge.Execution{ID: id, Endpoint: name, At: int64(clock.True())})
 			}})
 		if err != nil {
 			return nil, err
 		}
-		c.servers = append(c.servers, s)
+		c.endpoints = append(c.endpoints, s)
 		door, err := c.Links.TCP(fmt.Sprintf("127.9.%d.%d:0", i/250, i%250+1), faultproxy.Node(name), s.Addr())
 		if err != nil {
 			return nil, err
 		}
-		c.doors[name] = door
+		c.endpointAddresses[name] = door
 		all = append(all, name)
 	}
 	return func(names []string) (text string) {
@@ -194,7 +194,7 @@
 			names = all
 		}
 		for _, name := range names {
-			text += fmt.Sprintf("[[server]]\nid = %q\naddress = %q\n", name, c.doors[name])
+			text += fmt.Sprintf("[[server]]\nid = %q\naddress = %q\n", name, c.endpointAddresses[name])
 		}
 		return text
 	}, nil
@@ -206,7 +206,7 @@
 		return "", err
 	}
 	var all []string
-	for i := range c.servers {
+	for i := range c.endpoints {
 		all = append(all, fmt.Sprint("s", i+1))
 	}
 	c.list(all, nil)
@@ -219,13 +219,13 @@
 	var all []fakebackend.Target
 	for i, names := range [][]string{ready, leaving} {
 		for _, name := range names {
-			all = append(all, fakebackend.Target{UID: name, Endpoint: c.doors[name], Zone: "a", State: []string{"Ready", "Terminating"}[i], Weight: 1})
+			all = append(all, fakebackend.Target{UID: name, Endpoint: c.endpointAddresses[name], Zone: "a", State: []string{"Ready", "Terminating"}[i], Weight: 1})
 		}
 	}
 	c.catalog.Tell(all)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.listed = append(c.listed, judge.Listed{At: int64(clock.True()), Ready: ready})
+	c.lists = append(c.lists, judge.EndpointList{At: int64(clock.True()), Ready: ready})
 }
 
 // ask has clients ask each sidecar until the drill is over.
@@ -233,17 +233,17 @@
 	if c.script.Rate == 0 {
 		return
 	}
-	for i, p := range c.sidecars {
+	for i, p := range c.instances {
 		gap := rand.New(rand.NewPCG(uint64(i), 2))
-		c.asking.Go(func() {
+		c.requesting.Go(func() {
 			for n := 0; ; n++ {
 				select {
-				case <-c.quiet:
+				case <-c.clientsEnded:
 					return
 				case <-time.After(time.Duration(gap.ExpFloat64() / c.script.Rate * float64(time.Second))):
 				}
 				id := string(p.Name) + "-" + strconv.Itoa(n)
-				c.asking.Go(func() { c.one(p, id, fmt.Sprintf("http://%s:%d/step", own(i), c.front)) })
+				c.requesting.Go(func() { c.one(p, id, fmt.Sprintf("http://%s:%d/step", own(i), c.frontPort)) })
 			}
 		})
 	}
@@ -255,41 +255,41 @@
 	r.Header.Set("X-Request-ID", id)
 	r.Header.Set("Idempotency-Key", id)
 	r.GetBody = nil // so that it is never sent again by itself
-	a := judge.Asked{ID: id, Process: string(p.Name), At: int64(clock.True())}
+	a := judge.ClientRequest{ID: id, Process: string(p.Name), SentAt: int64(clock.True())}
 	if answer, err := c.client.Do(r); err == nil {
 		a.Status = answer.StatusCode
 		answer.Body.Close()
 	}
-	a.Ended = int64(clock.True())
+	a.EndedAt = int64(clock.True())
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked = append(c.asked, a)
+	c.clientRequests = append(c.clientRequests, a)
 }
 
 // out notes that a process stands still or is not there, or (over) that it is again. After that it may still owe answers of before.
 func (c *Cluster) out(p *Process, over bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	from, was := c.since[p]
+	from, was := c.downSince[p]
 	switch now := int64(clock.True()); {
 	case over && was:
-		c.down = append(c.down, judge.Down{Process: string(p.Name), From: from, To: now + int64(answerIn)})
-		delete(c.since, p)
+		c.down = append(c.down, judge.Down{Process: string(p.Name), From: from, To: now + int64(answerTimeout)})
+		delete(c.downSince, p)
 	case !over && !was:
-		c.since[p] = now
+		c.downSince[p] = now
 	}
 }
 
 // Close ends all.
 func (c *Cluster) Close() {
 	select {
-	case <-c.quiet:
+	case <-c.clientsEnded:
 	default:
-		close(c.quiet)
+		close(c.clientsEnded)
 	}
 	c.Stage.Close()
-	c.asking.Wait()
-	for _, s := range c.servers {
+	c.requesting.Wait()
+	for _, s := range c.endpoints {
 		s.Close()
 	}
 	if c.catalog != nil {
--- a/internal/faulttest/drill_test.go
+++ b/internal/faulttest/drill_test.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := Begin(Post{Program: program, Dir: t.TempDir(), Count: 5, Strangers: 2, Instances: 3, Seed: 1})
+	s, err := Begin(StageConfig{Program: program, Dir: t.TempDir(), Count: 5, Strangers: 2, Instances: 3, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,11 +85,11 @@
 				t.Fatal(err)
 			}
 			v := r.Verdict
-			t.Logf("%+v %+v, the clock was looked at %.3f s late", v, r.Applied, r.Late)
+			t.Logf("%+v %+v, the clock was looked at %.3f s late", v, r.Applied, r.ClockLateness)
 			if r.Void {
 				t.Skip("the machine stood still for longer than a lease") // no figure means anything then
 			}
-			if !r.Good(s) || v.Pushes < 300 || v.Repeats == 0 || v.Unleased == 0 {
+			if !r.Good(s) || v.Attempts < 300 || v.Repeats == 0 || v.Unleased == 0 {
 				t.Errorf("%+v %v", v, r.Failed)
 			}
 		})
--- a/internal/faulttest/golden_test.go
+++ b/internal/faulttest/golden_test.go
@@ -14,7 +14,7 @@
 
 // TestResultsHaveTheirKeys holds what pepperlab drill prints as JSON, with a value in each field, to what it printed before.
 func TestResultsHaveTheirKeys(t *testing.T) {
-	for name, document := range map[string]any{"play.json": &Result{}, "peers.json": &Company{}} {
+	for name, document := range map[string]any{"play.json": &Result{}, "peers.json": &PeersResult{}} {
 		golden.Fill(document)
 		written, err := json.MarshalIndent(document, "", "  ")
 		if err != nil {
@@ -31,16 +31,16 @@
 		t.Fatal(err)
 	}
 	stage := &Stage{}
-	cluster := &Cluster{Stage: stage, sidecars: []*Process{{Name: "n1", Log: path}}}
+	cluster := &Cluster{Stage: stage, instances: []*Process{{Name: "n1", Log: path}}}
 	var history judge.History
 	if err := cluster.written(&history); err != nil {
 		t.Fatal(err)
 	}
-	acts := func(at int64, leased bool, versions ...int) judge.Acts {
-		return judge.Acts{Process: "n1", Of: versions, Leased: leased, At: at}
+	acts := func(at int64, leased bool, versions ...int) judge.ActiveRules {
+		return judge.ActiveRules{Process: "n1", Revisions: versions, Leased: leased, At: at}
 	}
-	changes := []judge.Acts{acts(11, true, 4, 5), acts(12, false, 4, 5)}
-	steps := []judge.Step{{Acts: acts(13, true, 5), ID: "a-1"}, {Acts: acts(14, true, 5), ID: "a-1", Server: "s-2", No: 3}}
+	changes := []judge.ActiveRules{acts(11, true, 4, 5), acts(12, false, 4, 5)}
+	steps := []judge.Step{{ActiveRules: acts(13, true, 5), ID: "a-1"}, {ActiveRules: acts(14, true, 5), ID: "a-1", Endpoint: "s-2", AttemptNumber: 3}}
 	if !reflect.DeepEqual(history.Changes, changes) || !reflect.DeepEqual(history.Steps, steps) {
 		t.Errorf("got %+v and %+v", history.Changes, history.Steps)
 	}
@@ -74,13 +74,13 @@
 	golden.Fill(&script)
 	second := int64(time.Second)
 	result.Drill, result.Seed, result.Begun = "play", 7, 10*second
-	result.Applied = append(result.Applied, Applied{Version: "second", Number: 2, At: 1.5, P50: 2.5, P99: 3.5, Most: 4.5, Alone: 5.5})
+	result.Applied = append(result.Applied, Applied{Version: "second", Number: 2, At: 1.5, P50: 2.5, P99: 3.5, Max: 4.5, Alone: 5.5})
 	result.Marks = []Mark{{At: 11 * second, What: "a thing was done"}}
 	result.History = &judge.History{
-		Changes: []judge.Acts{{Process: "n1", Of: []int{1, 2}, Leased: true, At: 10 * second}, {Process: "n1", Of: []int{2}, Leased: true, At: 12 * second},
-			{Process: "n2", Of: []int{1}, At: 11 * second}},
-		Down:  []judge.Down{{Process: "n2", From: 12 * second, To: 13*second + int64(answerIn)}},
-		Asked: []judge.Asked{{Status: 200, Ended: 11 * second}, {Status: 503, Ended: 14 * second}},
+		Changes: []judge.ActiveRules{{Process: "n1", Revisions: []int{1, 2}, Leased: true, At: 10 * second}, {Process: "n1", Revisions: []int{2}, Leased: true, At: 12 * second},
+			{Process: "n2", Revisions: []int{1}, At: 11 * second}},
+		Down:           []judge.Down{{Process: "n2", From: 12 * second, To: 13*second + int64(answerTimeout)}},
+		ClientRequests: []judge.ClientRequest{{Status: 200, EndedAt: 11 * second}, {Status: 503, EndedAt: 14 * second}},
 	}
 	folder := t.TempDir()
 	if err := Report(folder, &script, &result); err != nil {
--- a/internal/faulttest/harm.go
+++ b/internal/faulttest/harm.go
@@ -32,7 +32,7 @@
 
 // full lets the process's files grow no more, as on a full disk.
 func (p *Process) full() error {
-	p.filled = true // it ends there: what raft has not written it must not act on
+	p.diskFull = true // it ends there: what raft has not written it must not act on
 	return unix.Prlimit(p.proc.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 4096, Max: 4096}, nil)
 }
 
--- a/internal/faulttest/judge/judge.go
+++ b/internal/faulttest/judge/judge.go
@@ -9,41 +9,41 @@
 	"time"
 )
 
-// Version is what a version allows.
-type Version struct {
-	Repeats string // "reissuable", "numbered" or "at-most-once"
-	Window  time.Duration
-	Servers []string // nil: any
-	Bans    []string
+// RuleSet is what a version allows.
+type RuleSet struct {
+	Idempotency string // "reissuable", "numbered" or "at-most-once"
+	Window      time.Duration
+	Endpoints   []string // nil: any
+	Drained     []string
 }
 
-// Acts is a moment at which a process said by what it acts.
-type Acts struct {
-	Process string
-	Of      []int
-	Leased  bool
-	At      int64
+// ActiveRules is a moment at which a process said by what it acts.
+type ActiveRules struct {
+	Process   string
+	Revisions []int
+	Leased    bool
+	At        int64
 }
 
 // Step is one of a ticket: its coming in, or a push to a server.
 type Step struct {
-	Acts
-	ID     string
-	Server string // "": it came in
-	No     int    // of the push
+	ActiveRules
+	ID            string
+	Endpoint      string // "": it came in
+	AttemptNumber int    // of the push
 }
 
-// Ran is what a server has done.
-type Ran struct {
-	ID, Server string
-	At         int64
+// Execution is what a server has done.
+type Execution struct {
+	ID, Endpoint string
+	At           int64
 }
 
-// Asked is what a client asked, and what became of it.
-type Asked struct {
-	ID, Process string
-	At, Ended   int64
-	Status      int // 0: no answer
+// ClientRequest is what a client asked, and what became of it.
+type ClientRequest struct {
+	ID, Process     string
+	SentAt, EndedAt int64
+	Status          int // 0: no answer
 }
 
 // Down is a time in which a process stood still, was not there, or had just been.
@@ -52,50 +52,50 @@
 	From, To int64
 }
 
-// Listed is a list that discovery told: servers that are not ready on it get nothing new after the grace.
-type Listed struct {
+// EndpointList is a list that discovery told: servers that are not ready on it get nothing new after the grace.
+type EndpointList struct {
 	At    int64
 	Ready []string
 }
 
-// Grace is how long after a list a push may still go by the one before: a second, and what it takes to come.
-const Grace = 1500 * time.Millisecond
+// DrainGrace is how long after a list a push may still go by the one before: a second, and what it takes to come.
+const DrainGrace = 1500 * time.Millisecond
 
 // History is all that is known of a drill.
 type History struct {
-	Versions map[int]Version
-	Changes  []Acts
-	Steps    []Step
-	Ran      []Ran
-	Asked    []Asked
-	Down     []Down
-	Listed   []Listed // in their order
-	Deaf     []Down   // times in which a process may not have heard what discovery told
-	CutOff   time.Duration
-	Slack    time.Duration // by which machine and links may make a client's answer late
+	RuleSets       map[int]RuleSet
+	Changes        []ActiveRules
+	Steps          []Step
+	Executions     []Execution
+	ClientRequests []ClientRequest
+	Down           []Down
+	Lists          []EndpointList // in their order
+	Unnotified     []Down         // times in which a process may not have heard what discovery told
+	Deadline       time.Duration
+	Slack          time.Duration // by which machine and links may make a client's answer late
 }
 
 // Verdict is what the judge found.
 type Verdict struct {
-	Contradiction time.Duration `json:"Contradiction"` // longest for which one acted by versions of which another had none any more
-	Between       string        `json:"Between"`
-	Faults        []string      `json:"Faults"` // broken rules, the first of them
-	Broken        int           `json:"Broken"` // how many there were
-	Pushes        int           `json:"Pushes"`
-	Repeats       int           `json:"Repeats"`  // effects that came twice, all of them allowed if no fault says otherwise
-	Unleased      int           `json:"Unleased"` // pushes without a lease
-	Asked         int           `json:"Asked"`
-	Honoured      int           `json:"Honoured"`
-	TurnedBack    int           `json:"TurnedBack"`
-	GivenUp       int           `json:"GivenUp"`
-	Lost          int           `json:"Lost"`   // no answer, of a process that was killed or stood still
-	CutOff        [2]int        `json:"CutOff"` // of tickets that came in without a lease: all, and honoured
+	Contradiction    time.Duration `json:"Contradiction"` // longest for which one acted by versions of which another had none any more
+	Between          string        `json:"Between"`
+	Faults           []string      `json:"Faults"` // broken rules, the first of them
+	Broken           int           `json:"Broken"` // how many there were
+	Attempts         int           `json:"Pushes"`
+	Repeats          int           `json:"Repeats"`  // effects that came twice, all of them allowed if no fault says otherwise
+	Unleased         int           `json:"Unleased"` // pushes without a lease
+	ClientRequests   int           `json:"Asked"`
+	Succeeded        int           `json:"Honoured"`
+	Rejected         int           `json:"TurnedBack"`
+	Failed           int           `json:"GivenUp"`
+	Lost             int           `json:"Lost"`   // no answer, of a process that was killed or stood still
+	UnleasedRequests [2]int        `json:"CutOff"` // of tickets that came in without a lease: all, and honoured
 }
 
-const shown = 20
+const maxFaultsShown = 20
 
 func (v *Verdict) fault(format string, of ...any) {
-	if v.Broken++; len(v.Faults) < shown {
+	if v.Broken++; len(v.Faults) < maxFaultsShown {
 		v.Faults = append(v.Faults, fmt.Sprintf(format, of...))
 	}
 }
@@ -104,17 +104,17 @@
 func Judge(h *History) *Verdict {
 	v := &Verdict{}
 	slices.SortStableFunc(h.Steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
-	slices.SortStableFunc(h.Ran, func(a, b Ran) int { return cmp.Compare(a.At, b.At) })
-	v.contradictions(h)
-	v.pushes(h)
-	v.effects(h)
-	v.delisted(h)
-	v.answers(h)
+	slices.SortStableFunc(h.Executions, func(a, b Execution) int { return cmp.Compare(a.At, b.At) })
+	v.checkContradictions(h)
+	v.checkAttempts(h)
+	v.checkEffects(h)
+	v.checkDelisted(h)
+	v.checkAnswers(h)
 	return v
 }
 
-// contradictions looks for pushes by older versions alone, after another process has pushed by newer ones alone.
-func (v *Verdict) contradictions(h *History) {
+// checkContradictions looks for pushes by older versions alone, after another process has pushed by newer ones alone.
+func (v *Verdict) checkContradictions(h *History) {
 	// By version: the first two processes that pushed by none older, and when.
 	type first struct {
 		process string
@@ -122,10 +122,10 @@
 	}
 	begun := map[int][]first{}
 	for _, s := range h.Steps {
-		if s.Server == "" || !s.Leased || len(s.Of) == 0 {
+		if s.Endpoint == "" || !s.Leased || len(s.Revisions) == 0 {
 			continue
 		}
-		oldest, newest := slices.Min(s.Of), slices.Max(s.Of)
+		oldest, newest := slices.Min(s.Revisions), slices.Max(s.Revisions)
 		for n, firsts := range begun {
 			if n <= newest {
 				continue
@@ -133,7 +133,7 @@
 			for _, f := range firsts {
 				if d := time.Duration(s.At - f.at); f.process != s.Process && d > v.Contradiction {
 					v.Contradiction = d
-					v.Between = fmt.Sprintf("%s pushed by %v, %v after %s had by none older than %d", s.Process, s.Of, d, f.process, n)
+					v.Between = fmt.Sprintf("%s pushed by %v, %v after %s had by none older than %d", s.Process, s.Revisions, d, f.process, n)
 				}
 			}
 		}
@@ -144,121 +144,121 @@
 	}
 }
 
-// pushes looks at each alone.
-func (v *Verdict) pushes(h *History) {
+// checkAttempts looks at each alone.
+func (v *Verdict) checkAttempts(h *History) {
 	ran := map[string]int64{}
-	for _, r := range h.Ran {
+	for _, r := range h.Executions {
 		if at, is := ran[r.ID]; !is || r.At < at {
 			ran[r.ID] = r.At
 		}
 	}
 	oldest := map[string]int{}
 	for _, s := range h.Steps {
-		if s.Leased && len(s.Of) > 0 {
-			if slices.Max(s.Of) < oldest[s.Process] {
-				v.fault("%s acts by %v after it had acted by none older than %d", s.Process, s.Of, oldest[s.Process])
+		if s.Leased && len(s.Revisions) > 0 {
+			if slices.Max(s.Revisions) < oldest[s.Process] {
+				v.fault("%s acts by %v after it had acted by none older than %d", s.Process, s.Revisions, oldest[s.Process])
 			}
-			oldest[s.Process] = slices.Min(s.Of)
+			oldest[s.Process] = slices.Min(s.Revisions)
 		}
-		if s.Server == "" {
+		if s.Endpoint == "" {
 			continue
 		}
-		v.Pushes++
+		v.Attempts++
 		if !s.Leased {
 			v.Unleased++
 			if at, is := ran[s.ID]; is && at < s.At {
-				v.fault("%s pushed %s to %s without a lease, %v after it had run", s.Process, s.ID, s.Server, time.Duration(s.At-at))
+				v.fault("%s pushed %s to %s without a lease, %v after it had run", s.Process, s.ID, s.Endpoint, time.Duration(s.At-at))
 			}
 			continue
 		}
-		for _, n := range s.Of {
-			if one := h.Versions[n]; one.Servers != nil && !slices.Contains(one.Servers, s.Server) || slices.Contains(one.Bans, s.Server) {
-				v.fault("%s pushed %s to %s by %v, and %d does not name that, or bans it", s.Process, s.ID, s.Server, s.Of, n)
+		for _, n := range s.Revisions {
+			if one := h.RuleSets[n]; one.Endpoints != nil && !slices.Contains(one.Endpoints, s.Endpoint) || slices.Contains(one.Drained, s.Endpoint) {
+				v.fault("%s pushed %s to %s by %v, and %d does not name that, or bans it", s.Process, s.ID, s.Endpoint, s.Revisions, n)
 			}
 		}
 	}
 }
 
-// delisted looks for pushes to servers that no list since the one in force a grace ago has as ready, by those that have heard them.
-func (v *Verdict) delisted(h *History) {
+// checkDelisted looks for pushes to servers that no list since the one in force a grace ago has as ready, by those that have heard them.
+func (v *Verdict) checkDelisted(h *History) {
 	for _, s := range h.Steps {
-		named := slices.ContainsFunc(s.Of, func(n int) bool { return h.Versions[n].Servers != nil })
-		if s.Server == "" || named {
+		named := slices.ContainsFunc(s.Revisions, func(n int) bool { return h.RuleSets[n].Endpoints != nil })
+		if s.Endpoint == "" || named {
 			continue
 		}
-		ready, since := len(h.Listed) == 0, int64(0)
-		for i, l := range h.Listed {
-			inForce := i+1 == len(h.Listed) || h.Listed[i+1].At > s.At-int64(Grace)
+		ready, since := len(h.Lists) == 0, int64(0)
+		for i, l := range h.Lists {
+			inForce := i+1 == len(h.Lists) || h.Lists[i+1].At > s.At-int64(DrainGrace)
 			if l.At > s.At || !inForce {
 				continue
 			}
 			if since == 0 {
 				since = l.At
 			}
-			ready = ready || l.At > s.At-int64(Grace) && i == 0 || slices.Contains(l.Ready, s.Server)
+			ready = ready || l.At > s.At-int64(DrainGrace) && i == 0 || slices.Contains(l.Ready, s.Endpoint)
 		}
-		unheard := func(d Down) bool { return d.Process == s.Process && d.From <= since+int64(Grace) && s.At <= d.To }
-		if !ready && !slices.ContainsFunc(h.Deaf, unheard) && !slices.ContainsFunc(h.Down, unheard) {
-			v.fault("%s pushed %s to %s, which has not been ready on any list for %v", s.Process, s.ID, s.Server, time.Duration(s.At-since))
+		unheard := func(d Down) bool { return d.Process == s.Process && d.From <= since+int64(DrainGrace) && s.At <= d.To }
+		if !ready && !slices.ContainsFunc(h.Unnotified, unheard) && !slices.ContainsFunc(h.Down, unheard) {
+			v.fault("%s pushed %s to %s, which has not been ready on any list for %v", s.Process, s.ID, s.Endpoint, time.Duration(s.At-since))
 		}
 	}
 }
 
-// effects looks at what ran twice.
-func (v *Verdict) effects(h *History) {
-	runs, steps := map[string][]Ran{}, map[string][]Step{}
-	for _, r := range h.Ran {
+// checkEffects looks at what ran twice.
+func (v *Verdict) checkEffects(h *History) {
+	runs, steps := map[string][]Execution{}, map[string][]Step{}
+	for _, r := range h.Executions {
 		runs[r.ID] = append(runs[r.ID], r)
 	}
 	for _, s := range h.Steps {
 		steps[s.ID] = append(steps[s.ID], s)
 	}
-	for _, id := range sorted(runs) {
+	for _, id := range sortedKeys(runs) {
 		all := runs[id]
 		for _, again := range all[1:] {
 			v.Repeats++
 			var by []int
 			pushed := int64(0)
 			for _, s := range steps[id] {
-				if s.Server == "" || s.Server == again.Server && s.At <= again.At {
-					by = append(by, s.Of...)
+				if s.Endpoint == "" || s.Endpoint == again.Endpoint && s.At <= again.At {
+					by = append(by, s.Revisions...)
 				}
-				if s.Server == again.Server && s.At <= again.At {
+				if s.Endpoint == again.Endpoint && s.At <= again.At {
 					pushed = s.At
 				}
 			}
 			if pushed == 0 {
-				v.fault("%s ran at %s, and nobody has pushed it there", id, again.Server)
+				v.fault("%s ran at %s, and nobody has pushed it there", id, again.Endpoint)
 			}
 			for _, n := range by {
-				switch one := h.Versions[n]; {
-				case one.Repeats == "reissuable":
-				case one.Repeats == "numbered" && time.Duration(pushed-all[0].At) <= one.Window:
+				switch one := h.RuleSets[n]; {
+				case one.Idempotency == "reissuable":
+				case one.Idempotency == "numbered" && time.Duration(pushed-all[0].At) <= one.Window:
 				default:
-					v.fault("%s ran twice, %v apart, and version %d says %s", id, time.Duration(again.At-all[0].At), n, one.Repeats)
+					v.fault("%s ran twice, %v apart, and version %d says %s", id, time.Duration(again.At-all[0].At), n, one.Idempotency)
 				}
 			}
 		}
 	}
 }
 
-// answers looks at what clients got.
-func (v *Verdict) answers(h *History) {
+// checkAnswers looks at what clients got.
+func (v *Verdict) checkAnswers(h *History) {
 	unleased := map[string]bool{}
 	for _, s := range h.Steps {
-		if s.Server == "" {
+		if s.Endpoint == "" {
 			unleased[s.ID] = !s.Leased
 		}
 	}
-	for _, a := range h.Asked {
-		v.Asked++
+	for _, a := range h.ClientRequests {
+		v.ClientRequests++
 		down := slices.ContainsFunc(h.Down, func(d Down) bool {
-			return d.Process == a.Process && d.From <= a.Ended && a.At <= d.To
+			return d.Process == a.Process && d.From <= a.EndedAt && a.SentAt <= d.To
 		})
 		if unleased[a.ID] {
-			v.CutOff[0]++
+			v.UnleasedRequests[0]++
 			if a.Status == 200 {
-				v.CutOff[1]++
+				v.UnleasedRequests[1]++
 			}
 		}
 		switch {
@@ -269,19 +269,19 @@
 			v.fault("%s of %s got no answer", a.ID, a.Process)
 			continue
 		case a.Status == 200:
-			v.Honoured++
+			v.Succeeded++
 		case a.Status == 503:
-			v.TurnedBack++
+			v.Rejected++
 		default:
-			v.GivenUp++
+			v.Failed++
 		}
-		if late := time.Duration(a.Ended-a.At) - h.CutOff; late > h.Slack && !down {
+		if late := time.Duration(a.EndedAt-a.SentAt) - h.Deadline; late > h.Slack && !down {
 			v.fault("%s of %s was answered %v after its cut-off", a.ID, a.Process, late)
 		}
 	}
 }
 
-func sorted[T any](m map[string]T) (keys []string) {
+func sortedKeys[T any](m map[string]T) (keys []string) {
 	for k := range m {
 		keys = append(keys, k)
 	}
--- a/internal/faulttest/peers.go
+++ b/internal/faulttest/peers.go
@@ -17,8 +17,8 @@
 	Of      int     `json:"Of"`   // sidecars that they had to hold to be there
 }
 
-// Company is what a drill of peers showed.
-type Company struct {
+// PeersResult is what a drill of peers showed.
+type PeersResult struct {
 	Steps []Step `json:"Steps"`
 	// Of one idle sidecar, the mean of all: sent in a second, and part of a core.
 	Packets     float64 `json:"Packets"`
@@ -30,13 +30,13 @@
 }
 
 const (
-	stepIn = 90 * time.Second
-	idleIn = 10 * time.Second
+	stepTimeout = 90 * time.Second
+	idleTime    = 10 * time.Second
 )
 
 // Peers kills, cuts and stalls, one after the other, in a company of at least five, each time until all that are left know. The stage's
 // strangers, if any, must stay alone.
-func Peers(ctx context.Context, s *Stage, count int) (c Company, err error) {
+func Peers(ctx context.Context, s *Stage, count int) (c PeersResult, err error) {
 	ctx, end := context.WithCancel(ctx)
 	defer end()
 	late := clockLateness(ctx)
@@ -48,7 +48,7 @@
 		if err != nil {
 			return
 		}
-		within, done := context.WithTimeout(ctx, stepIn)
+		within, done := context.WithTimeout(ctx, stepTimeout)
 		defer done()
 		took, fault := s.Until(within, some, many)
 		if fault != nil {
@@ -57,13 +57,13 @@
 		c.Steps = append(c.Steps, Step{what, took.Seconds(), len(some), many})
 	}
 	know("started at once", all, count)
-	before := sums(all)
+	before := sumFigures(all)
 	select {
 	case <-ctx.Done():
 		return c, ctx.Err()
-	case <-time.After(idleIn):
+	case <-time.After(idleTime):
 	}
-	after, share := sums(all), 1/idleIn.Seconds()/float64(count)
+	after, share := sumFigures(all), 1/idleTime.Seconds()/float64(count)
 	c.Packets, c.Bytes, c.CPU, c.FalseAlarms = (after[0]-before[0])*share, (after[1]-before[1])*share, (after[2]-before[2])*share, after[3]-before[3]
 
 	one := faultproxy.Link{From: all[0].Name, To: all[1].Name}
@@ -127,7 +127,7 @@
 	return n
 }
 
-func sums(all []*Process) (sum [4]float64) {
+func sumFigures(all []*Process) (sum [4]float64) {
 	for _, p := range all {
 		for i, value := range p.Figures("pepperlead_peers_packets_sent_total", "pepperlead_peers_bytes_sent_total", "process_cpu_seconds_total",
 			"pepperlead_peers_gone_total") {
--- a/internal/faulttest/play.go
+++ b/internal/faulttest/play.go
@@ -24,32 +24,32 @@
 	// Seconds until sidecars acted by it, also by it and the one before, and until they acted by it alone; of those that were there.
 	P50    float64 `json:"P50"`
 	P99    float64 `json:"P99"`
-	Most   float64 `json:"Most"`
+	Max    float64 `json:"Most"`
 	Alone  float64 `json:"Alone"`
 	Failed string  `json:"Failed"`
 }
 
 // Result is what a play of a drill showed.
 type Result struct {
-	Drill     string         `json:"Drill"`
-	Seed      uint64         `json:"Seed"`
-	Verdict   *judge.Verdict `json:"Verdict"`
-	Applied   []Applied      `json:"Applied"`
-	Converged float64        `json:"Converged"` // seconds after all was healed until all acted by the same version with a lease
-	Unleased  float64        `json:"Unleased"`  // seconds without a lease, over all sidecars
-	OwnDelay  float64        `json:"OwnDelay"`  // seconds that a relay took for itself, 99th percentile
-	Late      float64        `json:"Late"`      // seconds by which the latest look at the clock came late
-	Tables    int            `json:"Tables"`    // different slot tables at the end, where versions name the servers; they must be one
-	Busy      float64        `json:"Busy"`      // part of the machine's cores that was in use, by whomever
-	Void      bool           `json:"Void"`      // the machine stood still for longer than the lease: no figure means anything
-	Failed    []string       `json:"Failed"`
-	Gone      float64        `json:"Gone"`    // times that a sidecar took another for gone, over all
-	Packets   float64        `json:"Packets"` // a second, one sidecar
-	Bytes     float64        `json:"Bytes"`
-	CPU       float64        `json:"CPU"`
-	History   *judge.History `json:"-"`
-	Begun     int64          `json:"-"`
-	Marks     []Mark         `json:"-"`
+	Drill         string         `json:"Drill"`
+	Seed          uint64         `json:"Seed"`
+	Verdict       *judge.Verdict `json:"Verdict"`
+	Applied       []Applied      `json:"Applied"`
+	Converged     float64        `json:"Converged"` // seconds after all was healed until all acted by the same version with a lease
+	Unleased      float64        `json:"Unleased"`  // seconds without a lease, over all sidecars
+	OwnDelay      float64        `json:"OwnDelay"`  // seconds that a relay took for itself, 99th percentile
+	ClockLateness float64        `json:"Late"`      // seconds by which the latest look at the clock came late
+	Tables        int            `json:"Tables"`    // different slot tables at the end, where versions name the servers; they must be one
+	Busy          float64        `json:"Busy"`      // part of the machine's cores that was in use, by whomever
+	Void          bool           `json:"Void"`      // the machine stood still for longer than the lease: no figure means anything
+	Failed        []string       `json:"Failed"`
+	FalseDeaths   float64        `json:"Gone"`    // times that a sidecar took another for gone, over all
+	Packets       float64        `json:"Packets"` // a second, one sidecar
+	Bytes         float64        `json:"Bytes"`
+	CPU           float64        `json:"CPU"`
+	History       *judge.History `json:"-"`
+	Begun         int64          `json:"-"`
+	Marks         []Mark         `json:"-"`
 }
 
 // Mark is something that was done.
@@ -67,10 +67,10 @@
 }
 
 const (
-	startIn    = 90 * time.Second
-	convergeIn = 90 * time.Second
-	tablesIn   = 4 * time.Second // for each to look at its own; far less than it takes a server's slots to be dealt away
-	settleFor  = 500 * time.Millisecond
+	startTimeout    = 90 * time.Second
+	convergeTimeout = 90 * time.Second
+	tablesTimeout   = 4 * time.Second // for each to look at its own; far less than it takes a server's slots to be dealt away
+	settleTime      = 500 * time.Millisecond
 )
 
 // Play starts a cluster, does to it what the script says, heals it, and judges.
@@ -84,21 +84,21 @@
 	}
 	defer c.Close()
 	r = &Result{Seed: seed}
-	if err := c.leased(ctx, startIn); err != nil || len(c.ended()) > 0 {
+	if err := c.leased(ctx, startTimeout); err != nil || len(c.ended()) > 0 {
 		return nil, errors.Join(fmt.Errorf("at the start: %w", err), errors.New(strings.Join(c.ended(), ", ")))
 	}
-	before := sums(c.sidecars)
+	before := sumFigures(c.instances)
 	r.Begun = int64(clock.True())
-	begin, idle := time.Now(), machine()
+	begin, idle := time.Now(), readCPU()
 	c.ask()
 	var changes sync.WaitGroup
-	half := c.chance.Perm(len(c.sidecars))
-	for _, d := range s.Doings {
+	half := c.random.Perm(len(c.instances))
+	for _, d := range s.Actions {
 		c.await(ctx, begin, d)
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
-		r.Marks = append(r.Marks, Mark{int64(clock.True()), d.What + " " + strings.Join(append(append(d.Who, d.From...), d.Version), " ")})
+		r.Marks = append(r.Marks, Mark{int64(clock.True()), d.What + " " + strings.Join(append(append(d.Who, d.From...), d.RuleSet), " ")})
 		c.do(ctx, d, half, r, &changes, begin)
 		c.hearing()
 	}
@@ -107,7 +107,7 @@
 		return nil, ctx.Err()
 	case <-time.After(s.Length - time.Since(begin)):
 	}
-	close(c.over)
+	close(c.scriptEnded)
 	changes.Wait()
 	healed := time.Now()
 	c.Links.Heal()
@@ -120,45 +120,45 @@
 	if err := c.standing(); err != nil {
 		return nil, err
 	}
-	if err := c.leased(ctx, convergeIn); err != nil && !s.Contradicts {
+	if err := c.leased(ctx, convergeTimeout); err != nil && !s.Contradicts {
 		r.Failed = append(r.Failed, "at the end: "+err.Error())
 	}
 	r.Converged = time.Since(healed).Seconds()
-	time.Sleep(settleFor)
-	if v := s.version(c); v != nil && v.Servers != nil {
-		for end := time.Now().Add(tablesIn); time.Now().Before(end) && r.Tables != 1; time.Sleep(settleFor) {
+	time.Sleep(settleTime)
+	if v := s.version(c); v != nil && v.Endpoints != nil {
+		for end := time.Now().Add(tablesTimeout); time.Now().Before(end) && r.Tables != 1; time.Sleep(settleTime) {
 			r.Tables = c.tables()
 		}
 		if r.Tables != 1 {
 			r.Failed = append(r.Failed, fmt.Sprintf("sidecars go by %d tables", r.Tables))
 		}
 	}
-	r.Busy = machine().since(idle)
-	close(c.quiet)
-	c.asking.Wait()
-	after, share := sums(c.sidecars), 1/time.Since(begin).Seconds()/float64(len(c.sidecars))
-	r.Gone = after[3] - before[3]
+	r.Busy = readCPU().since(idle)
+	close(c.clientsEnded)
+	c.requesting.Wait()
+	after, share := sumFigures(c.instances), 1/time.Since(begin).Seconds()/float64(len(c.instances))
+	r.FalseDeaths = after[3] - before[3]
 	r.Packets, r.Bytes, r.CPU = (after[0]-before[0])*share, (after[1]-before[1])*share, (after[2]-before[2])*share
-	h := &judge.History{CutOff: cutOff, Slack: 250*time.Millisecond + late()}
+	h := &judge.History{Deadline: deadline, Slack: 250*time.Millisecond + late()}
 	if err := errors.Join(c.meant(h), c.written(h)); err != nil {
 		return nil, err
 	}
 	for _, p := range c.Processes {
 		c.out(p, true)
 	}
-	h.Ran, h.Asked, h.Down, h.Listed, h.Deaf = c.ran, c.asked, c.down, c.listed, c.deaf
+	h.Executions, h.ClientRequests, h.Down, h.Lists, h.Unnotified = c.executions, c.clientRequests, c.down, c.lists, c.unnotified
 	r.History, r.Verdict = h, judge.Judge(h)
-	r.OwnDelay, r.Late = c.Links.Overhead(99).Seconds(), late().Seconds()
+	r.OwnDelay, r.ClockLateness = c.Links.Overhead(99).Seconds(), late().Seconds()
 	lease, _ := time.ParseDuration(s.Lease)
-	r.Void = r.Late > lease.Seconds()
+	r.Void = r.ClockLateness > lease.Seconds()
 	r.spread(h)
 	return r, nil
 }
 
-// cores are the times that all cores of the machine have spent, and of these the ones with nothing to do; proc(5), stat.
-type cores struct{ all, idle float64 }
+// cpuTimes are the times that all cores of the machine have spent, and of these the ones with nothing to do; proc(5), stat.
+type cpuTimes struct{ all, idle float64 }
 
-func machine() (c cores) {
+func readCPU() (c cpuTimes) {
 	text, _ := os.ReadFile("/proc/stat")
 	line, _, _ := strings.Cut(string(text), "\n")
 	for i, field := range strings.Fields(line) {
@@ -171,7 +171,7 @@
 	return c
 }
 
-func (c cores) since(before cores) float64 {
+func (c cpuTimes) since(before cpuTimes) float64 {
 	if c.all <= before.all {
 		return 0
 	}
@@ -181,7 +181,7 @@
 // ended tells of processes that have ended by themselves, with their last words.
 func (c *Cluster) ended() (all []string) {
 	for _, p := range c.Processes {
-		if p.proc != nil && !p.Runs() && !p.filled {
+		if p.proc != nil && !p.Runs() && !p.diskFull {
 			log, _ := os.ReadFile(p.Log)
 			all = append(all, fmt.Sprintf("%s has ended by itself: %s", p.Name, log[max(0, len(log)-300):]))
 		}
@@ -192,7 +192,7 @@
 // tables counts the different ones that sidecars hold, as each says of itself: what others know of it may be half a minute old.
 func (c *Cluster) tables() int {
 	all := map[string]bool{}
-	for _, p := range c.sidecars {
+	for _, p := range c.instances {
 		p.page("/_peers", func(line string) {
 			if strings.HasPrefix(line, string(p.Name)+" ") {
 				_, table, _ := strings.Cut(line, "table=")
@@ -204,16 +204,16 @@
 }
 
 // version is the one in force.
-func (s *Script) version(c *Cluster) *Version {
+func (s *Script) version(c *Cluster) *RuleSet {
 	var name string
-	c.knows.page("/_versions/"+strconv.Itoa(c.inForce), func(line string) {
+	c.upToDate.page("/_versions/"+strconv.Itoa(c.activeRevision), func(line string) {
 		if text, is := strings.CutPrefix(line, "# "); is {
 			name = text
 		}
 	})
-	for i := range s.Versions {
-		if s.Versions[i].Name == name {
-			return &s.Versions[i]
+	for i := range s.RuleSets {
+		if s.RuleSets[i].Name == name {
+			return &s.RuleSets[i]
 		}
 	}
 	return nil
@@ -221,9 +221,9 @@
 
 // keeper is one that knows who leads, or else one that runs.
 func (c *Cluster) keeper() *Process {
-	some := c.keepers[0]
-	for _, k := range c.keepers {
-		if !k.Runs() || k.still {
+	some := c.coordinators[0]
+	for _, k := range c.coordinators {
+		if !k.Runs() || k.stopped {
 			continue
 		}
 		some = k
@@ -237,19 +237,19 @@
 
 // standing notes the number of the latest version.
 func (c *Cluster) standing() error {
-	for end := time.Now().Add(convergeIn); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+	for end := time.Now().Add(convergeTimeout); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		changing := 0
-		for _, k := range c.keepers {
+		for _, k := range c.coordinators {
 			var inForce, coming, last int
 			if !k.Runs() || k.page("/_versions", func(line string) {
 				fmt.Sscanf(line, "in force %d, coming %d, last %d,", &inForce, &coming, &last)
-			}) != nil || last < c.last {
+			}) != nil || last < c.lastRevision {
 				continue // one that has just been started may not have caught up
 			}
-			c.knows, c.inForce, c.last = k, inForce, last
+			c.upToDate, c.activeRevision, c.lastRevision = k, inForce, last
 			changing = coming - inForce
 		}
-		if c.knows != nil && changing == 0 {
+		if c.upToDate != nil && changing == 0 {
 			return nil
 		}
 	}
@@ -259,14 +259,14 @@
 // leased waits until every sidecar has had a lease on the version in force.
 func (c *Cluster) leased(ctx context.Context, within time.Duration) error {
 	end := time.Now().Add(within)
-	for _, p := range c.sidecars {
+	for _, p := range c.instances {
 		for {
 			f := p.Figures("pepperlead_rules_version", "pepperlead_rules_leased")
-			if int(f[0]) == c.inForce && f[1] == 1 {
+			if int(f[0]) == c.activeRevision && f[1] == 1 {
 				break
 			}
 			if time.Now().After(end) || ctx.Err() != nil {
-				return fmt.Errorf("%s goes by version %.0f, lease %.0f; in force is %d", p.Name, f[0], f[1], c.inForce)
+				return fmt.Errorf("%s goes by version %.0f, lease %.0f; in force is %d", p.Name, f[0], f[1], c.activeRevision)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -293,20 +293,20 @@
 		}
 		any, alone := map[string]int64{}, map[string]int64{}
 		for _, one := range h.Changes {
-			if !one.Leased || !slices.Contains(one.Of, a.Number) {
+			if !one.Leased || !slices.Contains(one.Revisions, a.Number) {
 				continue
 			}
 			if at, is := any[one.Process]; !is || one.At < at {
 				any[one.Process] = one.At
 			}
-			if at, is := alone[one.Process]; len(one.Of) == 1 && (!is || one.At < at) {
+			if at, is := alone[one.Process]; len(one.Revisions) == 1 && (!is || one.At < at) {
 				alone[one.Process] = one.At
 			}
 		}
 		from := r.Begun + int64(a.At*1e9)
 		took := func(until map[string]int64) (all []float64) {
 			for p, at := range until {
-				if !slices.ContainsFunc(h.Down, func(d judge.Down) bool { return d.Process == p && d.To-int64(answerIn) > from && d.From < at }) {
+				if !slices.ContainsFunc(h.Down, func(d judge.Down) bool { return d.Process == p && d.To-int64(answerTimeout) > from && d.From < at }) {
 					all = append(all, float64(at-from)/1e9)
 				}
 			}
@@ -314,7 +314,7 @@
 			return all
 		}
 		if t := took(any); len(t) > 0 {
-			a.P50, a.P99, a.Most = t[len(t)/2], t[min(len(t)-1, len(t)*99/100)], t[len(t)-1]
+			a.P50, a.P99, a.Max = t[len(t)/2], t[min(len(t)-1, len(t)*99/100)], t[len(t)-1]
 		}
 		if t := took(alone); len(t) > 0 {
 			a.Alone = max(0, t[len(t)-1])
--- a/internal/faulttest/read.go
+++ b/internal/faulttest/read.go
@@ -14,7 +14,7 @@
 
 // written reads what the sidecars have written down. A last line that a killed process left half is left out.
 func (c *Cluster) written(h *judge.History) error {
-	for _, p := range c.sidecars {
+	for _, p := range c.instances {
 		log, err := os.Open(p.Log)
 		if err != nil {
 			return err
@@ -34,14 +34,14 @@
 			if json.Unmarshal(lines.Bytes(), &line) != nil {
 				continue
 			}
-			acts := judge.Acts{Process: string(p.Name), Of: line.Versions, Leased: line.Leased, At: line.Awake}
+			acts := judge.ActiveRules{Process: string(p.Name), Revisions: line.Versions, Leased: line.Leased, At: line.Awake}
 			switch {
 			case line.Msg == engine.LogLeaseHeld || line.Msg == engine.LogLeaseExpired:
 				h.Changes = append(h.Changes, acts)
 			case line.Msg == engine.LogRequestAdmitted:
-				h.Steps = append(h.Steps, judge.Step{Acts: acts, ID: line.ID})
+				h.Steps = append(h.Steps, judge.Step{ActiveRules: acts, ID: line.ID})
 			case line.Msg == engine.LogAttemptStarted:
-				h.Steps = append(h.Steps, judge.Step{Acts: acts, ID: line.ID, Server: line.Server, No: line.No})
+				h.Steps = append(h.Steps, judge.Step{ActiveRules: acts, ID: line.ID, Endpoint: line.Server, AttemptNumber: line.No})
 			}
 		}
 		log.Close()
@@ -54,27 +54,27 @@
 
 // meant gives each version that the keepers have agreed on the meaning that the script gave its text.
 func (c *Cluster) meant(h *judge.History) error {
-	texts := map[string]Version{}
-	for _, v := range c.script.Versions {
+	texts := map[string]RuleSet{}
+	for _, v := range c.script.RuleSets {
 		text, err := os.ReadFile(filepath.Join(c.dir, v.Name+".version"))
 		if err != nil {
 			return err
 		}
 		texts[strings.TrimSpace(string(text))] = v
 	}
-	h.Versions = map[int]judge.Version{0: meaning(c.script.Versions[0])}
-	for n := 1; n <= c.last; n++ {
+	h.RuleSets = map[int]judge.RuleSet{0: meaning(c.script.RuleSets[0])}
+	for n := 1; n <= c.lastRevision; n++ {
 		var text strings.Builder
-		if err := c.knows.page("/_versions/"+strconv.Itoa(n), func(line string) { text.WriteString(line + "\n") }); err != nil {
+		if err := c.upToDate.page("/_versions/"+strconv.Itoa(n), func(line string) { text.WriteString(line + "\n") }); err != nil {
 			return err
 		}
 		if v, known := texts[strings.TrimSpace(text.String())]; known {
-			h.Versions[n] = meaning(v)
+			h.RuleSets[n] = meaning(v)
 		}
 	}
 	return nil
 }
 
-func meaning(v Version) judge.Version {
-	return judge.Version{Repeats: v.Repeats, Window: v.Window, Servers: v.Servers, Bans: v.Bans}
+func meaning(v RuleSet) judge.RuleSet {
+	return judge.RuleSet{Idempotency: v.Idempotency, Window: v.Window, Endpoints: v.Endpoints, Drained: v.Drained}
 }
--- a/internal/faulttest/report.go
+++ b/internal/faulttest/report.go
@@ -13,7 +13,7 @@
 )
 
 //go:embed report.html
-var page string
+var reportTemplate string
 
 // box is a part of a picture.
 type box struct {
@@ -35,14 +35,14 @@
 	plotHigh = 80.0
 )
 
-var inks = []string{"#888866", "#4477aa", "#66aa55", "#aa7744", "#8855aa", "#44aaaa", "#aa4488", "#777777"}
+var palette = []string{"#888866", "#4477aa", "#66aa55", "#aa7744", "#8855aa", "#44aaaa", "#aa4488", "#777777"}
 
 // Report writes one page of HTML about a play into the folder: a lane for each process, and answers over time.
 func Report(dir string, s *Script, r *Result) error {
 	h := r.History
 	end := r.Begun + 1
-	for _, a := range h.Asked {
-		end = max(end, a.Ended)
+	for _, a := range h.ClientRequests {
+		end = max(end, a.EndedAt)
 	}
 	x := func(at int64) float64 {
 		return nameWide + wide*float64(min(max(at, r.Begun), end)-r.Begun)/float64(end-r.Begun)
@@ -66,24 +66,24 @@
 			}
 		}
 		l := row(a.Process)
-		ink := func(n int) string { return inks[n%len(inks)] }
+		ink := func(n int) string { return palette[n%len(palette)] }
 		y := l.Text - low + 2
 		if till <= r.Begun {
 			continue
 		}
-		b := box{x(a.At), y, x(till) - x(a.At), low, "#cc3333", fmt.Sprintf("by %v, leased %v", a.Of, a.Leased)}
-		if a.Leased && len(a.Of) > 0 {
-			b.Ink = ink(a.Of[0])
-			if len(a.Of) > 1 {
+		b := box{x(a.At), y, x(till) - x(a.At), low, "#cc3333", fmt.Sprintf("by %v, leased %v", a.Revisions, a.Leased)}
+		if a.Leased && len(a.Revisions) > 0 {
+			b.Ink = ink(a.Revisions[0])
+			if len(a.Revisions) > 1 {
 				b.H = low / 2
-				l.Spans = append(l.Spans, box{b.X, y + low/2, b.W, low / 2, ink(a.Of[1]), b.Word})
+				l.Spans = append(l.Spans, box{b.X, y + low/2, b.W, low / 2, ink(a.Revisions[1]), b.Word})
 			}
 		}
 		l.Spans = append(l.Spans, b)
 	}
 	for _, d := range h.Down {
 		l := row(d.Process)
-		to := d.To - int64(answerIn)
+		to := d.To - int64(answerTimeout)
 		l.Spans = append(l.Spans, box{x(d.From), l.Text - low + 2, x(to) - x(d.From), low, "#cccccc", "stands still or is not there"})
 	}
 	bottom := lanesAt + float64(len(lanes))*(low+2) + 10
@@ -91,8 +91,8 @@
 	const each = int64(5e8)
 	var counts [][2]float64
 	most := 1.0
-	for _, a := range h.Asked {
-		i := int((a.Ended - r.Begun) / each)
+	for _, a := range h.ClientRequests {
+		i := int((a.EndedAt - r.Begun) / each)
 		for len(counts) <= i {
 			counts = append(counts, [2]float64{})
 		}
@@ -116,7 +116,7 @@
 		marks = append(marks, box{X: x(m.At), Y: 12 + float64(i%4)*12, Word: m.What})
 	}
 	var out bytes.Buffer
-	shape := template.Must(template.New("report").Parse(page))
+	shape := template.Must(template.New("report").Parse(reportTemplate))
 	if err := shape.Execute(&out, map[string]any{"R": r, "S": s, "Lanes": lanes, "Plot": plot, "Marks": marks, "Height": height}); err != nil {
 		return err
 	}
--- a/internal/faulttest/script_test.go
+++ b/internal/faulttest/script_test.go
@@ -29,17 +29,17 @@
 
 // A fleet of more than a thousand processes and servers can be written down; one that no addresses are laid out for is a fault that says so.
 func TestLargeDrillsCanBeRead(t *testing.T) {
-	for n, fine := range map[int]bool{1024: true, most: true, most + 1: false} {
+	for n, fine := range map[int]bool{1024: true, maxProcesses: true, maxProcesses + 1: false} {
 		s, err := ReadScript("large", fmt.Appendf(nil, "[drill]\nsidecars = %d\nservers = %d\n", n, n))
-		if fine != (err == nil) || fine && (s.Sidecars != n || s.Servers != n) {
+		if fine != (err == nil) || fine && (s.Instances != n || s.Endpoints != n) {
 			t.Errorf("%d: %v", n, err)
 		}
 	}
 	seen := map[string]bool{}
-	for i := range most + 5 {
+	for i := range maxProcesses + 5 {
 		seen[own(i)], seen[reached(i)] = true, true
 	}
-	if len(seen) != 2*(most+5) {
-		t.Errorf("%d addresses for %d processes", len(seen), most+5)
+	if len(seen) != 2*(maxProcesses+5) {
+		t.Errorf("%d addresses for %d processes", len(seen), maxProcesses+5)
 	}
 }
--- a/internal/faulttest/stage.go
+++ b/internal/faulttest/stage.go
@@ -29,26 +29,26 @@
 	Processes []*Process
 	dir       string
 	program   string
-	asks      http.Client
+	client    http.Client
 }
 
 // Process is one sidecar.
 type Process struct {
-	Name   faultproxy.Node
-	Log    string // file
-	stage  *Stage
-	verb   string // serve or keep
-	pages  string
-	clock  string // GW_CLOCK
-	proc   *exec.Cmd
-	gone   chan struct{} // closed once it has ended, by itself too
-	ended  error         // why, from then on
-	still  bool
-	filled bool // its files can grow no more
+	Name           faultproxy.Node
+	Log            string // file
+	stage          *Stage
+	command        string // serve or keep
+	metricsAddress string
+	clockSkew      string // GW_CLOCK
+	proc           *exec.Cmd
+	exited         chan struct{} // closed once it has ended, by itself too
+	exitError      error         // why, from then on
+	stopped        bool
+	diskFull       bool // its files can grow no more
 }
 
-// Post is what the processes are told.
-type Post struct {
+// StageConfig is what the processes are told.
+type StageConfig struct {
 	Program   string
 	Dir       string // that is there
 	Count     int
@@ -57,11 +57,11 @@
 	Seed      uint64
 }
 
-// most is how many processes, and how many servers, loopback addresses are laid out for here.
-const most = 2048
+// maxProcesses is how many processes, and how many servers, loopback addresses are laid out for here.
+const maxProcesses = 2048
 
 // Begin starts all processes at once. The caller ends them by Close; after an error all that was started has ended.
-func Begin(p Post) (*Stage, error) {
+func Begin(p StageConfig) (*Stage, error) {
 	s, err := begin(p)
 	if err != nil {
 		s.Close()
@@ -71,10 +71,10 @@
 }
 
 // begin gives what it has started, also with an error.
-func begin(p Post) (*Stage, error) {
-	s := &Stage{Links: faultproxy.New(p.Seed), dir: p.Dir, program: p.Program, asks: http.Client{Timeout: 2 * time.Second}}
-	if p.Count < 1 || p.Count+p.Strangers > most {
-		return s, fmt.Errorf("drill: found %d processes, allowed 1 to %d", p.Count+p.Strangers, most)
+func begin(p StageConfig) (*Stage, error) {
+	s := &Stage{Links: faultproxy.New(p.Seed), dir: p.Dir, program: p.Program, client: http.Client{Timeout: 2 * time.Second}}
+	if p.Count < 1 || p.Count+p.Strangers > maxProcesses {
+		return s, fmt.Errorf("drill: found %d processes, allowed 1 to %d", p.Count+p.Strangers, maxProcesses)
 	}
 	for i := range 2 {
 		key := base64.StdEncoding.EncodeToString([]byte(fmt.Sprintf("%016x", p.Seed+uint64(i))))
@@ -103,7 +103,7 @@
 			cluster = "another"
 		}
 		text := fmt.Sprintf("[instance]\nname = %q\ninstances = %d\nseed = \"%x\"\n[front.http]\nlisten = \"%s:%d\"\n[pages]\nlisten = %q\n", one.Name,
-			p.Instances, p.Seed*1000+uint64(i), own(i), front, one.pages) + fmt.Sprintf("[peers]\nlisten = %q\nadvertise = %q\ncluster = %q\n"+
+			p.Instances, p.Seed*1000+uint64(i), own(i), front, one.metricsAddress) + fmt.Sprintf("[peers]\nlisten = %q\nadvertise = %q\ncluster = %q\n"+
 			"key_file = \"key%d\"\njoin = [%s]\n", listen, door, cluster, key, strings.Join(join, ", ")) + "[[offering]]\nname = \"step\"\n" +
 			"quoted_time = \"1s\"\ncut_off = \"2s\"\n[source]\nkind = \"fixed\"\n[[source.server]]\nid = \"a\"\naddress = \"127.0.0.1:1\"\n"
 		if err := os.WriteFile(one.config(), []byte(text), 0o600); err != nil {
@@ -120,7 +120,7 @@
 
 // process adds one that does not run yet.
 func (s *Stage) process(name, verb, pages string) *Process {
-	one := &Process{Name: faultproxy.Node(name), Log: filepath.Join(s.dir, name+".log"), stage: s, verb: verb, pages: pages}
+	one := &Process{Name: faultproxy.Node(name), Log: filepath.Join(s.dir, name+".log"), stage: s, command: verb, metricsAddress: pages}
 	s.Processes = append(s.Processes, one)
 	return one
 }
@@ -178,20 +178,20 @@
 		return err
 	}
 	defer log.Close()
-	proc := exec.Command(p.stage.program, p.verb, "--config", p.config())
+	proc := exec.Command(p.stage.program, p.command, "--config", p.config())
 	proc.Stderr = log
 	proc.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // a rig that is itself killed leaves nobody behind
-	if p.clock != "" {
-		proc.Env = append(os.Environ(), "GW_CLOCK="+p.clock)
+	if p.clockSkew != "" {
+		proc.Env = append(os.Environ(), "GW_CLOCK="+p.clockSkew)
 	}
 	if err := proc.Start(); err != nil {
 		return err
 	}
-	p.proc, p.gone = proc, make(chan struct{})
+	p.proc, p.exited = proc, make(chan struct{})
 	go func(gone chan struct{}) {
-		p.ended = proc.Wait()
+		p.exitError = proc.Wait()
 		close(gone)
-	}(p.gone)
+	}(p.exited)
 	return nil
 }
 
@@ -201,7 +201,7 @@
 		return false
 	}
 	select {
-	case <-p.gone:
+	case <-p.exited:
 		return false
 	default:
 		return true
@@ -213,7 +213,7 @@
 	if p.proc != nil {
 		p.Stall(false)
 		p.proc.Process.Kill()
-		<-p.gone
+		<-p.exited
 		p.proc = nil
 	}
 }
@@ -221,15 +221,15 @@
 // Leave has it end in good order, and waits for that.
 func (p *Process) Leave() error {
 	p.proc.Process.Signal(syscall.SIGTERM)
-	<-p.gone
+	<-p.exited
 	p.proc = nil
-	return p.ended
+	return p.exitError
 }
 
 // Stall has it stand still, or go on.
 func (p *Process) Stall(still bool) {
-	if p.still != still {
-		p.still = still
+	if p.stopped != still {
+		p.stopped = still
 		p.proc.Process.Signal(map[bool]os.Signal{true: syscall.SIGSTOP, false: syscall.SIGCONT}[still])
 	}
 }
@@ -242,7 +242,7 @@
 
 // page asks one of its pages, line by line.
 func (p *Process) page(path string, each func(line string)) error {
-	answer, err := p.stage.asks.Get("http://" + p.pages + path)
+	answer, err := p.stage.client.Get("http://" + p.metricsAddress + path)
 	if err != nil {
 		return err
 	}
--- a/internal/faulttest/steps.go
+++ b/internal/faulttest/steps.go
@@ -18,10 +18,10 @@
 )
 
 // await waits for the moment of a doing, which differs a little by seed.
-func (c *Cluster) await(ctx context.Context, begin time.Time, d Doing) {
+func (c *Cluster) await(ctx context.Context, begin time.Time, d Action) {
 	var jitter time.Duration
 	if c.script.Jitter > 0 {
-		jitter = time.Duration(c.chance.Int64N(int64(c.script.Jitter)))
+		jitter = time.Duration(c.random.Int64N(int64(c.script.Jitter)))
 	}
 	pause := func(d time.Duration) {
 		select {
@@ -33,10 +33,10 @@
 		pause(d.At + jitter - time.Since(begin))
 		return
 	}
-	n, need := 0, int(math.Ceil(d.Share*float64(len(c.sidecars))))
+	n, need := 0, int(math.Ceil(d.Share*float64(len(c.instances))))
 	act := map[*Process]bool{}
-	for end := time.Now().Add(convergeIn); n < need && ctx.Err() == nil && time.Now().Before(end); pause(10 * time.Millisecond) {
-		for _, p := range c.sidecars {
+	for end := time.Now().Add(convergeTimeout); n < need && ctx.Err() == nil && time.Now().Before(end); pause(10 * time.Millisecond) {
+		for _, p := range c.instances {
 			if n < need && !act[p] && p.Figure("pepperlead_rules_version") >= float64(d.Number) {
 				act[p] = true
 				n++
@@ -52,20 +52,20 @@
 		k := (len(half) + 1) / 2
 		switch name {
 		case "sidecars":
-			some = append(some, c.sidecars...)
+			some = append(some, c.instances...)
 		case "keepers":
-			some = append(some, c.keepers...)
+			some = append(some, c.coordinators...)
 		case "all":
 			some = append(some, c.Processes...)
 		case "one", "another":
-			some = append(some, c.sidecars[half[map[string]int{"one": 0, "another": len(half) - 1}[name]]])
+			some = append(some, c.instances[half[map[string]int{"one": 0, "another": len(half) - 1}[name]]])
 		case "half", "others":
 			for _, i := range map[string][]int{"half": half[:k], "others": half[k:]}[name] {
-				some = append(some, c.sidecars[i])
+				some = append(some, c.instances[i])
 			}
 		case "leader", "followers":
 			leader := c.leader()
-			for _, k := range c.keepers {
+			for _, k := range c.coordinators {
 				if (k == leader) == (name == "leader") {
 					some = append(some, k)
 				}
@@ -86,16 +86,16 @@
 	c.keeper().page("/_versions", func(line string) {
 		_, text, _ := strings.Cut(line, "leader \"")
 		text, _, _ = strings.Cut(text, "\"")
-		for _, k := range c.keepers {
+		for _, k := range c.coordinators {
 			if string(k.Name) == text {
-				c.led = k
+				c.lastLeader = k
 			}
 		}
 	})
-	if c.led == nil {
-		return c.keepers[0]
+	if c.lastLeader == nil {
+		return c.coordinators[0]
 	}
-	return c.led
+	return c.lastLeader
 }
 
 // places are the processes and servers that a script means.
@@ -103,7 +103,7 @@
 	for _, p := range c.who(names, half) {
 		all = append(all, p.Name)
 	}
-	for i := range c.servers {
+	for i := range c.endpoints {
 		if name := fmt.Sprint("s", i+1); slices.Contains(names, name) || slices.Contains(names, "servers") {
 			all = append(all, faultproxy.Node(name))
 		}
@@ -114,7 +114,7 @@
 	return all
 }
 
-func (c *Cluster) do(ctx context.Context, d Doing, half []int, r *Result, changes *sync.WaitGroup, begin time.Time) {
+func (c *Cluster) do(ctx context.Context, d Action, half []int, r *Result, changes *sync.WaitGroup, begin time.Time) {
 	who := c.who(d.Who, half)
 	fail := func(err error) {
 		if err != nil {
@@ -142,12 +142,12 @@
 		for _, a := range c.Processes {
 			for _, b := range c.Processes {
 				if a != b {
-					c.Links.Set(faultproxy.Link{From: a.Name, To: b.Name}, faultproxy.Faults{Drop: d.Drop, Duplicate: d.Twice, Delay: d.Delay, Jitter: d.Spread})
+					c.Links.Set(faultproxy.Link{From: a.Name, To: b.Name}, faultproxy.Faults{Drop: d.Drop, Duplicate: d.Duplicate, Delay: d.Delay, Jitter: d.Spread})
 				}
 			}
 		}
 	case "list":
-		c.list(d.Servers, d.Leaving)
+		c.list(d.Ready, d.Draining)
 	case "heal":
 		c.Links.Heal()
 	case "stall":
@@ -170,7 +170,7 @@
 		all.Wait()
 	case "throttle":
 		for _, p := range who {
-			changes.Go(func() { p.throttle(ctx, c.over) })
+			changes.Go(func() { p.throttle(ctx, c.scriptEnded) })
 		}
 	case "fill-disk":
 		for _, p := range who {
@@ -187,30 +187,30 @@
 func (c *Cluster) hearing() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, p := range c.sidecars {
+	for _, p := range c.instances {
 		open := c.Links.Open(faultproxy.Link{From: p.Name, To: discovery}) && c.Links.Open(faultproxy.Link{From: discovery, To: p.Name})
-		from, deaf := c.unheard[p]
+		from, deaf := c.unnotifiedSince[p]
 		switch now := int64(clock.True()); {
 		case open && deaf:
-			c.deaf = append(c.deaf, judge.Down{Process: string(p.Name), From: from, To: now + int64(hearsIn)})
-			delete(c.unheard, p)
+			c.unnotified = append(c.unnotified, judge.Down{Process: string(p.Name), From: from, To: now + int64(notifyTimeout)})
+			delete(c.unnotifiedSince, p)
 		case !open && !deaf:
-			c.unheard[p] = now
+			c.unnotifiedSince[p] = now
 		}
 	}
 }
 
 // change runs the program's own command.
-func (c *Cluster) change(ctx context.Context, d Doing, at *Process, r *Result, begin time.Time) {
-	args := []string{"apply", filepath.Join(c.dir, d.Version+".version"), "--wait", "30s"}
+func (c *Cluster) change(ctx context.Context, d Action, at *Process, r *Result, begin time.Time) {
+	args := []string{"apply", filepath.Join(c.dir, d.RuleSet+".version"), "--wait", "30s"}
 	switch d.What {
 	case "rollback":
-		args = []string{"rollback", strconv.Itoa(d.Of), "--wait", "30s"}
+		args = []string{"rollback", strconv.Itoa(d.Revision), "--wait", "30s"}
 	case "withdraw":
-		args = []string{"withdraw", strconv.Itoa(d.Of)}
+		args = []string{"withdraw", strconv.Itoa(d.Revision)}
 	}
-	args = append(args, "--to", at.pages)
-	a := Applied{Version: d.Version, At: time.Since(begin).Seconds()}
+	args = append(args, "--to", at.metricsAddress)
+	a := Applied{Version: d.RuleSet, At: time.Since(begin).Seconds()}
 	if a.Version == "" {
 		a.Version = strings.Join(args[:2], " ")
 	}
