--- a/internal/benchmark/cost.go
+++ b/internal/benchmark/cost.go
@@ -1,5 +1,5 @@
-// Package yardstick measures whole processes on loopback, side by side in one run: what a ticket costs the daemon next to a
-// plain proxy, how long a change of a list file takes to show, how much memory a list takes.
+// Package benchmark measures whole processes on loopback, side by side in one run: what a request costs the daemon next
+// to a plain proxy, how long a change of a list file takes to show, how much memory a list takes.
 package benchmark
 
 import (
--- a/internal/fakebackend/standin.go
+++ b/internal/fakebackend/standin.go
@@ -1,6 +1,6 @@
-// Package standin is a server of the project's own that speaks as the platform's endpoints do: cores that work on one request
-// each, a queue before them, warm-up after a start, draining, and faults drawn from a seed. It serves demos, experiments and
-// tests; nothing that decides or carries tickets imports it.
+// Package fakebackend is an HTTP server that behaves as the platform's endpoints do: cores that work on one request each,
+// a queue, warm-up after a start, draining, and faults drawn from a seed. It serves demos, experiments and tests; nothing
+// that decides or forwards requests imports it.
 package fakebackend
 
 import (
--- a/internal/faulttest/judge/judge.go
+++ b/internal/faulttest/judge/judge.go
@@ -1,106 +1,44 @@
-// Package judge tells from what processes, servers and clients wrote down whether a cluster kept its rules. It shares no code with what it
-// judges: what a version allows is told to it as the drill meant it. All moments are of one machine's clock, in nanoseconds.
 package judge
 
 import (
 	"cmp"
 	"fmt"
+	"maps"
+	"net/http"
 	"slices"
 	"time"
 )
 
-// RuleSet is what a version allows.
-type RuleSet struct {
-	Idempotency string // "reissuable", "numbered" or "at-most-once"
-	Window      time.Duration
-	Endpoints   []string // nil: any
-	Drained     []string
-}
-
-// ActiveRules is a moment at which a process said by what it acts.
-type ActiveRules struct {
-	Process   string
-	Revisions []int
-	Leased    bool
-	At        int64
-}
-
-// Step is one of a ticket: its coming in, or a push to a server.
-type Step struct {
-	ActiveRules
-	ID            string
-	Endpoint      string // "": it came in
-	AttemptNumber int    // of the push
-}
-
-// Execution is what a server has done.
-type Execution struct {
-	ID, Endpoint string
-	At           int64
-}
-
-// ClientRequest is what a client asked, and what became of it.
-type ClientRequest struct {
-	ID, Process     string
-	SentAt, EndedAt int64
-	Status          int // 0: no answer
-}
-
-// Down is a time in which a process stood still, was not there, or had just been.
-type Down struct {
-	Process  string
-	From, To int64
-}
-
-// EndpointList is a list that discovery told: servers that are not ready on it get nothing new after the grace.
-type EndpointList struct {
-	At    int64
-	Ready []string
-}
-
-// DrainGrace is how long after a list a push may still go by the one before: a second, and what it takes to come.
-const DrainGrace = 1500 * time.Millisecond
-
-// History is all that is known of a drill.
-type History struct {
-	RuleSets       map[int]RuleSet
-	Changes        []ActiveRules
-	Steps          []Step
-	Executions     []Execution
-	ClientRequests []ClientRequest
-	Down           []Down
-	Lists          []EndpointList // in their order
-	Unnotified     []Down         // times in which a process may not have heard what discovery told
-	Deadline       time.Duration
-	Slack          time.Duration // by which machine and links may make a client's answer late
-}
-
 // Verdict is what the judge found.
 type Verdict struct {
-	Contradiction    time.Duration `json:"Contradiction"` // longest for which one acted by versions of which another had none any more
+	// Contradiction is the longest time for which one process acted by revisions of which another acted by none any
+	// more.
+	Contradiction    time.Duration `json:"Contradiction"`
 	Between          string        `json:"Between"`
-	Faults           []string      `json:"Faults"` // broken rules, the first of them
-	Broken           int           `json:"Broken"` // how many there were
+	Faults           []string      `json:"Faults"` // the first broken rules
+	Broken           int           `json:"Broken"` // number of broken rules
 	Attempts         int           `json:"Pushes"`
-	Repeats          int           `json:"Repeats"`  // effects that came twice, all of them allowed if no fault says otherwise
-	Unleased         int           `json:"Unleased"` // pushes without a lease
+	Repeats          int           `json:"Repeats"`  // repeated effects, allowed unless a fault says otherwise
+	Unleased         int           `json:"Unleased"` // attempts without a lease
 	ClientRequests   int           `json:"Asked"`
 	Succeeded        int           `json:"Honoured"`
 	Rejected         int           `json:"TurnedBack"`
 	Failed           int           `json:"GivenUp"`
-	Lost             int           `json:"Lost"`   // no answer, of a process that was killed or stood still
-	UnleasedRequests [2]int        `json:"CutOff"` // of tickets that came in without a lease: all, and honoured
+	Lost             int           `json:"Lost"`   // not answered by a process that was killed or stopped
+	UnleasedRequests [2]int        `json:"CutOff"` // requests that were admitted without a lease: all, and succeeded
 }
 
+// maxFaultsShown is how many faults are kept with their texts; all are counted.
 const maxFaultsShown = 20
 
-func (v *Verdict) fault(format string, of ...any) {
-	if v.Broken++; len(v.Faults) < maxFaultsShown {
-		v.Faults = append(v.Faults, fmt.Sprintf(format, of...))
+func (v *Verdict) fault(format string, arguments ...any) {
+	v.Broken++
+	if len(v.Faults) < maxFaultsShown {
+		v.Faults = append(v.Faults, fmt.Sprintf(format, arguments...))
 	}
 }
 
-// Judge looks through a history.
+// Judge checks a history, whose steps and executions it sorts by time.
 func Judge(h *History) *Verdict {
 	v := &Verdict{}
 	slices.SortStableFunc(h.Steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
@@ -113,178 +51,214 @@
 	return v
 }
 
-// checkContradictions looks for pushes by older versions alone, after another process has pushed by newer ones alone.
+// firstAttempt is the first attempt of a process by no revision older than one.
+type firstAttempt struct {
+	process string
+	at      int64
+}
+
+// checkContradictions looks for attempts by older revisions alone after another process made one by newer ones alone.
 func (v *Verdict) checkContradictions(h *History) {
-	// By version: the first two processes that pushed by none older, and when.
-	type first struct {
-		process string
-		at      int64
-	}
-	begun := map[int][]first{}
-	for _, s := range h.Steps {
-		if s.Endpoint == "" || !s.Leased || len(s.Revisions) == 0 {
+	begun := map[int][]firstAttempt{} // by oldest revision, of the first two processes
+	for i := range h.Steps {
+		s := &h.Steps[i]
+		if !s.isAttempt() || !s.Leased || len(s.Revisions) == 0 {
 			continue
 		}
-		oldest, newest := slices.Min(s.Revisions), slices.Max(s.Revisions)
-		for n, firsts := range begun {
-			if n <= newest {
-				continue
-			}
-			for _, f := range firsts {
-				if d := time.Duration(s.At - f.at); f.process != s.Process && d > v.Contradiction {
-					v.Contradiction = d
-					v.Between = fmt.Sprintf("%s pushed by %v, %v after %s had by none older than %d", s.Process, s.Revisions, d, f.process, n)
-				}
+		oldest := slices.Min(s.Revisions)
+		newest := slices.Max(s.Revisions)
+		for revision, firsts := range begun {
+			if revision > newest {
+				v.contradict(s, revision, firsts)
 			}
 		}
 		firsts := begun[oldest]
-		if len(firsts) < 2 && !slices.ContainsFunc(firsts, func(f first) bool { return f.process == s.Process }) {
-			begun[oldest] = append(firsts, first{s.Process, s.At})
+		sameProcess := func(f firstAttempt) bool { return f.process == s.Process }
+		if len(firsts) < 2 && !slices.ContainsFunc(firsts, sameProcess) {
+			begun[oldest] = append(firsts, firstAttempt{s.Process, s.At})
 		}
 	}
 }
 
-// checkAttempts looks at each alone.
+// contradict notes how long after other processes' first attempts by the newer revision the step came.
+func (v *Verdict) contradict(s *Step, revision int, firsts []firstAttempt) {
+	for _, first := range firsts {
+		after := time.Duration(s.At - first.at)
+		if first.process != s.Process && after > v.Contradiction {
+			v.Contradiction = after
+			v.Between = fmt.Sprintf("%s pushed by %v, %v after %s had by none older than %d",
+				s.Process, s.Revisions, after, first.process, revision)
+		}
+	}
+}
+
+// checkAttempts checks each attempt by the rules of its process.
 func (v *Verdict) checkAttempts(h *History) {
-	ran := map[string]int64{}
-	for _, r := range h.Executions {
-		if at, is := ran[r.ID]; !is || r.At < at {
-			ran[r.ID] = r.At
+	firstExecution := map[string]int64{}
+	for _, e := range h.Executions {
+		if at, known := firstExecution[e.ID]; !known || e.At < at {
+			firstExecution[e.ID] = e.At
 		}
 	}
-	oldest := map[string]int{}
-	for _, s := range h.Steps {
+	oldest := map[string]int{} // oldest revision of the latest step, by process
+	for i := range h.Steps {
+		s := &h.Steps[i]
 		if s.Leased && len(s.Revisions) > 0 {
 			if slices.Max(s.Revisions) < oldest[s.Process] {
-				v.fault("%s acts by %v after it had acted by none older than %d", s.Process, s.Revisions, oldest[s.Process])
+				v.fault("%s acts by %v after it had acted by none older than %d",
+					s.Process, s.Revisions, oldest[s.Process])
 			}
 			oldest[s.Process] = slices.Min(s.Revisions)
 		}
-		if s.Endpoint == "" {
+		if !s.isAttempt() {
 			continue
 		}
 		v.Attempts++
-		if !s.Leased {
-			v.Unleased++
-			if at, is := ran[s.ID]; is && at < s.At {
-				v.fault("%s pushed %s to %s without a lease, %v after it had run", s.Process, s.ID, s.Endpoint, time.Duration(s.At-at))
-			}
+		if s.Leased {
+			v.checkEndpoint(h, s)
 			continue
 		}
-		for _, n := range s.Revisions {
-			if one := h.RuleSets[n]; one.Endpoints != nil && !slices.Contains(one.Endpoints, s.Endpoint) || slices.Contains(one.Drained, s.Endpoint) {
-				v.fault("%s pushed %s to %s by %v, and %d does not name that, or bans it", s.Process, s.ID, s.Endpoint, s.Revisions, n)
-			}
+		v.Unleased++
+		if at, known := firstExecution[s.ID]; known && at < s.At {
+			v.fault("%s pushed %s to %s without a lease, %v after it had run",
+				s.Process, s.ID, s.Endpoint, time.Duration(s.At-at))
 		}
 	}
 }
 
-// checkDelisted looks for pushes to servers that no list since the one in force a grace ago has as ready, by those that have heard them.
+// checkEndpoint checks that each revision of an attempt allows its endpoint.
+func (v *Verdict) checkEndpoint(h *History, s *Step) {
+	for _, revision := range s.Revisions {
+		rules := h.RuleSets[revision]
+		unnamed := rules.Endpoints != nil && !slices.Contains(rules.Endpoints, s.Endpoint)
+		if unnamed || slices.Contains(rules.Drained, s.Endpoint) {
+			v.fault("%s pushed %s to %s by %v, and %d does not name that, or bans it",
+				s.Process, s.ID, s.Endpoint, s.Revisions,
+				revision)
+		}
+	}
+}
+
+// checkDelisted looks for attempts at endpoints that no list since the one in force a grace ago has as ready, by
+// processes that were notified of them.
 func (v *Verdict) checkDelisted(h *History) {
-	for _, s := range h.Steps {
-		named := slices.ContainsFunc(s.Revisions, func(n int) bool { return h.RuleSets[n].Endpoints != nil })
-		if s.Endpoint == "" || named {
+	for i := range h.Steps {
+		s := &h.Steps[i]
+		namesEndpoints := func(revision int) bool { return h.RuleSets[revision].Endpoints != nil }
+		if !s.isAttempt() || slices.ContainsFunc(s.Revisions, namesEndpoints) {
 			continue
 		}
-		ready, since := len(h.Lists) == 0, int64(0)
-		for i, l := range h.Lists {
-			inForce := i+1 == len(h.Lists) || h.Lists[i+1].At > s.At-int64(DrainGrace)
-			if l.At > s.At || !inForce {
-				continue
-			}
-			if since == 0 {
-				since = l.At
-			}
-			ready = ready || l.At > s.At-int64(DrainGrace) && i == 0 || slices.Contains(l.Ready, s.Endpoint)
+		ready, since := h.listed(s)
+		unnotified := func(d Down) bool { return d.overlaps(s.Process, s.At, since+int64(DrainGrace)) }
+		if !ready && !slices.ContainsFunc(h.Unnotified, unnotified) && !slices.ContainsFunc(h.Down, unnotified) {
+			v.fault("%s pushed %s to %s, which has not been ready on any list for %v", s.Process, s.ID, s.Endpoint,
+				time.Duration(s.At-since))
 		}
-		unheard := func(d Down) bool { return d.Process == s.Process && d.From <= since+int64(DrainGrace) && s.At <= d.To }
-		if !ready && !slices.ContainsFunc(h.Unnotified, unheard) && !slices.ContainsFunc(h.Down, unheard) {
-			v.fault("%s pushed %s to %s, which has not been ready on any list for %v", s.Process, s.ID, s.Endpoint, time.Duration(s.At-since))
+	}
+}
+
+// listed reports whether a list that an attempt may have followed has its endpoint as ready, and the time of the
+// first such list.
+func (h *History) listed(s *Step) (ready bool, since int64) {
+	ready = len(h.Lists) == 0
+	graceAgo := s.At - int64(DrainGrace)
+	for i, list := range h.Lists {
+		inForce := i+1 == len(h.Lists) || h.Lists[i+1].At > graceAgo
+		if list.At > s.At || !inForce {
+			continue
 		}
+		if since == 0 {
+			since = list.At
+		}
+		firstStillArriving := i == 0 && list.At > graceAgo
+		ready = ready || firstStillArriving || slices.Contains(list.Ready, s.Endpoint)
 	}
+	return ready, since
 }
 
-// checkEffects looks at what ran twice.
+// checkEffects checks the work that was done more than once.
 func (v *Verdict) checkEffects(h *History) {
-	runs, steps := map[string][]Execution{}, map[string][]Step{}
-	for _, r := range h.Executions {
-		runs[r.ID] = append(runs[r.ID], r)
+	executions := map[string][]Execution{}
+	for _, e := range h.Executions {
+		executions[e.ID] = append(executions[e.ID], e)
 	}
+	steps := map[string][]Step{}
 	for _, s := range h.Steps {
 		steps[s.ID] = append(steps[s.ID], s)
 	}
-	for _, id := range sortedKeys(runs) {
-		all := runs[id]
-		for _, again := range all[1:] {
+	for _, id := range slices.Sorted(maps.Keys(executions)) {
+		first := executions[id][0]
+		for _, again := range executions[id][1:] {
 			v.Repeats++
-			var by []int
-			pushed := int64(0)
-			for _, s := range steps[id] {
-				if s.Endpoint == "" || s.Endpoint == again.Endpoint && s.At <= again.At {
-					by = append(by, s.Revisions...)
-				}
-				if s.Endpoint == again.Endpoint && s.At <= again.At {
-					pushed = s.At
-				}
-			}
-			if pushed == 0 {
-				v.fault("%s ran at %s, and nobody has pushed it there", id, again.Endpoint)
-			}
-			for _, n := range by {
-				switch one := h.RuleSets[n]; {
-				case one.Idempotency == "reissuable":
-				case one.Idempotency == "numbered" && time.Duration(pushed-all[0].At) <= one.Window:
-				default:
-					v.fault("%s ran twice, %v apart, and version %d says %s", id, time.Duration(again.At-all[0].At), n, one.Idempotency)
-				}
-			}
+			v.checkRepeat(h, steps[id], first, again)
+		}
+	}
+}
+
+// checkRepeat checks that all revisions by which a repeated execution came about allow it.
+func (v *Verdict) checkRepeat(h *History, steps []Step, first, again Execution) {
+	var revisions []int
+	attemptAt := int64(0)
+	for _, s := range steps {
+		leadsThere := s.Endpoint == again.Endpoint && s.At <= again.At
+		if !s.isAttempt() || leadsThere {
+			revisions = append(revisions, s.Revisions...)
+		}
+		if leadsThere {
+			attemptAt = s.At
+		}
+	}
+	if attemptAt == 0 {
+		v.fault("%s ran at %s, and nobody has pushed it there", again.ID, again.Endpoint)
+	}
+	for _, revision := range revisions {
+		rules := h.RuleSets[revision]
+		withinWindow := time.Duration(attemptAt-first.At) <= rules.Window
+		switch {
+		case rules.Idempotency == "reissuable":
+		case rules.Idempotency == "numbered" && withinWindow:
+		default:
+			v.fault("%s ran twice, %v apart, and version %d says %s",
+				again.ID, time.Duration(again.At-first.At), revision,
+				rules.Idempotency)
 		}
 	}
 }
 
-// checkAnswers looks at what clients got.
+// checkAnswers checks and counts what clients got.
 func (v *Verdict) checkAnswers(h *History) {
 	unleased := map[string]bool{}
 	for _, s := range h.Steps {
-		if s.Endpoint == "" {
+		if !s.isAttempt() {
 			unleased[s.ID] = !s.Leased
 		}
 	}
-	for _, a := range h.ClientRequests {
+	for _, r := range h.ClientRequests {
 		v.ClientRequests++
-		down := slices.ContainsFunc(h.Down, func(d Down) bool {
-			return d.Process == a.Process && d.From <= a.EndedAt && a.SentAt <= d.To
-		})
-		if unleased[a.ID] {
+		succeeded := r.Status == http.StatusOK
+		if unleased[r.ID] {
 			v.UnleasedRequests[0]++
-			if a.Status == 200 {
+			if succeeded {
 				v.UnleasedRequests[1]++
 			}
 		}
+		down := slices.ContainsFunc(h.Down, func(d Down) bool { return d.overlaps(r.Process, r.SentAt, r.EndedAt) })
 		switch {
-		case a.Status == 0 && down:
+		case r.Status == 0 && down:
 			v.Lost++
 			continue
-		case a.Status == 0:
-			v.fault("%s of %s got no answer", a.ID, a.Process)
+		case r.Status == 0:
+			v.fault("%s of %s got no answer", r.ID, r.Process)
 			continue
-		case a.Status == 200:
+		case succeeded:
 			v.Succeeded++
-		case a.Status == 503:
+		case r.Status == http.StatusServiceUnavailable:
 			v.Rejected++
 		default:
 			v.Failed++
 		}
-		if late := time.Duration(a.EndedAt-a.SentAt) - h.Deadline; late > h.Slack && !down {
-			v.fault("%s of %s was answered %v after its cut-off", a.ID, a.Process, late)
+		if late := time.Duration(r.EndedAt-r.SentAt) - h.Deadline; late > h.Slack && !down {
+			v.fault("%s of %s was answered %v after its cut-off", r.ID, r.Process, late)
 		}
 	}
 }
-
-func sortedKeys[T any](m map[string]T) (keys []string) {
-	for k := range m {
-		keys = append(keys, k)
-	}
-	slices.Sort(keys)
-	return keys
-}
--- a/internal/faulttest/stage.go
+++ b/internal/faulttest/stage.go
@@ -1,5 +1,5 @@
-// Package drill starts several processes of the program on loopback, each at an address of its own, with links between them that can be cut,
-// and does to them what happens to processes: kills, stalls, partitions. docs/rehearsing.md, "Drills".
+// Package faulttest starts several processes of the program on loopback, each at an address of its own, with links
+// between them that can be cut, and injects faults: kills, stalls, partitions. docs/rehearsing.md, "Drills".
 package faulttest
 
 import (
--- a/internal/livetest/rehearsal.go
+++ b/internal/livetest/rehearsal.go
@@ -1,5 +1,5 @@
-// Package rehearsal plays a scenario on sockets in real time, at a small size: daemons as processes of their own, stand-in
-// servers whose inside is the emulator's model, clients that ask for what the emulator's would, and the same judge. It shows
+// Package livetest plays a scenario on sockets in real time, at a small size: daemons as processes of their own, fake
+// backends with the emulator's model of endpoints, the requests of the emulator's clients, and the same judge. It shows
 // whether the daemon, sockets and all, does what the module does in virtual time.
 package livetest
 
