--- a/cmd/pepperlead/migrate.go
+++ b/cmd/pepperlead/migrate.go
@@ -22,18 +22,18 @@
 		Example: "  pepperlead migrate --dry-run --listen 10.0.0.7:9000 --instances 12 old.toml new.toml"}
 	to := migration.Pool{Seed: rand.Uint64()}
 	c.Flags().StringVar(&to.Listen, "listen", "", "`address` at which the pool's front reaches this sidecar")
-	c.Flags().IntVar(&to.Sidecar, "instances", 0, "`number` of sidecars in the pool")
+	c.Flags().IntVar(&to.Sidecars, "instances", 0, "`number` of sidecars in the pool")
 	c.Flags().IntVar(&to.Streams, "streams", 100, "`number` of tickets that one connection carries at once")
 	dry := c.Flags().Bool("dry-run", false, "only say what would change; write nothing")
 	c.RunE = func(c *cobra.Command, names []string) error {
-		if to.Listen == "" || to.Sidecar == 0 {
+		if to.Listen == "" || to.Sidecars == 0 {
 			return fmt.Errorf("migrate: --listen and --instances must be given; %w", errUsage)
 		}
 		text, err := discovery.ReadFile(names[0])
 		if err != nil {
 			return err
 		}
-		made, err := migration.Make(names[0], text, to)
+		made, err := migration.Convert(names[0], text, to)
 		if err != nil {
 			return err
 		}
@@ -47,7 +47,7 @@
 		for _, line := range made.Changed {
 			fmt.Fprintln(c.OutOrStdout(), "changed", line)
 		}
-		for _, line := range made.Left {
+		for _, line := range made.Unconverted {
 			fmt.Fprintln(c.OutOrStdout(), "not carried over", line)
 		}
 		if *dry {
--- a/internal/clock/lease.go
+++ b/internal/clock/lease.go
@@ -22,7 +22,7 @@
 
 var (
 	leaseSkew    = parseSkew(os.Getenv(skewVariable))
-	processStart = True()
+	processStart = BootTime()
 )
 
 // parseSkew parses the value of the environment variable. Text of another form means no skew, as does an empty one.
@@ -39,16 +39,17 @@
 	return skew{rate: rate, offset: policy.Time(offset)}
 }
 
-// Awake returns the time by which leases expire. It is True, except in a process of a fault test that has a skew.
-func Awake() policy.Time {
-	elapsed := float64(True() - processStart)
+// LeaseTime returns the time by which leases expire. It is BootTime, except in a process of a fault test that has a
+// skew.
+func LeaseTime() policy.Time {
+	elapsed := float64(BootTime() - processStart)
 	return policy.Time(elapsed*leaseSkew.rate) + processStart + leaseSkew.offset
 }
 
-// True returns the time since boot, which is the same in all processes of a machine and can't be set. Unlike
+// BootTime returns the time since boot, which is the same in all processes of a machine and can't be set. Unlike
 // CLOCK_MONOTONIC, CLOCK_BOOTTIME includes the time during which the machine is suspended (see clock_gettime(2)), so
 // that no lease outlives that. Should the clock be unavailable, it is 0.
-func True() policy.Time {
+func BootTime() policy.Time {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
 		return 0
--- a/internal/clock/lease_test.go
+++ b/internal/clock/lease_test.go
@@ -24,9 +24,9 @@
 
 // Without a skew, leases expire by the system's clock.
 func TestLeaseClockFollowsTheSystem(t *testing.T) {
-	before := True()
-	got := Awake()
-	after := True()
+	before := BootTime()
+	got := LeaseTime()
+	after := BootTime()
 	if got < before || got > after {
 		t.Errorf("got %d, want %d to %d", got, before, after)
 	}
--- a/internal/coordinator/group.go
+++ b/internal/coordinator/group.go
@@ -163,7 +163,7 @@
 		if k.granter == nil || len(k.asked) >= mostAsked {
 			return // who leads is asked too
 		}
-		k.asked = append(k.asked, question{from, ask, knows, clock.Awake()})
+		k.asked = append(k.asked, question{from, ask, knows, clock.LeaseTime()})
 		k.ring()
 	}}
 	if !ears.Handle(b) {
--- a/internal/coordinator/leader.go
+++ b/internal/coordinator/leader.go
@@ -35,7 +35,7 @@
 				continue
 			}
 			k.mu.Lock()
-			k.granter = ruleset.NewLeaseIssuer(ruleset.Term(k.raft.CurrentTerm()), k.post.Lease, k.post.Drift, k.book.Active, k.book.Next, clock.Awake())
+			k.granter = ruleset.NewLeaseIssuer(ruleset.Term(k.raft.CurrentTerm()), k.post.Lease, k.post.Drift, k.book.Active, k.book.Next, clock.LeaseTime())
 			k.log.Infof("keep: leads in term %d, version %d in force, %d coming", k.raft.CurrentTerm(), k.book.Active, k.book.Next)
 			k.mu.Unlock()
 		}
@@ -57,7 +57,7 @@
 		if len(asked) == 0 {
 			continue
 		}
-		begun := clock.Awake()
+		begun := clock.LeaseTime()
 		k.rounds.Add(1)
 		if k.raft.VerifyLeader().Error() != nil {
 			k.failed.Add(1)
@@ -132,7 +132,7 @@
 		case <-tick.C:
 		}
 		k.mu.Lock()
-		ready, n := k.granter != nil && k.granter.ChangeReady(clock.Awake()), k.book.Next
+		ready, n := k.granter != nil && k.granter.ChangeReady(clock.LeaseTime()), k.book.Next
 		k.mu.Unlock()
 		if ready {
 			k.write("drop", uint64(n)) // in vain: it is tried again
--- a/internal/coordinator/statemachine.go
+++ b/internal/coordinator/statemachine.go
@@ -36,7 +36,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now := clock.Awake()
+	now := clock.LeaseTime()
 	switch verb {
 	case "apply":
 		var page ruleset.Revision
--- a/internal/engine/terms.go
+++ b/internal/engine/terms.go
@@ -82,7 +82,7 @@
 
 // NewLeaseRequest numbers a question for a lease that is sent now.
 func (e *Engine) NewLeaseRequest() (ask uint64, knows []ruleset.RevisionNumber) {
-	return e.terms.holder.NewRequest(clock.Awake())
+	return e.terms.holder.NewRequest(clock.LeaseTime())
 }
 
 // AcceptLease takes a lease.
@@ -99,7 +99,7 @@
 
 // RulesLog is a line of the log with what this instance acts by, and when.
 func (e *Engine) RulesLog() *logrus.Entry {
-	return e.Logger.WithFields(logrus.Fields{"versions": e.terms.holder.Leased(), "leased": e.terms.leased, "awake_ns": int64(clock.True())})
+	return e.Logger.WithFields(logrus.Fields{"versions": e.terms.holder.Leased(), "leased": e.terms.leased, "awake_ns": int64(clock.BootTime())})
 }
 
 // TracesRequests whether each step of a request is to be written down: where rules are agreed on, and debug lines are wanted.
@@ -121,7 +121,7 @@
 	if t == nil {
 		return
 	}
-	r, leased := t.holder.Active(clock.Awake())
+	r, leased := t.holder.Active(clock.LeaseTime())
 	if leased != t.leased || t.turns != t.holder.Changes() {
 		t.turns = t.holder.Changes()
 		e.act(r, leased)
--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -176,7 +176,7 @@
 			Seed: seed + uint64(i), Seen: func(id, _ string, _ time.Time) {
 				c.mu.Lock()
 				defer c.mu.Unlock()
-				c.ran = append(c.ran, judge.Ran{ID: id, Server: name, At: int64(clock.True())})
+				c.ran = append(c.ran, judge.Ran{ID: id, Server: name, At: int64(clock.BootTime())})
 			}})
 		if err != nil {
 			return nil, err
@@ -225,7 +225,7 @@
 	c.catalog.Tell(all)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.listed = append(c.listed, judge.Listed{At: int64(clock.True()), Ready: ready})
+	c.listed = append(c.listed, judge.Listed{At: int64(clock.BootTime()), Ready: ready})
 }
 
 // ask has clients ask each sidecar until the drill is over.
@@ -255,12 +255,12 @@
 	r.Header.Set("X-Request-ID", id)
 	r.Header.Set("Idempotency-Key", id)
 	r.GetBody = nil // so that it is never sent again by itself
-	a := judge.Asked{ID: id, Process: string(p.Name), At: int64(clock.True())}
+	a := judge.Asked{ID: id, Process: string(p.Name), At: int64(clock.BootTime())}
 	if answer, err := c.client.Do(r); err == nil {
 		a.Status = answer.StatusCode
 		answer.Body.Close()
 	}
-	a.Ended = int64(clock.True())
+	a.Ended = int64(clock.BootTime())
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.asked = append(c.asked, a)
@@ -271,7 +271,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	from, was := c.since[p]
-	switch now := int64(clock.True()); {
+	switch now := int64(clock.BootTime()); {
 	case over && was:
 		c.down = append(c.down, judge.Down{Process: string(p.Name), From: from, To: now + int64(answerIn)})
 		delete(c.since, p)
--- a/internal/faulttest/play.go
+++ b/internal/faulttest/play.go
@@ -88,7 +88,7 @@
 		return nil, errors.Join(fmt.Errorf("at the start: %w", err), errors.New(strings.Join(c.ended(), ", ")))
 	}
 	before := sums(c.sidecars)
-	r.Begun = int64(clock.True())
+	r.Begun = int64(clock.BootTime())
 	begin, idle := time.Now(), machine()
 	c.ask()
 	var changes sync.WaitGroup
@@ -98,7 +98,7 @@
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
-		r.Marks = append(r.Marks, Mark{int64(clock.True()), d.What + " " + strings.Join(append(append(d.Who, d.From...), d.Version), " ")})
+		r.Marks = append(r.Marks, Mark{int64(clock.BootTime()), d.What + " " + strings.Join(append(append(d.Who, d.From...), d.Version), " ")})
 		c.do(ctx, d, half, r, &changes, begin)
 		c.hearing()
 	}
@@ -116,7 +116,7 @@
 	for _, p := range c.Processes {
 		c.resume(p)
 	}
-	r.Marks = append(r.Marks, Mark{int64(clock.True()), "all is healed"})
+	r.Marks = append(r.Marks, Mark{int64(clock.BootTime()), "all is healed"})
 	if err := c.standing(); err != nil {
 		return nil, err
 	}
--- a/internal/faulttest/steps.go
+++ b/internal/faulttest/steps.go
@@ -190,7 +190,7 @@
 	for _, p := range c.sidecars {
 		open := c.Links.Open(faultproxy.Link{From: p.Name, To: discovery}) && c.Links.Open(faultproxy.Link{From: discovery, To: p.Name})
 		from, deaf := c.unheard[p]
-		switch now := int64(clock.True()); {
+		switch now := int64(clock.BootTime()); {
 		case open && deaf:
 			c.deaf = append(c.deaf, judge.Down{Process: string(p.Name), From: from, To: now + int64(hearsIn)})
 			delete(c.unheard, p)
--- a/internal/migration/json.go
+++ b/internal/migration/json.go
@@ -9,30 +9,31 @@
 )
 
 // convertJSON converts the platform's configuration.
-func convertJSON(file string, text []byte, pool Pool) (Made, error) {
+func convertJSON(file string, text []byte, pool Pool) (Result, error) {
 	if len(text) > maxConfigSize {
-		return Made{}, fmt.Errorf("%s:1: document: found %d bytes, allowed at most %d", file, len(text), maxConfigSize)
+		return Result{}, fmt.Errorf("%s:1: document: found %d bytes, allowed at most %d",
+			file, len(text), maxConfigSize)
 	}
 	if _, err := daemon.Parse(file, text, noEnvironment); err != nil {
-		return Made{}, err
+		return Result{}, err
 	}
 	var document map[string]any
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
 	if err := decoder.Decode(&document); err != nil {
-		return Made{}, err
+		return Result{}, err
 	}
 	settings, _ := document["settings"].(map[string]any) // a valid configuration has both
 	limits, _ := settings["limits"].(map[string]any)
 	if settings["weight_kind"] == "live" {
 		lines, _ := daemon.JSONLines(file, text) // it was parsed before
-		return Made{}, fmt.Errorf("%s:%d: settings.weight_kind: found live, allowed nominal, rough or silent: "+
+		return Result{}, fmt.Errorf("%s:%d: settings.weight_kind: found live, allowed nominal, rough or silent: "+
 			"this file has the new shape already", file, lines["settings.weight_kind"])
 	}
-	var converted Made
+	var converted Result
 	converted.noteClients(fmt.Sprint(document["listen"]))
 	converted.setMember(document, "", "listen", pool.Listen)
-	converted.setMember(settings, "settings.", "balancers", pool.Sidecar)
+	converted.setMember(settings, "settings.", "balancers", pool.Sidecars)
 	converted.setMember(settings, "settings.", "weight_kind", "live")
 	converted.setMember(limits, "settings.limits.", "streams_per_conn", pool.Streams)
 	document["seed"] = fmt.Sprintf("%016x", pool.Seed)
@@ -43,14 +44,14 @@
 	}
 	encoded, err := json.MarshalIndent(document, "", "  ")
 	if err != nil {
-		return Made{}, err
+		return Result{}, err
 	}
 	converted.Text = append(encoded, '\n')
 	return converted, nil
 }
 
 // setMember sets a member of an object whose path in the document is given.
-func (m *Made) setMember(object map[string]any, path, name string, value any) {
+func (m *Result) setMember(object map[string]any, path, name string, value any) {
 	old, exists := object[name]
 	object[name] = value
 	from := fmt.Sprint(old)
--- a/internal/migration/migration.go
+++ b/internal/migration/migration.go
@@ -26,24 +26,24 @@
 
 // Pool is what the new configuration says and the old one can't.
 type Pool struct {
-	Listen  string // address at which clients reach this sidecar
-	Sidecar int    // sidecars in the pool
-	Streams int    // requests that one connection carries at once
-	Seed    uint64 // of this sidecar
+	Listen   string // address at which clients reach this sidecar
+	Sidecars int    // sidecars in the pool
+	Streams  int    // requests that one connection carries at once
+	Seed     uint64 // of this sidecar
 }
 
-// Made is a converted configuration, and what an operator should know about it.
-type Made struct {
-	Text    []byte
-	Changed []string // keys with their old and new values
-	Left    []string // keys that were not converted, and why
+// Result is a converted configuration, and what an operator should know about it.
+type Result struct {
+	Text        []byte
+	Changed     []string // keys with their old and new values
+	Unconverted []string // keys that were not converted, and why
 }
 
-// Make converts a configuration. Its error has a line for each fault: file, line, key, what was found and what is
+// Convert converts a configuration. Its error has a line for each fault: file, line, key, what was found and what is
 // allowed.
-func Make(file string, text []byte, pool Pool) (Made, error) {
+func Convert(file string, text []byte, pool Pool) (Result, error) {
 	if err := pool.validate(); err != nil {
-		return Made{}, err
+		return Result{}, err
 	}
 	convert := convertTOML
 	if isJSON(text) {
@@ -51,10 +51,10 @@
 	}
 	converted, err := convert(file, text, pool)
 	if err != nil {
-		return Made{}, err
+		return Result{}, err
 	}
 	if err := verify(file, converted.Text, pool); err != nil {
-		return Made{}, err
+		return Result{}, err
 	}
 	return converted, nil
 }
@@ -64,11 +64,11 @@
 	if !endpointfiles.ValidAddress(p.Listen) {
 		return fmt.Errorf("listen: found %q, allowed an IP address and port, as 10.0.0.7:9000", p.Listen)
 	}
-	sidecarsValid := p.Sidecar >= minSidecars && p.Sidecar <= maxSidecars
+	sidecarsValid := p.Sidecars >= minSidecars && p.Sidecars <= maxSidecars
 	streamsValid := p.Streams >= minStreams && p.Streams <= maxStreams
 	if !sidecarsValid || !streamsValid {
 		return fmt.Errorf("instances and streams: found %d and %d, allowed from 1 and from 2 to 65536",
-			p.Sidecar, p.Streams)
+			p.Sidecars, p.Streams)
 	}
 	return nil
 }
@@ -86,7 +86,7 @@
 		return fmt.Errorf("what was made of it cannot be served, and was thrown away:\n%w", err)
 	}
 	settings := config.Settings
-	settingsMatch := settings.StreamsPerConnection == pool.Streams && settings.Instances == pool.Sidecar
+	settingsMatch := settings.StreamsPerConnection == pool.Streams && settings.Instances == pool.Sidecars
 	if settings.FixedWeights || !settingsMatch || config.Listen != pool.Listen {
 		return fmt.Errorf("%s: its tables are written in a way that cannot be edited: "+
 			"give each table its own header", file)
@@ -98,15 +98,17 @@
 func noEnvironment(string) string { return "" }
 
 // addChange notes a key whose value was changed.
-func (m *Made) addChange(key, from, to string) {
+func (m *Result) addChange(key, from, to string) {
 	m.Changed = append(m.Changed, fmt.Sprintf("%s: %s to %s", key, from, to))
 }
 
 // addUnconverted notes what was not converted.
-func (m *Made) addUnconverted(key, reason string) { m.Left = append(m.Left, key+": "+reason) }
+func (m *Result) addUnconverted(key, reason string) {
+	m.Unconverted = append(m.Unconverted, key+": "+reason)
+}
 
 // noteClients notes that clients must be reconfigured, if they reach the old sidecar on their own machine.
-func (m *Made) noteClients(listen string) {
+func (m *Result) noteClients(listen string) {
 	host, _, err := net.SplitHostPort(listen)
 	if err == nil && net.ParseIP(host).IsLoopback() {
 		m.addUnconverted("clients",
--- a/internal/migration/migration_test.go
+++ b/internal/migration/migration_test.go
@@ -10,7 +10,7 @@
 
 const oldTOML = "../../deploy/standalone.toml"
 
-var pool = Pool{Listen: "10.0.0.7:9000", Sidecar: 12, Streams: 100, Seed: 0xabc}
+var pool = Pool{Listen: "10.0.0.7:9000", Sidecars: 12, Streams: 100, Seed: 0xabc}
 
 const oldJSON = `{"name":"n3","listen":"127.0.0.4:9000","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"rev":1,"all":true,"targets":[]},
@@ -32,7 +32,7 @@
 func TestConvertedConfigurationsKeepOtherValues(t *testing.T) {
 	toml := strings.NewReplacer("# [state]\n# folder", "[state]\nfolder", `name = "desk-1" `, "seed = 'ab'\nname = \"desk-1\" ").Replace(readOldTOML(t))
 	for name, in := range map[string]string{"old.toml": toml, "old.json": oldJSON} {
-		m, err := Make(name, []byte(in), pool)
+		m, err := Convert(name, []byte(in), pool)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -42,15 +42,15 @@
 			t.Fatal(err)
 		}
 		c := *is.Settings
-		if c.FixedWeights || c.StreamsPerConnection != 100 || c.Instances != 12 || is.Listen != pool.Listen || len(m.Changed) != 4 || len(m.Left) < 3 {
-			t.Errorf("%s: %+v\n%q\n%q", name, c, m.Changed, m.Left)
+		if c.FixedWeights || c.StreamsPerConnection != 100 || c.Instances != 12 || is.Listen != pool.Listen || len(m.Changed) != 4 || len(m.Unconverted) < 3 {
+			t.Errorf("%s: %+v\n%q\n%q", name, c, m.Changed, m.Unconverted)
 		}
 		a := *was.Settings
 		if c.Classes[0] != a.Classes[0] || len(c.Classes) != len(a.Classes) || c.TotalQuota != a.TotalQuota || c.ColdTime != a.ColdTime ||
 			c.MaxRetryAfter != a.MaxRetryAfter || c.Zones != a.Zones || is.ShutdownTime != was.ShutdownTime || is.Descriptors != was.Descriptors {
 			t.Errorf("%s: something else has changed:\n%s", name, m.Text)
 		}
-		unconverted := strings.Join(m.Left, "\n")
+		unconverted := strings.Join(m.Unconverted, "\n")
 		for _, key := range map[string][]string{"old.toml": {"instance.seed", "state.folder"}, "old.json": {"seed", "known"}}[name] {
 			if !strings.Contains(unconverted, key+": ") {
 				t.Errorf("%s: %s is not noted:\n%s", name, key, unconverted)
@@ -59,7 +59,7 @@
 		if strings.Contains(string(m.Text), "8c1f30d27a5be964") || strings.Contains(string(m.Text), "\nseed") {
 			t.Errorf("%s: the seed was kept", name)
 		}
-		if _, err := Make(name, m.Text, pool); err == nil || !strings.Contains(err.Error(), "new shape already") {
+		if _, err := Convert(name, m.Text, pool); err == nil || !strings.Contains(err.Error(), "new shape already") {
 			t.Errorf("%s: converted twice: %v", name, err)
 		}
 	}
@@ -78,7 +78,7 @@
 		{"a.json", strings.Replace(oldJSON, `"max_pushes":3`, `"max_pushes":3,"streams_per_conn":0`, 1), "a.json:4: settings: limits.streams_per_conn"},
 		{"a.json", oldJSON[:len(oldJSON)-1], "a.json:7: document"}, {"a.json", oldJSON + "1", "a.json:7: document"}, {"a.json", "{}", "a.json:1: "},
 	} {
-		m, err := Make(c.name, []byte(c.in), pool)
+		m, err := Convert(c.name, []byte(c.in), pool)
 		if c.want == "" {
 			if err != nil {
 				t.Error(err)
@@ -89,8 +89,8 @@
 			t.Errorf("want %q, got %v", c.want, err)
 		}
 	}
-	for _, invalid := range []Pool{{Listen: "here", Sidecar: 1, Streams: 2}, {Listen: pool.Listen, Streams: 2}, {Listen: pool.Listen, Sidecar: 1, Streams: 1}} {
-		if _, err := Make("a.toml", []byte(valid), invalid); err == nil {
+	for _, invalid := range []Pool{{Listen: "here", Sidecars: 1, Streams: 2}, {Listen: pool.Listen, Streams: 2}, {Listen: pool.Listen, Sidecars: 1, Streams: 1}} {
+		if _, err := Convert("a.toml", []byte(valid), invalid); err == nil {
 			t.Errorf("%+v was accepted", invalid)
 		}
 	}
--- a/internal/migration/toml.go
+++ b/internal/migration/toml.go
@@ -17,34 +17,34 @@
 )
 
 // convertTOML converts the product's configuration.
-func convertTOML(file string, text []byte, pool Pool) (Made, error) {
+func convertTOML(file string, text []byte, pool Pool) (Result, error) {
 	if _, err := daemon.Parse(file, text, noEnvironment); err != nil {
-		return Made{}, err
+		return Result{}, err
 	}
 	document, root := tomlfile.Parse(file, text, maxConfigSize)
 	instance := root.Table("instance")
 	if instance.OneOf("weights", 0, "nominal", "live") == 1 {
 		instance.Fault("weights", `"live"`, "nominal: this file has the new shape already")
 	}
-	var converted Made
+	var converted Result
 	editor := newTOMLEditor(root, text, &converted)
 	converted.noteClients(editor.table("front.http").String("listen", ""))
 	editor.set("front.http", "listen", strconv.Quote(pool.Listen))
-	editor.set("instance", "instances", strconv.Itoa(pool.Sidecar))
+	editor.set("instance", "instances", strconv.Itoa(pool.Sidecars))
 	editor.set("instance", "weights", `"live"`)
 	editor.set("limits", "streams", strconv.Itoa(pool.Streams))
 	editor.commentOut("instance", "seed", "each sidecar of a pool draws its own")
 	editor.commentOut("state", "folder", "a list kept there has nominal sizes; name a new folder")
 	converted.noteSource(root.Table("source"))
 	if err := document.Err(); err != nil {
-		return Made{}, err
+		return Result{}, err
 	}
 	converted.Text = editor.text()
 	return converted, nil
 }
 
 // noteSource notes what an operator must change about the source of the list.
-func (m *Made) noteSource(source *tomlfile.Table) {
+func (m *Result) noteSource(source *tomlfile.Table) {
 	switch source.OneOf("kind", 0, sourceKinds...) {
 	case sourceFiles:
 		if !source.Bool("sealed", false) {
--- a/internal/migration/tomleditor.go
+++ b/internal/migration/tomleditor.go
@@ -42,11 +42,11 @@
 	lines   []string
 	headers map[string]int   // line of a table's header, by the table's path
 	added   map[int][]string // lines to add after a line
-	result  *Made            // takes notes of changes
+	result  *Result          // takes notes of changes
 }
 
 // newTOMLEditor returns an editor of a text whose parsed root is given.
-func newTOMLEditor(root *tomlfile.Table, text []byte, result *Made) *tomlEditor {
+func newTOMLEditor(root *tomlfile.Table, text []byte, result *Result) *tomlEditor {
 	e := &tomlEditor{
 		root:    root,
 		lines:   strings.Split(string(text), "\n"),
