--- a/internal/hotrestart/processgroup_test.go
+++ b/internal/hotrestart/processgroup_test.go
@@ -19,7 +19,7 @@
 	*ProcessGroup
 	mu        sync.Mutex
 	drained   []string
-	applies   int // how often it was told which endpoints are drained
+	applies   int // how often setDrained was called
 	processes int
 	stuck     bool // it confirms no change
 }
--- a/internal/hotrestart/socket.go
+++ b/internal/hotrestart/socket.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// send sends a message. A failure needs no handling: the reader of the connection sees that it has ended, and whoever
-// waits for an answer has a timeout.
+// send sends a message. A failure needs no handling: the reader of the connection sees that it has ended, and every
+// wait for an answer has a timeout.
 func (p *peerProcess) send(m message) {
 	p.writing.Lock()
 	defer p.writing.Unlock()
--- a/internal/snapshot/filesystem.go
+++ b/internal/snapshot/filesystem.go
@@ -25,14 +25,18 @@
 // osFileSystem is the operating system's.
 type osFileSystem struct{}
 
+// Create opens an empty file for writing.
 func (osFileSystem) Create(path string, mode os.FileMode) (writableFile, error) {
 	return os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, mode)
 }
 
+// Rename renames a file, in place of one that has the new name.
 func (osFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
 
+// Remove removes a file.
 func (osFileSystem) Remove(path string) error { return os.Remove(path) }
 
+// SyncDirectory writes the entries of a directory to disk.
 func (osFileSystem) SyncDirectory(path string) error {
 	directory, err := os.Open(path)
 	if err != nil {
