--- a/cmd/pepperlead/migrate.go
+++ b/cmd/pepperlead/migrate.go
@@ -30,12 +30,12 @@
 	}
 	pool := migration.Pool{Seed: rand.Uint64()}
 	c.Flags().StringVar(&pool.Listen, "listen", "", "`address` at which the pool's front reaches this sidecar")
-	c.Flags().IntVar(&pool.Sidecar, "instances", 0, "`number` of sidecars in the pool")
+	c.Flags().IntVar(&pool.Sidecars, "instances", 0, "`number` of sidecars in the pool")
 	c.Flags().IntVar(&pool.Streams, "streams", defaultStreams,
 		"`number` of tickets that one connection carries at once")
 	dryRun := c.Flags().Bool("dry-run", false, "only say what would change; write nothing")
 	c.RunE = func(c *cobra.Command, args []string) error {
-		if pool.Listen == "" || pool.Sidecar == 0 {
+		if pool.Listen == "" || pool.Sidecars == 0 {
 			return fmt.Errorf("migrate: --listen and --instances must be given; %w", errUsage)
 		}
 		return migrate(c.OutOrStdout(), args[0], args[1], pool, *dryRun)
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	result, err := migration.Make(from, text, pool)
+	result, err := migration.Convert(from, text, pool)
 	if err != nil {
 		return err
 	}
@@ -63,7 +63,7 @@
 	for _, line := range result.Changed {
 		printf(out, "changed %s\n", line)
 	}
-	for _, line := range result.Left {
+	for _, line := range result.Unconverted {
 		printf(out, "not carried over %s\n", line)
 	}
 	if dryRun {
--- a/internal/coordinator/leader.go
+++ b/internal/coordinator/leader.go
@@ -47,7 +47,7 @@
 	term := c.raft.CurrentTerm()
 	log := &c.revisionLog
 	c.leaseIssuer = ruleset.NewLeaseIssuer(ruleset.Term(term), c.config.LeaseDuration, c.config.ClockDrift,
-		log.Active, log.Next, clock.Awake())
+		log.Active, log.Next, clock.LeaseTime())
 	c.log.WithFields(logrus.Fields{
 		"term":            term,
 		"active_revision": log.Active,
@@ -75,6 +75,6 @@
 func (c *Coordinator) changeReady() (ruleset.RevisionNumber, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ready := c.leaseIssuer != nil && c.leaseIssuer.ChangeReady(clock.Awake())
+	ready := c.leaseIssuer != nil && c.leaseIssuer.ChangeReady(clock.LeaseTime())
 	return c.revisionLog.Next, ready
 }
--- a/internal/coordinator/leases.go
+++ b/internal/coordinator/leases.go
@@ -41,7 +41,7 @@
 	if c.leaseIssuer == nil || len(c.pendingRequests) >= maxPendingRequests {
 		return // the instance retries, and asks the leader too
 	}
-	c.pendingRequests = append(c.pendingRequests, pendingRequest{request, clock.Awake()})
+	c.pendingRequests = append(c.pendingRequests, pendingRequest{request, clock.LeaseTime()})
 	select {
 	case c.requestsPending <- struct{}{}:
 	default: // it is signalled already
@@ -63,7 +63,7 @@
 		if len(requests) == 0 {
 			continue
 		}
-		begun := clock.Awake()
+		begun := clock.LeaseTime()
 		c.metrics.quorumRounds.Add(1)
 		if c.raft.VerifyLeader().Error() != nil {
 			c.metrics.failedQuorumRounds.Add(1)
--- a/internal/coordinator/statemachine.go
+++ b/internal/coordinator/statemachine.go
@@ -25,7 +25,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := decoded.apply(m, clock.Awake()); err != nil {
+	if err := decoded.apply(m, clock.LeaseTime()); err != nil {
 		return err
 	}
 	return nil
--- a/internal/engine/activerules.go
+++ b/internal/engine/activerules.go
@@ -85,7 +85,7 @@
 
 // NewLeaseRequest numbers a request for a lease that is sent now.
 func (e *Engine) NewLeaseRequest() (id uint64, known []ruleset.RevisionNumber) {
-	return e.rules.lease.NewRequest(clock.Awake())
+	return e.rules.lease.NewRequest(clock.LeaseTime())
 }
 
 // AcceptLease takes over a lease and returns false if it is not valid.
@@ -105,7 +105,7 @@
 	return e.Logger.WithFields(logrus.Fields{
 		"versions": e.rules.lease.Leased(),
 		"leased":   e.rules.leased,
-		"awake_ns": int64(clock.True()),
+		"awake_ns": int64(clock.BootTime()),
 	})
 }
 
@@ -142,7 +142,7 @@
 	if a == nil {
 		return
 	}
-	rules, leased := a.lease.Active(clock.Awake())
+	rules, leased := a.lease.Active(clock.LeaseTime())
 	if leased != a.leased || a.leaseChanges != a.lease.Changes() {
 		a.leaseChanges = a.lease.Changes()
 		e.setRules(rules, leased)
--- a/internal/faulttest/steps.go
+++ b/internal/faulttest/steps.go
@@ -190,7 +190,7 @@
 	for _, p := range c.instances {
 		open := c.Links.Open(faultproxy.Link{From: p.Name, To: discovery}) && c.Links.Open(faultproxy.Link{From: discovery, To: p.Name})
 		from, deaf := c.unnotifiedSince[p]
-		switch now := int64(clock.True()); {
+		switch now := int64(clock.BootTime()); {
 		case open && deaf:
 			c.unnotified = append(c.unnotified, judge.Down{Process: string(p.Name), From: from, To: now + int64(notifyTimeout)})
 			delete(c.unnotifiedSince, p)
