--- a/internal/connstate/conns.go
+++ b/internal/connstate/conns.go
@@ -86,8 +86,8 @@
 // OverLimit reports whether more connections are open on that side than should be.
 func (k *Conns) OverLimit(side Side) bool { return k.Count(side) > k.Limit[side] }
 
-// CountEnd marks a connection that is being closed.
-func (k *Conns) CountEnd(c *Conn) {
+// MarkClosing marks a connection that is being closed.
+func (k *Conns) MarkClosing(c *Conn) {
 	k.MarkBusy(c)
 	c.Closing = true
 	k.closing[c.Side]++
--- a/internal/connstate/connstate_test.go
+++ b/internal/connstate/connstate_test.go
@@ -73,7 +73,7 @@
 	if got := k.OldestIdle(ClientSide, 7, 5); got != nil {
 		t.Errorf("%+v", got)
 	}
-	k.CountEnd(all[4])
+	k.MarkClosing(all[4])
 	if k.Count(ClientSide) != 4 || !k.Remove(all[4]) || k.Remove(all[4]) || k.Count(ClientSide) != 4 {
 		t.Error("counted wrongly")
 	}
--- a/internal/httpproxy/clients.go
+++ b/internal/httpproxy/clients.go
@@ -203,7 +203,7 @@
 // checkResting closes a resting connection while many rest: they occupy descriptors that other clients wait for.
 func (p *Proxy) checkResting(now policy.Time, c *connstate.Conn) {
 	if 2*p.conns.RestingCount > p.conns.ExcessResting && c.Socket.CloseIfIdle(c) {
-		p.conns.CountEnd(c)
+		p.conns.MarkClosing(c)
 		p.Counters.ClientConnsBroken++
 		return
 	}
@@ -213,7 +213,7 @@
 // checkSilent closes a connection on which nothing has come since it was opened, unless bytes are coming just now.
 func (p *Proxy) checkSilent(now policy.Time, c *connstate.Conn) {
 	if c.Socket.CloseIfIdle(c) {
-		p.conns.CountEnd(c)
+		p.conns.MarkClosing(c)
 		p.Counters.ClientsSilent++
 		return
 	}
--- a/internal/httpproxy/proxy.go
+++ b/internal/httpproxy/proxy.go
@@ -187,7 +187,7 @@
 	if c.Closing {
 		return
 	}
-	p.conns.CountEnd(c)
+	p.conns.MarkClosing(c)
 	if c.Connected {
 		_ = c.Socket.Close() // its end is reported by the poller
 	}
@@ -200,7 +200,7 @@
 	if oldest == nil || !oldest.Socket.CloseIfIdle(oldest) {
 		return false
 	}
-	p.conns.CountEnd(oldest)
+	p.conns.MarkClosing(oldest)
 	return true
 }
 
--- a/internal/httpproxy/shutdown.go
+++ b/internal/httpproxy/shutdown.go
@@ -73,7 +73,7 @@
 		idle := c.Request == nil && c.Input.Buffer == nil && !c.Output.CloseWhenFlushed &&
 			c.Upload.State == connstate.NoUpload
 		if idle && !recent && c.Socket.CloseIfIdle(c) {
-			p.conns.CountEnd(c)
+			p.conns.MarkClosing(c)
 		}
 	}
 	return connected
--- a/internal/httpproxy/stream.go
+++ b/internal/httpproxy/stream.go
@@ -219,7 +219,7 @@
 		p.requests.Remove(r)
 		p.Unanswered(r.Request)
 		if r.Response.UntilClose && !c.Closing {
-			p.conns.CountEnd(c) // an orderly close would look like the end of the response
+			p.conns.MarkClosing(c) // an orderly close would look like the end of the response
 			c.Socket.Reset()
 		} else {
 			p.closeConn(c)
