--- /dev/null
+++ b/cmd/pepperlead-sim/compare.go
@@ -0,0 +1,70 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"text/tabwriter"
+
+	"github.com/spf13/cobra"
+
+	"pepperlead/internal/experiment"
+)
+
+func compareCommand() *cobra.Command {
+	c := &cobra.Command{
+		Use:   "compare A B",
+		Args:  cobra.ExactArgs(2),
+		Short: "Compare two sweeps, or two days, paired by seed",
+		Long: `Compare what run or sweep wrote into two folders, paired by scenario, figure and seed, with the 95% interval of the gain.
+Exit code 1 if a scenario loses more than is allowed, or if B breaks a rule where A did not.`,
+		Example: "  pepperlead-sim compare /tmp/before /tmp/after --allow 0.01",
+	}
+	allow := c.Flags().Float64("allow", 0.01, "the loss of service that is let pass")
+	policyA := c.Flags().String("policy-a", "", "the policy of A, where it has several")
+	policyB := c.Flags().String("policy-b", "", "the policy of B, where it has several")
+	asJSON := c.Flags().Bool("json", false, "print JSON")
+	c.RunE = func(c *cobra.Command, args []string) error {
+		a, err := experiment.ReadResults(args[0])
+		if err != nil {
+			return err
+		}
+		b, err := experiment.ReadResults(args[1])
+		if err != nil {
+			return err
+		}
+		comparisons, err := experiment.Compare(experiment.Only(a, *policyA), experiment.Only(b, *policyB))
+		if err != nil {
+			return err
+		}
+		if *asJSON {
+			err = printJSON(c.OutOrStdout(), comparisons)
+		} else {
+			err = printComparisons(c.OutOrStdout(), comparisons)
+		}
+		if err != nil {
+			return err
+		}
+		return checkGains(comparisons, *allow)
+	}
+	return c
+}
+
+func printComparisons(out io.Writer, comparisons []experiment.Comparison) error {
+	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	printf(w, "scenario\tset\tpairs\tA\tB\tgain\t±\tnew breaks\n")
+	for _, x := range comparisons {
+		printf(w, "%s\t%s\t%d\t%.3f\t%.3f\t%+.4f\t%.4f\t%d\n", x.Scenario, x.Set, x.Pairs, x.A, x.B, x.Gain, x.Half, x.Breaks)
+	}
+	return w.Flush()
+}
+
+// checkGains returns an error for the first scenario that loses more than is allowed, or on which only B broke a rule.
+func checkGains(comparisons []experiment.Comparison, allow float64) error {
+	for _, x := range comparisons {
+		if x.Gain < -allow || x.Breaks > 0 {
+			return fmt.Errorf("%s: a gain of %+.4f, allowed %+.4f; %d days on which only B broke a rule",
+				x.Scenario, x.Gain, -allow, x.Breaks)
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/cmd/pepperlead-sim/cost.go
@@ -0,0 +1,184 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"os/exec"
+	"os/signal"
+	"path/filepath"
+	"slices"
+	"strings"
+	"syscall"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"pepperlead/internal/benchmark"
+)
+
+// helperCommands are the processes that benchmarks start.
+func helperCommands() []*cobra.Command {
+	backend := &cobra.Command{Use: "backend ADDRESS", Hidden: true, Args: cobra.ExactArgs(1)}
+	backend.RunE = func(_ *cobra.Command, args []string) error { return benchmark.Backend(args[0]) }
+	plain := &cobra.Command{Use: "plain ADDRESS SERVER...", Hidden: true, Args: cobra.MinimumNArgs(2)}
+	plain.RunE = func(_ *cobra.Command, args []string) error { return benchmark.Plain(args[0], args[1:]) }
+	return []*cobra.Command{backend, plain}
+}
+
+func costCommand() *cobra.Command {
+	c := &cobra.Command{
+		Use:   "cost --daemon LABEL=PROGRAM...",
+		Args:  cobra.NoArgs,
+		Short: "Measure what a ticket costs daemons and a plain proxy of the standard library, side by side",
+		Example: "  pepperlead-sim cost --daemon now=bin/pepperlead --clients 1,16 --rounds 5 --each 3s\n" +
+			"  pepperlead-sim cost --daemon before=/path/to/an/earlier/pepperlead --daemon now=bin/pepperlead",
+	}
+	daemons := c.Flags().StringArray("daemon", []string{"now=bin/pepperlead"},
+		"a daemon's `label=program`; several are measured side by side")
+	products := c.Flags().StringArray("product", nil,
+		"a `label=program=file`: by the product's configuration, with what the file adds to it, as [peers]")
+	clients := c.Flags().IntSlice("clients", []int{1, 16}, "clients at once")
+	rounds := c.Flags().Int("rounds", 5, "rounds, in each of which every subject is measured once")
+	duration := c.Flags().Duration("each", 3*time.Second, "how long each is measured")
+	asJSON := c.Flags().Bool("json", false, "print every round as JSON")
+	c.RunE = func(c *cobra.Command, _ []string) error {
+		ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+		defer stop()
+		self, err := os.Executable()
+		if err != nil {
+			return err
+		}
+		directory, err := os.MkdirTemp("", "pepperlead-sim")
+		if err != nil {
+			return err
+		}
+		defer removeAll(directory)
+		subjects, err := (&subjectStarter{ctx: ctx, directory: directory, self: self}).all(*daemons, *products)
+		if err != nil {
+			return err
+		}
+		var all []benchmark.Cost
+		for _, count := range *clients {
+			costs, err := benchmark.Run(ctx, self, subjects, count, *rounds, *duration)
+			if err != nil {
+				return err
+			}
+			all = append(all, costs...)
+			if !*asJSON {
+				printCosts(c.OutOrStdout(), subjects, costs, count, *duration)
+			}
+		}
+		if *asJSON {
+			return printJSON(c.OutOrStdout(), all)
+		}
+		return nil
+	}
+	return c
+}
+
+// subjectStarter makes the subjects of a benchmark.
+type subjectStarter struct {
+	ctx       context.Context
+	directory string // for configurations
+	self      string // this program
+}
+
+// all returns the plain proxy, which is the base of comparison, then daemons with the platform's configuration and with the
+// product's.
+func (s *subjectStarter) all(daemons, products []string) ([]benchmark.Subject, error) {
+	subjects := []benchmark.Subject{s.plainProxy()}
+	for _, daemon := range daemons {
+		label, program, found := strings.Cut(daemon, "=")
+		if !found {
+			return nil, fmt.Errorf("--daemon: found %q, allowed label=program", daemon)
+		}
+		subjects = append(subjects, s.daemon(label, program, benchmark.PlatformJSON))
+	}
+	for _, product := range products {
+		parts := strings.Split(product, "=")
+		if len(parts) != 3 {
+			return nil, fmt.Errorf("--product: found %q, allowed label=program=file", product)
+		}
+		more, err := os.ReadFile(parts[2])
+		if err != nil {
+			return nil, err
+		}
+		configuration := func(listen string, endpoints []string) []byte {
+			return benchmark.ProductTOML(listen, endpoints, string(more))
+		}
+		subjects = append(subjects, s.daemon(parts[0], parts[1], configuration))
+	}
+	return subjects, nil
+}
+
+func (s *subjectStarter) plainProxy() benchmark.Subject {
+	start := func(listen string, endpoints []string) (*exec.Cmd, error) {
+		process := exec.CommandContext(s.ctx, s.self, append([]string{"plain", listen}, endpoints...)...)
+		return process, process.Start()
+	}
+	return benchmark.Subject{Label: "plain proxy", Start: start}
+}
+
+func (s *subjectStarter) daemon(label, program string,
+	configuration func(listen string, endpoints []string) []byte) benchmark.Subject {
+	start := func(listen string, endpoints []string) (*exec.Cmd, error) {
+		path := filepath.Join(s.directory, label)
+		if err := os.WriteFile(path, configuration(listen, endpoints), 0o600); err != nil {
+			return nil, err
+		}
+		process := exec.CommandContext(s.ctx, program, "serve", "-config", path, "-log", "error")
+		isPlatform := func(variable string) bool { return strings.HasPrefix(variable, "GW_") }
+		process.Env = slices.DeleteFunc(os.Environ(), isPlatform)
+		process.Stderr = os.Stderr
+		return process, process.Start()
+	}
+	return benchmark.Subject{Label: label, Start: start}
+}
+
+// printCosts prints the medians of each subject's rounds.
+func printCosts(out io.Writer, subjects []benchmark.Subject, costs []benchmark.Cost, clients int, duration time.Duration) {
+	var base time.Duration
+	for _, subject := range subjects {
+		var cpu, p50, p99 []time.Duration
+		var requests, failed, rss []int
+		for _, cost := range costs {
+			if cost.Subject != subject.Label {
+				continue
+			}
+			cpu = append(cpu, cost.CPU)
+			p50 = append(p50, cost.P50)
+			p99 = append(p99, cost.P99)
+			requests = append(requests, cost.Requests)
+			failed = append(failed, cost.Failed)
+			rss = append(rss, cost.RSS)
+		}
+		if base == 0 {
+			base = median(cpu)
+		}
+		printf(out, "%3d clients  %-12s CPU %6.1f us (%.2f of plain)  p50 %7v  p99 %7v  %6.0f tickets/s  failed %d  RSS %.1f MB\n",
+			clients, subject.Label, float64(median(cpu))/1e3, float64(median(cpu))/float64(max(1, base)),
+			median(p50).Round(time.Microsecond), median(p99).Round(time.Microsecond),
+			float64(median(requests))/duration.Seconds(), slices.Max(failed), float64(median(rss))/1024)
+	}
+}
+
+func median[T ~int | ~int64](values []T) T {
+	if len(values) == 0 {
+		return 0
+	}
+	sorted := slices.Sorted(slices.Values(values))
+	return sorted[len(sorted)/2]
+}
+
+// removeAll removes a temporary directory; what cannot be removed is left to the system.
+func removeAll(directory string) { _ = os.RemoveAll(directory) }
+
+// kill ends a process that a benchmark started, and waits for it.
+func kill(process *exec.Cmd) {
+	if err := process.Process.Kill(); !errors.Is(err, os.ErrProcessDone) {
+		_ = process.Wait() // reports only that it was killed
+	}
+}
--- /dev/null
+++ b/cmd/pepperlead-sim/drillpeers.go
@@ -0,0 +1,79 @@
+package main
+
+import (
+	"context"
+	"io"
+	"os"
+	"os/signal"
+	"syscall"
+
+	"github.com/spf13/cobra"
+
+	"pepperlead/internal/faulttest"
+)
+
+// strangers is how many processes of another cluster or key run beside the measured ones.
+const strangers = 2
+
+func drillCommand() *cobra.Command {
+	c := &cobra.Command{Use: "drill", Short: "Start several processes of the program and break what lies between them"}
+	c.AddCommand(drillPeersCommand(), drillPlayCommand())
+	return c
+}
+
+func drillPeersCommand() *cobra.Command {
+	c := &cobra.Command{
+		Use:   "peers",
+		Args:  cobra.NoArgs,
+		Short: "Kills, stalls and partitions; how soon all that are left know who is there",
+		Long: `Starts sidecars that know of each other, on loopback, with links between them. Measures what an idle one sends and costs, then cuts a
+link one way, kills one, cuts the company in two, heals it, stalls one, has one leave, and starts the killed one again, each time
+until all that are left know. Exit code 1 where they do not.`,
+		Example: "  pepperlead-sim drill peers --count 50",
+	}
+	count := c.Flags().Int("count", 5, "sidecars, 5 at least")
+	seed := c.Flags().Uint64("seed", 1, "names the drill")
+	daemon := c.Flags().String("daemon", "bin/pepperlead", "the daemon's `program`")
+	asJSON := c.Flags().Bool("json", false, "print the result as JSON")
+	c.RunE = func(c *cobra.Command, _ []string) error {
+		ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+		defer stop()
+		directory, err := os.MkdirTemp("", "drill")
+		if err != nil {
+			return err
+		}
+		defer removeAll(directory)
+		stage, err := faulttest.Begin(faulttest.StageConfig{
+			Program:   *daemon,
+			Dir:       directory,
+			Count:     *count,
+			Strangers: strangers,
+			Instances: *count,
+			Seed:      *seed,
+		})
+		if err != nil {
+			return err
+		}
+		defer stage.Close()
+		result, err := faulttest.Peers(ctx, stage, *count)
+		if *asJSON {
+			if failed := printJSON(c.OutOrStdout(), result); failed != nil {
+				return failed
+			}
+			return err
+		}
+		printPeers(c.OutOrStdout(), result)
+		return err
+	}
+	return c
+}
+
+func printPeers(out io.Writer, r faulttest.PeersResult) {
+	for _, step := range r.Steps {
+		printf(out, "%6.1f s  %s (%d know of %d)\n", step.Seconds, step.What, step.Know, step.Of)
+	}
+	printf(out, "an idle one: %.1f packets and %.0f bytes a second sent, %.4f of a core; %.0f false alarms\n",
+		r.Packets, r.Bytes, r.CPU, r.FalseAlarms)
+	printf(out, "the links themselves took %.1f ms (99th percentile); the clock was looked at %.0f ms late at the worst\n",
+		r.OwnDelay*1000, r.LatestClock*1000)
+}
--- a/cmd/pepperlead-sim/main.go
+++ b/cmd/pepperlead-sim/main.go
@@ -19,6 +19,6 @@
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{Use: "pepperlead-sim", Short: "Measure and rehearse what pepperlead does", SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(runCommand(), replayCommand(), socketsCommand(), drillCommand(), sweepCommand(), compareCommand(), reportCommand(), costCommand(), listsCommand(), followCommand(), memoryCommand())
-	root.AddCommand(hidden()...)
+	root.AddCommand(helperCommands()...)
 	return root
 }
--- a/cmd/pepperlead-sim/replay.go
+++ b/cmd/pepperlead-sim/replay.go
@@ -1,7 +1,7 @@
 package main
 
 import (
-	"fmt"
+	"io"
 	"strings"
 
 	"github.com/spf13/cobra"
@@ -12,63 +12,79 @@
 )
 
 func replayCommand() *cobra.Command {
-	c := &cobra.Command{Use: "replay TRACE...", Args: cobra.MinimumNArgs(1), Short: "Play what daemons have recorded, in virtual time",
+	c := &cobra.Command{
+		Use:   "replay TRACE...",
+		Args:  cobra.MinimumNArgs(1),
+		Short: "Play what daemons have recorded, in virtual time",
 		Long: `Play what daemons have recorded by serve --record, a trace from each sidecar, in virtual time: the same requests at the same
 moments, and what the traces show to have gone wrong with servers. The fleet, which no sidecar knows, is a scenario's.`,
-		Example: "  pepperlead-sim replay --scenario scenarios/monday.toml /tmp/monday/*.trace --out /tmp/again"}
-	path := c.Flags().String("scenario", "", "the `scenario` whose fleet, offerings and clients are played (must be given)")
-	scripted := c.Flags().Bool("scripted", false, "play the scenario's faults in place of those the traces show; those on load are in the traces")
+		Example: "  pepperlead-sim replay --scenario scenarios/monday.toml /tmp/monday/*.trace --out /tmp/again",
+	}
+	path := c.Flags().String("scenario", "",
+		"the `scenario` whose fleet, offerings and clients are played (must be given)")
+	scripted := c.Flags().Bool("scripted", false,
+		"play the scenario's faults in place of those the traces show; those on load are in the traces")
 	seed := c.Flags().Uint64("seed", 1, "of what was not recorded: sizes of work, speeds")
-	name := c.Flags().String("policy", "module", strings.Join(baseline.Names, ", "))
-	out := c.Flags().String("out", "", "`folder` for result.json and series.json (default: nothing is written)")
+	policyName := c.Flags().String("policy", "module", strings.Join(baseline.Names, ", "))
+	directory := c.Flags().String("out", "", "`folder` for result.json and series.json (default: nothing is written)")
 	asJSON := c.Flags().Bool("json", false, "print what was taken from the traces, and the result, as JSON")
 	c.RunE = func(c *cobra.Command, args []string) error {
-		sc, err := experiment.Load(*path)
+		scenario, err := experiment.Load(*path)
 		if err != nil {
 			return err
 		}
-		var all []*trace.Trace
-		for _, p := range args {
-			t, err := trace.ReadFile(p)
-			if err != nil {
-				return err
-			}
-			all = append(all, t)
+		traces, err := readTraces(args)
+		if err != nil {
+			return err
 		}
-		script := sc.Faults
-		took, err := experiment.FromTraces(sc, all)
+		scriptedFaults := scenario.Faults
+		replayed, err := experiment.FromTraces(scenario, traces)
 		if err != nil {
 			return err
 		}
 		if *scripted {
-			sc.Faults = script
-			sc.DropLoadFaults()
+			scenario.Faults = scriptedFaults
+			scenario.DropLoadFaults()
 		}
-		r, series, err := experiment.Play(sc, *seed, *name, true)
+		result, series, err := experiment.Play(scenario, *seed, *policyName, true)
 		if err != nil {
 			return err
 		}
-		r.Scenario += ", recorded"
-		if *out != "" {
-			if err := experiment.Write(*out, r, series); err != nil {
+		result.Scenario += ", recorded"
+		if *directory != "" {
+			if err := experiment.Write(*directory, result, series); err != nil {
 				return err
 			}
 		}
 		if *asJSON {
-			return printJSON(c.OutOrStdout(), map[string]any{"traces": took, "result": r})
-		}
-		v := r.Verdict
-		fmt.Fprintf(c.OutOrStdout(), "%d traces (%d cut off): %d requests, %d further tries left out, %d servers; of their tickets %.3f were honoured\n",
-			len(all), took.Truncated, took.Arrivals, took.Retries, took.Endpoints, took.SucceededShare)
-		for _, f := range took.Faults {
-			fmt.Fprintln(c.OutOrStdout(), "  "+f)
+			return printJSON(c.OutOrStdout(), map[string]any{"traces": replayed, "result": result})
 		}
-		fmt.Fprintf(c.OutOrStdout(), "%s, seed %d, %s: service %.3f, worst 10 s %.3f; %d honoured (%d late), %d turned back, %d given up\n", r.Scenario,
-			r.Seed, r.Policy, v.Service, v.Worst10, v.Succeeded, v.Late, v.Rejected, v.Failed)
-		if !v.RulesKept() {
-			return fmt.Errorf("rules were broken: %v", v.ViolationCounts)
-		}
-		return nil
+		printReplay(c.OutOrStdout(), len(traces), replayed, result)
+		return checkRules(result.Verdict)
 	}
 	return c
 }
+
+func readTraces(paths []string) ([]*trace.Trace, error) {
+	var traces []*trace.Trace
+	for _, path := range paths {
+		t, err := trace.ReadFile(path)
+		if err != nil {
+			return nil, err
+		}
+		traces = append(traces, t)
+	}
+	return traces, nil
+}
+
+func printReplay(out io.Writer, traces int, replayed *experiment.Replayed, result *experiment.Result) {
+	printf(out, "%d traces (%d cut off): %d requests, %d further tries left out, %d servers; "+
+		"of their tickets %.3f were honoured\n",
+		traces, replayed.Truncated, replayed.Arrivals, replayed.Retries, replayed.Endpoints, replayed.SucceededShare)
+	for _, fault := range replayed.Faults {
+		printf(out, "  %s\n", fault)
+	}
+	v := result.Verdict
+	printf(out, "%s, seed %d, %s: service %.3f, worst 10 s %.3f; %d honoured (%d late), %d turned back, %d given up\n",
+		result.Scenario, result.Seed, result.Policy, v.Service, v.Worst10, v.Succeeded, v.Late, v.Rejected, v.Failed)
+}
--- /dev/null
+++ b/cmd/pepperlead-sim/sweep.go
@@ -0,0 +1,110 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"os"
+	"os/signal"
+	"strings"
+	"syscall"
+	"text/tabwriter"
+
+	"github.com/spf13/cobra"
+
+	"pepperlead/internal/emulator/baseline"
+	"pepperlead/internal/experiment"
+)
+
+func sweepCommand() *cobra.Command {
+	c := &cobra.Command{
+		Use:   "sweep SCENARIO...",
+		Args:  cobra.MinimumNArgs(1),
+		Short: "Play many days: seeds, values of a figure, policies",
+		Example: "  pepperlead-sim sweep scenarios/*.toml --seeds 20 --policies module,two,seeing --out /tmp/all\n" +
+			"  pepperlead-sim sweep scenarios/burst.toml --vary load.part=0.5:1.5:0.1 --seeds 5 --out /tmp/load\n" +
+			"  pepperlead-sim sweep scenarios/slow.toml --vary scale=4x8,300x100 --seeds 5     " +
+			"# sidecars x servers, load and keys in proportion",
+	}
+	seeds := c.Flags().Uint64("seeds", 5, "how many seeds, from --first on")
+	first := c.Flags().Uint64("first", 1, "the first seed")
+	vary := c.Flags().String("vary", "", "a figure and its `values`, as load.part=0.5,0.8 or load.part=0.5:1.5:0.1")
+	policies := c.Flags().StringSlice("policies", []string{"module"}, strings.Join(baseline.Names, ", "))
+	workers := c.Flags().Int("workers", 0, "days played at once (default: as many as there are cores)")
+	directory := c.Flags().String("out", "", "`folder` for sweep.json")
+	asJSON := c.Flags().Bool("json", false, "print the table as JSON")
+	noProgress := c.Flags().Bool("quiet", false, "without a progress bar")
+	plot := c.Flags().String("plot", "", "`file` for a picture of the table, SVG")
+	c.RunE = func(c *cobra.Command, args []string) error {
+		ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+		defer stop()
+		grid := experiment.Grid{Scenarios: args, Policies: *policies, Workers: *workers}
+		for i := range *seeds {
+			grid.Seeds = append(grid.Seeds, *first+i)
+		}
+		if err := checkPolicies(*policies); err != nil {
+			return err
+		}
+		if err := setVariation(&grid, *vary); err != nil {
+			return err
+		}
+		if !*noProgress && !*asJSON {
+			grid.Progress = os.Stderr
+		}
+		results, err := experiment.Sweep(ctx, grid)
+		if err != nil {
+			return err
+		}
+		if *directory != "" {
+			if err := experiment.WriteSweep(*directory, results); err != nil {
+				return err
+			}
+		}
+		rows := experiment.Table(results)
+		if *plot != "" {
+			if err := experiment.PlotRows(*plot, rows); err != nil {
+				return err
+			}
+		}
+		if *asJSON {
+			return printJSON(c.OutOrStdout(), rows)
+		}
+		return printTable(c.OutOrStdout(), rows)
+	}
+	return c
+}
+
+func checkPolicies(names []string) error {
+	for _, name := range names {
+		if _, err := baseline.Maker(name); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// setVariation sets what a grid varies from path=values; "" is nothing.
+func setVariation(grid *experiment.Grid, variation string) (err error) {
+	if variation == "" {
+		return nil
+	}
+	path, values, found := strings.Cut(variation, "=")
+	if !found {
+		return fmt.Errorf("--vary: found %q, allowed path=values", variation)
+	}
+	grid.Vary = path
+	grid.Values, err = experiment.Range(values)
+	return err
+}
+
+func printTable(out io.Writer, rows []experiment.Row) error {
+	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	printf(w, "scenario\tset\tpolicy\tdays\tservice\t±\tworst 10 s\twasted\tcrossed\tscatter 1 s, 5 s\tforced\tbusiest\tmost\t"+
+		"idle s\therd\tdays that broke rules 1 2 3 4\n")
+	for _, r := range rows {
+		printf(w, "%s\t%s\t%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.2f, %.2f\t%.2f, %.2f\t%.2f\t%.1f\t%.1f\t%.1f\t%v\n",
+			r.Scenario, r.Set, r.Policy, r.Days, r.Service, r.Half, r.Worst10, r.Wasted, r.Crossed, r.Scatter[0], r.Scatter[1],
+			r.Forced[0], r.Forced[1], r.Busiest, r.BusiestMax, r.IdleSeconds, r.Herd, r.Broken)
+	}
+	return w.Flush()
+}
