--- a/internal/daemon/adminoperations.go
+++ b/internal/daemon/adminoperations.go
@@ -67,7 +67,7 @@
 	}
 	encoded, err := json.Marshal(state)
 	if err != nil {
-		o.Logger.WithError(err).Error("handover: the learned state cannot be encoded")
+		o.Logger.WithError(err).Error("handover: learned state cannot be encoded")
 		return nil
 	}
 	return encoded
@@ -79,14 +79,14 @@
 		var state learnedState
 		if err := json.Unmarshal(encoded, &state); err != nil {
 			o.Logger.WithError(err).
-				Warn("handover: what the other process has learned cannot be read, and is left out")
+				Warn("handover: learned state of the other process cannot be decoded, ignored")
 			continue
 		}
 		o.RunOnLoopWithin(loopTimeout, func() {
 			o.ImportSeen(state.Seen)
 			o.Module.ImportState(o.Clock.Now(), state.LearnedState)
 		})
-		o.Logger.WithField("servers", len(state.Endpoints)).
-			Info("handover: goes on from what the other process has learned")
+		o.Logger.WithField("endpoints", len(state.Endpoints)).
+			Info("handover: learned state of the other process imported")
 	}
 }
--- a/internal/daemon/cluster.go
+++ b/internal/daemon/cluster.go
@@ -57,7 +57,7 @@
 			m.announce(cluster)
 		} else if err.Error() != logged {
 			logged = err.Error()
-			m.Logger.WithError(err).Warn("peers: left out for now, tried again each second")
+			m.Logger.WithError(err).Warn("cluster not joined, retrying every second")
 		}
 	}
 }
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -117,7 +117,7 @@
 	s.config.Recorder = recorder
 	s.onClose(func() {
 		if err := recorder.Close(); err != nil || recorder.Dropped() > 0 {
-			s.log.WithError(err).WithField("dropped", recorder.Dropped()).Warn("the trace is not whole")
+			s.log.WithError(err).WithField("dropped", recorder.Dropped()).Warn("the trace is incomplete")
 		}
 	})
 	return nil
--- a/internal/engine/drained.go
+++ b/internal/engine/drained.go
@@ -46,13 +46,13 @@
 	var changed []policy.Member
 	for uid, state := range l.drained {
 		if state.drained && !wanted[uid] {
-			e.Logger.WithField("server", uid).Info("by hand: used again")
+			e.Logger.WithField("endpoint", uid).Info("endpoint no longer administratively drained")
 			changed = l.setDrainState(uid, drainState{restoredAt: now}, changed)
 		}
 	}
 	for _, uid := range uids {
 		if !l.drained[uid].drained {
-			e.Logger.WithField("server", uid).Info("by hand: taken out")
+			e.Logger.WithField("endpoint", uid).Info("endpoint administratively drained")
 			changed = l.setDrainState(uid, drainState{drained: true}, changed)
 		}
 	}
@@ -62,7 +62,7 @@
 	e.publishFigures(now)
 }
 
-// setDrainState sets the state of an endpoint and appends what the module has to be told of it.
+// setDrainState sets the state of an endpoint and appends the change for the module, if there is one.
 func (l *endpointList) setDrainState(uid string, state drainState, changed []policy.Member) []policy.Member {
 	l.drained[uid] = state
 	s := l.engine.Endpoints[endpointfiles.EndpointID(uid)]
--- a/internal/engine/endpoint.go
+++ b/internal/engine/endpoint.go
@@ -1,6 +1,8 @@
 package engine
 
 import (
+	"github.com/sirupsen/logrus"
+
 	"pepperlead/internal/discovery"
 	"pepperlead/policy"
 )
@@ -32,7 +34,7 @@
 	}
 }
 
-// updateEndpoint takes over an entry and returns false if the module must not be told of it. Two endpoints whose ids
+// updateEndpoint takes over an entry and returns false if it is not for the module. Two endpoints whose ids
 // collide are not merged: the second is left out.
 func (e *Engine) updateEndpoint(entry discovery.Entry) bool {
 	s := e.Endpoints[entry.ID]
@@ -44,7 +46,8 @@
 		e.Endpoints[entry.ID] = s
 	}
 	if s.UID != entry.UID {
-		e.Logger.WithField("uid", entry.UID).Error("list: left out, has the id of " + s.UID)
+		e.Logger.WithFields(logrus.Fields{"uid": entry.UID, "collides_with": s.UID}).
+			Error("endpoint skipped, its id collides with another one's")
 		return false
 	}
 	e.list.seen.add(entry.ID)
--- a/internal/engine/endpointlist.go
+++ b/internal/engine/endpointlist.go
@@ -119,10 +119,10 @@
 	case event.Rejected != "":
 		l.engine.Counters.ListsRefused++
 		l.refused = strings.ReplaceAll(event.Rejected, "\n", "; ")
-		log.WithField("why", l.refused).Error("list: refused, the last good one stays")
+		log.WithField("reason", l.refused).Error("endpoint list rejected, the last valid one stays in use")
 	case event.Recovered:
 		l.refused = ""
-		log.Info("list: as it is in force again")
+		log.Info("endpoint list is valid again")
 	case event.Note != "":
 		log.Warn(event.Note)
 	}
@@ -130,7 +130,7 @@
 
 func (l *endpointList) handleList(now policy.Time, list *discovery.List) {
 	if l.failures > 0 {
-		l.engine.Logger.WithField("failed", l.failures).Info("list: calls are answered again")
+		l.engine.Logger.WithField("failures", l.failures).Info("endpoint source has recovered")
 	}
 	l.failures = 0
 	l.refused = ""
@@ -143,11 +143,11 @@
 	}
 }
 
-func (l *endpointList) handleFailure(now policy.Time, why string) {
+func (l *endpointList) handleFailure(now policy.Time, reason string) {
 	l.engine.Counters.ListFailures++
 	l.failures++
 	if l.failures == 1 {
-		l.engine.Logger.WithField("why", why).Warn("list: calls fail")
+		l.engine.Logger.WithField("reason", reason).Warn("endpoint source fails")
 	}
 	if l.engine.Settings.PollList {
 		l.engine.Module.ListFailed(now)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -127,7 +127,7 @@
 	}
 	_, _, entries, err := discovery.DecodeList(e.SavedList)
 	if err != nil {
-		e.Logger.WithError(err).Warn("known list: left out")
+		e.Logger.WithError(err).Warn("saved endpoint list cannot be read, waiting for the source")
 		return
 	}
 	e.list.apply(now, &discovery.List{Kind: policy.ListSaved, Entries: entries})
--- a/internal/engine/ruleendpoints.go
+++ b/internal/engine/ruleendpoints.go
@@ -35,8 +35,8 @@
 	}
 	if a.rejectedTable != set.Number {
 		a.rejectedTable = set.Number
-		e.Logger.WithField("version", set.Number).
-			Error("rules: the agreed table names a server that is not in the list, and is left out")
+		e.Logger.WithField("revision", set.Number).
+			Error("agreed endpoint table rejected, it names an endpoint that is not listed")
 	}
 	return false
 }
--- a/internal/engine/shutdown.go
+++ b/internal/engine/shutdown.go
@@ -18,7 +18,7 @@
 	if e.shuttingDown {
 		return
 	}
-	e.Logger.WithField("tickets", e.InFlight).Info("leaving: answering what is in hand")
+	e.Logger.WithField("requests_in_flight", e.InFlight).Info("graceful shutdown begun")
 	e.shuttingDown = true
 	e.shutdownDeadline = now + e.ShutdownTime
 	e.Module.Shutdown(now, e.shutdownDeadline)
