--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -62,20 +62,27 @@
 // timerHeap implements heap.Interface, the next timer first.
 type timerHeap []*Timer
 
-func (h timerHeap) Len() int           { return len(h) }
+// Len implements heap.Interface.
+func (h timerHeap) Len() int { return len(h) }
+
+// Less implements heap.Interface.
 func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+
+// Swap implements heap.Interface.
 func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].position = i + 1
 	h[j].position = j + 1
 }
 
+// Push implements heap.Interface.
 func (h *timerHeap) Push(x any) {
 	t := x.(*Timer)
 	*h = append(*h, t)
 	t.position = len(*h)
 }
 
+// Pop implements heap.Interface.
 func (h *timerHeap) Pop() any {
 	t := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
