--- a/cmd/pepperlead-sim/compare.go
+++ b/cmd/pepperlead-sim/compare.go
@@ -15,8 +15,9 @@
 		Use:   "compare A B",
 		Args:  cobra.ExactArgs(2),
 		Short: "Compare two sweeps, or two days, paired by seed",
-		Long: `Compare what run or sweep wrote into two folders, paired by scenario, figure and seed, with the 95% interval of the gain.
-Exit code 1 if a scenario loses more than is allowed, or if B breaks a rule where A did not.`,
+		Long: "Compare what run or sweep wrote into two folders, paired by scenario, figure and seed, with " +
+			"the 95% interval of the gain.\n" +
+			"Exit code 1 if a scenario loses more than is allowed, or if B breaks a rule where A did not.",
 		Example: "  pepperlead-sim compare /tmp/before /tmp/after --allow 0.01",
 	}
 	allow := c.Flags().Float64("allow", 0.01, "the loss of service that is let pass")
@@ -53,7 +54,8 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	printf(w, "scenario\tset\tpairs\tA\tB\tgain\t±\tnew breaks\n")
 	for _, x := range comparisons {
-		printf(w, "%s\t%s\t%d\t%.3f\t%.3f\t%+.4f\t%.4f\t%d\n", x.Scenario, x.Set, x.Pairs, x.A, x.B, x.Gain, x.Half, x.Breaks)
+		printf(w, ""+
+			"%s\t%s\t%d\t%.3f\t%.3f\t%+.4f\t%.4f\t%d\n", x.Scenario, x.Set, x.Pairs, x.A, x.B, x.Gain, x.Half, x.Breaks)
 	}
 	return w.Flush()
 }
--- a/cmd/pepperlead-sim/cost.go
+++ b/cmd/pepperlead-sim/cost.go
@@ -86,8 +86,8 @@
 	self      string // this program
 }
 
-// all returns the plain proxy, which is the base of comparison, then daemons with the platform's configuration and with the
-// product's.
+// all returns the plain proxy, which is the base of comparison, then daemons with the platform's configuration and
+// with the product's.
 func (s *subjectStarter) all(daemons, products []string) ([]benchmark.Subject, error) {
 	subjects := []benchmark.Subject{s.plainProxy()}
 	for _, daemon := range daemons {
@@ -139,7 +139,13 @@
 }
 
 // printCosts prints the medians of each subject's rounds.
-func printCosts(out io.Writer, subjects []benchmark.Subject, costs []benchmark.Cost, clients int, duration time.Duration) {
+func printCosts(
+	out io.Writer,
+	subjects []benchmark.Subject,
+	costs []benchmark.Cost,
+	clients int,
+	duration time.Duration,
+) {
 	var base time.Duration
 	for _, subject := range subjects {
 		var cpu, p50, p99 []time.Duration
@@ -158,7 +164,8 @@
 		if base == 0 {
 			base = median(cpu)
 		}
-		printf(out, "%3d clients  %-12s CPU %6.1f us (%.2f of plain)  p50 %7v  p99 %7v  %6.0f tickets/s  failed %d  RSS %.1f MB\n",
+		printf(out, "%3d clients  %-12s CPU %6.1f us (%.2f of plain)  p50 %7v  p99 %7v  %6.0f tickets/s  failed "+
+			"%d  RSS %.1f MB\n",
 			clients, subject.Label, float64(median(cpu))/1e3, float64(median(cpu))/float64(max(1, base)),
 			median(p50).Round(time.Microsecond), median(p99).Round(time.Microsecond),
 			float64(median(requests))/duration.Seconds(), slices.Max(failed), float64(median(rss))/1024)
--- a/cmd/pepperlead-sim/drillpeers.go
+++ b/cmd/pepperlead-sim/drillpeers.go
@@ -16,7 +16,10 @@
 const strangers = 2
 
 func drillCommand() *cobra.Command {
-	c := &cobra.Command{Use: "drill", Short: "Start several processes of the program and break what lies between them"}
+	c := &cobra.Command{
+		Use:   "drill",
+		Short: "Start several processes of the program and break what lies between them",
+	}
 	c.AddCommand(drillPeersCommand(), drillPlayCommand())
 	return c
 }
@@ -26,9 +29,11 @@
 		Use:   "peers",
 		Args:  cobra.NoArgs,
 		Short: "Kills, stalls and partitions; how soon all that are left know who is there",
-		Long: `Starts sidecars that know of each other, on loopback, with links between them. Measures what an idle one sends and costs, then cuts a
-link one way, kills one, cuts the company in two, heals it, stalls one, has one leave, and starts the killed one again, each time
-until all that are left know. Exit code 1 where they do not.`,
+		Long: "Starts sidecars that know of each other, on loopback, with links between them. Measures what " +
+			"an idle one sends and costs, then cuts a\n" +
+			"link one way, kills one, cuts the company in two, heals it, stalls one, has one leave, and " +
+			"starts the killed one again, each time\n" +
+			"until all that are left know. Exit code 1 where they do not.",
 		Example: "  pepperlead-sim drill peers --count 50",
 	}
 	count := c.Flags().Int("count", 5, "sidecars, 5 at least")
@@ -74,6 +79,7 @@
 	}
 	printf(out, "an idle one: %.1f packets and %.0f bytes a second sent, %.4f of a core; %.0f false alarms\n",
 		r.Packets, r.Bytes, r.CPU, r.FalseAlarms)
-	printf(out, "the links themselves took %.1f ms (99th percentile); the clock was looked at %.0f ms late at the worst\n",
+	printf(out, "the links themselves took %.1f ms (99th percentile); the clock was looked at %.0f ms late at "+
+		"the worst\n",
 		r.OwnDelay*1000, r.LatestClock*1000)
 }
--- a/cmd/pepperlead-sim/drillplay.go
+++ b/cmd/pepperlead-sim/drillplay.go
@@ -22,9 +22,12 @@
 		Use:   "play FILE...",
 		Args:  cobra.MinimumNArgs(1),
 		Short: "Play drills of a cluster whose rules change while things break",
-		Long: `Starts sidecars, keepers of versions, servers and clients as drills/*.toml say, does to them what is said there, heals all, and
-has the judge look at what processes, servers and clients wrote down. Exit code 1 where a rule was broken, two acted on rules that
-contradict each other for longer than agree_within, or something failed; the command that plays a failed one again is printed.`,
+		Long: "Starts sidecars, keepers of versions, servers and clients as drills/*.toml say, does to them " +
+			"what is said there, heals all, and\n" +
+			"has the judge look at what processes, servers and clients wrote down. Exit code 1 where a rule " +
+			"was broken, two acted on rules that\n" +
+			"contradict each other for longer than agree_within, or something failed; the command that " +
+			"plays a failed one again is printed.",
 		Example: "  pepperlead-sim drill play drills/naps.toml --seeds 20 --report out",
 	}
 	var p drillPlayer
@@ -35,7 +38,7 @@
 	c.Flags().StringVar(&p.daemon, "daemon", "bin/pepperlead", "the daemon's `program`")
 	c.Flags().BoolVar(&p.asJSON, "json", false, "print each result as a line of JSON")
 	c.Flags().StringVar(&p.reports, "report", "", "`folder` for a page of HTML a play")
-	c.Flags().StringVar(&p.keep, "keep", "", "`folder` in which configurations and logs of failed plays stay")
+	c.Flags().StringVar(&p.failedPlays, "keep", "", "`folder` in which configurations and logs of failed plays stay")
 	c.RunE = func(c *cobra.Command, files []string) error {
 		ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 		defer stop()
@@ -75,14 +78,14 @@
 
 // drillPlayer plays drills one after another.
 type drillPlayer struct {
-	firstSeed uint64
-	seeds     uint64
-	daemon    string
-	asJSON    bool
-	reports   string // directory; "": none are written
-	keep      string // directory; "": nothing is kept
-	out       io.Writer
-	errors    io.Writer
+	firstSeed   uint64
+	seeds       uint64
+	daemon      string
+	asJSON      bool
+	reports     string // directory; "": none are written
+	failedPlays string // directory; "": nothing is kept
+	out         io.Writer
+	errors      io.Writer
 }
 
 func (p *drillPlayer) playAll(ctx context.Context, files []string, scripts []*faulttest.Script) error {
@@ -104,7 +107,12 @@
 	}
 	bars.Wait()
 	if len(failed) > 0 {
-		return fmt.Errorf("%d of %d plays have failed; to see one again:\n%s", len(failed), plays, strings.Join(failed, "\n"))
+		return fmt.Errorf(
+			"%d of %d plays have failed; to see one again:\n%s",
+			len(failed),
+			plays,
+			strings.Join(failed, "\n"),
+		)
 	}
 	return ctx.Err()
 }
@@ -114,8 +122,8 @@
 	return fmt.Sprintf("pepperlead-sim drill play %s --seed %d", file, seed)
 }
 
-// playOne plays a drill and prints its result. The error is one of printing or of the report: a play that could not be made is not
-// good.
+// playOne plays a drill and prints its result. The error is one of printing or of the report: a play that could not
+// be made is not good.
 func (p *drillPlayer) playOne(ctx context.Context, file string, script *faulttest.Script, seed uint64,
 	played func()) (good bool, err error) {
 	result, err := p.play(ctx, script, seed)
@@ -142,12 +150,12 @@
 
 // play plays in a directory of its own, which stays if the play fails and is to be kept.
 func (p *drillPlayer) play(ctx context.Context, script *faulttest.Script, seed uint64) (*faulttest.Result, error) {
-	directory, err := os.MkdirTemp(p.keep, "drill")
+	directory, err := os.MkdirTemp(p.failedPlays, "drill")
 	if err != nil {
 		return nil, err
 	}
 	result, err := faulttest.Play(ctx, p.daemon, directory, script, seed)
-	if p.keep == "" || err == nil && result.Good(script) {
+	if p.failedPlays == "" || err == nil && result.Good(script) {
 		removeAll(directory)
 	}
 	return result, err
@@ -159,7 +167,8 @@
 		verdict = "FAILED"
 	}
 	v := r.Verdict
-	printf(out, "%s, seed %d: %s; contradiction %v (allowed %v), %d broken rules, %d pushes (%d without a lease), %d effects twice\n",
+	printf(out, "%s, seed %d: %s; contradiction %v (allowed %v), %d broken rules, %d pushes (%d without a "+
+		"lease), %d effects twice\n",
 		r.Drill, r.Seed, verdict, v.Contradiction, script.AgreeWithin, v.Broken, v.Attempts, v.Unleased, v.Repeats)
 	printf(out, "  clients: %d asked, %d honoured, %d turned back, %d given up, %d lost with their sidecar; "+
 		"without a lease %d of %d honoured\n",
@@ -167,10 +176,12 @@
 	for _, a := range r.Applied {
 		printApplied(out, a)
 	}
-	printf(out, "  agreed %.1f s after all was healed; %.1f s without a lease and %.0f times held to be gone over all; "+
+	printf(out, "  agreed %.1f s after all was healed; %.1f s without a lease and %.0f times held to be gone "+
+		"over all; "+
 		"one sidecar: %.1f packets and %.0f bytes a second, %.4f of a core\n",
 		r.Converged, r.Unleased, r.FalseDeaths, r.Packets, r.Bytes, r.CPU)
-	printf(out, "  links took %.1f ms (99%%), the clock was looked at %.0f ms late at the worst; %.0f%% of the machine was in use\n",
+	printf(out, "  links took %.1f ms (99%%), the clock was looked at %.0f ms late at the worst; %.0f%% of the "+
+		"machine was in use\n",
 		r.OwnDelay*1000, r.ClockLateness*1000, r.Busy*100)
 	if r.Tables > 0 {
 		printf(out, "  %d slot tables at the end\n", r.Tables)
--- a/cmd/pepperlead-sim/lists.go
+++ b/cmd/pepperlead-sim/lists.go
@@ -31,8 +31,16 @@
 			cost := benchmark.ReadLists(size, *rounds)
 			costs = append(costs, cost)
 			if !*asJSON {
-				printf(c.OutOrStdout(), "%6d servers, %8d bytes: parse %v, weigh %v, deal %v on the loop, the same again %v\n",
-					cost.Endpoints, cost.Bytes, cost.Parse, cost.Evaluate, cost.Assign, cost.Again)
+				printf(
+					c.OutOrStdout(),
+					"%6d servers, %8d bytes: parse %v, weigh %v, deal %v on the loop, the same again %v\n",
+					cost.Endpoints,
+					cost.Bytes,
+					cost.Parse,
+					cost.Evaluate,
+					cost.Assign,
+					cost.Again,
+				)
 			}
 		}
 		if *asJSON {
@@ -107,7 +115,11 @@
 const settleTime = 2 * time.Second
 
 func memoryCommand() *cobra.Command {
-	c := &cobra.Command{Use: "memory", Args: cobra.NoArgs, Short: "Measure the daemon's memory with lists of several sizes"}
+	c := &cobra.Command{
+		Use:   "memory",
+		Args:  cobra.NoArgs,
+		Short: "Measure the daemon's memory with lists of several sizes",
+	}
 	program := c.Flags().String("daemon", "bin/pepperlead", "the daemon's `program`")
 	sizes := c.Flags().IntSlice("servers", []int{10, 300, 5000}, "sizes of the list")
 	admin := c.Flags().Bool("admin", false, "with an admin address, scraped once")
@@ -138,7 +150,8 @@
 	return c
 }
 
-// measureMemory returns the memory, in KiB, of a daemon with a list of so many endpoints, the first one at the backend's address.
+// measureMemory returns the memory, in KiB, of a daemon with a list of so many endpoints, the first one at the
+// backend's address.
 func measureMemory(program string, endpoints int, backend, extra string) (rss int, err error) {
 	addresses := loopbackAddresses(endpoints, backend[strings.LastIndexByte(backend, ':')+1:])
 	addresses[0] = backend
@@ -158,7 +171,13 @@
 	const perNumber = 250 // hosts, and nets, for each number of an address
 	addresses := make([]string, count)
 	for i := range addresses {
-		addresses[i] = fmt.Sprintf("127.%d.%d.%d:%s", 2+i/(perNumber*perNumber), i/perNumber%perNumber, 1+i%perNumber, port)
+		addresses[i] = fmt.Sprintf(
+			"127.%d.%d.%d:%s",
+			2+i/(perNumber*perNumber),
+			i/perNumber%perNumber,
+			1+i%perNumber,
+			port,
+		)
 	}
 	return addresses
 }
--- a/cmd/pepperlead-sim/main.go
+++ b/cmd/pepperlead-sim/main.go
@@ -17,8 +17,14 @@
 
 // rootCommand is the program's command with all commands below it.
 func rootCommand() *cobra.Command {
-	root := &cobra.Command{Use: "pepperlead-sim", Short: "Measure and rehearse what pepperlead does", SilenceUsage: true, SilenceErrors: true}
-	root.AddCommand(runCommand(), replayCommand(), socketsCommand(), drillCommand(), sweepCommand(), compareCommand(), reportCommand(), costCommand(), listsCommand(), followCommand(), memoryCommand())
+	root := &cobra.Command{
+		Use:           "pepperlead-sim",
+		Short:         "Measure and rehearse what pepperlead does",
+		SilenceUsage:  true,
+		SilenceErrors: true,
+	}
+	root.AddCommand(runCommand(), replayCommand(), socketsCommand(), drillCommand(), sweepCommand(), compareCommand())
+	root.AddCommand(reportCommand(), costCommand(), listsCommand(), followCommand(), memoryCommand())
 	root.AddCommand(helperCommands()...)
 	return root
 }
--- a/cmd/pepperlead-sim/replay.go
+++ b/cmd/pepperlead-sim/replay.go
@@ -16,8 +16,10 @@
 		Use:   "replay TRACE...",
 		Args:  cobra.MinimumNArgs(1),
 		Short: "Play what daemons have recorded, in virtual time",
-		Long: `Play what daemons have recorded by serve --record, a trace from each sidecar, in virtual time: the same requests at the same
-moments, and what the traces show to have gone wrong with servers. The fleet, which no sidecar knows, is a scenario's.`,
+		Long: "Play what daemons have recorded by serve --record, a trace from each sidecar, in virtual time: " +
+			"the same requests at the same\n" +
+			"moments, and what the traces show to have gone wrong with servers. The fleet, which no sidecar " +
+			"knows, is a scenario's.",
 		Example: "  pepperlead-sim replay --scenario scenarios/monday.toml /tmp/monday/*.trace --out /tmp/again",
 	}
 	path := c.Flags().String("scenario", "",
@@ -85,6 +87,7 @@
 		printf(out, "  %s\n", fault)
 	}
 	v := result.Verdict
-	printf(out, "%s, seed %d, %s: service %.3f, worst 10 s %.3f; %d honoured (%d late), %d turned back, %d given up\n",
+	printf(out, "%s, seed %d, %s: service %.3f, worst 10 s %.3f; %d honoured (%d late), %d turned back, %d given "+
+		"up\n",
 		result.Scenario, result.Seed, result.Policy, v.Service, v.Worst10, v.Succeeded, v.Late, v.Rejected, v.Failed)
 }
--- a/cmd/pepperlead-sim/run.go
+++ b/cmd/pepperlead-sim/run.go
@@ -17,8 +17,10 @@
 		Use:     "run SCENARIO",
 		Args:    cobra.ExactArgs(1),
 		Short:   "Play one day in virtual time",
-		Long:    "Play one day in virtual time. The same scenario, seed and policy give the same result.json, to the byte.",
-		Example: "  pepperlead-sim run scenarios/monday.toml --seed 7 --out /tmp/monday && pepperlead-sim report /tmp/monday",
+		Long: "Play one day in virtual time. " +
+			"The same scenario, seed and policy give the same result.json, to the byte.",
+		Example: "  pepperlead-sim run scenarios/monday.toml --seed 7 --out /tmp/monday " +
+			"&& pepperlead-sim report /tmp/monday",
 	}
 	seed := c.Flags().Uint64("seed", 1, "names the day")
 	directory := c.Flags().String("out", "", "`folder` for result.json and series.json (default: nothing is written)")
--- a/cmd/pepperlead-sim/sockets.go
+++ b/cmd/pepperlead-sim/sockets.go
@@ -18,8 +18,10 @@
 		Use:   "sockets SCENARIO",
 		Args:  cobra.ExactArgs(1),
 		Short: "Play a scenario on sockets in real time, with real daemons",
-		Long: `Play a scenario on sockets in real time: daemons as processes of their own, stand-in servers whose inside is the emulator's
-model, clients that ask for what the emulator's would, and the same judge. 320 daemons and 5,000 requests a second at most.`,
+		Long: "Play a scenario on sockets in real time: daemons as processes of their own, stand-in servers " +
+			"whose inside is the emulator's\n" +
+			"model, clients that ask for what the emulator's would, and the same judge. 320 daemons and " +
+			"5,000 requests a second at most.",
 		Example: "  pepperlead-sim sockets scenarios/monday.toml --seed 1 --record /tmp/monday",
 	}
 	seed := c.Flags().Uint64("seed", 1, "names the day")
--- a/cmd/pepperlead-sim/sweep.go
+++ b/cmd/pepperlead-sim/sweep.go
@@ -99,12 +99,33 @@
 
 func printTable(out io.Writer, rows []experiment.Row) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	printf(w, "scenario\tset\tpolicy\tdays\tservice\t±\tworst 10 s\twasted\tcrossed\tscatter 1 s, 5 s\tforced\tbusiest\tmost\t"+
+	printf(w, "scenario\tset\tpolicy\tdays\tservice\t±\tworst 10 s\twasted\tcrossed\tscatter 1 s, 5 "+
+		"s\tforced\tbusiest\tmost\t"+
 		"idle s\therd\tdays that broke rules 1 2 3 4\n")
 	for _, r := range rows {
-		printf(w, "%s\t%s\t%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.2f, %.2f\t%.2f, %.2f\t%.2f\t%.1f\t%.1f\t%.1f\t%v\n",
-			r.Scenario, r.Set, r.Policy, r.Days, r.Service, r.Half, r.Worst10, r.Wasted, r.Crossed, r.Scatter[0], r.Scatter[1],
-			r.Forced[0], r.Forced[1], r.Busiest, r.BusiestMax, r.IdleSeconds, r.Herd, r.Broken)
+		printf(
+			w,
+			"%s\t%s\t%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.2f, %.2f\t%.2f, "+
+				"%.2f\t%.2f\t%.1f\t%.1f\t%.1f\t%v\n",
+			r.Scenario,
+			r.Set,
+			r.Policy,
+			r.Days,
+			r.Service,
+			r.Half,
+			r.Worst10,
+			r.Wasted,
+			r.Crossed,
+			r.Scatter[0],
+			r.Scatter[1],
+			r.Forced[0],
+			r.Forced[1],
+			r.Busiest,
+			r.BusiestMax,
+			r.IdleSeconds,
+			r.Herd,
+			r.Broken,
+		)
 	}
 	return w.Flush()
 }
--- a/internal/benchmark/cost.go
+++ b/internal/benchmark/cost.go
@@ -69,7 +69,13 @@
 
 // Run measures each subject for some time with some clients, one after another, round by round, so that a drift of the
 // machine's speed affects all alike. self is the program that has the command "backend ADDRESS".
-func Run(ctx context.Context, self string, subjects []Subject, clients, rounds int, duration time.Duration) ([]Cost, error) {
+func Run(
+	ctx context.Context,
+	self string,
+	subjects []Subject,
+	clients, rounds int,
+	duration time.Duration,
+) ([]Cost, error) {
 	var endpoints []string
 	for range backendCount {
 		address := Free()
--- a/internal/benchmark/follow.go
+++ b/internal/benchmark/follow.go
@@ -86,7 +86,7 @@
 func (p *endpointPair) close() {
 	for _, endpoint := range p.endpoints {
 		if endpoint != nil {
-			closeQuietly(endpoint)
+			closeUnchecked(endpoint)
 		}
 	}
 }
--- a/internal/benchmark/lists.go
+++ b/internal/benchmark/lists.go
@@ -18,8 +18,15 @@
 		if i < len(addresses) {
 			address = addresses[i]
 		}
-		fmt.Fprintf(&text, "[[server]]\nid = \"s-%05d\"\naddress = %q\nzone = \"%c\"\npod = %d\nweight = %.2f\n", i, address,
-			"abc"[i%3], i/8, 0.5+float64(i*7%100)/100)
+		fmt.Fprintf(
+			&text,
+			"[[server]]\nid = \"s-%05d\"\naddress = %q\nzone = \"%c\"\npod = %d\nweight = %.2f\n",
+			i,
+			address,
+			"abc"[i%3],
+			i/8,
+			0.5+float64(i*7%100)/100,
+		)
 	}
 	if !sealed {
 		fmt.Fprintf(&text, "[whole]\nservers = %d\n", endpoints)
--- a/internal/benchmark/load.go
+++ b/internal/benchmark/load.go
@@ -21,8 +21,8 @@
 	routeKeys        = 1000 // different keys of requests
 )
 
-// closeQuietly closes what was only read from, or is not used any more.
-func closeQuietly(c io.Closer) { _ = c.Close() }
+// closeUnchecked closes what was only read from, or is not used any more.
+func closeUnchecked(c io.Closer) { _ = c.Close() }
 
 // Answers waits until a request is answered 200 at the address.
 func Answers(address string, timeout time.Duration) error {
@@ -32,7 +32,7 @@
 			continue
 		}
 		status, err := sendRequest(conn, bufio.NewReader(conn), 1)
-		closeQuietly(conn)
+		closeUnchecked(conn)
 		if err == nil && status == http.StatusOK {
 			return nil
 		}
@@ -47,7 +47,7 @@
 		if err != nil {
 			continue
 		}
-		closeQuietly(response.Body)
+		closeUnchecked(response.Body)
 		if response.StatusCode == http.StatusOK {
 			return nil
 		}
@@ -68,7 +68,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer closeQuietly(response.Body)
+	defer closeUnchecked(response.Body)
 	_, err = io.Copy(io.Discard, response.Body)
 	return response.StatusCode, err
 }
@@ -110,7 +110,7 @@
 		result.failed++
 		return result
 	}
-	defer closeQuietly(conn)
+	defer closeUnchecked(conn)
 	in := bufio.NewReader(conn)
 	for number := 0; time.Now().Before(end); number++ {
 		start := time.Now()
@@ -123,7 +123,9 @@
 			result.failed++
 			continue
 		}
-		_ = result.latencies.RecordValue(int64(time.Since(start))) // fails only over maxLatency, longer than requestTimeout
+		_ = result.latencies.RecordValue(
+			int64(time.Since(start)),
+		) // fails only over maxLatency, longer than requestTimeout
 	}
 	return result
 }
--- a/internal/benchmark/process.go
+++ b/internal/benchmark/process.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		panic(err)
 	}
-	defer closeQuietly(listener)
+	defer closeUnchecked(listener)
 	return listener.Addr().String()
 }
 
