--- a/cmd/pepperlead-sim/run.go
+++ b/cmd/pepperlead-sim/run.go
@@ -14,9 +14,9 @@
 
 func runCommand() *cobra.Command {
 	c := &cobra.Command{
-		Use:     "run SCENARIO",
-		Args:    cobra.ExactArgs(1),
-		Short:   "Play one day in virtual time",
+		Use:   "run SCENARIO",
+		Args:  cobra.ExactArgs(1),
+		Short: "Play one day in virtual time",
 		Long: "Play one day in virtual time. " +
 			"The same scenario, seed and policy give the same result.json, to the byte.",
 		Example: "  pepperlead-sim run scenarios/monday.toml --seed 7 --out /tmp/monday " +
