--- a/cmd/pepperlead/main_test.go
+++ b/cmd/pepperlead/main_test.go
@@ -236,7 +236,7 @@
 			ready = run([]string{"call", "--at", l[1], "ready"}, &out) == nil && strings.HasPrefix(out.String(), "OK")
 		}
 		c.Process.Signal(syscall.SIGTERM)
-		if err := c.Wait(); err != nil || !ready || strings.Count(log.String(), "handover: left out") != 1 ||
+		if err := c.Wait(); err != nil || !ready || strings.Count(log.String(), "hot restart disabled") != 1 ||
 			strings.Count(log.String(), "level=error") != 1 {
 			t.Errorf("%s: %v, ready %v, %s", tmp, err, ready, log.String())
 		}
--- a/internal/daemon/adminoperations.go
+++ b/internal/daemon/adminoperations.go
@@ -67,7 +67,7 @@
 	}
 	encoded, err := json.Marshal(state)
 	if err != nil {
-		o.Logger.WithError(err).Error("handover: learned state cannot be encoded")
+		o.Logger.WithError(err).Error("hot restart: learned state cannot be encoded")
 		return nil
 	}
 	return encoded
@@ -79,7 +79,7 @@
 		var state learnedState
 		if err := json.Unmarshal(encoded, &state); err != nil {
 			o.Logger.WithError(err).
-				Warn("handover: learned state of the other process cannot be decoded, ignored")
+				Warn("hot restart: learned state of the other process cannot be decoded, ignored")
 			continue
 		}
 		o.RunOnLoopWithin(loopTimeout, func() {
@@ -87,6 +87,6 @@
 			o.Module.ImportState(o.Clock.Now(), state.LearnedState)
 		})
 		o.Logger.WithField("endpoints", len(state.Endpoints)).
-			Info("handover: learned state of the other process imported")
+			Info("hot restart: learned state of the other process imported")
 	}
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -141,7 +141,7 @@
 		again <- syscall.SIGHUP
 		select {
 		case line := <-lines:
-			if k.discovery != "" || strings.Count(line, "\n") != 1 || !strings.Contains(line, "the old one stays") {
+			if k.discovery != "" || strings.Count(line, "\n") != 1 || !strings.Contains(line, "keeping the previous one") {
 				t.Errorf("for %.20q: %s", k.in, line)
 			}
 		case next := <-fresh:
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -25,7 +25,7 @@
 		next, err := Read(r.path, currentEnvironment)
 		if err != nil {
 			r.log.WithField("error", strings.ReplaceAll(err.Error(), "\n", "; ")).
-				Error("new configuration: left out, the old one stays")
+				Error("configuration rejected, keeping the previous one")
 			continue
 		}
 		r.carryOver(&next)
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -142,7 +142,7 @@
 	}
 	group, err := hotrestart.Join(hotrestart.Directory(s.config.Name, s.config.Listen), s.log)
 	if err != nil {
-		s.log.WithError(err).Error("handover: left out")
+		s.log.WithError(err).Error("hot restart disabled")
 		group = hotrestart.Standalone(err, s.log)
 	}
 	s.onClose(group.Close)
--- a/internal/discovery/cached.go
+++ b/internal/discovery/cached.go
@@ -77,7 +77,7 @@
 	}
 	if err != nil {
 		// The source has a later list anyway, so a damaged one does not prevent a start.
-		emit(Event{Note: "kept list: left out: " + err.Error()})
+		emit(Event{Note: "cached endpoint list ignored: " + err.Error()})
 		return byUID, endpointfiles.State{}
 	}
 	for _, entry := range entries {
@@ -94,7 +94,7 @@
 func (c *Cached) saveAll(ctx context.Context, pending <-chan cachedList, emit func(Event)) {
 	for list := range pending {
 		if err := c.save(list); err != nil {
-			emit(Event{Note: "the list cannot be kept: " + err.Error()})
+			emit(Event{Note: "endpoint list cannot be cached: " + err.Error()})
 		}
 		sleep(ctx, saveInterval)
 	}
--- a/internal/discovery/files.go
+++ b/internal/discovery/files.go
@@ -91,7 +91,7 @@
 	var overflows chan error
 	watcher, err := fsnotify.NewWatcher()
 	if err != nil {
-		emit(Event{Note: "list files: no word of changes, looking every second: " + err.Error()})
+		emit(Event{Note: "file change notifications unavailable, polling every second: " + err.Error()})
 	} else {
 		defer func() { _ = watcher.Close() }() // nothing waits for its notifications any more
 		changes = watcher.Events
--- a/internal/discovery/files_test.go
+++ b/internal/discovery/files_test.go
@@ -283,7 +283,7 @@
 	}
 	os.WriteFile(cachePath, content[:len(content)-5], 0o600)
 	w = restart()
-	w.want("note", "kept list: left out: ")
+	w.want("note", "cached endpoint list ignored: ")
 	w.want("a", "b", "c")
 	w.stop()
 	// Changes are merged into the list.
--- a/internal/hotrestart/drained.go
+++ b/internal/hotrestart/drained.go
@@ -115,7 +115,7 @@
 	defer g.applying.Unlock()
 	uids, err := g.readDrained()
 	if err != nil {
-		g.log.WithError(err).Error("servers out by hand: what was kept cannot be read, and what is in force stays")
+		g.log.WithError(err).Error("drained endpoints cannot be read, keeping those in force")
 		uids = g.applied
 	}
 	g.mu.Lock()
@@ -173,7 +173,7 @@
 		return uids, nil
 	}
 	g.log.WithError(err).WithField("in_its_place", len(fallback)).
-		Error("servers out by hand: what was kept cannot be read and is left beside")
+		Error("drained endpoints cannot be read, the file is renamed")
 	path := filepath.Join(g.dir, drainedFile)
 	return fallback, os.Rename(path, path+unreadableSuffix)
 }
--- a/internal/httpproxy/limits.go
+++ b/internal/httpproxy/limits.go
@@ -21,5 +21,5 @@
 	p.sockets.maxClients.Store(int64(p.conns.AcceptLimit))
 	p.sockets.signalRoom()
 	p.makeRoom(now)
-	p.Logger.WithField("processes", processes).Info("handover: the limits are shared by so many processes")
+	p.Logger.WithField("processes", processes).Info("hot restart: limits shared by processes")
 }
--- a/internal/httpproxy/reconfigure.go
+++ b/internal/httpproxy/reconfigure.go
@@ -40,5 +40,5 @@
 	if len(afterRestart) > 0 {
 		log = log.WithField("from the next start on", strings.Join(afterRestart, " "))
 	}
-	log.Info("new configuration")
+	log.Info("configuration applied")
 }
--- a/internal/httpproxy/startup.go
+++ b/internal/httpproxy/startup.go
@@ -56,7 +56,7 @@
 				return // the shutdown began during the import
 			}
 			p.admitClients(p.Clock.Now())
-			p.Logger.Info("handover: clients are taken from now on")
+			p.Logger.Info("hot restart: accepting clients")
 		})
 	}()
 }
