--- a/internal/httpproxy/header.go
+++ b/internal/httpproxy/header.go
@@ -113,8 +113,8 @@
 	if len(b) != len(s) {
 		return false
 	}
-	for i := range b {
-		if lowerASCII(b[i]) != lowerASCII(s[i]) {
+	for i, c := range b {
+		if d := s[i]; c != d && lowerASCII(c) != lowerASCII(d) {
 			return false
 		}
 	}
