--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -222,7 +222,7 @@
 	for i, server := range e.servers {
 		counts := server.Counts()
 		p.printf("    %s: %d requests, %d served, %d turned away, %d faults\n",
-			e.list.Entries[i].UID, counts.Requests, counts.Served, counts.TurnedAway, counts.Faults)
+			e.list.Entries[i].UID, counts.Requests, counts.Served, counts.Rejected, counts.Faults)
 	}
 }
 
--- a/internal/fakebackend/standin_test.go
+++ b/internal/fakebackend/server_test.go
@@ -8,45 +8,45 @@
 	"time"
 )
 
-func ask(t *testing.T, s *Server) (status int, notRun bool) {
+func post(t *testing.T, s *Server) (status int, notProcessed bool) {
 	t.Helper()
-	answer, err := http.Post("http://"+s.Addr()+"/x", "text/plain", strings.NewReader("b"))
+	response, err := http.Post("http://"+s.Addr()+"/x", "text/plain", strings.NewReader("b"))
 	if err != nil {
 		return 0, false
 	}
-	defer answer.Body.Close()
-	return answer.StatusCode, answer.Header.Get("X-Not-Processed") == "1"
+	defer response.Body.Close()
+	return response.StatusCode, response.Header.Get("X-Not-Processed") == "1"
 }
 
-func TestFullAndDrainingServersTurnAway(t *testing.T) {
+func TestFullAndDrainingServersReject(t *testing.T) {
 	s, err := Start("127.0.0.1:0", Traits{Cores: 1, Queue: 1, Work: time.Second, Seed: 3})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	var turnedAway, served sync.WaitGroup
+	var rejected, served sync.WaitGroup
 	count := make(chan int, 8)
-	turnedAway.Add(3)
+	rejected.Add(3)
 	for range 5 {
 		served.Go(func() {
-			if status, notRun := ask(t, s); status == 503 && notRun {
-				turnedAway.Done()
+			if status, notProcessed := post(t, s); status == 503 && notProcessed {
+				rejected.Done()
 				count <- 1
 			}
 		})
 	}
-	turnedAway.Wait() // one works, one waits
+	rejected.Wait() // one is worked on, one waits
 	s.Drain()
-	if status, notRun := ask(t, s); status != 503 || !notRun {
+	if status, notProcessed := post(t, s); status != 503 || !notProcessed {
 		t.Errorf("draining: %d", status)
 	}
 	served.Wait()
-	if c := s.Counts(); len(count) != 3 || c.Served != 2 || c.TurnedAway != 4 || c.Requests != 6 || c.AfterDrain != 0 {
+	if c := s.Counts(); len(count) != 3 || c.Served != 2 || c.Rejected != 4 || c.Requests != 6 || c.AfterDrain != 0 {
 		t.Errorf("%+v", c)
 	}
 }
 
-// One seed is one sequence of faults.
+// The same seed gives the same sequence of faults.
 func TestFaultsComeFromTheSeed(t *testing.T) {
 	var runs [2]string
 	for i := range runs {
@@ -55,7 +55,7 @@
 			t.Fatal(err)
 		}
 		for range 60 {
-			switch status, _ := ask(t, s); status {
+			switch status, _ := post(t, s); status {
 			case 200:
 				runs[i] += "."
 			case 500:
@@ -66,7 +66,8 @@
 		}
 		s.Close()
 	}
-	if runs[0] != runs[1] || strings.Count(runs[0], "E") < 8 || strings.Count(runs[0], "R") < 8 || strings.Count(runs[0], ".") < 8 {
+	if runs[0] != runs[1] || strings.Count(runs[0], "E") < 8 || strings.Count(runs[0], "R") < 8 ||
+		strings.Count(runs[0], ".") < 8 {
 		t.Errorf("%v", runs)
 	}
 	if _, err := Start("127.0.0.1:0", Traits{Cores: 1, Faults: Faults{Errors: 0.6, Silent: 0.6}}); err == nil {
--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -222,7 +222,7 @@
 			all = append(all, fakebackend.Target{UID: name, Endpoint: c.endpointAddresses[name], Zone: "a", State: []string{"Ready", "Terminating"}[i], Weight: 1})
 		}
 	}
-	c.catalog.Tell(all)
+	c.catalog.SetTargets(all)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lists = append(c.lists, judge.EndpointList{At: int64(clock.BootTime()), Ready: ready})
--- a/internal/livetest/rehearsal.go
+++ b/internal/livetest/rehearsal.go
@@ -73,7 +73,7 @@
 }
 
 type server struct {
-	*fakebackend.Modelled
+	*fakebackend.ModelServer
 	no       judge.EndpointID
 	uid      string
 	zone     policy.Zone
@@ -167,15 +167,16 @@
 		idle, queues := 0, false
 		s.mu.Lock()
 		for _, v := range s.servers {
-			in, queued, size := v.Stands()
+			status := v.Status()
+			size := status.Capacity
 			if v.gone.Load() || v.standing != policy.Ready {
 				size = 0
 			}
 			s.judge.CapacityChanged(max(0, s.now()), v.no, size)
-			if size > 0 && in == 0 {
+			if size > 0 && status.Requests == 0 {
 				idle++
 			}
-			queues = queues || queued > 0
+			queues = queues || status.Queued > 0
 		}
 		s.judge.IdleObserved(idle, queues, glances)
 		s.mu.Unlock()
--- a/internal/livetest/script.go
+++ b/internal/livetest/script.go
@@ -71,27 +71,27 @@
 			part = f.Size
 		}
 		for _, v := range some {
-			v.Change(func(m *machine.Machine, now policy.Time) { m.SetFaultSpeed(now, part) })
+			v.Update(func(m *machine.Machine, now policy.Time) { m.SetFaultSpeed(now, part) })
 		}
 		s.after(f.Duration, func() {
 			for _, v := range some {
-				v.Change(func(m *machine.Machine, now policy.Time) { m.SetFaultSpeed(now, 1) })
+				v.Update(func(m *machine.Machine, now policy.Time) { m.SetFaultSpeed(now, 1) })
 			}
 		})
 	case emulator.Errors:
 		for _, v := range some {
-			v.Errors(f.Size)
+			v.SetErrorRate(f.Size)
 		}
 		s.after(f.Duration, func() {
 			for _, v := range some {
-				v.Errors(0)
+				v.SetErrorRate(0)
 			}
 		})
 	case emulator.Pauses:
 		s.pauses(f, some, s.clock.Now()+f.Duration, 0)
 	case emulator.ZoneLost, emulator.Silent:
 		for _, v := range some {
-			v.Silent(true)
+			v.SetSilent(true)
 			v.gone.Store(true)
 			s.noticed(v, policy.Gone, false)
 		}
@@ -118,7 +118,7 @@
 	if s.clock.Now() >= till || len(some) == 0 {
 		return
 	}
-	some[n%len(some)].Change(func(m *machine.Machine, now policy.Time) {
+	some[n%len(some)].Update(func(m *machine.Machine, now policy.Time) {
 		m.PauseUntil(now, now+policy.Time(f.Size*float64(policy.Second)))
 	})
 	s.after(f.Every/policy.Time(len(some))+1, func() { s.pauses(f, some, till, n+1) })
@@ -134,7 +134,7 @@
 		return
 	}
 	for _, v := range some {
-		v.Silent(false)
+		v.SetSilent(false)
 		v.gone.Store(false)
 		s.noticed(v, policy.Ready, true)
 	}
@@ -143,7 +143,7 @@
 // startAgain starts servers anew.
 func (s *stage) startAgain(some []*server) {
 	for _, v := range some {
-		if err := v.Begin(); err != nil {
+		if err := v.Restart(); err != nil {
 			s.log("server %s: %v", v.uid, err)
 			continue
 		}
--- a/internal/livetest/servers.go
+++ b/internal/livetest/servers.go
@@ -23,11 +23,17 @@
 
 func (s *stage) startServer(v *server, traits machine.Traits, started policy.Time) error {
 	roll := rand.New(rand.NewPCG(s.Seed, uint64(v.no)+100))
-	m, err := fakebackend.StartModelled("127.0.0.1:0", traits, started, s.clock, roll.Float64, &eye{s, v})
+	m, err := fakebackend.StartModelServer("127.0.0.1:0", fakebackend.ModelServerOptions{
+		Traits:   traits,
+		Started:  started,
+		Clock:    s.clock,
+		Random:   roll.Float64,
+		Observer: &eye{s, v},
+	})
 	if err != nil {
 		return err
 	}
-	v.Modelled, v.began = m, started
+	v.ModelServer, v.began = m, started
 	s.servers = append(s.servers, v)
 	return nil
 }
@@ -43,12 +49,12 @@
 	n int
 }
 
-// Arrived tells the judge of a push. An earlier push of the ticket whose connection the sidecar has closed is waited for a
+// RequestArrived tells the judge of a push. An earlier push of the ticket whose connection the sidecar has closed is waited for a
 // little, as its server may hear of the close later than the next one of the push.
-func (e *eye) Arrived(_ policy.Time, id string, work policy.Time, cold bool, started policy.Time, capacity float64) any {
+func (e *eye) RequestArrived(arrival fakebackend.Arrival) any {
 	s := e.s
 	s.mu.Lock()
-	t := s.tickets[id]
+	t := s.tickets[arrival.RequestID]
 	if t == nil {
 		s.mu.Unlock()
 		return nil // of a request that is long over
@@ -68,16 +74,16 @@
 	}
 	n := s.judge.AttemptStarted(at, t.of, e.v.no, e.v.zone, e.v.cell, e.v.zone != t.sidecar.zone)
 	s.judge.AttemptWritten(t.of, n)
-	if cold {
-		s.judge.ColdWorkArrived(at, t.sidecar.no, e.v.no, started, float64(work), capacity)
+	if arrival.Cold {
+		s.judge.ColdWorkArrived(at, t.sidecar.no, e.v.no, arrival.Started, float64(arrival.Work), arrival.Capacity)
 	}
 	t.out = make(chan struct{})
 	t.pushes++
 	return &seen{t, n}
 }
 
-// Left tells the judge how a push ended for its server.
-func (e *eye) Left(_ policy.Time, of any, never bool) {
+// RequestEnded tells the judge how a push ended for its server.
+func (e *eye) RequestEnded(of any, never bool) {
 	if k, is := of.(*seen); is {
 		e.s.mu.Lock()
 		defer e.s.mu.Unlock()
