--- a/internal/httpproxy/startup.go
+++ b/internal/httpproxy/startup.go
@@ -27,9 +27,9 @@
 func (p *Proxy) admitClients(now policy.Time) {
 	if p.awaitingList {
 		began := p.startTimer.At() - p.config.FirstListTimeout
-		message := "list: the source is silent, clients come in by the saved one"
+		message := "accepting clients with the saved list, the source is silent"
 		if p.ListFresh() {
-			message = "list: told by the source before the first client"
+			message = "accepting clients with the list of the source"
 		}
 		p.Logger.WithField("waited_ms", (now-began)/policy.Millisecond).Info(message)
 	}
