--- a/cmd/pepperlead-sim/output.go
+++ b/cmd/pepperlead-sim/output.go
@@ -41,7 +41,7 @@
 
 // checkRules returns an error if a rule was broken.
 func checkRules(v *judge.Verdict) error {
-	if !v.RulesKept() {
+	if !v.NoViolations() {
 		return fmt.Errorf("rules were broken: %v", v.ViolationCounts)
 	}
 	return nil
--- a/internal/daemon/coordinator.go
+++ b/internal/daemon/coordinator.go
@@ -36,16 +36,16 @@
 	if err != nil || active.Endpoints == nil {
 		return nil // an older coordinator accepted a text that this one can't read
 	}
-	if !keepsReadyEndpoint(active, next) {
+	if !hasReadyEndpoint(active, next) {
 		return fmt.Errorf("%s: server: found none that the version in force has ready too, "+
 			"allowed a change that keeps one: make it in two", file)
 	}
 	return nil
 }
 
-// keepsReadyEndpoint reports whether an endpoint is usable under both rules. While a change is in progress only such
+// hasReadyEndpoint reports whether an endpoint is usable under both rules. While a change is in progress only such
 // endpoints are used, so a change without any would be an outage.
-func keepsReadyEndpoint(active, next *config.Rules) bool {
+func hasReadyEndpoint(active, next *config.Rules) bool {
 	ready := map[policy.EndpointID]bool{}
 	for _, endpoint := range active.Endpoints {
 		ready[endpoint.ID] = endpoint.Status == policy.Ready
--- a/internal/discovery/cached.go
+++ b/internal/discovery/cached.go
@@ -106,7 +106,7 @@
 		clear(entries)
 	}
 	for _, entry := range list.Entries {
-		if entry.Status == policy.Gone {
+		if entry.Status == policy.Removed {
 			delete(entries, entry.UID)
 		} else {
 			entries[entry.UID] = entry
--- a/internal/discovery/files_test.go
+++ b/internal/discovery/files_test.go
@@ -292,7 +292,7 @@
 		return Entry{UID: uid, Member: policy.Member{Status: s}}
 	}
 	merge(entries, List{Kind: policy.ListFull, Entries: []Entry{e("a", 0), e("b", 0)}})
-	merge(entries, List{Kind: policy.ListChanges, Entries: []Entry{e("b", policy.Draining), e("a", policy.Gone), e("c", 0)}})
+	merge(entries, List{Kind: policy.ListChanges, Entries: []Entry{e("b", policy.Draining), e("a", policy.Removed), e("c", 0)}})
 	if len(entries) != 2 || entries["b"].Status != policy.Draining || entries["c"].UID != "c" {
 		t.Errorf("%v", entries)
 	}
--- a/internal/discovery/platformlist.go
+++ b/internal/discovery/platformlist.go
@@ -108,7 +108,7 @@
 	if err != nil {
 		return Entry{}, err
 	}
-	addressMissing := len(e.address) == 0 && status != policy.Gone
+	addressMissing := len(e.address) == 0 && status != policy.Removed
 	cellValid := e.cell >= 0 && e.cell <= math.MaxInt32
 	startValid := e.startMillis >= 0 && e.startMillis <= math.MaxInt64/int64(policy.Millisecond)
 	weightValid := e.weight >= 0 && e.weight < maxWeight
@@ -134,7 +134,7 @@
 	case "Terminating":
 		return policy.Draining, nil
 	case "Gone":
-		return policy.Gone, nil
+		return policy.Removed, nil
 	default:
 		return 0, errMalformedList
 	}
--- a/internal/emulator/attempt.go
+++ b/internal/emulator/attempt.go
@@ -101,7 +101,7 @@
 // overload takes a cold endpoint down that was sent too much. It comes back cold after restartTime.
 func (s *endpoint) overload() {
 	s.stop()
-	s.world.statusChanged(s, policy.Gone, false)
+	s.world.statusChanged(s, policy.Removed, false)
 	s.world.queue.add(
 		event{
 			at:   s.world.now + restartTime,
@@ -114,7 +114,7 @@
 }
 
 func (w *World) revive(e *event) {
-	if v := w.endpoints[e.a]; v.down && uint64(v.incarnation) == e.c && v.status != policy.Gone {
+	if v := w.endpoints[e.a]; v.down && uint64(v.incarnation) == e.c && v.status != policy.Removed {
 		v.start()
 		w.statusChanged(v, policy.Ready, true)
 	}
--- a/internal/emulator/baseline/balancer.go
+++ b/internal/emulator/baseline/balancer.go
@@ -89,7 +89,7 @@
 func (b *balancer) removeUnlisted(members []policy.Member) {
 	for id, e := range b.endpoints {
 		if !slices.ContainsFunc(members, func(m policy.Member) bool { return m.ID == id }) {
-			e.Status = policy.Gone
+			e.Status = policy.Removed
 		}
 	}
 }
@@ -100,7 +100,7 @@
 	}
 	byID := func(x, y policy.Member) int { return cmp.Compare(x.ID, y.ID) }
 	for _, m := range slices.SortedFunc(slices.Values(members), byID) {
-		if m.Status != policy.Gone {
+		if m.Status != policy.Removed {
 			b.slots.Join(m.ID, m.Weight)
 		}
 	}
@@ -138,10 +138,10 @@
 
 // lookup returns the request behind a handle, nil where it has been released.
 func (b *balancer) lookup(h policy.Handle) *request {
-	if h.Place() >= len(b.requests) {
+	if h.Index() >= len(b.requests) {
 		return nil
 	}
-	r := b.requests[h.Place()]
+	r := b.requests[h.Index()]
 	if !r.inUse || r.generation != uint32(h>>32) {
 		return nil
 	}
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -194,10 +194,10 @@
 	}
 	repeat := w.scenario.Clients.MarkRetries && q.tries > 1 || q.markedRetry
 	t.handle = s.decider.Admit(w.now, q.class, q.tenant, key, repeat, q.deadline-w.now)
-	for len(s.tries) <= t.handle.Place() {
+	for len(s.tries) <= t.handle.Index() {
 		s.tries = append(s.tries, -1)
 	}
-	s.tries[t.handle.Place()] = i
+	s.tries[t.handle.Index()] = i
 	s.decider.Begin(w.now, t.handle)
 }
 
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -35,7 +35,7 @@
 	if uint64(v.incarnation) != e.c || v.knownStatus == status && v.knownStart == v.started {
 		return
 	}
-	if status == policy.Gone && v.status != policy.Gone && !v.unreachable() && !v.down {
+	if status == policy.Removed && v.status != policy.Removed && !v.unreachable() && !v.down {
 		return // it came back before its loss was detected
 	}
 	v.knownStatus, v.knownStart = status, v.started
@@ -86,10 +86,10 @@
 	w := s.world
 	w.members = w.members[:0]
 	for _, v := range of {
-		if v.knownStatus == policy.Gone && kind == policy.ListFull {
-			if is, had := s.list[v]; had && is.status != policy.Gone {
-				s.list[v] = notifiedStatus{policy.Gone, v.knownStart}
-				w.judge.EndpointNotified(w.sinceStart(w.now), s.number, v.number, policy.Gone, v.knownStart)
+		if v.knownStatus == policy.Removed && kind == policy.ListFull {
+			if is, had := s.list[v]; had && is.status != policy.Removed {
+				s.list[v] = notifiedStatus{policy.Removed, v.knownStart}
+				w.judge.EndpointNotified(w.sinceStart(w.now), s.number, v.number, policy.Removed, v.knownStart)
 			}
 			continue
 		}
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -49,7 +49,7 @@
 			t.Fatal(err)
 		}
 		v := play(t, read(t, string(text)), 3, "module")
-		if !v.RulesKept() || v.ClientRequests < 1000 || v.Service < 0.6 {
+		if !v.NoViolations() || v.ClientRequests < 1000 || v.Service < 0.6 {
 			t.Errorf("%s: %v, service %.3f of %d requests: %v", name, v.ViolationCounts, v.Service, v.ClientRequests, v.Violations)
 		}
 		if again := play(t, read(t, string(text)), 3, "module"); !reflect.DeepEqual(v, again) {
@@ -62,7 +62,7 @@
 // once held against the module.
 func TestTriesThatComeTooLateAreNobodys(t *testing.T) {
 	text, _ := load("monday-without-b.toml")
-	if v := play(t, read(t, string(text)), 19, "module"); !v.RulesKept() {
+	if v := play(t, read(t, string(text)), 19, "module"); !v.NoViolations() {
 		t.Errorf("%v", v.Violations)
 	}
 }
@@ -107,7 +107,7 @@
 	maker := func(front policy.Front, _ *policy.Settings, _ uint64, _ policy.Time, _ emulator.View) emulator.Decider {
 		return &script{front: front, wait: 12 * policy.Millisecond, ended: &ended}
 	}
-	if v := emulator.New(sc, 1, maker, nil).Run(); v.Succeeded != 1 || !v.RulesKept() || ended[0] != policy.Succeeded {
+	if v := emulator.New(sc, 1, maker, nil).Run(); v.Succeeded != 1 || !v.NoViolations() || ended[0] != policy.Succeeded {
 		t.Errorf("%+v, %v", v, ended)
 	}
 	ended = nil
@@ -149,7 +149,7 @@
 		"[[kind]]\nname = \"k\"\ncores = 1\nslots = 1\nqueue = 20000\n[[offering]]\nname = \"o\"\nquoted_time = \"100s\"\ncut_off = \"120s\"\nwork = \"100ms\"\n")
 	for _, name := range []string{"module", "ring"} {
 		v := play(t, sc, 1, name)
-		if !v.RulesKept() || v.ClientRequests < 15000 || v.Succeeded+v.Rejected+v.Failed != int(v.Requests) {
+		if !v.NoViolations() || v.ClientRequests < 15000 || v.Succeeded+v.Rejected+v.Failed != int(v.Requests) {
 			t.Errorf("%s: %v, %d requests, %d tickets, %d honoured, %d turned back, %d given up", name, v.ViolationCounts, v.ClientRequests, v.Requests,
 				v.Succeeded, v.Rejected, v.Failed)
 		}
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -104,7 +104,7 @@
 
 func (w *World) chooseZone(f *fault) {
 	for _, v := range w.endpoints {
-		if v.zone == f.Zone && v.status != policy.Gone {
+		if v.zone == f.Zone && v.status != policy.Removed {
 			f.endpoints = append(f.endpoints, v)
 		}
 	}
@@ -129,7 +129,7 @@
 			v.becomeUnreachable(f.Cold)
 		case Crash:
 			v.stop()
-			w.statusChanged(v, policy.Gone, true)
+			w.statusChanged(v, policy.Removed, true)
 		case Slow, AllSlow:
 			v.slowFactors = append(v.slowFactors, f.Size)
 			v.applySlowFactors()
@@ -145,7 +145,7 @@
 func (w *World) growFleet(count int) {
 	for range count {
 		v := w.newEndpoint(&w.scenario.Kinds[len(w.endpoints)%len(w.scenario.Kinds)], w.now)
-		v.knownStatus = policy.Gone
+		v.knownStatus = policy.Removed
 		w.statusChanged(v, policy.Ready, true)
 	}
 }
@@ -222,11 +222,11 @@
 		s.stop()
 		s.lost = true
 	}
-	s.world.statusChanged(s, policy.Gone, false)
+	s.world.statusChanged(s, policy.Removed, false)
 }
 
 func (s *endpoint) becomeReachable() {
-	if s.unreachable() || s.status == policy.Gone {
+	if s.unreachable() || s.status == policy.Removed {
 		return // still affected by another fault
 	}
 	if s.lost {
@@ -305,8 +305,8 @@
 	}
 	v.stop()
 	if f.Kind == Shrink {
-		v.status = policy.Gone
-		w.statusChanged(v, policy.Gone, true)
+		v.status = policy.Removed
+		w.statusChanged(v, policy.Removed, true)
 		return
 	}
 	v.start()
--- a/internal/emulator/front.go
+++ b/internal/emulator/front.go
@@ -7,7 +7,7 @@
 )
 
 func (s *instance) lookup(h policy.Handle) (int32, *clientTry) {
-	i := s.tries[h.Place()]
+	i := s.tries[h.Index()]
 	return i, &s.world.tries[i]
 }
 
--- a/internal/emulator/judge/judge_test.go
+++ b/internal/emulator/judge/judge_test.go
@@ -147,7 +147,7 @@
 		{"pushed after it", 3, "after its sidecar was told", func(j *Judge) {
 			h := accept(j, 0)
 			j.EndpointNotified(h.at-sec-1, 0, 1, policy.Draining, 0)
-			j.EndpointNotified(h.at-1, 0, 1, policy.Gone, 0) // the first word counts
+			j.EndpointNotified(h.at-1, 0, 1, policy.Removed, 0) // the first word counts
 			h.push(1, "a", 1, true, false)
 			j.RequestAnswered(h.at, h.t, h.r, Succeeded)
 		}},
@@ -179,7 +179,7 @@
 		k.do(j)
 		v := j.Finish(30 * sec)
 		if k.rule == 0 {
-			if !v.RulesKept() {
+			if !v.NoViolations() {
 				t.Errorf("%s: %v", k.name, v.Violations)
 			}
 			continue
@@ -211,7 +211,7 @@
 	one(60*sec, 0, 100, Failed) // begun after the day
 	v := j.Finish(70 * sec)
 	// 20 s: 2 of 2, 1 of 2, and in the first ten 0 of 4.
-	if v.Service != 60./120 || v.Worst10 != 30./80 || v.Late != 20 || v.Succeeded != 40 || v.Rejected != 10 || v.Classes[0].Offered != 120 ||
+	if v.Service != 60./120 || v.Worst10 != 30./80 || v.Late != 20 || v.Succeeded != 40 || v.Rejected != 10 || v.Classes[0].Requested != 120 ||
 		v.Tenants[0].Earned != 60 || len(v.Seconds) != 20 {
 		t.Errorf("%+v", v)
 	}
--- a/internal/emulator/judge/requests.go
+++ b/internal/emulator/judge/requests.go
@@ -67,7 +67,7 @@
 	for len(j.seconds) <= i {
 		j.seconds = append(j.seconds, secondValue{})
 	}
-	j.seconds[i].offered += wanted.value
+	j.seconds[i].requested += wanted.value
 	j.seconds[i].earned += wanted.earned
 	j.byClass[wanted.class].add(wanted)
 	if wanted.tenant >= 0 {
--- a/internal/emulator/judge/spread.go
+++ b/internal/emulator/judge/spread.go
@@ -127,7 +127,7 @@
 	w := &s.windows[i]
 	chiSquare := 0.0
 	maxOverShare := 0.0
-	maxBeyondShare := 0.0
+	maxExcess := 0.0
 	for endpoint, attempts := range w.attempts {
 		share := w.total * s.capacity[endpoint] / s.totalCapacity
 		if share <= 0 {
@@ -135,10 +135,10 @@
 		}
 		chiSquare += (attempts - share) * (attempts - share) / share
 		maxOverShare = max(maxOverShare, attempts/share)
-		maxBeyondShare = max(maxBeyondShare, attempts-share)
+		maxExcess = max(maxExcess, attempts-share)
 	}
 	if i == herdWindow {
-		s.result.Herd = max(s.result.Herd, maxBeyondShare)
+		s.result.Herd = max(s.result.Herd, maxExcess)
 		return
 	}
 	if i == longWindow {
--- a/internal/emulator/judge/verdict.go
+++ b/internal/emulator/judge/verdict.go
@@ -9,35 +9,35 @@
 
 // Share is value offered by clients and value earned by responses in time.
 type Share struct {
-	Name    string  `json:"name"`
-	Offered float64 `json:"asked"`
-	Earned  float64 `json:"got"`
+	Name      string  `json:"name"`
+	Requested float64 `json:"asked"`
+	Earned    float64 `json:"got"`
 }
 
 // Fraction is the part of the offered value that was earned; 1 where nothing was offered.
 func (s Share) Fraction() float64 {
-	if s.Offered <= 0 {
+	if s.Requested <= 0 {
 		return 1
 	}
-	return s.Earned / s.Offered
+	return s.Earned / s.Requested
 }
 
 func (s *Share) add(client *clientRequest) {
-	s.Offered += client.value
+	s.Requested += client.value
 	s.Earned += client.earned
 }
 
 // secondValue is the value of the requests begun in one second.
-type secondValue struct{ offered, earned float64 }
+type secondValue struct{ requested, earned float64 }
 
 func (s *secondValue) add(other secondValue) {
-	s.offered += other.offered
+	s.requested += other.requested
 	s.earned += other.earned
 }
 
 // fraction is as Share's.
 func (s secondValue) fraction() float64 {
-	return Share{Offered: s.offered, Earned: s.earned}.Fraction()
+	return Share{Requested: s.requested, Earned: s.earned}.Fraction()
 }
 
 // Verdict is the result of a day.
@@ -60,8 +60,8 @@
 	Seconds         []Share        `json:"seconds"`
 }
 
-// RulesKept reports whether no rule was broken.
-func (v *Verdict) RulesKept() bool { return v.ViolationCounts == [ruleCount]int{} }
+// NoViolations reports whether no rule was broken.
+func (v *Verdict) NoViolations() bool { return v.ViolationCounts == [ruleCount]int{} }
 
 // Finish ends the day: what is still open counts as it is.
 func (j *Judge) Finish(at policy.Time) *Verdict {
@@ -102,14 +102,14 @@
 	for i, second := range j.seconds {
 		day.add(second)
 		window.add(second)
-		verdict.Seconds = append(verdict.Seconds, Share{Offered: second.offered, Earned: second.earned})
+		verdict.Seconds = append(verdict.Seconds, Share{Requested: second.requested, Earned: second.earned})
 		if i >= windowSeconds {
-			window.offered -= j.seconds[i-windowSeconds].offered
+			window.requested -= j.seconds[i-windowSeconds].requested
 			window.earned -= j.seconds[i-windowSeconds].earned
 		}
-		if i >= windowSeconds-1 && window.offered > 0 {
+		if i >= windowSeconds-1 && window.requested > 0 {
 			// Sums of floats may fall a little under 0.
-			verdict.Worst10 = min(verdict.Worst10, max(0, window.earned/window.offered))
+			verdict.Worst10 = min(verdict.Worst10, max(0, window.earned/window.requested))
 		}
 	}
 	verdict.Service = day.fraction()
--- a/internal/emulator/largefleet_test.go
+++ b/internal/emulator/largefleet_test.go
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	module, random, seeing := play(t, sc, seed, "module"), play(t, sc, seed, "random"), play(t, sc, seed, "seeing")
-	if !module.RulesKept() {
+	if !module.NoViolations() {
 		t.Errorf("rules broken: %v", module.Violations)
 	}
 	if module.Service < random.Service {
@@ -66,7 +66,7 @@
 func third(v *judge.Verdict, i int) float64 {
 	asked, got := 0.0, 0.0
 	for at := i * len(v.Seconds) / 3; at < (i+1)*len(v.Seconds)/3; at++ {
-		asked += v.Seconds[at].Offered
+		asked += v.Seconds[at].Requested
 		got += v.Seconds[at].Earned
 	}
 	return got / asked
@@ -77,7 +77,7 @@
 	shares, value := 0.0, 0.0
 	for i := range sc.Classes {
 		shares += sc.Classes[i].Share
-		value += v.Classes[i].Offered
+		value += v.Classes[i].Requested
 	}
-	return sc.Classes[class].Share >= shares/20 || v.Classes[class].Offered >= value/20
+	return sc.Classes[class].Share >= shares/20 || v.Classes[class].Requested >= value/20
 }
--- a/internal/emulator/samples.go
+++ b/internal/emulator/samples.go
@@ -29,7 +29,7 @@
 		for _, v := range w.endpoints {
 			s.Attempts = append(s.Attempts, v.inFlight)
 			s.Waiting += max(0, v.machine.Jobs()-int(v.traits.Cores))
-			if v.status != policy.Gone {
+			if v.status != policy.Removed {
 				all += v.traits.Cores
 			}
 			busy += v.machine.Busy()
--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -13,7 +13,7 @@
 
 // addStep adds a step for the request of that handle.
 func (e *Engine) addStep(h policy.Handle, s step) *Request {
-	s.request = e.requests[h.Place()]
+	s.request = e.requests[h.Index()]
 	s.request.PendingSteps++
 	e.steps = append(e.steps, s)
 	return s.request
--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -9,33 +9,33 @@
 
 // Counters count what the engine and its fronts have done.
 type Counters struct {
-	ClientConns       int
-	ClientConnsBroken int
-	ClientsSilent     int // closed, as they sent nothing
-	Requests          int
-	BadRequests       int
-	Overflowed        int
-	ClientsGone       int
-	Succeeded         int
-	Rejected          int
-	Failed            int
-	Declined          int // requests that an endpoint could not use
-	Unsent            int // final answers that found no client
-	LargeBodies       int // of requests
-	StreamedBodies    int // of these, passed on before they were complete
-	Streams           int // responses passed on while they came
-	StreamsBroken     int // of these, never completed
-	Attempts          int
-	Dials             int
-	Reused            int
-	Outcomes          [policy.Declined + 1]int
-	Lists             int
-	ListEntries       int
-	ListFailures      int
-	ListsRefused      int // by the checks on files
-	Reconfigurations  int
-	BytesIn           int64
-	BytesOut          int64
+	ClientConns         int
+	ClientConnsBroken   int
+	ClientsSilent       int // closed, as they sent nothing
+	Requests            int
+	MalformedRequests   int
+	Overflowed          int
+	ClientsDisconnected int
+	Succeeded           int
+	Rejected            int
+	Failed              int
+	Declined            int // requests that an endpoint could not use
+	Unsent              int // final answers that found no client
+	LargeBodies         int // of requests
+	StreamedBodies      int // of these, passed on before they were complete
+	Streams             int // responses passed on while they came
+	StreamsBroken       int // of these, never completed
+	Attempts            int
+	Dials               int
+	Reused              int
+	Outcomes            [policy.Declined + 1]int
+	Lists               int
+	ListEntries         int
+	ListFailures        int
+	ListsRefused        int // by the checks on files
+	Reconfigurations    int
+	BytesIn             int64
+	BytesOut            int64
 }
 
 // outcomeNames are the outcomes of attempts as the counters have them.
@@ -49,9 +49,9 @@
 	line("client_connections_cut", int64(c.ClientConnsBroken))
 	line("clients_silent", int64(c.ClientsSilent))
 	line("tickets", int64(c.Requests))
-	line("tickets_bad", int64(c.BadRequests))
+	line("tickets_bad", int64(c.MalformedRequests))
 	line("tickets_overflow", int64(c.Overflowed))
-	line("clients_left", int64(c.ClientsGone))
+	line("clients_left", int64(c.ClientsDisconnected))
 	line("honoured", int64(c.Succeeded))
 	line("turned_back", int64(c.Rejected))
 	line("given_up", int64(c.Failed))
--- a/internal/engine/endpoint.go
+++ b/internal/engine/endpoint.go
@@ -38,7 +38,7 @@
 // collide are not merged: the second is left out.
 func (e *Engine) updateEndpoint(entry discovery.Entry) bool {
 	s := e.Endpoints[entry.ID]
-	if s == nil && entry.Status == policy.Gone {
+	if s == nil && entry.Status == policy.Removed {
 		return false
 	}
 	if s == nil {
@@ -52,7 +52,7 @@
 	}
 	e.list.seen.add(entry.ID)
 	s.Zone = entry.Zone
-	s.Listed = entry.Status != policy.Gone
+	s.Listed = entry.Status != policy.Removed
 	if entry.Status != policy.Ready || entry.Started > s.Started || entry.Addr != s.Addr {
 		e.retire(s)
 	}
--- a/internal/engine/endpointlist.go
+++ b/internal/engine/endpointlist.go
@@ -187,11 +187,11 @@
 	for _, entry := range list.Entries {
 		at := slices.IndexFunc(l.sourceEntries, func(known discovery.Entry) bool { return known.ID == entry.ID })
 		switch {
-		case at >= 0 && entry.Status == policy.Gone:
+		case at >= 0 && entry.Status == policy.Removed:
 			l.sourceEntries = slices.Delete(l.sourceEntries, at, at+1)
 		case at >= 0:
 			l.sourceEntries[at] = entry
-		case entry.Status != policy.Gone:
+		case entry.Status != policy.Removed:
 			l.sourceEntries = append(l.sourceEntries, entry)
 		}
 	}
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -62,10 +62,10 @@
 	timeout -= now - receivedAt
 	e.recordRequest(now, t, tenant, key, repeat, timeout)
 	t.Handle = e.Module.Admit(now, class, tenant, key, repeat, max(0, timeout))
-	for len(e.requests) <= t.Handle.Place() {
+	for len(e.requests) <= t.Handle.Index() {
 		e.requests = append(e.requests, nil)
 	}
-	e.requests[t.Handle.Place()] = t
+	e.requests[t.Handle.Index()] = t
 	if e.rules != nil {
 		e.rules.classes.Acquire(class)
 	}
@@ -111,7 +111,7 @@
 func (e *Engine) ClientLeft(now policy.Time, t *Request) {
 	e.endWait(t, answerClientLeft)
 	if !t.Decided {
-		e.Counters.ClientsGone++
+		e.Counters.ClientsDisconnected++
 		e.observe(now, t, answerClientLeft)
 		t.Decided = true
 		e.Module.ClientLeft(now, t.Handle)
@@ -138,7 +138,7 @@
 		return
 	}
 	e.Timers.Stop(&t.AttemptTimer)
-	if slot := t.Handle.Place(); slot < len(e.requests) && e.requests[slot] == t {
+	if slot := t.Handle.Index(); slot < len(e.requests) && e.requests[slot] == t {
 		e.requests[slot] = nil
 	}
 	if e.rules != nil {
--- a/internal/experiment/charts.go
+++ b/internal/experiment/charts.go
@@ -102,8 +102,8 @@
 func serviceLine(r *Result) plotter.XYs {
 	var line plotter.XYs
 	for i, second := range r.Verdict.Seconds {
-		if second.Offered > 0 {
-			line = append(line, plotter.XY{X: float64(i), Y: second.Earned / second.Offered})
+		if second.Requested > 0 {
+			line = append(line, plotter.XY{X: float64(i), Y: second.Earned / second.Requested})
 		}
 	}
 	return line
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -56,7 +56,7 @@
 		c.A += with.Verdict.Service
 		c.B += r.Verdict.Service
 		gains[name] = append(gains[name], r.Verdict.Service-with.Verdict.Service)
-		if !r.Verdict.RulesKept() && with.Verdict.RulesKept() {
+		if !r.Verdict.NoViolations() && with.Verdict.NoViolations() {
 			c.Breaks++
 		}
 	}
--- a/internal/httpproxy/attempts_test.go
+++ b/internal/httpproxy/attempts_test.go
@@ -195,7 +195,7 @@
 	}
 	time.Sleep(50 * time.Millisecond)
 	r.shutdown()
-	if r.Counters.ClientsGone != 5 || r.Counters.Outcomes[policy.Cancelled] != 5 {
-		t.Errorf("left %d, outcomes %v", r.Counters.ClientsGone, r.Counters.Outcomes)
+	if r.Counters.ClientsDisconnected != 5 || r.Counters.Outcomes[policy.Cancelled] != 5 {
+		t.Errorf("left %d, outcomes %v", r.Counters.ClientsDisconnected, r.Counters.Outcomes)
 	}
 }
--- a/internal/httpproxy/mixed_test.go
+++ b/internal/httpproxy/mixed_test.go
@@ -93,7 +93,7 @@
 	wait.Wait()
 	time.Sleep(50 * time.Millisecond)
 	r.shutdown()
-	if k := r.Counters; k.Requests < 400 || k.Succeeded == 0 || k.Failed == 0 || k.Rejected == 0 || k.ClientsGone == 0 {
+	if k := r.Counters; k.Requests < 400 || k.Succeeded == 0 || k.Failed == 0 || k.Rejected == 0 || k.ClientsDisconnected == 0 {
 		t.Errorf("the histories reach too little: %s", k.String())
 	}
 }
--- a/internal/httpproxy/proxy_test.go
+++ b/internal/httpproxy/proxy_test.go
@@ -386,7 +386,7 @@
 	if err := quick.Check(feed, &quick.Config{MaxCount: 5000, Rand: rand.New(rand.NewSource(9))}); err != nil {
 		t.Error(err, s.report())
 	}
-	if k := s.Counters; k.Succeeded == 0 || k.BadRequests == 0 || k.Outcomes[policy.ConnectionLost] == 0 || k.Lists < 100 {
+	if k := s.Counters; k.Succeeded == 0 || k.MalformedRequests == 0 || k.Outcomes[policy.ConnectionLost] == 0 || k.Lists < 100 {
 		t.Errorf("too little was reached: %s", k.String())
 	}
 }
--- a/internal/httpproxy/races_test.go
+++ b/internal/httpproxy/races_test.go
@@ -71,11 +71,11 @@
 	}{
 		"client left": {"step/echo", 1, true, func(s *scene) {
 			s.testClient.Close()
-			s.waitUntil("left", func() bool { return s.Counters.ClientsGone == 1 })
+			s.waitUntil("left", func() bool { return s.Counters.ClientsDisconnected == 1 })
 		}},
 		"client left, no cancel": {"step/echo", 1, false, func(s *scene) {
 			s.testClient.Close()
-			s.waitUntil("left", func() bool { return s.Counters.ClientsGone == 1 })
+			s.waitUntil("left", func() bool { return s.Counters.ClientsDisconnected == 1 })
 		}},
 		"server drains": {"step/echo", 1, true, func(s *scene) {
 			s.setList(listOf(s.one.Addr().String()+" Terminating", s.two.Addr().String()))
--- a/internal/httpproxy/responses.go
+++ b/internal/httpproxy/responses.go
@@ -104,7 +104,7 @@
 
 // refuse answers a request that cannot be served, and closes the connection: where the next request begins is unknown.
 func (p *Proxy) refuse(now policy.Time, c *connstate.Conn, refused refusal) {
-	p.Counters.BadRequests++
+	p.Counters.MalformedRequests++
 	p.respond(now, c, localResponse{status: refused.status, body: refused.text}, true)
 	p.Timers.Set(&c.Timer, now+lingerTime)
 }
--- a/internal/livetest/rehearsal_test.go
+++ b/internal/livetest/rehearsal_test.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		t.Fatal(err, log.String())
 	}
-	if !v.RulesKept() || v.ClientRequests < 500 || v.Service < 0.75 || v.Attempts < v.Succeeded {
+	if !v.NoViolations() || v.ClientRequests < 500 || v.Service < 0.75 || v.Attempts < v.Succeeded {
 		t.Errorf("%v, service %.3f of %d requests, %d honoured by %d pushes: %v\n%s", v.ViolationCounts, v.Service, v.ClientRequests, v.Succeeded, v.Attempts,
 			v.Violations, log.String())
 	}
@@ -106,7 +106,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := r.Verdict.Service - took.SucceededShare; !r.Verdict.RulesKept() || d < -0.15 || d > 0.15 {
+	if d := r.Verdict.Service - took.SucceededShare; !r.Verdict.NoViolations() || d < -0.15 || d > 0.15 {
 		t.Errorf("replayed: %v, service %.3f, of the recorded tickets %.3f were honoured", r.Verdict.ViolationCounts, r.Verdict.Service, took.SucceededShare)
 	}
 	sc.Arrivals, sc.Instances = nil, mostSidecars+1
--- a/internal/livetest/script.go
+++ b/internal/livetest/script.go
@@ -93,7 +93,7 @@
 		for _, v := range some {
 			v.SetSilent(true)
 			v.gone.Store(true)
-			s.noticed(v, policy.Gone, false)
+			s.noticed(v, policy.Removed, false)
 		}
 		if f.Kind == emulator.ZoneLost && f.IncludeInstances {
 			s.restart(f, r)
@@ -103,7 +103,7 @@
 		for _, v := range some {
 			v.gone.Store(true)
 			v.Stop()
-			s.noticed(v, policy.Gone, true)
+			s.noticed(v, policy.Removed, true)
 		}
 		s.after(f.Duration, func() { s.startAgain(some) })
 	case emulator.Shrink, emulator.Rolling:
@@ -163,7 +163,7 @@
 		v.Stop()
 		if f.Kind == emulator.Shrink {
 			v.gone.Store(true)
-			s.noticed(v, policy.Gone, true)
+			s.noticed(v, policy.Removed, true)
 			return
 		}
 		s.startAgain([]*server{v})
@@ -176,7 +176,7 @@
 		no := len(s.servers)
 		of := s.servers[no%s.Scenario.Endpoints]
 		v := &server{no: judge.EndpointID(no), uid: fmt.Sprintf("s-%05d", no), zone: s.Scenario.Zones[no%len(s.Scenario.Zones)],
-			cell: of.cell + 1000, weight: of.weight, standing: policy.Gone}
+			cell: of.cell + 1000, weight: of.weight, standing: policy.Removed}
 		err := s.startServer(v, s.Scenario.Kinds[no%len(s.Scenario.Kinds)].Traits, s.clock.Now())
 		s.mu.Unlock()
 		if err != nil {
--- a/internal/livetest/sidecars.go
+++ b/internal/livetest/sidecars.go
@@ -156,7 +156,7 @@
 	var b strings.Builder
 	ready := 0
 	for _, v := range s.servers {
-		if v.standing == policy.Gone {
+		if v.standing == policy.Removed {
 			continue
 		}
 		fmt.Fprintf(&b, "[[server]]\nid = %q\naddress = %q\nzone = %q\npod = %d\nweight = %g\n", v.uid, v.Addr(), v.zone, v.cell, v.weight)
@@ -201,7 +201,7 @@
 	s.mu.Unlock()
 	time.AfterFunc(time.Duration(wait), func() {
 		s.mu.Lock()
-		if v.Started() != started || standing == policy.Gone && !v.gone.Load() {
+		if v.Started() != started || standing == policy.Removed && !v.gone.Load() {
 			s.mu.Unlock()
 			return // it has changed again meanwhile
 		}
--- a/internal/simprotocol/actions.go
+++ b/internal/simprotocol/actions.go
@@ -19,7 +19,7 @@
 func (i *instance) beginRequestLine(keyword string, h policy.Handle) {
 	i.beginLine(keyword)
 	i.reply.WriteString(" tid=")
-	i.reply.Write(i.ids[h.Place()][:])
+	i.reply.Write(i.ids[h.Index()][:])
 }
 
 func (i *instance) endLine() { i.reply.WriteByte('\n') }
--- a/internal/simprotocol/instance.go
+++ b/internal/simprotocol/instance.go
@@ -75,10 +75,10 @@
 
 // setHandle notes the handle of a request. The request whose handle had the same place before has ended.
 func (i *instance) setHandle(id requestID, h policy.Handle) {
-	for len(i.ids) <= h.Place() {
+	for len(i.ids) <= h.Index() {
 		i.ids = append(i.ids, requestID{})
 	}
-	delete(i.handles, i.ids[h.Place()])
-	i.ids[h.Place()] = id
+	delete(i.handles, i.ids[h.Index()])
+	i.ids[h.Index()] = id
 	i.handles[id] = h
 }
--- a/internal/simprotocol/lists.go
+++ b/internal/simprotocol/lists.go
@@ -92,7 +92,7 @@
 	case "Terminating":
 		return policy.Draining, nil
 	case "Gone":
-		return policy.Gone, nil
+		return policy.Removed, nil
 	}
 	return 0, fmt.Errorf("readiness=%s is not known", value)
 }
--- a/policy/endpointlist.go
+++ b/policy/endpointlist.go
@@ -44,7 +44,7 @@
 		case known:
 			changed := b.updateMember(now, &b.table.endpoints[index], member)
 			reweighted = reweighted || changed
-		case member.Status != Gone:
+		case member.Status != Removed:
 			b.addMember(now, member)
 		}
 	}
@@ -87,7 +87,7 @@
 func (b *Balancer) markUnlisted() {
 	for i := range b.table.endpoints {
 		if e := &b.table.endpoints[i]; e.mark != b.table.mark {
-			e.Status = Gone
+			e.Status = Removed
 		}
 	}
 }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -240,7 +240,7 @@
 		case 0:
 			m.Status = Draining
 		case 1:
-			m.Status = Gone
+			m.Status = Removed
 		case 2:
 			m.Status, m.Started = Ready, w.now
 			delete(w.coldSuccesses, id)
--- a/policy/maintenance.go
+++ b/policy/maintenance.go
@@ -23,7 +23,7 @@
 	b.maintainAt = now + maintenanceInterval
 	b.ejected = 0
 	// An empty list is more likely a fault of the list than the end of the fleet, and moves nothing.
-	empty := !slices.ContainsFunc(b.table.endpoints, func(e endpoint) bool { return e.Status != Gone })
+	empty := !slices.ContainsFunc(b.table.endpoints, func(e endpoint) bool { return e.Status != Removed })
 	idleTime := b.idleConnectionTime()
 	warmWeight := 0.0
 	for i := range b.table.endpoints {
@@ -36,7 +36,7 @@
 			b.ejected++
 		}
 		b.releaseIdle(now, e, idleTime)
-		if e.Status != Gone {
+		if e.Status != Removed {
 			e.listedAt = now
 		} else if !empty {
 			b.removeDeparted(now, endpointIndex(i))
--- a/policy/request.go
+++ b/policy/request.go
@@ -89,10 +89,10 @@
 
 // lookup returns the request of a handle, nil where it has been released.
 func (p *requestPool) lookup(handle Handle) *request {
-	if handle.Place() >= len(p.entries) {
+	if handle.Index() >= len(p.entries) {
 		return nil
 	}
-	r := &p.entries[handle.Place()]
+	r := &p.entries[handle.Index()]
 	if !r.inUse || r.generation != handle.generation() {
 		return nil
 	}
--- a/policy/slottable_test.go
+++ b/policy/slottable_test.go
@@ -60,7 +60,7 @@
 		}
 	}
 	gone := all[3]
-	gone.Status = Gone
+	gone.Status = Removed
 	b.UpdateEndpoints(Second, ListChanges, []Member{gone})
 	if !slices.Equal(slotOwners(b), joined) {
 		t.Fatal("an endpoint listed gone lost slots before the hold time")
--- a/policy/tablecodec.go
+++ b/policy/tablecodec.go
@@ -34,7 +34,7 @@
 	}
 	b.UpdateEndpoints(0, ListFull, listedMembers(current))
 	departed := slices.DeleteFunc(slices.Clone(b.table.byID), func(index endpointIndex) bool {
-		return b.table.endpoints[index].Status != Gone
+		return b.table.endpoints[index].Status != Removed
 	})
 	if len(departed) == len(b.table.byID) {
 		return nil
@@ -49,7 +49,7 @@
 
 func listedMembers(members []Member) (present []Member) {
 	for _, member := range members {
-		if member.Status != Gone {
+		if member.Status != Removed {
 			present = append(present, member)
 		}
 	}
--- a/policy/types.go
+++ b/policy/types.go
@@ -37,8 +37,8 @@
 // Handle names a request in flight: its generation in the upper half, its place in the pool in the lower.
 type Handle uint64
 
-// Place is the request's index in the pool; it is reused once the request is released.
-func (h Handle) Place() int { return int(uint32(h)) }
+// Index is the request's index in the pool; it is reused once the request is released.
+func (h Handle) Index() int { return int(uint32(h)) }
 
 func (h Handle) generation() uint32 { return uint32(h >> 32) }
 
@@ -94,7 +94,7 @@
 const (
 	Ready EndpointStatus = iota
 	Draining
-	Gone
+	Removed
 )
 
 // ListKind says how the entries of an endpoint list apply.
