--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -145,7 +145,7 @@
 				t.Errorf("for %.20q: %s", k.in, line)
 			}
 		case next := <-fresh:
-			if next.Source.Name() != "discovery at "+k.discovery || next.MessageMemory != messageMemory(post.MessageMemory) {
+			if next.Source.Name() != "discovery at "+k.discovery || next.MessageMemory != post.MessageMemory*messageMemoryPercent/100 {
 				t.Errorf("%s, %d bytes; want %s", next.Source.Name(), next.MessageMemory, k.discovery)
 			}
 		case <-time.After(5 * time.Second):
