--- a/internal/livetest/livetest_test.go
+++ b/internal/livetest/livetest_test.go
@@ -60,14 +60,38 @@
 count = 1
 `
 
+func buildDaemon(t *testing.T, dir string) string {
+	t.Helper()
+	daemon := filepath.Join(dir, "pepperlead")
+	build := exec.Command("go", "build", "-o", daemon, "pepperlead/cmd/pepperlead")
+	if output, err := build.CombinedOutput(); err != nil {
+		t.Fatalf("%v %s", err, output)
+	}
+	return daemon
+}
+
+func readTraces(t *testing.T, dir string) []*trace.Trace {
+	t.Helper()
+	paths, err := filepath.Glob(filepath.Join(dir, "*.trace"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var traces []*trace.Trace
+	for _, path := range paths {
+		one, err := trace.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		traces = append(traces, one)
+	}
+	return traces
+}
+
 // Real daemons on real sockets, with an endpoint that crashes and an instance that is killed: the judge finds no rule
 // broken, and the traces they wrote, one of them cut off by the kill, give about the same in virtual time.
 func TestShortScenarioOnSocketsAndReplay(t *testing.T) {
 	dir := t.TempDir()
-	daemon := filepath.Join(dir, "pepperlead")
-	if built, err := exec.Command("go", "build", "-o", daemon, "pepperlead/cmd/pepperlead").CombinedOutput(); err != nil {
-		t.Fatalf("%v %s", err, built)
-	}
+	daemon := buildDaemon(t, dir)
 	scenario, err := emulator.Read("short", []byte(shortScenario), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -83,15 +107,7 @@
 			verdict.ViolationCounts, verdict.Service, verdict.ClientRequests, verdict.Succeeded, verdict.Attempts,
 			verdict.Violations, log.String())
 	}
-	paths, _ := filepath.Glob(filepath.Join(dir, "*.trace"))
-	var traces []*trace.Trace
-	for _, path := range paths {
-		one, err := trace.ReadFile(path)
-		if err != nil {
-			t.Fatal(err)
-		}
-		traces = append(traces, one)
-	}
+	traces := readTraces(t, dir)
 	if len(traces) != 3 {
 		t.Fatalf("%d traces", len(traces))
 	}
