--- a/cmd/pepperlead-sim/sockets.go
+++ b/cmd/pepperlead-sim/sockets.go
@@ -46,11 +46,11 @@
 		if *verbose {
 			log = os.Stderr
 		}
-		v, err := livetest.Run(ctx, livetest.Play{
+		v, err := livetest.Run(ctx, livetest.Options{
 			Scenario: scenario,
 			Seed:     *seed,
 			Daemon:   *daemon,
-			Record:   *record,
+			TraceDir: *record,
 			Log:      log,
 		})
 		if err != nil {
