--- a/internal/coordinator/golden_test.go
+++ b/internal/coordinator/golden_test.go
@@ -3,12 +3,10 @@
 import (
 	"bytes"
 	"encoding/binary"
-	"flag"
 	"fmt"
 	"io"
 	"net"
 	"os"
-	"path/filepath"
 	"testing"
 	"time"
 
@@ -16,33 +14,11 @@
 	"github.com/hashicorp/raft"
 	"github.com/sirupsen/logrus"
 
+	"pepperlead/internal/golden"
 	"pepperlead/internal/ruleset"
 	"pepperlead/policy"
 )
 
-var writeGolden = flag.Bool("write-golden", false,
-	"write golden files that do not exist yet; those that do are never changed")
-
-// goldenFile gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the
-// encoding first, if there is one.
-func goldenFile(t *testing.T, name string, encoded []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if _, err := os.Stat(path); os.IsNotExist(err) && *writeGolden && encoded != nil {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, encoded, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return want
-}
-
 // quietLog keeps the log of a test to itself.
 func quietLog() *logrus.Logger {
 	log := logrus.New()
@@ -168,7 +144,7 @@
 	}
 	for i, file := range goldenCommands {
 		command := fixTime(t, commands[i])
-		if want := goldenFile(t, file+".cbor", command); !bytes.Equal(command, want) {
+		if want := golden.ReadOrWrite(t, file+".cbor", command); !bytes.Equal(command, want) {
 			t.Errorf("%s: encoded\n%x\nwant\n%x", file, command, want)
 		}
 	}
@@ -201,12 +177,12 @@
 	coordinator := &Coordinator{log: quietLog()}
 	for i, file := range goldenCommands {
 		if result := (*stateMachine)(coordinator).Apply(&raft.Log{Index: uint64(i + 1), Type: raft.LogCommand,
-			Data: goldenFile(t, file+".cbor", nil)}); result != nil {
+			Data: golden.ReadOrWrite(t, file+".cbor", nil)}); result != nil {
 			t.Fatalf("%s: %v", file, result)
 		}
 	}
 	encoded := snapshotOf(t, coordinator)
-	want := goldenFile(t, "snapshot.cbor", encoded)
+	want := golden.ReadOrWrite(t, "snapshot.cbor", encoded)
 	if !bytes.Equal(encoded, want) {
 		t.Errorf("encoded\n%x\nwant\n%x", encoded, want)
 	}
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -3,35 +3,12 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
-	"os"
-	"path/filepath"
 	"testing"
 
+	"pepperlead/internal/golden"
 	"pepperlead/policy"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write golden files that do not exist yet; those that do are never changed")
-
-// goldenFile gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the encoding first.
-func goldenFile(t *testing.T, name string, encoded []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if _, err := os.Stat(path); os.IsNotExist(err) && *writeGolden {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, encoded, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return want
-}
-
 // filledLearnedState has a distinct value in every field, so that a key that is lost, renamed or swapped with another changes the encoding.
 func filledLearnedState() learnedState {
 	return learnedState{
@@ -56,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := goldenFile(t, "heritage.json", encoded)
+	want := golden.ReadOrWrite(t, "heritage.json", encoded)
 	if !bytes.Equal(encoded, want) {
 		t.Errorf("encoded\n%s\nwant\n%s", encoded, want)
 	}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -2,36 +2,15 @@
 
 import (
 	"bytes"
-	"flag"
 	"os"
 	"path/filepath"
 	"testing"
 
 	"pepperlead/internal/endpointfiles"
+	"pepperlead/internal/golden"
 	"pepperlead/policy"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write golden files that do not exist yet; those that do are never changed")
-
-// goldenFile gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the encoding first.
-func goldenFile(t *testing.T, name string, encoded []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if _, err := os.Stat(path); os.IsNotExist(err) && *writeGolden {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, encoded, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return want
-}
-
 // A list that an earlier build has cached is read, and written again in the same bytes.
 func TestCachedListKeepsItsBytes(t *testing.T) {
 	dir := t.TempDir()
@@ -63,7 +42,7 @@
 		Issues: map[string]endpointfiles.Issue{"file-1": 8, "file-2": 9},
 		Drains: map[string]endpointfiles.Drain{"server-1": {FirstListed: 10, LastListed: 11}, "server-4": {FirstListed: 12, LastListed: 13}},
 	})
-	want := goldenFile(t, "servers", encoded)
+	want := golden.ReadOrWrite(t, "servers", encoded)
 	if !bytes.Equal(encoded, want) {
 		t.Errorf("encoded\n%s\nwant\n%s", encoded, want)
 	}
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"bytes"
-	"flag"
 	"fmt"
 	"io"
 	"net"
@@ -16,29 +15,9 @@
 	"time"
 
 	"github.com/sirupsen/logrus"
-)
-
-var writeGolden = flag.Bool("write-golden", false, "write golden files that do not exist yet; those that do are never changed")
 
-// goldenFile gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the
-// encoding first.
-func goldenFile(t *testing.T, name string, encoded []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if _, err := os.Stat(path); os.IsNotExist(err) && *writeGolden {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, encoded, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return want
-}
+	"pepperlead/internal/golden"
+)
 
 // quietLog keeps the log of a test to itself.
 func quietLog() *logrus.Logger {
@@ -87,7 +66,7 @@
 // transcriptMatches compares what was said with the golden transcript.
 func transcriptMatches(t *testing.T, file, transcript string) {
 	t.Helper()
-	if want := goldenFile(t, file, []byte(transcript)); transcript != string(want) {
+	if want := golden.ReadOrWrite(t, file, []byte(transcript)); transcript != string(want) {
 		t.Errorf("said\n%s\nwant\n%s", transcript, want)
 	}
 }
@@ -196,7 +175,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := goldenFile(t, "out-by-hand", encoded)
+	want := golden.ReadOrWrite(t, "out-by-hand", encoded)
 	if !bytes.Equal(encoded, want) {
 		t.Errorf("encoded\n%q\nwant\n%q", encoded, want)
 	}
@@ -219,7 +198,7 @@
 // Processes of two builds meet by these names.
 func TestDirectoryKeepsItsNames(t *testing.T) {
 	folder := []byte(filepath.Base(Directory("name", "127.0.0.1:80")) + "\n")
-	if want := goldenFile(t, "folder.txt", folder); !bytes.Equal(folder, want) {
+	if want := golden.ReadOrWrite(t, "folder.txt", folder); !bytes.Equal(folder, want) {
 		t.Errorf("found the folder %q, want %q", folder, want)
 	}
 	dir := filepath.Join(t.TempDir(), "folder")
@@ -254,7 +233,7 @@
 		}
 		fmt.Fprintf(&names, "%s %v\n", name, entry.Type())
 	}
-	if want := goldenFile(t, "names.txt", []byte(names.String())); names.String() != string(want) {
+	if want := golden.ReadOrWrite(t, "names.txt", []byte(names.String())); names.String() != string(want) {
 		t.Errorf("found\n%s\nwant\n%s", names.String(), want)
 	}
 }
--- a/internal/ruleset/golden_test.go
+++ b/internal/ruleset/golden_test.go
@@ -2,37 +2,13 @@
 
 import (
 	"bytes"
-	"flag"
-	"os"
-	"path/filepath"
 	"reflect"
 	"testing"
 
 	"github.com/fxamacker/cbor/v2"
-)
-
-var writeGolden = flag.Bool("write-golden", false,
-	"write golden files that do not exist yet; those that do are never changed")
 
-// goldenFile gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the
-// encoding first.
-func goldenFile(t *testing.T, name string, encoded []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if _, err := os.Stat(path); os.IsNotExist(err) && *writeGolden {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, encoded, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return want
-}
+	"pepperlead/internal/golden"
+)
 
 // filledRevision has a distinct value in every field, so that a key that is lost, renamed or swapped with another
 // changes the encoding.
@@ -66,7 +42,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			want := goldenFile(t, c.file, encoded)
+			want := golden.ReadOrWrite(t, c.file, encoded)
 			if !bytes.Equal(encoded, want) {
 				t.Errorf("encoded\n%x\nwant\n%x", encoded, want)
 			}
@@ -100,7 +76,7 @@
 	for _, c := range cases {
 		t.Run(c.file, func(t *testing.T) {
 			encoded := c.sent.Encode()
-			want := goldenFile(t, c.file, encoded)
+			want := golden.ReadOrWrite(t, c.file, encoded)
 			if !bytes.Equal(encoded, want) {
 				t.Errorf("encoded\n%x\nwant\n%x", encoded, want)
 			}
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -2,33 +2,12 @@
 
 import (
 	"bytes"
-	"flag"
 	"os"
 	"path/filepath"
 	"testing"
-)
-
-var writeGolden = flag.Bool("write-golden", false, "write golden files that do not exist yet; those that do are never changed")
 
-// goldenFile gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the
-// encoding first.
-func goldenFile(t *testing.T, name string, encoded []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if _, err := os.Stat(path); os.IsNotExist(err) && *writeGolden {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, encoded, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return want
-}
+	"pepperlead/internal/golden"
+)
 
 // A file of an earlier build is read, and written again in the same bytes, for its owner alone.
 func TestFileKeepsItsLayout(t *testing.T) {
@@ -47,7 +26,7 @@
 		return file
 	}
 	encoded := put([]byte("first line\nsecond line\x00\xff"))
-	want := goldenFile(t, "file", encoded)
+	want := golden.ReadOrWrite(t, "file", encoded)
 	if !bytes.Equal(encoded, want) {
 		t.Errorf("encoded\n%q\nwant\n%q", encoded, want)
 	}
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -3,33 +3,10 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
-	"os"
-	"path/filepath"
 	"testing"
-)
-
-var writeGolden = flag.Bool("write-golden", false, "write golden files that do not exist yet; those that do are never changed")
 
-// goldenFile gives the bytes of a golden file. With -write-golden, a file that does not exist is written from the
-// encoding first.
-func goldenFile(t *testing.T, name string, encoded []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if _, err := os.Stat(path); os.IsNotExist(err) && *writeGolden {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, encoded, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return want
-}
+	"pepperlead/internal/golden"
+)
 
 // filledLearnedState has a distinct value in every field, so that a key that is lost, renamed or swapped with another
 // changes the encoding.
@@ -55,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := goldenFile(t, "knowledge.json", encoded)
+	want := golden.ReadOrWrite(t, "knowledge.json", encoded)
 	if !bytes.Equal(encoded, want) {
 		t.Errorf("encoded\n%s\nwant\n%s", encoded, want)
 	}
