--- a/internal/knownred/run.go
+++ b/internal/knownred/run.go
@@ -136,7 +136,9 @@
 // test runs go test with the runner's flags and the arguments.
 func (r *Runner) test(args ...string) error {
 	cmd := exec.Command("go", slices.Concat([]string{"test"}, r.Flags, args)...)
-	cmd.Dir, cmd.Stdout, cmd.Stderr = r.Dir, r.Stdout, r.Stderr
+	cmd.Dir = r.Dir
+	cmd.Stdout = r.Stdout
+	cmd.Stderr = r.Stderr
 	if err := cmd.Run(); err != nil {
 		return fmt.Errorf("go test: %w", err)
 	}
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -1,6 +1,6 @@
-// Package policy is the decision module: it chooses the endpoint of each request, limits what is in flight,
-// and retries, queues or rejects. It opens no connections and reads no clock: events are reported to a Balancer
-// with their times, and it answers through its Front within the call.
+// Package policy is the decision module: it chooses the endpoint of each request, limits what is in
+// flight, and retries, queues or rejects. It opens no connections and reads no clock: events are
+// reported to a Balancer with their times, and it answers through its Front within the call.
 //
 // docs/design.md gives the reasons for the decisions.
 package policy
