--- a/internal/faulttest/report.go
+++ b/internal/faulttest/report.go
@@ -5,123 +5,240 @@
 	_ "embed"
 	"fmt"
 	"html/template"
+	"net/http"
 	"os"
 	"path/filepath"
 	"slices"
+	"time"
 
+	"pepperlead/internal/faulttest/judge"
 	"pepperlead/internal/snapshot"
 )
 
 //go:embed report.html
 var reportTemplate string
 
-// box is a part of a picture.
+// box is a rectangle or, where it has no size, a label of the picture.
 type box struct {
-	X, Y, W, H float64
-	Ink, Word  string
+	X     float64
+	Y     float64
+	W     float64
+	H     float64
+	Color string
+	Label string
 }
 
+// lane shows what a process did over time.
 type lane struct {
 	Name  string
-	Text  float64
-	Spans []box
+	TextY float64
+	Boxes []box
 }
 
+func (l *lane) top() float64 { return l.TextY - laneHeight + 2 }
+
+// reportData is what the template is given.
+type reportData struct {
+	Result *Result
+	Script *Script
+	Lanes  []lane
+	Plot   []box
+	Marks  []box
+	Height float64
+}
+
+// Sizes of the picture, in pixels.
+const (
+	lanesTop   = 60.0 // under the marks
+	nameWidth  = 50.0
+	plotWidth  = 1120.0
+	plotHeight = 80.0
+	laneHeight = 12.0
+	lanePitch  = laneHeight + 2
+	margin     = 10.0
+	markHeight = 12.0
+	markRows   = 4
+)
+
+const plotInterval = int64(500 * time.Millisecond)
+
 const (
-	lanesAt  = 60.0 // where lanes begin, under the words of what was done
-	nameWide = 50.0
-	wide     = 1120.0
-	low      = 12.0
-	plotHigh = 80.0
+	colorUnleased  = "#cc3333"
+	colorDown      = "#cccccc"
+	colorSucceeded = "#66aa55"
+	colorFailed    = "#dd8833"
 )
 
+// palette holds the colors of revisions, in turn.
 var palette = []string{"#888866", "#4477aa", "#66aa55", "#aa7744", "#8855aa", "#44aaaa", "#aa4488", "#777777"}
 
-// Report writes one page of HTML about a play into the folder: a lane for each process, and answers over time.
-func Report(dir string, s *Script, r *Result) error {
-	h := r.History
-	end := r.Begun + 1
-	for _, a := range h.ClientRequests {
-		end = max(end, a.EndedAt)
+func revisionColor(revision int) string { return palette[revision%len(palette)] }
+
+// Report writes one page of HTML about a test into a directory: a lane for each process, and responses over time.
+func Report(directory string, script *Script, result *Result) error {
+	picture := newPicture(result)
+	picture.addRules(result.History.Changes)
+	picture.addDown(result.History.Down)
+	bottom := lanesTop + float64(len(picture.lanes))*lanePitch + margin
+	data := reportData{
+		Result: result,
+		Script: script,
+		Lanes:  picture.lanes,
+		Plot:   picture.plot(result.History.ClientRequests, bottom),
+		Marks:  picture.marks(result.Marks),
+		Height: bottom + plotHeight + margin,
 	}
-	x := func(at int64) float64 {
-		return nameWide + wide*float64(min(max(at, r.Begun), end)-r.Begun)/float64(end-r.Begun)
+	var out bytes.Buffer
+	if err := template.Must(template.New("report").Parse(reportTemplate)).Execute(&out, data); err != nil {
+		return err
 	}
-	var lanes []lane
-	row := func(name string) *lane {
-		i := slices.IndexFunc(lanes, func(l lane) bool { return l.Name == name })
-		if i < 0 {
-			lanes = append(lanes, lane{Name: name, Text: lanesAt + float64(len(lanes))*(low+2) + low - 2})
-			i = len(lanes) - 1
-		}
-		return &lanes[i]
+	if err := os.MkdirAll(directory, 0o755); err != nil {
+		return err
 	}
-	changes := slices.Clone(h.Changes)
-	for i, a := range changes {
-		till := end
+	path := filepath.Join(directory, fmt.Sprintf("%s-%d.html", result.Drill, result.Seed))
+	return snapshot.Replace(path, out.Bytes())
+}
+
+// picture draws a result, from its begin to the last response.
+type picture struct {
+	begin int64
+	end   int64
+	lanes []lane
+}
+
+func newPicture(result *Result) *picture {
+	p := &picture{begin: result.Begun, end: result.Begun + 1}
+	for _, request := range result.History.ClientRequests {
+		p.end = max(p.end, request.EndedAt)
+	}
+	return p
+}
+
+// x returns where a time is drawn.
+func (p *picture) x(at int64) float64 {
+	return nameWidth + plotWidth*float64(min(max(at, p.begin), p.end)-p.begin)/float64(p.end-p.begin)
+}
+
+// lane returns the lane of a process.
+func (p *picture) lane(name string) *lane {
+	i := slices.IndexFunc(p.lanes, func(l lane) bool { return l.Name == name })
+	if i < 0 {
+		i = len(p.lanes)
+		p.lanes = append(p.lanes, lane{Name: name, TextY: lanesTop + float64(i)*lanePitch + laneHeight - 2})
+	}
+	return &p.lanes[i]
+}
+
+// addRules draws by which revisions the processes acted.
+func (p *picture) addRules(changes []judge.ActiveRules) {
+	for i, rules := range changes {
+		until := p.end
 		for _, later := range changes[i+1:] {
-			if later.Process == a.Process {
-				till = later.At
+			if later.Process == rules.Process {
+				until = later.At
 				break
 			}
 		}
-		l := row(a.Process)
-		ink := func(n int) string { return palette[n%len(palette)] }
-		y := l.Text - low + 2
-		if till <= r.Begun {
-			continue
-		}
-		b := box{x(a.At), y, x(till) - x(a.At), low, "#cc3333", fmt.Sprintf("by %v, leased %v", a.Revisions, a.Leased)}
-		if a.Leased && len(a.Revisions) > 0 {
-			b.Ink = ink(a.Revisions[0])
-			if len(a.Revisions) > 1 {
-				b.H = low / 2
-				l.Spans = append(l.Spans, box{b.X, y + low/2, b.W, low / 2, ink(a.Revisions[1]), b.Word})
-			}
+		lane := p.lane(rules.Process)
+		if until > p.begin {
+			lane.Boxes = append(lane.Boxes, p.rulesBoxes(rules, until, lane.top())...)
 		}
-		l.Spans = append(l.Spans, b)
 	}
-	for _, d := range h.Down {
-		l := row(d.Process)
-		to := d.To - int64(answerTimeout)
-		l.Spans = append(l.Spans, box{x(d.From), l.Text - low + 2, x(to) - x(d.From), low, "#cccccc", "stands still or is not there"})
+}
+
+// rulesBoxes draws the rules of a process up to a time. Two revisions share the height.
+func (p *picture) rulesBoxes(rules judge.ActiveRules, until int64, top float64) []box {
+	first := box{
+		X:     p.x(rules.At),
+		Y:     top,
+		W:     p.x(until) - p.x(rules.At),
+		H:     laneHeight,
+		Color: colorUnleased,
+		Label: fmt.Sprintf("by %v, leased %v", rules.Revisions, rules.Leased),
+	}
+	if !rules.Leased || len(rules.Revisions) == 0 {
+		return []box{first}
 	}
-	bottom := lanesAt + float64(len(lanes))*(low+2) + 10
-	height := bottom + plotHigh + 10
-	const each = int64(5e8)
-	var counts [][2]float64
-	most := 1.0
-	for _, a := range h.ClientRequests {
-		i := int((a.EndedAt - r.Begun) / each)
+	first.Color = revisionColor(rules.Revisions[0])
+	if len(rules.Revisions) == 1 {
+		return []box{first}
+	}
+	first.H = laneHeight / 2
+	second := first
+	second.Y = top + laneHeight/2
+	second.Color = revisionColor(rules.Revisions[1])
+	return []box{second, first}
+}
+
+// addDown draws when processes were stopped or not running.
+func (p *picture) addDown(down []judge.Down) {
+	for _, span := range down {
+		lane := p.lane(span.Process)
+		from := p.x(span.From)
+		lane.Boxes = append(lane.Boxes, box{
+			X:     from,
+			Y:     lane.top(),
+			W:     p.x(span.To-int64(answerTimeout)) - from,
+			H:     laneHeight,
+			Color: colorDown,
+			Label: "stands still or is not there",
+		})
+	}
+}
+
+// responseCounts are the responses of one interval.
+type responseCounts struct {
+	succeeded float64
+	failed    float64
+}
+
+// countResponses counts the responses of each interval.
+func (p *picture) countResponses(requests []judge.ClientRequest) []responseCounts {
+	var counts []responseCounts
+	for _, request := range requests {
+		i := int((request.EndedAt - p.begin) / plotInterval)
 		for len(counts) <= i {
-			counts = append(counts, [2]float64{})
+			counts = append(counts, responseCounts{})
 		}
-		if i >= 0 {
-			k := 1
-			if a.Status == 200 {
-				k = 0
-			}
-			counts[i][k]++
-			most = max(most, counts[i][0]+counts[i][1])
+		switch {
+		case i < 0:
+		case request.Status == http.StatusOK:
+			counts[i].succeeded++
+		default:
+			counts[i].failed++
 		}
 	}
-	var plot, marks []box
-	for i, n := range counts {
-		at, w := x(r.Begun+int64(i)*each), wide*float64(each)/float64(end-r.Begun)-1
-		good, bad := n[0]/most*plotHigh, n[1]/most*plotHigh
-		word := fmt.Sprintf("%.0f honoured, %.0f not", n[0], n[1])
-		plot = append(plot, box{at, bottom + plotHigh - good, w, good, "#66aa55", word}, box{at, bottom + plotHigh - good - bad, w, bad, "#dd8833", word})
+	return counts
+}
+
+// plot draws the responses over time, under the lanes.
+func (p *picture) plot(requests []judge.ClientRequest, top float64) []box {
+	counts := p.countResponses(requests)
+	highest := 1.0
+	for _, count := range counts {
+		highest = max(highest, count.succeeded+count.failed)
 	}
-	for i, m := range r.Marks {
-		marks = append(marks, box{X: x(m.At), Y: 12 + float64(i%4)*12, Word: m.What})
+	width := plotWidth*float64(plotInterval)/float64(p.end-p.begin) - 1
+	var boxes []box
+	for i, count := range counts {
+		x := p.x(p.begin + int64(i)*plotInterval)
+		succeeded := count.succeeded / highest * plotHeight
+		failed := count.failed / highest * plotHeight
+		label := fmt.Sprintf("%.0f honoured, %.0f not", count.succeeded, count.failed)
+		boxes = append(boxes,
+			box{X: x, Y: top + plotHeight - succeeded, W: width, H: succeeded, Color: colorSucceeded, Label: label},
+			box{X: x, Y: top + plotHeight - succeeded - failed, W: width, H: failed, Color: colorFailed, Label: label},
+		)
 	}
-	var out bytes.Buffer
-	shape := template.Must(template.New("report").Parse(reportTemplate))
-	if err := shape.Execute(&out, map[string]any{"R": r, "S": s, "Lanes": lanes, "Plot": plot, "Marks": marks, "Height": height}); err != nil {
-		return err
-	}
-	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return err
+	return boxes
+}
+
+// marks draws what was done, in rows so that neighbours do not overlap.
+func (p *picture) marks(marks []Mark) []box {
+	var boxes []box
+	for i, mark := range marks {
+		y := markHeight + float64(i%markRows)*markHeight
+		boxes = append(boxes, box{X: p.x(mark.At), Y: y, Label: mark.What})
 	}
-	return snapshot.Replace(filepath.Join(dir, fmt.Sprintf("%s-%d.html", r.Drill, r.Seed)), out.Bytes())
+	return boxes
 }
