--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -1,14 +1,9 @@
 package faulttest
 
 import (
-	"encoding/base64"
 	"fmt"
 	"math/rand/v2"
 	"net/http"
-	"os"
-	"path/filepath"
-	"strconv"
-	"strings"
 	"sync"
 	"time"
 
@@ -18,281 +13,205 @@
 	"pepperlead/internal/faulttest/judge"
 )
 
-// Cluster is a stage with sidecars, keepers of versions, servers and clients.
+// Cluster is a stage with sidecars, coordinators, endpoints and clients.
 type Cluster struct {
 	*Stage
 	script            *Script
 	instances         []*Process
 	coordinators      []*Process
 	endpoints         []*fakebackend.Server
-	catalog           *fakebackend.Catalog // nil: each sidecar has its servers in its file
-	endpointAddresses map[string]string
+	endpointNames     []string
+	endpointAddresses map[string]string    // by name, at the fault proxy
+	catalog           *fakebackend.Catalog // nil: each sidecar has its endpoints in its configuration
 	random            *rand.Rand
 	frontPort         int
-	activeRevision    int      // version
-	lastRevision      int      // given out
-	lastLeader        *Process // latest leader that was known
-	upToDate          *Process // keeper that knows the latest version
-	client            http.Client
+	activeRevision    int
+	lastRevision      int
+	lastLeader        *Process // the latest leader that was known
+	upToDate          *Process // coordinator that knows the latest revision
+	requestClient     http.Client
 	requesting        sync.WaitGroup
-	scriptEnded       chan struct{} // closed: the script is
-	clientsEnded      chan struct{} // closed: clients ask no more
+	clientsEnded      chan struct{} // closed: clients send no more requests
 
 	mu             sync.Mutex
 	executions     []judge.Execution
 	clientRequests []judge.ClientRequest
 	down           []judge.Down
-	// What discovery has told, and from when to when which sidecars may not have heard it.
-	lists           []judge.EndpointList
+	downSince      map[*Process]int64 // processes that are stopped or not running
+	lists          []judge.EndpointList
+	// When which sidecars may not have received the list of discovery.
 	unnotified      []judge.Down
 	unnotifiedSince map[*Process]int64
-	downSince       map[*Process]int64 // that stand still or are not there
 }
 
 const (
-	deadline      = 2 * time.Second // of the drills' offering
+	deadline      = 2 * time.Second // of the tests' class
 	targetLatency = 500 * time.Millisecond
 	endpointWork  = 20 * time.Millisecond
+	answerTimeout = deadline + 3*time.Second
+
+	idleConnectionsPerSidecar = 16
 
-	discovery = faultproxy.Node("discovery")
-	// How long after the way to discovery is open again a sidecar may not have heard it: a call is given up after 2 s, the next one is made
-	// within 2 s, and what was held in the link comes at once (internal/discovery). A watch waits longer than drills cut it off.
+	// notifyTimeout is how long after its link to discovery is open again a sidecar may not have received the list: a
+	// call ends after 2 s, the next one begins within 2 s, and the fault proxy passes on at once what it held
+	// (internal/discovery). No script cuts the link for as long as a watch waits.
 	notifyTimeout = 5 * time.Second
-	answerTimeout = deadline + 3*time.Second
+
+	discoveryNode = faultproxy.Node("discovery")
 )
 
-// BeginCluster starts all processes at once. The caller ends them by Close; after an error all that was started has ended.
-func BeginCluster(program, dir string, script *Script, seed uint64) (*Cluster, error) {
-	c, err := beginCluster(program, dir, script, seed)
-	if err != nil {
-		c.Close()
+// BeginCluster starts all processes at once. The caller ends them by Close; after an error none is left running.
+func BeginCluster(program, directory string, script *Script, seed uint64) (*Cluster, error) {
+	cluster := newCluster(program, directory, script, seed)
+	if err := cluster.begin(seed); err != nil {
+		cluster.Close()
 		return nil, err
 	}
-	return c, nil
+	return cluster, nil
 }
 
-// beginCluster gives what it has started, also with an error.
-func beginCluster(program, dir string, script *Script, seed uint64) (*Cluster, error) {
-	c := &Cluster{Stage: &Stage{Links: faultproxy.New(seed), dir: dir, program: program, client: http.Client{Timeout: 2 * time.Second}}, script: script,
-		random: rand.New(rand.NewPCG(seed, 1)), clientsEnded: make(chan struct{}), scriptEnded: make(chan struct{}), downSince: map[*Process]int64{}, unnotifiedSince: map[*Process]int64{}}
-	c.client = http.Client{Timeout: answerTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Second}}
-	key := base64.StdEncoding.EncodeToString([]byte(fmt.Sprintf("%016x", seed)))
-	if err := os.WriteFile(filepath.Join(dir, "key"), []byte(key), 0o600); err != nil {
-		return c, err
+func newCluster(program, directory string, script *Script, seed uint64) *Cluster {
+	transport := &http.Transport{MaxIdleConnsPerHost: idleConnectionsPerSidecar, IdleConnTimeout: time.Second}
+	return &Cluster{
+		Stage:             newStage(program, directory, seed),
+		script:            script,
+		endpointAddresses: map[string]string{},
+		random:            rand.New(rand.NewPCG(seed, 1)),
+		requestClient:     http.Client{Timeout: answerTimeout, Transport: transport},
+		clientsEnded:      make(chan struct{}),
+		downSince:         map[*Process]int64{},
+		unnotifiedSince:   map[*Process]int64{},
 	}
-	front, pages, meets, err := c.ports()
-	if err != nil {
-		return c, err
+}
+
+// begin starts the endpoints, writes all configurations and starts the processes.
+func (c *Cluster) begin(seed uint64) error {
+	if err := c.writeKey(keyFile, seed); err != nil {
+		return err
 	}
-	c.frontPort = front
-	source, err := c.serve(seed)
+	ports, err := choosePorts()
 	if err != nil {
-		return c, err
+		return err
 	}
-	list := "[source]\nkind = \"fixed\"\n" + strings.ReplaceAll(source(nil), "[[server]]", "[[source.server]]")
-	if script.Discovery {
-		if list, err = c.discovered(); err != nil {
-			return c, err
-		}
+	c.frontPort = ports.front
+	if err := c.startEndpoints(seed); err != nil {
+		return err
 	}
-	logs, err := freePort(own(maxProcesses))
+	source, err := c.sourceConfig()
 	if err != nil {
-		return c, err
+		return err
 	}
-	var members, join strings.Builder
-	for k := range script.Coordinators {
-		fmt.Fprintf(&members, "[[keeper]]\nname = \"k%d\"\nlog = \"%s:%d\"\npages = \"%s:%d\"\n", k+1, reached(maxProcesses+k), logs, own(maxProcesses+k), pages)
-		fmt.Fprintf(&join, "%q, ", fmt.Sprintf("%s:%d", reached(maxProcesses+k), meets))
+	logPort, err := freePort(processIP(maxProcesses))
+	if err != nil {
+		return err
 	}
-	for i := range script.Instances + script.Coordinators {
-		name, at, verb := fmt.Sprint("n", i+1), i, "serve"
-		if k := i - script.Instances; k >= 0 {
-			name, at, verb = fmt.Sprint("k", k+1), maxProcesses+k, "keep"
-		}
-		one := c.process(name, verb, fmt.Sprintf("%s:%d", own(at), pages))
-		one.clockSkew = script.Clocks[name]
-		listen, door, err := c.meet(one.Name, at, meets)
-		if err != nil {
-			return c, err
-		}
-		text := fmt.Sprintf("[instance]\nname = %q\n", name)
-		if verb == "keep" {
-			c.coordinators = append(c.coordinators, one)
-			if _, err := c.Links.TCP(fmt.Sprintf("%s:%d", reached(at), logs), one.Name, fmt.Sprintf("%s:%d", own(at), logs)); err != nil {
-				return c, err
-			}
-			text += fmt.Sprintf("[keep]\nfolder = %q\nlisten = \"%s:%d\"\nlease = %q\n%s[log]\nlevel = \"debug\"\n", name+".kept", own(at), logs, script.Lease, members.String())
-		} else {
-			c.instances = append(c.instances, one)
-			text += fmt.Sprintf("instances = %d\nseed = \"%x\"\n[front.http]\nlisten = \"%s:%d\"\n[pages]\nlisten = %q\n", script.Instances,
-				seed*1000+uint64(i), own(at), front, one.metricsAddress) + offering(script.RuleSets[0]) + fmt.Sprintf("[limits]\nfrom = %q\n", own(at)) +
-				list + "[log]\nlevel = \"debug\"\nformat = \"json\"\n"
-		}
-		text += fmt.Sprintf("[peers]\nlisten = %q\nadvertise = %q\ncluster = \"drill\"\nkey_file = \"key\"\njoin = [%s]\n", listen, door,
-			strings.TrimSuffix(join.String(), ", "))
-		if verb == "serve" {
-			text += "agree = true\n"
-		}
-		if err := os.WriteFile(one.config(), []byte(text), 0o600); err != nil {
-			return c, err
-		}
+	config := &clusterConfig{script: c.script, seed: seed, ports: ports, logPort: logPort, source: source}
+	if err := c.addInstances(config); err != nil {
+		return err
 	}
-	for _, v := range script.RuleSets {
-		text := fmt.Sprintf("# %s\n[fleet]\ninstances = %d\n", v.Name, script.Instances) + offering(v)
-		if len(v.Drained) > 0 {
-			text += "[bans]\nservers = [\"" + strings.Join(v.Drained, "\", \"") + "\"]\n"
-		}
-		if v.Endpoints != nil {
-			text += source(v.Endpoints)
-		}
-		if err := os.WriteFile(filepath.Join(dir, v.Name+".version"), []byte(text), 0o600); err != nil {
-			return c, err
-		}
+	if err := c.addCoordinators(config); err != nil {
+		return err
 	}
-	for _, one := range c.Processes {
-		if err := one.Start(); err != nil {
-			return c, err
-		}
+	if err := c.writeRuleSets(); err != nil {
+		return err
 	}
-	return c, nil
+	return c.startAll()
 }
 
-// offering is what all versions say of it, but for how it may be repeated.
-func offering(v RuleSet) string {
-	text := fmt.Sprintf("[[offering]]\nname = \"step\"\nquoted_time = \"%v\"\ncut_off = \"%v\"\nrepeats = %q\n", targetLatency, deadline, v.Idempotency)
-	if v.Idempotency == "numbered" {
-		text += fmt.Sprintf("group = \"all\"\nwindow = \"%v\"\n", v.Window)
+// addInstances adds the sidecars, with their links and configurations.
+func (c *Cluster) addInstances(config *clusterConfig) error {
+	for i := range c.script.Instances {
+		name := fmt.Sprint("n", i+1)
+		process := c.addProcess(name, commandServe, hostPort(processIP(i), config.ports.metrics))
+		process.clockSkew = c.script.Clocks[name]
+		addresses, err := c.linkPeer(process.Name, i, config.ports.peers)
+		if err != nil {
+			return err
+		}
+		c.instances = append(c.instances, process)
+		if err := process.writeConfig(config.instance(process, i, addresses)); err != nil {
+			return err
+		}
 	}
-	return text
+	return nil
 }
 
-// serve starts the servers, which write down what they do. source lists some of them, nil: all.
-func (c *Cluster) serve(seed uint64) (source func(names []string) string, err error) {
-	c.endpointAddresses = map[string]string{}
-	var all []string
-	for i := range c.script.Endpoints {
-		name := fmt.Sprint("s", i+1)
-		s, err := fakebackend.Start("127.8.0.1:0", fakebackend.Traits{Name: name, Cores: 64, Queue: 1000, Work: endpointWork, Faults: fakebackend.Faults{Resets: c.script.Resets},
-			Seed: seed + uint64(i), Seen: func(id, _ string, _ time.Time) {
-				c.mu.Lock()
-				defer c.mu.Unlock()
-				c.executions = append(c.executions, judge.Execution{ID: id, Endpoint: name, At: int64(clock.BootTime())})
-			}})
+// addCoordinators adds the coordinators, with their links and configurations. Their addresses follow those of all
+// sidecars that there may be.
+func (c *Cluster) addCoordinators(config *clusterConfig) error {
+	for i := range c.script.Coordinators {
+		name := coordinatorName(i)
+		index := maxProcesses + i
+		process := c.addProcess(name, commandCoordinator, hostPort(processIP(index), config.ports.metrics))
+		process.clockSkew = c.script.Clocks[name]
+		addresses, err := c.linkPeer(process.Name, index, config.ports.peers)
 		if err != nil {
-			return nil, err
+			return err
 		}
-		c.endpoints = append(c.endpoints, s)
-		door, err := c.Links.TCP(fmt.Sprintf("127.9.%d.%d:0", i/250, i%250+1), faultproxy.Node(name), s.Addr())
-		if err != nil {
-			return nil, err
-		}
-		c.endpointAddresses[name] = door
-		all = append(all, name)
-	}
-	return func(names []string) (text string) {
-		if names == nil {
-			names = all
+		c.coordinators = append(c.coordinators, process)
+		target := hostPort(processIP(index), config.logPort)
+		if _, err := c.Links.TCP(hostPort(proxyIP(index), config.logPort), process.Name, target); err != nil {
+			return err
 		}
-		for _, name := range names {
-			text += fmt.Sprintf("[[server]]\nid = %q\naddress = %q\n", name, c.endpointAddresses[name])
+		if err := process.writeConfig(config.coordinator(process, index, addresses)); err != nil {
+			return err
 		}
-		return text
-	}, nil
-}
-
-// discovered starts the stand-in of discovery, which knows of all servers, and says where sidecars reach it.
-func (c *Cluster) discovered() (source string, err error) {
-	if c.catalog, err = fakebackend.StartCatalog("127.8.0.1:0"); err != nil {
-		return "", err
-	}
-	var all []string
-	for i := range c.endpoints {
-		all = append(all, fmt.Sprint("s", i+1))
 	}
-	c.list(all, nil)
-	door, err := c.Links.TCP("127.9.1.1:0", discovery, c.catalog.Addr())
-	return fmt.Sprintf("[source]\nkind = \"discovery\"\naddress = %q\n", door), err
+	return nil
 }
 
-// list has discovery tell of these servers and no others.
-func (c *Cluster) list(ready, leaving []string) {
-	var all []fakebackend.Target
-	for i, names := range [][]string{ready, leaving} {
-		for _, name := range names {
-			all = append(all, fakebackend.Target{UID: name, Endpoint: c.endpointAddresses[name], Zone: "a", State: []string{"Ready", "Terminating"}[i], Weight: 1})
-		}
-	}
-	c.catalog.Tell(all)
+func coordinatorName(i int) string { return fmt.Sprint("k", i+1) }
+
+// noteDown records that a process is stopped or not running from now on.
+func (c *Cluster) noteDown(process *Process) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lists = append(c.lists, judge.EndpointList{At: int64(clock.BootTime()), Ready: ready})
-}
-
-// ask has clients ask each sidecar until the drill is over.
-func (c *Cluster) ask() {
-	if c.script.Rate == 0 {
-		return
-	}
-	for i, p := range c.instances {
-		gap := rand.New(rand.NewPCG(uint64(i), 2))
-		c.requesting.Go(func() {
-			for n := 0; ; n++ {
-				select {
-				case <-c.clientsEnded:
-					return
-				case <-time.After(time.Duration(gap.ExpFloat64() / c.script.Rate * float64(time.Second))):
-				}
-				id := string(p.Name) + "-" + strconv.Itoa(n)
-				c.requesting.Go(func() { c.one(p, id, fmt.Sprintf("http://%s:%d/step", own(i), c.frontPort)) })
-			}
-		})
+	if _, down := c.downSince[process]; !down {
+		c.downSince[process] = int64(clock.BootTime())
 	}
 }
 
-// one request, whose client writes down what became of it.
-func (c *Cluster) one(p *Process, id, at string) {
-	r, _ := http.NewRequest(http.MethodPost, at, strings.NewReader("x"))
-	r.Header.Set("X-Request-ID", id)
-	r.Header.Set("Idempotency-Key", id)
-	r.GetBody = nil // so that it is never sent again by itself
-	a := judge.ClientRequest{ID: id, Process: string(p.Name), SentAt: int64(clock.BootTime())}
-	if answer, err := c.client.Do(r); err == nil {
-		a.Status = answer.StatusCode
-		answer.Body.Close()
-	}
-	a.EndedAt = int64(clock.BootTime())
+// noteUp records that a process runs again. For a while it may still owe responses to requests of before.
+func (c *Cluster) noteUp(process *Process) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.clientRequests = append(c.clientRequests, a)
+	since, down := c.downSince[process]
+	if !down {
+		return
+	}
+	end := int64(clock.BootTime()) + int64(answerTimeout)
+	c.down = append(c.down, judge.Down{Process: string(process.Name), From: since, To: end})
+	delete(c.downSince, process)
 }
 
-// out notes that a process stands still or is not there, or (over) that it is again. After that it may still owe answers of before.
-func (c *Cluster) out(p *Process, over bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	from, was := c.downSince[p]
-	switch now := int64(clock.BootTime()); {
-	case over && was:
-		c.down = append(c.down, judge.Down{Process: string(p.Name), From: from, To: now + int64(answerTimeout)})
-		delete(c.downSince, p)
-	case !over && !was:
-		c.downSince[p] = now
+// resume lets a process continue, or starts it.
+func (c *Cluster) resume(process *Process) error {
+	process.Stall(false)
+	defer c.noteUp(process)
+	if process.Runs() {
+		return nil
 	}
+	return process.Start()
 }
 
-// Close ends all.
-func (c *Cluster) Close() {
+// stopClients lets the clients send no more requests. Those under way end by themselves.
+func (c *Cluster) stopClients() {
 	select {
 	case <-c.clientsEnded:
 	default:
 		close(c.clientsEnded)
 	}
+}
+
+// Close ends all processes, clients and endpoints.
+func (c *Cluster) Close() {
+	c.stopClients()
 	c.Stage.Close()
 	c.requesting.Wait()
-	for _, s := range c.endpoints {
-		s.Close()
+	for _, endpoint := range c.endpoints {
+		_ = endpoint.Close() // the test is over
 	}
 	if c.catalog != nil {
-		c.catalog.Close()
+		_ = c.catalog.Close() // the test is over
 	}
 }
--- a/internal/faulttest/drill_test.go
+++ b/internal/faulttest/drill_test.go
@@ -28,8 +28,9 @@
 	os.Exit(code)
 }
 
-// Five processes of the program and two strangers: who is there is known to all that are left through a link cut one way, a kill, a partition, a
-// stall and an end in good order. Budgets are shared among all that are there, and never among fewer than are configured.
+// Five processes of the program and two strangers: who is there is known to all that are left through a link cut one
+// way, a kill, a partition, a stall and an end in good order. Budgets are shared among all that are there, and never
+// among fewer than are configured.
 func TestProcessesKnowWhoIsThere(t *testing.T) {
 	t.Parallel()
 	program, err := program()
@@ -54,14 +55,15 @@
 		t.Error("nobody has counted what strangers sent")
 	}
 	for _, p := range s.Processes[:3] {
-		if !p.Said("budgets are shared among 5, 3 are configured") || p.Said("shared among 2") {
+		if !p.Logged("budgets are shared among 5, 3 are configured") || p.Logged("shared among 2") {
 			log, _ := os.ReadFile(p.Log)
 			t.Errorf("%s: budgets are not shared as they should be\n%s", p.Name, log)
 		}
 	}
 }
 
-// Five sidecars and three keepers, whose rules change while links are cut, processes stand still and the keeper that leads dies.
+// Five instances and three coordinators, whose rules change while links are cut, processes stand still and the
+// coordinator that leads dies.
 func TestRulesAreAgreedOn(t *testing.T) {
 	t.Parallel()
 	for _, name := range []string{"short-cut", "short-naps"} {
--- a/internal/faulttest/golden_test.go
+++ b/internal/faulttest/golden_test.go
@@ -12,7 +12,8 @@
 	"pepperlead/internal/golden"
 )
 
-// TestResultsHaveTheirKeys holds what pepperlab drill prints as JSON, with a value in each field, to what it printed before.
+// TestResultsHaveTheirKeys holds what pepperlab drill prints as JSON, with a value in each field, to what it printed
+// before.
 func TestResultsHaveTheirKeys(t *testing.T) {
 	for name, document := range map[string]any{"play.json": &Result{}, "peers.json": &PeersResult{}} {
 		golden.Fill(document)
@@ -24,7 +25,7 @@
 	}
 }
 
-// TestLinesOfSidecarsAreRead reads lines as sidecars write them during a drill.
+// TestLinesOfSidecarsAreRead reads lines as instances write them during a drill.
 func TestLinesOfSidecarsAreRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	if err := os.WriteFile(path, golden.Read(t, "sidecar.log"), 0o600); err != nil {
@@ -33,20 +34,24 @@
 	stage := &Stage{}
 	cluster := &Cluster{Stage: stage, instances: []*Process{{Name: "n1", Log: path}}}
 	var history judge.History
-	if err := cluster.written(&history); err != nil {
+	if err := cluster.readLogs(&history); err != nil {
 		t.Fatal(err)
 	}
 	acts := func(at int64, leased bool, versions ...int) judge.ActiveRules {
 		return judge.ActiveRules{Process: "n1", Revisions: versions, Leased: leased, At: at}
 	}
 	changes := []judge.ActiveRules{acts(11, true, 4, 5), acts(12, false, 4, 5)}
-	steps := []judge.Step{{ActiveRules: acts(13, true, 5), ID: "a-1"}, {ActiveRules: acts(14, true, 5), ID: "a-1", Endpoint: "s-2", AttemptNumber: 3}}
+	steps := []judge.Step{
+		{ActiveRules: acts(13, true, 5), ID: "a-1"},
+		{ActiveRules: acts(14, true, 5), ID: "a-1", Endpoint: "s-2", AttemptNumber: 3},
+	}
 	if !reflect.DeepEqual(history.Changes, changes) || !reflect.DeepEqual(history.Steps, steps) {
 		t.Errorf("got %+v and %+v", history.Changes, history.Steps)
 	}
 }
 
-// TestDrillsAreReadAsBefore holds the values that each drill of the repository is read as to those that it was read as before.
+// TestDrillsAreReadAsBefore holds the values that each drill of the repository is read as to those that it was read
+// as before.
 func TestDrillsAreReadAsBefore(t *testing.T) {
 	paths, err := filepath.Glob("../../drills/*.toml")
 	if err != nil || len(paths) == 0 {
@@ -65,8 +70,8 @@
 	}
 }
 
-// TestReportIsWrittenAsBefore holds the page about a play, whose template names fields that no compiler checks, to what was written
-// before.
+// TestReportIsWrittenAsBefore holds the page about a play, whose template names fields that no compiler checks, to
+// what was written before.
 func TestReportIsWrittenAsBefore(t *testing.T) {
 	var result Result
 	var script Script
@@ -74,13 +79,22 @@
 	golden.Fill(&script)
 	second := int64(time.Second)
 	result.Drill, result.Seed, result.Begun = "play", 7, 10*second
-	result.Applied = append(result.Applied, Applied{Version: "second", Number: 2, At: 1.5, P50: 2.5, P99: 3.5, Max: 4.5, Alone: 5.5})
+	result.Applied = append(
+		result.Applied,
+		Applied{Version: "second", Number: 2, At: 1.5, P50: 2.5, P99: 3.5, Max: 4.5, Alone: 5.5},
+	)
 	result.Marks = []Mark{{At: 11 * second, What: "a thing was done"}}
 	result.History = &judge.History{
-		Changes: []judge.ActiveRules{{Process: "n1", Revisions: []int{1, 2}, Leased: true, At: 10 * second}, {Process: "n1", Revisions: []int{2}, Leased: true, At: 12 * second},
-			{Process: "n2", Revisions: []int{1}, At: 11 * second}},
-		Down:           []judge.Down{{Process: "n2", From: 12 * second, To: 13*second + int64(answerTimeout)}},
-		ClientRequests: []judge.ClientRequest{{Status: 200, EndedAt: 11 * second}, {Status: 503, EndedAt: 14 * second}},
+		Changes: []judge.ActiveRules{
+			{Process: "n1", Revisions: []int{1, 2}, Leased: true, At: 10 * second},
+			{Process: "n1", Revisions: []int{2}, Leased: true, At: 12 * second},
+			{Process: "n2", Revisions: []int{1}, At: 11 * second},
+		},
+		Down: []judge.Down{{Process: "n2", From: 12 * second, To: 13*second + int64(answerTimeout)}},
+		ClientRequests: []judge.ClientRequest{
+			{Status: 200, EndedAt: 11 * second},
+			{Status: 503, EndedAt: 14 * second},
+		},
 	}
 	folder := t.TempDir()
 	if err := Report(folder, &script, &result); err != nil {
--- a/internal/faulttest/peers.go
+++ b/internal/faulttest/peers.go
@@ -2,150 +2,203 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
-	"sync/atomic"
 	"time"
 
 	"pepperlead/internal/faultproxy"
 )
 
-// Step is what was done in a drill, and how long it took until all that are left knew.
+// Step is one step of a test of peers, and how long it took until all remaining instances knew.
 type Step struct {
 	What    string  `json:"What"`
 	Seconds float64 `json:"Seconds"`
-	Know    int     `json:"Know"` // sidecars that had to know
-	Of      int     `json:"Of"`   // sidecars that they had to hold to be there
+	Know    int     `json:"Know"` // instances that had to know
+	Of      int     `json:"Of"`   // instances that they had to take for alive
 }
 
-// PeersResult is what a drill of peers showed.
+// PeersResult is the result of a test of peers.
 type PeersResult struct {
 	Steps []Step `json:"Steps"`
-	// Of one idle sidecar, the mean of all: sent in a second, and part of a core.
+	// Of one idle instance, the mean of all: sent in a second, and part of a core.
 	Packets     float64 `json:"Packets"`
 	Bytes       float64 `json:"Bytes"`
 	CPU         float64 `json:"CPU"`
-	FalseAlarms float64 `json:"FalseAlarms"` // counted gone while nothing was done, over all
-	OwnDelay    float64 `json:"OwnDelay"`    // seconds that a relay took for itself, 99th percentile
-	LatestClock float64 `json:"LatestClock"` // seconds by which the latest look at the clock came late: above this no figure means anything
+	FalseAlarms float64 `json:"FalseAlarms"` // times that an instance was taken for gone while all were idle, over all
+	OwnDelay    float64 `json:"OwnDelay"`    // seconds that the fault proxy added itself, 99th percentile
+	LatestClock float64 `json:"LatestClock"` // seconds of the latest clock reading; no shorter time means anything
 }
 
 const (
-	stepTimeout = 90 * time.Second
-	idleTime    = 10 * time.Second
+	minPeers      = 5
+	stepTimeout   = 90 * time.Second
+	idleTime      = 10 * time.Second
+	oneWayTime    = 3 * time.Second // that a link stays cut one way
+	overheadLevel = 99              // percentile
 )
 
-// Peers kills, cuts and stalls, one after the other, in a company of at least five, each time until all that are left know. The stage's
-// strangers, if any, must stay alone.
-func Peers(ctx context.Context, s *Stage, count int) (c PeersResult, err error) {
-	ctx, end := context.WithCancel(ctx)
-	defer end()
-	late := clockLateness(ctx)
-	all, strangers := s.Processes[:count], s.Processes[count:]
-	if count < 5 {
-		return c, fmt.Errorf("drill: found %d processes, allowed 5 at least", count)
+// Peers kills, cuts and stalls, one after the other, among at least five instances, each time until all remaining ones
+// know. The stage's strangers, if any, must stay alone.
+func Peers(ctx context.Context, s *Stage, count int) (PeersResult, error) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	lateness := clockLateness(ctx)
+	if count < minPeers {
+		return PeersResult{}, fmt.Errorf("drill: found %d processes, allowed 5 at least", count)
 	}
-	know := func(what string, some []*Process, many int) {
-		if err != nil {
-			return
-		}
-		within, done := context.WithTimeout(ctx, stepTimeout)
-		defer done()
-		took, fault := s.Until(within, some, many)
-		if fault != nil {
-			err = fmt.Errorf("%s: %w", what, fault)
-		}
-		c.Steps = append(c.Steps, Step{what, took.Seconds(), len(some), many})
+	t := &peersTest{ctx: ctx, stage: s, all: s.Processes[:count]}
+	t.expect("started at once", t.all, count)
+	if err := t.idle(); err != nil {
+		return t.result, err
 	}
-	know("started at once", all, count)
-	before := sumFigures(all)
-	select {
-	case <-ctx.Done():
-		return c, ctx.Err()
-	case <-time.After(idleTime):
+	t.blockOneWay()
+	t.partition()
+	t.stall()
+	t.leaveAndRestart()
+	t.checkStrangers(s.Processes[count:])
+	t.result.OwnDelay = s.Links.Overhead(overheadLevel).Seconds()
+	t.result.LatestClock = lateness().Seconds()
+	return t.result, t.err
+}
+
+// peersTest is the state of a test of peers.
+type peersTest struct {
+	ctx     context.Context
+	stage   *Stage
+	all     []*Process
+	smaller []faultproxy.Node // the smaller part of the partition
+	killed  *Process
+	left    []*Process // all but the killed one
+	result  PeersResult
+	err     error // the first; later steps run, but nothing more is expected
+}
+
+func (t *peersTest) fail(err error) {
+	if t.err == nil {
+		t.err = err
 	}
-	after, share := sumFigures(all), 1/idleTime.Seconds()/float64(count)
-	c.Packets, c.Bytes, c.CPU, c.FalseAlarms = (after[0]-before[0])*share, (after[1]-before[1])*share, (after[2]-before[2])*share, after[3]-before[3]
+}
 
-	one := faultproxy.Link{From: all[0].Name, To: all[1].Name}
-	s.Links.Set(one, faultproxy.Faults{Blocked: true})
-	select {
-	case <-ctx.Done():
-	case <-time.After(3 * time.Second):
+// expect waits until each process takes the given number of instances for alive.
+func (t *peersTest) expect(what string, processes []*Process, want int) {
+	if t.err != nil {
+		return
+	}
+	ctx, cancel := context.WithTimeout(t.ctx, stepTimeout)
+	defer cancel()
+	elapsed, err := t.stage.Until(ctx, processes, want)
+	if err != nil {
+		t.err = fmt.Errorf("%s: %w", what, err)
 	}
-	know("one link cut one way: nobody is held to be gone", all, count)
-	s.Links.Heal()
+	step := Step{What: what, Seconds: elapsed.Seconds(), Know: len(processes), Of: want}
+	t.result.Steps = append(t.result.Steps, step)
+}
+
+// idle finds what the instances spend while nothing happens.
+func (t *peersTest) idle() error {
+	before := sumFigures(t.all)
+	if err := sleep(t.ctx, idleTime); err != nil {
+		return err
+	}
+	spent := sumFigures(t.all).since(before)
+	share := 1 / idleTime.Seconds() / float64(len(t.all))
+	t.result.Packets = spent.packets * share
+	t.result.Bytes = spent.bytes * share
+	t.result.CPU = spent.cpu * share
+	t.result.FalseAlarms = spent.falseDeaths
+	return nil
+}
 
+func (t *peersTest) blockOneWay() {
+	link := faultproxy.Link{From: t.all[0].Name, To: t.all[1].Name}
+	t.stage.Links.Set(link, faultproxy.Faults{Blocked: true})
+	_ = sleep(t.ctx, oneWayTime) // a cancelled context fails the step below
+	t.expect("one link cut one way: nobody is held to be gone", t.all, len(t.all))
+	t.stage.Links.Heal()
+}
+
+// partition kills an instance and cuts the others into two parts.
+func (t *peersTest) partition() {
+	count := len(t.all)
 	half := 2 * count / 5
-	all[half+1].Kill()
-	var some, others []faultproxy.Node
-	for i, p := range all {
+	t.killed = t.all[half+1]
+	t.killed.Kill()
+	var larger []faultproxy.Node
+	for i, process := range t.all {
 		if i < half {
-			some = append(some, p.Name)
+			t.smaller = append(t.smaller, process.Name)
 		} else {
-			others = append(others, p.Name)
+			larger = append(larger, process.Name)
+		}
+		if process != t.killed {
+			t.left = append(t.left, process)
 		}
 	}
-	s.Links.Partition(some, others)
-	left := append(append([]*Process{}, all[:half+1]...), all[half+2:]...)
-	know("one killed, the company cut in two: the smaller part", left[:half], half)
-	know("the larger part", left[half:], count-half-1)
-	lost := func(c faultproxy.Counters) uint64 { return c.Lost }
-	if err == nil && (s.count(some, others, lost) == 0 || s.count(others, some, lost) == 0) {
-		err = fmt.Errorf("one side has not tried to pass the cut")
+	t.stage.Links.Partition(t.smaller, larger)
+	t.expect("one killed, the company cut in two: the smaller part", t.left[:half], half)
+	t.expect("the larger part", t.left[half:], count-half-1)
+	if t.lost(t.smaller, larger) == 0 || t.lost(larger, t.smaller) == 0 {
+		t.fail(errors.New("one side has not tried to pass the cut"))
 	}
-	s.Links.Heal()
-	know("healed", left, count-1)
-	last := left[len(left)-1]
+	t.stage.Links.Heal()
+	t.expect("healed", t.left, count-1)
+}
+
+func (t *peersTest) stall() {
+	count := len(t.left)
+	last := t.left[count-1]
 	last.Stall(true)
-	know("one stands still", left[:len(left)-1], count-2)
+	t.expect("one stands still", t.left[:count-1], count-1)
 	last.Stall(false)
-	know("it goes on", left, count-1)
-	if fault := left[0].Leave(); err == nil && fault != nil {
-		err = fault
+	t.expect("it goes on", t.left, count)
+}
+
+func (t *peersTest) leaveAndRestart() {
+	count := len(t.left)
+	if err := t.left[0].Leave(); err != nil {
+		t.fail(err)
 	}
-	know("one has left", left[1:], count-2)
-	if fault := all[half+1].Start(); err == nil && fault != nil {
-		err = fault
+	remaining := t.left[1:]
+	t.expect("one has left", remaining, count-1)
+	if err := t.killed.Start(); err != nil {
+		t.fail(err)
 	}
-	know("the killed one is back", append(left[1:], all[half+1]), count-1)
-	for _, p := range strangers {
-		if n := p.Alive(); err == nil && (n != 1 || s.count([]faultproxy.Node{p.Name}, some, func(c faultproxy.Counters) uint64 { return c.Connections }) == 0) {
-			err = fmt.Errorf("stranger %s holds %d to be there, or has not tried", p.Name, n)
-		}
-	}
-	c.OwnDelay, c.LatestClock = s.Links.Overhead(99).Seconds(), late().Seconds()
-	return c, err
+	t.expect("the killed one is back", append(remaining, t.killed), count)
 }
 
-// count adds up what was tried from some to others.
-func (s *Stage) count(some, others []faultproxy.Node, of func(faultproxy.Counters) uint64) (n uint64) {
-	for _, a := range some {
-		for _, b := range others {
-			n += of(s.Links.Counters(faultproxy.Link{From: a, To: b}))
+// checkStrangers fails where a process of another cluster or key is not alone, or has not tried to join.
+func (t *peersTest) checkStrangers(strangers []*Process) {
+	connections := func(c faultproxy.Counters) uint64 { return c.Connections }
+	for _, process := range strangers {
+		alive := process.Alive()
+		if alive != 1 || t.stage.sumCounters([]faultproxy.Node{process.Name}, t.smaller, connections) == 0 {
+			t.fail(fmt.Errorf("stranger %s holds %d to be there, or has not tried", process.Name, alive))
 		}
 	}
-	return n
 }
 
-func sumFigures(all []*Process) (sum [4]float64) {
-	for _, p := range all {
-		for i, value := range p.Figures("pepperlead_peers_packets_sent_total", "pepperlead_peers_bytes_sent_total", "process_cpu_seconds_total",
-			"pepperlead_peers_gone_total") {
-			sum[i] += value
+// lost returns how many packets and connections from some nodes to others were lost.
+func (t *peersTest) lost(from, to []faultproxy.Node) uint64 {
+	return t.stage.sumCounters(from, to, func(c faultproxy.Counters) uint64 { return c.Lost })
+}
+
+// sumCounters adds up a counter over all links from some nodes to others.
+func (s *Stage) sumCounters(from, to []faultproxy.Node, counter func(faultproxy.Counters) uint64) uint64 {
+	sum := uint64(0)
+	for _, source := range from {
+		for _, target := range to {
+			sum += counter(s.Links.Counters(faultproxy.Link{From: source, To: target}))
 		}
 	}
 	return sum
 }
 
-// clockLateness does nothing but look at the clock: where hundreds of processes share few cores, the scheduler's delay looks like a stall.
-func clockLateness(ctx context.Context) (latest func() time.Duration) {
-	var worst atomic.Int64
-	go func() {
-		for ctx.Err() == nil {
-			start := time.Now()
-			time.Sleep(5 * time.Millisecond)
-			worst.Store(max(worst.Load(), int64(time.Since(start)-5*time.Millisecond)))
-		}
-	}()
-	return func() time.Duration { return time.Duration(worst.Load()) }
+// sleep waits for a time or until the context ends.
+func sleep(ctx context.Context, duration time.Duration) error {
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-time.After(duration):
+		return nil
+	}
 }
--- /dev/null
+++ b/internal/faulttest/process.go
@@ -0,0 +1,177 @@
+package faulttest
+
+import (
+	"bufio"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"syscall"
+
+	"pepperlead/internal/faultproxy"
+)
+
+// command is the command of the program that a process runs.
+type command string
+
+const (
+	commandServe       command = "serve"
+	commandCoordinator command = "keep"
+)
+
+// clockVariable is the environment variable that skews the clock of a process.
+const clockVariable = "GW_CLOCK"
+
+// Process is one process of the program: a sidecar or a coordinator.
+type Process struct {
+	Name           faultproxy.Node
+	Log            string // path of its log file
+	directory      string
+	program        string
+	client         *http.Client
+	command        command
+	metricsAddress string
+	clockSkew      string // value of clockVariable, empty for the machine's own clock
+	running        *exec.Cmd
+	exited         chan struct{} // closed once the process has ended, also by itself
+	exitError      error         // set before exited is closed
+	stopped        bool
+	diskFull       bool // its files can grow no more
+}
+
+func (p *Process) configPath() string { return filepath.Join(p.directory, string(p.Name)+".toml") }
+
+func (p *Process) writeConfig(text string) error {
+	return os.WriteFile(p.configPath(), []byte(text), 0o600)
+}
+
+// Start starts the process, also again after Kill.
+func (p *Process) Start() error {
+	log, err := os.OpenFile(p.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = log.Close() }() // the process writes through a descriptor of its own
+	running := exec.Command(p.program, string(p.command), "--config", p.configPath())
+	running.Stderr = log
+	// A test that is itself killed leaves no process behind.
+	running.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	if p.clockSkew != "" {
+		running.Env = append(os.Environ(), clockVariable+"="+p.clockSkew)
+	}
+	if err := running.Start(); err != nil {
+		return err
+	}
+	exited := make(chan struct{})
+	p.running = running
+	p.exited = exited
+	go func() {
+		p.exitError = running.Wait()
+		close(exited)
+	}()
+	return nil
+}
+
+// Runs reports whether the process was started and has not ended.
+func (p *Process) Runs() bool {
+	if p.running == nil {
+		return false
+	}
+	select {
+	case <-p.exited:
+		return false
+	default:
+		return true
+	}
+}
+
+// endedByItself reports whether the process has ended without Kill or Leave.
+func (p *Process) endedByItself() bool {
+	return p.running != nil && !p.Runs()
+}
+
+// signal sends a signal to the process.
+func (p *Process) signal(signal os.Signal) {
+	_ = p.running.Process.Signal(signal) // fails only if the process has ended, and then nothing is left to signal
+}
+
+// Kill ends the process at once, without a graceful shutdown.
+func (p *Process) Kill() {
+	if p.running == nil {
+		return
+	}
+	p.Stall(false)
+	p.signal(os.Kill)
+	<-p.exited
+	p.running = nil
+}
+
+// Leave shuts the process down gracefully and waits until it has ended.
+func (p *Process) Leave() error {
+	p.signal(syscall.SIGTERM)
+	<-p.exited
+	p.running = nil
+	return p.exitError
+}
+
+// Stall stops the process or lets it continue.
+func (p *Process) Stall(stopped bool) {
+	if p.stopped == stopped {
+		return
+	}
+	p.stopped = stopped
+	if stopped {
+		p.signal(syscall.SIGSTOP)
+	} else {
+		p.signal(syscall.SIGCONT)
+	}
+}
+
+// Logged reports whether the log of the process contains the text.
+func (p *Process) Logged(text string) bool {
+	log, _ := os.ReadFile(p.Log) // a log that is not there contains nothing
+	return strings.Contains(string(log), text)
+}
+
+// fetchLines gets a page of the metrics server and calls eachLine with its lines.
+func (p *Process) fetchLines(path string, eachLine func(line string)) error {
+	response, err := p.client.Get("http://" + p.metricsAddress + path)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = response.Body.Close() }() // only read from
+	lines := bufio.NewScanner(response.Body)
+	for lines.Scan() {
+		eachLine(lines.Text())
+	}
+	return lines.Err()
+}
+
+// Alive returns the number of instances that the process takes for alive, -1 if it does not answer.
+func (p *Process) Alive() int {
+	alive := 0
+	err := p.fetchLines(pathPeers, func(line string) { alive += strings.Count(line, " alive up=") })
+	if err != nil {
+		return -1
+	}
+	return alive
+}
+
+// Figures returns the values of some metrics, all from one page; 0 for a metric that is not there.
+func (p *Process) Figures(names ...string) []float64 {
+	values := make([]float64, len(names))
+	// A process that does not answer counts as 0, like a metric that is not there.
+	_ = p.fetchLines(pathMetrics, func(line string) {
+		name, text, _ := strings.Cut(line, " ")
+		if i := slices.Index(names, name); i >= 0 {
+			values[i], _ = strconv.ParseFloat(text, 64) // the program's own pages are well formed
+		}
+	})
+	return values
+}
+
+// Figure returns the value of one metric.
+func (p *Process) Figure(name string) float64 { return p.Figures(name)[0] }
--- /dev/null
+++ b/internal/faulttest/result.go
@@ -0,0 +1,138 @@
+package faulttest
+
+import (
+	"slices"
+	"strings"
+	"time"
+
+	"pepperlead/internal/faulttest/judge"
+)
+
+// Applied is one change of the rules during a test, and how it spread.
+type Applied struct {
+	Version string  `json:"Version"`
+	Number  int     `json:"Number"`
+	At      float64 `json:"At"`     // seconds since the begin
+	Agreed  float64 `json:"Agreed"` // seconds until the coordinators had agreed on it
+	// Seconds until the sidecars that were running acted by the revision, also by it and the one before, and until they
+	// acted by it alone.
+	P50    float64 `json:"P50"`
+	P99    float64 `json:"P99"`
+	Max    float64 `json:"Most"`
+	Alone  float64 `json:"Alone"`
+	Failed string  `json:"Failed"`
+}
+
+// Result is the result of playing a script.
+type Result struct {
+	Drill         string         `json:"Drill"`
+	Seed          uint64         `json:"Seed"`
+	Verdict       *judge.Verdict `json:"Verdict"`
+	Applied       []Applied      `json:"Applied"`
+	Converged     float64        `json:"Converged"` // seconds from the healing until all had the same lease
+	Unleased      float64        `json:"Unleased"`  // seconds without a lease, over all sidecars
+	OwnDelay      float64        `json:"OwnDelay"`  // seconds that the fault proxy added itself, 99th percentile
+	ClockLateness float64        `json:"Late"`      // seconds by which the latest clock reading was late
+	Tables        int            `json:"Tables"`    // different slot tables at the end, must be 1 if counted
+	Busy          float64        `json:"Busy"`      // share of the machine's cores in use, by any process
+	Void          bool           `json:"Void"`      // the machine stalled for longer than the lease: no figure counts
+	Failed        []string       `json:"Failed"`
+	FalseDeaths   float64        `json:"Gone"`    // times that a sidecar took another for gone, over all
+	Packets       float64        `json:"Packets"` // a second, one sidecar
+	Bytes         float64        `json:"Bytes"`
+	CPU           float64        `json:"CPU"`
+	History       *judge.History `json:"-"`
+	Begun         int64          `json:"-"`
+	Marks         []Mark         `json:"-"`
+}
+
+// Mark is an action that was taken.
+type Mark struct {
+	At   int64
+	What string
+}
+
+// Good reports whether the result is what the script expects.
+func (r *Result) Good(s *Script) bool {
+	if s.Contradicts {
+		return r.Verdict.Contradiction > s.AgreeWithin
+	}
+	return !r.Void && len(r.Failed) == 0 && r.Verdict.Broken == 0 && r.Verdict.Contradiction <= s.AgreeWithin
+}
+
+// measureSpread finds how long each change took to reach the sidecars, and how long they had no lease.
+func (r *Result) measureSpread(history *judge.History) {
+	for i := range r.Applied {
+		applied := &r.Applied[i]
+		if applied.Number != 0 && applied.Failed == "" && !strings.HasPrefix(applied.Version, actionWithdraw) {
+			applied.measureSpread(history, r.Begun)
+		}
+	}
+	r.Unleased = unleasedSeconds(history.Changes, r.Begun)
+}
+
+// measureSpread finds how long the change took to reach the sidecars that were running meanwhile.
+func (a *Applied) measureSpread(history *judge.History, begun int64) {
+	first := map[string]int64{} // by process: when it first acted by the revision
+	alone := map[string]int64{} // and by it alone
+	for _, rules := range history.Changes {
+		if !rules.Leased || !slices.Contains(rules.Revisions, a.Number) {
+			continue
+		}
+		recordEarliest(first, rules)
+		if len(rules.Revisions) == 1 {
+			recordEarliest(alone, rules)
+		}
+	}
+	applied := begun + int64(a.At*float64(time.Second))
+	if times := spreadTimes(first, applied, history.Down); len(times) > 0 {
+		a.P50 = times[len(times)/2]
+		a.P99 = times[min(len(times)-1, len(times)*99/100)]
+		a.Max = times[len(times)-1]
+	}
+	if times := spreadTimes(alone, applied, history.Down); len(times) > 0 {
+		a.Alone = max(0, times[len(times)-1])
+	}
+}
+
+func recordEarliest(times map[string]int64, rules judge.ActiveRules) {
+	if at, known := times[rules.Process]; !known || rules.At < at {
+		times[rules.Process] = rules.At
+	}
+}
+
+// spreadTimes returns, sorted, the seconds from a moment until each process was reached, without the processes that
+// were down in between.
+func spreadTimes(reachedAt map[string]int64, from int64, down []judge.Down) []float64 {
+	var times []float64
+	for process, at := range reachedAt {
+		wasDown := slices.ContainsFunc(down, func(d judge.Down) bool {
+			return d.Process == process && d.To-int64(answerTimeout) > from && d.From < at
+		})
+		if !wasDown {
+			times = append(times, seconds(at-from))
+		}
+	}
+	slices.Sort(times)
+	return times
+}
+
+// unleasedSeconds adds up how long the processes had no lease after they had had one.
+func unleasedSeconds(changes []judge.ActiveRules, begun int64) float64 {
+	total := 0.0
+	since := map[string]int64{}
+	for _, rules := range changes {
+		from, unleased := since[rules.Process]
+		switch {
+		case !rules.Leased && !unleased && rules.At > begun:
+			since[rules.Process] = rules.At
+		case rules.Leased && unleased:
+			total += seconds(rules.At - from)
+			delete(since, rules.Process)
+		}
+	}
+	return total
+}
+
+// seconds converts nanoseconds.
+func seconds(nanoseconds int64) float64 { return float64(nanoseconds) / float64(time.Second) }
--- a/internal/faulttest/script.go
+++ b/internal/faulttest/script.go
@@ -10,7 +10,7 @@
 	"pepperlead/policy"
 )
 
-// Script is a drill as its file says it.
+// Script is what is to happen in a fault test, as its file says it.
 type Script struct {
 	Description  string
 	Instances    int
@@ -18,137 +18,239 @@
 	Endpoints    int
 	Length       time.Duration
 	Rate         float64 // requests a second at each sidecar
-	Resets       float64 // part of the work done whose answer is lost
+	Resets       float64 // share of the executed requests whose response is lost
 	Jitter       time.Duration
 	Lease        string
 	AgreeWithin  time.Duration
-	Discovery    bool // servers come from a stand-in of the platform's discovery, all of them at first
-	Contradicts  bool // the judge must find one: a drill of the judge
+	Discovery    bool // endpoints come from a fake discovery, all of them at first
+	Contradicts  bool // the judge must find a contradiction: a test of the judge
 	RuleSets     []RuleSet
-	Clocks       map[string]string // by process: GW_CLOCK
+	Clocks       map[string]string // by process: its clock skew
 	Actions      []Action
 }
 
-// RuleSet is one that a drill applies. Name 0 of a script's versions is the sidecars' own file's.
+// RuleSet is a rule set that a script applies. The first one of a script is that of the sidecars' configuration.
 type RuleSet struct {
 	Name        string
 	Idempotency string
 	Window      time.Duration
-	Endpoints   []string // nil: the sidecars' own source's
+	Endpoints   []string // nil: those of the sidecars' own source
 	Drained     []string
 }
 
-// Action is something that is done at its moment.
+// Action is something that is done at its moment: at a time or, if At is negative, once a share of the sidecars acts by
+// a revision.
 type Action struct {
-	At        time.Duration // since the begin, or
-	Share     float64       // once so many sidecars
-	Number    int           // act by that version, and
-	After     time.Duration // so much later
+	At        time.Duration // since the begin
+	Share     float64       // of the sidecars
+	Number    int           // revision that they act by
+	After     time.Duration // how much later
 	What      string
 	Who       []string
 	From      []string
 	To        []string
 	RuleSet   string
-	Revision  int // of a version that is withdrawn or gone back to
+	Revision  int // to withdraw or to roll back to
 	Drop      float64
 	Duplicate float64
 	Delay     time.Duration
 	Spread    time.Duration
 	MayFail   bool
-	Ready     []string // of a list: ready
-	Draining  []string // of a list: draining
+	Ready     []string // endpoints of a list
+	Draining  []string // endpoints of a list
 }
 
-// requiredFields are what can be done, and what each needs.
-var requiredFields = map[string][]string{"apply": {"version"}, "rollback": {"number"}, "withdraw": {"number"}, "part": {"from", "to"}, "cut": {"from", "to"},
-	"list": {"servers"}, "weather": nil, "heal": nil, "stall": {"who"}, "go": {"who"}, "kill": {"who"}, "start": {"who"}, "throttle": {"who"}, "fill-disk": {"who"}, "damage": {"who"}}
+// description names the action for the report.
+func (a Action) description() string {
+	parts := slices.Concat([]string{a.What}, a.Who, a.From, []string{a.RuleSet})
+	return strings.Join(parts, " ")
+}
+
+// Values of RuleSet.Idempotency.
+const (
+	idempotencyIdempotent    = "reissuable"
+	idempotencyKeyed         = "numbered"
+	idempotencyNonIdempotent = "at-most-once"
+)
 
-const maxScriptSize = 1 << 18
+// ownRuleSet is the name of the rule set of the sidecars' configuration.
+const ownRuleSet = "own"
+
+// requiredFields are the keys that each action needs.
+var requiredFields = map[string][]string{
+	actionApply:     {"version"},
+	actionRollback:  {"number"},
+	actionWithdraw:  {"number"},
+	actionPartition: {"from", "to"},
+	actionBlock:     {"from", "to"},
+	actionList:      {"servers"},
+	actionWeather:   nil,
+	actionHeal:      nil,
+	actionStall:     {"who"},
+	actionContinue:  {"who"},
+	actionKill:      {"who"},
+	actionStart:     {"who"},
+	actionThrottle:  {"who"},
+	actionFillDisk:  {"who"},
+	actionDamage:    {"who"},
+}
+
+// namedShares are the shares of the sidecars that an action can wait for.
+var namedShares = map[string]float64{"one": 1e-9, "half": 0.5, "all": 1}
+
+// Limits of what a script may say.
+const (
+	maxScriptSize       = 1 << 18 // bytes
+	maxScriptTime       = 3600 * policy.Second
+	maxCoordinators     = 5
+	maxRate             = 1000 // requests a second at each sidecar
+	maxRevision         = 1000
+	maxClockRate        = 2
+	defaultInstances    = 5
+	defaultCoordinators = 3
+	defaultEndpoints    = 3
+	defaultRate         = 10
+	defaultResets       = 0.1
+)
 
-// ReadScript reads a drill. The error has a line for each fault.
+// ReadScript reads a script. The error has a line for each fault.
 func ReadScript(file string, text []byte) (*Script, error) {
-	doc, root := tomlfile.Parse(file, text, maxScriptSize)
-	s := &Script{Clocks: map[string]string{}}
-	if doc.Err() == nil {
-		s.read(root)
+	document, root := tomlfile.Parse(file, text, maxScriptSize)
+	script := &Script{Clocks: map[string]string{}}
+	if document.Err() == nil {
+		script.read(root)
 	}
-	return s, doc.Err()
+	return script, document.Err()
 }
 
-func span(t *tomlfile.Table, key string, fallback time.Duration) time.Duration {
-	return time.Duration(t.Duration(key, policy.Time(fallback), 0, 3600*policy.Second))
+func readDuration(table *tomlfile.Table, key string, fallback time.Duration) time.Duration {
+	return time.Duration(table.Duration(key, policy.Time(fallback), 0, maxScriptTime))
 }
 
 func (s *Script) read(root *tomlfile.Table) {
-	root.Require("drill")
-	t := root.Table("drill")
-	s.Description = t.String("about", "")
-	s.Instances, s.Coordinators = int(t.Count("sidecars", 5, 1, maxProcesses)), int(t.Count("keepers", 3, 1, 5))
-	s.Endpoints, s.Length = int(t.Count("servers", 3, 1, maxProcesses)), span(t, "seconds", 10*time.Second)
-	s.Rate, s.Resets = t.Float("rate", 10, 0, 1000), t.Float("resets", 0.1, 0, 1)
-	s.Jitter, s.Lease = span(t, "jitter", 300*time.Millisecond), t.String("lease", "1.5s")
-	s.AgreeWithin = span(t, "agree_within", 500*time.Millisecond)
-	s.Contradicts, s.Discovery = t.Bool("contradicts", false), t.Bool("discovery", false)
-	t.RejectUnknown()
-	s.RuleSets = append(s.RuleSets, RuleSet{Name: "own", Idempotency: "at-most-once"})
-	names := []string{"own"}
-	for _, t := range root.Tables("version") {
-		t.Require("name", "repeats")
-		kinds := []string{"reissuable", "numbered", "at-most-once"}
-		v := RuleSet{Name: t.String("name", ""), Idempotency: kinds[t.OneOf("repeats", 2, kinds...)], Window: span(t, "window", time.Second)}
-		v.Drained = t.Strings("bans")
-		if t.Has("servers") {
-			v.Endpoints = append([]string{}, t.Strings("servers")...)
-		}
-		t.RejectUnknown()
-		s.RuleSets, names = append(s.RuleSets, v), append(names, v.Name)
+	s.readSettings(root)
+	s.RuleSets = append(s.RuleSets, RuleSet{Name: ownRuleSet, Idempotency: idempotencyNonIdempotent})
+	for _, table := range root.Tables("version") {
+		s.RuleSets = append(s.RuleSets, readRuleSet(table))
 	}
-	for _, t := range root.Tables("clock") {
-		t.Require("who")
-		for _, who := range t.Strings("who") {
-			s.Clocks[who] = fmt.Sprintf("%g,%v", t.Float("rate", 1, 0, 2), span(t, "ahead", 0))
-		}
-		t.RejectUnknown()
+	for _, table := range root.Tables("clock") {
+		s.readClock(table)
 	}
-	for _, t := range root.Tables("do") {
-		s.Actions = append(s.Actions, doing(t, names))
+	for _, table := range root.Tables("do") {
+		s.Actions = append(s.Actions, s.readAction(table))
 	}
-	for _, d := range s.Actions {
-		if d.What == "list" && !s.Discovery {
+	for _, action := range s.Actions {
+		if action.What == actionList && !s.Discovery {
 			root.Fault("do", "a list", "none where [drill] does not say discovery = true")
 		}
 	}
 	root.RejectUnknown()
 }
 
-func doing(t *tomlfile.Table, versions []string) Action {
-	all := make([]string, 0, len(requiredFields))
-	for v := range requiredFields {
-		all = append(all, v)
+func (s *Script) readSettings(root *tomlfile.Table) {
+	root.Require("drill")
+	table := root.Table("drill")
+	s.Description = table.String("about", "")
+	s.Instances = int(table.Count("sidecars", defaultInstances, 1, maxProcesses))
+	s.Coordinators = int(table.Count("keepers", defaultCoordinators, 1, maxCoordinators))
+	s.Endpoints = int(table.Count("servers", defaultEndpoints, 1, maxProcesses))
+	s.Length = readDuration(table, "seconds", 10*time.Second)
+	s.Rate = table.Float("rate", defaultRate, 0, maxRate)
+	s.Resets = table.Float("resets", defaultResets, 0, 1)
+	s.Jitter = readDuration(table, "jitter", 300*time.Millisecond)
+	s.Lease = table.String("lease", "1.5s")
+	s.AgreeWithin = readDuration(table, "agree_within", 500*time.Millisecond)
+	s.Contradicts = table.Bool("contradicts", false)
+	s.Discovery = table.Bool("discovery", false)
+	table.RejectUnknown()
+}
+
+func readRuleSet(table *tomlfile.Table) RuleSet {
+	table.Require("name", "repeats")
+	kinds := []string{idempotencyIdempotent, idempotencyKeyed, idempotencyNonIdempotent}
+	rules := RuleSet{
+		Name:        table.String("name", ""),
+		Idempotency: kinds[table.OneOf("repeats", 2, kinds...)],
+		Window:      readDuration(table, "window", time.Second),
+		Drained:     table.Strings("bans"),
 	}
-	slices.Sort(all)
-	t.Require("what")
-	d := Action{At: -1, What: all[t.OneOf("what", 0, all...)], Who: t.Strings("who"), From: t.Strings("from"), To: t.Strings("to"), RuleSet: t.String("version", ""),
-		Revision: int(t.Count("number", 0, 1, 1000)), Drop: t.Float("drop", 0, 0, 1), Duplicate: t.Float("twice", 0, 0, 1), Delay: span(t, "delay", 0),
-		Spread: span(t, "spread", 0), MayFail: t.Bool("may_fail", false), After: span(t, "after", 0), Ready: t.Strings("servers"), Draining: t.Strings("leaving")}
-	t.Require(requiredFields[d.What]...)
-	if d.RuleSet != "" && !slices.Contains(versions, d.RuleSet) {
-		t.Fault("version", t.Found("version"), "one of "+strings.Join(versions, ", "))
+	if table.Has("servers") {
+		rules.Endpoints = append([]string{}, table.Strings("servers")...)
 	}
-	switch when := t.String("when", ""); {
-	case t.Has("at") && t.Has("when") || !t.Has("at") && !t.Has("when"):
-		t.Fault("at", t.Found("at"), "either a time, or when = \"half 2\"")
-	case t.Has("at"):
-		d.At = span(t, "at", 0)
-	default:
-		var share string
-		if _, err := fmt.Sscanf(when, "%s %d", &share, &d.Number); err != nil || namedShares[share] == 0 {
-			t.Fault("when", t.Found("when"), "one, half or all, and the number of a version that so many act by")
-		}
-		d.Share = namedShares[share]
+	table.RejectUnknown()
+	return rules
+}
+
+func (s *Script) readClock(table *tomlfile.Table) {
+	table.Require("who")
+	for _, name := range table.Strings("who") {
+		rate := table.Float("rate", 1, 0, maxClockRate)
+		s.Clocks[name] = fmt.Sprintf("%g,%v", rate, readDuration(table, "ahead", 0))
 	}
-	t.RejectUnknown()
-	return d
+	table.RejectUnknown()
 }
 
-var namedShares = map[string]float64{"one": 1e-9, "half": 0.5, "all": 1}
+func (s *Script) readAction(table *tomlfile.Table) Action {
+	kinds := actionKinds()
+	table.Require("what")
+	action := Action{
+		At:        -1,
+		What:      kinds[table.OneOf("what", 0, kinds...)],
+		Who:       table.Strings("who"),
+		From:      table.Strings("from"),
+		To:        table.Strings("to"),
+		RuleSet:   table.String("version", ""),
+		Revision:  int(table.Count("number", 0, 1, maxRevision)),
+		Drop:      table.Float("drop", 0, 0, 1),
+		Duplicate: table.Float("twice", 0, 0, 1),
+		Delay:     readDuration(table, "delay", 0),
+		Spread:    readDuration(table, "spread", 0),
+		MayFail:   table.Bool("may_fail", false),
+		After:     readDuration(table, "after", 0),
+		Ready:     table.Strings("servers"),
+		Draining:  table.Strings("leaving"),
+	}
+	table.Require(requiredFields[action.What]...)
+	if names := s.ruleSetNames(); action.RuleSet != "" && !slices.Contains(names, action.RuleSet) {
+		table.Fault("version", table.Found("version"), "one of "+strings.Join(names, ", "))
+	}
+	action.readMoment(table)
+	table.RejectUnknown()
+	return action
+}
+
+// readMoment reads when the action is taken.
+func (a *Action) readMoment(table *tomlfile.Table) {
+	when := table.String("when", "")
+	if table.Has("at") == table.Has("when") {
+		table.Fault("at", table.Found("at"), "either a time, or when = \"half 2\"")
+		return
+	}
+	if table.Has("at") {
+		a.At = readDuration(table, "at", 0)
+		return
+	}
+	var share string
+	if _, err := fmt.Sscanf(when, "%s %d", &share, &a.Number); err != nil || namedShares[share] == 0 {
+		table.Fault("when", table.Found("when"), "one, half or all, and the number of a version that so many act by")
+	}
+	a.Share = namedShares[share]
+}
+
+// actionKinds returns what an action can do, sorted.
+func actionKinds() []string {
+	kinds := make([]string, 0, len(requiredFields))
+	for kind := range requiredFields {
+		kinds = append(kinds, kind)
+	}
+	slices.Sort(kinds)
+	return kinds
+}
+
+func (s *Script) ruleSetNames() []string {
+	names := make([]string, 0, len(s.RuleSets))
+	for _, rules := range s.RuleSets {
+		names = append(names, rules.Name)
+	}
+	return names
+}
--- a/internal/faulttest/script_test.go
+++ b/internal/faulttest/script_test.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// A fleet of more than a thousand processes and servers can be written down; one that no addresses are laid out for is a fault that says so.
+// A fleet of more than a thousand processes and endpoints can be written down; one that no addresses are laid out for
+// is a fault that says so.
 func TestLargeDrillsCanBeRead(t *testing.T) {
 	for n, fine := range map[int]bool{1024: true, maxProcesses: true, maxProcesses + 1: false} {
 		s, err := ReadScript("large", fmt.Appendf(nil, "[drill]\nsidecars = %d\nservers = %d\n", n, n))
@@ -37,7 +38,7 @@
 	}
 	seen := map[string]bool{}
 	for i := range maxProcesses + 5 {
-		seen[own(i)], seen[reached(i)] = true, true
+		seen[processIP(i)], seen[proxyIP(i)] = true, true
 	}
 	if len(seen) != 2*(maxProcesses+5) {
 		t.Errorf("%d addresses for %d processes", len(seen), maxProcesses+5)
