--- a/cmd/pepperlead-sim/cost.go
+++ b/cmd/pepperlead-sim/cost.go
@@ -28,6 +28,16 @@
 	return []*cobra.Command{backend, plain}
 }
 
+// costOptions are the flags of the command cost.
+type costOptions struct {
+	daemons  []string
+	products []string
+	clients  []int
+	rounds   int
+	duration time.Duration
+	asJSON   bool
+}
+
 func costCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "cost --daemon LABEL=PROGRAM...",
@@ -36,47 +46,51 @@
 		Example: "  pepperlead-sim cost --daemon now=bin/pepperlead --clients 1,16 --rounds 5 --each 3s\n" +
 			"  pepperlead-sim cost --daemon before=/path/to/an/earlier/pepperlead --daemon now=bin/pepperlead",
 	}
-	daemons := c.Flags().StringArray("daemon", []string{"now=bin/pepperlead"},
+	var o costOptions
+	c.Flags().StringArrayVar(&o.daemons, "daemon", []string{"now=bin/pepperlead"},
 		"a daemon's `label=program`; several are measured side by side")
-	products := c.Flags().StringArray("product", nil,
+	c.Flags().StringArrayVar(&o.products, "product", nil,
 		"a `label=program=file`: by the product's configuration, with what the file adds to it, as [peers]")
-	clients := c.Flags().IntSlice("clients", []int{1, 16}, "clients at once")
-	rounds := c.Flags().Int("rounds", 5, "rounds, in each of which every subject is measured once")
-	duration := c.Flags().Duration("each", 3*time.Second, "how long each is measured")
-	asJSON := c.Flags().Bool("json", false, "print every round as JSON")
-	c.RunE = func(c *cobra.Command, _ []string) error {
-		ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-		defer stop()
-		self, err := os.Executable()
-		if err != nil {
-			return err
-		}
-		directory, err := os.MkdirTemp("", "pepperlead-sim")
-		if err != nil {
-			return err
-		}
-		defer removeAll(directory)
-		subjects, err := (&subjectStarter{ctx: ctx, directory: directory, self: self}).all(*daemons, *products)
+	c.Flags().IntSliceVar(&o.clients, "clients", []int{1, 16}, "clients at once")
+	c.Flags().IntVar(&o.rounds, "rounds", 5, "rounds, in each of which every subject is measured once")
+	c.Flags().DurationVar(&o.duration, "each", 3*time.Second, "how long each is measured")
+	c.Flags().BoolVar(&o.asJSON, "json", false, "print every round as JSON")
+	c.RunE = func(c *cobra.Command, _ []string) error { return o.run(c.OutOrStdout()) }
+	return c
+}
+
+// run measures every subject with each number of clients.
+func (o *costOptions) run(out io.Writer) error {
+	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	self, err := os.Executable()
+	if err != nil {
+		return err
+	}
+	directory, err := os.MkdirTemp("", "pepperlead-sim")
+	if err != nil {
+		return err
+	}
+	defer removeAll(directory)
+	subjects, err := (&subjectStarter{ctx: ctx, directory: directory, self: self}).all(o.daemons, o.products)
+	if err != nil {
+		return err
+	}
+	var all []benchmark.Cost
+	for _, count := range o.clients {
+		costs, err := benchmark.Run(ctx, self, subjects, count, o.rounds, o.duration)
 		if err != nil {
 			return err
 		}
-		var all []benchmark.Cost
-		for _, count := range *clients {
-			costs, err := benchmark.Run(ctx, self, subjects, count, *rounds, *duration)
-			if err != nil {
-				return err
-			}
-			all = append(all, costs...)
-			if !*asJSON {
-				printCosts(c.OutOrStdout(), subjects, costs, count, *duration)
-			}
-		}
-		if *asJSON {
-			return printJSON(c.OutOrStdout(), all)
+		all = append(all, costs...)
+		if !o.asJSON {
+			printCosts(out, subjects, costs, count, o.duration)
 		}
-		return nil
 	}
-	return c
+	if o.asJSON {
+		return printJSON(out, all)
+	}
+	return nil
 }
 
 // subjectStarter makes the subjects of a benchmark.
--- a/cmd/pepperlead-sim/drillpeers.go
+++ b/cmd/pepperlead-sim/drillpeers.go
@@ -24,6 +24,14 @@
 	return c
 }
 
+// drillPeersOptions are the flags of the command drill peers.
+type drillPeersOptions struct {
+	count  int
+	seed   uint64
+	daemon string
+	asJSON bool
+}
+
 func drillPeersCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "peers",
@@ -36,41 +44,45 @@
 			"until all that are left know. Exit code 1 where they do not.",
 		Example: "  pepperlead-sim drill peers --count 50",
 	}
-	count := c.Flags().Int("count", 5, "sidecars, 5 at least")
-	seed := c.Flags().Uint64("seed", 1, "names the drill")
-	daemon := c.Flags().String("daemon", "bin/pepperlead", "the daemon's `program`")
-	asJSON := c.Flags().Bool("json", false, "print the result as JSON")
-	c.RunE = func(c *cobra.Command, _ []string) error {
-		ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-		defer stop()
-		directory, err := os.MkdirTemp("", "drill")
-		if err != nil {
-			return err
-		}
-		defer removeAll(directory)
-		stage, err := faulttest.Begin(faulttest.StageConfig{
-			Program:   *daemon,
-			Dir:       directory,
-			Count:     *count,
-			Strangers: strangers,
-			Instances: *count,
-			Seed:      *seed,
-		})
-		if err != nil {
-			return err
-		}
-		defer stage.Close()
-		result, err := faulttest.Peers(ctx, stage, *count)
-		if *asJSON {
-			if failed := printJSON(c.OutOrStdout(), result); failed != nil {
-				return failed
-			}
-			return err
+	var o drillPeersOptions
+	c.Flags().IntVar(&o.count, "count", 5, "sidecars, 5 at least")
+	c.Flags().Uint64Var(&o.seed, "seed", 1, "names the drill")
+	c.Flags().StringVar(&o.daemon, "daemon", "bin/pepperlead", "the daemon's `program`")
+	c.Flags().BoolVar(&o.asJSON, "json", false, "print the result as JSON")
+	c.RunE = func(c *cobra.Command, _ []string) error { return o.run(c.OutOrStdout()) }
+	return c
+}
+
+// run starts the processes, plays the faults, and prints what was measured, also after a failure.
+func (o *drillPeersOptions) run(out io.Writer) error {
+	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	directory, err := os.MkdirTemp("", "drill")
+	if err != nil {
+		return err
+	}
+	defer removeAll(directory)
+	stage, err := faulttest.Begin(faulttest.StageConfig{
+		Program:   o.daemon,
+		Dir:       directory,
+		Count:     o.count,
+		Strangers: strangers,
+		Instances: o.count,
+		Seed:      o.seed,
+	})
+	if err != nil {
+		return err
+	}
+	defer stage.Close()
+	result, err := faulttest.Peers(ctx, stage, o.count)
+	if o.asJSON {
+		if failed := printJSON(out, result); failed != nil {
+			return failed
 		}
-		printPeers(c.OutOrStdout(), result)
 		return err
 	}
-	return c
+	printPeers(out, result)
+	return err
 }
 
 func printPeers(out io.Writer, r faulttest.PeersResult) {
--- a/cmd/pepperlead-sim/replay.go
+++ b/cmd/pepperlead-sim/replay.go
@@ -11,6 +11,16 @@
 	"pepperlead/internal/trace"
 )
 
+// replayOptions are the flags of the command replay.
+type replayOptions struct {
+	scenarioPath string
+	scripted     bool
+	seed         uint64
+	policyName   string
+	directory    string
+	asJSON       bool
+}
+
 func replayCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "replay TRACE...",
@@ -22,49 +32,54 @@
 			"knows, is a scenario's.",
 		Example: "  pepperlead-sim replay --scenario scenarios/monday.toml /tmp/monday/*.trace --out /tmp/again",
 	}
-	path := c.Flags().String("scenario", "",
+	var o replayOptions
+	c.Flags().StringVar(&o.scenarioPath, "scenario", "",
 		"the `scenario` whose fleet, offerings and clients are played (must be given)")
-	scripted := c.Flags().Bool("scripted", false,
+	c.Flags().BoolVar(&o.scripted, "scripted", false,
 		"play the scenario's faults in place of those the traces show; those on load are in the traces")
-	seed := c.Flags().Uint64("seed", 1, "of what was not recorded: sizes of work, speeds")
-	policyName := c.Flags().String("policy", "module", strings.Join(baseline.Names, ", "))
-	directory := c.Flags().String("out", "", "`folder` for result.json and series.json (default: nothing is written)")
-	asJSON := c.Flags().Bool("json", false, "print what was taken from the traces, and the result, as JSON")
-	c.RunE = func(c *cobra.Command, args []string) error {
-		scenario, err := experiment.Load(*path)
-		if err != nil {
-			return err
-		}
-		traces, err := readTraces(args)
-		if err != nil {
-			return err
-		}
-		scriptedFaults := scenario.Faults
-		replayed, err := experiment.FromTraces(scenario, traces)
-		if err != nil {
-			return err
-		}
-		if *scripted {
-			scenario.Faults = scriptedFaults
-			scenario.DropLoadFaults()
-		}
-		result, series, err := experiment.Play(scenario, *seed, *policyName, true)
-		if err != nil {
+	c.Flags().Uint64Var(&o.seed, "seed", 1, "of what was not recorded: sizes of work, speeds")
+	c.Flags().StringVar(&o.policyName, "policy", "module", strings.Join(baseline.Names, ", "))
+	c.Flags().StringVar(&o.directory, "out", "",
+		"`folder` for result.json and series.json (default: nothing is written)")
+	c.Flags().BoolVar(&o.asJSON, "json", false, "print what was taken from the traces, and the result, as JSON")
+	c.RunE = func(c *cobra.Command, args []string) error { return o.run(c.OutOrStdout(), args) }
+	return c
+}
+
+// run plays the traces and writes the result where the flags say.
+func (o *replayOptions) run(out io.Writer, paths []string) error {
+	scenario, err := experiment.Load(o.scenarioPath)
+	if err != nil {
+		return err
+	}
+	traces, err := readTraces(paths)
+	if err != nil {
+		return err
+	}
+	scriptedFaults := scenario.Faults
+	replayed, err := experiment.FromTraces(scenario, traces)
+	if err != nil {
+		return err
+	}
+	if o.scripted {
+		scenario.Faults = scriptedFaults
+		scenario.DropLoadFaults()
+	}
+	result, series, err := experiment.Play(scenario, o.seed, o.policyName, true)
+	if err != nil {
+		return err
+	}
+	result.Scenario += ", recorded"
+	if o.directory != "" {
+		if err := experiment.Write(o.directory, result, series); err != nil {
 			return err
 		}
-		result.Scenario += ", recorded"
-		if *directory != "" {
-			if err := experiment.Write(*directory, result, series); err != nil {
-				return err
-			}
-		}
-		if *asJSON {
-			return printJSON(c.OutOrStdout(), map[string]any{"traces": replayed, "result": result})
-		}
-		printReplay(c.OutOrStdout(), len(traces), replayed, result)
-		return checkRules(result.Verdict)
 	}
-	return c
+	if o.asJSON {
+		return printJSON(out, map[string]any{"traces": replayed, "result": result})
+	}
+	printReplay(out, len(traces), replayed, result)
+	return checkRules(result.Verdict)
 }
 
 func readTraces(paths []string) ([]*trace.Trace, error) {
--- a/cmd/pepperlead-sim/run.go
+++ b/cmd/pepperlead-sim/run.go
@@ -12,6 +12,15 @@
 	"pepperlead/internal/experiment"
 )
 
+// runOptions are the flags of the command run.
+type runOptions struct {
+	seed       uint64
+	directory  string
+	policyName string
+	settings   []string
+	asJSON     bool
+}
+
 func runCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "run SCENARIO",
@@ -22,36 +31,41 @@
 		Example: "  pepperlead-sim run scenarios/monday.toml --seed 7 --out /tmp/monday " +
 			"&& pepperlead-sim report /tmp/monday",
 	}
-	seed := c.Flags().Uint64("seed", 1, "names the day")
-	directory := c.Flags().String("out", "", "`folder` for result.json and series.json (default: nothing is written)")
-	policyName := c.Flags().String("policy", "module", strings.Join(baseline.Names, ", "))
-	settings := c.Flags().StringArray("set", nil,
+	var o runOptions
+	c.Flags().Uint64Var(&o.seed, "seed", 1, "names the day")
+	c.Flags().StringVar(&o.directory, "out", "",
+		"`folder` for result.json and series.json (default: nothing is written)")
+	c.Flags().StringVar(&o.policyName, "policy", "module", strings.Join(baseline.Names, ", "))
+	c.Flags().StringArrayVar(&o.settings, "set", nil,
 		"a figure that stands in place of the scenario's, as `load.part=0.8`; may be given again")
-	asJSON := c.Flags().Bool("json", false, "print the result as JSON")
-	c.RunE = func(c *cobra.Command, args []string) error {
-		scenario, err := loadScenario(args[0], *settings)
-		if err != nil {
-			return err
-		}
-		start := time.Now()
-		result, series, err := experiment.Play(scenario, *seed, *policyName, true)
-		if err != nil {
+	c.Flags().BoolVar(&o.asJSON, "json", false, "print the result as JSON")
+	c.RunE = func(c *cobra.Command, args []string) error { return o.run(c.OutOrStdout(), args[0]) }
+	return c
+}
+
+// run plays the scenario and writes its result where the flags say.
+func (o *runOptions) run(out io.Writer, path string) error {
+	scenario, err := loadScenario(path, o.settings)
+	if err != nil {
+		return err
+	}
+	start := time.Now()
+	result, series, err := experiment.Play(scenario, o.seed, o.policyName, true)
+	if err != nil {
+		return err
+	}
+	elapsed := time.Since(start)
+	result.Set = strings.Join(o.settings, " ")
+	if o.directory != "" {
+		if err := experiment.Write(o.directory, result, series); err != nil {
 			return err
 		}
-		elapsed := time.Since(start)
-		result.Set = strings.Join(*settings, " ")
-		if *directory != "" {
-			if err := experiment.Write(*directory, result, series); err != nil {
-				return err
-			}
-		}
-		if *asJSON {
-			return printJSON(c.OutOrStdout(), result)
-		}
-		printRun(c.OutOrStdout(), scenario, result, elapsed)
-		return checkRules(result.Verdict)
 	}
-	return c
+	if o.asJSON {
+		return printJSON(out, result)
+	}
+	printRun(out, scenario, result, elapsed)
+	return checkRules(result.Verdict)
 }
 
 // loadScenario loads a scenario with settings that replace its own, each as path=value.
--- a/cmd/pepperlead-sim/sockets.go
+++ b/cmd/pepperlead-sim/sockets.go
@@ -13,6 +13,16 @@
 	"pepperlead/internal/livetest"
 )
 
+// socketsOptions are the flags of the command sockets.
+type socketsOptions struct {
+	seed     uint64
+	daemon   string
+	traceDir string
+	set      string
+	verbose  bool
+	asJSON   bool
+}
+
 func socketsCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "sockets SCENARIO",
@@ -24,48 +34,45 @@
 			"5,000 requests a second at most.",
 		Example: "  pepperlead-sim sockets scenarios/monday.toml --seed 1 --record /tmp/monday",
 	}
-	seed := c.Flags().Uint64("seed", 1, "names the day")
-	daemon := c.Flags().String("daemon", "bin/pepperlead", "the daemon's `program`")
-	record := c.Flags().String("record", "", "`folder` for the daemons' traces")
-	set := c.Flags().String("set", "", "a figure that stands in place of the scenario's, as `length=30s`")
-	verbose := c.Flags().Bool("log", false, "print faults and the daemons' warnings to standard error")
-	asJSON := c.Flags().Bool("json", false, "print the verdict as JSON")
-	c.RunE = func(c *cobra.Command, args []string) error {
-		ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-		defer stop()
-		scenario, err := experiment.Load(args[0], experiment.Sets(*set)...)
-		if err != nil {
-			return err
-		}
-		if *record != "" {
-			if err := os.MkdirAll(*record, 0o755); err != nil {
-				return err
-			}
-		}
-		var log io.Writer
-		if *verbose {
-			log = os.Stderr
-		}
-		v, err := livetest.Run(ctx, livetest.Options{
-			Scenario: scenario,
-			Seed:     *seed,
-			Daemon:   *daemon,
-			TraceDir: *record,
-			Log:      log,
-		})
-		if err != nil {
+	var o socketsOptions
+	c.Flags().Uint64Var(&o.seed, "seed", 1, "names the day")
+	c.Flags().StringVar(&o.daemon, "daemon", "bin/pepperlead", "the daemon's `program`")
+	c.Flags().StringVar(&o.traceDir, "record", "", "`folder` for the daemons' traces")
+	c.Flags().StringVar(&o.set, "set", "", "a figure that stands in place of the scenario's, as `length=30s`")
+	c.Flags().BoolVar(&o.verbose, "log", false, "print faults and the daemons' warnings to standard error")
+	c.Flags().BoolVar(&o.asJSON, "json", false, "print the verdict as JSON")
+	c.RunE = func(c *cobra.Command, args []string) error { return o.run(c.OutOrStdout(), args[0]) }
+	return c
+}
+
+// run plays the scenario and prints the judge's verdict.
+func (o *socketsOptions) run(out io.Writer, path string) error {
+	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	scenario, err := experiment.Load(path, experiment.Sets(o.set)...)
+	if err != nil {
+		return err
+	}
+	if o.traceDir != "" {
+		if err := os.MkdirAll(o.traceDir, 0o755); err != nil {
 			return err
 		}
-		out := c.OutOrStdout()
-		if *asJSON {
-			return printJSON(out, v)
-		}
-		printf(out, "%s, seed %d, on sockets: service %.3f, worst 10 s %.3f, crossings %.3f\n",
-			scenario.Name, *seed, v.Service, v.Worst10, v.CrossZone)
-		printCounts(out, v)
-		printSpread(out, &v.Spread)
-		printViolations(out, v)
-		return checkRules(v)
 	}
-	return c
+	options := livetest.Options{Scenario: scenario, Seed: o.seed, Daemon: o.daemon, TraceDir: o.traceDir}
+	if o.verbose {
+		options.Log = os.Stderr
+	}
+	v, err := livetest.Run(ctx, options)
+	if err != nil {
+		return err
+	}
+	if o.asJSON {
+		return printJSON(out, v)
+	}
+	printf(out, "%s, seed %d, on sockets: service %.3f, worst 10 s %.3f, crossings %.3f\n",
+		scenario.Name, o.seed, v.Service, v.Worst10, v.CrossZone)
+	printCounts(out, v)
+	printSpread(out, &v.Spread)
+	printViolations(out, v)
+	return checkRules(v)
 }
--- a/cmd/pepperlead-sim/sweep.go
+++ b/cmd/pepperlead-sim/sweep.go
@@ -16,6 +16,19 @@
 	"pepperlead/internal/experiment"
 )
 
+// sweepOptions are the flags of the command sweep.
+type sweepOptions struct {
+	seeds      uint64
+	firstSeed  uint64
+	variation  string
+	policies   []string
+	workers    int
+	directory  string
+	asJSON     bool
+	noProgress bool
+	plotPath   string
+}
+
 func sweepCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "sweep SCENARIO...",
@@ -26,52 +39,63 @@
 			"  pepperlead-sim sweep scenarios/slow.toml --vary scale=4x8,300x100 --seeds 5     " +
 			"# sidecars x servers, load and keys in proportion",
 	}
-	seeds := c.Flags().Uint64("seeds", 5, "how many seeds, from --first on")
-	first := c.Flags().Uint64("first", 1, "the first seed")
-	vary := c.Flags().String("vary", "", "a figure and its `values`, as load.part=0.5,0.8 or load.part=0.5:1.5:0.1")
-	policies := c.Flags().StringSlice("policies", []string{"module"}, strings.Join(baseline.Names, ", "))
-	workers := c.Flags().Int("workers", 0, "days played at once (default: as many as there are cores)")
-	directory := c.Flags().String("out", "", "`folder` for sweep.json")
-	asJSON := c.Flags().Bool("json", false, "print the table as JSON")
-	noProgress := c.Flags().Bool("quiet", false, "without a progress bar")
-	plot := c.Flags().String("plot", "", "`file` for a picture of the table, SVG")
-	c.RunE = func(c *cobra.Command, args []string) error {
-		ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-		defer stop()
-		grid := experiment.Grid{Scenarios: args, Policies: *policies, Workers: *workers}
-		for i := range *seeds {
-			grid.Seeds = append(grid.Seeds, *first+i)
-		}
-		if err := checkPolicies(*policies); err != nil {
-			return err
-		}
-		if err := setVariation(&grid, *vary); err != nil {
+	var o sweepOptions
+	c.Flags().Uint64Var(&o.seeds, "seeds", 5, "how many seeds, from --first on")
+	c.Flags().Uint64Var(&o.firstSeed, "first", 1, "the first seed")
+	c.Flags().StringVar(&o.variation, "vary", "",
+		"a figure and its `values`, as load.part=0.5,0.8 or load.part=0.5:1.5:0.1")
+	c.Flags().StringSliceVar(&o.policies, "policies", []string{"module"}, strings.Join(baseline.Names, ", "))
+	c.Flags().IntVar(&o.workers, "workers", 0, "days played at once (default: as many as there are cores)")
+	c.Flags().StringVar(&o.directory, "out", "", "`folder` for sweep.json")
+	c.Flags().BoolVar(&o.asJSON, "json", false, "print the table as JSON")
+	c.Flags().BoolVar(&o.noProgress, "quiet", false, "without a progress bar")
+	c.Flags().StringVar(&o.plotPath, "plot", "", "`file` for a picture of the table, SVG")
+	c.RunE = func(c *cobra.Command, args []string) error { return o.run(c.OutOrStdout(), args) }
+	return c
+}
+
+// run plays the grid and writes its results where the flags say.
+func (o *sweepOptions) run(out io.Writer, scenarios []string) error {
+	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	grid, err := o.grid(scenarios)
+	if err != nil {
+		return err
+	}
+	results, err := experiment.Sweep(ctx, grid)
+	if err != nil {
+		return err
+	}
+	if o.directory != "" {
+		if err := experiment.WriteSweep(o.directory, results); err != nil {
 			return err
 		}
-		if !*noProgress && !*asJSON {
-			grid.Progress = os.Stderr
-		}
-		results, err := experiment.Sweep(ctx, grid)
-		if err != nil {
+	}
+	rows := experiment.Table(results)
+	if o.plotPath != "" {
+		if err := experiment.PlotRows(o.plotPath, rows); err != nil {
 			return err
 		}
-		if *directory != "" {
-			if err := experiment.WriteSweep(*directory, results); err != nil {
-				return err
-			}
-		}
-		rows := experiment.Table(results)
-		if *plot != "" {
-			if err := experiment.PlotRows(*plot, rows); err != nil {
-				return err
-			}
-		}
-		if *asJSON {
-			return printJSON(c.OutOrStdout(), rows)
-		}
-		return printTable(c.OutOrStdout(), rows)
 	}
-	return c
+	if o.asJSON {
+		return printJSON(out, rows)
+	}
+	return printTable(out, rows)
+}
+
+// grid returns the runs that the flags ask for.
+func (o *sweepOptions) grid(scenarios []string) (experiment.Grid, error) {
+	grid := experiment.Grid{Scenarios: scenarios, Policies: o.policies, Workers: o.workers}
+	for i := range o.seeds {
+		grid.Seeds = append(grid.Seeds, o.firstSeed+i)
+	}
+	if err := checkPolicies(o.policies); err != nil {
+		return grid, err
+	}
+	if !o.noProgress && !o.asJSON {
+		grid.Progress = os.Stderr
+	}
+	return grid, setVariation(&grid, o.variation)
 }
 
 func checkPolicies(names []string) error {
