--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -167,14 +167,7 @@
 		w.retryLater(e.a, true, 0)
 		return
 	}
-	var i int32
-	if n := len(w.freeTry); n > 0 {
-		i = w.freeTry[n-1]
-		w.freeTry = w.freeTry[:n-1]
-	} else {
-		w.tries = append(w.tries, clientTry{})
-		i = int32(len(w.tries) - 1)
-	}
+	i := w.newTry()
 	id := w.tries[i].attemptID
 	w.tries[i] = clientTry{
 		inUse:               true,
@@ -204,6 +197,17 @@
 	s.decider.Begin(w.now, t.handle)
 }
 
+// newTry returns the index of an unused try.
+func (w *World) newTry() int32 {
+	if n := len(w.freeTry); n > 0 {
+		i := w.freeTry[n-1]
+		w.freeTry = w.freeTry[:n-1]
+		return i
+	}
+	w.tries = append(w.tries, clientTry{})
+	return int32(len(w.tries) - 1)
+}
+
 func keyText(key uint64) string { return "k" + strconv.FormatUint(key, 36) }
 
 func parseKey(text string) uint64 {
--- a/internal/emulator/read.go
+++ b/internal/emulator/read.go
@@ -66,8 +66,12 @@
 	sc.Length = root.Duration("length", 60*policy.Second, policy.Second, day)
 	sc.Tick = root.Duration("tick", 5*policy.Millisecond, policy.Millisecond, 100*policy.Millisecond)
 	sc.readFleet(root)
+	sc.readKinds(root)
 	sc.readLoad(root)
-	sc.readSurroundings(root)
+	sc.readClients(root)
+	sc.readNetwork(root)
+	sc.readDiscovery(root)
+	sc.readLimits(root)
 	sc.readClasses(root)
 	sc.readTenants(root)
 	for _, t := range root.Tables("fault") {
@@ -90,6 +94,9 @@
 	sc.PodSize = int(t.Count("pod", 4, 1, maxEndpoints))
 	sc.PodLimit = t.Float("pod_limit", 0, 0, 1)
 	t.RejectUnknown()
+}
+
+func (sc *Scenario) readKinds(root *tomlfile.Table) {
 	for _, t := range root.Tables("kind") {
 		t.Require("name", "cores")
 		k := EndpointKind{
@@ -100,25 +107,7 @@
 			ErrorRate:   t.Float("errors", 0, 0, 1),
 			Cancel:      Cancel(t.OneOf("cancel", int(CancelWaiting), "nothing", "waiting", "all")),
 		}
-		k.Traits = machine.Traits{
-			Cores:            t.Float("cores", 2, 0.1, 1024),
-			Speed:            t.Float("speed", 1, 0.01, 100),
-			Workers:          int(t.Count("slots", 0, 0, 1e6)),
-			QueueSize:        int(t.Count("queue", 1000, 0, 1e6)),
-			ColdSpeed:        t.Float("cold_part", 1, 0.01, 1),
-			WarmUpTime:       t.Duration("warm_in", 0, 0, 3600*policy.Second),
-			CacheSize:        int(t.Count("keys", 0, 0, 1e6)),
-			CacheDiscount:    t.Float("discount", 0, 0, 0.99),
-			CacheColdTime:    t.Duration("forgets", 0, 0, 3600*policy.Second),
-			CongestAt:        int(t.Count("choke_at", 0, 0, 1e6)),
-			CongestedSpeed:   t.Float("choked", 0.5, 0.01, 1),
-			OverloadMultiple: t.Float("fall", 0, 0, 1000),
-			OverloadWindow:   t.Duration("fall_in", policy.Second, policy.Millisecond, 60*policy.Second),
-			ConnectWork:      t.Duration("connect", 0, 0, policy.Second),
-			FreeConnections:  int(t.Count("connections", 0, 0, 1e6)),
-			MaxConnections:   int(t.Count("max_connections", 0, 0, 1e6)),
-			ConnectionCost:   t.Float("tax", 0, 0, 10),
-		}
+		k.Traits = readTraits(t)
 		if k.Workers == 0 && k.QueueSize == 0 {
 			t.Fault("queue", "0", "1 or more where cores are shared")
 		}
@@ -127,6 +116,28 @@
 	}
 }
 
+func readTraits(t *tomlfile.Table) machine.Traits {
+	return machine.Traits{
+		Cores:            t.Float("cores", 2, 0.1, 1024),
+		Speed:            t.Float("speed", 1, 0.01, 100),
+		Workers:          int(t.Count("slots", 0, 0, 1e6)),
+		QueueSize:        int(t.Count("queue", 1000, 0, 1e6)),
+		ColdSpeed:        t.Float("cold_part", 1, 0.01, 1),
+		WarmUpTime:       t.Duration("warm_in", 0, 0, 3600*policy.Second),
+		CacheSize:        int(t.Count("keys", 0, 0, 1e6)),
+		CacheDiscount:    t.Float("discount", 0, 0, 0.99),
+		CacheColdTime:    t.Duration("forgets", 0, 0, 3600*policy.Second),
+		CongestAt:        int(t.Count("choke_at", 0, 0, 1e6)),
+		CongestedSpeed:   t.Float("choked", 0.5, 0.01, 1),
+		OverloadMultiple: t.Float("fall", 0, 0, 1000),
+		OverloadWindow:   t.Duration("fall_in", policy.Second, policy.Millisecond, 60*policy.Second),
+		ConnectWork:      t.Duration("connect", 0, 0, policy.Second),
+		FreeConnections:  int(t.Count("connections", 0, 0, 1e6)),
+		MaxConnections:   int(t.Count("max_connections", 0, 0, 1e6)),
+		ConnectionCost:   t.Float("tax", 0, 0, 10),
+	}
+}
+
 func (sc *Scenario) readLoad(root *tomlfile.Table) {
 	t := root.Table("load")
 	sc.Load = Load{
@@ -144,7 +155,10 @@
 		t.Fault("rate", "rate "+t.Found("rate")+" and part "+t.Found("part"), "one of them over 0")
 	}
 	t.RejectUnknown()
-	t = root.Table("clients")
+}
+
+func (sc *Scenario) readClients(root *tomlfile.Table) {
+	t := root.Table("clients")
 	sc.Clients = Clients{
 		Retries:          int(t.Count("retries", 0, 0, 10)),
 		HonourRetryAfter: t.Float("heed", 1, 0, 1),
@@ -154,8 +168,8 @@
 	t.RejectUnknown()
 }
 
-func (sc *Scenario) readSurroundings(root *tomlfile.Table) {
-	ms := policy.Millisecond
+func (sc *Scenario) readNetwork(root *tomlfile.Table) {
+	const ms = policy.Millisecond
 	t := root.Table("network")
 	sc.Network = Network{
 		Near:           t.Duration("near", ms/5, 0, policy.Second),
@@ -167,27 +181,34 @@
 		IdleTimeout:    t.Duration("idle", 60*policy.Second, 10*ms, 3600*policy.Second),
 	}
 	t.RejectUnknown()
-	t = root.Table("discovery")
-	pair := func(key string, low, high policy.Time) [2]policy.Time {
-		p := t.Table(key)
-		out := [2]policy.Time{
-			p.Duration("from", low, 0, 600*policy.Second),
-			p.Duration("to", high, 0, 600*policy.Second),
-		}
-		if out[0] > out[1] {
-			p.Fault("from", p.Found("from"), "at most what to says, "+p.Found("to"))
-		}
-		p.RejectUnknown()
-		return out
-	}
+}
+
+func (sc *Scenario) readDiscovery(root *tomlfile.Table) {
+	t := root.Table("discovery")
 	sc.Discovery = Discovery{
-		AnnounceDelay: pair("delay", 200*ms, policy.Second),
-		DetectDelay:   pair("silent", 5*policy.Second, 10*policy.Second),
+		AnnounceDelay: readRange(t.Table("delay"), 200*policy.Millisecond, policy.Second),
+		DetectDelay:   readRange(t.Table("silent"), 5*policy.Second, 10*policy.Second),
 		Interval:      t.Duration("step", 0, 0, 60*policy.Second),
 		Polled:        t.Bool("asked", false),
 	}
 	t.RejectUnknown()
-	t = root.Table("allow")
+}
+
+// readRange reads the two ends of a random delay, which are from and to where they are not set.
+func readRange(t *tomlfile.Table, from, to policy.Time) [2]policy.Time {
+	ends := [2]policy.Time{
+		t.Duration("from", from, 0, 600*policy.Second),
+		t.Duration("to", to, 0, 600*policy.Second),
+	}
+	if ends[0] > ends[1] {
+		t.Fault("from", t.Found("from"), "at most what to says, "+t.Found("to"))
+	}
+	t.RejectUnknown()
+	return ends
+}
+
+func (sc *Scenario) readLimits(root *tomlfile.Table) {
+	t := root.Table("allow")
 	sc.Limits = Limits{
 		MaxAttempts:    int(t.Count("pushes", 3, 1, 8)),
 		MayCancel:      t.Bool("cancel", true),
@@ -268,6 +289,14 @@
 	if t.Has("server") {
 		f.Endpoints = []int{int(t.Count("server", 0, 0, int64(sc.Endpoints)-1))}
 	}
+	sc.checkFault(t, &f)
+	f.checkKind(t)
+	t.RejectUnknown()
+	sc.Faults = append(sc.Faults, f)
+}
+
+// checkFault checks a fault against the scenario's length and fleet.
+func (sc *Scenario) checkFault(t *tomlfile.Table, f *Fault) {
 	if f.At > sc.Length {
 		t.Fault("at", t.Found("at"), "within the day")
 	}
@@ -277,32 +306,33 @@
 	if pods := (sc.Endpoints + sc.PodSize - 1) / sc.PodSize; f.Pod >= pods {
 		t.Fault("pod", t.Found("pod"), fmt.Sprintf("0 to %d", pods-1))
 	}
-	need := func(keys ...string) { t.Require(keys...) }
+}
+
+// checkKind checks that the file has what a fault of this kind needs.
+func (f *Fault) checkKind(t *tomlfile.Table) {
 	switch f.Kind {
 	case ZoneLost:
-		need("zone", "for")
+		t.Require("zone", "for")
 	case Slow, AllSlow, PodThrottled, Burst:
-		need("size", "for")
+		t.Require("size", "for")
 		if f.Size <= 0 {
 			t.Fault("size", t.Found("size"), "over 0")
 		}
 	case Errors, HotKey:
-		need("size", "for")
+		t.Require("size", "for")
 		if f.Size > 1 {
 			t.Fault("size", t.Found("size"), "a part, from 0 to 1")
 		}
 	case Silent, ListBehind, SidecarRestart, Crash:
-		need("for")
+		t.Require("for")
 	case Pauses:
-		need("size", "every", "for")
+		t.Require("size", "every", "for")
 		if f.Every <= 0 {
 			t.Fault("every", t.Found("every"), "over 0")
 		}
 	case Shrink, Grow:
-		need("count")
+		t.Require("count")
 	case Rolling:
-		need("every", "for")
+		t.Require("every", "for")
 	}
-	t.RejectUnknown()
-	sc.Faults = append(sc.Faults, f)
 }
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -139,15 +139,19 @@
 	cumulate(w.tenantShares)
 	w.keys = newZipf(scenario.Load.Keys, scenario.Load.Zipf)
 	w.judge = judge.New(w.facts, w.tenantNames)
-	for i := range scenario.Instances {
+	w.startInstances(maker)
+	w.planDay()
+	return w
+}
+
+func (w *World) startInstances(maker Maker) {
+	for i := range w.scenario.Instances {
 		w.instances = append(w.instances, w.newInstance(i, maker))
 	}
 	w.shareLoad()
 	for _, s := range w.instances {
 		s.start(policy.ListFull)
 	}
-	w.planDay()
-	return w
 }
 
 // planDay plans the first events.
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -19,55 +19,47 @@
 	Breaks   int     `json:"breaks"` // days on which B broke a rule and A did not
 }
 
+// dayKey identifies a day of a sweep of one policy.
+type dayKey struct {
+	scenario string
+	set      string
+	seed     uint64
+}
+
 // Compare pairs the days of two sweeps by scenario, figure and seed. A sweep of several policies is narrowed by name.
 func Compare(a, b []*Result) ([]Comparison, error) {
-	type key struct {
-		scenario, set string
-		seed          uint64
+	first, err := indexDays(a)
+	if err != nil {
+		return nil, err
 	}
-	first := map[key]*Result{}
-	for _, r := range a {
-		k := key{r.Scenario, r.Set, r.Seed}
-		if _, twice := first[k]; twice {
-			return nil, fmt.Errorf("%s, seed %d is there twice: name one policy", r.Scenario, r.Seed)
-		}
-		first[k] = r
+	if _, err := indexDays(b); err != nil {
+		return nil, err
 	}
-	gains := map[[2]string][]float64{}
-	out := map[[2]string]*Comparison{}
-	seen := map[key]bool{}
+	type group struct{ scenario, set string }
+	gains := map[group][]float64{}
+	comparisons := map[group]*Comparison{}
 	for _, r := range b {
-		k := key{r.Scenario, r.Set, r.Seed}
-		if seen[k] {
-			return nil, fmt.Errorf("%s, seed %d is there twice: name one policy", r.Scenario, r.Seed)
-		}
-		seen[k] = true
-		with, paired := first[k]
+		with, paired := first[dayKey{r.Scenario, r.Set, r.Seed}]
 		if !paired {
 			continue
 		}
-		name := [2]string{r.Scenario, r.Set}
-		c := out[name]
+		g := group{r.Scenario, r.Set}
+		c := comparisons[g]
 		if c == nil {
 			c = &Comparison{Scenario: r.Scenario, Set: r.Set}
-			out[name] = c
-		}
-		c.Pairs++
-		c.A += with.Verdict.Service
-		c.B += r.Verdict.Service
-		gains[name] = append(gains[name], r.Verdict.Service-with.Verdict.Service)
-		if !r.Verdict.NoViolations() && with.Verdict.NoViolations() {
-			c.Breaks++
+			comparisons[g] = c
 		}
+		c.addPair(with, r)
+		gains[g] = append(gains[g], r.Verdict.Service-with.Verdict.Service)
 	}
-	if len(out) == 0 {
+	if len(comparisons) == 0 {
 		return nil, errors.New("the two have no day in common")
 	}
 	var all []Comparison
-	for name, c := range out {
+	for g, c := range comparisons {
 		c.A /= float64(c.Pairs)
 		c.B /= float64(c.Pairs)
-		c.Gain, c.Half = Interval(gains[name])
+		c.Gain, c.Half = Interval(gains[g])
 		all = append(all, *c)
 	}
 	slices.SortFunc(all, func(x, y Comparison) int {
@@ -75,3 +67,26 @@
 	})
 	return all, nil
 }
+
+// indexDays returns the results by day. No day may be there twice.
+func indexDays(results []*Result) (map[dayKey]*Result, error) {
+	days := map[dayKey]*Result{}
+	for _, r := range results {
+		key := dayKey{r.Scenario, r.Set, r.Seed}
+		if _, twice := days[key]; twice {
+			return nil, fmt.Errorf("%s, seed %d is there twice: name one policy", r.Scenario, r.Seed)
+		}
+		days[key] = r
+	}
+	return days, nil
+}
+
+// addPair adds the same day of both sweeps.
+func (c *Comparison) addPair(a, b *Result) {
+	c.Pairs++
+	c.A += a.Verdict.Service
+	c.B += b.Verdict.Service
+	if !b.Verdict.NoViolations() && a.Verdict.NoViolations() {
+		c.Breaks++
+	}
+}
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -221,7 +221,7 @@
 	type key struct{ scenario, set, policy string }
 	at := map[key]int{}
 	var rows []Row
-	service := map[key][]float64{}
+	var services [][]float64 // of each row, by day
 	for _, r := range all {
 		k := key{r.Scenario, r.Set, r.Policy}
 		i, known := at[k]
@@ -229,37 +229,44 @@
 			i = len(rows)
 			at[k] = i
 			rows = append(rows, Row{Scenario: r.Scenario, Set: r.Set, Policy: r.Policy})
+			services = append(services, nil)
 		}
-		row := &rows[i]
-		row.Days++
-		service[k] = append(service[k], r.Verdict.Service)
-		row.Worst10 += r.Verdict.Worst10
-		row.Wasted += r.Wasted
-		row.Crossed += r.Verdict.CrossZone
-		row.add(&r.Verdict.Spread)
-		for rule, n := range r.Verdict.ViolationCounts {
-			if n > 0 {
-				row.Broken[rule]++
-			}
-		}
+		rows[i].addResult(r)
+		services[i] = append(services[i], r.Verdict.Service)
 	}
 	for i := range rows {
-		row := &rows[i]
-		row.Service, row.Half = Interval(service[key{row.Scenario, row.Set, row.Policy}])
-		n := float64(row.Days)
-		row.Worst10 /= n
-		row.Wasted /= n
-		row.Crossed /= n
-		for i := range row.Scatter {
-			row.Scatter[i] /= n
-			row.Forced[i] /= n
-		}
-		row.Busiest /= n
-		row.IdleSeconds /= n
+		rows[i].Service, rows[i].Half = Interval(services[i])
+		rows[i].divide(float64(rows[i].Days))
 	}
 	return rows
 }
 
+// addResult adds a day to the sums and counts, of which divide makes means.
+func (r *Row) addResult(result *Result) {
+	r.Days++
+	r.Worst10 += result.Verdict.Worst10
+	r.Wasted += result.Wasted
+	r.Crossed += result.Verdict.CrossZone
+	r.add(&result.Verdict.Spread)
+	for rule, count := range result.Verdict.ViolationCounts {
+		if count > 0 {
+			r.Broken[rule]++
+		}
+	}
+}
+
+func (r *Row) divide(days float64) {
+	r.Worst10 /= days
+	r.Wasted /= days
+	r.Crossed /= days
+	for i := range r.Scatter {
+		r.Scatter[i] /= days
+		r.Forced[i] /= days
+	}
+	r.Busiest /= days
+	r.IdleSeconds /= days
+}
+
 // add adds a day: sums of the values of which the mean is shown, the maximum of the others.
 func (r *Row) add(e *judge.Spread) {
 	for i := range e.Scatter {
