--- a/examples/rpc/main.go
+++ b/examples/rpc/main.go
@@ -1,5 +1,5 @@
-// Command rpc shows the plug-in: three servers of the standard health service, a list of them in a file, and a client whose stub is
-// the generated one.
+// Command rpc shows the plug-in: three servers of the standard health service, a list of them in a file, and a client
+// whose stub is the generated one.
 package main
 
 import (
@@ -42,47 +42,75 @@
 }
 
 func run() error {
-	dir, err := os.MkdirTemp("", "example")
+	directory, err := os.MkdirTemp("", "example")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
-	var list strings.Builder
-	for i := range 3 {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			return err
-		}
-		s := grpc.NewServer()
-		pb.RegisterHealthServer(s, health.NewServer())
-		go s.Serve(l)
-		defer s.Stop()
-		fmt.Fprintf(&list, "[[server]]\nid = \"s-%d\"\naddress = %q\n", i, l.Addr())
+	defer func() { _ = os.RemoveAll(directory) }()
+	list, stop, err := startServers(3)
+	if err != nil {
+		return err
 	}
-	list.WriteString("[whole]\nservers = 3\n")
-	path := filepath.Join(dir, "pepperlead.toml")
-	for name, text := range map[string]string{path: configuration, filepath.Join(dir, "servers.toml"): list.String()} {
-		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
-			return err
-		}
+	defer stop()
+	path := filepath.Join(directory, "pepperlead.toml")
+	if err := os.WriteFile(path, []byte(configuration), 0o600); err != nil {
+		return err
+	}
+	if err := os.WriteFile(filepath.Join(directory, "servers.toml"), []byte(list), 0o600); err != nil {
+		return err
 	}
 	conn, err := rpc.New(path)
 	if err != nil {
 		return err
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	for len(conn.Servers()) == 0 {
 		time.Sleep(10 * time.Millisecond) // a list without a digest has to hold still for a moment
 	}
+	if err := call(conn, 100); err != nil {
+		return err
+	}
+	counters := conn.Counters()
+	fmt.Printf("%d calls, %d honoured by %d pushes to %d servers\n",
+		counters["tickets"], counters["honoured"], counters["pushes"], len(conn.Servers()))
+	return nil
+}
+
+// startServers starts health servers and returns their endpoint list. Stop stops them.
+func startServers(count int) (list string, stop func(), err error) {
+	var servers []*grpc.Server
+	stop = func() {
+		for _, server := range servers {
+			server.Stop()
+		}
+	}
+	var text strings.Builder
+	for i := range count {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			stop()
+			return "", nil, err
+		}
+		server := grpc.NewServer()
+		servers = append(servers, server)
+		pb.RegisterHealthServer(server, health.NewServer())
+		go func() { _ = server.Serve(listener) }() // it ends with Stop
+		fmt.Fprintf(&text, "[[server]]\nid = \"s-%d\"\naddress = %q\n", i, listener.Addr())
+	}
+	fmt.Fprintf(&text, "[whole]\nservers = %d\n", count)
+	return text.String(), stop, nil
+}
+
+// call sends health checks with the keys of ten callers in turn.
+func call(conn *rpc.Conn, count int) error {
 	client := pb.NewHealthClient(conn)
-	ctx, end := context.WithTimeout(context.Background(), 5*time.Second)
-	defer end()
-	for n := range 100 {
-		if _, err := client.Check(rpc.WithKey(ctx, fmt.Sprint("caller-", n%10)), &pb.HealthCheckRequest{}); err != nil {
+	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+	defer cancel()
+	for n := range count {
+		callContext := rpc.WithKey(ctx, fmt.Sprint("caller-", n%10))
+		if _, err := client.Check(callContext, &pb.HealthCheckRequest{}); err != nil {
 			return err
 		}
 	}
-	c := conn.Counters()
-	fmt.Printf("%d calls, %d honoured by %d pushes to %d servers\n", c["tickets"], c["honoured"], c["pushes"], len(conn.Servers()))
 	return nil
 }
--- a/internal/benchmark/configuration.go
+++ b/internal/benchmark/configuration.go
@@ -7,10 +7,28 @@
 	"path/filepath"
 )
 
+// object is a JSON object of the platform's configuration.
+type object map[string]any
+
 // PlatformJSON returns a configuration as the platform gives it, with the endpoints as a saved list. Nobody answers
 // at the address of discovery.
 func PlatformJSON(listen string, endpoints []string) []byte {
-	type object map[string]any
+	text, err := json.Marshal(object{
+		"name":      "n",
+		"listen":    listen,
+		"discovery": "127.0.0.1:1",
+		"seed":      "8c1f30d27a5be964",
+		"limits":    object{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+		"known":     object{"rev": 1, "all": true, "targets": platformTargets(endpoints)},
+		"settings":  platformSettings(),
+	})
+	if err != nil {
+		panic(err)
+	}
+	return text
+}
+
+func platformTargets(endpoints []string) []object {
 	var targets []object
 	for i, endpoint := range endpoints {
 		targets = append(targets, object{
@@ -23,6 +41,10 @@
 			"boot_ms":       0,
 		})
 	}
+	return targets
+}
+
+func platformSettings() object {
 	limits := object{
 		"cancel":            true,
 		"max_pushes":        3,
@@ -39,7 +61,7 @@
 		"cut_off_s":      2.0,
 		"idempotency":    "retryable",
 	}
-	settings := object{
+	return object{
 		"balancers":       1,
 		"zone":            "a",
 		"zones":           []string{"a"},
@@ -51,19 +73,6 @@
 		"rules":           object{"cold_from": 0.2, "cold_s": 24.0, "fall_multiple": 3.0},
 		"offerings":       []object{class},
 	}
-	text, err := json.Marshal(object{
-		"name":      "n",
-		"listen":    listen,
-		"discovery": "127.0.0.1:1",
-		"seed":      "8c1f30d27a5be964",
-		"limits":    object{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-		"known":     object{"rev": 1, "all": true, "targets": targets},
-		"settings":  settings,
-	})
-	if err != nil {
-		panic(err)
-	}
-	return text
 }
 
 // productClass is the class of requests in configurations of the product.
--- a/internal/daemon/productconfig.go
+++ b/internal/daemon/productconfig.go
@@ -35,20 +35,7 @@
 		Discovery:      in.Discovery,
 		LogLevel:       in.LogLevel,
 		LogFormat:      in.LogFormat,
-		Config: httpproxy.Config{
-			Listen:         in.Listen,
-			Descriptors:    in.Descriptors,
-			MessageMemory:  in.MemoryMB * bytesPerMB,
-			ConnectTimeout: in.ConnectTimeout,
-			SourceIP:       in.SourceIP,
-			IdleTimeout:    in.IdleTimeout,
-			AcceptTime:     acceptTime,
-			Settings:       in.Settings,
-			Deadlines:      in.Deadlines,
-			DefaultClass:   in.DefaultClass,
-			Anonymous:      in.Anonymous,
-			StallAfter:     StallAfter,
-		},
+		Config:         productProxyConfig(in),
 	}
 	c.Seed = rand.Uint64()
 	if in.Seeded {
@@ -68,6 +55,24 @@
 	return c, nil
 }
 
+// productProxyConfig returns the part of the configuration that the proxy has.
+func productProxyConfig(in *config.Config) httpproxy.Config {
+	return httpproxy.Config{
+		Listen:         in.Listen,
+		Descriptors:    in.Descriptors,
+		MessageMemory:  in.MemoryMB * bytesPerMB,
+		ConnectTimeout: in.ConnectTimeout,
+		SourceIP:       in.SourceIP,
+		IdleTimeout:    in.IdleTimeout,
+		AcceptTime:     acceptTime,
+		Settings:       in.Settings,
+		Deadlines:      in.Deadlines,
+		DefaultClass:   in.DefaultClass,
+		Anonymous:      in.Anonymous,
+		StallAfter:     StallAfter,
+	}
+}
+
 // setMembership sets the configuration of the instance's cluster.
 func (c *Config) setMembership(path string, in *config.Config) error {
 	key, err := membership.ReadKey(in.Peers.KeyFile)
