--- a/internal/daemon/leaseclient.go
+++ b/internal/daemon/leaseclient.go
@@ -25,8 +25,6 @@
 	leaseRequestJitter = 0.2
 	// issuerTimeout is how long only the coordinator that issued the last lease is asked.
 	issuerTimeout = 3 * leaseRequestInterval
-	// leaseLoopTimeout limits how long the engine's loop is waited for.
-	leaseLoopTimeout = 250 * time.Millisecond
 
 	maxQueuedMessages = 64
 )
@@ -152,7 +150,7 @@
 		return
 	}
 	var encoded []byte
-	done := c.proxy.RunOnLoopWithin(leaseLoopTimeout, func() {
+	done := c.proxy.RunOnLoopWithin(loopTimeout, func() {
 		id, known := c.proxy.NewLeaseRequest()
 		encoded = ruleset.LeaseRequest{Sender: cluster.Address(), ID: id, Known: known}.Encode()
 		c.recordLease()
@@ -179,7 +177,7 @@
 
 // acceptLease passes a lease on to the engine.
 func (c *leaseClient) acceptLease(response ruleset.LeaseResponse) {
-	c.proxy.RunOnLoopWithin(leaseLoopTimeout, func() {
+	c.proxy.RunOnLoopWithin(loopTimeout, func() {
 		if c.proxy.AcceptLease(response.Lease) {
 			c.issuer = response.Sender
 			c.issuedAt = time.Now()
@@ -200,7 +198,7 @@
 		c.reject(revision, strings.ReplaceAll(err.Error(), "\n", "; "))
 		return
 	}
-	c.proxy.RunOnLoopWithin(leaseLoopTimeout, func() {
+	c.proxy.RunOnLoopWithin(loopTimeout, func() {
 		if !c.proxy.AddRuleSet(ruleSet) {
 			c.reject(revision, "its number is known with another digest, or what is in force is newer")
 			return
--- a/internal/faulttest/judge/judge.go
+++ b/internal/faulttest/judge/judge.go
@@ -200,11 +200,11 @@
 	var revisions []int
 	attemptAt := int64(0)
 	for _, s := range steps {
-		leadsThere := s.Endpoint == again.Endpoint && s.At <= again.At
-		if !s.isAttempt() || leadsThere {
+		causesRun := s.Endpoint == again.Endpoint && s.At <= again.At
+		if !s.isAttempt() || causesRun {
 			revisions = append(revisions, s.Revisions...)
 		}
-		if leadsThere {
+		if causesRun {
 			attemptAt = s.At
 		}
 	}
