--- a/internal/faulttest/addresses.go
+++ b/internal/faulttest/addresses.go
@@ -2,9 +2,10 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"net"
 	"strconv"
+
+	"pepperlead/internal/freeport"
 )
 
 // maxProcesses is the number of processes, and of endpoints, that loopback addresses are laid out for.
@@ -28,14 +29,6 @@
 
 func hostPort(host string, port int) string { return net.JoinHostPort(host, strconv.Itoa(port)) }
 
-// The ports lie below those that the kernel chooses for outgoing connections (ip_local_port_range, from 32768 on):
-// processes connect from the same addresses that other processes listen at.
-const (
-	firstPort = 10000
-	lastPort  = 32000
-	portTries = 50
-)
-
 // portSet holds the ports that all sidecars listen at, each at its own address.
 type portSet struct {
 	front   int
@@ -47,27 +40,14 @@
 func choosePorts() (portSet, error) {
 	var ports portSet
 	var err error
-	if ports.front, err = freePort(processIP(0)); err != nil {
+	if ports.front, err = freeport.Choose(processIP(0)); err != nil {
 		return portSet{}, err
 	}
-	if ports.metrics, err = freePort(processIP(0)); err != nil {
+	if ports.metrics, err = freeport.Choose(processIP(0)); err != nil {
 		return portSet{}, err
 	}
-	if ports.peers, err = freePort(proxyIP(0)); err != nil {
+	if ports.peers, err = freeport.Choose(proxyIP(0)); err != nil {
 		return portSet{}, err
 	}
 	return ports, nil
 }
-
-// freePort draws a port that is free at the address. Tests that run side by side draw different ones.
-func freePort(ip string) (int, error) {
-	var err error
-	for range portTries {
-		port := firstPort + rand.IntN(lastPort-firstPort)
-		var listener net.Listener
-		if listener, err = net.Listen("tcp", hostPort(ip, port)); err == nil {
-			return port, listener.Close()
-		}
-	}
-	return 0, err
-}
--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -11,6 +11,7 @@
 	"pepperlead/internal/fakebackend"
 	"pepperlead/internal/faultproxy"
 	"pepperlead/internal/faulttest/judge"
+	"pepperlead/internal/freeport"
 )
 
 // Cluster is a stage with sidecars, coordinators, endpoints and clients.
@@ -101,7 +102,7 @@
 	if err != nil {
 		return err
 	}
-	logPort, err := freePort(processIP(maxProcesses))
+	logPort, err := freeport.Choose(processIP(maxProcesses))
 	if err != nil {
 		return err
 	}
--- a/internal/livetest/endpoints.go
+++ b/internal/livetest/endpoints.go
@@ -9,6 +9,7 @@
 	"pepperlead/internal/emulator/judge"
 	"pepperlead/internal/emulator/machine"
 	"pepperlead/internal/fakebackend"
+	"pepperlead/internal/freeport"
 	"pepperlead/policy"
 )
 
@@ -43,7 +44,11 @@
 
 func (r *liveRun) startEndpoint(endpoint *fakeEndpoint, traits machine.Traits, started policy.Time) error {
 	random := rand.New(rand.NewPCG(r.Seed, uint64(endpoint.id)+endpointStream))
-	server, err := fakebackend.StartModelServer("127.0.0.1:0", fakebackend.ModelServerOptions{
+	address, err := freeport.ChooseAddress(loopback)
+	if err != nil {
+		return err
+	}
+	server, err := fakebackend.StartModelServer(address, fakebackend.ModelServerOptions{
 		Traits:   traits,
 		Started:  started,
 		Clock:    r.clock,
--- a/internal/livetest/faults.go
+++ b/internal/livetest/faults.go
@@ -248,6 +248,7 @@
 	killed := r.killInstances(fault, random)
 	afterFunc(fault.Duration, func() {
 		for _, instance := range killed {
+			<-instance.exited // until then its address may be in use
 			if err := r.writeList(instance); err != nil {
 				r.log("sidecar %d: %v", instance.id, err)
 			}
@@ -282,8 +283,13 @@
 		instance.generation++
 		instance.process = nil
 		instance.ready = false
-		_ = process.Process.Kill()         // it may have ended already
-		go func() { _ = process.Wait() }() // only releases what the process held
+		exited := make(chan struct{})
+		instance.exited = exited
+		_ = process.Process.Kill() // it may have ended already
+		go func() {
+			_ = process.Wait() // it was killed
+			close(exited)
+		}()
 		r.judge.InstanceDied(instance.id)
 	}
 	return chosen
--- a/internal/livetest/instances.go
+++ b/internal/livetest/instances.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net"
 	"net/http"
 	"os"
 	"os/exec"
@@ -11,9 +10,13 @@
 	"time"
 
 	"pepperlead/internal/emulator/judge"
+	"pepperlead/internal/freeport"
 	"pepperlead/policy"
 )
 
+// loopback is the IP address of all instances and endpoints.
+const loopback = "127.0.0.1"
+
 const (
 	startTimeout   = 10 * time.Second
 	restartTimeout = 5 * time.Second
@@ -29,9 +32,10 @@
 	address          string
 	listPath         string
 	configPath       string
-	generation       int       // raised each time it is killed
-	process          *exec.Cmd // nil: killed and not started again
-	ready            bool      // it has been healthy since its start
+	generation       int           // raised each time it is killed
+	process          *exec.Cmd     // nil: killed and not started again
+	exited           chan struct{} // closed once a killed process has exited
+	ready            bool          // it has been healthy since its start
 	listDelayedUntil policy.Time
 }
 
@@ -60,7 +64,7 @@
 
 // newInstance chooses an address for an instance and writes its configuration.
 func (r *liveRun) newInstance(number int) (*daemonProcess, error) {
-	address, err := freeAddress()
+	address, err := freeport.ChooseAddress(loopback)
 	if err != nil {
 		return nil, err
 	}
@@ -78,15 +82,6 @@
 	return instance, os.WriteFile(instance.configPath, r.configuration(instance), 0o600)
 }
 
-// freeAddress returns an address on the loopback interface that nobody listens on.
-func freeAddress() (string, error) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return "", err
-	}
-	return listener.Addr().String(), listener.Close()
-}
-
 func (r *liveRun) startInstance(instance *daemonProcess) error {
 	arguments := []string{"serve", "--config", instance.configPath, "--log", "warning"}
 	if r.TraceDir != "" {
