--- a/internal/emulator/attempt.go
+++ b/internal/emulator/attempt.go
@@ -26,7 +26,7 @@
 	newConnection := e.b == 1
 	if newConnection && !v.unreachable() && !v.down {
 		if !v.machine.AcceptsConnection() {
-			w.notifyInstance(e, t, (*World).connectFailed)
+			w.notifyInstance(e.a, t, (*World).connectFailed)
 			return
 		}
 		v.machine.AddConnections(w.now, 1)
@@ -42,16 +42,16 @@
 	case v.unreachable():
 		return // nothing answers
 	case v.down:
-		w.notifyInstance(e, t, (*World).connectionReset)
+		w.notifyInstance(e.a, t, (*World).connectionReset)
 		return
 	}
 	w.beginJob(e, t, newConnection)
 }
 
-// notifyInstance plans what the instance sees after the transit from the endpoint.
-func (w *World) notifyInstance(e *event, t *clientTry, do func(w *World, e *event)) {
+// notifyInstance plans what the instance sees of attempt i after the transit from the endpoint.
+func (w *World) notifyInstance(i int32, t *clientTry, do func(w *World, e *event)) {
 	at := w.now + w.transit(t.endpoint.zone, t.instance.zone)
-	w.queue.add(event{at: at, rank: rankAttemptEnd, do: do, a: e.a, c: e.c})
+	w.queue.add(event{at: at, rank: rankAttemptEnd, do: do, a: i, c: t.attemptID})
 }
 
 // beginJob hands the work of an attempt to its endpoint.
--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -178,16 +178,7 @@
 		}
 		t.job = machine.NoJob
 		if !s.unreachable() {
-			// The reset reaches the instance after the transit.
-			w.queue.add(
-				event{
-					at:   w.now + w.transit(s.zone, t.instance.zone),
-					rank: rankAttemptEnd,
-					do:   (*World).connectionReset,
-					a:    int32(i),
-					c:    t.attemptID,
-				},
-			)
+			w.notifyInstance(int32(i), t, (*World).connectionReset)
 		}
 	}
 	for _, sc := range w.instances {
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -237,15 +237,7 @@
 	w := s.world
 	for i := range w.tries {
 		if t := &w.tries[i]; t.inUse && t.inFlight && t.endpoint == s && t.job == -1 && t.written {
-			w.queue.add(
-				event{
-					at:   w.now + w.transit(s.zone, t.instance.zone),
-					rank: rankAttemptEnd,
-					do:   (*World).connectionReset,
-					a:    int32(i),
-					c:    t.attemptID,
-				},
-			)
+			w.notifyInstance(int32(i), t, (*World).connectionReset)
 		}
 	}
 	w.statusChanged(s, policy.Ready, true)
