--- a/cmd/pepperlead-sim/cost.go
+++ b/cmd/pepperlead-sim/cost.go
@@ -2,16 +2,13 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"os"
 	"os/exec"
-	"os/signal"
 	"path/filepath"
 	"slices"
 	"strings"
-	"syscall"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -61,7 +58,7 @@
 
 // run measures every subject with each number of clients.
 func (o *costOptions) run(out io.Writer) error {
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	ctx, stop := interruptContext()
 	defer stop()
 	self, err := os.Executable()
 	if err != nil {
@@ -196,10 +193,3 @@
 
 // removeAll removes a temporary directory; what cannot be removed is left to the system.
 func removeAll(directory string) { _ = os.RemoveAll(directory) }
-
-// kill ends a process that a benchmark started, and waits for it.
-func kill(process *exec.Cmd) {
-	if err := process.Process.Kill(); !errors.Is(err, os.ErrProcessDone) {
-		_ = process.Wait() // reports only that it was killed
-	}
-}
--- a/cmd/pepperlead-sim/drillpeers.go
+++ b/cmd/pepperlead-sim/drillpeers.go
@@ -1,11 +1,8 @@
 package main
 
 import (
-	"context"
 	"io"
 	"os"
-	"os/signal"
-	"syscall"
 
 	"github.com/spf13/cobra"
 
@@ -55,7 +52,7 @@
 
 // run starts the processes, plays the faults, and prints what was measured, also after a failure.
 func (o *drillPeersOptions) run(out io.Writer) error {
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	ctx, stop := interruptContext()
 	defer stop()
 	directory, err := os.MkdirTemp("", "drill")
 	if err != nil {
--- a/cmd/pepperlead-sim/drillplay.go
+++ b/cmd/pepperlead-sim/drillplay.go
@@ -5,10 +5,8 @@
 	"fmt"
 	"io"
 	"os"
-	"os/signal"
 	"path/filepath"
 	"strings"
-	"syscall"
 
 	"github.com/spf13/cobra"
 	"github.com/vbauerster/mpb/v8"
@@ -40,7 +38,7 @@
 	c.Flags().StringVar(&p.reports, "report", "", "`folder` for a page of HTML a play")
 	c.Flags().StringVar(&p.failedPlays, "keep", "", "`folder` in which configurations and logs of failed plays stay")
 	c.RunE = func(c *cobra.Command, files []string) error {
-		ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+		ctx, stop := interruptContext()
 		defer stop()
 		scripts, err := readScripts(files, *count, *rate)
 		if err != nil {
--- a/cmd/pepperlead-sim/lists.go
+++ b/cmd/pepperlead-sim/lists.go
@@ -13,6 +13,7 @@
 	"github.com/spf13/cobra"
 
 	"pepperlead/internal/benchmark"
+	"pepperlead/internal/freeport"
 )
 
 func listsCommand() *cobra.Command {
@@ -51,6 +52,9 @@
 	return c
 }
 
+// loopback is the IP address of the processes that are measured.
+const loopback = "127.0.0.1"
+
 // standaloneDaemon is a daemon with a list of its own.
 type standaloneDaemon struct {
 	process   *exec.Cmd
@@ -64,7 +68,11 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &standaloneDaemon{listen: benchmark.Free(), directory: directory}
+	listen, err := freeport.ChooseAddress(loopback)
+	if err != nil {
+		return nil, err
+	}
+	d := &standaloneDaemon{listen: listen, directory: directory}
 	path, err := benchmark.Standalone(directory, d.listen, endpoints, addresses, extra)
 	if err != nil {
 		return nil, err
@@ -75,7 +83,7 @@
 }
 
 func (d *standaloneDaemon) stop() {
-	kill(d.process)
+	benchmark.Kill(d.process)
 	removeAll(d.directory)
 }
 
@@ -128,18 +136,17 @@
 		if err != nil {
 			return err
 		}
-		address := benchmark.Free()
+		address, err := freeport.ChooseAddress(loopback)
+		if err != nil {
+			return err
+		}
 		backend := exec.Command(self, "backend", address)
 		if err := backend.Start(); err != nil {
 			return err
 		}
-		defer kill(backend)
+		defer benchmark.Kill(backend)
 		for _, size := range *sizes {
-			extra := ""
-			if *admin {
-				extra = fmt.Sprintf("[pages]\nlisten = %q\n", benchmark.Free())
-			}
-			rss, err := measureMemory(*program, size, address, extra)
+			rss, err := measureMemory(*program, size, address, *admin)
 			if err != nil {
 				return fmt.Errorf("%d servers: %w", size, err)
 			}
@@ -151,8 +158,16 @@
 }
 
 // measureMemory returns the memory, in KiB, of a daemon with a list of so many endpoints, the first one at the
-// backend's address.
-func measureMemory(program string, endpoints int, backend, extra string) (rss int, err error) {
+// backend's address, and with an admin address if asked for.
+func measureMemory(program string, endpoints int, backend string, admin bool) (rss int, err error) {
+	extra := ""
+	if admin {
+		address, err := freeport.ChooseAddress(loopback)
+		if err != nil {
+			return 0, err
+		}
+		extra = fmt.Sprintf("[pages]\nlisten = %q\n", address)
+	}
 	addresses := loopbackAddresses(endpoints, backend[strings.LastIndexByte(backend, ':')+1:])
 	addresses[0] = backend
 	daemon, err := startStandalone(program, endpoints, addresses, extra)
--- a/cmd/pepperlead-sim/main.go
+++ b/cmd/pepperlead-sim/main.go
@@ -2,8 +2,11 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"os"
+	"os/signal"
+	"syscall"
 
 	"github.com/spf13/cobra"
 )
@@ -28,3 +31,8 @@
 	root.AddCommand(helperCommands()...)
 	return root
 }
+
+// interruptContext returns a context that ends when the program is asked to end.
+func interruptContext() (ctx context.Context, stop context.CancelFunc) {
+	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+}
--- a/cmd/pepperlead-sim/sockets.go
+++ b/cmd/pepperlead-sim/sockets.go
@@ -1,11 +1,8 @@
 package main
 
 import (
-	"context"
 	"io"
 	"os"
-	"os/signal"
-	"syscall"
 
 	"github.com/spf13/cobra"
 
@@ -47,7 +44,7 @@
 
 // run plays the scenario and prints the judge's verdict.
 func (o *socketsOptions) run(out io.Writer, path string) error {
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	ctx, stop := interruptContext()
 	defer stop()
 	scenario, err := experiment.Load(path, experiment.Sets(o.set)...)
 	if err != nil {
--- a/cmd/pepperlead-sim/sweep.go
+++ b/cmd/pepperlead-sim/sweep.go
@@ -1,13 +1,10 @@
 package main
 
 import (
-	"context"
 	"fmt"
 	"io"
 	"os"
-	"os/signal"
 	"strings"
-	"syscall"
 	"text/tabwriter"
 
 	"github.com/spf13/cobra"
@@ -56,7 +53,7 @@
 
 // run plays the grid and writes its results where the flags say.
 func (o *sweepOptions) run(out io.Writer, scenarios []string) error {
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	ctx, stop := interruptContext()
 	defer stop()
 	grid, err := o.grid(scenarios)
 	if err != nil {
--- a/internal/benchmark/cost.go
+++ b/internal/benchmark/cost.go
@@ -13,8 +13,13 @@
 	"os/exec"
 	"sync/atomic"
 	"time"
+
+	"pepperlead/internal/freeport"
 )
 
+// loopback is the IP address of all subjects and backends.
+const loopback = "127.0.0.1"
+
 const (
 	backendCount     = 3
 	startTimeout     = 5 * time.Second
@@ -78,13 +83,16 @@
 ) ([]Cost, error) {
 	var endpoints []string
 	for range backendCount {
-		address := Free()
+		address, err := freeport.ChooseAddress(loopback)
+		if err != nil {
+			return nil, err
+		}
 		backend := exec.CommandContext(ctx, self, "backend", address)
 		backend.Stderr = os.Stderr
 		if err := backend.Start(); err != nil {
 			return nil, err
 		}
-		defer kill(backend)
+		defer Kill(backend)
 		endpoints = append(endpoints, address)
 	}
 	var costs []Cost
@@ -102,12 +110,15 @@
 
 func measure(subject Subject, endpoints []string, clients int, duration time.Duration) (Cost, error) {
 	cost := Cost{Subject: subject.Label, Clients: clients}
-	address := Free()
+	address, err := freeport.ChooseAddress(loopback)
+	if err != nil {
+		return cost, err
+	}
 	process, err := subject.Start(address, endpoints)
 	if err != nil {
 		return cost, err
 	}
-	defer kill(process)
+	defer Kill(process)
 	if err := Answers(address, startTimeout); err != nil {
 		return cost, err
 	}
--- a/internal/benchmark/process.go
+++ b/internal/benchmark/process.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net"
 	"os"
 	"os/exec"
 	"strconv"
@@ -50,18 +49,8 @@
 	return 0, fmt.Errorf("process %d: no VmRSS", pid)
 }
 
-// Free finds a port that nobody listens on.
-func Free() string {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		panic(err)
-	}
-	defer closeUnchecked(listener)
-	return listener.Addr().String()
-}
-
-// kill ends a process and waits for it.
-func kill(process *exec.Cmd) {
+// Kill ends a process and waits for it.
+func Kill(process *exec.Cmd) {
 	_ = process.Process.Kill() // fails only if it has ended
 	_ = process.Wait()         // reports that it was killed
 }
--- a/internal/freeport/freeport.go
+++ b/internal/freeport/freeport.go
@@ -1,4 +1,4 @@
-// Package freeport chooses ports for processes of a test that are stopped and started again at the same address.
+// Package freeport chooses ports for processes that tests and benchmarks start, some of them again at the same address.
 package freeport
 
 import (
