--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -96,9 +96,8 @@
 }
 
 func TestCoordinatorsAgree(t *testing.T) {
-	logger := logrus.New()
-	logger.SetOutput(io.Discard)
-	configs, coordinators := startThree(t, logger)
+	log := quietLog()
+	configs, coordinators := startThree(t, log)
 	defer func() {
 		for _, c := range coordinators {
 			c.Close()
@@ -158,16 +157,16 @@
 	if err := os.WriteFile(path, bytes.Repeat([]byte("no page"), 3000), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	store, err := openStore(configs[leader].Directory, logger, newRaftLogger(logger))
+	store, err := openStore(configs[leader].Directory, log, newRaftLogger(log))
 	if err != nil || store.damagedCopy == "" || !store.fresh {
 		t.Fatalf("%v %+v", err, store)
 	}
-	if _, err := openStore(configs[leader].Directory, logger, newRaftLogger(logger)); err == nil ||
+	if _, err := openStore(configs[leader].Directory, log, newRaftLogger(log)); err == nil ||
 		errors.Is(err, errDamaged) {
 		t.Errorf("a store that another process has: %v", err)
 	}
 	store.Close()
-	if coordinators[leader], err = Open(configs[leader], logger); err != nil {
+	if coordinators[leader], err = Open(configs[leader], log); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "what was missed", inForceAlone(coordinators[leader], number+1))
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -1,7 +1,6 @@
 package daemon
 
 import (
-	"bytes"
 	"encoding/json"
 	"testing"
 
@@ -29,23 +28,5 @@
 
 // A process of an earlier build reads these bytes, and writes what it has learned in them.
 func TestLearnedStateKeepsItsKeys(t *testing.T) {
-	encoded, err := json.Marshal(filledLearnedState())
-	if err != nil {
-		t.Fatal(err)
-	}
-	want := golden.ReadOrWrite(t, "heritage.json", encoded)
-	if !bytes.Equal(encoded, want) {
-		t.Errorf("encoded\n%s\nwant\n%s", encoded, want)
-	}
-	var decoded learnedState
-	if err := json.Unmarshal(want, &decoded); err != nil {
-		t.Fatal(err)
-	}
-	again, err := json.Marshal(decoded)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(again, want) {
-		t.Errorf("decoded and encoded again\n%s\nwant\n%s", again, want)
-	}
+	golden.RoundTrip(t, "heritage.json", filledLearnedState(), &learnedState{}, json.Marshal, json.Unmarshal)
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -63,6 +63,31 @@
 	return content
 }
 
+// RoundTrip fails the test unless marshal encodes the value to what the golden file of that name holds, and, once
+// unmarshal has decoded the file to decoded, a pointer to a zero value, encodes that to the same again.
+func RoundTrip(t testing.TB, name string, value, decoded any,
+	marshal func(any) ([]byte, error), unmarshal func([]byte, any) error) {
+	t.Helper()
+	encoded, err := marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := ReadOrWrite(t, name, encoded)
+	if !bytes.Equal(encoded, want) {
+		t.Errorf("encoded\n%q\nwant\n%q", encoded, want)
+	}
+	if err := unmarshal(want, decoded); err != nil {
+		t.Fatal(err)
+	}
+	again, err := marshal(decoded)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(again, want) {
+		t.Errorf("decoded and encoded again\n%q\nwant\n%q", again, want)
+	}
+}
+
 func lineAt(lines []string, i int) string {
 	if i < len(lines) {
 		return fmt.Sprintf("%q", lines[i])
--- a/internal/hotrestart/processgroup_test.go
+++ b/internal/hotrestart/processgroup_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"io"
 	"net"
 	"os"
 	"path/filepath"
@@ -26,9 +25,7 @@
 
 func join(t *testing.T, dir string) *process {
 	t.Helper()
-	log := logrus.New()
-	log.SetOutput(io.Discard)
-	g, err := Join(dir, log)
+	g, err := Join(dir, quietLog())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/ruleset/golden_test.go
+++ b/internal/ruleset/golden_test.go
@@ -38,24 +38,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.file, func(t *testing.T) {
-			encoded, err := cbor.Marshal(c.filled)
-			if err != nil {
-				t.Fatal(err)
-			}
-			want := golden.ReadOrWrite(t, c.file, encoded)
-			if !bytes.Equal(encoded, want) {
-				t.Errorf("encoded\n%x\nwant\n%x", encoded, want)
-			}
-			if err := cbor.Unmarshal(want, c.decoded); err != nil {
-				t.Fatal(err)
-			}
-			again, err := cbor.Marshal(c.decoded)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if !bytes.Equal(again, want) {
-				t.Errorf("decoded and encoded again\n%x\nwant\n%x", again, want)
-			}
+			golden.RoundTrip(t, c.file, c.filled, c.decoded, cbor.Marshal, cbor.Unmarshal)
 		})
 	}
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -1,7 +1,6 @@
 package policy
 
 import (
-	"bytes"
 	"encoding/json"
 	"testing"
 
@@ -28,23 +27,5 @@
 
 // Processes of other builds pass on what was learned in these bytes.
 func TestLearnedStateKeepsItsKeys(t *testing.T) {
-	encoded, err := json.Marshal(filledLearnedState())
-	if err != nil {
-		t.Fatal(err)
-	}
-	want := golden.ReadOrWrite(t, "knowledge.json", encoded)
-	if !bytes.Equal(encoded, want) {
-		t.Errorf("encoded\n%s\nwant\n%s", encoded, want)
-	}
-	var decoded LearnedState
-	if err := json.Unmarshal(want, &decoded); err != nil {
-		t.Fatal(err)
-	}
-	again, err := json.Marshal(decoded)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(again, want) {
-		t.Errorf("decoded and encoded again\n%s\nwant\n%s", again, want)
-	}
+	golden.RoundTrip(t, "knowledge.json", filledLearnedState(), &LearnedState{}, json.Marshal, json.Unmarshal)
 }
