--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -2,16 +2,16 @@
 
 import "pepperlead/policy"
 
-// step is an action that the module has decided on. It is carried out at the end of the round.
+// step is an action that the module has decided on. The loop carries it out at the end of the round.
 type step struct {
 	run      func(e *Engine, now policy.Time, s step)
 	request  *Request
 	endpoint policy.EndpointID
 	attempt  policy.AttemptNo
-	duration policy.Time // until the attempt's time-out, or until a rejected client may retry
+	duration policy.Time // timeout of the attempt, or the time after which a rejected client may retry
 }
 
-// addStep adds a step for the request of that handle.
+// addStep queues a step for the request with the given handle, and returns that request.
 func (e *Engine) addStep(h policy.Handle, s step) *Request {
 	s.request = e.requests[h.Index()]
 	s.request.PendingSteps++
@@ -20,18 +20,18 @@
 }
 
 // Attempt implements policy.Front.
-func (e *Engine) Attempt(h policy.Handle, to policy.EndpointID, wait policy.Time) {
-	t := e.addStep(h, step{run: sendAttempt, endpoint: to, duration: wait})
-	t.InFlight = true
-	t.Endpoint = to
-	t.AttemptNo = policy.AttemptNo(t.Attempts)
-	t.rulesVersion = e.rulesVersion()
-	t.Attempts++
+func (e *Engine) Attempt(h policy.Handle, to policy.EndpointID, timeout policy.Time) {
+	request := e.addStep(h, step{run: sendAttempt, endpoint: to, duration: timeout})
+	request.InFlight = true
+	request.Endpoint = to
+	request.AttemptNo = policy.AttemptNo(request.Attempts)
+	request.rulesVersion = e.rulesVersion()
+	request.Attempts++
 }
 
 // Cancel implements policy.Front.
-func (e *Engine) Cancel(h policy.Handle, n policy.AttemptNo) {
-	e.addStep(h, step{run: cancelAttempt, attempt: n})
+func (e *Engine) Cancel(h policy.Handle, attempt policy.AttemptNo) {
+	e.addStep(h, step{run: cancelAttempt, attempt: attempt})
 }
 
 // Succeed implements policy.Front.
@@ -40,8 +40,8 @@
 }
 
 // Reject implements policy.Front.
-func (e *Engine) Reject(h policy.Handle, retryIn policy.Time) {
-	e.addStep(h, step{run: reject, duration: retryIn}).Decided = true
+func (e *Engine) Reject(h policy.Handle, retryAfter policy.Time) {
+	e.addStep(h, step{run: reject, duration: retryAfter}).Decided = true
 }
 
 // Fail implements policy.Front.
@@ -50,56 +50,56 @@
 }
 
 // Wake implements policy.Front.
-func (e *Engine) Wake(in policy.Time) {
-	if at := e.Clock.Now() + in; !e.wakeTimer.Active() || at < e.wakeTimer.At() {
+func (e *Engine) Wake(after policy.Time) {
+	if at := e.Clock.Now() + after; !e.wakeTimer.Active() || at < e.wakeTimer.At() {
 		e.Timers.Set(&e.wakeTimer, at)
 	}
 }
 
 // FollowList implements policy.Front.
-func (e *Engine) FollowList(on bool) { e.list.follow(on) }
+func (e *Engine) FollowList(follow bool) { e.list.follow(follow) }
 
 // Log implements policy.Front.
 func (e *Engine) Log(line string) { e.Logger.Info(line) }
 
-// Release implements policy.Front: it closes the idle connections to an endpoint that stays listed.
+// Release implements policy.Front. It closes the idle connections to an endpoint that is still listed.
 func (e *Engine) Release(id policy.EndpointID) {
-	if s := e.Endpoints[id]; s != nil {
-		e.closeIdle(s)
+	if endpoint := e.Endpoints[id]; endpoint != nil {
+		e.closeIdle(endpoint)
 	}
 }
 
-// Forget implements policy.Front: it drops an endpoint that is not listed any more. Connections that are in use close
-// when they become idle.
+// Forget implements policy.Front. It drops an endpoint that is no longer listed. Its connections that are in use are
+// closed when they become idle.
 func (e *Engine) Forget(id policy.EndpointID) {
-	s := e.Endpoints[id]
-	if s == nil {
+	endpoint := e.Endpoints[id]
+	if endpoint == nil {
 		return
 	}
-	e.retire(s)
+	e.retire(endpoint)
 	for _, f := range e.fronts {
-		f.Forget(s)
+		f.Forget(endpoint)
 	}
 	delete(e.Endpoints, id)
 }
 
 func sendAttempt(e *Engine, now policy.Time, s step) {
-	t := s.request
-	t.SentAt = now
+	request := s.request
+	request.SentAt = now
 	to := e.Endpoints[s.endpoint]
-	if t.Decided || to == nil || !e.AttemptStillValid(now, t) {
-		e.AttemptEnded(now, t, policy.NotSent)
+	if request.Decided || to == nil || !e.AttemptStillValid(now, request) {
+		e.AttemptEnded(now, request, policy.NotSent)
 		return
 	}
 	e.Counters.Attempts++
-	e.recordAttempt(now, t, to)
-	e.Timers.Set(&t.AttemptTimer, now+s.duration)
-	t.Front.Send(now, t, to)
+	e.recordAttempt(now, request, to)
+	e.Timers.Set(&request.AttemptTimer, now+s.duration)
+	request.Front.Send(now, request, to)
 }
 
 func cancelAttempt(_ *Engine, now policy.Time, s step) {
-	if t := s.request; t.InFlight && t.AttemptNo == s.attempt {
-		t.Front.CancelAttempt(now, t)
+	if request := s.request; request.InFlight && request.AttemptNo == s.attempt {
+		request.Front.CancelAttempt(now, request)
 	}
 }
 
--- a/internal/engine/activerules.go
+++ b/internal/engine/activerules.go
@@ -13,94 +13,95 @@
 	"pepperlead/policy"
 )
 
-// maxClasses bounds the classes, among them those that have gone but still have requests in flight.
+// maxClasses bounds the number of classes, including removed ones that still have requests in flight.
 const maxClasses = 512
 
-// noRulesApplied is no number of changes that the lease client ever has.
+// noRulesApplied is the initial value of activeRules.leaseChanges. The lease client's count never reaches it.
 const noRulesApplied = 1 << 63
 
-// RuleSet is a rule set with all that this instance needs to act by it.
+// RuleSet is a rule set together with the settings, endpoints and endpoint table that this instance needs to apply it.
 type RuleSet struct {
 	ruleset.RuleSet
 	Settings  *policy.Settings
-	Endpoints []discovery.Entry   // nil: those of the instance's own source
-	Table     []policy.EndpointID // endpoint by slot; nil: as assigned by this instance
+	Endpoints []discovery.Entry   // nil: the endpoints come from the instance's own source
+	Table     []policy.EndpointID // endpoint by slot; nil: this instance assigns the slots itself
 }
 
-// activeRules are the rules that the instance has agreed on with others. Only the loop uses them.
+// activeRules holds the rules that the instance has agreed on with other instances. Only the loop uses it.
 type activeRules struct {
 	lease        *ruleset.LeaseClient
-	leased       bool   // as applied
-	leaseChanges uint64 // of the lease client, as applied
-	version      uint64 // counts the times that rules were applied
+	leased       bool   // whether the rules applied last are covered by a lease
+	leaseChanges uint64 // the lease client's count of changes when rules were last applied
+	version      uint64 // counts how often rules were applied
 	ruleSets     map[ruleset.RevisionNumber]*RuleSet
-	logged       []ruleset.RevisionNumber // revisions named by the latest log line
+	logged       []ruleset.RevisionNumber // revisions in the latest log line
 
 	classes    ruleset.ClassTable
 	classNames []string // by class id
-	classRows  []int    // rows of figures, by class id
+	classRows  []int    // rows of the request metrics, by class id
 	admitted   []string // names of the classes that admit requests
 
-	rejectedTable ruleset.RevisionNumber // the revision whose table could not be adopted
-	tableDigest   uint64                 // of the table adopted last
+	rejectedTable ruleset.RevisionNumber // the latest revision whose endpoint table could not be adopted
+	tableDigest   uint64                 // digest of the endpoint table adopted last
 }
 
-// UseAgreedRules has the engine act by agreed rules from now on. Its own rule set has number 0, and the strictest rules
-// hold until there is a lease. The incarnation tells this process from earlier ones of the instance. It is to be called
-// before Run.
+// UseAgreedRules makes the engine apply rules that are agreed on with other instances. The instance's own rule set has
+// number 0. Until there is a lease, the strictest rules apply. The incarnation distinguishes this process from earlier
+// processes of the instance. It must be called before Run.
 func (e *Engine) UseAgreedRules(own *RuleSet, incarnation uint32) {
-	a := &activeRules{
+	active := &activeRules{
 		lease:        ruleset.NewLeaseClient(incarnation),
 		ruleSets:     map[ruleset.RevisionNumber]*RuleSet{own.Number: own},
 		leaseChanges: noRulesApplied,
 	}
-	a.classes.Capacity = maxClasses
-	e.rules = a
+	active.classes.Capacity = maxClasses
+	e.rules = active
 	e.Tally.Answered = make([][Results]atomic.Int64, maxClasses)
 	rows := len(e.classLabels)
 	e.classRows.Store(int64(rows))
 	e.classLabels = append(e.classLabels, make([]classLabels, maxClasses-rows)...)
-	a.lease.Add(own.RuleSet)
-	a.leased = true // so that the start isn't logged as the end of a lease
+	active.lease.Add(own.RuleSet)
+	active.leased = true // so that the start is not logged as an expired lease
 	e.setRules(&own.Rules, true)
 	e.applyRules()
 }
 
-// AddRuleSet adds a rule set that a lease may name. It returns false if its number is known with another digest, or too
-// old.
+// AddRuleSet adds a rule set that leases may name. It returns false if the rule set's number is known with another
+// digest or is too old, or if there is no room for it beside the rule sets that may be in force.
 func (e *Engine) AddRuleSet(set *RuleSet) bool {
-	a := e.rules
-	if !a.lease.Add(set.RuleSet) {
+	active := e.rules
+	if !active.lease.Add(set.RuleSet) {
 		return false
 	}
-	a.ruleSets[set.Number] = set
-	for number := range a.ruleSets {
-		if !a.lease.Knows(number) {
-			delete(a.ruleSets, number)
+	active.ruleSets[set.Number] = set
+	for number := range active.ruleSets {
+		if !active.lease.Knows(number) {
+			delete(active.ruleSets, number)
 		}
 	}
 	e.applyRules()
 	return true
 }
 
-// NewLeaseRequest numbers a request for a lease that is sent now.
+// NewLeaseRequest starts a lease request that is sent now. It returns the request's id and the revisions that this
+// instance could apply.
 func (e *Engine) NewLeaseRequest() (id uint64, known []ruleset.RevisionNumber) {
 	return e.rules.lease.NewRequest(clock.LeaseTime())
 }
 
-// AcceptLease takes over a lease and returns false if it is not valid.
+// AcceptLease applies a lease and returns false if the lease is not valid.
 func (e *Engine) AcceptLease(lease ruleset.Lease) bool {
 	accepted := e.rules.lease.Accept(lease)
 	e.applyRules()
 	return accepted
 }
 
-// LeasedRevisions are the revisions by which the instance acts, and whether it has a lease on them.
+// LeasedRevisions returns the revisions of the last accepted lease, and whether that lease is still in force.
 func (e *Engine) LeasedRevisions() (revisions []ruleset.RevisionNumber, leased bool) {
 	return e.rules.lease.Leased(), e.rules.leased
 }
 
-// RulesLog is a log entry that says by which rules the instance acts, and when.
+// RulesLog returns a log entry with the leased revisions, whether there is a lease, and the time since boot.
 func (e *Engine) RulesLog() *logrus.Entry {
 	return e.Logger.WithFields(logrus.Fields{
 		"versions": e.rules.lease.Leased(),
@@ -109,12 +110,14 @@
 	})
 }
 
-// TracesRequests tells whether each step of a request is logged: where rules are agreed on, at the debug level.
+// TracesRequests reports whether the admission and the attempts of each request are logged. They are if the instance
+// applies agreed rules and logs at the debug level.
 func (e *Engine) TracesRequests() bool {
 	return e.rules != nil && e.Logger.IsLevelEnabled(logrus.DebugLevel)
 }
 
-// rulesVersion rises when rules are applied, so that decisions made before are checked again.
+// rulesVersion returns a number that increases whenever rules are applied. A decision made under an earlier version is
+// checked again before it is carried out.
 func (e *Engine) rulesVersion() uint64 {
 	if e.rules == nil {
 		return 0
@@ -122,38 +125,39 @@
 	return e.rules.version
 }
 
-// AttemptStillValid tells whether an attempt that was decided on may be written now. A dial, or a loop that was
-// suspended, may have taken a retry out of the window in which the endpoint recognises it.
-func (e *Engine) AttemptStillValid(now policy.Time, t *Request) bool {
-	if t.Attempts > 1 && !e.Module.AttemptAllowed(e.Clock.Now(), t.Handle) {
+// AttemptStillValid reports whether an attempt that was decided on earlier may be written now. While a connection was
+// dialled or the process was suspended, the deduplication window in which the endpoint recognises a retry may have
+// passed, or the rules may have changed.
+func (e *Engine) AttemptStillValid(now policy.Time, request *Request) bool {
+	if request.Attempts > 1 && !e.Module.AttemptAllowed(e.Clock.Now(), request.Handle) {
 		return false
 	}
 	if e.rules == nil {
 		return true
 	}
 	e.applyRules()
-	return t.rulesVersion == e.rulesVersion() || e.Module.AttemptAllowed(now, t.Handle)
+	return request.rulesVersion == e.rulesVersion() || e.Module.AttemptAllowed(now, request.Handle)
 }
 
-// applyRules applies the rules of this moment if they have changed: a lease may have expired since the loop last
-// checked, or while the process was suspended.
+// applyRules applies the current rules if they have changed. A lease may have expired since the loop last checked, or
+// while the process was suspended.
 func (e *Engine) applyRules() {
-	a := e.rules
-	if a == nil {
+	active := e.rules
+	if active == nil {
 		return
 	}
-	rules, leased := a.lease.Active(clock.LeaseTime())
-	if leased != a.leased || a.leaseChanges != a.lease.Changes() {
-		a.leaseChanges = a.lease.Changes()
+	rules, leased := active.lease.Active(clock.LeaseTime())
+	if leased != active.leased || active.leaseChanges != active.lease.Changes() {
+		active.leaseChanges = active.lease.Changes()
 		e.setRules(rules, leased)
 	}
 }
 
-// setRules has the module act by these rules from its next decision on.
+// setRules makes the module apply these rules from its next decision on.
 func (e *Engine) setRules(rules *ruleset.Rules, leased bool) {
-	a := e.rules
-	a.version++
-	sets := a.byPrecedence()
+	active := e.rules
+	active.version++
+	sets := active.byPrecedence()
 	e.setClasses(rules, leased, sets[0])
 	e.removeClasses()
 	e.Settings.ColdCapacity = rules.ColdCapacity
@@ -164,18 +168,18 @@
 	e.setQuotas(rules)
 	e.logRules(leased)
 	e.list.setRulesDrained(rules.Drained)
-	e.list.setRulesEndpoints(rules, a.listSources(sets, leased), a.ruleSets[a.current()])
+	e.list.setRulesEndpoints(rules, active.listSources(sets, leased), active.ruleSets[active.current()])
 	e.adoptTable()
 }
 
-// logRules logs a change of the rules' revisions, or of whether there is a lease.
+// logRules logs the rules if the leased revisions have changed, or if a lease was obtained or has expired.
 func (e *Engine) logRules(leased bool) {
-	a := e.rules
-	if a.leased == leased && slices.Equal(a.logged, a.lease.Leased()) {
+	active := e.rules
+	if active.leased == leased && slices.Equal(active.logged, active.lease.Leased()) {
 		return
 	}
-	a.leased = leased
-	a.logged = slices.Clone(a.lease.Leased())
+	active.leased = leased
+	active.logged = slices.Clone(active.lease.Leased())
 	message := LogLeaseExpired
 	if leased {
 		message = LogLeaseHeld
@@ -183,7 +187,8 @@
 	e.RulesLog().Info(message)
 }
 
-// current is the revision in force, and the one before while a change is under way; 0 without a lease.
+// current returns the revision in force, or the older one of two while a change of revisions is in progress. It is 0
+// before the first lease.
 func (a *activeRules) current() ruleset.RevisionNumber {
 	if revisions := a.lease.Leased(); len(revisions) > 0 {
 		return revisions[0]
@@ -191,8 +196,8 @@
 	return 0
 }
 
-// byPrecedence are the rule sets in the order in which they give settings that the agreed rules don't bind: those in
-// force, the newest first, then the others.
+// byPrecedence returns the rule sets in the order in which their settings take precedence, for settings that the agreed
+// rules don't determine: the rule sets in force come first, the newest of them at the front, then the others.
 func (a *activeRules) byPrecedence() []*RuleSet {
 	var sets []*RuleSet
 	for _, set := range a.ruleSets {
@@ -210,8 +215,8 @@
 	return sets
 }
 
-// listSources are the rule sets whose endpoints are listed: none older than the current one. One that is only coming
-// counts without a lease.
+// listSources returns the rule sets whose endpoints are listed. With a lease these are the leased ones; without a lease
+// they are all that are not older than the current revision, including those that are not in force yet.
 func (a *activeRules) listSources(sets []*RuleSet, leased bool) []*RuleSet {
 	return slices.DeleteFunc(sets, func(set *RuleSet) bool {
 		return set.Number < a.current() || leased && !slices.Contains(a.lease.Leased(), set.Number)
--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -11,7 +11,7 @@
 type Counters struct {
 	ClientConns         int
 	ClientConnsBroken   int
-	ClientsSilent       int // closed, as they sent nothing
+	ClientsSilent       int // connections closed because the client sent nothing
 	Requests            int
 	MalformedRequests   int
 	Overflowed          int
@@ -19,12 +19,12 @@
 	Succeeded           int
 	Rejected            int
 	Failed              int
-	Declined            int // requests that an endpoint could not use
-	Unsent              int // final answers that found no client
-	LargeBodies         int // of requests
-	StreamedBodies      int // of these, passed on before they were complete
-	Streams             int // responses passed on while they came
-	StreamsBroken       int // of these, never completed
+	Declined            int // requests that an endpoint declined
+	Unsent              int // final answers not sent because the client had left
+	LargeBodies         int // request bodies too long to be read at once
+	StreamedBodies      int // large bodies forwarded before they were complete
+	Streams             int // responses forwarded before they were complete
+	StreamsBroken       int // streamed responses that were never completed
 	Attempts            int
 	Dials               int
 	Reused              int
@@ -32,18 +32,18 @@
 	Lists               int
 	ListEntries         int
 	ListFailures        int
-	ListsRefused        int // by the checks on files
+	ListsRefused        int // rejected by the validation of list files
 	Reconfigurations    int
 	BytesIn             int64
 	BytesOut            int64
 }
 
-// outcomeNames are the outcomes of attempts as the counters have them.
+// outcomeNames are the names of the attempts' outcomes in the names of the counters.
 var outcomeNames = [policy.Declined + 1]string{
 	"honoured", "errors", "turned_away", "timed_out", "not_connected", "broken", "called_off", "not_sent", "declined",
 }
 
-// Each passes every counter, in the order in which they are shown.
+// Each calls line for every counter, in the order in which counters are shown.
 func (c *Counters) Each(line func(name string, n int64)) {
 	line("client_connections", int64(c.ClientConns))
 	line("client_connections_cut", int64(c.ClientConnsBroken))
@@ -76,7 +76,7 @@
 	line("bytes_out", c.BytesOut)
 }
 
-// String has one line a counter.
+// String returns the counters, one per line.
 func (c *Counters) String() string {
 	var b strings.Builder
 	c.Each(func(name string, n int64) { fmt.Fprintf(&b, "%s %d\n", name, n) })
--- a/internal/engine/drained.go
+++ b/internal/engine/drained.go
@@ -10,18 +10,19 @@
 	"pepperlead/policy"
 )
 
-// ErrNeverListed says that no list has named an id.
+// ErrNeverListed is returned for an id that has not been in any endpoint list.
 var ErrNeverListed = errors.New("no list has ever named this id")
 
-// drainState is what administrators have done about an endpoint.
+// drainState is the administrative state of an endpoint.
 type drainState struct {
 	drained    bool
-	restoredAt policy.Time // when it was last put back into use
+	restoredAt policy.Time // when the drain was last undone
 }
 
-// effective is an entry as the module has it. An administratively drained endpoint drains whatever the list says. One
-// that was put back counts as restarted since, whether or not the list says so yet.
-func (l *endpointList) effective(entry discovery.Entry) discovery.Entry {
+// effectiveEntry returns a listed entry as the module gets it. An endpoint that is drained administratively or by the
+// agreed rules is draining, even if the list says that it is ready. An endpoint whose administrative drain was undone
+// counts as started at that time, even if the list does not say so yet.
+func (l *endpointList) effectiveEntry(entry discovery.Entry) discovery.Entry {
 	state := l.drained[entry.UID]
 	_, drainedByRules := slices.BinarySearch(l.rulesDrained, entry.ID)
 	if (state.drained || drainedByRules) && entry.Status == policy.Ready {
@@ -31,12 +32,13 @@
 	return entry
 }
 
-// Listed tells whether any list has named the endpoint. A drained one was listed when it was drained.
+// Listed reports whether the endpoint has been in any list. An endpoint that is drained was listed when it was drained.
 func (e *Engine) Listed(uid string) bool {
 	return e.list.seen.contains(endpointfiles.EndpointID(uid)) || e.list.drained[uid].drained
 }
 
-// SetDrained makes these endpoints the administratively drained ones. Others that were drained are put back into use.
+// SetDrained administratively drains exactly these endpoints. Endpoints that were drained before and are not among them
+// are put back into use.
 func (e *Engine) SetDrained(now policy.Time, uids []string) {
 	l := &e.list
 	wanted := make(map[string]bool, len(uids))
@@ -62,21 +64,23 @@
 	e.publishFigures(now)
 }
 
-// setDrainState sets the state of an endpoint and appends the change for the module, if there is one.
+// setDrainState sets the state of an endpoint. If the endpoint is listed, its new entry is applied and appended to
+// changed, the entries to be passed to the module.
 func (l *endpointList) setDrainState(uid string, state drainState, changed []policy.Member) []policy.Member {
 	l.drained[uid] = state
-	s := l.engine.Endpoints[endpointfiles.EndpointID(uid)]
-	if s == nil || s.UID != uid || !s.Listed {
+	endpoint := l.engine.Endpoints[endpointfiles.EndpointID(uid)]
+	if endpoint == nil || endpoint.UID != uid || !endpoint.Listed {
 		return changed
 	}
-	entry := l.effective(s.Entry)
+	entry := l.effectiveEntry(endpoint.Entry)
 	if l.engine.updateEndpoint(entry) {
 		changed = append(changed, entry.Member)
 	}
 	return changed
 }
 
-// setRulesDrained drains the endpoints that the agreed rules drain, and puts back those that they don't any more.
+// setRulesDrained drains the endpoints that the agreed rules drain, and puts those back into use that the rules no
+// longer drain.
 func (l *endpointList) setRulesDrained(ids []policy.EndpointID) {
 	if slices.Equal(l.rulesDrained, ids) {
 		return
@@ -85,12 +89,12 @@
 	e := l.engine
 	var changed []policy.Member
 	for _, id := range slices.Sorted(maps.Keys(e.Endpoints)) {
-		s := e.Endpoints[id]
-		if !s.Listed {
+		endpoint := e.Endpoints[id]
+		if !endpoint.Listed {
 			continue
 		}
-		entry := l.effective(s.Entry)
-		if drains := entry.Status != policy.Ready; drains != s.Draining && e.updateEndpoint(entry) {
+		entry := l.effectiveEntry(endpoint.Entry)
+		if drains := entry.Status != policy.Ready; drains != endpoint.Draining && e.updateEndpoint(entry) {
 			changed = append(changed, entry.Member)
 		}
 	}
--- a/internal/engine/endpoint.go
+++ b/internal/engine/endpoint.go
@@ -7,7 +7,7 @@
 	"pepperlead/policy"
 )
 
-// Endpoint is an endpoint as the lists describe it.
+// Endpoint is an endpoint as described by the endpoint lists.
 type Endpoint struct {
 	ID         policy.EndpointID
 	UID        string
@@ -15,65 +15,65 @@
 	Zone       policy.Zone
 	Started    policy.Time
 	Draining   bool
-	Generation int             // rises when connections become useless: the endpoint leaves, restarts or moves
-	Listed     bool            // the latest list names it
-	Entry      discovery.Entry // of the latest list
-	FrontData  [MaxFronts]any  // the fronts' own, by the index that Add returned
+	Generation int             // rises when open connections become useless: the endpoint leaves, restarts or moves
+	Listed     bool            // the endpoint is in the latest list
+	Entry      discovery.Entry // the endpoint's entry in the latest list
+	FrontData  [MaxFronts]any  // data of the fronts, by the index that Add returned
 }
 
-// retire closes the endpoint's idle connections and lets none be kept from now on.
-func (e *Engine) retire(s *Endpoint) {
-	s.Draining = true
-	s.Generation++
-	e.closeIdle(s)
+// retire closes the endpoint's idle connections. Connections that are in use are not kept afterwards.
+func (e *Engine) retire(endpoint *Endpoint) {
+	endpoint.Draining = true
+	endpoint.Generation++
+	e.closeIdle(endpoint)
 }
 
-func (e *Engine) closeIdle(s *Endpoint) {
+func (e *Engine) closeIdle(endpoint *Endpoint) {
 	for _, f := range e.fronts {
-		f.CloseIdle(s)
+		f.CloseIdle(endpoint)
 	}
 }
 
-// updateEndpoint takes over an entry and returns false if it is not for the module. Two endpoints whose ids
-// collide are not merged: the second is left out.
+// updateEndpoint applies an entry and reports whether the module gets it too. Two endpoints whose ids collide are not
+// merged: the second one is skipped.
 func (e *Engine) updateEndpoint(entry discovery.Entry) bool {
-	s := e.Endpoints[entry.ID]
-	if s == nil && entry.Status == policy.Removed {
+	endpoint := e.Endpoints[entry.ID]
+	if endpoint == nil && entry.Status == policy.Removed {
 		return false
 	}
-	if s == nil {
-		s = &Endpoint{ID: entry.ID, UID: entry.UID, Addr: entry.Addr, Started: entry.Started}
-		e.Endpoints[entry.ID] = s
+	if endpoint == nil {
+		endpoint = &Endpoint{ID: entry.ID, UID: entry.UID, Addr: entry.Addr, Started: entry.Started}
+		e.Endpoints[entry.ID] = endpoint
 	}
-	if s.UID != entry.UID {
-		e.Logger.WithFields(logrus.Fields{"uid": entry.UID, "collides_with": s.UID}).
-			Error("endpoint skipped, its id collides with another one's")
+	if endpoint.UID != entry.UID {
+		e.Logger.WithFields(logrus.Fields{"uid": entry.UID, "collides_with": endpoint.UID}).
+			Error("endpoint skipped, its id collides with that of another endpoint")
 		return false
 	}
 	e.list.seen.add(entry.ID)
-	s.Zone = entry.Zone
-	s.Listed = entry.Status != policy.Removed
-	if entry.Status != policy.Ready || entry.Started > s.Started || entry.Addr != s.Addr {
-		e.retire(s)
+	endpoint.Zone = entry.Zone
+	endpoint.Listed = entry.Status != policy.Removed
+	if entry.Status != policy.Ready || entry.Started > endpoint.Started || entry.Addr != endpoint.Addr {
+		e.retire(endpoint)
 	}
-	s.Draining = entry.Status != policy.Ready
-	s.Started = entry.Started
+	endpoint.Draining = entry.Status != policy.Ready
+	endpoint.Started = entry.Started
 	if entry.Addr != "" {
-		s.Addr = entry.Addr
+		endpoint.Addr = entry.Addr
 	}
 	return true
 }
 
-// retireMissing retires the endpoints that a full list does not name any more.
-func (e *Engine) retireMissing(named []policy.Member) {
-	listed := make(map[policy.EndpointID]struct{}, len(named))
-	for _, member := range named {
+// retireMissing retires the endpoints that are not among the members of a full list.
+func (e *Engine) retireMissing(members []policy.Member) {
+	listed := make(map[policy.EndpointID]struct{}, len(members))
+	for _, member := range members {
 		listed[member.ID] = struct{}{}
 	}
-	for id, s := range e.Endpoints {
+	for id, endpoint := range e.Endpoints {
 		if _, found := listed[id]; !found {
-			s.Listed = false
-			e.retire(s)
+			endpoint.Listed = false
+			e.retire(endpoint)
 		}
 	}
 }
--- a/internal/engine/endpointlist.go
+++ b/internal/engine/endpointlist.go
@@ -11,39 +11,40 @@
 )
 
 const (
-	// maxPendingEvents is how many events of the source may wait for the loop.
+	// maxPendingEvents is the number of events of the source that may wait for the loop.
 	maxPendingEvents = 4
-	// refreshTimeout bounds how long the loop waits for its source after it may have been suspended.
+	// refreshTimeout bounds how long the loop waits for the source to refresh its list, after the process may have been
+	// suspended.
 	refreshTimeout = 50 * time.Millisecond
-	// readTimeout is how long a source that can't be refreshed gets to read what has arrived.
+	// readTimeout is the time given to a source that can't be refreshed to read the data that has already arrived.
 	readTimeout = 2 * time.Millisecond
 )
 
-// sourceEvent is an event and its source: one that has been replaced may still have events under way.
+// sourceEvent is an event together with its source, so that late events of a replaced source can be recognised.
 type sourceEvent struct {
 	source discovery.Source
 	event  discovery.Event
 }
 
-// endpointList follows a source of endpoints and hands the module what that reports.
+// endpointList follows a source of endpoints and passes its lists to the module.
 type endpointList struct {
 	engine    *Engine
 	source    discovery.Source
 	events    chan sourceEvent
 	cancel    context.CancelFunc // ends the source
 	done      chan struct{}      // closed once the source has ended
-	following bool               // the module wants the source followed
-	known     bool               // there is a list
-	fresh     bool               // there is one of the source, and not only a saved one
-	failures  int                // of the source in a row
-	refused   string             // why the latest list was refused, "" if it was not
+	following bool               // the module wants the source to follow changes
+	hasList   bool               // a list has been applied, perhaps a saved one
+	fresh     bool               // the source has reported a list since the start
+	failures  int                // consecutive failures of the source
+	rejection string             // why the latest list was rejected; "" if it was not
 
-	drained map[string]drainState // administratively, by uid
+	drained map[string]drainState // administrative states, by uid
 	seen    seenIDs
 
-	rulesDrained  []policy.EndpointID // sorted
-	rulesList     bool                // the agreed rules name the endpoints, not the source
-	sourceEntries []discovery.Entry   // the source's latest list, where there are agreed rules
+	rulesDrained  []policy.EndpointID // endpoints drained by the agreed rules, sorted
+	rulesList     bool                // the endpoints are those of the agreed rules, not those of the source
+	sourceEntries []discovery.Entry   // the source's latest list; only kept if there are agreed rules
 }
 
 func newEndpointList(e *Engine) endpointList {
@@ -55,7 +56,8 @@
 	}
 }
 
-// start runs a source beside the loop, once the one before has ended: both may keep their list in one folder.
+// start runs a source in its own goroutine, once the previous source has ended: both may save their list in the same
+// directory.
 func (l *endpointList) start(source discovery.Source) {
 	ctx, cancel := context.WithCancel(context.Background())
 	previous := l.done
@@ -80,11 +82,11 @@
 	}()
 }
 
-// replaceSource goes over to another source, whose lists need not continue those of the one before.
+// replaceSource switches to another source. Its lists need not be related to those of the previous source.
 func (l *endpointList) replaceSource(source discovery.Source) {
 	l.cancel()
 	l.failures = 0
-	l.refused = ""
+	l.rejection = ""
 	l.start(source)
 }
 
@@ -95,8 +97,8 @@
 	}
 }
 
-// refresh has the source report the current list if it can. A process that was suspended would otherwise send by an
-// outdated one.
+// refresh makes the source report the current list, if the source supports that. Otherwise a process that was suspended
+// would dispatch requests by an outdated list.
 func (l *endpointList) refresh() {
 	if source, ok := l.source.(discovery.Refresher); ok {
 		source.Refresh(refreshTimeout)
@@ -105,7 +107,7 @@
 	time.Sleep(readTimeout)
 }
 
-// handle handles an event of the source.
+// handle handles an event of the source. Events of a replaced source are ignored.
 func (l *endpointList) handle(now policy.Time, from sourceEvent) {
 	if from.source != l.source {
 		return
@@ -118,10 +120,10 @@
 		l.handleFailure(now, event.Failed)
 	case event.Rejected != "":
 		l.engine.Counters.ListsRefused++
-		l.refused = strings.ReplaceAll(event.Rejected, "\n", "; ")
-		log.WithField("reason", l.refused).Error("endpoint list rejected, the last valid one stays in use")
+		l.rejection = strings.ReplaceAll(event.Rejected, "\n", "; ")
+		log.WithField("reason", l.rejection).Error("endpoint list rejected, the last valid one stays in use")
 	case event.Recovered:
-		l.refused = ""
+		l.rejection = ""
 		log.Info("endpoint list is valid again")
 	case event.Note != "":
 		log.Warn(event.Note)
@@ -133,7 +135,7 @@
 		l.engine.Logger.WithField("failures", l.failures).Info("endpoint source has recovered")
 	}
 	l.failures = 0
-	l.refused = ""
+	l.rejection = ""
 	l.fresh = true
 	if l.engine.rules != nil {
 		l.updateSourceList(list)
@@ -147,22 +149,22 @@
 	l.engine.Counters.ListFailures++
 	l.failures++
 	if l.failures == 1 {
-		l.engine.Logger.WithField("reason", reason).Warn("endpoint source fails")
+		l.engine.Logger.WithField("reason", reason).Warn("endpoint source failed")
 	}
 	if l.engine.Settings.PollList {
 		l.engine.Module.ListFailed(now)
 	}
 }
 
-// apply hands a list to the module.
+// apply updates the endpoints by a list and passes the list to the module.
 func (l *endpointList) apply(now policy.Time, list *discovery.List) {
 	e := l.engine
-	l.known = true
+	l.hasList = true
 	e.Counters.Lists++
 	e.Counters.ListEntries += len(list.Entries)
 	members := make([]policy.Member, 0, len(list.Entries))
 	for _, listed := range list.Entries {
-		entry := l.effective(listed)
+		entry := l.effectiveEntry(listed)
 		if !e.updateEndpoint(entry) {
 			continue
 		}
@@ -179,29 +181,32 @@
 	e.publishFigures(now)
 }
 
-// updateSourceList keeps the source's list up to date while the agreed rules name the endpoints.
+// updateSourceList applies a list to sourceEntries, so that the source's list can be used when the agreed rules no
+// longer name the endpoints.
 func (l *endpointList) updateSourceList(list *discovery.List) {
 	if list.Kind != policy.ListChanges {
 		l.sourceEntries = nil
 	}
 	for _, entry := range list.Entries {
-		at := slices.IndexFunc(l.sourceEntries, func(known discovery.Entry) bool { return known.ID == entry.ID })
+		i := slices.IndexFunc(l.sourceEntries, func(other discovery.Entry) bool { return other.ID == entry.ID })
 		switch {
-		case at >= 0 && entry.Status == policy.Removed:
-			l.sourceEntries = slices.Delete(l.sourceEntries, at, at+1)
-		case at >= 0:
-			l.sourceEntries[at] = entry
+		case i >= 0 && entry.Status == policy.Removed:
+			l.sourceEntries = slices.Delete(l.sourceEntries, i, i+1)
+		case i >= 0:
+			l.sourceEntries[i] = entry
 		case entry.Status != policy.Removed:
 			l.sourceEntries = append(l.sourceEntries, entry)
 		}
 	}
 }
 
-// Apply hands the module a list that came from elsewhere than the engine's source.
+// Apply applies a list that does not come from the engine's source.
 func (e *Engine) Apply(now policy.Time, list *discovery.List) { e.list.apply(now, list) }
 
-// ListFresh tells whether the source has reported a list since the start.
+// ListFresh reports whether the source has reported a list since the start.
 func (e *Engine) ListFresh() bool { return e.list.fresh }
 
-// ListStatus tells whether there is a list of endpoints, and why the latest was refused, "" if it was not.
-func (e *Engine) ListStatus() (known bool, refused string) { return e.list.known, e.list.refused }
+// ListStatus reports whether there is an endpoint list, and why the latest list was rejected ("" if it was not).
+func (e *Engine) ListStatus() (hasList bool, rejection string) {
+	return e.list.hasList, e.list.rejection
+}
--- a/internal/engine/endpointlist_test.go
+++ b/internal/engine/endpointlist_test.go
@@ -15,8 +15,8 @@
 	"pepperlead/policy"
 )
 
-// Two endpoints whose ids fall together must not be taken for one.
-func TestServersNeverShareAnID(t *testing.T) {
+// Two endpoints whose ids collide must not be merged into one.
+func TestEndpointsWithCollidingIDsAreNotMerged(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	e := New(Config{Settings: &policy.Settings{Instances: 1}}, log)
@@ -24,11 +24,11 @@
 	if !e.updateEndpoint(discovery.Entry{Member: m, UID: "a", Addr: "127.0.0.1:1"}) ||
 		e.updateEndpoint(discovery.Entry{Member: m, UID: "b", Addr: "127.0.0.1:2"}) ||
 		!e.updateEndpoint(discovery.Entry{Member: m, UID: "a", Addr: "127.0.0.1:3"}) || e.Endpoints[7].Addr != "127.0.0.1:3" {
-		t.Error("two endpoints were merged")
+		t.Error("an endpoint was merged with another one, or an update of it was skipped")
 	}
 }
 
-// endlessSource is a source that always has another list.
+// endlessSource reports lists without a pause.
 type endlessSource struct{ discovery.Source }
 
 func (endlessSource) Follow(bool) {}
@@ -49,8 +49,8 @@
 	all.Wait()
 }
 
-// Lists that came faster than they could be assigned kept all else waiting for seconds.
-func TestListsWithoutEndHoldUpNothing(t *testing.T) {
+// Lists that arrive faster than they can be applied must not block the rest of the loop, which they did for seconds.
+func TestEndlessListsDoNotBlockTheLoop(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	e := New(Config{Settings: &policy.Settings{Instances: 1, FixedWeights: true}, Source: endlessSource{}}, log)
@@ -61,27 +61,29 @@
 	}
 	e.handlePending(0)
 	if n := e.Counters.Lists; n < maxPendingEvents || n > maxPendingEvents+1 {
-		t.Errorf("%d lists taken at once, of the %d that waited and those that came meanwhile", n, maxPendingEvents)
+		t.Errorf("%d lists handled in one round, want %d or %d", n, maxPendingEvents, maxPendingEvents+1)
 	}
 }
 
-// An endpoint that had gone before a new version came could not be taken out there: its id counted as a typing error.
-func TestIdsSeenPassOn(t *testing.T) {
-	old, next := New(Config{Settings: &policy.Settings{}}, logrus.New()), New(Config{Settings: &policy.Settings{}}, logrus.New())
+// An endpoint that was removed from the list before a hot restart could not be drained afterwards: the new process did
+// not know its id and took it for a mistyped one. So the seen ids are passed on.
+func TestSeenIDsAreImported(t *testing.T) {
+	previous, next := New(Config{Settings: &policy.Settings{}}, logrus.New()), New(Config{Settings: &policy.Settings{}}, logrus.New())
 	for n := range maxSeenIDs + 10 {
-		old.list.seen.add(endpointfiles.EndpointID(fmt.Sprint("s-", n)))
+		previous.list.seen.add(endpointfiles.EndpointID(fmt.Sprint("s-", n)))
 	}
-	next.ImportSeen(old.SeenEndpoints())
+	next.ImportSeen(previous.SeenEndpoints())
 	if next.Listed("s-9") || !next.Listed("s-10") || !next.Listed(fmt.Sprint("s-", maxSeenIDs+9)) || next.Listed("s-x") {
-		t.Error("not those that were seen")
+		t.Error("the imported ids are not the latest ones that were seen")
 	}
 	if next.list.seen.add(1); next.Listed("s-10") || !next.Listed("s-11") {
-		t.Error("another than the oldest was forgotten")
+		t.Error("the forgotten id is not the oldest one")
 	}
 }
 
-// A part of a network that is cut off knows of few instances, and must not take the others' part of the budgets; nor may a new configuration.
-func TestBudgetsAreNeverSharedAmongFewer(t *testing.T) {
+// An instance in a partitioned network sees few others and must not take their share of the budgets. The same holds after a
+// reconfiguration.
+func TestBudgetsAreSharedAmongAtLeastTheConfiguredInstances(t *testing.T) {
 	source := &discovery.Fixed{Label: "none"}
 	settings := func(instances int) *policy.Settings {
 		return &policy.Settings{Instances: instances, Tick: 5 * policy.Millisecond}
@@ -89,15 +91,15 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	e := New(Config{Settings: settings(3), Source: source}, log)
-	for i, k := range []struct{ live, configured, want int }{{5, 0, 5}, {1, 0, 3}, {0, 8, 8}, {9, 0, 9}, {0, 2, 9}, {1, 0, 2}} {
-		if k.live > 0 {
-			e.SetInstances(k.live)
+	for i, step := range []struct{ live, configured, want int }{{5, 0, 5}, {1, 0, 3}, {0, 8, 8}, {9, 0, 9}, {0, 2, 9}, {1, 0, 2}} {
+		if step.live > 0 {
+			e.SetInstances(step.live)
 		}
-		if k.configured > 0 {
-			e.Reconfigure(Config{Settings: settings(k.configured), Source: source})
+		if step.configured > 0 {
+			e.Reconfigure(Config{Settings: settings(step.configured), Source: source})
 		}
-		if e.Settings.Instances != k.want {
-			t.Errorf("step %d: shared among %d, not %d", i, e.Settings.Instances, k.want)
+		if e.Settings.Instances != step.want {
+			t.Errorf("step %d: budgets are shared among %d instances, want %d", i, e.Settings.Instances, step.want)
 		}
 	}
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is the loop that owns the decision module and its requests: it gathers what has happened from its
-// fronts, has the module decide, and has the fronts carry that out. It knows no protocol and no sockets; a front brings
-// requests in and carries their attempts. One goroutine runs an engine, and all calls to its fronts are made there.
+// Package engine is the event loop that owns the decision module and its requests. It gathers events from the fronts,
+// lets the module decide on them, and has the fronts carry out the decisions. It knows no protocol and no sockets: a
+// front accepts requests and transmits their attempts. One goroutine runs an engine, and makes all calls to its fronts.
 package engine
 
 import (
@@ -20,17 +20,17 @@
 	Seed         uint64
 	Settings     *policy.Settings
 	Source       discovery.Source // of endpoints
-	SavedList    []byte           // an endpoint list saved earlier, as discovery encodes it
-	ShutdownTime policy.Time      // from the begin of the shutdown to the last answer
-	Latency      Latency          // of final answers; nil: not measured
-	Recorder     *trace.Recorder  // of requests and their ends; nil: none
+	SavedList    []byte           // an endpoint list saved earlier, in the encoding of the discovery service
+	ShutdownTime policy.Time      // time from the start of the shutdown until the last answer must be sent
+	Latency      Latency          // measures the latency of final answers; nil: not measured
+	Recorder     *trace.Recorder  // records requests and attempts; nil: none are recorded
 
-	// StallAfter is the time without a round after which the loop refreshes its endpoint list before it decides, as the
-	// process may have been suspended; 0: never.
+	// StallAfter is the time without a round after which the loop refreshes its endpoint list before the next decision,
+	// because the process may have been suspended; 0: never.
 	StallAfter policy.Time
 }
 
-// Engine owns the module and all state around it.
+// Engine owns the decision module, its requests and its endpoints.
 type Engine struct {
 	Config
 	Clock     clock.Clock
@@ -40,35 +40,35 @@
 	Counters  Counters
 	Tally     Tally
 	Endpoints map[policy.EndpointID]*Endpoint
-	InFlight  int // requests
+	InFlight  int // number of requests that are not released yet
 
 	fronts       []Front
 	freeRequests [MaxFronts][]*Request // for reuse, by front
-	requests     []*Request            // by the place of the module's handle
+	requests     []*Request            // by Handle.Index
 	steps        []step                // decided by the module and not yet carried out
 	ended        []endedAttempt        // not yet reported to the module
 	list         endpointList
 	rules        *activeRules // nil: no rules are agreed on with other instances
 
-	wakeTimer     Timer // of the module
+	wakeTimer     Timer // set by the module
 	shutdownTimer Timer
-	figuresTimer  Timer // of the figures about endpoints
+	figuresTimer  Timer // for updates of the endpoint metrics
 
 	signal           chan struct{}
 	calls            chan func()   // from other goroutines, run by the loop
 	stopped          chan struct{} // closed once Run has returned
 	shuttingDown     bool
-	shutdownDeadline policy.Time // of the last answer
-	lastRound        policy.Time
+	shutdownDeadline policy.Time // by which the last answer must be sent
+	lastRound        policy.Time // start of the latest round
 
-	classLabels []classLabels // of the figures, by row
-	classRows   atomic.Int64  // rows of classLabels that are shown
+	classLabels []classLabels // labels of the request metrics, by row
+	classRows   atomic.Int64  // number of rows of classLabels in use
 
-	configuredInstances int // as the settings say
-	liveInstances       int // as peers tell; 0: they don't
+	configuredInstances int // number of instances in the settings
+	liveInstances       int // number of live instances according to the peers; 0: unknown
 }
 
-// New makes an engine that does not run yet.
+// New returns an engine that does not run yet.
 func New(config Config, log *logrus.Logger) *Engine {
 	e := &Engine{
 		Config:              config,
@@ -92,13 +92,13 @@
 	return e
 }
 
-// Add adds a front before Run and returns its index in Endpoint.FrontData.
+// Add adds a front and returns its index in Endpoint.FrontData. It must be called before Run.
 func (e *Engine) Add(f Front) int {
 	e.fronts = append(e.fronts, f)
 	return len(e.fronts) - 1
 }
 
-// Signal wakes the loop, as there is something to gather. Any goroutine may call it.
+// Signal wakes the loop because a front has events to gather. Any goroutine may call it.
 func (e *Engine) Signal() {
 	select {
 	case e.signal <- struct{}{}:
@@ -106,7 +106,7 @@
 	}
 }
 
-// Run runs the loop until stop receives a signal and all requests are answered.
+// Run runs the loop. It returns after stop has received a signal and the graceful shutdown is complete.
 func (e *Engine) Run(stop <-chan os.Signal) {
 	defer close(e.stopped)
 	now := e.Clock.Now()
@@ -119,8 +119,8 @@
 	e.loop(stop)
 }
 
-// loadSavedList hands the saved list to the module. An unreadable one doesn't keep the engine from serving, as
-// discovery has a newer one.
+// loadSavedList passes the saved list to the module. A list that can't be decoded doesn't keep the engine from serving,
+// because the source will report a newer one.
 func (e *Engine) loadSavedList(now policy.Time) {
 	if len(e.SavedList) == 0 {
 		return
--- a/internal/engine/figures.go
+++ b/internal/engine/figures.go
@@ -2,10 +2,10 @@
 
 import "strconv"
 
-// resultNames are the results as the figures have them.
+// resultNames are the results as they appear in the labels of the request metrics.
 var resultNames = [Results]string{Completed: "completed", Rejected: "rejected", Failed: "failed"}
 
-// classLabels are the labels of a class's figures, by result.
+// classLabels are the labels of a class's request metrics, by result.
 type classLabels [Results]string
 
 func newClassLabels(class string) (labels classLabels) {
@@ -15,8 +15,8 @@
 	return labels
 }
 
-// classRow is the row of figures of the classes with that name. If there are very many names over time, the last ones
-// share a row.
+// classRow returns the row of request metrics of the classes with the given name. There are maxClasses rows; if more
+// names are used over time, the last ones share a row.
 func (e *Engine) classRow(class string) int {
 	rows := int(e.classRows.Load())
 	labels := newClassLabels(class)
@@ -33,8 +33,8 @@
 	return rows
 }
 
-// EachFigure passes every figure that operators see, with its labels in the Prometheus form and whether it is a
-// counter.
+// EachFigure calls figure for every metric that operators see, with its labels in the Prometheus format and whether it
+// is a counter.
 func (e *Engine) EachFigure(figure func(name, labels string, n int64, isCounter bool)) {
 	for row := range int(e.classRows.Load()) {
 		for result := range resultNames {
@@ -48,7 +48,7 @@
 	figure("edge_gw_members_unavailable", "", e.Tally.Unavailable.Load(), false)
 }
 
-// AppendFigures appends the figures, one a line.
+// AppendFigures appends the metrics in a text form, one per line.
 func (e *Engine) AppendFigures(to []byte) []byte {
 	e.EachFigure(func(name, labels string, n int64, _ bool) {
 		to = append(to, name...)
@@ -60,7 +60,7 @@
 	return to
 }
 
-// label is the label of a class and a result in the Prometheus form.
+// label returns the labels of a class and a result in the Prometheus format.
 func label(class, result string) string {
 	b := []byte(`{lane="`)
 	for _, c := range []byte(class) {
--- a/internal/engine/front.go
+++ b/internal/engine/front.go
@@ -2,46 +2,46 @@
 
 import "pepperlead/policy"
 
-// MaxFronts is how many fronts an engine may have.
+// MaxFronts is the maximum number of fronts of an engine.
 const MaxFronts = 4
 
-// Front speaks a protocol: it hands requests to the engine and carries out what the module decides for them. Its
-// methods are called by the loop and must not block.
+// Front implements a protocol: it passes requests to the engine and carries out what the module decides for them. The
+// loop calls its methods, which must not block.
 type Front interface {
-	// Gather hands over what has happened since the last call.
+	// Gather passes everything that has happened since the last call to the engine.
 	Gather(now policy.Time)
-	// More tells whether there is something to gather at once.
+	// More reports whether there is more to gather, in which case the next round starts at once.
 	More() bool
-	// Send begins an attempt. The front reports its end by Engine.AttemptEnded, exactly once.
-	Send(now policy.Time, t *Request, to *Endpoint)
-	// TimedOut ends the attempt that is in flight, if there is one, because its time is up.
-	TimedOut(now policy.Time, t *Request)
-	// CancelAttempt ends the attempt that is in flight, if there is one, because the module wants it no more.
-	CancelAttempt(now policy.Time, t *Request)
-	// Succeed gives the final answer. The front calls Engine.Answered once the client has it; the same holds for
-	// Reject and Fail.
-	Succeed(now policy.Time, t *Request)
-	// Reject answers that the request was not processed and when the client may retry.
-	Reject(now policy.Time, t *Request, retryIn policy.Time)
+	// Send starts an attempt. The front reports its end by calling Engine.AttemptEnded exactly once.
+	Send(now policy.Time, request *Request, to *Endpoint)
+	// TimedOut ends the attempt in flight, if there is one, because its timeout has expired.
+	TimedOut(now policy.Time, request *Request)
+	// CancelAttempt ends the attempt in flight, if there is one, because the module has cancelled it.
+	CancelAttempt(now policy.Time, request *Request)
+	// Succeed sends the response of the last attempt to the client as the final answer. The front calls Engine.Answered
+	// once the client has the answer, and does so after Reject and Fail as well.
+	Succeed(now policy.Time, request *Request)
+	// Reject answers that the request was not processed, and after which time the client may retry.
+	Reject(now policy.Time, request *Request, retryAfter policy.Time)
 	// Fail answers that the request has failed.
-	Fail(now policy.Time, t *Request)
-	// DiscardResponse says that the response of the last attempt is not passed on.
-	DiscardResponse(t *Request)
-	// Released says that nothing refers to the request any more, so that its FrontData can be used again.
-	Released(t *Request)
+	Fail(now policy.Time, request *Request)
+	// DiscardResponse drops the response of the last attempt, which is not forwarded to the client.
+	DiscardResponse(request *Request)
+	// Released is called when nothing refers to the request any more, so that its FrontData can be reused.
+	Released(request *Request)
 	// CloseIdle closes the idle connections to the endpoint.
-	CloseIdle(s *Endpoint)
-	// Forget drops all that the front has of the endpoint.
-	Forget(s *Endpoint)
-	// BeginShutdown has the front accept no new clients.
+	CloseIdle(endpoint *Endpoint)
+	// Forget drops everything that the front stores about the endpoint.
+	Forget(endpoint *Endpoint)
+	// BeginShutdown makes the front stop accepting new clients.
 	BeginShutdown(now policy.Time)
-	// Drained tells whether no further request can come.
+	// Drained reports whether no further request can arrive.
 	Drained(now policy.Time) bool
 	// Close releases the front's resources.
 	Close()
 }
 
-// RulesFront is a front that supports classes and tenants that come and go while it runs.
+// RulesFront is a front whose classes and tenants can be added and removed while it runs.
 type RulesFront interface {
 	// SetClass sets the class of that name; NoClass removes it.
 	SetClass(name string, class policy.ClassID, deadline policy.Time)
@@ -49,24 +49,24 @@
 	SetTenant(name string, tenant policy.TenantID)
 }
 
-// Kinds of final answers, as Latency and Answered have them.
+// Kinds of final answers, as passed to Latency.Observe and Engine.Answered.
 const (
 	// AnswerSucceeded is a successful answer.
 	AnswerSucceeded = iota
-	// AnswerDeclined is an endpoint's answer to a request that it can't use.
+	// AnswerDeclined is an endpoint's answer that declines the request.
 	AnswerDeclined
 	// AnswerRejected is the answer to a request that was not processed.
 	AnswerRejected
 	// AnswerFailed is the answer to a request that has failed.
 	AnswerFailed
-	// answerClientLeft is the end of a request whose client has gone; it is not measured.
+	// answerClientLeft is the end of a request whose client has left; its latency is not measured.
 	answerClientLeft
 )
 
-// Latency measures final answers by class and by kind (AnswerSucceeded and so on).
+// Latency measures the latency of final answers by class and by kind of answer (AnswerSucceeded and so on).
 type Latency interface {
-	// Observe measures one answer.
+	// Observe records the latency of one answer.
 	Observe(class policy.ClassID, answer int, spent policy.Time)
-	// SetClassName gives the class of that id a name.
+	// SetClassName sets the name of the class with that id.
 	SetClassName(class policy.ClassID, name string)
 }
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -10,15 +10,15 @@
 	"pepperlead/policy"
 )
 
-// TestCountersHaveTheirNames holds the names of all counters, their order and which field each shows to what they were before.
-func TestCountersHaveTheirNames(t *testing.T) {
+// TestCountersMatchGoldenFile compares the names of all counters, their order and the field that each shows with the golden file.
+func TestCountersMatchGoldenFile(t *testing.T) {
 	var counters Counters
 	golden.Fill(&counters)
 	golden.Compare(t, "counters.txt", []byte(counters.String()))
 }
 
-// TestFiguresOfOperatorsHaveTheirNames holds the figures that operators see to what they were before.
-func TestFiguresOfOperatorsHaveTheirNames(t *testing.T) {
+// TestMetricsMatchGoldenFile compares the names, labels and values of the metrics that operators see with the golden file.
+func TestMetricsMatchGoldenFile(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	engine := New(Config{Settings: &policy.Settings{Instances: 1, Classes: []policy.Class{{Name: "step"}, {Name: "a\"b\\c\n,d"}}}}, log)
@@ -34,8 +34,9 @@
 	golden.Compare(t, "figures.txt", engine.AppendFigures(nil))
 }
 
-// TestResultsOfAnswersAreShownAsBefore counts one request of each end, and holds the figures to what they were before.
-func TestResultsOfAnswersAreShownAsBefore(t *testing.T) {
+// TestResultsMatchGoldenFile counts a different number of requests for each kind of answer, and compares the metrics by result with the
+// golden file.
+func TestResultsMatchGoldenFile(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	engine := New(Config{Settings: &policy.Settings{Instances: 1, Classes: []policy.Class{{Name: "step"}}}}, log)
--- a/internal/engine/logmessages.go
+++ b/internal/engine/logmessages.go
@@ -1,13 +1,13 @@
 package engine
 
-// Messages of log lines that tests with faults between processes read back.
+// Log messages that the fault-injection tests search for in the logs of processes.
 const (
-	// LogLeaseHeld is logged when the instance acts by the rule sets that its lease names.
+	// LogLeaseHeld is logged when the instance applies the rule sets that its lease names.
 	LogLeaseHeld = "rules: lease held"
-	// LogLeaseExpired is logged when the lease has run out and the strictest of all known rules hold.
+	// LogLeaseExpired is logged when the lease has expired and the strictest of all known rules apply.
 	LogLeaseExpired = "rules: lease expired, no retries of keyed requests, nothing to cold endpoints"
-	// LogRequestAdmitted is a debug line for each request, where rules are agreed on.
+	// LogRequestAdmitted is logged at the debug level for each request if rules are agreed on.
 	LogRequestAdmitted = "request admitted"
-	// LogAttemptStarted is a debug line for each attempt, where rules are agreed on.
+	// LogAttemptStarted is logged at the debug level for each attempt if rules are agreed on.
 	LogAttemptStarted = "attempt started"
 )
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// untilNextTimer is how long the loop may sleep if nothing else happens.
+// untilNextTimer returns how long the loop may sleep if nothing else happens.
 func (e *Engine) untilNextTimer() time.Duration {
 	at, found := e.Timers.Next()
 	if !found {
@@ -55,7 +55,8 @@
 	return false
 }
 
-// Round gathers what is ready, hands it to the module, and carries out what that decides.
+// Round runs one round of the loop: it gathers events from the fronts, passes them to the module, runs the timers that
+// are due, and carries out the module's decisions.
 func (e *Engine) Round(now policy.Time) {
 	if e.StallAfter > 0 && e.lastRound > 0 && now-e.lastRound > e.StallAfter {
 		e.list.refresh()
@@ -73,7 +74,7 @@
 	e.carryOut(now)
 }
 
-// carryOut runs the steps, with those that come in meanwhile.
+// carryOut runs the queued steps, including those that are added meanwhile.
 func (e *Engine) carryOut(now policy.Time) {
 	for i := 0; i < len(e.steps); i++ {
 		next := e.steps[i]
@@ -85,9 +86,10 @@
 	e.steps = e.steps[:0]
 }
 
-// handlePending handles lists and calls that wait for the loop, so that a list comes before any decision, also after
-// the process was suspended, and calls don't wait for the loop to idle. The number of lists is bounded: a source that
-// always has another one must not hold up requests.
+// handlePending handles the events of the source and the calls that wait for the loop. It runs before any decision of
+// the round, so that decisions are based on the latest list even if the process was suspended, and so that calls are
+// handled even if the loop is never idle. The number of events is bounded, because a source that always has another
+// list must not block requests.
 func (e *Engine) handlePending(now policy.Time) {
 	e.handleEvents(now)
 	for {
@@ -100,7 +102,7 @@
 	}
 }
 
-// handleEvents handles the events in the channel and one whose sender waits to put it there.
+// handleEvents handles the events in the channel and one whose sender is blocked because the channel is full.
 func (e *Engine) handleEvents(now policy.Time) {
 	for range maxPendingEvents + 1 {
 		select {
@@ -112,7 +114,7 @@
 	}
 }
 
-// RunSteps reports to the module the attempts that have ended, which decides on further steps.
+// RunSteps reports the attempts that have ended to the module, which decides on further steps.
 func (e *Engine) RunSteps(now policy.Time) {
 	for i := 0; i < len(e.ended); i++ {
 		e.reportEnd(now, e.ended[i])
@@ -122,31 +124,32 @@
 }
 
 func (e *Engine) reportEnd(now policy.Time, end endedAttempt) {
-	t := end.request
+	request := end.request
 	e.Counters.Outcomes[end.outcome]++
 	if e.Logger.IsLevelEnabled(logrus.DebugLevel) {
 		e.Logger.Debugf("attempt %d to endpoint %d: outcome %d after %d us",
-			t.AttemptNo, t.Endpoint, end.outcome, end.spent/microsecond)
+			request.AttemptNo, request.Endpoint, end.outcome, end.spent/microsecond)
 	}
-	t.InFlight = false
-	e.recordEnd(now, t, end.outcome, end.spent)
-	t.PendingSteps++ // holds the request while the module decides
-	e.Module.AttemptEnded(now, t.Handle, t.AttemptNo, t.Endpoint, end.outcome, end.spent, t.Decided)
-	t.PendingSteps--
-	if !t.Decided || t.PendingSteps == 0 {
-		t.Front.DiscardResponse(t)
+	request.InFlight = false
+	e.recordEnd(now, request, end.outcome, end.spent)
+	request.PendingSteps++ // prevents the release of the request while the module decides
+	e.Module.AttemptEnded(now, request.Handle, request.AttemptNo, request.Endpoint, end.outcome, end.spent,
+		request.Decided)
+	request.PendingSteps--
+	if !request.Decided || request.PendingSteps == 0 {
+		request.Front.DiscardResponse(request)
 	}
-	e.release(t)
+	e.release(request)
 }
 
-// RunOnLoop runs a function in the loop's goroutine between two rounds and returns false if the loop has stopped. The
-// function must be short and must not call RunOnLoop.
+// RunOnLoop runs a function in the loop's goroutine between two rounds. It returns false, without having run the
+// function, if the loop has stopped. The function must be short and must not call RunOnLoop.
 func (e *Engine) RunOnLoop(do func()) bool { return e.runOnLoop(nil, do) }
 
-// RunOnLoopWithin is RunOnLoop with a bound on the wait for the loop. If it returns false, the function hasn't been run
-// and won't be.
-func (e *Engine) RunOnLoopWithin(wait time.Duration, do func()) bool {
-	return e.runOnLoop(time.After(wait), do)
+// RunOnLoopWithin is like RunOnLoop, but waits for the loop no longer than the timeout. If it returns false, the
+// function has not been run and will not be run later.
+func (e *Engine) RunOnLoopWithin(timeout time.Duration, do func()) bool {
+	return e.runOnLoop(time.After(timeout), do)
 }
 
 func (e *Engine) runOnLoop(timeout <-chan time.Time, do func()) bool {
@@ -165,5 +168,5 @@
 	return false
 }
 
-// Stopped is closed once Run has returned.
+// Stopped returns a channel that is closed once Run has returned.
 func (e *Engine) Stopped() <-chan struct{} { return e.stopped }
--- a/internal/engine/reconfigure.go
+++ b/internal/engine/reconfigure.go
@@ -6,8 +6,8 @@
 	"pepperlead/policy"
 )
 
-// Reconfigure goes over to a new configuration and a new source of endpoints. Requests and all that is known of
-// endpoints stay. It returns whether the settings were taken over: not if the module's counts would become wrong.
+// Reconfigure applies a new configuration and a new source of endpoints. Requests and the learned state of endpoints
+// are kept. It reports whether the settings were applied: they are not if the module's counts would become wrong.
 func (e *Engine) Reconfigure(config Config) (settingsApplied bool) {
 	settingsApplied = sameShape(config.Settings, e.Settings)
 	if settingsApplied {
@@ -24,19 +24,19 @@
 	return settingsApplied
 }
 
-// SetInstances shares budgets and waits among as many instances as are live, and never among fewer than are configured:
-// a partitioned part of the network knows of few and must not assume that the others have stopped. Only the loop calls
-// it.
+// SetInstances sets the number of instances among which budgets and waiting times are shared. It is the number of live
+// instances, but never less than the configured number: in a network partition an instance sees only few others and
+// must not assume that the rest have stopped. Only the loop calls it.
 func (e *Engine) SetInstances(live int) {
 	e.liveInstances = live
 	if n := max(e.configuredInstances, live); n != e.Settings.Instances {
-		e.Logger.Infof("peers: budgets are shared among %d, %d are configured", n, e.configuredInstances)
+		e.Logger.Infof("peers: budgets are shared among %d instances, %d are configured", n, e.configuredInstances)
 		e.Settings.Instances = n
 	}
 }
 
-// sameShape tells whether the module can go over from one to the other: what it has counted by class, tenant and zone
-// must stay true.
+// sameShape reports whether the module can switch from one of the settings to the other. Its counts by class, tenant
+// and zone must stay correct.
 func sameShape(a, b *policy.Settings) bool {
 	return a.Zone == b.Zone && a.Zones == b.Zones &&
 		a.PollList == b.PollList && a.FixedWeights == b.FixedWeights &&
--- a/internal/engine/record.go
+++ b/internal/engine/record.go
@@ -8,18 +8,18 @@
 	"pepperlead/policy"
 )
 
-// observe measures and records a final answer.
-func (e *Engine) observe(now policy.Time, t *Request, answer int) {
-	spent := max(0, now-t.ReceivedAt)
+// observe measures the latency of a final answer and records it in the trace.
+func (e *Engine) observe(now policy.Time, request *Request, answer int) {
+	spent := max(0, now-request.ReceivedAt)
 	if e.Latency != nil && answer != answerClientLeft {
-		e.Latency.Observe(t.Class, answer, spent)
+		e.Latency.Observe(request.Class, answer, spent)
 	}
 	if e.Recorder != nil {
-		e.Recorder.Put(trace.Record{Kind: trace.RequestEnd, At: now, No: t.No, A: int64(answer), C: spent})
+		e.Recorder.Put(trace.Record{Kind: trace.RequestEnd, At: now, No: request.No, A: int64(answer), C: spent})
 	}
 }
 
-func (e *Engine) recordRequest(now policy.Time, t *Request, tenant policy.TenantID, key string, repeat bool,
+func (e *Engine) recordRequest(now policy.Time, request *Request, tenant policy.TenantID, key string, repeat bool,
 	timeout policy.Time) {
 	if e.Recorder == nil {
 		return
@@ -27,8 +27,8 @@
 	record := trace.Record{
 		Kind: trace.Request,
 		At:   now,
-		No:   t.No,
-		A:    int64(t.Class),
+		No:   request.No,
+		A:    int64(request.Class),
 		B:    int64(tenant),
 		C:    max(0, timeout),
 	}
@@ -41,36 +41,36 @@
 	e.Recorder.Put(record)
 }
 
-func (e *Engine) recordAttempt(now policy.Time, t *Request, to *Endpoint) {
-	if r := e.Recorder; r != nil {
-		r.Put(trace.Record{Kind: trace.Attempt, At: now, No: t.No, A: r.KnownEndpoint(to.ID)})
+func (e *Engine) recordAttempt(now policy.Time, request *Request, to *Endpoint) {
+	if recorder := e.Recorder; recorder != nil {
+		recorder.Put(trace.Record{Kind: trace.Attempt, At: now, No: request.No, A: recorder.KnownEndpoint(to.ID)})
 	}
 }
 
-func (e *Engine) recordEnd(now policy.Time, t *Request, outcome policy.Outcome, spent policy.Time) {
-	r := e.Recorder
-	if r == nil {
+func (e *Engine) recordEnd(now policy.Time, request *Request, outcome policy.Outcome, spent policy.Time) {
+	recorder := e.Recorder
+	if recorder == nil {
 		return
 	}
-	r.Put(trace.Record{
+	recorder.Put(trace.Record{
 		Kind: trace.AttemptEnd,
 		At:   now,
-		No:   t.No,
-		A:    r.KnownEndpoint(t.Endpoint),
+		No:   request.No,
+		A:    recorder.KnownEndpoint(request.Endpoint),
 		B:    int64(outcome),
 		C:    spent,
 	})
 }
 
 func (e *Engine) recordListed(now policy.Time, entry discovery.Entry) {
-	r := e.Recorder
-	if r == nil {
+	recorder := e.Recorder
+	if recorder == nil {
 		return
 	}
-	r.Put(trace.Record{
+	recorder.Put(trace.Record{
 		Kind: trace.Listed,
 		At:   now,
-		No:   uint64(r.EndpointNumber(now, entry.Member, entry.UID)),
+		No:   uint64(recorder.EndpointNumber(now, entry.Member, entry.UID)),
 		A:    int64(entry.Status),
 		B:    int64(entry.Started),
 	})
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -2,155 +2,158 @@
 
 import "pepperlead/policy"
 
-// BeforeDeadline is how many ticks before the client's deadline the engine's fronts end what the module does not: an
-// attempt whose body came late, or a streamed response that stopped.
+// BeforeDeadline is the number of ticks before the client's deadline at which attempts end that the module does not
+// time out: attempts whose request body was completed late, and attempts whose streamed response has stalled.
 const BeforeDeadline = 4
 
-// Request is a request as the engine has it.
+// Request is the engine's state of a request.
 type Request struct {
 	Handle        policy.Handle
 	Front         Front
-	FrontData     any    // the front's own, kept when the Request is reused
-	No            uint64 // counts requests
+	FrontData     any    // data of the front, kept when the Request is reused
+	No            uint64 // sequence number of the request
 	Class         policy.ClassID
-	ReceivedAt    policy.Time // when its last byte came
-	ClientWaiting bool        // for an answer
-	InFlight      bool        // an attempt is in flight, or about to be
-	AttemptNo     policy.AttemptNo
-	Attempts      int
-	Endpoint      policy.EndpointID
-	SentAt        policy.Time
-	AttemptTimer  Timer
-	Decided       bool // on the final answer
-	PendingSteps  int  // decided on and not yet carried out
+	ReceivedAt    policy.Time       // when the request's last byte was received
+	ClientWaiting bool              // the client waits for an answer
+	InFlight      bool              // an attempt is in flight, or is about to be sent
+	AttemptNo     policy.AttemptNo  // of the latest attempt
+	Attempts      int               // number of attempts so far
+	Endpoint      policy.EndpointID // of the latest attempt
+	SentAt        policy.Time       // when the latest attempt was sent
+	AttemptTimer  Timer             // timeout of the attempt in flight
+	Decided       bool              // the final answer is decided on, or the client has left
+	PendingSteps  int               // steps that are decided on and not yet carried out
 
 	frontIndex   int
-	rulesVersion uint64 // when the latest attempt was decided on
+	rulesVersion uint64 // version of the rules under which the latest attempt was decided on
 }
 
-// endedAttempt is an attempt that has ended.
+// endedAttempt is an attempt that has ended and is not yet reported to the module.
 type endedAttempt struct {
 	request *Request
 	outcome policy.Outcome
 	spent   policy.Time
 }
 
-// NewRequest returns an unused request of the front with that index. Its FrontData may be one that the front left there
-// earlier, or nil.
+// NewRequest returns an unused request of the front with the given index. Its FrontData is nil, or what the front
+// stored there for an earlier request.
 func (e *Engine) NewRequest(front int) *Request {
 	e.InFlight++
 	if n := len(e.freeRequests[front]); n > 0 {
-		t := e.freeRequests[front][n-1]
+		request := e.freeRequests[front][n-1]
 		e.freeRequests[front] = e.freeRequests[front][:n-1]
-		return t
+		return request
 	}
-	t := &Request{Front: e.fronts[front], frontIndex: front}
-	t.AttemptTimer.Run = func(now policy.Time) { t.Front.TimedOut(now, t) }
-	return t
+	request := &Request{Front: e.fronts[front], frontIndex: front}
+	request.AttemptTimer.Run = func(now policy.Time) { request.Front.TimedOut(now, request) }
+	return request
 }
 
-// Admit hands a request to the module. receivedAt is when its last byte came, and timeout how long its client waits
-// from then on.
-func (e *Engine) Admit(now, receivedAt policy.Time, t *Request, class policy.ClassID, tenant policy.TenantID,
+// Admit passes a request to the module. receivedAt is the time at which its last byte was received, and timeout is how
+// long its client waits from then on.
+func (e *Engine) Admit(now, receivedAt policy.Time, request *Request, class policy.ClassID, tenant policy.TenantID,
 	key string, repeat bool, timeout policy.Time) {
 	e.Counters.Requests++
-	t.No = uint64(e.Counters.Requests)
-	t.Class = class
-	t.ReceivedAt = receivedAt
-	t.ClientWaiting = true
+	request.No = uint64(e.Counters.Requests)
+	request.Class = class
+	request.ReceivedAt = receivedAt
+	request.ClientWaiting = true
 	e.Tally.Pending.Add(1)
 	timeout -= now - receivedAt
-	e.recordRequest(now, t, tenant, key, repeat, timeout)
-	t.Handle = e.Module.Admit(now, class, tenant, key, repeat, max(0, timeout))
-	for len(e.requests) <= t.Handle.Index() {
+	e.recordRequest(now, request, tenant, key, repeat, timeout)
+	request.Handle = e.Module.Admit(now, class, tenant, key, repeat, max(0, timeout))
+	for len(e.requests) <= request.Handle.Index() {
 		e.requests = append(e.requests, nil)
 	}
-	e.requests[t.Handle.Index()] = t
+	e.requests[request.Handle.Index()] = request
 	if e.rules != nil {
 		e.rules.classes.Acquire(class)
 	}
-	e.Module.Begin(now, t.Handle)
+	e.Module.Begin(now, request.Handle)
 }
 
-// BodyBegun says that the last byte of an admitted request is still to come: it has no deadline until BodyComplete.
-func (e *Engine) BodyBegun(t *Request) {
-	if !t.Decided {
-		e.Module.BodyPending(t.Handle, false, 0)
+// BodyBegun reports that the body of an admitted request is not complete yet. The request has no deadline until
+// BodyComplete is called.
+func (e *Engine) BodyBegun(request *Request) {
+	if !request.Decided {
+		e.Module.BodyPending(request.Handle, false, 0)
 	}
 }
 
-// BodyComplete says that the last byte has come, and how long the client waits from now on.
-func (e *Engine) BodyComplete(now policy.Time, t *Request, timeout policy.Time) {
-	if t.Decided {
+// BodyComplete reports that the last byte of the body was received. timeout is how long the client waits from now on.
+func (e *Engine) BodyComplete(now policy.Time, request *Request, timeout policy.Time) {
+	if request.Decided {
 		return
 	}
-	t.ReceivedAt = now
-	e.Module.BodyPending(t.Handle, true, now+timeout)
-	if t.InFlight {
-		t.SentAt = now
-		e.Timers.Set(&t.AttemptTimer, now+max(0, timeout-BeforeDeadline*e.Settings.Tick))
+	request.ReceivedAt = now
+	e.Module.BodyPending(request.Handle, true, now+timeout)
+	if request.InFlight {
+		request.SentAt = now
+		e.Timers.Set(&request.AttemptTimer, now+max(0, timeout-BeforeDeadline*e.Settings.Tick))
 	}
 }
 
-// AttemptEnded notes how the attempt in flight ended. The module is told before the next step.
-func (e *Engine) AttemptEnded(at policy.Time, t *Request, outcome policy.Outcome) {
-	e.Timers.Stop(&t.AttemptTimer)
-	e.ended = append(e.ended, endedAttempt{request: t, outcome: outcome, spent: max(0, at-t.SentAt)})
+// AttemptEnded records the outcome of the attempt in flight. The outcome is reported to the module by RunSteps.
+func (e *Engine) AttemptEnded(at policy.Time, request *Request, outcome policy.Outcome) {
+	e.Timers.Stop(&request.AttemptTimer)
+	e.ended = append(e.ended, endedAttempt{request: request, outcome: outcome, spent: max(0, at-request.SentAt)})
 }
 
-// Answered says that the client has its final answer, of a kind such as AnswerSucceeded.
-func (e *Engine) Answered(now policy.Time, t *Request, answer int) {
-	e.endWait(t, answer)
-	e.observe(now, t, answer)
+// Answered reports that the client has its final answer. answer is its kind, such as AnswerSucceeded.
+func (e *Engine) Answered(now policy.Time, request *Request, answer int) {
+	e.endWait(request, answer)
+	e.observe(now, request, answer)
 }
 
-// Unanswered says that the final answer found no client.
-func (e *Engine) Unanswered(t *Request) { e.endWait(t, answerClientLeft) }
+// Unanswered reports that the final answer did not reach the client: the client had left, or the answer was a streamed
+// response that broke off.
+func (e *Engine) Unanswered(request *Request) { e.endWait(request, answerClientLeft) }
 
-// ClientLeft says that the client has gone.
-func (e *Engine) ClientLeft(now policy.Time, t *Request) {
-	e.endWait(t, answerClientLeft)
-	if !t.Decided {
+// ClientLeft reports that the client has left.
+func (e *Engine) ClientLeft(now policy.Time, request *Request) {
+	e.endWait(request, answerClientLeft)
+	if !request.Decided {
 		e.Counters.ClientsDisconnected++
-		e.observe(now, t, answerClientLeft)
-		t.Decided = true
-		e.Module.ClientLeft(now, t.Handle)
+		e.observe(now, request, answerClientLeft)
+		request.Decided = true
+		e.Module.ClientLeft(now, request.Handle)
 	}
-	e.release(t)
+	e.release(request)
 }
 
-// Done says that the front has finished with a request whose attempt had ended before.
-func (e *Engine) Done(t *Request) { e.release(t) }
+// Done reports that the front has finished with a request whose attempt was reported as ended earlier, as it is for a
+// streamed response.
+func (e *Engine) Done(request *Request) { e.release(request) }
 
-// endWait counts the end of a request, once.
-func (e *Engine) endWait(t *Request, answer int) {
-	if !t.ClientWaiting {
+// endWait marks that the client no longer waits, and counts the result of the request. Further calls have no effect.
+func (e *Engine) endWait(request *Request, answer int) {
+	if !request.ClientWaiting {
 		return
 	}
-	t.ClientWaiting = false
+	request.ClientWaiting = false
 	e.Tally.Pending.Add(-1)
-	e.Count(t.Class, resultOf[answer])
+	e.Count(request.Class, resultOf[answer])
 }
 
-// release frees a request that nothing refers to any more.
-func (e *Engine) release(t *Request) {
-	if !t.Decided || t.InFlight || t.PendingSteps != 0 || t.ClientWaiting {
+// release makes a request available for reuse, if nothing refers to it any more.
+func (e *Engine) release(request *Request) {
+	if !request.Decided || request.InFlight || request.PendingSteps != 0 || request.ClientWaiting {
 		return
 	}
-	e.Timers.Stop(&t.AttemptTimer)
-	if slot := t.Handle.Index(); slot < len(e.requests) && e.requests[slot] == t {
+	e.Timers.Stop(&request.AttemptTimer)
+	if slot := request.Handle.Index(); slot < len(e.requests) && e.requests[slot] == request {
 		e.requests[slot] = nil
 	}
 	if e.rules != nil {
-		e.rules.classes.Release(t.Class)
+		e.rules.classes.Release(request.Class)
 	}
-	t.Front.Released(t)
-	*t = Request{
-		Front:        t.Front,
-		FrontData:    t.FrontData,
-		AttemptTimer: Timer{Run: t.AttemptTimer.Run},
-		frontIndex:   t.frontIndex,
+	request.Front.Released(request)
+	*request = Request{
+		Front:        request.Front,
+		FrontData:    request.FrontData,
+		AttemptTimer: Timer{Run: request.AttemptTimer.Run},
+		frontIndex:   request.frontIndex,
 	}
-	e.freeRequests[t.frontIndex] = append(e.freeRequests[t.frontIndex], t)
+	e.freeRequests[request.frontIndex] = append(e.freeRequests[request.frontIndex], request)
 	e.InFlight--
 }
--- a/internal/engine/ruleclasses.go
+++ b/internal/engine/ruleclasses.go
@@ -7,7 +7,7 @@
 	"pepperlead/policy"
 )
 
-// eachRulesFront calls do for each front that supports classes and tenants that come and go.
+// eachRulesFront calls do for each front whose classes and tenants can change.
 func (e *Engine) eachRulesFront(do func(RulesFront)) {
 	for _, f := range e.fronts {
 		if rulesFront, ok := f.(RulesFront); ok {
@@ -16,7 +16,7 @@
 	}
 }
 
-// setClasses writes the classes of the rules to the settings that the module reads.
+// setClasses copies the classes of the rules to the module's settings.
 func (e *Engine) setClasses(rules *ruleset.Rules, leased bool, latest *RuleSet) {
 	set := func(class policy.ClassID, name string, rule ruleset.ClassRule, admits bool) {
 		e.setClass(class, name, rule, latest)
@@ -27,29 +27,29 @@
 	e.rules.classes.Update(rules, leased, set)
 }
 
-// removeClasses has the fronts drop the classes that admit no requests any more.
+// removeClasses makes the fronts drop the classes that no longer admit requests.
 func (e *Engine) removeClasses() {
-	a := e.rules
-	names := append(a.admitted, a.classNames...)
+	active := e.rules
+	names := append(active.admitted, active.classNames...)
 	slices.Sort(names)
-	a.admitted = nil
+	active.admitted = nil
 	for _, name := range slices.Compact(names) {
-		if _, admits := a.classes.Lookup(name); admits {
-			a.admitted = append(a.admitted, name)
+		if _, admits := active.classes.Lookup(name); admits {
+			active.admitted = append(active.admitted, name)
 		} else {
 			e.eachRulesFront(func(f RulesFront) { f.SetClass(name, policy.NoClass, 0) })
 		}
 	}
 }
 
-// setClass sets one class by its rule. What the rule doesn't bind is that of the latest rule set, or else that of the
-// class that had the name before.
+// setClass sets one class by its rule. Settings that the rule doesn't determine are those of the latest rule set, or
+// else those of the class that had this name before.
 func (e *Engine) setClass(id policy.ClassID, name string, rule ruleset.ClassRule, latest *RuleSet) {
 	e.growClasses(id)
-	a := e.rules
+	active := e.rules
 	class := &e.Settings.Classes[id]
-	renamed := a.classNames[id] != name
-	previous := slices.Index(a.classNames, name)
+	renamed := active.classNames[id] != name
+	previous := slices.Index(active.classNames, name)
 	hasName := func(c policy.Class) bool { return c.Name == name }
 	if i := slices.IndexFunc(latest.Settings.Classes, hasName); i >= 0 {
 		*class = latest.Settings.Classes[i]
@@ -60,8 +60,8 @@
 	if !renamed {
 		return
 	}
-	a.classNames[id] = name
-	a.classRows[id] = e.classRow(name)
+	active.classNames[id] = name
+	active.classRows[id] = e.classRow(name)
 	if previous < 0 {
 		previous = int(id)
 	}
@@ -71,20 +71,20 @@
 	}
 }
 
-// growClasses makes room for the class of that id.
+// growClasses makes room for the class with the given id.
 func (e *Engine) growClasses(id policy.ClassID) {
-	a := e.rules
-	for len(a.classNames) <= int(id) {
-		a.classNames = append(a.classNames, "")
-		a.classRows = append(a.classRows, 0)
+	active := e.rules
+	for len(active.classNames) <= int(id) {
+		active.classNames = append(active.classNames, "")
+		active.classRows = append(active.classRows, 0)
 	}
 	for len(e.Settings.Classes) <= int(id) {
 		e.Settings.Classes = append(e.Settings.Classes, policy.Class{})
 	}
 }
 
-// setQuotas takes over the tenants and their quotas. A tenant that is not named any more has none, and its requests
-// count as no tenant's.
+// setQuotas applies the tenants and their quotas. A tenant that the rules no longer name has no quota, and its requests
+// are attributed to no tenant.
 func (e *Engine) setQuotas(rules *ruleset.Rules) {
 	e.Settings.TotalQuota = 0
 	for i, tenant := range e.Settings.Tenants {
@@ -102,7 +102,7 @@
 	}
 }
 
-// tenant is the id of a tenant, which is added if need be.
+// tenant returns the id of the tenant with that name. It adds the tenant if there is none.
 func (e *Engine) tenant(name string) policy.TenantID {
 	hasName := func(t policy.Tenant) bool { return t.Name == name }
 	if i := slices.IndexFunc(e.Settings.Tenants, hasName); i >= 0 {
--- a/internal/engine/ruleendpoints.go
+++ b/internal/engine/ruleendpoints.go
@@ -9,8 +9,8 @@
 	"pepperlead/policy"
 )
 
-// TableDigest is the digest of the module's endpoint table. An agreed table that the module has left since, as an
-// endpoint's time has run out, is adopted again.
+// TableDigest returns the digest of the module's endpoint table. If the module no longer uses the agreed table, because
+// it has removed an endpoint that left the list some time ago, the agreed table is adopted again first.
 func (e *Engine) TableDigest() uint64 {
 	digest := e.Module.TableDigest()
 	if e.rules != nil && digest != e.rules.tableDigest && e.adoptTable() {
@@ -19,30 +19,31 @@
 	return digest
 }
 
-// adoptTable has the module use the agreed table, where there is one.
+// adoptTable makes the module use the agreed endpoint table, and reports whether it does. It returns false if there is
+// no agreed table, or if the table names an endpoint that is not listed.
 func (e *Engine) adoptTable() bool {
-	a := e.rules
-	if !a.leased || !e.list.rulesList {
+	active := e.rules
+	if !active.leased || !e.list.rulesList {
 		return false
 	}
-	set := a.ruleSets[a.current()]
+	set := active.ruleSets[active.current()]
 	if set == nil || set.Table == nil {
 		return false
 	}
 	if e.Module.AdoptTable(set.Table) {
-		a.tableDigest = e.Module.TableDigest()
+		active.tableDigest = e.Module.TableDigest()
 		return true
 	}
-	if a.rejectedTable != set.Number {
-		a.rejectedTable = set.Number
+	if active.rejectedTable != set.Number {
+		active.rejectedTable = set.Number
 		e.Logger.WithField("revision", set.Number).
 			Error("agreed endpoint table rejected, it names an endpoint that is not listed")
 	}
 	return false
 }
 
-// setRulesEndpoints lists the endpoints that the rule sets name in the place of the source's own; tableOf is the rule
-// set of the agreed table.
+// setRulesEndpoints applies the endpoints that the rule sets name, instead of those of the source. If the rules allow
+// any endpoint, the source's list is used again. tableOf is the rule set with the agreed table.
 func (l *endpointList) setRulesEndpoints(rules *ruleset.Rules, sets []*RuleSet, tableOf *RuleSet) {
 	now := l.engine.Clock.Now()
 	if rules.AnyEndpoint {
@@ -54,13 +55,13 @@
 	}
 	l.rulesList = true
 	var entries []discovery.Entry
-	named := map[policy.EndpointID]bool{}
+	seen := map[policy.EndpointID]bool{}
 	for _, set := range sets {
 		for _, entry := range set.Endpoints {
-			if named[entry.ID] {
+			if seen[entry.ID] {
 				continue
 			}
-			named[entry.ID] = true
+			seen[entry.ID] = true
 			if agreed, listed := l.agreedEntry(entry, rules, set == tableOf); listed {
 				entries = append(entries, agreed)
 			}
@@ -69,12 +70,13 @@
 	l.apply(now, &discovery.List{Kind: policy.ListFull, Entries: entries})
 }
 
-// agreedEntry is a rule set's entry as it is listed. An endpoint that not all rule sets name which may be in force
-// drains. One that is only coming is not listed yet, so that the table stays as it is in force.
+// agreedEntry returns the entry to be listed for an entry of a rule set, and whether it is listed. An endpoint that is
+// missing from one of the rule sets that may be in force is draining. If it is neither known nor in the rule set of the
+// agreed table, it is not listed yet, so that the table in force does not change.
 func (l *endpointList) agreedEntry(entry discovery.Entry, rules *ruleset.Rules, inTable bool) (discovery.Entry, bool) {
 	byID := func(s ruleset.Endpoint, id policy.EndpointID) int { return cmp.Compare(s.ID, id) }
-	i, named := slices.BinarySearchFunc(rules.Endpoints, entry.ID, byID)
-	if named {
+	i, agreed := slices.BinarySearchFunc(rules.Endpoints, entry.ID, byID)
+	if agreed {
 		entry.Started = max(entry.Started, rules.Endpoints[i].Started)
 		return entry, true
 	}
--- a/internal/engine/seenids.go
+++ b/internal/engine/seenids.go
@@ -6,14 +6,14 @@
 	"pepperlead/policy"
 )
 
-// maxSeenIDs bounds the memory for the ids that lists have named.
+// maxSeenIDs bounds the number of remembered ids, and so their memory.
 const maxSeenIDs = 1 << 16
 
-// seenIDs are the latest ids that lists have named. The oldest are forgotten.
+// seenIDs holds the ids that have been in endpoint lists. If there are too many, the oldest are forgotten.
 type seenIDs struct {
 	set    map[policy.EndpointID]struct{}
 	ring   []policy.EndpointID
-	oldest int // in the ring, once that is full
+	oldest int // index of the oldest id in the ring; 0 until the ring is full
 }
 
 func newSeenIDs() seenIDs { return seenIDs{set: map[policy.EndpointID]struct{}{}} }
@@ -42,10 +42,11 @@
 	return append(slices.Clone(s.ring[s.oldest:]), s.ring[:s.oldest]...)
 }
 
-// SeenEndpoints are the ids that lists have named, the latest last, for the process that takes over.
+// SeenEndpoints returns the ids that have been in endpoint lists, the latest last. They are passed on to the next
+// process in a hot restart.
 func (e *Engine) SeenEndpoints() []policy.EndpointID { return e.list.seen.all() }
 
-// ImportSeen takes over the ids that the process before has seen.
+// ImportSeen adds the ids that the previous process has seen.
 func (e *Engine) ImportSeen(ids []policy.EndpointID) {
 	for _, id := range ids {
 		e.list.seen.add(id)
--- a/internal/engine/shutdown.go
+++ b/internal/engine/shutdown.go
@@ -7,13 +7,14 @@
 )
 
 const (
-	// listSaveTime is what a source gets at the end to save its last list.
+	// listSaveTime is the time that a source has to save its last list at the end of the shutdown.
 	listSaveTime = 500 * time.Millisecond
-	// shutdownCheckInterval is between looks at whether all requests are answered.
+	// shutdownCheckInterval is the interval at which the loop checks whether all requests are answered.
 	shutdownCheckInterval = 10 * policy.Millisecond
 )
 
-// BeginShutdown begins the graceful shutdown: the module answers all requests in time, and fronts accept no more.
+// BeginShutdown starts the graceful shutdown: the module answers all requests before the shutdown deadline, and the
+// fronts accept no new clients.
 func (e *Engine) BeginShutdown(now policy.Time) {
 	if e.shuttingDown {
 		return
@@ -29,12 +30,13 @@
 	e.shutdownTimer.Run(now)
 }
 
-// ShuttingDown tells whether the shutdown has begun, and by when the last answer must be out.
+// ShuttingDown reports whether the shutdown has begun, and the deadline by which the last answer must be sent.
 func (e *Engine) ShuttingDown() (deadline policy.Time, begun bool) {
 	return e.shutdownDeadline, e.shuttingDown
 }
 
-// drained tells whether all requests are answered and no more can come.
+// drained reports whether all requests are answered, or the shutdown deadline has passed, and no further request can
+// arrive.
 func (e *Engine) drained(now policy.Time) bool {
 	if e.InFlight > 0 && now < e.shutdownDeadline {
 		return false
@@ -46,7 +48,7 @@
 	return all
 }
 
-// close ends the source and the fronts.
+// close stops the source, closes the fronts and stops the engine's own timers.
 func (e *Engine) close() {
 	e.list.cancel()
 	select {
@@ -61,5 +63,5 @@
 	e.Timers.Stop(&e.figuresTimer)
 }
 
-// Abandon marks an engine that will not run as stopped.
+// Abandon marks an engine as stopped that will never run.
 func (e *Engine) Abandon() { close(e.stopped) }
--- a/internal/engine/tally.go
+++ b/internal/engine/tally.go
@@ -6,24 +6,24 @@
 	"pepperlead/policy"
 )
 
-// figuresInterval is between updates of the figures about endpoints.
+// figuresInterval is the interval between updates of the endpoint metrics.
 const figuresInterval = 200 * policy.Millisecond
 
 // Result is how a request ended for its client.
 type Result uint8
 
 const (
-	// Completed is a request that was served.
+	// Completed is the result of a request that an endpoint has served.
 	Completed Result = iota
-	// Rejected is a request that can be retried without harm.
+	// Rejected is the result of a request that was not processed, and can be retried safely.
 	Rejected
-	// Failed is any other.
+	// Failed is the result of any other request.
 	Failed
-	// Results is how many there are.
+	// Results is the number of results.
 	Results
 )
 
-// resultOf is the result of each kind of answer.
+// resultOf maps each kind of answer to the result of the request.
 var resultOf = [...]Result{
 	AnswerSucceeded:  Completed,
 	AnswerDeclined:   Failed,
@@ -32,17 +32,18 @@
 	answerClientLeft: Failed,
 }
 
-// Tally are figures that the loop keeps and any goroutine may read.
+// Tally holds the metrics that the loop updates and any goroutine may read.
 type Tally struct {
-	Answered    [][Results]atomic.Int64 // by class, or by name where classes come and go
-	Written     atomic.Int64            // attempts whose last byte the kernel has
-	Pending     atomic.Int64            // requests admitted and not answered
-	Endpoints   atomic.Int64            // in the list
-	Unavailable atomic.Int64            // of these, administratively drained or ejected
-	HasList     atomic.Bool
+	Answered    [][Results]atomic.Int64 // requests by class (with agreed rules: by row of classRow) and by result
+	Written     atomic.Int64            // attempts whose last byte was written to the kernel
+	Pending     atomic.Int64            // requests that are admitted and not yet answered
+	Endpoints   atomic.Int64            // endpoints in the list
+	Unavailable atomic.Int64            // listed endpoints that are administratively drained or ejected
+	HasList     atomic.Bool             // there is an endpoint list
 }
 
-// Count counts the end of a request. What never became a request is counted by its front.
+// Count counts a result. The engine counts those of admitted requests; fronts count those of requests that they answer
+// without admitting them.
 func (e *Engine) Count(class policy.ClassID, result Result) {
 	row := int(class)
 	if e.rules != nil {
@@ -51,19 +52,19 @@
 	e.Tally.Answered[row][result].Add(1)
 }
 
-// publishFigures updates the figures about endpoints.
+// publishFigures updates the endpoint metrics and schedules the next update.
 func (e *Engine) publishFigures(now policy.Time) {
 	var listed, unavailable int64
-	for _, s := range e.Endpoints {
-		if !s.Listed {
+	for _, endpoint := range e.Endpoints {
+		if !endpoint.Listed {
 			continue
 		}
 		listed++
-		if e.list.drained[s.UID].drained || e.Module.Ejected(now, s.ID) {
+		if e.list.drained[endpoint.UID].drained || e.Module.Ejected(now, endpoint.ID) {
 			unavailable++
 		}
 	}
-	e.Tally.HasList.Store(e.list.known)
+	e.Tally.HasList.Store(e.list.hasList)
 	e.Tally.Endpoints.Store(listed)
 	e.Tally.Unavailable.Store(unavailable)
 	e.Timers.Set(&e.figuresTimer, now+figuresInterval)
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -6,40 +6,40 @@
 	"pepperlead/policy"
 )
 
-// Timer calls Run once it is due. It belongs to the struct that it is a field of.
+// Timer calls Run when it is due. It is a field of the struct that it serves.
 type Timer struct {
 	Run      func(now policy.Time)
 	at       policy.Time
-	position int // in the heap, from 1; 0: not set
+	position int // position in the heap, counted from 1; 0: the timer is not set
 }
 
-// Active tells whether the timer is set.
+// Active reports whether the timer is set.
 func (t *Timer) Active() bool { return t.position > 0 }
 
-// At is when the timer is due.
+// At returns the time at which the timer is due.
 func (t *Timer) At() policy.Time { return t.at }
 
-// Timers are the timers that are set.
+// Timers holds the timers that are set.
 type Timers struct{ active timerHeap }
 
 // Set sets the timer, or moves it if it is set.
-func (q *Timers) Set(t *Timer, at policy.Time) {
-	t.at = at
-	if t.position > 0 {
-		heap.Fix(&q.active, t.position-1)
+func (q *Timers) Set(timer *Timer, at policy.Time) {
+	timer.at = at
+	if timer.position > 0 {
+		heap.Fix(&q.active, timer.position-1)
 	} else {
-		heap.Push(&q.active, t)
+		heap.Push(&q.active, timer)
 	}
 }
 
 // Stop stops the timer if it is set.
-func (q *Timers) Stop(t *Timer) {
-	if t.position > 0 {
-		heap.Remove(&q.active, t.position-1)
+func (q *Timers) Stop(timer *Timer) {
+	if timer.position > 0 {
+		heap.Remove(&q.active, timer.position-1)
 	}
 }
 
-// Next is when the next timer is due, if there is one.
+// Next returns the time at which the next timer is due, and whether there is one.
 func (q *Timers) Next() (policy.Time, bool) {
 	if len(q.active) == 0 {
 		return 0, false
@@ -50,16 +50,16 @@
 // Run runs the timers that are due.
 func (q *Timers) Run(now policy.Time) {
 	for len(q.active) > 0 && q.active[0].at <= now {
-		t := q.active[0]
+		timer := q.active[0]
 		heap.Pop(&q.active)
-		t.Run(now)
+		timer.Run(now)
 	}
 }
 
-// Len is how many timers are set.
+// Len returns the number of timers that are set.
 func (q *Timers) Len() int { return len(q.active) }
 
-// timerHeap implements heap.Interface, the next timer first.
+// timerHeap implements heap.Interface; the timer that is due next comes first.
 type timerHeap []*Timer
 
 // Len implements heap.Interface.
@@ -77,15 +77,15 @@
 
 // Push implements heap.Interface.
 func (h *timerHeap) Push(x any) {
-	t := x.(*Timer)
-	*h = append(*h, t)
-	t.position = len(*h)
+	timer := x.(*Timer)
+	*h = append(*h, timer)
+	timer.position = len(*h)
 }
 
 // Pop implements heap.Interface.
 func (h *timerHeap) Pop() any {
-	t := (*h)[len(*h)-1]
+	timer := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
-	t.position = 0
-	return t
+	timer.position = 0
+	return timer
 }
--- a/internal/engine/timers_test.go
+++ b/internal/engine/timers_test.go
@@ -9,11 +9,12 @@
 	"pepperlead/policy"
 )
 
-// Timers against a plain list: whatever is set, moved and stopped, each runs once, when due, in order.
+// Compares Timers with a plain map: after any sequence of setting, moving and stopping timers, each one that is due runs once, in the
+// order of the times.
 func TestTimersRunInOrder(t *testing.T) {
 	run := func(seed int64) bool {
 		r := rand.New(rand.NewSource(seed))
-		var q Timers
+		var queue Timers
 		var ran []policy.Time
 		timers, want := make([]Timer, 20), map[int]policy.Time{}
 		for i := range timers {
@@ -22,13 +23,13 @@
 		for range 100 {
 			i, at := r.Intn(len(timers)), policy.Time(r.Intn(50))
 			if r.Intn(3) == 0 {
-				q.Stop(&timers[i])
+				queue.Stop(&timers[i])
 				delete(want, i)
 			} else {
-				q.Set(&timers[i], at)
+				queue.Set(&timers[i], at)
 				want[i] = at
 			}
-			if timers[i].Active() != has(want, i) {
+			if timers[i].Active() != hasKey(want, i) {
 				return false
 			}
 		}
@@ -39,14 +40,14 @@
 			}
 		}
 		slices.Sort(due)
-		q.Run(25)
-		left := len(want) - len(due)
-		next, any := q.Next()
-		return slices.Equal(ran, due) && q.Len() == left && any == (left > 0) && (!any || next > 25)
+		queue.Run(25)
+		remaining := len(want) - len(due)
+		next, found := queue.Next()
+		return slices.Equal(ran, due) && queue.Len() == remaining && found == (remaining > 0) && (!found || next > 25)
 	}
 	if err := quick.Check(run, &quick.Config{MaxCount: 200, Rand: rand.New(rand.NewSource(1))}); err != nil {
 		t.Error(err)
 	}
 }
 
-func has(m map[int]policy.Time, i int) bool { _, ok := m[i]; return ok }
+func hasKey(m map[int]policy.Time, key int) bool { _, ok := m[key]; return ok }
