--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock provides the two clocks of a process: Unix time that never goes back, for everything but leases, and
-// the time since boot, for leases.
+// Package clock provides the two clocks of a process: monotonic Unix time, for everything except leases, and the time
+// since boot, for leases.
 package clock
 
 import (
@@ -8,16 +8,16 @@
 	"pepperlead/policy"
 )
 
-// Clock gives Unix time, as endpoint lists do, but is monotonic: it ignores changes of the system's time after its
-// start.
+// Clock is a monotonic clock of Unix time, which endpoint lists use as well. It ignores changes of the system time
+// after its start.
 type Clock struct {
 	start time.Time
 }
 
-// New starts a clock at the system's time.
+// New returns a clock that starts at the system time.
 func New() Clock { return Clock{time.Now()} }
 
-// Now returns the time in nanoseconds since 1970.
+// Now returns the time in nanoseconds since the Unix epoch.
 func (c Clock) Now() policy.Time {
 	return policy.Time(c.start.UnixNano() + int64(time.Since(c.start)))
 }
--- a/internal/clock/lease.go
+++ b/internal/clock/lease.go
@@ -10,11 +10,11 @@
 	"pepperlead/policy"
 )
 
-// skewVariable is the environment variable that makes the lease clock of one process run wrong, for fault tests:
-// RATE,OFFSET, as in 0.98,3s. With a rate of 0 the clock stands still.
+// skewVariable is the environment variable that skews the lease clock of a process, for fault-injection tests. Its form
+// is RATE,OFFSET, for example 0.98,3s. With a rate of 0 the clock stops.
 const skewVariable = "GW_CLOCK"
 
-// skew is how the lease clock of this process differs from the system's.
+// skew is the deviation of the lease clock of this process from the system's clock.
 type skew struct {
 	rate   float64 // 1: as fast as the system's clock
 	offset policy.Time
@@ -25,7 +25,8 @@
 	processStart = BootTime()
 )
 
-// parseSkew parses the value of the environment variable. Text of another form means no skew, as does an empty one.
+// parseSkew parses the value of the environment variable. If it is empty or malformed, there is no skew; if only the
+// offset is malformed, the offset is 0.
 func parseSkew(text string) skew {
 	rate := 1.0
 	var offsetText string
@@ -39,8 +40,8 @@
 	return skew{rate: rate, offset: policy.Time(offset)}
 }
 
-// LeaseTime returns the time by which leases expire. It is BootTime, except in a process of a fault test that has a
-// skew.
+// LeaseTime returns the time on the clock by which leases expire. It equals BootTime, unless a fault-injection test has
+// set a skew.
 func LeaseTime() policy.Time {
 	elapsed := float64(BootTime() - processStart)
 	return policy.Time(elapsed*leaseSkew.rate) + processStart + leaseSkew.offset
@@ -48,7 +49,7 @@
 
 // BootTime returns the time since boot, which is the same in all processes of a machine and can't be set. Unlike
 // CLOCK_MONOTONIC, CLOCK_BOOTTIME includes the time during which the machine is suspended (see clock_gettime(2)), so
-// that no lease outlives that. Should the clock be unavailable, it is 0.
+// that leases expire during a suspension as well. If the clock is unavailable, BootTime returns 0.
 func BootTime() policy.Time {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
--- a/internal/clock/lease_test.go
+++ b/internal/clock/lease_test.go
@@ -23,7 +23,7 @@
 }
 
 // Without a skew, leases expire by the system's clock.
-func TestLeaseClockFollowsTheSystem(t *testing.T) {
+func TestLeaseClockFollowsSystemClock(t *testing.T) {
 	before := BootTime()
 	got := LeaseTime()
 	after := BootTime()
--- a/internal/connstate/conn.go
+++ b/internal/connstate/conn.go
@@ -7,26 +7,26 @@
 	"pepperlead/policy"
 )
 
-// Socket is the socket under a connection.
+// Socket is the socket of a connection.
 type Socket interface {
-	// Write sends bytes; what the kernel does not take at once goes out later.
+	// Write sends bytes. Bytes that the kernel does not accept at once are sent later.
 	Write(b []byte) (int, error)
-	// Close ends the connection in order.
+	// Close closes the connection in an orderly way.
 	Close() error
-	// CloseIfIdle closes the connection unless bytes have come that the loop has not processed.
+	// CloseIfIdle closes the connection unless bytes have arrived that the loop has not processed.
 	CloseIfIdle(c *Conn) bool
-	// Idle reports whether no unprocessed bytes have come and the peer has not closed.
+	// Idle reports whether no unprocessed bytes have arrived and the peer has not closed the connection.
 	Idle(c *Conn) bool
-	// DiscardInput throws away what still comes, up to a bound.
+	// DiscardInput reads and discards further input, up to a bound.
 	DiscardInput()
-	// Reset ends the connection so that the peer sees no orderly end.
+	// Reset resets the connection, so that the peer does not see an orderly close.
 	Reset()
 }
 
-// Side is the kind of peer of a connection.
+// Side tells whether the peer of a connection is a client or an endpoint.
 type Side uint8
 
-// The peers.
+// The sides.
 const (
 	ClientSide Side = iota
 	EndpointSide
@@ -40,69 +40,70 @@
 	return "endpoint"
 }
 
-// Conn is one connection. The loop owns it, except for the atomic fields, which the goroutine that serves the socket
-// sets as well.
+// Conn is a connection to a client or an endpoint. The loop owns it, except for the atomic fields, which are also set
+// by the goroutine that serves the socket.
 type Conn struct {
 	Socket     Socket
 	Side       Side
-	Number     uint64 // counts connections
+	Number     uint64 // sequence number of the connection
 	Timer      engine.Timer
 	Request    *Request  // the request that the connection carries now
 	Endpoint   *Endpoint // EndpointSide: the peer
 	Generation int       // EndpointSide: generation of the endpoint when the connection was dialled
 
 	Connected bool        // the connection is established
-	Closing   bool        // closed, or about to be: nothing more is read or sent
-	Resting   bool        // idle since its last response
-	Used      bool        // has carried a request
-	IdleSince policy.Time // when it was opened or last had work
+	Closing   bool        // the connection is closed, or about to be: nothing more is read or sent
+	Resting   bool        // ClientSide: no request has arrived since the last response
+	Used      bool        // the connection has carried a request
+	IdleSince policy.Time // when the connection was opened, or last had a request
 
 	Input    Input
 	Output   Output
 	Progress Progress
 	Upload   Upload
-	Frame    Frame // of a body that is forwarded as it comes
+	Frame    Frame // progress of a body that is streamed
 }
 
 // Input is the state of reading from a connection.
 type Input struct {
 	Buffer       *Buffer      // bytes read and not yet consumed
-	Needed       int          // bytes that make the message in Buffer complete; 0: unknown
+	Needed       int          // total size of the message in Buffer; 0: unknown
 	HeadAt       policy.Time  // when the head of the message in Buffer was complete; 0: not yet
 	Unread       atomic.Int64 // bytes read that the loop has not processed yet
 	UnreadMemory atomic.Int64 // memory that these bytes take
-	Paused       atomic.Bool  // reading waits until the receiver has taken what is pending
-	PeerClosed   atomic.Bool  // the peer closed after its last bytes; its end is about to be reported
-	EOF          atomic.Bool  // the peer ended its stream in order; without that the connection was reset
+	Paused       atomic.Bool  // reading is paused until the receiver has taken the pending bytes
+	PeerClosed   atomic.Bool  // the peer closed after its last bytes; the close is about to be reported to the loop
+	EOF          atomic.Bool  // the peer closed in an orderly way; otherwise the connection was reset
 }
 
 // Output is the state of writing to a connection.
 type Output struct {
-	Queued           int64        // bytes given to the socket
-	Written          atomic.Int64 // of these, bytes that the kernel has taken
-	NotifyAt         atomic.Int64 // total of written bytes at which the loop is notified; 0: never
-	CompleteAt       atomic.Int64 // total of written bytes at which a request is complete; 0: none is being written
-	RequestsWritten  *atomic.Int64
-	CloseWhenFlushed bool // closes once everything is written; what still comes is discarded
-	AwaitingFlush    bool // the next request waits until the last response is written
+	Queued           int64         // total bytes passed to the socket
+	Written          atomic.Int64  // total bytes that the kernel has accepted
+	NotifyAt         atomic.Int64  // value of Written at which the loop is notified; 0: never
+	CompleteAt       atomic.Int64  // value of Written at which a request is complete; 0: none is being written
+	RequestsWritten  *atomic.Int64 // counts the requests that are completely written
+	CloseWhenFlushed bool          // the connection closes once everything is written; further input is discarded
+	AwaitingFlush    bool          // the next request waits until the last response is written
 }
 
-// Progress notes when bytes last moved.
+// Progress records when the number of transferred bytes last changed.
 type Progress struct {
-	Bytes int64 // total at the latest check
-	At    policy.Time
+	Bytes int64       // total at the latest check
+	At    policy.Time // when Bytes last changed; 0: unknown
 }
 
-// UploadState tells what happens to the body of a request that is too long to be read at once.
+// UploadState is the state of a request body that is too long to be read at once.
 type UploadState uint8
 
 // The states of an upload.
 const (
-	// NoUpload: no such body is coming.
+	// NoUpload means that no such body is being received.
 	NoUpload UploadState = iota
-	// CollectingUpload: the body is collected until it is complete, as long as it fits.
+	// CollectingUpload means that the body is buffered until it is complete, as long as it fits into the buffer.
 	CollectingUpload
-	// StreamingUpload: the body is forwarded to an endpoint as it comes, or discarded if its request has ended.
+	// StreamingUpload means that the body is forwarded to an endpoint as it arrives, or discarded if its request has
+	// ended.
 	StreamingUpload
 )
 
@@ -120,14 +121,14 @@
 // Upload is the state of a long request body.
 type Upload struct {
 	State        UploadState
-	Size         int  // of the body; -1: unknown
+	Size         int  // size of the body in bytes; -1: unknown
 	Start        int  // offset of the body in Input.Buffer while it is collected
-	ContinueSent bool // the client, which waits with the body, has been sent 100 Continue
+	ContinueSent bool // 100 Continue was sent to the client, which waits for it before it sends the body
 	CloseAfter   bool // the connection closes after the body
 }
 
-// RecordWritten adds to the bytes that the kernel has taken and returns their total. It counts the request whose last
-// byte was among them.
+// RecordWritten adds n to the bytes that the kernel has accepted and returns their total. If the last byte of a request
+// is among them, it counts the request as written.
 func (c *Conn) RecordWritten(n int) int64 {
 	total := c.Output.Written.Add(int64(n))
 	completeAt := c.Output.CompleteAt.Load()
@@ -137,13 +138,13 @@
 	return total
 }
 
-// Unwritten returns how many queued bytes the kernel has not taken.
+// Unwritten returns the number of queued bytes that the kernel has not accepted yet.
 func (c *Conn) Unwritten() int64 { return c.Output.Queued - c.Output.Written.Load() }
 
-// Flushed reports whether the kernel has taken everything that was queued.
+// Flushed reports whether the kernel has accepted everything that was queued.
 func (c *Conn) Flushed() bool { return c.Output.Written.Load() >= c.Output.Queued }
 
-// Progressed reports whether the total of bytes has changed within that time.
+// Progressed reports whether the total number of transferred bytes has changed within the given time.
 func (c *Conn) Progressed(now policy.Time, total int64, within policy.Time) bool {
 	if total != c.Progress.Bytes || c.Progress.At == 0 {
 		c.Progress = Progress{Bytes: total, At: now}
--- a/internal/connstate/conns.go
+++ b/internal/connstate/conns.go
@@ -10,42 +10,44 @@
 // Endpoint holds the connections to one endpoint.
 type Endpoint struct {
 	Endpoint *engine.Endpoint
-	Idle     []*Conn // last used last
-	Awaited  int     // attempts that wait for one of the idle connections to have rested
+	Idle     []*Conn // idle connections; the one used last is at the end
+	Awaited  int     // attempts that wait until one of the idle connections may be reused
 }
 
-// Conns counts connections against the descriptors allowed, and holds the idle ones to endpoints.
+// Conns counts connections against the limits that follow from the allowed file descriptors. It also manages the idle
+// connections to endpoints.
 type Conns struct {
 	Open          map[*Conn]struct{}
-	Limit         [2]int // by side; clients beyond it are let in, and room is made for them
-	AcceptLimit   int    // clients that may be open at once
-	RestingCount  int    // clients that rest
-	ExcessResting int    // resting clients above which connections are closed
-	open          [2]int
-	closing       [2]int // open connections that are being closed
-	opened        uint64
+	Limit         [2]int // by side; above it, clients are still accepted, and idle connections are closed for them
+	AcceptLimit   int    // maximum number of open client connections
+	RestingCount  int    // number of idle client connections
+	ExcessResting int    // number of idle client connections above which they are closed
+	open          [2]int // number of open connections by side
+	closing       [2]int // number of open connections that are being closed, by side
+	opened        uint64 // number of connections opened so far
 }
 
-// ownDescriptors are the process's own: standard streams, listener, pollers, discovery, and sockets that are duplicated
-// while they change hands.
+// ownDescriptors is the number of descriptors that the process needs for itself: standard streams, listener, pollers,
+// discovery, and sockets that are duplicated while they are handed over.
 const ownDescriptors = 24
 
-// Smallest limits of connections, for processes with few descriptors.
+// Minimum connection limits, for processes with few descriptors.
 const (
 	minEndpointConns = 4
 	minClientConns   = 8
 )
 
-// NewConns returns the table of connections of a process with so many descriptors.
+// NewConns returns the connection table of a process that may use the given number of descriptors.
 func NewConns(descriptors int) *Conns {
 	k := &Conns{Open: map[*Conn]struct{}{}}
 	k.SetLimits(descriptors, 1)
 	return k
 }
 
-// SetLimits sets the limits of one of several processes that share these descriptors; each needs some of its own.
-// A request in flight needs a connection on either side, but a client's connection may also be idle: so clients get
-// three fifths of what the process leaves over, in the last eighth of which room is made, and endpoints get the rest.
+// SetLimits sets the limits of one of several processes that share the given number of descriptors. Each process needs
+// ownDescriptors for itself. A request in flight needs one connection on either side, but client connections may also
+// be idle. So clients get three fifths of the remaining descriptors and endpoints get two fifths. When client
+// connections use more than seven eighths of their share, idle ones are closed.
 func (k *Conns) SetLimits(descriptors, processes int) {
 	available := descriptors/processes - ownDescriptors
 	endpoints := max(minEndpointConns, available*2/5)
@@ -56,7 +58,7 @@
 	k.ExcessResting = clients / 4
 }
 
-// MarkResting notes that a client's connection has no work.
+// MarkResting marks a client's connection as idle.
 func (k *Conns) MarkResting(c *Conn) {
 	if !c.Resting && !c.Closing {
 		c.Resting = true
@@ -64,7 +66,7 @@
 	}
 }
 
-// MarkBusy notes that a connection has work, or is gone.
+// MarkBusy marks a connection as no longer idle, because it has work or is being closed.
 func (k *Conns) MarkBusy(c *Conn) {
 	if c.Resting {
 		c.Resting = false
@@ -72,10 +74,10 @@
 	}
 }
 
-// Count returns how many connections are open, or being opened, on that side.
+// Count returns the number of connections on that side that are open or being opened.
 func (k *Conns) Count(side Side) int { return k.open[side] - k.closing[side] }
 
-// Add counts a connection that is opened.
+// Add adds a connection that is being opened, and assigns its number.
 func (k *Conns) Add(c *Conn) {
 	k.opened++
 	c.Number = k.opened
@@ -83,7 +85,7 @@
 	k.open[c.Side]++
 }
 
-// OverLimit reports whether more connections are open on that side than should be.
+// OverLimit reports whether the number of connections on that side exceeds the side's limit.
 func (k *Conns) OverLimit(side Side) bool { return k.Count(side) > k.Limit[side] }
 
 // MarkClosing marks a connection that is being closed.
@@ -93,8 +95,8 @@
 	k.closing[c.Side]++
 }
 
-// Remove counts a connection that is closed and reports whether it was open before. It is the only place where the
-// descriptor is given back.
+// Remove removes a closed connection and reports whether it was open before. Only here the connection's descriptor
+// stops counting against the limits.
 func (k *Conns) Remove(c *Conn) bool {
 	if _, open := k.Open[c]; !open {
 		return false
@@ -111,19 +113,19 @@
 	return true
 }
 
-// PutIdle keeps a connection to an endpoint that carries nothing.
+// PutIdle adds a connection to the idle connections of its endpoint.
 func (k *Conns) PutIdle(c *Conn, now policy.Time) {
 	c.IdleSince = now
 	c.Endpoint.Idle = append(c.Endpoint.Idle, c)
 }
 
-// TakeIdle removes and returns an idle connection to the endpoint, nil if there is none. Of those that have been idle
-// since rested, or have carried nothing yet, it is the last used, so that the others age and are closed. On others more
-// may be on its way behind a response.
-func (k *Conns) TakeIdle(endpoint *Endpoint, rested policy.Time) *Conn {
+// TakeIdle removes and returns an idle connection to the endpoint, or nil if there is none. Only connections that have
+// been idle since idleBefore or longer, or have not carried a request yet, are taken: on others, more bytes may still
+// arrive after the last response. Of these it takes the one that was used last, so that the others age and are closed.
+func (k *Conns) TakeIdle(endpoint *Endpoint, idleBefore policy.Time) *Conn {
 	for i := len(endpoint.Idle) - 1; i >= 0; i-- {
 		c := endpoint.Idle[i]
-		if !c.Used || c.IdleSince <= rested {
+		if !c.Used || c.IdleSince <= idleBefore {
 			endpoint.Idle = slices.Delete(endpoint.Idle, i, i+1)
 			return c
 		}
@@ -131,7 +133,7 @@
 	return nil
 }
 
-// RemoveIdle removes the connection from the idle ones and reports whether it was among them.
+// RemoveIdle removes the connection from the idle connections of its endpoint, and reports whether it was one of them.
 func (k *Conns) RemoveIdle(c *Conn) bool {
 	idle := c.Endpoint.Idle
 	for i := len(idle) - 1; i >= 0; i-- {
@@ -143,8 +145,8 @@
 	return false
 }
 
-// OldestIdle returns the connection on that side that has been idle for longest, nil if there is none to spare. It must
-// have been idle since usedBefore, or, if it has carried nothing yet, since openedBefore.
+// OldestIdle returns the connection on that side that has been idle for the longest time, or nil if none can be closed.
+// The connection must have been idle since usedBefore, or since openedBefore if it has not carried a request yet.
 func (k *Conns) OldestIdle(side Side, usedBefore, openedBefore policy.Time) *Conn {
 	var oldest *Conn
 	for c := range k.Open {
@@ -152,7 +154,7 @@
 		if c.Used {
 			limit = usedBefore
 		}
-		if c.Side != side || !c.spare() || c.IdleSince > limit {
+		if c.Side != side || !c.closable() || c.IdleSince > limit {
 			continue
 		}
 		if oldest == nil || c.IdleSince < oldest.IdleSince ||
@@ -163,8 +165,8 @@
 	return oldest
 }
 
-// spare reports whether the connection carries nothing and nothing has come on it.
-func (c *Conn) spare() bool {
+// closable reports whether the connection is established, carries no request and has no unprocessed input.
+func (c *Conn) closable() bool {
 	return c.Connected && !c.Closing && c.Request == nil &&
 		c.Input.Buffer == nil && c.Upload.State == NoUpload && c.Input.Unread.Load() <= 0
 }
--- a/internal/connstate/connstate_test.go
+++ b/internal/connstate/connstate_test.go
@@ -10,30 +10,30 @@
 	"pepperlead/policy"
 )
 
-func check(t *testing.T, seed int64, f any) {
+func check(t *testing.T, seed int64, property any) {
 	t.Helper()
-	if err := quick.Check(f, &quick.Config{MaxCount: 200, Rand: rand.New(rand.NewSource(seed))}); err != nil {
+	if err := quick.Check(property, &quick.Config{MaxCount: 200, Rand: rand.New(rand.NewSource(seed))}); err != nil {
 		t.Error(err)
 	}
 }
 
-// Buffers against a plain sum: what is joined is complete, and what is given back is no longer lent.
+// Joined buffers hold the bytes of all parts, and bytes of returned buffers are no longer counted as in use.
 func TestBuffersAreJoinedAndReturned(t *testing.T) {
-	check(t, 2, func(parts [][]byte, more uint16) bool {
+	check(t, 2, func(parts [][]byte, size uint16) bool {
 		p := &Buffers{Limit: 1}
 		var all []byte
 		var b *Buffer
-		parts = append(parts, make([]byte, more), make([]byte, 2*int(more)))
+		parts = append(parts, make([]byte, size), make([]byte, 2*int(size)))
 		for _, part := range parts {
 			if len(part) == 0 {
 				continue
 			}
-			n := p.Get(len(part))
-			if len(n.B) != 0 || cap(n.B) < len(part) {
+			next := p.Get(len(part))
+			if len(next.B) != 0 || cap(next.B) < len(part) {
 				return false
 			}
-			n.B = append(n.B, part...)
-			b, all = p.Join(b, n), append(all, part...)
+			next.B = append(next.B, part...)
+			b, all = p.Join(b, next), append(all, part...)
 		}
 		if b == nil {
 			return p.Lent() == 0 && !p.Full()
@@ -44,17 +44,17 @@
 	})
 }
 
-func TestRequestSlotsAreReused(t *testing.T) {
-	slot, p := &engine.Request{}, &Buffers{}
-	first := AsRequest(slot)
+func TestRequestsAreReused(t *testing.T) {
+	request, p := &engine.Request{}, &Buffers{}
+	first := AsRequest(request)
 	first.Received, first.Response.Buffer, first.Response.Status = p.Get(1), p.Get(LargeBuffer), 200
 	first.ReleaseBuffers(p)
-	if again := AsRequest(slot); p.Lent() != 0 || again != first || again.Received != nil || again.Response.Status != 0 || again.Request != slot {
-		t.Error("not reused, or not emptied")
+	if again := AsRequest(request); p.Lent() != 0 || again != first || again.Received != nil || again.Response.Status != 0 || again.Request != request {
+		t.Error("the request is not reused, or not cleared")
 	}
 }
 
-// The oldest idle connection makes room, but not one whose first request may be on its way.
+// The oldest idle connection is found, but not one that was opened so recently that its first request may be about to arrive.
 func TestOldestIdleConnection(t *testing.T) {
 	k := NewConns(64)
 	var all []*Conn
@@ -75,6 +75,6 @@
 	}
 	k.MarkClosing(all[4])
 	if k.Count(ClientSide) != 4 || !k.Remove(all[4]) || k.Remove(all[4]) || k.Count(ClientSide) != 4 {
-		t.Error("counted wrongly")
+		t.Error("a closed connection is counted, or was removed twice")
 	}
 }
--- a/internal/connstate/request.go
+++ b/internal/connstate/request.go
@@ -5,38 +5,38 @@
 	"pepperlead/policy"
 )
 
-// Request is the HTTP front's side of a request: where it came from, what it said, and the connection of the attempt
-// that is in flight.
+// Request is the HTTP front's state of a request: the client's connection, the parts of the message, and the connection
+// of the attempt in flight.
 type Request struct {
 	*engine.Request
-	idHash uint64 // hash of the client's id of the request, while RequestIndex has it
+	idHash uint64 // hash of the request id that the client sent; set while the request is in RequestIndex
 
 	Client         *Conn       // nil once answered, or once the client has left
 	CloseAfter     bool        // the client's connection is closed after the response
-	HTTP10         bool        // the client speaks HTTP/1.0
-	ClientTimeLeft policy.Time // how long the client waits from the last byte of its request on
+	HTTP10         bool        // the client uses HTTP/1.0
+	ClientTimeLeft policy.Time // how long the client waits after the last byte of its request
 
-	Received *Buffer // holds the four below
+	Received *Buffer // holds Method, Target, Head and Body
 	Method   []byte
 	Target   []byte
 	Head     []byte
 	Body     []byte
 	Upload   RequestUpload
 
-	AttemptConn     *Conn
-	AttemptEndpoint *engine.Endpoint // of an attempt that waits for a connection to have rested
-	RestTimer       engine.Timer     // active while it waits
-	RestAwaited     bool             // it has waited, for this attempt
+	AttemptConn     *Conn            // connection of the attempt in flight
+	AttemptEndpoint *engine.Endpoint // endpoint of an attempt that waits until an idle connection may be reused
+	RestTimer       engine.Timer     // active while the attempt waits
+	RestAwaited     bool             // this attempt has waited already, and must not wait again
 
 	Response Response
 }
 
-// RequestUpload is the state of a body that is forwarded as it comes.
+// RequestUpload is the state of a request body that is forwarded as it arrives.
 type RequestUpload struct {
-	Active    bool    // more of the body is to come
-	Size      int     // of the complete body; -1: unknown
-	Forwarded bool    // a part of it has gone to an endpoint and is not kept
-	Buffer    *Buffer // the part of the body behind Request.Body
+	Active    bool    // the body is not complete yet
+	Size      int     // size of the complete body; -1: unknown
+	Forwarded bool    // a part of the body was forwarded to an endpoint and is not kept
+	Buffer    *Buffer // the part of the body that follows Request.Body
 }
 
 // Response is an endpoint's response.
@@ -46,16 +46,16 @@
 	Head       []byte
 	Body       []byte
 	NoBody     bool // the response has no body, whatever its head says
-	Streaming  bool // it goes to the client as it comes; no other response can follow
-	Chunked    bool // it goes to the client in chunks
-	UntilClose bool // to the client it ends with the end of the connection
-	Reusable   bool // the endpoint's connection can carry more after it
+	Streaming  bool // the response is forwarded to the client as it arrives; no other response can follow
+	Chunked    bool // the response is sent to the client with chunked encoding
+	UntilClose bool // the end of the response is signalled to the client by closing the connection
+	Reusable   bool // the endpoint's connection can carry another request after the response
 }
 
 // RequestIndex finds requests by the hashes of the ids that clients gave them.
 type RequestIndex struct{ byIDHash map[uint64]*Request }
 
-// Add notes the hash of the request's id. Where another request has the same hash the earlier one stays.
+// Add adds the request by the hash of its id. If another request has the same hash, the earlier one stays.
 func (x *RequestIndex) Add(r *Request, idHash uint64) {
 	if x.byIDHash == nil {
 		x.byIDHash = map[uint64]*Request{}
@@ -69,14 +69,14 @@
 // Find returns the request whose id has the hash, nil if there is none.
 func (x *RequestIndex) Find(idHash uint64) *Request { return x.byIDHash[idHash] }
 
-// Remove frees the id of a request that is answered or whose client is gone.
+// Remove removes a request that is answered or whose client has left.
 func (x *RequestIndex) Remove(r *Request) {
 	if x.byIDHash[r.idHash] == r {
 		delete(x.byIDHash, r.idHash)
 	}
 }
 
-// AsRequest returns the front's side of a request. It is made when the request's slot is used for the first time.
+// AsRequest returns the front's state of a request. It is allocated when the engine.Request is used for the first time.
 func AsRequest(r *engine.Request) *Request {
 	if r.FrontData == nil {
 		r.FrontData = &Request{Request: r}
@@ -84,7 +84,7 @@
 	return r.FrontData.(*Request)
 }
 
-// ReleaseBuffers gives the buffers back and empties the request.
+// ReleaseBuffers returns the request's buffers to the pool and clears the request for reuse.
 func (r *Request) ReleaseBuffers(p *Buffers) {
 	p.Put(r.Received)
 	p.Put(r.Response.Buffer)
