--- a/internal/discovery/cached.go
+++ b/internal/discovery/cached.go
@@ -10,29 +10,29 @@
 	"pepperlead/policy"
 )
 
-// saveInterval is the least time between two writes of the cached list.
+// saveInterval is the minimum time between two writes of the cached list.
 const saveInterval = time.Second
 
-// Cached is a source whose list is saved in a directory, and emitted again as a saved list at the next start. Disk
-// writes happen in a goroutine of their own.
+// Cached wraps a source, saves its list in a directory, and emits it as a saved list at the next start. Writes to disk
+// happen in a separate goroutine.
 type Cached struct {
 	Source
 	store *snapshot.Store
 	now   func() policy.Time
 }
 
-// resumer is a source that can go on from a saved list.
+// resumer is a source that can continue from a saved list.
 type resumer interface {
 	Resume(entries []Entry, state endpointfiles.State)
 }
 
-// NewCached wraps a source.
+// NewCached returns a source that caches the list of the given source in the directory.
 func NewCached(source Source, directory string, now func() policy.Time) *Cached {
 	return &Cached{Source: source, store: &snapshot.Store{Dir: directory}, now: now}
 }
 
 // Name returns the name of the wrapped source and the directory.
-func (c *Cached) Name() string { return c.Source.Name() + ", kept in " + c.store.Dir }
+func (c *Cached) Name() string { return c.Source.Name() + ", cached in " + c.store.Dir }
 
 // Refresh refreshes the wrapped source, if it is a Refresher.
 func (c *Cached) Refresh(within time.Duration) bool {
@@ -40,7 +40,7 @@
 	return ok && refresher.Refresh(within)
 }
 
-// Run emits the saved list, then the events of the wrapped source.
+// Run emits the saved list and then the events of the wrapped source.
 func (c *Cached) Run(ctx context.Context, emit func(Event)) {
 	entries, state := c.restore(emit)
 	pending := make(chan cachedList, 1)
@@ -68,7 +68,7 @@
 	<-saved
 }
 
-// restore emits the saved list, if there is one, and returns its entries by uid and its state.
+// restore emits the saved list, if there is one, and returns its entries by uid and the state of its files.
 func (c *Cached) restore(emit func(Event)) (map[string]Entry, endpointfiles.State) {
 	byUID := map[string]Entry{}
 	entries, state, err := c.load()
@@ -76,7 +76,7 @@
 		return byUID, endpointfiles.State{}
 	}
 	if err != nil {
-		// The source has a later list anyway, so a damaged one does not prevent a start.
+		// The source will emit a newer list anyway, so a damaged one must not prevent the start.
 		emit(Event{Note: "cached endpoint list ignored: " + err.Error()})
 		return byUID, endpointfiles.State{}
 	}
@@ -90,7 +90,7 @@
 	return byUID, state
 }
 
-// saveAll saves lists until the channel is closed.
+// saveAll saves the lists from the channel, at most one per saveInterval, until the channel is closed.
 func (c *Cached) saveAll(ctx context.Context, pending <-chan cachedList, emit func(Event)) {
 	for list := range pending {
 		if err := c.save(list); err != nil {
@@ -100,7 +100,7 @@
 	}
 }
 
-// merge applies a list to the entries in force.
+// merge applies a list to the current entries.
 func merge(entries map[string]Entry, list List) {
 	if list.Kind != policy.ListChanges {
 		clear(entries)
--- a/internal/discovery/cachedlist.go
+++ b/internal/discovery/cachedlist.go
@@ -3,7 +3,7 @@
 import (
 	"cmp"
 	"encoding/json"
-	"errors"
+	"fmt"
 	"maps"
 	"slices"
 
@@ -11,16 +11,16 @@
 	"pepperlead/policy"
 )
 
-// The file of the cached list.
+// Name, kind and format version of the file of the cached list.
 const (
 	cacheName    = "servers"
 	cacheKind    = "servers"
 	cacheVersion = 1
-	// maxWeight is an exclusive bound on the weight of an endpoint, against damaged lists.
+	// maxWeight is an exclusive upper bound on the weight of an endpoint. It detects damaged lists.
 	maxWeight = 1e12
 )
 
-// cachedList is the file's content, in JSON.
+// cachedList is the content of the file, encoded as JSON.
 type cachedList struct {
 	SavedAt   policy.Time                    `json:"saved"` // Unix time, in nanoseconds
 	Endpoints []cachedEndpoint               `json:"servers"`
@@ -28,7 +28,7 @@
 	Drains    map[string][2]policy.Time      `json:"drains,omitempty"` // first listed, last listed
 }
 
-// cachedEndpoint is an endpoint of a cached list.
+// cachedEndpoint is the encoding of an endpoint in a cached list.
 type cachedEndpoint struct {
 	UID     string                `json:"id"`
 	Address string                `json:"address"`
@@ -39,7 +39,7 @@
 	Started policy.Time           `json:"started,omitempty"`
 }
 
-// newCachedEndpoint returns the endpoint of an entry.
+// newCachedEndpoint returns the encoding of an entry.
 func newCachedEndpoint(entry Entry) cachedEndpoint {
 	return cachedEndpoint{
 		UID:     entry.UID,
@@ -58,7 +58,7 @@
 	return e.UID != "" && e.Address != "" && weightValid && e.Status <= policy.Draining
 }
 
-// entry returns the entry of an endpoint.
+// entry returns the entry that e encodes.
 func (e cachedEndpoint) entry() Entry {
 	return Entry{UID: e.UID, Addr: e.Address, Member: policy.Member{
 		ID:      endpointfiles.EndpointID(e.UID),
@@ -70,7 +70,7 @@
 	}}
 }
 
-// document returns the file's content for the entries in force and the state of their files.
+// document returns the content of the file for the given entries and the state of their list files.
 func (c *Cached) document(entries map[string]Entry, state endpointfiles.State) cachedList {
 	list := cachedList{SavedAt: c.now(), Issues: state.Issues, Drains: map[string][2]policy.Time{}}
 	for uid, drain := range state.Drains {
@@ -92,7 +92,7 @@
 	return c.store.Put(cacheName, cacheKind, cacheVersion, body)
 }
 
-// load reads the file. A list with an endpoint that can't be used is an error.
+// load reads the file. A list with an invalid endpoint is an error.
 func (c *Cached) load() ([]Entry, endpointfiles.State, error) {
 	body, err := c.store.Get(cacheName, cacheKind, cacheVersion)
 	if err != nil {
@@ -109,7 +109,7 @@
 	var entries []Entry
 	for _, endpoint := range list.Endpoints {
 		if !endpoint.isValid() {
-			return nil, endpointfiles.State{}, errors.New("a server in it cannot be used: " + endpoint.UID)
+			return nil, endpointfiles.State{}, fmt.Errorf("endpoint %q in the list is not valid", endpoint.UID)
 		}
 		entries = append(entries, endpoint.entry())
 	}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,6 +1,6 @@
 // Package discovery provides the sources of the endpoint list: the platform's discovery service, watched files, a fixed
-// list, and a cache around any of them. A source runs in a goroutine of its own and emits events. Whether a list that
-// was read from files is accepted is decided in internal/endpointfiles.
+// list, and a cache around any of them. A source runs in its own goroutine and emits events. Lists that are read from
+// files are validated by internal/endpointfiles.
 package discovery
 
 import (
@@ -14,36 +14,36 @@
 // Entry is an endpoint and its address.
 type Entry = endpointfiles.Entry
 
-// List is a list of endpoints as a source has it. It is shared, and must not be changed.
+// List is an endpoint list that a source emits. It is shared and must not be changed.
 type List struct {
 	Kind      policy.ListKind
 	Entries   []Entry
-	FileState endpointfiles.State // what a source of files needs again after a restart
+	FileState endpointfiles.State // what a source of files must restore after a restart
 }
 
-// Event is what a source emits: a list, or else a text about what went wrong.
+// Event is an event of a source: a new list, or a report about a problem. Exactly one field is set.
 type Event struct {
 	List      *List
 	Failed    string // why a call failed; the source retries by itself or waits for Follow
-	Rejected  string // why what was read is not used; the list in force stays
-	Recovered bool   // what was rejected is gone: the list in force is again what the source has
-	Note      string // something that an operator should know
+	Rejected  string // why a list is not used; the list in force stays in use
+	Recovered bool   // the rejected list is gone: the source has the list in force again
+	Note      string // a message for the operator
 }
 
 // Source emits lists of endpoints, in the order in which they take effect.
 type Source interface {
-	// Name identifies the source: two with one name have the same configuration.
+	// Name identifies the source. Two sources with the same name have the same configuration.
 	Name() string
 	// Run emits events until the context ends. It is called once.
 	Run(ctx context.Context, emit func(Event))
-	// Follow starts or stops calls, for sources whose calls cost a shared service something. It never blocks.
+	// Follow starts or stops calls of sources whose calls put load on a shared service. It never blocks.
 	Follow(on bool)
 }
 
-// Refresher is a source that can read its list again at once.
+// Refresher is a source that can read its list at once.
 type Refresher interface {
-	// Refresh reads the list and reports whether its events were emitted within the time.
-	Refresh(within time.Duration) bool
+	// Refresh reads the list, and reports whether its events were emitted before the timeout.
+	Refresh(timeout time.Duration) bool
 }
 
 var (
--- a/internal/discovery/files.go
+++ b/internal/discovery/files.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	// pollInterval is how often files are read where no change is notified.
+	// pollInterval is the interval at which files are read if there are no notifications of changes.
 	pollInterval = time.Second
-	// burstDelay is the wait after a notification, so that a burst of changes is read once.
+	// burstDelay is the delay after a notification, so that the files are read only once after a burst of changes.
 	burstDelay = 2 * time.Millisecond
-	// maxFiles allows for a file for each endpoint.
+	// maxFiles bounds the number of list files. It allows for one file per endpoint.
 	maxFiles = 2048
-	// wildcards are the characters that make a path a pattern of filepath.Glob.
+	// wildcards are the characters with a special meaning in patterns of filepath.Glob.
 	wildcards = `*?[\`
 )
 
@@ -34,13 +34,13 @@
 	validator *endpointfiles.Validator
 	name      string
 	now       func() policy.Time
-	parsed    map[string]endpointfiles.File // as last read, by path: unchanged files are not parsed again
+	parsed    map[string]endpointfiles.File // files as last read, by path; unchanged files are not parsed again
 	rejected  string                        // why the files are rejected; empty: they are not
-	refreshes chan chan struct{}            // requests to read the files, with a channel to close when that is done
+	refreshes chan chan struct{}            // requests to read the files; each channel is closed once that is done
 }
 
-// NewFiles returns a source of the files that match patterns of filepath.Glob. A pattern without wildcards names a file
-// that is required.
+// NewFiles returns a source that reads the files that match the given patterns of filepath.Glob. A pattern without
+// wildcards names a required file.
 func NewFiles(patterns []string, limits endpointfiles.Limits, now func() policy.Time) *Files {
 	for _, pattern := range patterns {
 		if !strings.ContainsAny(pattern, wildcards) {
@@ -63,24 +63,24 @@
 // Follow does nothing: reading files costs no shared service anything.
 func (f *Files) Follow(bool) {}
 
-// Refresh reads the files at once and reports whether their events were emitted within the time.
-func (f *Files) Refresh(within time.Duration) bool {
-	timeout := time.After(within)
+// Refresh reads the files at once, and reports whether their events were emitted before the timeout.
+func (f *Files) Refresh(timeout time.Duration) bool {
+	expired := time.After(timeout)
 	done := make(chan struct{})
 	select {
 	case f.refreshes <- done:
-	case <-timeout:
+	case <-expired:
 		return false
 	}
 	select {
 	case <-done:
 		return true
-	case <-timeout:
+	case <-expired:
 		return false
 	}
 }
 
-// Resume puts a list in force that was saved earlier. It is called before Run.
+// Resume puts a list in force that was saved earlier. It must be called before Run.
 func (f *Files) Resume(entries []Entry, state endpointfiles.State) {
 	f.validator.Resume(entries, state)
 }
@@ -93,7 +93,7 @@
 	if err != nil {
 		emit(Event{Note: "file change notifications unavailable, polling every second: " + err.Error()})
 	} else {
-		defer func() { _ = watcher.Close() }() // nothing waits for its notifications any more
+		defer func() { _ = watcher.Close() }() // an error has no consequence: its notifications are not read any more
 		changes = watcher.Events
 		overflows = watcher.Errors
 	}
@@ -109,7 +109,7 @@
 			f.evaluate(emit)
 			close(done)
 		case <-timer.C:
-		case <-overflows: // notifications were lost, and the files are read anyway
+		case <-overflows: // notifications were lost, so the files are read in any case
 		case <-changes:
 			sleep(ctx, burstDelay)
 			discardPending(changes)
@@ -128,7 +128,8 @@
 	}
 }
 
-// evaluate reads the files and emits what has changed. It returns after which time to read them again at the latest.
+// evaluate reads the files and emits an event if something has changed. It returns the time after which the files must
+// be read again at the latest.
 func (f *Files) evaluate(emit func(Event)) time.Duration {
 	result := f.validator.Evaluate(f.now(), f.readAll())
 	switch result.Verdict {
@@ -153,7 +154,7 @@
 	return pollInterval
 }
 
-// paths returns the paths that match the patterns, each once.
+// paths returns the paths that match the patterns, without duplicates.
 func (f *Files) paths() []string {
 	var paths []string
 	for _, pattern := range f.patterns {
@@ -164,7 +165,8 @@
 	return slices.Compact(paths)
 }
 
-// readAll reads the files. One that can't be read has a problem; one that was just removed is left out.
+// readAll reads the files. A file that can't be read is returned with the error as its Problem; a file that was removed
+// meanwhile is left out.
 func (f *Files) readAll() []endpointfiles.File {
 	paths := f.paths()
 	if len(paths) > maxFiles {
@@ -187,7 +189,7 @@
 	return files
 }
 
-// parse parses a file, unless its content is that of the last time.
+// parse parses a file, unless its content is unchanged since the last time.
 func (f *Files) parse(path string, content []byte) endpointfiles.File {
 	parsed, known := f.parsed[path]
 	if known && parsed.Digest == endpointfiles.Digest(xxhash.Sum64(content)) {
--- a/internal/discovery/files_test.go
+++ b/internal/discovery/files_test.go
@@ -18,13 +18,14 @@
 var limits = endpointfiles.Limits{MaxRemovedShare: 0.6, SettleTime: 40 * policy.Millisecond, MissingTime: 150 * policy.Millisecond,
 	DrainMemory: 3600 * policy.Second}
 
-// listText is a list file of the named endpoints; one with a ! drains. issue 0: neither numbered nor sealed.
+// listText returns a list file with the given endpoints; a ! after the uid marks a draining one. With issue 0 the file has neither an
+// issue nor a digest.
 func listText(issue endpointfiles.Issue, uids ...string) []byte {
 	var b bytes.Buffer
 	for _, uid := range uids {
-		name, drains := strings.CutSuffix(uid, "!")
+		name, draining := strings.CutSuffix(uid, "!")
 		fmt.Fprintf(&b, "[[server]]\nid = %q\naddress = \"127.0.0.1:%d\"\n", name, 9000+endpointfiles.EndpointID(name)%900)
-		if drains {
+		if draining {
 			b.WriteString("state = \"draining\"\n")
 		}
 	}
@@ -47,12 +48,12 @@
 	stop   func()
 }
 
-func start(t *testing.T, dir string, s Source) *runningSource {
+func start(t *testing.T, dir string, source Source) *runningSource {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &runningSource{t: t, dir: dir, events: make(chan Event, 64)}
 	ended := make(chan struct{})
-	go func() { defer close(ended); s.Run(ctx, func(event Event) { w.events <- event }) }()
+	go func() { defer close(ended); source.Run(ctx, func(event Event) { w.events <- event }) }()
 	w.stop = func() { cancel(); <-ended }
 	t.Cleanup(w.stop)
 	return w
@@ -66,22 +67,25 @@
 	return start(t, dir, NewFiles(patterns, limits, clock.New().Now))
 }
 
-func (w *runningSource) write(name string, in []byte) {
+// write writes a file in place.
+func (w *runningSource) write(name string, content []byte) {
 	w.t.Helper()
-	if err := os.WriteFile(filepath.Join(w.dir, name), in, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(w.dir, name), content, 0o600); err != nil {
 		w.t.Fatal(err)
 	}
 }
 
-func (w *runningSource) rename(name string, in []byte) {
+// replace replaces a file atomically, by renaming a new one.
+func (w *runningSource) replace(name string, content []byte) {
 	w.t.Helper()
-	w.write("fresh.tmp", in)
-	if err := os.Rename(filepath.Join(w.dir, "fresh.tmp"), filepath.Join(w.dir, name)); err != nil {
+	w.write("new.tmp", content)
+	if err := os.Rename(filepath.Join(w.dir, "new.tmp"), filepath.Join(w.dir, name)); err != nil {
 		w.t.Fatal(err)
 	}
 }
 
-// want waits for the next event: a list of these endpoints in order of id, or "refused ..." with these words in it, or "settled".
+// want waits for the next event and checks it. words are the uids of a list in order, with a ! after draining ones; or "rejected" and a
+// part of the reason; or "recovered"; or "note" and the start of its text.
 func (w *runningSource) want(words ...string) {
 	w.t.Helper()
 	select {
@@ -99,11 +103,11 @@
 			}
 			got = strings.Join(uids, " ")
 		case event.Recovered:
-			got = "settled"
+			got = "recovered"
 		case event.Note != "":
 			got = "note " + event.Note
 		}
-		want, rejection := strings.CutPrefix(strings.Join(words, " "), "refused ")
+		want, rejection := strings.CutPrefix(strings.Join(words, " "), "rejected ")
 		if rejection != (event.Rejected != "") || got != want && !(rejection && strings.Contains(got, want)) &&
 			!(event.Note != "" && strings.HasPrefix(got, want)) {
 			w.t.Errorf("got %q, want %v", got, words)
@@ -113,23 +117,23 @@
 	}
 }
 
-// wantNone fails if there is an event within the time.
-func (w *runningSource) wantNone(span time.Duration) {
+// wantNone fails if there is an event within the duration.
+func (w *runningSource) wantNone(duration time.Duration) {
 	w.t.Helper()
 	select {
 	case event := <-w.events:
-		w.t.Errorf("got %+v", event)
-	case <-time.After(span):
+		w.t.Errorf("got %+v, want no event", event)
+	case <-time.After(duration):
 	}
 }
 
-func TestEditorsThatWriteInPlace(t *testing.T) {
+func TestFilesWrittenInPlace(t *testing.T) {
 	w := watchFiles(t, "f.toml")
-	w.want("refused", "no list file is there")
+	w.want("rejected", "no list file found")
 	w.write("f.toml", listText(1, "a", "b", "c", "d"))
 	w.want("a", "b", "c", "d")
 	path := filepath.Join(w.dir, "f.toml")
-	// Truncated, then written piece by piece: there is no event before it is complete.
+	// The file is truncated and then written in parts: there is no event before it is complete.
 	complete := listText(2, "a", "b", "c!", "d")
 	for i := 0; i <= len(complete); i += 40 {
 		w.write("f.toml", complete[:min(i, len(complete))])
@@ -137,89 +141,89 @@
 	}
 	w.write("f.toml", complete)
 	w.want("a", "b", "c!", "d")
-	// Overwritten without being truncated: a short new text with the tail of the old behind it.
+	// The file is overwritten without being truncated: the end of the old text follows a shorter new text.
 	short := listText(3, "a", "b!", "c!", "d")[:250]
 	f, _ := os.OpenFile(path, os.O_WRONLY, 0)
 	f.Write(short)
 	f.Close()
-	w.want("refused", "f.toml:")
+	w.want("rejected", "f.toml:")
 	w.wantNone(100 * time.Millisecond) // the reason is emitted once
 	w.write("f.toml", complete)
-	w.want("settled")
-	// Without a digest a mixture can look whole; it has to hold still.
-	bare := listText(0, "e", "f", "g", "h")
+	w.want("recovered")
+	// Without a digest, a partly written file may be valid, so the file must stay unchanged for the settle time.
+	unsealed := listText(0, "e", "f", "g", "h")
 	w = watchFiles(t, "g.toml")
-	w.want("refused", "no list file is there")
+	w.want("rejected", "no list file found")
 	for range 10 {
 		w.write("g.toml", listText(0, "x", "f", "g", "h"))
 		time.Sleep(5 * time.Millisecond)
-		w.write("g.toml", bare)
+		w.write("g.toml", unsealed)
 		time.Sleep(5 * time.Millisecond)
 	}
 	w.want("e", "f", "g", "h")
 }
 
-func TestReplacedWhileADrainIsRunning(t *testing.T) {
+func TestOldListsDoNotUndoDrains(t *testing.T) {
 	w := watchFiles(t, "f.toml")
-	w.want("refused", "no list file is there")
-	w.rename("f.toml", listText(5, "a", "b", "c"))
+	w.want("rejected", "no list file found")
+	w.replace("f.toml", listText(5, "a", "b", "c"))
 	w.want("a", "b", "c")
-	w.rename("f.toml", listText(6, "a", "b!", "c"))
+	w.replace("f.toml", listText(6, "a", "b!", "c"))
 	w.want("a", "b!", "c")
-	w.rename("f.toml", listText(5, "a", "b", "c")) // an old copy
-	w.want("refused", "found 5, allowed from 6 on")
-	w.rename("f.toml", listText(7, "a", "b!", "c!"))
+	w.replace("f.toml", listText(5, "a", "b", "c")) // an old copy
+	w.want("rejected", "found 5, allowed 6 or higher")
+	w.replace("f.toml", listText(7, "a", "b!", "c!"))
 	w.want("a", "b!", "c!")
-	w.rename("f.toml", listText(8, "a", "b", "c!"))
+	w.replace("f.toml", listText(8, "a", "b", "c!"))
 	w.want("a", "b", "c!")
-	// Lists that are not numbered cannot say that they are newer.
+	// Lists without an issue can't show that they are newer; a later start of the endpoint shows it.
 	w = watchFiles(t, "g.toml")
-	w.want("refused", "no list file is there")
-	w.rename("g.toml", listText(0, "a", "b!", "c"))
+	w.want("rejected", "no list file found")
+	w.replace("g.toml", listText(0, "a", "b!", "c"))
 	w.want("a", "b!", "c")
-	w.rename("g.toml", listText(0, "a", "b", "c"))
-	w.want("refused", `"b" was told draining`)
-	w.rename("g.toml", bytes.Replace(listText(0, "a", "b", "c"), []byte(`id = "b"`),
+	w.replace("g.toml", listText(0, "a", "b", "c"))
+	w.want("rejected", `"b" was listed as draining`)
+	w.replace("g.toml", bytes.Replace(listText(0, "a", "b", "c"), []byte(`id = "b"`),
 		[]byte(`id = "b"`+"\nstarted = 2199-01-01T00:00:00Z"), 1))
 	w.want("a", "b", "c")
 }
 
-func TestSeveralFilesAreOneList(t *testing.T) {
+func TestSeveralFilesMakeUpOneList(t *testing.T) {
 	w := watchFiles(t, "*.toml")
-	w.want("refused", "no list file is there")
-	w.rename("1.toml", listText(1, "a", "b"))
+	w.want("rejected", "no list file found")
+	w.replace("1.toml", listText(1, "a", "b"))
 	w.want("a", "b")
-	w.rename("2.toml", listText(1, "c", "d", "e"))
+	w.replace("2.toml", listText(1, "c", "d", "e"))
 	w.want("a", "b", "c", "d", "e")
-	w.rename("2.toml", []byte("[[server"))
-	w.want("refused", "2.toml:1: document")
-	w.rename("1.toml", listText(2, "a", "b!")) // waits with the other
+	w.replace("2.toml", []byte("[[server"))
+	w.want("rejected", "2.toml:1: document")
+	w.replace("1.toml", listText(2, "a", "b!")) // has no effect until the other file is valid again
 	w.wantNone(100 * time.Millisecond)
-	w.rename("2.toml", listText(2, "c", "d", "e"))
+	w.replace("2.toml", listText(2, "c", "d", "e"))
 	w.want("a", "b!", "c", "d", "e")
-	w.rename("1.toml", listText(3, "a", "b!", "e"))
-	w.want("refused", `server "e" stands in`)
-	w.rename("1.toml", listText(4, "a", "b!"))
+	w.replace("1.toml", listText(3, "a", "b!", "e"))
+	w.want("rejected", `server "e" is also listed in`)
+	w.replace("1.toml", listText(4, "a", "b!"))
 	w.want("a", "b!", "c", "d", "e")
-	// Gone for a moment is not gone.
+	// A file that is missing for a moment only is not considered removed.
 	os.Remove(filepath.Join(w.dir, "1.toml"))
 	time.Sleep(50 * time.Millisecond)
-	w.rename("1.toml", listText(4, "a", "b!"))
+	w.replace("1.toml", listText(4, "a", "b!"))
 	w.wantNone(250 * time.Millisecond)
 	os.Remove(filepath.Join(w.dir, "1.toml"))
 	w.want("c", "d", "e")
-	w.rename("2.toml", listText(3, "c", "d!", "e!"))
-	w.want("refused", "takes away 2 of 3 ready servers, 67% of the weight, allowed 60%")
+	w.replace("2.toml", listText(3, "c", "d!", "e!"))
+	w.want("rejected", "removes 2 of 3 ready servers, 67% of the weight, allowed 60%")
 	out, _, _ := endpointfiles.Seal("2", listText(3, "c", "d!", "e!"), 4, 2)
-	w.rename("2.toml", out)
+	w.replace("2.toml", out)
 	w.want("c", "d!", "e!")
-	w.rename("2.toml", listText(5))
-	w.want("refused", "takes away 1 of 1")
+	w.replace("2.toml", listText(5))
+	w.want("rejected", "removes 1 of 1")
 }
 
-func TestLinksAndFolders(t *testing.T) {
+func TestSymbolicLinksAndDirectories(t *testing.T) {
 	w := watchFiles(t, "live/f.toml")
-	w.want("refused", "no list file is there")
+	w.want("rejected", "no list file found")
 	for i, uids := range [][]string{{"a", "b", "c"}, {"a", "b", "d"}} {
 		dir := filepath.Join(w.dir, fmt.Sprint("v", i))
 		os.Mkdir(dir, 0o700)
@@ -236,26 +240,27 @@
 	swap("v1")
 	w.want("a", "b", "d")
 	swap("v0")
-	w.want("refused", "found 1, allowed from 2 on")
+	w.want("rejected", "found 1, allowed 2 or higher")
 	swap("v1")
-	w.want("settled")
-	// The folder is removed and made again.
+	w.want("recovered")
+	// The directory is removed and created again.
 	os.RemoveAll(filepath.Join(w.dir, "v1"))
 	time.Sleep(30 * time.Millisecond)
 	os.Mkdir(filepath.Join(w.dir, "v1"), 0o700)
 	w.write("v1/f.toml", listText(3, "a", "b"))
 	w.want("a", "b")
 	os.RemoveAll(filepath.Join(w.dir, "v1"))
-	w.want("refused", "no list file is there")
+	w.want("rejected", "no list file found")
 	if err := os.Mkdir(filepath.Join(w.dir, "v1"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	os.Mkdir(filepath.Join(w.dir, "v1", "f.toml"), 0o700)
-	w.want("refused", "found no plain file")
+	w.want("rejected", "not a regular file")
 }
 
-// The last list is cached, with the drains and issues that an old copy must not undo; a damaged one is noted, and ignored.
-func TestListIsCachedOverARestart(t *testing.T) {
+// The last list is cached over a restart, with the drains and issues that an old copy of a file must not undo. A damaged cached list is
+// reported and ignored.
+func TestListIsCachedOverRestarts(t *testing.T) {
 	dir := t.TempDir()
 	list, state := filepath.Join(dir, "f.toml"), filepath.Join(dir, "state")
 	os.WriteFile(list, listText(6, "a", "b!", "c"), 0o600)
@@ -264,17 +269,17 @@
 	}
 	w := restart()
 	w.want("a", "b!", "c")
-	w.rename("f.toml", listText(7, "a", "b!", "c", "d"))
+	w.replace("f.toml", listText(7, "a", "b!", "c", "d"))
 	w.want("a", "b!", "c", "d")
 	w.stop()
 	w = restart()
 	w.want("a", "b!", "c", "d") // from the cache
-	w.want("a", "b!", "c", "d") // as the file has it
+	w.want("a", "b!", "c", "d") // from the file
 	w.stop()
 	os.WriteFile(list, listText(6, "a", "b", "c"), 0o600)
 	w = restart()
 	w.want("a", "b!", "c", "d")
-	w.want("refused", "found 6, allowed from 7 on")
+	w.want("rejected", "found 6, allowed 7 or higher")
 	w.stop()
 	cachePath := filepath.Join(state, "servers")
 	content, err := os.ReadFile(cachePath)
@@ -288,12 +293,12 @@
 	w.stop()
 	// Changes are merged into the list.
 	entries := map[string]Entry{}
-	e := func(uid string, s policy.EndpointStatus) Entry {
-		return Entry{UID: uid, Member: policy.Member{Status: s}}
+	entry := func(uid string, status policy.EndpointStatus) Entry {
+		return Entry{UID: uid, Member: policy.Member{Status: status}}
 	}
-	merge(entries, List{Kind: policy.ListFull, Entries: []Entry{e("a", 0), e("b", 0)}})
-	merge(entries, List{Kind: policy.ListChanges, Entries: []Entry{e("b", policy.Draining), e("a", policy.Removed), e("c", 0)}})
+	merge(entries, List{Kind: policy.ListFull, Entries: []Entry{entry("a", 0), entry("b", 0)}})
+	merge(entries, List{Kind: policy.ListChanges, Entries: []Entry{entry("b", policy.Draining), entry("a", policy.Removed), entry("c", 0)}})
 	if len(entries) != 2 || entries["b"].Status != policy.Draining || entries["c"].UID != "c" {
-		t.Errorf("%v", entries)
+		t.Errorf("merged entries: %v", entries)
 	}
 }
--- a/internal/discovery/filewatch.go
+++ b/internal/discovery/filewatch.go
@@ -9,11 +9,12 @@
 	"github.com/fsnotify/fsnotify"
 )
 
-// maxWatchedDirectories bounds the watches that the system must keep.
+// maxWatchedDirectories bounds the number of watches of the operating system that a source uses.
 const maxWatchedDirectories = 64
 
 // watchDirectories watches the directories of the files and of the targets of symbolic links. It is called before each
-// read: a directory that was removed and created again must be watched anew, and watching one twice has no effect.
+// read, because a directory that was removed and created again must be watched again. Watching a directory twice has no
+// effect.
 func (f *Files) watchDirectories(watcher *fsnotify.Watcher) {
 	if watcher == nil {
 		return
@@ -36,7 +37,7 @@
 	}
 }
 
-// parentWithoutWildcards returns the deepest parent directory of a pattern whose path has no wildcards.
+// parentWithoutWildcards returns the deepest parent directory of the pattern whose path contains no wildcards.
 func parentWithoutWildcards(pattern string) string {
 	parent := filepath.Dir(pattern)
 	for strings.ContainsAny(parent, wildcards) {
--- a/internal/discovery/fixed.go
+++ b/internal/discovery/fixed.go
@@ -15,7 +15,7 @@
 // Name returns the label.
 func (f *Fixed) Name() string { return f.Label }
 
-// Follow does nothing: the source makes no calls.
+// Follow does nothing, because the source makes no calls.
 func (f *Fixed) Follow(bool) {}
 
 // Run emits the list.
--- a/internal/discovery/gate.go
+++ b/internal/discovery/gate.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// gate is open while a source should make calls.
+// gate blocks the calls of a source unless it is open.
 type gate struct {
 	mu      sync.Mutex
 	open    bool
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -11,8 +11,8 @@
 	"pepperlead/policy"
 )
 
-// A list that an earlier build has cached is read, and written again in the same bytes.
-func TestCachedListKeepsItsBytes(t *testing.T) {
+// The encoding of the cached list must not change: it matches the golden file, and decoding and encoding that file yields the same bytes.
+func TestCachedListEncoding(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "servers")
 	cached := NewCached(&Fixed{}, dir, func() policy.Time { return 1 })
@@ -29,7 +29,7 @@
 		}
 		return file
 	}
-	// A distinct value in every field, so that a key that is lost, renamed or swapped with another changes the encoding.
+	// Every field has a distinct value, so that the encoding changes if a key is lost, renamed or swapped with another one.
 	endpoint := func(uid, address string, member policy.Member) Entry {
 		member.ID = endpointfiles.EndpointID(uid)
 		return Entry{UID: uid, Addr: address, Member: member}
--- a/internal/discovery/golden_values_test.go
+++ b/internal/discovery/golden_values_test.go
@@ -12,8 +12,8 @@
 	"pepperlead/policy"
 )
 
-// cachedBefore returns the list in the golden file, and the state of its files.
-func cachedBefore() (map[string]Entry, endpointfiles.State) {
+// goldenCachedList returns the entries in the golden file of the cached list, and the state of their list files.
+func goldenCachedList() (map[string]Entry, endpointfiles.State) {
 	entries := map[string]Entry{
 		"s-1": {UID: "s-1", Addr: "127.0.0.1:9101", Member: policy.Member{ID: endpointfiles.EndpointID("s-1"), Zone: "a", Cell: 3, Weight: 1.5,
 			Status: policy.Draining, Started: 7 * policy.Second}},
@@ -23,11 +23,11 @@
 		Drains: map[string]endpointfiles.Drain{"s-1": {FirstListed: 8 * policy.Second, LastListed: 9 * policy.Second}}}
 }
 
-// TestCachedListIsWrittenAsBefore compares the file of the cached list with what was written before.
-func TestCachedListIsWrittenAsBefore(t *testing.T) {
+// TestCachedListMatchesGoldenFile compares the file of the cached list with the golden file.
+func TestCachedListMatchesGoldenFile(t *testing.T) {
 	directory := t.TempDir()
 	cached := NewCached(&Fixed{}, directory, func() policy.Time { return 10 * policy.Second })
-	if err := cached.save(cached.document(cachedBefore())); err != nil {
+	if err := cached.save(cached.document(goldenCachedList())); err != nil {
 		t.Fatal(err)
 	}
 	files, err := filepath.Glob(filepath.Join(directory, "*"))
@@ -41,9 +41,9 @@
 	golden.Compare(t, filepath.Join("kept", filepath.Base(files[0])), written)
 }
 
-// TestCachedListOfBeforeIsRead reads the file that was written before.
-func TestCachedListOfBeforeIsRead(t *testing.T) {
-	entries, state := cachedBefore()
+// TestGoldenCachedListIsRead reads the golden file of the cached list.
+func TestGoldenCachedListIsRead(t *testing.T) {
+	entries, state := goldenCachedList()
 	cached := &Cached{Source: &Fixed{}, store: &snapshot.Store{Dir: "testdata/kept"}, now: func() policy.Time { return 0 }}
 	read, readState, err := cached.load()
 	if err != nil {
@@ -54,9 +54,8 @@
 	}
 }
 
-// TestPlatformListIsDecodedAsBefore compares the values that the platform's list, with each of its keys, is decoded to with those that it
-// was decoded to before.
-func TestPlatformListIsDecodedAsBefore(t *testing.T) {
+// TestPlatformListMatchesGoldenFile decodes a list of the platform that has every key, and compares the values with the golden file.
+func TestPlatformListMatchesGoldenFile(t *testing.T) {
 	revision, full, entries, err := DecodeList(golden.Read(t, "platform.json"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/discovery/jsonreader.go
+++ b/internal/discovery/jsonreader.go
@@ -10,20 +10,20 @@
 const (
 	// maxSkipDepth bounds the nesting of values that are skipped.
 	maxSkipDepth = 32
-	// maxExactInteger is the largest integer up to which all are exact as floating-point numbers.
+	// maxExactInteger is the largest integer up to which a float64 represents all integers exactly.
 	maxExactInteger = 1 << 53
 	// unicodeEscapeLength is the number of hexadecimal digits after \u.
 	unicodeEscapeLength = 4
 )
 
-// The characters that may follow a backslash, and what each stands for.
+// The characters that may follow a backslash, and the characters that these escapes represent, in the same order.
 const (
 	escapedCharacters  = `"\/bfnrt`
 	unescapeCharacters = "\"\\/\b\f\n\r\t"
 )
 
-// jsonReader decodes JSON from the front of a text. Unlike encoding/json it copies no strings and uses no reflection: a
-// list has thousands of endpoints and is decoded while requests are being served.
+// jsonReader decodes JSON from the start of a text. Unlike encoding/json it copies no strings and uses no reflection,
+// because a list has thousands of endpoints and is decoded while requests are being served.
 type jsonReader struct {
 	text   []byte
 	offset int
@@ -49,7 +49,7 @@
 	return true
 }
 
-// readObject calls readMember with each name. The call must read the member's value.
+// readObject reads an object. It calls readMember with the name of each member, which must read the member's value.
 func (r *jsonReader) readObject(readMember func(name []byte) error) error {
 	if !r.accept('{') {
 		return errMalformedList
@@ -77,7 +77,7 @@
 	}
 }
 
-// readArray calls readElement for each element. The call must read the element.
+// readArray reads an array. It calls readElement for each element, which must read the element.
 func (r *jsonReader) readArray(readElement func() error) error {
 	if !r.accept('[') {
 		return errMalformedList
@@ -98,7 +98,7 @@
 	}
 }
 
-// readString reads a string. Without escapes it is a slice of the text, else a copy.
+// readString reads a string. The result is a slice of the text if the string has no escapes, and a copy otherwise.
 func (r *jsonReader) readString() ([]byte, error) {
 	if !r.accept('"') {
 		return nil, errMalformedList
@@ -118,7 +118,7 @@
 	return nil, errMalformedList
 }
 
-// readEscapedString reads the rest of a string that has escapes.
+// readEscapedString reads the string at the offset, which is behind the opening quote, and replaces its escapes.
 func (r *jsonReader) readEscapedString() ([]byte, error) {
 	var unescaped []byte
 	for r.offset < len(r.text) {
@@ -141,7 +141,7 @@
 	return nil, errMalformedList
 }
 
-// appendEscape reads what follows a backslash and appends what it stands for.
+// appendEscape reads the escape after a backslash and appends the character that it represents.
 func (r *jsonReader) appendEscape(to []byte) ([]byte, error) {
 	if r.offset >= len(r.text) {
 		return nil, errMalformedList
--- a/internal/discovery/platform.go
+++ b/internal/discovery/platform.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	// minCallInterval is the least time between the starts of two calls where the first brought nothing new.
+	// minCallInterval is the minimum time between the starts of two calls if the first one returned nothing new.
 	minCallInterval = 50 * time.Millisecond
-	// maxHeaderSize bounds the header of an answer, in bytes.
+	// maxHeaderSize bounds the header of a response, in bytes.
 	maxHeaderSize = 16 << 10
-	// unknownRevision has the whole list requested.
+	// unknownRevision is used while no revision is known, so that the next call requests the whole list.
 	unknownRevision = -1
 )
 
-// Platform is a source that follows the platform's discovery service: it requests the whole list, then watches for
-// changes since its revision.
+// Platform is a source that follows the platform's discovery service: it requests the whole list, and then watches for
+// changes since the revision of that list.
 type Platform struct {
 	gate
-	SourceIP net.IP // local address of calls; nil: the kernel chooses
+	SourceIP net.IP // local address of the connections; nil: the kernel chooses
 
-	// Grace is set where discovery is an agent on this machine: how long after the agent knows of a drain no request
-	// may be sent to the endpoint any more. 0: discovery is a service elsewhere.
+	// Grace is set if discovery is an agent on this machine. It is how long requests may still be sent to an endpoint
+	// after the agent has learnt of the endpoint's drain. 0: discovery is a shared service on another machine.
 	Grace        time.Duration
 	WatchTimeout time.Duration // how long discovery may hold a watch while nothing changes
 
 	addr     string
-	onDemand bool // after a failed call, none is made until Follow
+	onDemand bool // after a failed call, no call is made until Follow is called
 
-	connectionCloses bool // the last answer said that its connection is closed after it
+	connectionCloses bool // the last response announced that its connection will be closed
 }
 
-// NewPlatform returns a source for the discovery service at an address.
+// NewPlatform returns a source that uses the discovery service at the given address.
 func NewPlatform(addr string, onDemand bool) *Platform {
 	return &Platform{gate: newGate(), addr: addr, onDemand: onDemand, WatchTimeout: maxWatchTimeout}
 }
@@ -69,10 +69,10 @@
 		next := answer.revision
 		switch {
 		case next == revision:
-			// Were every watch answered at once with nothing new, the calls would use up the CPU.
+			// If the service answered every watch at once with nothing new, the calls would use up the CPU.
 			sleep(ctx, minCallInterval-time.Since(start))
 		case next < revision && !answer.full:
-			// Changes since a revision that the service counted differently: what came between is not known.
+			// The service counts its revisions anew, so the changes between the two revisions are not known.
 			next = unknownRevision
 			sleep(ctx, minCallInterval)
 		}
@@ -80,14 +80,15 @@
 	}
 }
 
-// mustRequestAll reports whether the next call after a failed one must request the whole list. After an answer that
-// can't be read, parts of it may be missing. An agent may have restarted with a lower revision, and a watch would wait
-// until it exceeds the old one; the whole list is answered at once, and cheap to get from the same machine.
+// mustRequestAll reports whether the next call after a failed one must request the whole list. After a list that can't
+// be decoded, some changes may be missing. An agent may have restarted with a lower revision, and a watch would wait
+// until that exceeds the old revision; the whole list is returned at once, and is cheap to get from the same machine.
 func (p *Platform) mustRequestAll(err error) bool {
 	return errors.Is(err, errMalformedList) || p.Grace > 0
 }
 
-// handleFailure emits a failed call and waits before the next one.
+// handleFailure emits an event for a failed call. It then waits for the retry delay, or, if calls are made on demand,
+// stops them until Follow is called.
 func (p *Platform) handleFailure(ctx context.Context, err error, failures int, emit func(Event)) {
 	if p.onDemand {
 		p.Follow(false)
@@ -98,7 +99,7 @@
 	}
 }
 
-// newTransport returns the transport of all calls, which keeps one connection.
+// newTransport returns the transport for all calls, which keeps one idle connection.
 func (p *Platform) newTransport() *http.Transport {
 	dialer := &net.Dialer{Timeout: p.AnswerTimeout(), KeepAlive: -1}
 	if p.SourceIP != nil {
@@ -112,7 +113,7 @@
 	}
 }
 
-// list returns the list of an answer.
+// list returns the decoded list as a List.
 func (l platformList) list() *List {
 	if l.full {
 		return &List{Kind: policy.ListFull, Entries: l.entries}
--- a/internal/discovery/platform_agent_test.go
+++ b/internal/discovery/platform_agent_test.go
@@ -15,12 +15,12 @@
 	"pepperlead/policy"
 )
 
-// scriptedAgent is an agent that handles each call by the next of its steps, and all further calls by the last one.
+// scriptedAgent is a discovery agent that handles each call by the next of its steps, and all further calls by the last step.
 type scriptedAgent struct {
 	net.Listener
 	mu    sync.Mutex
 	steps []func(c net.Conn, call *http.Request) (keepOpen bool)
-	calls []string
+	calls []string // URLs
 }
 
 func newScriptedAgent(t *testing.T, steps ...func(c net.Conn, call *http.Request) bool) *scriptedAgent {
@@ -46,12 +46,12 @@
 					}
 					s.mu.Lock()
 					s.calls = append(s.calls, call.URL.String())
-					do := s.steps[0]
+					step := s.steps[0]
 					if len(s.steps) > 1 {
 						s.steps = s.steps[1:]
 					}
 					s.mu.Unlock()
-					if !do(c, call) {
+					if !step(c, call) {
 						c.Close()
 						return
 					}
@@ -63,7 +63,7 @@
 	return s
 }
 
-// requested returns the calls so far: "all", or the revision from which changes are requested.
+// requested returns for each call so far the revision from which it requested changes, or "all".
 func (s *scriptedAgent) requested() (all []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,24 +84,26 @@
 	}
 }
 
+// listAt returns a list with the given revision and the endpoint s-1 in the given state. all tells whether it is a full list.
 func listAt(rev int, all bool, state string) string {
 	return fmt.Sprintf("{\n\t\"rev\": %d,\n\t\"all\": %v,\n\t\"targets\": [\n\t\t{\"uid\":\"s-1\",\"endpoint\":\"10.1.0.18:9000\",\"az\":\"a\","+
 		"\"pod_group\":3,\"state\":\"%s\",\"boot_ms\":0}\n\t]\n}\n", rev, all, state)
 }
 
-// restarted is an agent that has restarted with lower revisions: it answers requests for the whole list, and holds watches from a
-// revision before its restart.
+// restarted returns a step of an agent that has restarted with lower revisions: it answers requests for the whole list, and does not
+// answer watches, which have a revision from before its restart.
 func restarted(list string) func(net.Conn, *http.Request) bool {
 	return func(c net.Conn, call *http.Request) bool {
 		return call.URL.RawQuery != "" || respond(list)(c, call)
 	}
 }
 
-// However a call fails, the list of the agent is known within the grace, and requested in full: its revisions may have restarted.
-func TestDrainsAreKnownInTimeAfterAFailedCall(t *testing.T) {
+// After any kind of failed call the source requests the whole list, because the agent may have restarted with lower revisions, and
+// emits it within the grace.
+func TestDrainIsEmittedWithinGraceAfterFailedCall(t *testing.T) {
 	const grace = 400 * time.Millisecond
 	first := respond(listAt(41, true, "Ready"))
-	for name, do := range map[string]func(net.Conn, *http.Request) bool{
+	for name, fail := range map[string]func(net.Conn, *http.Request) bool{
 		"reset":            func(c net.Conn, _ *http.Request) bool { c.(*net.TCPConn).SetLinger(0); return false },
 		"closed":           func(net.Conn, *http.Request) bool { return false },
 		"malformed status": func(c net.Conn, _ *http.Request) bool { fmt.Fprint(c, "HTTP/1.1 5x3 \r\n\r\n"); return true },
@@ -113,27 +115,27 @@
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"rev\":42")
 			return false
 		},
-		"stops in its body": func(c net.Conn, _ *http.Request) bool {
+		"stalls in its body": func(c net.Conn, _ *http.Request) bool {
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"rev\":42")
 			return true
 		},
-		"unreadable":    respond(`{"rev":42,"all":false,"targets":[{"uid":"s-1"}]}`),
-		"lower numbers": respond(`{"rev":2,"all":false,"targets":[]}`),
+		"unreadable":     respond(`{"rev":42,"all":false,"targets":[{"uid":"s-1"}]}`),
+		"lower revision": respond(`{"rev":2,"all":false,"targets":[]}`),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var at atomic.Int64
-			broken := func(c net.Conn, call *http.Request) bool { at.Store(time.Now().UnixNano()); return do(c, call) }
+			broken := func(c net.Conn, call *http.Request) bool { at.Store(time.Now().UnixNano()); return fail(c, call) }
 			s := newScriptedAgent(t, first, broken, restarted(listAt(3, true, "Terminating")))
 			delay := drainDelay(t, s, grace, func() time.Time { return time.Unix(0, at.Load()) })
 			if delay > grace {
-				t.Errorf("known after %v", delay)
+				t.Errorf("the drain was emitted after %v, want at most %v", delay, grace)
 			}
 		})
 	}
 }
 
-// drainDelay returns how long after a moment the source emits that s-1 drains.
+// drainDelay runs a source and returns how long after a given time it emits that s-1 is draining.
 func drainDelay(t *testing.T, s *scriptedAgent, grace time.Duration, since func() time.Time) time.Duration {
 	p := NewPlatform(s.Addr().String(), false)
 	p.Grace, p.WatchTimeout = grace, WatchTimeout(true, 1)
@@ -156,13 +158,13 @@
 	case at := <-drained:
 		return at.Sub(since())
 	case <-time.After(5 * time.Second):
-		t.Fatalf("not known at all; requested %v", s.requested())
+		t.Fatalf("no drain was emitted; requested %v", s.requested())
 	}
 	return 0
 }
 
-// An agent that does not answer for long, because discovery is down, and recovers with a drain: it takes effect at once.
-func TestDrainIsKnownWhenASilentAgentRecovers(t *testing.T) {
+// If an agent has not answered for some time because discovery is down, a drain that it reports when it recovers is emitted at once.
+func TestDrainIsEmittedWhenSilentAgentRecovers(t *testing.T) {
 	const grace = 500 * time.Millisecond
 	for name, start := range map[string][]func(net.Conn, *http.Request) bool{
 		"from the first call": {},
@@ -175,11 +177,11 @@
 				if time.Now().After(recovery) {
 					return respond(listAt(42, true, "Terminating"))(c, call)
 				}
-				return true // never answered, also not later
+				return true // the call is never answered
 			}
 			s := newScriptedAgent(t, append(start, down)...)
 			if delay := drainDelay(t, s, grace, func() time.Time { return recovery }); delay > grace {
-				t.Errorf("known %v after its recovery", delay)
+				t.Errorf("the drain was emitted %v after the recovery, want at most %v", delay, grace)
 			}
 			if n := len(s.requested()); n > 20 {
 				t.Errorf("%d calls in an outage of 1.5 s", n)
@@ -188,9 +190,9 @@
 	}
 }
 
-// An agent that closes its connection between two calls and restarts with lower revisions delays a change by the grace at most, one
-// that stops to answer during a watch by the watch: a change is known within 6 s in either case.
-func TestAgentThatRestartsOrStopsToAnswerDuringAWatch(t *testing.T) {
+// If an agent closes its connection between two calls and restarts with lower revisions, a change is emitted within the grace. If an
+// agent stops answering during a watch, the change is delayed by the watch timeout, but takes effect within 6 s nevertheless.
+func TestAgentRestartsOrStopsAnsweringDuringWatch(t *testing.T) {
 	const grace = 400 * time.Millisecond
 	silent := func(net.Conn, *http.Request) bool { return true }
 	for name, k := range map[string]struct {
@@ -201,8 +203,8 @@
 			respond(`{"rev":41,"all":false,"targets":[]}`)(c, nil)
 			return false
 		}, grace},
-		"silent":                     {silent, 6*time.Second - grace},
-		"waits with an old revision": {respond(`{"rev":2,"all":false,"targets":[]}`), grace},
+		"silent":                         {silent, 6*time.Second - grace},
+		"responds with a lower revision": {respond(`{"rev":2,"all":false,"targets":[]}`), grace},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -210,13 +212,13 @@
 			broken := func(c net.Conn, call *http.Request) bool { at.Store(time.Now().UnixNano()); return k.second(c, call) }
 			s := newScriptedAgent(t, respond(listAt(41, true, "Ready")), broken, restarted(listAt(3, true, "Terminating")))
 			if delay := drainDelay(t, s, grace, func() time.Time { return time.Unix(0, at.Load()) }); delay > k.limit {
-				t.Errorf("known after %v, in at most %v; requested %v", delay, k.limit, s.requested())
+				t.Errorf("the drain was emitted after %v, want at most %v; requested %v", delay, k.limit, s.requested())
 			}
 		})
 	}
 }
 
-// Watches of an agent end after two seconds; those of a shared service are held longer the more instances watch.
+// Watches of an agent are held for two seconds; watches of a shared service are held longer the more instances watch.
 func TestWatchTimeout(t *testing.T) {
 	for _, k := range []struct {
 		agent     bool
@@ -230,7 +232,7 @@
 	}
 }
 
-// A list of some thousand servers with long names, indented, is read, from an agent that gives it in chunks.
+// An indented list of several thousand endpoints with long names, sent in chunks, is decoded.
 func TestLongListsAreDecoded(t *testing.T) {
 	var b strings.Builder
 	b.WriteString("{\n    \"rev\": 7,\n    \"all\": true,\n    \"targets\": [\n")
@@ -253,62 +255,63 @@
 	defer end()
 	p.Run(ctx, func(event Event) {
 		if event.List == nil || len(event.List.Entries) != n {
-			t.Errorf("of %d servers in %d bytes: %v", n, b.Len(), event.Failed)
+			t.Errorf("a list of %d endpoints in %d bytes was not decoded: %v", n, b.Len(), event.Failed)
 		}
 		end()
 	})
 	if len(s.requested()) == 0 {
-		t.Error("not requested")
+		t.Error("the list was not requested")
 	}
 }
 
-// An idle connection that was closed unnoticed is detected when it is used: the call is repeated at once on another.
-func TestClosedIdleConnectionCostsNoTime(t *testing.T) {
+// If the agent closed the idle connection without an announcement, that is detected at the next call, which is repeated at once on
+// another connection.
+func TestCallIsRepeatedAtOnceAfterClosedIdleConnection(t *testing.T) {
 	var closed atomic.Int64
 	first := func(c net.Conn, call *http.Request) bool {
 		respond(listAt(41, true, "Ready"))(c, call)
 		closed.Store(time.Now().UnixNano())
-		return false // the agent closes behind its answer, and does not say so
+		return false // the agent closes the connection after its response without announcing it
 	}
-	s := newScriptedAgent(t, first, respond(listAt(42, true, "Terminating"))) // to every call that follows
+	s := newScriptedAgent(t, first, respond(listAt(42, true, "Terminating"))) // responds to all further calls
 	if delay := drainDelay(t, s, time.Second, func() time.Time { return time.Unix(0, closed.Load()) }); delay > 300*time.Millisecond {
-		t.Errorf("known after %v", delay)
+		t.Errorf("the drain was emitted after %v, want at most 300ms", delay)
 	}
 }
 
-// Retries of a service elsewhere back off.
+// Retries of calls to a shared service back off.
 func TestRetriesBackOff(t *testing.T) {
 	p := NewPlatform("127.0.0.1:1", false)
 	var last time.Duration
 	for n := 1; n < 20; n++ {
 		if got := p.retryDelay(n); got < last || got > maxRetryDelay || n > 6 && got != maxRetryDelay {
-			t.Errorf("after %d failures %v, before %v", n, got, last)
+			t.Errorf("delay %v after %d failures, %v after one failure less", got, n, last)
 		} else {
 			last = got
 		}
 	}
 	if p.AnswerTimeout() != answerTimeout {
-		t.Errorf("an answer may take %v", p.AnswerTimeout())
+		t.Errorf("answer timeout %v, want %v", p.AnswerTimeout(), answerTimeout)
 	}
 }
 
-// One outage fails the calls of all instances in the same moment; their retries must not come in the same moment too. An agent serves
-// one instance, which retries at once.
-func TestRetriesOfASharedServiceHaveJitter(t *testing.T) {
+// In an outage the calls of all instances fail at the same moment, so retries of calls to a shared service have jitter. An agent serves
+// one instance only, so its delays have none.
+func TestRetriesOfSharedServiceHaveJitter(t *testing.T) {
 	shared, agent := NewPlatform("127.0.0.1:1", false), NewPlatform("127.0.0.1:1", false)
 	agent.Grace = time.Second
-	moments := map[time.Duration]bool{}
+	intervals := map[time.Duration]bool{}
 	for range 300 {
 		wait := shared.jitter(time.Second)
 		if wait < time.Second/2 || wait > time.Second {
-			t.Fatalf("%v for a second", wait)
+			t.Fatalf("jitter of 1s returned %v, want 500ms to 1s", wait)
 		}
-		moments[wait/(10*time.Millisecond)] = true
+		intervals[wait/(10*time.Millisecond)] = true
 		if got := agent.jitter(time.Second); got != time.Second {
-			t.Fatalf("%v for a second at an agent", got)
+			t.Fatalf("jitter of 1s for an agent returned %v, want 1s", got)
 		}
 	}
-	if len(moments) < 40 {
-		t.Errorf("300 calls in %d moments of 10 ms", len(moments))
+	if len(intervals) < 40 {
+		t.Errorf("300 delays fall into %d intervals of 10 ms, want at least 40", len(intervals))
 	}
 }
--- a/internal/discovery/platformcall.go
+++ b/internal/discovery/platformcall.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// maxListSize bounds an answer, in bytes: some thousand endpoints with long names, indented.
+// maxListSize bounds a list, in bytes. It is enough for several thousand endpoints with long names, indented.
 const maxListSize = 8 << 20
 
-// Why a call was cancelled.
+// Causes for the cancellation of a call.
 var (
-	errTimeout          = errors.New("no answer in time")
-	errConnectionClosed = errors.New("the connection had ended")
+	errTimeout          = errors.New("discovery has not answered before the timeout")
+	errConnectionClosed = errors.New("the connection to the discovery agent was closed")
 )
 
-// call requests the whole list, or waits for the changes since a revision.
+// call requests the whole list, or watches for changes since a revision.
 func (p *Platform) call(ctx context.Context, transport http.RoundTripper, since int64) (platformList, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -42,31 +42,31 @@
 	if err != nil {
 		return platformList{}, err
 	}
-	defer func() { _ = response.Body.Close() }() // it was only read
+	defer func() { _ = response.Body.Close() }() // an error has no consequence after reading
 	p.connectionCloses = response.Close
-	timer.Reset(p.AnswerTimeout()) // the body may not take as long as a watch
+	timer.Reset(p.AnswerTimeout()) // the body must not take as long as a watch may
 	return readResponse(response)
 }
 
 // readResponse reads the list from a response.
 func readResponse(response *http.Response) (platformList, error) {
 	if response.StatusCode != http.StatusOK {
-		return platformList{}, fmt.Errorf("the answer cannot be used: status %d", response.StatusCode)
+		return platformList{}, fmt.Errorf("unexpected status %d from discovery", response.StatusCode)
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxListSize+1))
 	if err != nil {
 		return platformList{}, err
 	}
 	if len(body) > maxListSize {
-		return platformList{}, fmt.Errorf("%w: over %d bytes", errMalformedList, maxListSize)
+		return platformList{}, fmt.Errorf("%w: it is longer than %d bytes", errMalformedList, maxListSize)
 	}
 	return decodePlatformList(body)
 }
 
-// withoutReconnect cancels a call to an agent that needs a second connection, or a watch that needs a new one. The
-// transport would repeat the watch by itself on another connection, but an agent whose connection has ended may have
-// restarted with a lower revision, or hang: the whole list must be requested instead. An agent that announces with each
-// answer that it closes the connection is watched nevertheless.
+// withoutReconnect cancels a call to an agent if the call needs a second connection, or if a watch needs a new one. The
+// transport would repeat the watch by itself on another connection, but an agent whose connection was closed may have
+// restarted with a lower revision, or may hang: the whole list must be requested instead. An agent that announces with
+// each response that it closes the connection is watched nevertheless.
 func (p *Platform) withoutReconnect(ctx context.Context, watch bool, cancel context.CancelCauseFunc) context.Context {
 	connections := 0
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(got httptrace.GotConnInfo) {
--- a/internal/discovery/platformlist.go
+++ b/internal/discovery/platformlist.go
@@ -8,13 +8,13 @@
 	"pepperlead/policy"
 )
 
-// errMalformedList reports a list that can't be decoded. The revision that it belongs to is not known.
-var errMalformedList = errors.New("the list cannot be read")
+// errMalformedList reports that a list can't be decoded. Its revision is not known.
+var errMalformedList = errors.New("the endpoint list cannot be decoded")
 
 // platformList is a list as the platform's discovery service sends it.
 type platformList struct {
 	revision int64
-	full     bool // it has all endpoints; else those that have changed since a revision
+	full     bool // the list has all endpoints; otherwise those that have changed since a revision
 	entries  []Entry
 }
 
@@ -29,14 +29,14 @@
 	weight      float64
 }
 
-// DecodeList decodes a list as the platform's discovery service sends it. A full one has all endpoints, another those
-// that have changed since a revision. An incomplete text is an error.
+// DecodeList decodes a list as the platform's discovery service sends it. A full list has all endpoints; any other list
+// has those that have changed since a revision. An incomplete text is an error.
 func DecodeList(text []byte) (revision int64, full bool, entries []Entry, err error) {
 	list, err := decodePlatformList(text)
 	return list.revision, list.full, list.entries, err
 }
 
-// decodePlatformList decodes a list. An incomplete text is an error.
+// decodePlatformList decodes a list as DecodeList does.
 func decodePlatformList(text []byte) (platformList, error) {
 	r := &jsonReader{text: text}
 	var list platformList
@@ -102,7 +102,7 @@
 	return endpoint.entry()
 }
 
-// entry checks an endpoint and returns its entry.
+// entry validates an endpoint and returns its entry.
 func (e platformEndpoint) entry() (Entry, error) {
 	status, err := parseStatus(string(e.state))
 	if err != nil {
--- a/internal/discovery/platformlist_test.go
+++ b/internal/discovery/platformlist_test.go
@@ -11,9 +11,9 @@
  {"uid":"s-\"2\u0041","endpoint":"10.1.0.19:9000","az":"b","pod_group":4,"state":"Terminating","boot_ms":17}]}`
 
 // decodeToText decodes a list and formats its values.
-func decodeToText(in string) (string, error) {
+func decodeToText(text string) (string, error) {
 	var out strings.Builder
-	revision, full, entries, err := DecodeList([]byte(in))
+	revision, full, entries, err := DecodeList([]byte(text))
 	for _, e := range entries {
 		fmt.Fprintln(&out, e.UID, e.Addr, e.Zone, e.Cell, e.Status, e.Weight, e.Started)
 	}
@@ -41,10 +41,10 @@
 			t.Fatalf("accepted after %d bytes", i)
 		}
 	}
-	for at := range listJSON { // no panic, whatever one byte becomes
+	for i := range listJSON { // there is no panic if any byte is replaced by any other
 		for c := range 256 {
 			in := []byte(listJSON)
-			in[at] = byte(c)
+			in[i] = byte(c)
 			decodeToText(string(in))
 		}
 	}
--- a/internal/discovery/platformtimes.go
+++ b/internal/discovery/platformtimes.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// How long discovery may hold a watch. A drain must take effect 6 s after discovery has it, whatever becomes of a call:
-// the watch, its answer, the next call and the grace have to fit into that.
+// Bounds on the time for which discovery may hold a watch. A drain must take effect within 6 s after discovery learns
+// of it, even if a call fails: the watch, its response, the next call and the grace have to fit into that time.
 const (
 	minWatchTimeout = 2 * time.Second
 	maxWatchTimeout = 20 * time.Second
-	// watchTimePerInstance limits all instances that share a service to 100 calls a second.
+	// watchTimePerInstance limits the instances that share a service to 100 calls per second in total.
 	watchTimePerInstance = 10 * time.Millisecond
 )
 
-// Timeout and retries of calls to a service elsewhere.
+// Timeout and retry delays of calls to a shared service.
 const (
 	answerTimeout   = 2 * time.Second
 	firstRetryDelay = 100 * time.Millisecond
@@ -22,8 +22,8 @@
 	maxDoublings    = 8 // of the delay, so that it can't overflow
 )
 
-// Timeout and retries of calls to an agent, as parts of the grace: a call that gets no answer, the delay after it and a
-// second call must fit into it.
+// Timeout and retry delay of calls to an agent, as parts of the grace. A call without an answer, the delay after it and
+// a second call must fit into the grace.
 const (
 	graceParts         = 3 // the timeout is a third of the grace
 	minAgentTimeout    = 100 * time.Millisecond
@@ -32,8 +32,8 @@
 	minAgentRetryDelay = 20 * time.Millisecond
 )
 
-// WatchTimeout returns how long a watch may wait where so many instances watch. Calls to a shared service are spread
-// over the instances; calls to an agent on the same machine cost nothing.
+// WatchTimeout returns how long a watch may be held if the given number of instances watch. It grows with the number of
+// instances that share a service, to limit the service's load; calls to an agent on the same machine cost nothing.
 func WatchTimeout(agent bool, instances int) time.Duration {
 	if agent {
 		return minWatchTimeout
@@ -41,7 +41,7 @@
 	return min(max(minWatchTimeout, time.Duration(instances)*watchTimePerInstance), maxWatchTimeout)
 }
 
-// AnswerTimeout returns how long an answer may take to begin, beyond the time for which its watch is held.
+// AnswerTimeout returns how long discovery may take to begin its response, in addition to the time of a watch.
 func (p *Platform) AnswerTimeout() time.Duration {
 	if p.Grace == 0 {
 		return answerTimeout
@@ -49,7 +49,7 @@
 	return min(max(p.Grace/graceParts, minAgentTimeout), maxAgentTimeout)
 }
 
-// retryDelay returns the delay before the next call after a number of failures in a row.
+// retryDelay returns the delay before the next call after the given number of consecutive failures.
 func (p *Platform) retryDelay(failures int) time.Duration {
 	switch {
 	case failures == 1 && p.Grace > 0:
@@ -61,8 +61,8 @@
 	}
 }
 
-// jitter shortens a delay by a random part of up to a half where instances share a service: the calls of all of them
-// fail in the same moment of an outage, and must not be retried in step.
+// jitter shortens a delay by a random part of up to one half if instances share a service: in an outage, the calls of
+// all instances fail at the same moment and must not be retried in sync.
 func (p *Platform) jitter(delay time.Duration) time.Duration {
 	if p.Grace > 0 {
 		return delay // an agent serves this instance alone
--- a/internal/endpointfiles/checks.go
+++ b/internal/endpointfiles/checks.go
@@ -8,13 +8,13 @@
 	"pepperlead/policy"
 )
 
-// minDivisor keeps the share of a weight of 0 finite.
+// minDivisor avoids a division by zero if the total weight is 0.
 const minDivisor = 1e-300
 
-// findFault returns why a settled reading is rejected; empty if it isn't.
+// findFault returns why files that have settled are rejected; empty if they are not.
 func (v *Validator) findFault(now policy.Time, files []File) string {
 	if len(files) == 0 {
-		return "no list file is there"
+		return "no list file found"
 	}
 	for _, file := range files {
 		if reason := v.findFileFault(file); reason != "" {
@@ -35,29 +35,31 @@
 	return v.findRemoval(files)
 }
 
-// findFileFault returns why a file can't be used or is older than the one in force; empty if neither holds.
+// findFileFault returns why a file can't be used, or that it is older than the one in force; empty if neither is the
+// case.
 func (v *Validator) findFileFault(file File) string {
 	if file.Problem != "" {
 		return file.Problem
 	}
 	if v.limits.RequireDigest && !file.Sealed {
-		return file.Name + ": carries no digest, and only sealed lists are taken: seal it"
+		return file.Name + ": has no digest, but only sealed lists are accepted: seal it"
 	}
 	last := v.state.Issues[file.Name]
 	if file.Issue < last {
-		return fmt.Sprintf("%s: issue: found %d, allowed from %d on: an older list than the one in force",
+		return fmt.Sprintf("%s: issue: found %d, allowed %d or higher: the list is older than the one in force",
 			file.Name, file.Issue, last)
 	}
-	// After a restart the content of the last issue is not known.
+	// After a restart the content of the last issue is not known, so it is not compared.
 	changed := v.digests != nil && !v.inForce(file)
 	if file.Issue == last && last > 0 && changed {
-		return fmt.Sprintf("%s: issue: found %d again with other content, allowed from %d on: seal it anew",
+		return fmt.Sprintf("%s: issue: found %d again with different content, allowed %d or higher: seal it again",
 			file.Name, file.Issue, last+1)
 	}
 	return ""
 }
 
-// findConflict returns which two endpoints have the same uid or hash, or are both ready at one address; empty if none.
+// findConflict returns which two endpoints have the same uid or the same hash, or are both ready at the same address;
+// empty if there are none.
 func findConflict(files []File) string {
 	fileByUID := map[string]string{}
 	uidByID := map[policy.EndpointID]string{}
@@ -65,11 +67,11 @@
 	for _, file := range files {
 		for _, entry := range file.Entries {
 			if other, found := fileByUID[entry.UID]; found {
-				return fmt.Sprintf("%s: server %q stands in %s too: each id is allowed once",
+				return fmt.Sprintf("%s: server %q is also listed in %s: each id is allowed once",
 					file.Name, entry.UID, other)
 			}
 			if other, found := uidByID[entry.ID]; found {
-				return fmt.Sprintf("%s: servers %q and %q have one hash: give one another id",
+				return fmt.Sprintf("%s: servers %q and %q have the same hash: change the id of one of them",
 					file.Name, entry.UID, other)
 			}
 			fileByUID[entry.UID] = file.Name
@@ -87,9 +89,9 @@
 	return ""
 }
 
-// findReturn returns which endpoint was listed as draining and is ready again without a reason; empty if none. An old
-// copy of the list would look like that, and a draining endpoint must get no requests. A later start is a reason, and
-// so is a higher issue.
+// findReturn returns which endpoint was listed as draining and is ready again without a reason; empty if there is none.
+// An old copy of the list would look like that, and a draining endpoint must not get requests. A later start of the
+// endpoint is a reason, and so is a higher issue of the file.
 func (v *Validator) findReturn(now policy.Time, files []File) string {
 	for _, file := range files {
 		if file.Issue > v.state.Issues[file.Name] {
@@ -99,24 +101,24 @@
 			drain, drained := v.state.Drains[entry.UID]
 			remembered := drained && now-drain.LastListed < v.limits.DrainMemory
 			if remembered && entry.Status == policy.Ready && entry.Started <= drain.FirstListed {
-				return fmt.Sprintf("%s: server %q was told draining and is ready again: allowed with a later start "+
-					"(started) or in a list of a higher issue", file.Name, entry.UID)
+				return fmt.Sprintf("%s: server %q was listed as draining and is ready again: allowed only with a "+
+					"later start (started) or in a list with a higher issue", file.Name, entry.UID)
 			}
 		}
 	}
 	return ""
 }
 
-// removal is what a list would remove of the ready endpoints in force.
+// removal describes which part of the ready endpoints in force a list would remove.
 type removal struct {
-	count   int     // endpoints that are removed or no longer ready
-	ready   int     // endpoints that are ready now
-	removed float64 // weight of those that are removed or no longer ready
-	weight  float64 // weight of those that are ready now
+	count   int     // number of endpoints that are ready now, and would be removed or no longer ready
+	ready   int     // number of endpoints that are ready now
+	removed float64 // total weight of the endpoints in count
+	weight  float64 // total weight of the endpoints in ready
 }
 
-// findRemoval returns by how much a list removes more than it may: that is more likely an error than intended. Empty if
-// it doesn't.
+// findRemoval returns that a list removes more than it may, because that is more likely an error than intended; empty
+// if it doesn't.
 func (v *Validator) findRemoval(files []File) string {
 	noneReady := !anyReady(files)
 	if noneReady && v.digests == nil && len(v.current) == 0 {
@@ -129,12 +131,13 @@
 	}
 	removedPercent := 100 * removal.removed / max(removal.weight, minDivisor)
 	allowedPercent := 100 * v.limits.MaxRemovedShare
-	return fmt.Sprintf("the list takes away %d of %d ready servers, %.0f%% of the weight, allowed %.0f%%: "+
-		"it must say so (takes_away = %d)",
+	return fmt.Sprintf("the list removes %d of %d ready servers, %.0f%% of the weight, allowed %.0f%%: "+
+		"it must declare this (takes_away = %d)",
 		removal.count, removal.ready, removedPercent, allowedPercent, removal.count)
 }
 
-// declaredRemovals returns how many endpoints the new files declare to remove. Those of a file in force are done.
+// declaredRemovals returns how many endpoints the new files declare to remove. Files in force are not counted, because
+// their removals have already taken effect.
 func (v *Validator) declaredRemovals(files []File) int {
 	declared := 0
 	for _, file := range files {
@@ -145,7 +148,7 @@
 	return declared
 }
 
-// removalBy returns what a list would remove.
+// removalBy returns which part of the ready endpoints a list would remove.
 func (v *Validator) removalBy(files []File) removal {
 	staysReady := map[string]bool{}
 	for _, file := range files {
@@ -169,7 +172,7 @@
 	return total
 }
 
-// anyReady reports whether an endpoint of the list is ready.
+// anyReady reports whether any endpoint in the files is ready.
 func anyReady(files []File) bool {
 	for _, file := range files {
 		for _, entry := range file.Entries {
--- a/internal/endpointfiles/endpoint.go
+++ b/internal/endpointfiles/endpoint.go
@@ -10,23 +10,23 @@
 	"pepperlead/policy"
 )
 
-// Bounds on the keys of an endpoint.
+// Bounds on the values of an endpoint's keys.
 const (
 	maxCell   = 1<<31 - 1
 	minWeight = 1e-6
 	maxWeight = 1e9
 )
 
-// Entry is an endpoint as a list has it, and its address.
+// Entry is an endpoint in a list, with its uid and address.
 type Entry struct {
 	policy.Member
 	UID, Addr string
 }
 
-// EndpointID returns the id by which the decision module knows the endpoint with a uid.
+// EndpointID returns the id that the decision module uses for the endpoint with the given uid.
 func EndpointID(uid string) policy.EndpointID { return policy.EndpointID(xxhash.Sum64String(uid)) }
 
-// ReadEndpoint reads an endpoint from a table of its own.
+// ReadEndpoint reads an endpoint from its table.
 func ReadEndpoint(table *tomlfile.Table) Entry {
 	table.Require("id", "address")
 	entry := Entry{UID: table.String("id", ""), Addr: table.String("address", "")}
@@ -39,7 +39,7 @@
 		Started: table.Timestamp("started"),
 	}
 	if entry.Addr != "" && !ValidAddress(entry.Addr) {
-		table.Fault("address", table.Found("address"), "an IP address and port, as 10.0.0.4:9000 or [::1]:9000")
+		table.Fault("address", table.Found("address"), "an IP address and port, such as 10.0.0.4:9000 or [::1]:9000")
 	}
 	if strings.ContainsFunc(entry.UID, isSpaceOrControl) {
 		table.Fault("id", table.Found("id"), "a text without spaces")
@@ -54,8 +54,8 @@
 	return r <= ' ' || r == del
 }
 
-// ValidAddress reports whether a text is an IP address with a port. Host names are not allowed: the result of resolving
-// them may come late or change, and so make two lists of one.
+// ValidAddress reports whether a text is an IP address with a port. Host names are not allowed, because resolving them
+// takes time and the result may change, so that one list could mean different endpoints at different times.
 func ValidAddress(text string) bool {
 	address, err := netip.ParseAddrPort(text)
 	return err == nil && address.Port() > 0
--- a/internal/endpointfiles/file.go
+++ b/internal/endpointfiles/file.go
@@ -10,14 +10,15 @@
 	"pepperlead/internal/tomlfile"
 )
 
-// MaxFileSize is how many bytes a list file may have.
+// MaxFileSize is the maximum size of a list file, in bytes.
 const MaxFileSize = 16 << 20
 
-// closingTable is the name of the table that ends each list file. A file that was truncated before it has none, one
-// that was overwritten without being truncated has two, and one that lost endpoints in between has a wrong count.
+// closingTable is the name of the table that ends each list file. It reveals incomplete files: a truncated file has no
+// closing table, a file that was overwritten without being truncated has two, and a file that lost endpoints in between
+// has a wrong count.
 const closingTable = "whole"
 
-// Bounds on the keys of the closing table.
+// Bounds on the values of the closing table's keys.
 const (
 	maxEndpoints = 1 << 20
 	maxIssue     = 1 << 53
@@ -26,21 +27,22 @@
 // Digest identifies the content of a file.
 type Digest uint64
 
-// Issue is the number that a list file gives itself, which grows with each new list; 0: it has none.
+// Issue is the number of a version of a list file, stated in the file. It increases with each new version; 0: none is
+// stated.
 type Issue int64
 
-// File is a list file as it was read.
+// File is the parsed content of a list file.
 type File struct {
 	Name    string
 	Digest  Digest
-	Problem string // why it can't be used; empty: it is complete and valid
-	Sealed  bool   // it has a digest of its content, which is correct
+	Problem string // why the file can't be used; empty: it is complete and valid
+	Sealed  bool   // the file has a digest of its content, which is correct
 	Issue   Issue
-	Removes int // how many ready endpoints it declares to remove
+	Removes int // number of ready endpoints that the file declares to remove
 	Entries []Entry
 }
 
-// Parse reads a list file. All errors in it are reported in Problem.
+// Parse parses the text of a list file. All errors in it are reported in Problem.
 func Parse(name string, text []byte) File {
 	digest := Digest(xxhash.Sum64(text))
 	if !utf8.Valid(text) {
@@ -59,8 +61,8 @@
 	return file
 }
 
-// readClosingTable reads the table that ends the file, and compares it with what stands above. It adds errors to the
-// document.
+// readClosingTable reads the table that ends the file, and compares it with the content above it. Errors are added to
+// the document.
 func (f *File) readClosingTable(document *tomlfile.Document, root *tomlfile.Table, text []byte) {
 	root.Require(closingTable)
 	closing := root.Table(closingTable)
@@ -72,24 +74,24 @@
 	closing.RejectUnknown()
 	root.RejectUnknown()
 	if count >= 0 && int(count) != len(f.Entries) {
-		allowed := fmt.Sprintf("%d, as so many are in the file", len(f.Entries))
+		allowed := fmt.Sprintf("%d, the number of servers in the file", len(f.Entries))
 		closing.Fault("servers", strconv.Itoa(int(count)), allowed)
 	}
 	if closing.Has("servers") && document.LastTable != closingTable {
 		found := "a [" + closingTable + "] that is not the file's last table"
-		closing.Fault("servers", found, "no table behind it")
+		closing.Fault("servers", found, "no table after it")
 	}
 	if digest == "" || document.Err() != nil {
 		return
 	}
 	if digest != sealDigest(text[:document.LastAt], count, f.Issue, f.Removes) {
-		allowed := "only the digest of what stands above it: look it over, then seal it"
+		allowed := "only the digest of the text above it: check the changes, then seal it again"
 		closing.Fault("digest", strconv.Quote(digest), allowed)
 	}
 	f.Sealed = true
 }
 
-// Join returns why files, each of them valid, can't be one list; empty if they can.
+// Join returns why the files can't make up one list; empty if they can.
 func Join(files []File) string {
 	for _, file := range files {
 		if file.Problem != "" {
--- a/internal/endpointfiles/file_test.go
+++ b/internal/endpointfiles/file_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// listText is a list file of n endpoints, without a closing table. Endpoints differ between variants.
+// listText returns a list file with n endpoints and without a closing table. The endpoints differ between variants.
 func listText(n, variant int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# variant %d\n", variant)
@@ -30,11 +30,11 @@
 	return string(out), f
 }
 
-// A file that is truncated anywhere is not accepted, with a digest and without.
+// A file that is truncated at any position is rejected, with a digest and without.
 func TestTruncatedListsAreRejected(t *testing.T) {
 	text, complete := sealed(t, listText(7, 1), 12)
-	bare := text[:strings.Index(text, "digest")]
-	for _, in := range []string{text, bare} {
+	unsealed := text[:strings.Index(text, "digest")]
+	for _, in := range []string{text, unsealed} {
 		for i := range in {
 			if f := Parse("f", []byte(in[:i])); f.Problem == "" && !reflect.DeepEqual(f.Entries, complete.Entries) {
 				t.Fatalf("accepted: %s", in[:i])
@@ -43,14 +43,14 @@
 	}
 }
 
-// An editor that writes in place leaves, up to some byte, the new text over the old. With a digest, only the one or the other is
-// accepted.
+// While an editor writes a file in place, the file has the new text up to some byte and the old text from there on. With a digest, such
+// a mixture is rejected unless it has the endpoints of the old or the new list.
 func TestMixedListsAreRejected(t *testing.T) {
 	for _, sizes := range [][2]int{{5, 5}, {3, 8}, {8, 3}, {12, 12}} {
 		old, a := sealed(t, listText(sizes[0], 1), 3)
-		new, b := sealed(t, listText(sizes[1], 2), 4)
-		for i := 0; i <= len(new); i++ {
-			mixed := new[:i]
+		updated, b := sealed(t, listText(sizes[1], 2), 4)
+		for i := 0; i <= len(updated); i++ {
+			mixed := updated[:i]
 			if i < len(old) {
 				mixed += old[i:]
 			}
@@ -59,15 +59,15 @@
 				t.Fatalf("accepted: %s", mixed)
 			}
 		}
-		// Overwritten without being truncated: the old end stands behind the new text.
-		over := new + old[min(len(new), len(old)):]
-		if f := Parse("f", []byte(over)); len(old) > len(new)+1 && f.Problem == "" {
-			t.Errorf("new head and old tail: accepted: %s", over)
+		// Overwritten without being truncated: the end of the old text follows the new text.
+		mixed := updated + old[min(len(updated), len(old)):]
+		if f := Parse("f", []byte(mixed)); len(old) > len(updated)+1 && f.Problem == "" {
+			t.Errorf("new text with the end of the old: accepted: %s", mixed)
 		}
 	}
 }
 
-func TestFaultsNameTheirPlace(t *testing.T) {
+func TestProblemsNameLineAndKey(t *testing.T) {
 	valid, _ := sealed(t, listText(3, 1), 1)
 	for _, k := range [][3]string{
 		{`id = "s-0"`, `id = 5`, "f:4: server[0].id: found 5, allowed a text"},
@@ -85,7 +85,7 @@
 	} {
 		in := strings.Replace(valid, k[0], k[1], 1)
 		if f := Parse("f", []byte(in)); !strings.Contains(f.Problem, k[2]) || in == valid {
-			t.Errorf("%s for %s: %s; want %s", k[1], k[0], f.Problem, k[2])
+			t.Errorf("%s instead of %s: got %q, want %q", k[1], k[0], f.Problem, k[2])
 		}
 	}
 }
@@ -96,9 +96,9 @@
 	for _, k := range []struct {
 		files []File
 		want  string
-	}{{[]File{a, c}, "both ready"}, {[]File{a, b}, "stands in a too"}, {[]File{b, c}, ""}} {
-		if why := Join(k.files); !strings.Contains(why, k.want) || (why == "") != (k.want == "") {
-			t.Errorf("%q, want %q", why, k.want)
+	}{{[]File{a, c}, "both ready"}, {[]File{a, b}, "also listed in a:"}, {[]File{b, c}, ""}} {
+		if reason := Join(k.files); !strings.Contains(reason, k.want) || (reason == "") != (k.want == "") {
+			t.Errorf("got %q, want %q", reason, k.want)
 		}
 	}
 }
@@ -107,7 +107,7 @@
 	return fmt.Sprintf("[[server]]\nid = %q\naddress = \"127.0.0.1:%d\"\n[whole]\nservers = 1\n", id, port)
 }
 
-// No text causes a panic, and a valid list stays the same when it is sealed, with a higher issue.
+// No text causes a panic. Sealing a valid list keeps its endpoints and increments its issue.
 func FuzzListText(f *testing.F) {
 	text, _, _ := Seal("f", []byte(listText(3, 1)), 4, 2)
 	for _, in := range []string{string(text), listOfOne("a", 1), "server = [{id = 'a', address = '[::1]:1'}]\n[whole]\nservers = 1",
--- a/internal/endpointfiles/golden_test.go
+++ b/internal/endpointfiles/golden_test.go
@@ -7,8 +7,8 @@
 	"pepperlead/internal/golden"
 )
 
-// TestListsAreSealedAsBefore compares the text of a sealed list with what was written before.
-func TestListsAreSealedAsBefore(t *testing.T) {
+// TestSealedListMatchesGoldenFile compares the text of a sealed list with the golden file.
+func TestSealedListMatchesGoldenFile(t *testing.T) {
 	text, err := os.ReadFile("testdata/every-key.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -20,9 +20,9 @@
 	golden.Compare(t, "sealed.toml", sealed)
 }
 
-// TestListsAreParsedAsBefore compares the values of the repository's list of endpoints, and of a sealed one with each key, with those
-// that were parsed before.
-func TestListsAreParsedAsBefore(t *testing.T) {
+// TestParsedListsMatchGoldenFiles parses the repository's endpoint list and a sealed list with every key, and compares the values with
+// the golden files.
+func TestParsedListsMatchGoldenFiles(t *testing.T) {
 	for path, name := range map[string]string{"../../deploy/servers.toml": "servers.values", "testdata/sealed.toml": "sealed.values"} {
 		text, err := os.ReadFile(path)
 		if err != nil {
--- a/internal/endpointfiles/seal.go
+++ b/internal/endpointfiles/seal.go
@@ -10,8 +10,9 @@
 	"pepperlead/internal/tomlfile"
 )
 
-// Seal writes the closing table of a list file anew: the count of its endpoints, an issue, how many it removes, and a
-// digest of all that. What stands above is kept to the byte. issue 0: the next after the file's.
+// Seal returns a list file with a new closing table, which has the number of endpoints, an issue, the declared number
+// of removals and a digest of the file. The text above the table is kept byte for byte. If issue is 0, the file gets
+// the next issue after its current one.
 func Seal(name string, text []byte, issue Issue, removes int) ([]byte, File, error) {
 	document, root := tomlfile.Parse(name, text, MaxFileSize)
 	if err := document.Err(); err != nil {
@@ -20,7 +21,7 @@
 	above := text
 	if root.Has(closingTable) {
 		if document.LastTable != closingTable {
-			return nil, File{}, fmt.Errorf("%s:%d: %s: found before another table, allowed as the file's last",
+			return nil, File{}, fmt.Errorf("%s:%d: %s: found before another table, allowed as the last table only",
 				name, root.Line(closingTable), closingTable)
 		}
 		above = text[:document.LastAt]
@@ -36,7 +37,7 @@
 	return sealed, file, nil
 }
 
-// appendClosingTable returns a copy of a text with a closing table after it.
+// appendClosingTable returns a copy of the text above the closing table, followed by that table.
 func appendClosingTable(above []byte, endpoints int, issue Issue, removes int) []byte {
 	text := slices.Clone(above)
 	if len(text) > 0 && text[len(text)-1] != '\n' {
@@ -50,7 +51,7 @@
 	return fmt.Appendf(text, "digest = %q\n", digest)
 }
 
-// sealDigest returns the digest of what stands above the closing table and of the table's other keys.
+// sealDigest returns the digest of the text above the closing table and of the table's other keys.
 func sealDigest(above []byte, endpoints int64, issue Issue, removes int) string {
 	hash := sha256.New()
 	hash.Write(above)
--- a/internal/endpointfiles/state.go
+++ b/internal/endpointfiles/state.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	// maxDrains bounds the remembered drains; of more, the oldest are forgotten.
+	// maxDrains bounds the number of remembered drains; if there are more, the oldest are forgotten.
 	maxDrains = 1 << 16
-	// maxIssues bounds the remembered issues; of more, those of removed files are forgotten.
+	// maxIssues bounds the number of remembered issues; if there are more, those of removed files are forgotten.
 	maxIssues = 1 << 12
 )
 
-// State is what the rules remember beside the list in force. It must survive a restart.
+// State is the state that the validator keeps in addition to the list in force. It must survive a restart.
 type State struct {
-	Issues map[string]Issue // the last accepted ones, by file name
-	Drains map[string]Drain // by uid
+	Issues map[string]Issue // last accepted issues, by file name
+	Drains map[string]Drain // remembered drains, by uid
 }
 
-// Drain is what is remembered of an endpoint that was listed as draining.
+// Drain records when an endpoint was listed as draining.
 type Drain struct {
 	FirstListed policy.Time // when it was first listed as draining
 	LastListed  policy.Time // when it was last listed
 }
 
-// Resume puts a list in force that was saved earlier, with its state.
+// Resume puts a list in force that was saved earlier, and restores the state that was saved with it.
 func (v *Validator) Resume(entries []Entry, state State) {
 	for _, entry := range entries {
 		v.current[entry.UID] = entry
@@ -41,8 +41,8 @@
 	return State{Issues: maps.Clone(v.state.Issues), Drains: maps.Clone(v.state.Drains)}
 }
 
-// noteStatus remembers whether an endpoint of an accepted list drains.
-func (s *State) noteStatus(now policy.Time, entry Entry) {
+// recordStatus records whether an endpoint of an accepted list is draining.
+func (s *State) recordStatus(now policy.Time, entry Entry) {
 	if entry.Status == policy.Ready {
 		delete(s.Drains, entry.UID)
 		return
@@ -55,7 +55,8 @@
 	s.Drains[entry.UID] = drain
 }
 
-// forget removes what need not or can't be remembered any longer.
+// forget removes drains whose endpoint has been unlisted for longer than DrainMemory, and drains and issues that exceed
+// the maximum numbers.
 func (v *Validator) forget(now policy.Time) {
 	maps.DeleteFunc(v.state.Drains, func(uid string, drain Drain) bool {
 		_, listed := v.current[uid]
@@ -70,7 +71,7 @@
 	v.state.forgetOldestDrains()
 }
 
-// forgetOldestDrains removes the drains over the maximum.
+// forgetOldestDrains removes the oldest drains if there are more than maxDrains.
 func (s *State) forgetOldestDrains() {
 	excess := len(s.Drains) - maxDrains
 	if excess <= 0 {
--- a/internal/endpointfiles/validator.go
+++ b/internal/endpointfiles/validator.go
@@ -1,6 +1,6 @@
-// Package endpointfiles parses list files and decides whether the list that they make up is accepted: whether it is
-// complete, newer than the one in force, and plausible. It does no I/O, reads no clock and starts no goroutines.
-// docs/watched-files.md gives the reasons for its rules.
+// Package endpointfiles parses list files and decides whether the list that they make up is accepted. It is accepted if
+// it is complete, newer than the list in force, and plausible. The package does no I/O, reads no clock and starts no
+// goroutines. docs/watched-files.md explains the reasons for the rules.
 package endpointfiles
 
 import (
@@ -10,25 +10,25 @@
 	"pepperlead/policy"
 )
 
-// Limits are the bounds that lists must keep to.
+// Limits are the limits that lists must comply with.
 type Limits struct {
 	MaxRemovedShare float64     // share of the ready weight that a list may remove without declaring it
-	SettleTime      policy.Time // for which a file that has no digest, or is invalid, must stay unchanged
-	MissingTime     policy.Time // for which a file must be missing before its endpoints are removed
+	SettleTime      policy.Time // how long a file that has no digest, or is invalid, must stay unchanged
+	MissingTime     policy.Time // how long a file must be missing before its endpoints are removed
 	RequireDigest   bool        // files without a digest are rejected
 	RequiredFiles   []string    // files that must exist
-	DrainMemory     policy.Time // for which a drain is remembered after the endpoint was last listed
+	DrainMemory     policy.Time // how long a drain is remembered after the endpoint was last listed
 }
 
-// Verdict is the decision about a reading of all files.
+// Verdict is the decision on the current content of all files.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Unchanged Verdict = iota // the list is in force already
+	Unchanged Verdict = iota // the files are those in force
 	Wait                     // a file may still be being written
-	Rejected                 // the list in force stays
-	Accepted                 // the list is in force from now on
+	Rejected                 // the files are not used, and the list in force stays
+	Accepted                 // the files are in force from now on
 )
 
 // String returns the name of the verdict.
@@ -50,22 +50,22 @@
 // Result is a verdict with its details.
 type Result struct {
 	Verdict   Verdict
-	Reason    string      // of Wait and Rejected
-	LookAgain policy.Time // of Wait: when to read the files again at the latest
-	Entries   []Entry     // of Accepted: the full list, by uid
+	Reason    string      // set for Wait and Rejected
+	LookAgain policy.Time // set for Wait: when to read the files again at the latest
+	Entries   []Entry     // set for Accepted: the full list, sorted by uid
 }
 
-// Validator holds the list in force and decides about those that may follow it.
+// Validator holds the list in force and decides whether a new list replaces it.
 type Validator struct {
 	limits       Limits
-	digests      map[string]Digest // of the files in force, by name; nil after a restart
+	digests      map[string]Digest // digests of the files in force, by name; nil after a restart
 	current      map[string]Entry  // the list in force, by uid; empty: there is none yet
 	state        State
 	observed     map[string]observation // the files last read, by name
-	missingSince map[string]policy.Time // files in force that are missing, by name
+	missingSince map[string]policy.Time // since when files in force are missing, by name
 }
 
-// observation is a content of a file, and since when the file has it.
+// observation is the digest of a file, and the time since which the file has that digest.
 type observation struct {
 	digest Digest
 	since  policy.Time
@@ -82,7 +82,8 @@
 	}
 }
 
-// Evaluate decides about a reading of all files. Time must not go back between calls.
+// Evaluate decides whether the given files, which must be all list files, are put in force. The time must not decrease
+// between calls.
 func (v *Validator) Evaluate(now policy.Time, files []File) Result {
 	slices.SortFunc(files, func(a, b File) int { return cmp.Compare(a.Name, b.Name) })
 	if reason, until := v.unsettled(now, files); reason != "" {
@@ -97,31 +98,31 @@
 	return Result{Verdict: Accepted, Entries: v.accept(now, files)}
 }
 
-// unsettled returns why a file may still be being written, and until when at least; empty if none is. An editor that
-// writes in place shows a file that is empty, truncated, or new at its start and old at its end; one that renames a new
-// file shows a moment without a file.
+// unsettled returns why a file may still be being written, and the earliest time at which that may have changed; an
+// empty reason if none is. While an editor writes a file in place, the file may be empty, truncated, or new at its
+// start and old at its end. While a file is replaced, it may be missing for a moment.
 func (v *Validator) unsettled(now policy.Time, files []File) (reason string, until policy.Time) {
-	waitUntil := func(why string, time policy.Time) {
+	waitUntil := func(cause string, time policy.Time) {
 		if now < time && (reason == "" || time < until) {
-			reason = why
+			reason = cause
 			until = time
 		}
 	}
 	v.observe(now, files)
 	for _, file := range files {
 		if (file.Problem != "" || !file.Sealed) && !v.inForce(file) {
-			waitUntil(file.Name+": changed just now", v.observed[file.Name].since+v.limits.SettleTime)
+			waitUntil(file.Name+": changed recently", v.observed[file.Name].since+v.limits.SettleTime)
 		}
 	}
 	for name := range v.digests {
 		if since, missing := v.missingSince[name]; missing {
-			waitUntil(name+": missing just now", since+v.limits.MissingTime)
+			waitUntil(name+": went missing recently", since+v.limits.MissingTime)
 		}
 	}
 	return reason, until
 }
 
-// observe notes which files have changed and which are missing.
+// observe records since when files have their content, and since when files in force are missing.
 func (v *Validator) observe(now policy.Time, files []File) {
 	present := map[string]bool{}
 	for _, file := range files {
@@ -173,7 +174,7 @@
 		for _, entry := range file.Entries {
 			list = append(list, entry)
 			v.current[entry.UID] = entry
-			v.state.noteStatus(now, entry)
+			v.state.recordStatus(now, entry)
 		}
 	}
 	v.forget(now)
--- a/internal/endpointfiles/validator_test.go
+++ b/internal/endpointfiles/validator_test.go
@@ -13,7 +13,7 @@
 	"pepperlead/policy"
 )
 
-// model is a second implementation of the rules. It keeps the complete history and computes everything from it at each reading, by plain
+// model is a second implementation of the validator's rules. It keeps the complete history and computes every verdict from it with plain
 // loops.
 type model struct {
 	limits  Limits
@@ -26,6 +26,7 @@
 	accepted bool
 }
 
+// last returns the last accepted reading, or nil if there is none.
 func (m *model) last() *reading {
 	for i := len(m.history) - 1; i >= 0; i-- {
 		if m.history[i].accepted {
@@ -45,9 +46,9 @@
 }
 
 // since returns the time of the first of the consecutive readings, up to the last one, for which the condition holds.
-func (m *model) since(holds func(reading) bool) policy.Time {
+func (m *model) since(condition func(reading) bool) policy.Time {
 	at := m.history[len(m.history)-1].now
-	for i := len(m.history) - 1; i >= 0 && holds(m.history[i]); i-- {
+	for i := len(m.history) - 1; i >= 0 && condition(m.history[i]); i-- {
 		at = m.history[i].now
 	}
 	return at
@@ -62,7 +63,7 @@
 		}
 		return find(last.files, name)
 	}
-	// Still being written?
+	// Check whether a file may still be being written.
 	for _, f := range files {
 		if was := inForce(f.Name); was != nil && was.Digest == f.Digest || f.Sealed && f.Problem == "" {
 			continue
@@ -85,7 +86,7 @@
 	if same {
 		return Unchanged
 	}
-	// Complete, newer, plausible?
+	// Check whether the list is complete, newer than the one in force, and plausible.
 	ids, addrs, ready := map[string]int{}, map[string]int{}, map[string]bool{}
 	declared := 0
 	for _, f := range files {
@@ -146,7 +147,8 @@
 	return Accepted
 }
 
-// drained reports whether the lists accepted so far drain the endpoint, and none gives a reason for its return.
+// drained reports whether the endpoint must not be ready again: the accepted lists have it as draining, DrainMemory has not passed since,
+// and it has not started again.
 func (m *model) drained(now policy.Time, e Entry) bool {
 	firstListed, lastListed := policy.Time(-1), policy.Time(-1)
 	for _, r := range m.history {
@@ -175,7 +177,7 @@
 	return firstListed >= 0 && e.Started <= firstListed && now-lastListed < m.limits.DrainMemory
 }
 
-// edit changes some files as people, programs and accidents do.
+// edit makes a random change to one of the files, valid or not.
 func edit(rnd *rand.Rand, now policy.Time, files map[string]File) {
 	name := fmt.Sprint("f", rnd.IntN(3))
 	f, exists := files[name]
@@ -185,25 +187,25 @@
 	if f.Removes = 0; rnd.IntN(8) == 0 {
 		f.Removes = rnd.IntN(4)
 	}
-	switch act := rnd.IntN(12); {
-	case act == 0 && exists:
+	switch change := rnd.IntN(12); {
+	case change == 0 && exists:
 		delete(files, name)
 		return
-	case act == 1:
+	case change == 1:
 		f.Problem = name + ": broken"
 		files[name] = f
 		return
-	case act == 2 && rnd.IntN(3) == 0:
+	case change == 2 && rnd.IntN(3) == 0:
 		f.Entries = nil
-	case act < 5 && len(f.Entries) > 0:
+	case change < 5 && len(f.Entries) > 0:
 		i := rnd.IntN(len(f.Entries))
 		f.Entries = slices.Delete(f.Entries, i, i+1)
-	case act < 8 && len(f.Entries) > 0:
+	case change < 8 && len(f.Entries) > 0:
 		e := &f.Entries[rnd.IntN(len(f.Entries))]
 		if e.Status = policy.EndpointStatus(rnd.IntN(2)); rnd.IntN(3) == 0 {
 			e.Started = now
 		}
-	case act < 9 && len(f.Entries) > 0:
+	case change < 9 && len(f.Entries) > 0:
 		f.Entries[rnd.IntN(len(f.Entries))].Weight = 1 + float64(rnd.IntN(4))
 	default:
 		n := rnd.IntN(12)
@@ -219,7 +221,8 @@
 	files[name] = f
 }
 
-func TestValidatorAgainstTheModel(t *testing.T) {
+// Compares the validator's verdicts with those of the model, over random histories of changes.
+func TestValidatorMatchesModel(t *testing.T) {
 	var seen [Accepted + 1]int
 	history := func(seed uint64) bool {
 		rnd := rand.New(rand.NewPCG(seed, 1))
@@ -247,7 +250,7 @@
 			got, want := validator.Evaluate(now, slices.Clone(read)), reference.evaluate(now, slices.Clone(read))
 			seen[got.Verdict]++
 			if got.Verdict != want {
-				t.Logf("seed %d step %d: %d (%s), the model says %d", seed, step, got.Verdict, got.Reason, want)
+				t.Logf("seed %d step %d: got verdict %d (%s), the model's is %d", seed, step, got.Verdict, got.Reason, want)
 				return false
 			}
 			if got.Verdict == Wait && got.LookAgain <= now || (got.Reason == "") != (got.Verdict == Unchanged || got.Verdict == Accepted) {
@@ -264,7 +267,7 @@
 			byUID := func(a, b Entry) int { return cmp.Compare(a.UID, b.UID) }
 			a, b := slices.SortedFunc(slices.Values(current), byUID), slices.SortedFunc(slices.Values(got.Entries), byUID)
 			if !slices.Equal(a, b) {
-				t.Logf("seed %d step %d: accepted %v of %v", seed, step, b, a)
+				t.Logf("seed %d step %d: accepted entries %v, want %v", seed, step, b, a)
 				return false
 			}
 		}
@@ -274,12 +277,12 @@
 		t.Error(err)
 	}
 	if min(seen[Unchanged], seen[Wait], seen[Rejected], seen[Accepted]) < 1000 {
-		t.Errorf("the histories reach too little: %v", seen)
+		t.Errorf("a verdict is reached too rarely to test it: %v", seen)
 	}
 }
 
-// A resumed list counts like an accepted one: drains, issues, and the share that may be removed.
-func TestResumedListsCount(t *testing.T) {
+// After a restart, the resumed list is treated like an accepted one: its drains, its issues and the share of it that may be removed.
+func TestResumedListIsInForce(t *testing.T) {
 	file := func(issue Issue, statuses ...policy.EndpointStatus) File {
 		f := File{Name: "f", Digest: Digest(issue)<<8 + Digest(len(statuses)), Sealed: true, Issue: issue}
 		for i, s := range statuses {
@@ -288,12 +291,12 @@
 		}
 		return f
 	}
-	const R, D = policy.Ready, policy.Draining
+	const R, D = policy.Ready, policy.Draining // short names for the table
 	for _, k := range []struct {
 		before, after File
 		want          Verdict
 	}{
-		{file(7, R, R, D), file(7, R, R, D), Accepted}, // the first reading of a process is a list, also if nothing changed
+		{file(7, R, R, D), file(7, R, R, D), Accepted}, // the first reading of a process is accepted even if nothing has changed
 		{file(7, R, R, D), file(6, R, R, R), Rejected},
 		{file(7, R, R, R), file(8, R, D, D), Rejected},
 		{file(7, R, R, R), file(8, R, R, D), Accepted},
@@ -304,7 +307,7 @@
 		next := New(first.limits)
 		next.Resume(accepted.Entries, first.State())
 		if got := next.Evaluate(500, []File{k.after}); got.Verdict != k.want {
-			t.Errorf("%d after %d: %+v", k.after.Issue, k.before.Issue, got)
+			t.Errorf("issue %d after issue %d: got %+v, want verdict %d", k.after.Issue, k.before.Issue, got, k.want)
 		}
 	}
 }
