--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -2,9 +2,9 @@
 
 import "pepperlead/policy"
 
-// BeforeDeadline is the number of ticks before the client's deadline at which attempts end that the module does not
+// DeadlineMarginTicks is the number of ticks before the client's deadline at which attempts end that the module does not
 // time out: attempts whose request body was completed late, and attempts whose streamed response has stalled.
-const BeforeDeadline = 4
+const DeadlineMarginTicks = 4
 
 // Request is the engine's state of a request.
 type Request struct {
@@ -89,7 +89,7 @@
 	e.Module.BodyPending(request.Handle, true, now+timeout)
 	if request.InFlight {
 		request.SentAt = now
-		e.Timers.Set(&request.AttemptTimer, now+max(0, timeout-BeforeDeadline*e.Settings.Tick))
+		e.Timers.Set(&request.AttemptTimer, now+max(0, timeout-DeadlineMarginTicks*e.Settings.Tick))
 	}
 }
 
--- a/internal/httpproxy/stream.go
+++ b/internal/httpproxy/stream.go
@@ -263,7 +263,7 @@
 	case r.Upload.Active: // the request's time has not begun
 		deadline = c.Progress.At + streamStallTimeout
 	default:
-		clientDeadline := r.ReceivedAt + r.ClientTimeLeft - engine.BeforeDeadline*p.Settings.Tick
+		clientDeadline := r.ReceivedAt + r.ClientTimeLeft - engine.DeadlineMarginTicks*p.Settings.Tick
 		deadline = streamDeadline(c.Frame, c.Progress.At, clientDeadline)
 	}
 	if now >= deadline {
