--- a/internal/engine/activerules_test.go
+++ b/internal/engine/activerules_test.go
@@ -64,7 +64,7 @@
 	settings.Classes = append([]policy.Class{}, own.Settings.Classes...)
 	e := New(Config{Settings: &settings}, log)
 	f := &fakeFront{classes: map[string]policy.ClassID{}, tenants: map[string]policy.TenantID{}}
-	e.Add(f)
+	e.AddFront(f)
 	e.UseAgreedRules(own, 1)
 	accept := func(duration policy.Time, revisions ...ruleset.RevisionNumber) {
 		t.Helper()
--- a/internal/engine/endpoint.go
+++ b/internal/engine/endpoint.go
@@ -18,7 +18,7 @@
 	Generation int             // rises when open connections become useless: the endpoint leaves, restarts or moves
 	Listed     bool            // the endpoint is in the latest list
 	Entry      discovery.Entry // the endpoint's entry in the latest list
-	FrontData  [MaxFronts]any  // data of the fronts, by the index that Add returned
+	FrontData  [MaxFronts]any  // data of the fronts, by the index that AddFront returned
 }
 
 // retire closes the endpoint's idle connections. Connections that are in use are not kept afterwards.
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -92,8 +92,8 @@
 	return e
 }
 
-// Add adds a front and returns its index in Endpoint.FrontData. It must be called before Run.
-func (e *Engine) Add(f Front) int {
+// AddFront adds a front and returns its index in Endpoint.FrontData. It must be called before Run.
+func (e *Engine) AddFront(f Front) int {
 	e.fronts = append(e.fronts, f)
 	return len(e.fronts) - 1
 }
--- a/internal/engine/write_test.go
+++ b/internal/engine/write_test.go
@@ -23,7 +23,7 @@
 			Classes: []policy.Class{{Name: "a", Value: 1, Target: 5 * policy.Second, Deadline: 9 * policy.Second,
 				Idempotency: policy.Keyed, Window: policy.Second}}}}, log)
 		f := &fakeFront{}
-		e.Add(f)
+		e.AddFront(f)
 		now := e.Clock.Now()
 		admitted := now - k.ago
 		e.Apply(admitted, &discovery.List{Kind: policy.ListFull, Entries: []discovery.Entry{{Member: policy.Member{ID: 1, Weight: 1}, UID: "x"},
--- a/internal/httpproxy/proxy.go
+++ b/internal/httpproxy/proxy.go
@@ -64,7 +64,7 @@
 		Recorder:     config.Recorder,
 		StallAfter:   config.StallAfter,
 	}, log)
-	p.frontIndex = p.Add(p)
+	p.frontIndex = p.AddFront(p)
 	for i, class := range config.Settings.Classes {
 		p.classes[class.Name] = policy.ClassID(i)
 	}
--- a/rpc/front.go
+++ b/rpc/front.go
@@ -34,7 +34,7 @@
 func newFront(e *engine.Engine, dialOptions []grpc.DialOption) *front {
 	f := &front{engine: e, dialOptions: dialOptions}
 	f.calls.New = newCall
-	f.number = e.Add(f)
+	f.number = e.AddFront(f)
 	return f
 }
 
