--- a/internal/engine/endpointlist.go
+++ b/internal/engine/endpointlist.go
@@ -200,8 +200,8 @@
 	}
 }
 
-// Apply applies a list that does not come from the engine's source.
-func (e *Engine) Apply(now policy.Time, list *discovery.List) { e.list.apply(now, list) }
+// ApplyList applies a list that does not come from the engine's source.
+func (e *Engine) ApplyList(now policy.Time, list *discovery.List) { e.list.apply(now, list) }
 
 // ListFresh reports whether the source has reported a list since the start.
 func (e *Engine) ListFresh() bool { return e.list.fresh }
--- a/internal/engine/write_test.go
+++ b/internal/engine/write_test.go
@@ -26,7 +26,7 @@
 		e.AddFront(f)
 		now := e.Clock.Now()
 		admitted := now - k.ago
-		e.Apply(admitted, &discovery.List{Kind: policy.ListFull, Entries: []discovery.Entry{{Member: policy.Member{ID: 1, Weight: 1}, UID: "x"},
+		e.ApplyList(admitted, &discovery.List{Kind: policy.ListFull, Entries: []discovery.Entry{{Member: policy.Member{ID: 1, Weight: 1}, UID: "x"},
 			{Member: policy.Member{ID: 2, Weight: 1}, UID: "y"}}})
 		request := e.NewRequest(0)
 		e.Admit(admitted, admitted, request, 0, policy.NoTenant, "k", false, 9*policy.Second)
--- a/internal/httpproxy/proxy_test.go
+++ b/internal/httpproxy/proxy_test.go
@@ -247,7 +247,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Apply(1, &discovery.List{Kind: policy.ListSaved, Entries: entries})
+	s.ApplyList(1, &discovery.List{Kind: policy.ListSaved, Entries: entries})
 	return s, func(side connstate.Side) (*connstate.Conn, *recordingSocket) {
 		c := &connstate.Conn{Side: side, Connected: true, Timer: engine.Timer{Run: func(policy.Time) {}}}
 		k := &recordingSocket{conn: c}
@@ -360,7 +360,7 @@
 				if full {
 					kind = policy.ListFull
 				}
-				s.Apply(now, &discovery.List{Kind: kind, Entries: entries})
+				s.ApplyList(now, &discovery.List{Kind: kind, Entries: entries})
 			}
 			c := []*connstate.Conn{client, server}[rnd.Intn(2)]
 			buf := s.buffers.Get(len(in))
