--- a/internal/daemon/adminoperations.go
+++ b/internal/daemon/adminoperations.go
@@ -38,7 +38,7 @@
 // SetDrained drains an endpoint or puts it back into use, for all processes of the instance.
 func (o *adminOperations) SetDrained(uid string, drained bool) error {
 	listed := false
-	if !o.RunOnLoopWithin(loopTimeout, func() { listed = o.Listed(uid) }) {
+	if !o.RunOnLoopWithin(loopTimeout, func() { listed = o.WasListed(uid) }) {
 		return errLoopTimeout
 	}
 	if !listed {
--- a/internal/engine/drained.go
+++ b/internal/engine/drained.go
@@ -32,8 +32,8 @@
 	return entry
 }
 
-// Listed reports whether the endpoint has been in any list. An endpoint that is drained was listed when it was drained.
-func (e *Engine) Listed(uid string) bool {
+// WasListed reports whether the endpoint has been in any list. An endpoint that is drained was listed when it was drained.
+func (e *Engine) WasListed(uid string) bool {
 	return e.list.seen.contains(endpointfiles.EndpointID(uid)) || e.list.drained[uid].drained
 }
 
--- a/internal/engine/endpointlist_test.go
+++ b/internal/engine/endpointlist_test.go
@@ -73,10 +73,10 @@
 		previous.list.seen.add(endpointfiles.EndpointID(fmt.Sprint("s-", n)))
 	}
 	next.ImportSeen(previous.SeenEndpoints())
-	if next.Listed("s-9") || !next.Listed("s-10") || !next.Listed(fmt.Sprint("s-", maxSeenIDs+9)) || next.Listed("s-x") {
+	if next.WasListed("s-9") || !next.WasListed("s-10") || !next.WasListed(fmt.Sprint("s-", maxSeenIDs+9)) || next.WasListed("s-x") {
 		t.Error("the imported ids are not the latest ones that were seen")
 	}
-	if next.list.seen.add(1); next.Listed("s-10") || !next.Listed("s-11") {
+	if next.list.seen.add(1); next.WasListed("s-10") || !next.WasListed("s-11") {
 		t.Error("the forgotten id is not the oldest one")
 	}
 }
--- a/internal/httpproxy/operated_test.go
+++ b/internal/httpproxy/operated_test.go
@@ -56,7 +56,7 @@
 	}
 	var listed, never bool
 	var started policy.Time
-	r.RunOnLoop(func() { listed, never = r.Listed("s-0"), r.Listed("s-9") })
+	r.RunOnLoop(func() { listed, never = r.WasListed("s-0"), r.WasListed("s-9") })
 	if !listed || never || r.Tally.Endpoints.Load() != 2 || r.Tally.Unavailable.Load() != 1 {
 		t.Error(listed, never, r.Tally.Endpoints.Load(), r.Tally.Unavailable.Load())
 	}
