--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -67,10 +67,10 @@
 	e.handlePending(now)
 	for _, f := range e.fronts {
 		f.Gather(now)
-		e.RunSteps(now)
+		e.ReportEndedAttempts(now)
 	}
 	e.Timers.Run(now)
-	e.RunSteps(now)
+	e.ReportEndedAttempts(now)
 	e.carryOut(now)
 }
 
@@ -114,8 +114,8 @@
 	}
 }
 
-// RunSteps reports the attempts that have ended to the module, which decides on further steps.
-func (e *Engine) RunSteps(now policy.Time) {
+// ReportEndedAttempts reports the attempts that have ended to the module, which decides on further steps.
+func (e *Engine) ReportEndedAttempts(now policy.Time) {
 	for i := 0; i < len(e.ended); i++ {
 		e.reportEnd(now, e.ended[i])
 	}
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// AttemptEnded records the outcome of the attempt in flight. The outcome is reported to the module by RunSteps.
+// AttemptEnded records the outcome of the attempt in flight. The outcome is reported to the module by ReportEndedAttempts.
 func (e *Engine) AttemptEnded(at policy.Time, request *Request, outcome policy.Outcome) {
 	e.Timers.Stop(&request.AttemptTimer)
 	e.ended = append(e.ended, endedAttempt{request: request, outcome: outcome, spent: max(0, at-request.SentAt)})
--- a/internal/engine/write_test.go
+++ b/internal/engine/write_test.go
@@ -32,14 +32,14 @@
 		e.Admit(admitted, admitted, request, 0, policy.NoTenant, "k", false, 9*policy.Second)
 		e.Round(admitted)
 		e.AttemptEnded(admitted+10*policy.Millisecond, request, policy.ConnectionLost)
-		e.RunSteps(admitted + 10*policy.Millisecond) // the module decides on a retry, within the window
+		e.ReportEndedAttempts(admitted + 10*policy.Millisecond) // the module decides on a retry, within the window
 		if request.Attempts != 2 || f.attempts != 1 {
 			t.Fatalf("%d attempts decided on, %d written", request.Attempts, f.attempts)
 		}
 		if e.Round(admitted + 10*policy.Millisecond); f.attempts != k.want {
 			t.Errorf("%d ms after the first attempt: %d attempts written, want %d", k.ago/policy.Millisecond, f.attempts, k.want)
 		}
-		if e.RunSteps(now); k.want == 1 && (f.answers != 0 || len(e.steps) != 1) {
+		if e.ReportEndedAttempts(now); k.want == 1 && (f.answers != 0 || len(e.steps) != 1) {
 			t.Errorf("the request is not answered in place of the retry: %d steps", len(e.steps))
 		}
 	}
--- a/internal/httpproxy/attempts_test.go
+++ b/internal/httpproxy/attempts_test.go
@@ -173,7 +173,7 @@
 		request.AttemptConn, c.Request = c, request
 		s.conns.Add(c)
 		s.connClosed(1, 1, c)
-		if s.RunSteps(1); s.Counters.Outcomes[want] != 1 {
+		if s.ReportEndedAttempts(1); s.Counters.Outcomes[want] != 1 {
 			t.Errorf("10 of %d bytes written: outcomes %v, want %d", queued, s.Counters.Outcomes, want)
 		}
 	}
--- a/internal/httpproxy/proxy.go
+++ b/internal/httpproxy/proxy.go
@@ -120,7 +120,7 @@
 	}
 	for _, e := range p.sockets.takeEvents() {
 		p.handleEvent(now, e)
-		p.RunSteps(now)
+		p.ReportEndedAttempts(now)
 	}
 	ready := p.ready
 	p.ready = nil
--- a/internal/httpproxy/proxy_test.go
+++ b/internal/httpproxy/proxy_test.go
@@ -366,12 +366,12 @@
 			buf := s.buffers.Get(len(in))
 			buf.B = append(buf.B, in...)
 			s.handleEvent(now, event{kind: eventData, conn: c, buf: buf, at: now})
-			s.RunSteps(now)
+			s.ReportEndedAttempts(now)
 			s.Round(now)
 		}
 		for _, c := range []*connstate.Conn{client, server} {
 			s.handleEvent(now, event{kind: eventClosed, conn: c, at: now})
-			s.RunSteps(now)
+			s.ReportEndedAttempts(now)
 			s.Round(now)
 		}
 		now += 2 * policy.Second
--- a/internal/httpproxy/races_test.go
+++ b/internal/httpproxy/races_test.go
@@ -188,7 +188,7 @@
 		} else {
 			s.TimedOut(now, request.Request)
 		}
-		s.RunSteps(now)
+		s.ReportEndedAttempts(now)
 		if n := s.Counters.Outcomes[k.want]; !k.none && n != 1 || k.none && request.AttemptConn == nil {
 			t.Errorf("%+v: outcomes %v", k, s.Counters.Outcomes)
 		}
--- a/rpc/front.go
+++ b/rpc/front.go
@@ -55,7 +55,7 @@
 	f.mu.Unlock()
 	for _, e := range events {
 		e.handle(f, now, e)
-		f.engine.RunSteps(now)
+		f.engine.ReportEndedAttempts(now)
 	}
 	clear(events)
 }
