--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -71,11 +71,11 @@
 	}
 	e.Timers.Run(now)
 	e.ReportEndedAttempts(now)
-	e.carryOut(now)
+	e.runSteps(now)
 }
 
-// carryOut runs the queued steps, including those that are added meanwhile.
-func (e *Engine) carryOut(now policy.Time) {
+// runSteps runs the queued steps, including those that are added meanwhile.
+func (e *Engine) runSteps(now policy.Time) {
 	for i := 0; i < len(e.steps); i++ {
 		next := e.steps[i]
 		next.run(e, now, next)
