--- a/internal/engine/front.go
+++ b/internal/engine/front.go
@@ -10,8 +10,8 @@
 type Front interface {
 	// Gather passes everything that has happened since the last call to the engine.
 	Gather(now policy.Time)
-	// More reports whether there is more to gather, in which case the next round starts at once.
-	More() bool
+	// HasPending reports whether there is more to gather, in which case the next round starts at once.
+	HasPending() bool
 	// Send starts an attempt. The front reports its end by calling Engine.AttemptEnded exactly once.
 	Send(now policy.Time, request *Request, to *Endpoint)
 	// TimedOut ends the attempt in flight, if there is one, because its timeout has expired.
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -48,7 +48,7 @@
 
 func (e *Engine) more() bool {
 	for _, f := range e.fronts {
-		if f.More() {
+		if f.HasPending() {
 			return true
 		}
 	}
--- a/internal/httpproxy/proxy.go
+++ b/internal/httpproxy/proxy.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// More reports whether a request may have come already.
-func (p *Proxy) More() bool { return len(p.ready) > 0 }
+// HasPending reports whether a request may have come already.
+func (p *Proxy) HasPending() bool { return len(p.ready) > 0 }
 
 // handleEvent handles an event of a socket.
 func (p *Proxy) handleEvent(now policy.Time, e event) {
--- a/rpc/front.go
+++ b/rpc/front.go
@@ -60,8 +60,8 @@
 	clear(events)
 }
 
-// More reports no: each event signals the loop.
-func (f *front) More() bool { return false }
+// HasPending reports no: each event signals the loop.
+func (f *front) HasPending() bool { return false }
 
 // callStarted admits a new call.
 func (f *front) callStarted(now policy.Time, e event) {
