--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -83,7 +83,7 @@
 	e.wakeTimer.Run = func(now policy.Time) { e.Module.Woken(now) }
 	e.figuresTimer.Run = e.publishFigures
 	e.list = newEndpointList(e)
-	e.Tally.Answered = make([][Results]atomic.Int64, len(config.Settings.Classes))
+	e.Tally.Answered = make([][NumResults]atomic.Int64, len(config.Settings.Classes))
 	for _, class := range config.Settings.Classes {
 		e.classLabels = append(e.classLabels, newClassLabels(class.Name))
 	}
--- a/internal/engine/figures.go
+++ b/internal/engine/figures.go
@@ -3,10 +3,10 @@
 import "strconv"
 
 // resultNames are the results as they appear in the labels of the request metrics.
-var resultNames = [Results]string{Completed: "completed", Rejected: "rejected", Failed: "failed"}
+var resultNames = [NumResults]string{Completed: "completed", Rejected: "rejected", Failed: "failed"}
 
 // classLabels are the labels of a class's request metrics, by result.
-type classLabels [Results]string
+type classLabels [NumResults]string
 
 func newClassLabels(class string) (labels classLabels) {
 	for result, name := range resultNames {
--- a/internal/engine/tally.go
+++ b/internal/engine/tally.go
@@ -19,8 +19,8 @@
 	Rejected
 	// Failed is the result of any other request.
 	Failed
-	// Results is the number of results.
-	Results
+	// NumResults is the number of results.
+	NumResults
 )
 
 // resultOf maps each kind of answer to the result of the request.
@@ -34,7 +34,7 @@
 
 // Tally holds the metrics that the loop updates and any goroutine may read.
 type Tally struct {
-	Answered    [][Results]atomic.Int64 // requests by class (with agreed rules: by row of classRow) and by result
+	Answered    [][NumResults]atomic.Int64 // requests by class (with agreed rules: by row of classRow) and by result
 	Written     atomic.Int64            // attempts whose last byte was written to the kernel
 	Pending     atomic.Int64            // requests that are admitted and not yet answered
 	Endpoints   atomic.Int64            // endpoints in the list
