--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -132,7 +132,7 @@
 	}
 	request.ClientWaiting = false
 	e.Tally.Pending.Add(-1)
-	e.Count(request.Class, resultOf[answer])
+	e.CountResult(request.Class, resultOf[answer])
 }
 
 // release makes a request available for reuse, if nothing refers to it any more.
--- a/internal/engine/tally.go
+++ b/internal/engine/tally.go
@@ -42,9 +42,9 @@
 	HasList     atomic.Bool             // there is an endpoint list
 }
 
-// Count counts a result. The engine counts those of admitted requests; fronts count those of requests that they answer
+// CountResult counts a result. The engine counts those of admitted requests; fronts count those of requests that they answer
 // without admitting them.
-func (e *Engine) Count(class policy.ClassID, result Result) {
+func (e *Engine) CountResult(class policy.ClassID, result Result) {
 	row := int(class)
 	if e.rules != nil {
 		row = e.rules.classRows[class]
--- a/internal/httpproxy/admission.go
+++ b/internal/httpproxy/admission.go
@@ -38,7 +38,7 @@
 	incoming := p.classify(request)
 	if refused := p.check(&incoming); refused.status != 0 {
 		if incoming.classKnown {
-			p.Count(incoming.class, engine.Failed)
+			p.CountResult(incoming.class, engine.Failed)
 		}
 		c.Upload.State = connstate.NoUpload
 		p.refuse(now, c, refused)
@@ -48,7 +48,7 @@
 	if p.buffers.Full() {
 		// An answer costs nothing, while the request might cost the process. No attempt has been made, so the client
 		// may safely try again.
-		p.Count(incoming.class, engine.Rejected)
+		p.CountResult(incoming.class, engine.Rejected)
 		p.buffers.Put(buf)
 		p.rejectForMemory(now, c)
 		return
