--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -121,9 +121,9 @@
 	e.release(request)
 }
 
-// Done reports that the front has finished with a request whose attempt was reported as ended earlier, as it is for a
+// FinishRequest reports that the front has finished with a request whose attempt was reported as ended earlier, as it is for a
 // streamed response.
-func (e *Engine) Done(request *Request) { e.release(request) }
+func (e *Engine) FinishRequest(request *Request) { e.release(request) }
 
 // endWait marks that the client no longer waits, and counts the result of the request. Further calls have no effect.
 func (e *Engine) endWait(request *Request, answer int) {
--- a/internal/httpproxy/stream.go
+++ b/internal/httpproxy/stream.go
@@ -206,7 +206,7 @@
 	if c := p.detachClientOf(now, r); c != nil {
 		p.responseSent(now, c, r.CloseAfter)
 	}
-	p.Done(r.Request)
+	p.FinishRequest(r.Request)
 }
 
 // breakStream ends a stream whose response stays incomplete. The client notices it by a close before the announced end.
@@ -225,7 +225,7 @@
 			p.closeConn(c)
 		}
 	}
-	p.Done(r.Request)
+	p.FinishRequest(r.Request)
 }
 
 func (p *Proxy) detachStream(now policy.Time, r *connstate.Request, reusable bool) {
