--- a/internal/engine/activerules.go
+++ b/internal/engine/activerules.go
@@ -56,7 +56,7 @@
 	}
 	active.classes.Capacity = maxClasses
 	e.rules = active
-	e.Tally.Answered = make([][NumResults]atomic.Int64, maxClasses)
+	e.Metrics.Answered = make([][NumResults]atomic.Int64, maxClasses)
 	rows := len(e.classLabels)
 	e.classRows.Store(int64(rows))
 	e.classLabels = append(e.classLabels, make([]classLabels, maxClasses-rows)...)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -38,7 +38,7 @@
 	Module    *policy.Balancer
 	Timers    Timers
 	Counters  Counters
-	Tally     Tally
+	Metrics   Metrics
 	Endpoints map[policy.EndpointID]*Endpoint
 	InFlight  int // number of requests that are not released yet
 
@@ -83,7 +83,7 @@
 	e.wakeTimer.Run = func(now policy.Time) { e.Module.Woken(now) }
 	e.figuresTimer.Run = e.publishFigures
 	e.list = newEndpointList(e)
-	e.Tally.Answered = make([][NumResults]atomic.Int64, len(config.Settings.Classes))
+	e.Metrics.Answered = make([][NumResults]atomic.Int64, len(config.Settings.Classes))
 	for _, class := range config.Settings.Classes {
 		e.classLabels = append(e.classLabels, newClassLabels(class.Name))
 	}
--- a/internal/engine/figures.go
+++ b/internal/engine/figures.go
@@ -38,14 +38,14 @@
 func (e *Engine) EachFigure(figure func(name, labels string, n int64, isCounter bool)) {
 	for row := range int(e.classRows.Load()) {
 		for result := range resultNames {
-			n := e.Tally.Answered[row][result].Load()
+			n := e.Metrics.Answered[row][result].Load()
 			figure("edge_gw_downstream_requests_total", e.classLabels[row][result], n, true)
 		}
 	}
-	figure("edge_gw_upstream_requests_total", "", e.Tally.Written.Load(), true)
-	figure("edge_gw_pending", "", e.Tally.Pending.Load(), false)
-	figure("edge_gw_members", "", e.Tally.Endpoints.Load(), false)
-	figure("edge_gw_members_unavailable", "", e.Tally.Unavailable.Load(), false)
+	figure("edge_gw_upstream_requests_total", "", e.Metrics.Written.Load(), true)
+	figure("edge_gw_pending", "", e.Metrics.Pending.Load(), false)
+	figure("edge_gw_members", "", e.Metrics.Endpoints.Load(), false)
+	figure("edge_gw_members_unavailable", "", e.Metrics.Unavailable.Load(), false)
 }
 
 // AppendFigures appends the metrics in a text form, one per line.
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -22,15 +22,15 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	engine := New(Config{Settings: &policy.Settings{Instances: 1, Classes: []policy.Class{{Name: "step"}, {Name: "a\"b\\c\n,d"}}}}, log)
-	for class := range engine.Tally.Answered {
-		for result := range engine.Tally.Answered[class] {
-			engine.Tally.Answered[class][result].Store(int64(100 + 10*class + result))
+	for class := range engine.Metrics.Answered {
+		for result := range engine.Metrics.Answered[class] {
+			engine.Metrics.Answered[class][result].Store(int64(100 + 10*class + result))
 		}
 	}
-	engine.Tally.Written.Store(1)
-	engine.Tally.Pending.Store(2)
-	engine.Tally.Endpoints.Store(3)
-	engine.Tally.Unavailable.Store(4)
+	engine.Metrics.Written.Store(1)
+	engine.Metrics.Pending.Store(2)
+	engine.Metrics.Endpoints.Store(3)
+	engine.Metrics.Unavailable.Store(4)
 	golden.Compare(t, "figures.txt", engine.AppendFigures(nil))
 }
 
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -58,7 +58,7 @@
 	request.Class = class
 	request.ReceivedAt = receivedAt
 	request.ClientWaiting = true
-	e.Tally.Pending.Add(1)
+	e.Metrics.Pending.Add(1)
 	timeout -= now - receivedAt
 	e.recordRequest(now, request, tenant, key, repeat, timeout)
 	request.Handle = e.Module.Admit(now, class, tenant, key, repeat, max(0, timeout))
@@ -131,7 +131,7 @@
 		return
 	}
 	request.ClientWaiting = false
-	e.Tally.Pending.Add(-1)
+	e.Metrics.Pending.Add(-1)
 	e.CountResult(request.Class, resultOf[answer])
 }
 
--- a/internal/engine/tally.go
+++ b/internal/engine/tally.go
@@ -32,14 +32,14 @@
 	answerClientLeft: Failed,
 }
 
-// Tally holds the metrics that the loop updates and any goroutine may read.
-type Tally struct {
+// Metrics holds the metrics that the loop updates and any goroutine may read.
+type Metrics struct {
 	Answered    [][NumResults]atomic.Int64 // requests by class (with agreed rules: by row of classRow) and by result
-	Written     atomic.Int64            // attempts whose last byte was written to the kernel
-	Pending     atomic.Int64            // requests that are admitted and not yet answered
-	Endpoints   atomic.Int64            // endpoints in the list
-	Unavailable atomic.Int64            // listed endpoints that are administratively drained or ejected
-	HasList     atomic.Bool             // there is an endpoint list
+	Written     atomic.Int64               // attempts whose last byte was written to the kernel
+	Pending     atomic.Int64               // requests that are admitted and not yet answered
+	Endpoints   atomic.Int64               // endpoints in the list
+	Unavailable atomic.Int64               // listed endpoints that are administratively drained or ejected
+	HasList     atomic.Bool                // there is an endpoint list
 }
 
 // CountResult counts a result. The engine counts those of admitted requests; fronts count those of requests that they answer
@@ -49,7 +49,7 @@
 	if e.rules != nil {
 		row = e.rules.classRows[class]
 	}
-	e.Tally.Answered[row][result].Add(1)
+	e.Metrics.Answered[row][result].Add(1)
 }
 
 // publishFigures updates the endpoint metrics and schedules the next update.
@@ -64,8 +64,8 @@
 			unavailable++
 		}
 	}
-	e.Tally.HasList.Store(e.list.hasList)
-	e.Tally.Endpoints.Store(listed)
-	e.Tally.Unavailable.Store(unavailable)
+	e.Metrics.HasList.Store(e.list.hasList)
+	e.Metrics.Endpoints.Store(listed)
+	e.Metrics.Unavailable.Store(unavailable)
 	e.Timers.Set(&e.figuresTimer, now+figuresInterval)
 }
--- a/internal/httpproxy/attempts.go
+++ b/internal/httpproxy/attempts.go
@@ -68,7 +68,7 @@
 func (p *Proxy) dialFor(r *connstate.Request, endpoint *connstate.Endpoint) {
 	to := endpoint.Endpoint
 	c := &connstate.Conn{Side: connstate.EndpointSide, Endpoint: endpoint, Generation: to.Generation, Request: r}
-	c.Output.RequestsWritten = &p.Tally.Written
+	c.Output.RequestsWritten = &p.Metrics.Written
 	c.Timer.Run = func(now policy.Time) { p.endpointTimerDue(now, c) }
 	r.AttemptConn = c
 	p.conns.Add(c)
--- a/internal/httpproxy/operated_test.go
+++ b/internal/httpproxy/operated_test.go
@@ -57,8 +57,8 @@
 	var listed, never bool
 	var started policy.Time
 	r.RunOnLoop(func() { listed, never = r.WasListed("s-0"), r.WasListed("s-9") })
-	if !listed || never || r.Tally.Endpoints.Load() != 2 || r.Tally.Unavailable.Load() != 1 {
-		t.Error(listed, never, r.Tally.Endpoints.Load(), r.Tally.Unavailable.Load())
+	if !listed || never || r.Metrics.Endpoints.Load() != 2 || r.Metrics.Unavailable.Load() != 1 {
+		t.Error(listed, never, r.Metrics.Endpoints.Load(), r.Metrics.Unavailable.Load())
 	}
 	before := r.Clock.Now()
 	r.drainByOperator()
@@ -76,7 +76,7 @@
 	if to := asked(40); to[0] == 0 {
 		t.Error("not used again", to)
 	}
-	if r.Tally.Unavailable.Load() != 0 {
+	if r.Metrics.Unavailable.Load() != 0 {
 		t.Error("still shown as avoided")
 	}
 }
@@ -174,7 +174,7 @@
 	for range 3 {
 		time.Sleep(150 * time.Millisecond)
 		fresh := next(true)
-		if fresh.Ready() && !fresh.Tally.HasList.Load() {
+		if fresh.Ready() && !fresh.Metrics.HasList.Load() {
 			t.Error("ready with no list")
 		}
 		time.Sleep(100 * time.Millisecond)
--- a/internal/httpproxy/reports.go
+++ b/internal/httpproxy/reports.go
@@ -72,7 +72,7 @@
 
 // Ready reports whether this process can serve: it listens, has a list of endpoints and is not shutting down. Any
 // goroutine may call it.
-func (p *Proxy) Ready() bool { return p.serving.Load() && p.Tally.HasList.Load() }
+func (p *Proxy) Ready() bool { return p.serving.Load() && p.Metrics.HasList.Load() }
 
 // EachMetric calls each for every counter, which rises only, and every gauge. Any goroutine may call it.
 func (p *Proxy) EachMetric(each func(name string, value float64, rises bool)) {
--- a/internal/httpproxy/stream_test.go
+++ b/internal/httpproxy/stream_test.go
@@ -185,7 +185,7 @@
 				t.Errorf("%d bytes came, %v", n, err)
 			}
 			r.RunOnLoop(func() {
-				if r.Counters.Attempts != 1 || r.Counters.StreamsBroken != 1 || r.Tally.Answered[0][2].Load() != 1 {
+				if r.Counters.Attempts != 1 || r.Counters.StreamsBroken != 1 || r.Metrics.Answered[0][2].Load() != 1 {
 					t.Error(r.Counters.Attempts, r.Counters.StreamsBroken)
 				}
 			})
@@ -291,7 +291,7 @@
 	if m := most.Load(); m > 5<<20 {
 		t.Errorf("%d bytes were held", m)
 	}
-	if written := r.Tally.Written.Load(); written != 8 {
+	if written := r.Metrics.Written.Load(); written != 8 {
 		t.Errorf("%d attempts counted of 8", written)
 	}
 }
@@ -347,7 +347,7 @@
 			t.Error(n, a.Status)
 		}
 	}
-	if r.Tally.Written.Load() != 0 || r.Tally.Pending.Load() != 0 {
-		t.Error(r.Tally.Written.Load(), r.Tally.Pending.Load())
+	if r.Metrics.Written.Load() != 0 || r.Metrics.Pending.Load() != 0 {
+		t.Error(r.Metrics.Written.Load(), r.Metrics.Pending.Load())
 	}
 }
