--- a/internal/connstate/buffers.go
+++ b/internal/connstate/buffers.go
@@ -78,8 +78,8 @@
 	p.Limit = bytes
 }
 
-// Lent returns the number of bytes in use.
-func (p *Buffers) Lent() int {
+// InUse returns the number of bytes in use.
+func (p *Buffers) InUse() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.inUse
--- a/internal/connstate/connstate_test.go
+++ b/internal/connstate/connstate_test.go
@@ -36,11 +36,11 @@
 			b, all = p.Join(b, next), append(all, part...)
 		}
 		if b == nil {
-			return p.Lent() == 0 && !p.Full()
+			return p.InUse() == 0 && !p.Full()
 		}
-		complete, lent := bytes.Equal(b.B, all), p.Lent() >= len(all) && p.Full()
+		complete, lent := bytes.Equal(b.B, all), p.InUse() >= len(all) && p.Full()
 		p.Put(b)
-		return complete && lent && p.Lent() == 0 && !p.Full()
+		return complete && lent && p.InUse() == 0 && !p.Full()
 	})
 }
 
@@ -49,7 +49,7 @@
 	first := AsRequest(request)
 	first.Received, first.Response.Buffer, first.Response.Status = p.Get(1), p.Get(LargeBuffer), 200
 	first.ReleaseBuffers(p)
-	if again := AsRequest(request); p.Lent() != 0 || again != first || again.Received != nil || again.Response.Status != 0 || again.Request != request {
+	if again := AsRequest(request); p.InUse() != 0 || again != first || again.Received != nil || again.Response.Status != 0 || again.Request != request {
 		t.Error("the request is not reused, or not cleared")
 	}
 }
--- a/internal/httpproxy/harness_test.go
+++ b/internal/httpproxy/harness_test.go
@@ -273,7 +273,7 @@
 		r.t.Fatalf("does not end:\n%s", where[:runtime.Stack(where, true)])
 	}
 	r.done <- nil
-	if r.InFlight != 0 || r.Timers.Len() != 0 || r.buffers.Lent() != 0 || len(r.conns.Open) != 0 ||
+	if r.InFlight != 0 || r.Timers.Len() != 0 || r.buffers.InUse() != 0 || len(r.conns.Open) != 0 ||
 		r.conns.Count(connstate.ClientSide) != 0 || r.conns.Count(connstate.EndpointSide) != 0 {
 		r.t.Errorf("left at the end: %s", r.Report())
 	}
--- a/internal/httpproxy/proxy_test.go
+++ b/internal/httpproxy/proxy_test.go
@@ -381,7 +381,7 @@
 				time.Sleep(100 * time.Microsecond)
 			}
 		}
-		return s.InFlight == 0 && s.buffers.Lent() == 0 && len(s.conns.Open) == 0
+		return s.InFlight == 0 && s.buffers.InUse() == 0 && len(s.conns.Open) == 0
 	}
 	if err := quick.Check(feed, &quick.Config{MaxCount: 5000, Rand: rand.New(rand.NewSource(9))}); err != nil {
 		t.Error(err, s.report())
--- a/internal/httpproxy/reports.go
+++ b/internal/httpproxy/reports.go
@@ -30,7 +30,7 @@
 		{"tickets_in_hand", int64(p.InFlight)},
 		{"client_connections_open", int64(p.conns.Count(connstate.ClientSide))},
 		{"server_connections_open", int64(p.conns.Count(connstate.EndpointSide))},
-		{"buffer_bytes_lent", int64(p.buffers.Lent())},
+		{"buffer_bytes_lent", int64(p.buffers.InUse())},
 		{"timers_set", int64(p.Timers.Len())},
 		{"servers_known", int64(len(p.Endpoints))},
 		{"list_refused", refused},
--- a/internal/httpproxy/stream_test.go
+++ b/internal/httpproxy/stream_test.go
@@ -142,7 +142,7 @@
 				h, most := sha256.New(), int64(0)
 				for err == nil {
 					_, err = io.CopyN(h, a.Body, 32<<10)
-					most = max(most, int64(r.buffers.Lent()))
+					most = max(most, int64(r.buffers.InUse()))
 					time.Sleep(pace)
 				}
 				if [32]byte(h.Sum(nil)) != digestOf(longBody) {
@@ -273,7 +273,7 @@
 			case <-over:
 				return
 			default:
-				most.Store(max(most.Load(), int64(r.buffers.Lent())))
+				most.Store(max(most.Load(), int64(r.buffers.InUse())))
 				time.Sleep(time.Millisecond)
 			}
 		}
--- a/internal/httpproxy/upload.go
+++ b/internal/httpproxy/upload.go
@@ -12,7 +12,7 @@
 
 // maxCollected returns how much of one body is collected.
 func (p *Proxy) maxCollected() int {
-	if p.buffers.Lent() > p.buffers.Limit/2 {
+	if p.buffers.InUse() > p.buffers.Limit/2 {
 		return maxBody
 	}
 	return max(maxBody, p.buffers.Limit/6)
