--- a/internal/connstate/conn.go
+++ b/internal/connstate/conn.go
@@ -53,7 +53,7 @@
 
 	Connected bool        // the connection is established
 	Closing   bool        // the connection is closed, or about to be: nothing more is read or sent
-	Resting   bool        // ClientSide: no request has arrived since the last response
+	Idle      bool        // ClientSide: no request has arrived since the last response
 	Used      bool        // the connection has carried a request
 	IdleSince policy.Time // when the connection was opened, or last had a request
 
--- a/internal/connstate/conns.go
+++ b/internal/connstate/conns.go
@@ -17,14 +17,14 @@
 // Conns counts connections against the limits that follow from the allowed file descriptors. It also manages the idle
 // connections to endpoints.
 type Conns struct {
-	Open          map[*Conn]struct{}
-	Limit         [2]int // by side; above it, clients are still accepted, and idle connections are closed for them
-	AcceptLimit   int    // maximum number of open client connections
-	RestingCount  int    // number of idle client connections
-	ExcessResting int    // number of idle client connections above which they are closed
-	open          [2]int // number of open connections by side
-	closing       [2]int // number of open connections that are being closed, by side
-	opened        uint64 // number of connections opened so far
+	Open           map[*Conn]struct{}
+	Limit          [2]int // by side; above it, clients are still accepted, and idle connections are closed for them
+	AcceptLimit    int    // maximum number of open client connections
+	IdleClients    int    // number of idle client connections
+	MaxIdleClients int    // number of idle client connections above which they are closed
+	open           [2]int // number of open connections by side
+	closing        [2]int // number of open connections that are being closed, by side
+	opened         uint64 // number of connections opened so far
 }
 
 // ownDescriptors is the number of descriptors that the process needs for itself: standard streams, listener, pollers,
@@ -55,22 +55,22 @@
 	k.Limit[ClientSide] = clients - clients/8
 	k.Limit[EndpointSide] = endpoints
 	k.AcceptLimit = clients
-	k.ExcessResting = clients / 4
+	k.MaxIdleClients = clients / 4
 }
 
-// MarkResting marks a client's connection as idle.
-func (k *Conns) MarkResting(c *Conn) {
-	if !c.Resting && !c.Closing {
-		c.Resting = true
-		k.RestingCount++
+// MarkIdle marks a client's connection as idle.
+func (k *Conns) MarkIdle(c *Conn) {
+	if !c.Idle && !c.Closing {
+		c.Idle = true
+		k.IdleClients++
 	}
 }
 
 // MarkBusy marks a connection as no longer idle, because it has work or is being closed.
 func (k *Conns) MarkBusy(c *Conn) {
-	if c.Resting {
-		c.Resting = false
-		k.RestingCount--
+	if c.Idle {
+		c.Idle = false
+		k.IdleClients--
 	}
 }
 
--- a/internal/httpproxy/clients.go
+++ b/internal/httpproxy/clients.go
@@ -152,7 +152,7 @@
 			}
 		}
 		p.setBodyTimer(c)
-	case !c.Timer.Active() || c.Resting:
+	case !c.Timer.Active() || c.Idle:
 		p.Timers.Set(&c.Timer, now+headTimeout)
 	}
 	p.conns.MarkBusy(c)
@@ -191,7 +191,7 @@
 		p.closeConn(c)
 	case c.Output.AwaitingFlush && c.Input.Buffer != nil:
 		p.readRequests(now, now, c)
-	case c.Resting:
+	case c.Idle:
 		p.checkResting(now, c)
 	case c.Input.Buffer == nil:
 		p.checkSilent(now, c)
@@ -202,7 +202,7 @@
 
 // checkResting closes a resting connection while many rest: they occupy descriptors that other clients wait for.
 func (p *Proxy) checkResting(now policy.Time, c *connstate.Conn) {
-	if 2*p.conns.RestingCount > p.conns.ExcessResting && c.Socket.CloseIfIdle(c) {
+	if 2*p.conns.IdleClients > p.conns.MaxIdleClients && c.Socket.CloseIfIdle(c) {
 		p.conns.MarkClosing(c)
 		p.Counters.ClientConnsBroken++
 		return
--- a/internal/httpproxy/limits_test.go
+++ b/internal/httpproxy/limits_test.go
@@ -118,7 +118,7 @@
 		}
 		stay = append(stay, c)
 	}
-	idle := r.conns.ExcessResting
+	idle := r.conns.MaxIdleClients
 	if idle != 20 || closes != 40-idle-1 {
 		t.Errorf("%d answers closed, %d may rest", closes, idle)
 	}
@@ -136,8 +136,8 @@
 	}
 	last.Close()
 	r.shutdown()
-	if r.conns.RestingCount != 0 {
-		t.Errorf("%d rest at the end", r.conns.RestingCount)
+	if r.conns.IdleClients != 0 {
+		t.Errorf("%d rest at the end", r.conns.IdleClients)
 	}
 }
 
--- a/internal/httpproxy/responses.go
+++ b/internal/httpproxy/responses.go
@@ -121,7 +121,7 @@
 // that is the one moment at which no request can be on its way.
 func (p *Proxy) closesAfterResponse() bool {
 	_, shuttingDown := p.ShuttingDown()
-	return shuttingDown || p.noRoom || p.conns.RestingCount > p.conns.ExcessResting
+	return shuttingDown || p.noRoom || p.conns.IdleClients > p.conns.MaxIdleClients
 }
 
 // responseSent lets a client's connection go on to its next request, or closes it once the response is written.
@@ -144,7 +144,7 @@
 	case c.Input.Buffer != nil:
 		p.ready = append(p.ready, c)
 	default:
-		p.conns.MarkResting(c)
+		p.conns.MarkIdle(c)
 		p.Timers.Set(&c.Timer, now+idleCloseAfter)
 	}
 }
