--- a/internal/connstate/conns.go
+++ b/internal/connstate/conns.go
@@ -9,9 +9,9 @@
 
 // Endpoint holds the connections to one endpoint.
 type Endpoint struct {
-	Endpoint *engine.Endpoint
-	Idle     []*Conn // idle connections; the one used last is at the end
-	Awaited  int     // attempts that wait until one of the idle connections may be reused
+	Endpoint      *engine.Endpoint
+	Idle          []*Conn // idle connections; the one used last is at the end
+	AwaitingReuse int     // attempts that wait until one of the idle connections may be reused
 }
 
 // Conns counts connections against the limits that follow from the allowed file descriptors. It also manages the idle
--- a/internal/connstate/request.go
+++ b/internal/connstate/request.go
@@ -25,8 +25,8 @@
 
 	AttemptConn     *Conn            // connection of the attempt in flight
 	AttemptEndpoint *engine.Endpoint // endpoint of an attempt that waits until an idle connection may be reused
-	RestTimer       engine.Timer     // active while the attempt waits
-	RestAwaited     bool             // this attempt has waited already, and must not wait again
+	ReuseTimer      engine.Timer     // active while the attempt waits
+	ReuseAwaited    bool             // this attempt has waited already, and must not wait again
 
 	Response Response
 }
@@ -89,5 +89,5 @@
 	p.Put(r.Received)
 	p.Put(r.Response.Buffer)
 	p.Put(r.Upload.Buffer)
-	*r = Request{Request: r.Request, RestTimer: engine.Timer{Run: r.RestTimer.Run}}
+	*r = Request{Request: r.Request, ReuseTimer: engine.Timer{Run: r.ReuseTimer.Run}}
 }
--- a/internal/httpproxy/attempts.go
+++ b/internal/httpproxy/attempts.go
@@ -78,27 +78,27 @@
 
 // waitForRest has an attempt wait, once, for the connection that will have rested next, and reports whether it does.
 func (p *Proxy) waitForRest(now policy.Time, r *connstate.Request, endpoint *connstate.Endpoint) bool {
-	if r.RestAwaited || r.Upload.Active || endpoint.Awaited >= len(endpoint.Idle) {
-		r.RestAwaited = false
+	if r.ReuseAwaited || r.Upload.Active || endpoint.AwaitingReuse >= len(endpoint.Idle) {
+		r.ReuseAwaited = false
 		return false
 	}
-	wait := endpoint.Idle[endpoint.Awaited].IdleSince + restTime - now
+	wait := endpoint.Idle[endpoint.AwaitingReuse].IdleSince + restTime - now
 	if wait > p.config.Settings.Classes[r.Class].Target/restWaitPart {
 		return false
 	}
-	if r.RestTimer.Run == nil {
-		r.RestTimer.Run = func(now policy.Time) { p.afterRest(now, r) }
+	if r.ReuseTimer.Run == nil {
+		r.ReuseTimer.Run = func(now policy.Time) { p.afterRest(now, r) }
 	}
-	r.RestAwaited = true
+	r.ReuseAwaited = true
 	r.AttemptEndpoint = endpoint.Endpoint
-	endpoint.Awaited++
-	p.Timers.Set(&r.RestTimer, now+wait)
+	endpoint.AwaitingReuse++
+	p.Timers.Set(&r.ReuseTimer, now+wait)
 	return true
 }
 
 // afterRest resumes an attempt that waited for a connection, unless it is not allowed any more.
 func (p *Proxy) afterRest(now policy.Time, r *connstate.Request) {
-	p.endpointConns(r.AttemptEndpoint).Awaited--
+	p.endpointConns(r.AttemptEndpoint).AwaitingReuse--
 	switch {
 	case r.AttemptEndpoint.Draining:
 		p.endAttempt(now, r, policy.NotConnected, false)
@@ -284,7 +284,7 @@
 }
 
 // attempting reports whether an attempt has a connection, or waits for one to have rested.
-func attempting(r *connstate.Request) bool { return r.AttemptConn != nil || r.RestTimer.Active() }
+func attempting(r *connstate.Request) bool { return r.AttemptConn != nil || r.ReuseTimer.Active() }
 
 // endAttempt ends the attempt in flight.
 func (p *Proxy) endAttempt(at policy.Time, r *connstate.Request, outcome policy.Outcome, reusable bool) {
@@ -295,10 +295,10 @@
 // detachEndpoint separates the request from its connection to an endpoint, which is kept if it is reusable and closed
 // otherwise. A connection that is not established yet carries nothing and is kept once it is.
 func (p *Proxy) detachEndpoint(at policy.Time, r *connstate.Request, reusable bool) {
-	r.RestAwaited = false
-	if r.RestTimer.Active() {
-		p.Timers.Stop(&r.RestTimer)
-		p.endpointConns(r.AttemptEndpoint).Awaited--
+	r.ReuseAwaited = false
+	if r.ReuseTimer.Active() {
+		p.Timers.Stop(&r.ReuseTimer)
+		p.endpointConns(r.AttemptEndpoint).AwaitingReuse--
 	}
 	c := r.AttemptConn
 	if c == nil {
