--- a/internal/discovery/files.go
+++ b/internal/discovery/files.go
@@ -147,8 +147,8 @@
 			emit(Event{Recovered: true})
 		}
 	case endpointfiles.Wait:
-		if result.LookAgain > 0 {
-			return min(pollInterval, max(time.Duration(result.LookAgain-f.now()), burstDelay))
+		if result.RecheckAt > 0 {
+			return min(pollInterval, max(time.Duration(result.RecheckAt-f.now()), burstDelay))
 		}
 	}
 	return pollInterval
--- a/internal/endpointfiles/validator.go
+++ b/internal/endpointfiles/validator.go
@@ -51,7 +51,7 @@
 type Result struct {
 	Verdict   Verdict
 	Reason    string      // set for Wait and Rejected
-	LookAgain policy.Time // set for Wait: when to read the files again at the latest
+	RecheckAt policy.Time // set for Wait: when to read the files again at the latest
 	Entries   []Entry     // set for Accepted: the full list, sorted by uid
 }
 
@@ -87,7 +87,7 @@
 func (v *Validator) Evaluate(now policy.Time, files []File) Result {
 	slices.SortFunc(files, func(a, b File) int { return cmp.Compare(a.Name, b.Name) })
 	if reason, until := v.unsettled(now, files); reason != "" {
-		return Result{Verdict: Wait, Reason: reason, LookAgain: until}
+		return Result{Verdict: Wait, Reason: reason, RecheckAt: until}
 	}
 	if v.unchanged(files) {
 		return Result{Verdict: Unchanged}
--- a/internal/endpointfiles/validator_test.go
+++ b/internal/endpointfiles/validator_test.go
@@ -253,7 +253,7 @@
 				t.Logf("seed %d step %d: got verdict %d (%s), the model's is %d", seed, step, got.Verdict, got.Reason, want)
 				return false
 			}
-			if got.Verdict == Wait && got.LookAgain <= now || (got.Reason == "") != (got.Verdict == Unchanged || got.Verdict == Accepted) {
+			if got.Verdict == Wait && got.RecheckAt <= now || (got.Reason == "") != (got.Verdict == Unchanged || got.Verdict == Accepted) {
 				t.Logf("seed %d step %d: %+v at %d", seed, step, got, now)
 				return false
 			}
