--- a/internal/engine/drained.go
+++ b/internal/engine/drained.go
@@ -32,7 +32,8 @@
 	return entry
 }
 
-// WasListed reports whether the endpoint has been in any list. An endpoint that is drained was listed when it was drained.
+// WasListed reports whether the endpoint has been in any list. An endpoint that is drained was listed when it was
+// drained.
 func (e *Engine) WasListed(uid string) bool {
 	return e.list.seen.contains(endpointfiles.EndpointID(uid)) || e.list.drained[uid].drained
 }
@@ -61,7 +62,7 @@
 	if len(changed) > 0 {
 		e.Module.UpdateEndpoints(now, policy.ListChanges, changed)
 	}
-	e.publishFigures(now)
+	e.publishMetrics(now)
 }
 
 // setDrainState sets the state of an endpoint. If the endpoint is listed, its new entry is applied and appended to
--- a/internal/engine/endpointlist.go
+++ b/internal/engine/endpointlist.go
@@ -178,7 +178,7 @@
 	if list.Kind != policy.ListChanges || len(members) > 0 {
 		e.Module.UpdateEndpoints(now, list.Kind, members)
 	}
-	e.publishFigures(now)
+	e.publishMetrics(now)
 }
 
 // updateSourceList applies a list to sourceEntries, so that the source's list can be used when the agreed rules no
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -52,7 +52,7 @@
 
 	wakeTimer     Timer // set by the module
 	shutdownTimer Timer
-	figuresTimer  Timer // for updates of the endpoint metrics
+	metricsTimer  Timer // for updates of the endpoint metrics
 
 	signal           chan struct{}
 	calls            chan func()   // from other goroutines, run by the loop
@@ -81,7 +81,7 @@
 		configuredInstances: config.Settings.Instances,
 	}
 	e.wakeTimer.Run = func(now policy.Time) { e.Module.Woken(now) }
-	e.figuresTimer.Run = e.publishFigures
+	e.metricsTimer.Run = e.publishMetrics
 	e.list = newEndpointList(e)
 	e.Metrics.Answered = make([][NumResults]atomic.Int64, len(config.Settings.Classes))
 	for _, class := range config.Settings.Classes {
@@ -111,7 +111,7 @@
 	defer close(e.stopped)
 	now := e.Clock.Now()
 	e.loadSavedList(now)
-	e.publishFigures(now)
+	e.publishMetrics(now)
 	if !e.Settings.PollList {
 		e.list.follow(true)
 	}
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -2,8 +2,8 @@
 
 import "pepperlead/policy"
 
-// DeadlineMarginTicks is the number of ticks before the client's deadline at which attempts end that the module does not
-// time out: attempts whose request body was completed late, and attempts whose streamed response has stalled.
+// DeadlineMarginTicks is the number of ticks before the client's deadline at which attempts end that the module does
+// not time out: attempts whose request body was completed late, and attempts whose streamed response has stalled.
 const DeadlineMarginTicks = 4
 
 // Request is the engine's state of a request.
@@ -93,7 +93,7 @@
 	}
 }
 
-// AttemptEnded records the outcome of the attempt in flight. The outcome is reported to the module by ReportEndedAttempts.
+// AttemptEnded records the outcome of the attempt in flight. ReportEndedAttempts reports it to the module.
 func (e *Engine) AttemptEnded(at policy.Time, request *Request, outcome policy.Outcome) {
 	e.Timers.Stop(&request.AttemptTimer)
 	e.ended = append(e.ended, endedAttempt{request: request, outcome: outcome, spent: max(0, at-request.SentAt)})
@@ -121,8 +121,8 @@
 	e.release(request)
 }
 
-// FinishRequest reports that the front has finished with a request whose attempt was reported as ended earlier, as it is for a
-// streamed response.
+// FinishRequest reports that the front has finished with a request whose attempt was reported as ended earlier, as it
+// is for a streamed response.
 func (e *Engine) FinishRequest(request *Request) { e.release(request) }
 
 // endWait marks that the client no longer waits, and counts the result of the request. Further calls have no effect.
--- a/internal/engine/shutdown.go
+++ b/internal/engine/shutdown.go
@@ -60,7 +60,7 @@
 	}
 	e.Timers.Stop(&e.wakeTimer)
 	e.Timers.Stop(&e.shutdownTimer)
-	e.Timers.Stop(&e.figuresTimer)
+	e.Timers.Stop(&e.metricsTimer)
 }
 
 // Abandon marks an engine as stopped that will never run.
--- a/internal/engine/tally.go
+++ b/internal/engine/tally.go
@@ -6,8 +6,8 @@
 	"pepperlead/policy"
 )
 
-// figuresInterval is the interval between updates of the endpoint metrics.
-const figuresInterval = 200 * policy.Millisecond
+// metricsInterval is the interval between updates of the endpoint metrics.
+const metricsInterval = 200 * policy.Millisecond
 
 // Result is how a request ended for its client.
 type Result uint8
@@ -42,8 +42,8 @@
 	HasList     atomic.Bool                // there is an endpoint list
 }
 
-// CountResult counts a result. The engine counts those of admitted requests; fronts count those of requests that they answer
-// without admitting them.
+// CountResult counts a result. The engine counts those of admitted requests; fronts count those of requests that they
+// answer without admitting them.
 func (e *Engine) CountResult(class policy.ClassID, result Result) {
 	row := int(class)
 	if e.rules != nil {
@@ -52,8 +52,8 @@
 	e.Metrics.Answered[row][result].Add(1)
 }
 
-// publishFigures updates the endpoint metrics and schedules the next update.
-func (e *Engine) publishFigures(now policy.Time) {
+// publishMetrics updates the endpoint metrics and schedules the next update.
+func (e *Engine) publishMetrics(now policy.Time) {
 	var listed, unavailable int64
 	for _, endpoint := range e.Endpoints {
 		if !endpoint.Listed {
@@ -67,5 +67,5 @@
 	e.Metrics.HasList.Store(e.list.hasList)
 	e.Metrics.Endpoints.Store(listed)
 	e.Metrics.Unavailable.Store(unavailable)
-	e.Timers.Set(&e.figuresTimer, now+figuresInterval)
+	e.Timers.Set(&e.metricsTimer, now+metricsInterval)
 }
