--- a/internal/connstate/conns.go
+++ b/internal/connstate/conns.go
@@ -39,82 +39,82 @@
 
 // NewConns returns the connection table of a process that may use the given number of descriptors.
 func NewConns(descriptors int) *Conns {
-	k := &Conns{Open: map[*Conn]struct{}{}}
-	k.SetLimits(descriptors, 1)
-	return k
+	conns := &Conns{Open: map[*Conn]struct{}{}}
+	conns.SetLimits(descriptors, 1)
+	return conns
 }
 
 // SetLimits sets the limits of one of several processes that share the given number of descriptors. Each process needs
 // ownDescriptors for itself. A request in flight needs one connection on either side, but client connections may also
 // be idle. So clients get three fifths of the remaining descriptors and endpoints get two fifths. When client
 // connections use more than seven eighths of their share, idle ones are closed.
-func (k *Conns) SetLimits(descriptors, processes int) {
+func (conns *Conns) SetLimits(descriptors, processes int) {
 	available := descriptors/processes - ownDescriptors
 	endpoints := max(minEndpointConns, available*2/5)
 	clients := max(minClientConns, available-endpoints)
-	k.Limit[ClientSide] = clients - clients/8
-	k.Limit[EndpointSide] = endpoints
-	k.AcceptLimit = clients
-	k.MaxIdleClients = clients / 4
+	conns.Limit[ClientSide] = clients - clients/8
+	conns.Limit[EndpointSide] = endpoints
+	conns.AcceptLimit = clients
+	conns.MaxIdleClients = clients / 4
 }
 
 // MarkIdle marks a client's connection as idle.
-func (k *Conns) MarkIdle(c *Conn) {
+func (conns *Conns) MarkIdle(c *Conn) {
 	if !c.Idle && !c.Closing {
 		c.Idle = true
-		k.IdleClients++
+		conns.IdleClients++
 	}
 }
 
 // MarkBusy marks a connection as no longer idle, because it has work or is being closed.
-func (k *Conns) MarkBusy(c *Conn) {
+func (conns *Conns) MarkBusy(c *Conn) {
 	if c.Idle {
 		c.Idle = false
-		k.IdleClients--
+		conns.IdleClients--
 	}
 }
 
 // Count returns the number of connections on that side that are open or being opened.
-func (k *Conns) Count(side Side) int { return k.open[side] - k.closing[side] }
+func (conns *Conns) Count(side Side) int { return conns.open[side] - conns.closing[side] }
 
 // Add adds a connection that is being opened, and assigns its number.
-func (k *Conns) Add(c *Conn) {
-	k.opened++
-	c.Number = k.opened
-	k.Open[c] = struct{}{}
-	k.open[c.Side]++
+func (conns *Conns) Add(c *Conn) {
+	conns.opened++
+	c.Number = conns.opened
+	conns.Open[c] = struct{}{}
+	conns.open[c.Side]++
 }
 
 // OverLimit reports whether the number of connections on that side exceeds the side's limit.
-func (k *Conns) OverLimit(side Side) bool { return k.Count(side) > k.Limit[side] }
+func (conns *Conns) OverLimit(side Side) bool { return conns.Count(side) > conns.Limit[side] }
 
 // MarkClosing marks a connection that is being closed.
-func (k *Conns) MarkClosing(c *Conn) {
-	k.MarkBusy(c)
+func (conns *Conns) MarkClosing(c *Conn) {
+	conns.MarkBusy(c)
 	c.Closing = true
-	k.closing[c.Side]++
+	conns.closing[c.Side]++
 }
 
 // Remove removes a closed connection and reports whether it was open before. Only here the connection's descriptor
 // stops counting against the limits.
-func (k *Conns) Remove(c *Conn) bool {
-	if _, open := k.Open[c]; !open {
+func (conns *Conns) Remove(c *Conn) bool {
+	if _, open := conns.Open[c]; !open {
 		return false
 	}
-	k.MarkBusy(c)
-	delete(k.Open, c)
-	k.open[c.Side]--
+	conns.MarkBusy(c)
+	delete(conns.Open, c)
+	conns.open[c.Side]--
 	if c.Closing {
-		k.closing[c.Side]--
+		conns.closing[c.Side]--
 	}
 	if c.Endpoint != nil {
-		k.RemoveIdle(c)
+		conns.RemoveIdle(c)
 	}
 	return true
 }
 
 // PutIdle adds a connection to the idle connections of its endpoint.
-func (k *Conns) PutIdle(c *Conn, now policy.Time) {
+func (conns *Conns) PutIdle(c *Conn, now policy.Time) {
 	c.IdleSince = now
 	c.Endpoint.Idle = append(c.Endpoint.Idle, c)
 }
@@ -122,7 +122,7 @@
 // TakeIdle removes and returns an idle connection to the endpoint, or nil if there is none. Only connections that have
 // been idle since idleBefore or longer, or have not carried a request yet, are taken: on others, more bytes may still
 // arrive after the last response. Of these it takes the one that was used last, so that the others age and are closed.
-func (k *Conns) TakeIdle(endpoint *Endpoint, idleBefore policy.Time) *Conn {
+func (conns *Conns) TakeIdle(endpoint *Endpoint, idleBefore policy.Time) *Conn {
 	for i := len(endpoint.Idle) - 1; i >= 0; i-- {
 		c := endpoint.Idle[i]
 		if !c.Used || c.IdleSince <= idleBefore {
@@ -134,7 +134,7 @@
 }
 
 // RemoveIdle removes the connection from the idle connections of its endpoint, and reports whether it was one of them.
-func (k *Conns) RemoveIdle(c *Conn) bool {
+func (conns *Conns) RemoveIdle(c *Conn) bool {
 	idle := c.Endpoint.Idle
 	for i := len(idle) - 1; i >= 0; i-- {
 		if idle[i] == c {
@@ -147,9 +147,9 @@
 
 // OldestIdle returns the connection on that side that has been idle for the longest time, or nil if none can be closed.
 // The connection must have been idle since usedBefore, or since openedBefore if it has not carried a request yet.
-func (k *Conns) OldestIdle(side Side, usedBefore, openedBefore policy.Time) *Conn {
+func (conns *Conns) OldestIdle(side Side, usedBefore, openedBefore policy.Time) *Conn {
 	var oldest *Conn
-	for c := range k.Open {
+	for c := range conns.Open {
 		limit := openedBefore
 		if c.Used {
 			limit = usedBefore
--- a/internal/connstate/connstate_test.go
+++ b/internal/connstate/connstate_test.go
@@ -56,25 +56,25 @@
 
 // The oldest idle connection is found, but not one that was opened so recently that its first request may be about to arrive.
 func TestOldestIdleConnection(t *testing.T) {
-	k := NewConns(64)
+	conns := NewConns(64)
 	var all []*Conn
 	for i := range 5 {
 		c := &Conn{Connected: true, Used: true, IdleSince: policy.Time(10 - i)}
-		k.Add(c)
+		conns.Add(c)
 		all = append(all, c)
 	}
 	all[4].Used, all[3].Input.Buffer = false, &Buffer{}
-	if got := k.OldestIdle(ClientSide, 10, 5); got != all[2] {
+	if got := conns.OldestIdle(ClientSide, 10, 5); got != all[2] {
 		t.Errorf("%+v", got)
 	}
-	if got := k.OldestIdle(ClientSide, 10, 6); got != all[4] {
+	if got := conns.OldestIdle(ClientSide, 10, 6); got != all[4] {
 		t.Errorf("%+v", got)
 	}
-	if got := k.OldestIdle(ClientSide, 7, 5); got != nil {
+	if got := conns.OldestIdle(ClientSide, 7, 5); got != nil {
 		t.Errorf("%+v", got)
 	}
-	k.MarkClosing(all[4])
-	if k.Count(ClientSide) != 4 || !k.Remove(all[4]) || k.Remove(all[4]) || k.Count(ClientSide) != 4 {
+	conns.MarkClosing(all[4])
+	if conns.Count(ClientSide) != 4 || !conns.Remove(all[4]) || conns.Remove(all[4]) || conns.Count(ClientSide) != 4 {
 		t.Error("a closed connection is counted, or was removed twice")
 	}
 }
--- a/internal/discovery/files_test.go
+++ b/internal/discovery/files_test.go
@@ -51,12 +51,12 @@
 func start(t *testing.T, dir string, source Source) *runningSource {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &runningSource{t: t, dir: dir, events: make(chan Event, 64)}
+	running := &runningSource{t: t, dir: dir, events: make(chan Event, 64)}
 	ended := make(chan struct{})
-	go func() { defer close(ended); source.Run(ctx, func(event Event) { w.events <- event }) }()
-	w.stop = func() { cancel(); <-ended }
-	t.Cleanup(w.stop)
-	return w
+	go func() { defer close(ended); source.Run(ctx, func(event Event) { running.events <- event }) }()
+	running.stop = func() { cancel(); <-ended }
+	t.Cleanup(running.stop)
+	return running
 }
 
 func watchFiles(t *testing.T, patterns ...string) *runningSource {
@@ -68,28 +68,28 @@
 }
 
 // write writes a file in place.
-func (w *runningSource) write(name string, content []byte) {
-	w.t.Helper()
-	if err := os.WriteFile(filepath.Join(w.dir, name), content, 0o600); err != nil {
-		w.t.Fatal(err)
+func (running *runningSource) write(name string, content []byte) {
+	running.t.Helper()
+	if err := os.WriteFile(filepath.Join(running.dir, name), content, 0o600); err != nil {
+		running.t.Fatal(err)
 	}
 }
 
 // replace replaces a file atomically, by renaming a new one.
-func (w *runningSource) replace(name string, content []byte) {
-	w.t.Helper()
-	w.write("new.tmp", content)
-	if err := os.Rename(filepath.Join(w.dir, "new.tmp"), filepath.Join(w.dir, name)); err != nil {
-		w.t.Fatal(err)
+func (running *runningSource) replace(name string, content []byte) {
+	running.t.Helper()
+	running.write("new.tmp", content)
+	if err := os.Rename(filepath.Join(running.dir, "new.tmp"), filepath.Join(running.dir, name)); err != nil {
+		running.t.Fatal(err)
 	}
 }
 
 // want waits for the next event and checks it. words are the uids of a list in order, with a ! after draining ones; or "rejected" and a
 // part of the reason; or "recovered"; or "note" and the start of its text.
-func (w *runningSource) want(words ...string) {
-	w.t.Helper()
+func (running *runningSource) want(words ...string) {
+	running.t.Helper()
 	select {
-	case event := <-w.events:
+	case event := <-running.events:
 		got := event.Rejected
 		switch {
 		case event.List != nil:
@@ -110,152 +110,152 @@
 		want, rejection := strings.CutPrefix(strings.Join(words, " "), "rejected ")
 		if rejection != (event.Rejected != "") || got != want && !(rejection && strings.Contains(got, want)) &&
 			!(event.Note != "" && strings.HasPrefix(got, want)) {
-			w.t.Errorf("got %q, want %v", got, words)
+			running.t.Errorf("got %q, want %v", got, words)
 		}
 	case <-time.After(5 * time.Second):
-		w.t.Fatalf("no event, want %v", words)
+		running.t.Fatalf("no event, want %v", words)
 	}
 }
 
 // wantNone fails if there is an event within the duration.
-func (w *runningSource) wantNone(duration time.Duration) {
-	w.t.Helper()
+func (running *runningSource) wantNone(duration time.Duration) {
+	running.t.Helper()
 	select {
-	case event := <-w.events:
-		w.t.Errorf("got %+v, want no event", event)
+	case event := <-running.events:
+		running.t.Errorf("got %+v, want no event", event)
 	case <-time.After(duration):
 	}
 }
 
 func TestFilesWrittenInPlace(t *testing.T) {
-	w := watchFiles(t, "f.toml")
-	w.want("rejected", "no list file found")
-	w.write("f.toml", listText(1, "a", "b", "c", "d"))
-	w.want("a", "b", "c", "d")
-	path := filepath.Join(w.dir, "f.toml")
+	running := watchFiles(t, "f.toml")
+	running.want("rejected", "no list file found")
+	running.write("f.toml", listText(1, "a", "b", "c", "d"))
+	running.want("a", "b", "c", "d")
+	path := filepath.Join(running.dir, "f.toml")
 	// The file is truncated and then written in parts: there is no event before it is complete.
 	complete := listText(2, "a", "b", "c!", "d")
 	for i := 0; i <= len(complete); i += 40 {
-		w.write("f.toml", complete[:min(i, len(complete))])
+		running.write("f.toml", complete[:min(i, len(complete))])
 		time.Sleep(2 * time.Millisecond)
 	}
-	w.write("f.toml", complete)
-	w.want("a", "b", "c!", "d")
+	running.write("f.toml", complete)
+	running.want("a", "b", "c!", "d")
 	// The file is overwritten without being truncated: the end of the old text follows a shorter new text.
 	short := listText(3, "a", "b!", "c!", "d")[:250]
 	f, _ := os.OpenFile(path, os.O_WRONLY, 0)
 	f.Write(short)
 	f.Close()
-	w.want("rejected", "f.toml:")
-	w.wantNone(100 * time.Millisecond) // the reason is emitted once
-	w.write("f.toml", complete)
-	w.want("recovered")
+	running.want("rejected", "f.toml:")
+	running.wantNone(100 * time.Millisecond) // the reason is emitted once
+	running.write("f.toml", complete)
+	running.want("recovered")
 	// Without a digest, a partly written file may be valid, so the file must stay unchanged for the settle time.
 	unsealed := listText(0, "e", "f", "g", "h")
-	w = watchFiles(t, "g.toml")
-	w.want("rejected", "no list file found")
+	running = watchFiles(t, "g.toml")
+	running.want("rejected", "no list file found")
 	for range 10 {
-		w.write("g.toml", listText(0, "x", "f", "g", "h"))
+		running.write("g.toml", listText(0, "x", "f", "g", "h"))
 		time.Sleep(5 * time.Millisecond)
-		w.write("g.toml", unsealed)
+		running.write("g.toml", unsealed)
 		time.Sleep(5 * time.Millisecond)
 	}
-	w.want("e", "f", "g", "h")
+	running.want("e", "f", "g", "h")
 }
 
 func TestOldListsDoNotUndoDrains(t *testing.T) {
-	w := watchFiles(t, "f.toml")
-	w.want("rejected", "no list file found")
-	w.replace("f.toml", listText(5, "a", "b", "c"))
-	w.want("a", "b", "c")
-	w.replace("f.toml", listText(6, "a", "b!", "c"))
-	w.want("a", "b!", "c")
-	w.replace("f.toml", listText(5, "a", "b", "c")) // an old copy
-	w.want("rejected", "found 5, allowed 6 or higher")
-	w.replace("f.toml", listText(7, "a", "b!", "c!"))
-	w.want("a", "b!", "c!")
-	w.replace("f.toml", listText(8, "a", "b", "c!"))
-	w.want("a", "b", "c!")
+	running := watchFiles(t, "f.toml")
+	running.want("rejected", "no list file found")
+	running.replace("f.toml", listText(5, "a", "b", "c"))
+	running.want("a", "b", "c")
+	running.replace("f.toml", listText(6, "a", "b!", "c"))
+	running.want("a", "b!", "c")
+	running.replace("f.toml", listText(5, "a", "b", "c")) // an old copy
+	running.want("rejected", "found 5, allowed 6 or higher")
+	running.replace("f.toml", listText(7, "a", "b!", "c!"))
+	running.want("a", "b!", "c!")
+	running.replace("f.toml", listText(8, "a", "b", "c!"))
+	running.want("a", "b", "c!")
 	// Lists without an issue can't show that they are newer; a later start of the endpoint shows it.
-	w = watchFiles(t, "g.toml")
-	w.want("rejected", "no list file found")
-	w.replace("g.toml", listText(0, "a", "b!", "c"))
-	w.want("a", "b!", "c")
-	w.replace("g.toml", listText(0, "a", "b", "c"))
-	w.want("rejected", `"b" was listed as draining`)
-	w.replace("g.toml", bytes.Replace(listText(0, "a", "b", "c"), []byte(`id = "b"`),
+	running = watchFiles(t, "g.toml")
+	running.want("rejected", "no list file found")
+	running.replace("g.toml", listText(0, "a", "b!", "c"))
+	running.want("a", "b!", "c")
+	running.replace("g.toml", listText(0, "a", "b", "c"))
+	running.want("rejected", `"b" was listed as draining`)
+	running.replace("g.toml", bytes.Replace(listText(0, "a", "b", "c"), []byte(`id = "b"`),
 		[]byte(`id = "b"`+"\nstarted = 2199-01-01T00:00:00Z"), 1))
-	w.want("a", "b", "c")
+	running.want("a", "b", "c")
 }
 
 func TestSeveralFilesMakeUpOneList(t *testing.T) {
-	w := watchFiles(t, "*.toml")
-	w.want("rejected", "no list file found")
-	w.replace("1.toml", listText(1, "a", "b"))
-	w.want("a", "b")
-	w.replace("2.toml", listText(1, "c", "d", "e"))
-	w.want("a", "b", "c", "d", "e")
-	w.replace("2.toml", []byte("[[server"))
-	w.want("rejected", "2.toml:1: document")
-	w.replace("1.toml", listText(2, "a", "b!")) // has no effect until the other file is valid again
-	w.wantNone(100 * time.Millisecond)
-	w.replace("2.toml", listText(2, "c", "d", "e"))
-	w.want("a", "b!", "c", "d", "e")
-	w.replace("1.toml", listText(3, "a", "b!", "e"))
-	w.want("rejected", `server "e" is also listed in`)
-	w.replace("1.toml", listText(4, "a", "b!"))
-	w.want("a", "b!", "c", "d", "e")
+	running := watchFiles(t, "*.toml")
+	running.want("rejected", "no list file found")
+	running.replace("1.toml", listText(1, "a", "b"))
+	running.want("a", "b")
+	running.replace("2.toml", listText(1, "c", "d", "e"))
+	running.want("a", "b", "c", "d", "e")
+	running.replace("2.toml", []byte("[[server"))
+	running.want("rejected", "2.toml:1: document")
+	running.replace("1.toml", listText(2, "a", "b!")) // has no effect until the other file is valid again
+	running.wantNone(100 * time.Millisecond)
+	running.replace("2.toml", listText(2, "c", "d", "e"))
+	running.want("a", "b!", "c", "d", "e")
+	running.replace("1.toml", listText(3, "a", "b!", "e"))
+	running.want("rejected", `server "e" is also listed in`)
+	running.replace("1.toml", listText(4, "a", "b!"))
+	running.want("a", "b!", "c", "d", "e")
 	// A file that is missing for a moment only is not considered removed.
-	os.Remove(filepath.Join(w.dir, "1.toml"))
+	os.Remove(filepath.Join(running.dir, "1.toml"))
 	time.Sleep(50 * time.Millisecond)
-	w.replace("1.toml", listText(4, "a", "b!"))
-	w.wantNone(250 * time.Millisecond)
-	os.Remove(filepath.Join(w.dir, "1.toml"))
-	w.want("c", "d", "e")
-	w.replace("2.toml", listText(3, "c", "d!", "e!"))
-	w.want("rejected", "removes 2 of 3 ready servers, 67% of the weight, allowed 60%")
+	running.replace("1.toml", listText(4, "a", "b!"))
+	running.wantNone(250 * time.Millisecond)
+	os.Remove(filepath.Join(running.dir, "1.toml"))
+	running.want("c", "d", "e")
+	running.replace("2.toml", listText(3, "c", "d!", "e!"))
+	running.want("rejected", "removes 2 of 3 ready servers, 67% of the weight, allowed 60%")
 	out, _, _ := endpointfiles.Seal("2", listText(3, "c", "d!", "e!"), 4, 2)
-	w.replace("2.toml", out)
-	w.want("c", "d!", "e!")
-	w.replace("2.toml", listText(5))
-	w.want("rejected", "removes 1 of 1")
+	running.replace("2.toml", out)
+	running.want("c", "d!", "e!")
+	running.replace("2.toml", listText(5))
+	running.want("rejected", "removes 1 of 1")
 }
 
 func TestSymbolicLinksAndDirectories(t *testing.T) {
-	w := watchFiles(t, "live/f.toml")
-	w.want("rejected", "no list file found")
+	running := watchFiles(t, "live/f.toml")
+	running.want("rejected", "no list file found")
 	for i, uids := range [][]string{{"a", "b", "c"}, {"a", "b", "d"}} {
-		dir := filepath.Join(w.dir, fmt.Sprint("v", i))
+		dir := filepath.Join(running.dir, fmt.Sprint("v", i))
 		os.Mkdir(dir, 0o700)
 		os.WriteFile(filepath.Join(dir, "f.toml"), listText(endpointfiles.Issue(i+1), uids...), 0o600)
 	}
 	swap := func(to string) {
-		os.Symlink(to, filepath.Join(w.dir, "next"))
-		if err := os.Rename(filepath.Join(w.dir, "next"), filepath.Join(w.dir, "live")); err != nil {
+		os.Symlink(to, filepath.Join(running.dir, "next"))
+		if err := os.Rename(filepath.Join(running.dir, "next"), filepath.Join(running.dir, "live")); err != nil {
 			t.Fatal(err)
 		}
 	}
 	swap("v0")
-	w.want("a", "b", "c")
+	running.want("a", "b", "c")
 	swap("v1")
-	w.want("a", "b", "d")
+	running.want("a", "b", "d")
 	swap("v0")
-	w.want("rejected", "found 1, allowed 2 or higher")
+	running.want("rejected", "found 1, allowed 2 or higher")
 	swap("v1")
-	w.want("recovered")
+	running.want("recovered")
 	// The directory is removed and created again.
-	os.RemoveAll(filepath.Join(w.dir, "v1"))
+	os.RemoveAll(filepath.Join(running.dir, "v1"))
 	time.Sleep(30 * time.Millisecond)
-	os.Mkdir(filepath.Join(w.dir, "v1"), 0o700)
-	w.write("v1/f.toml", listText(3, "a", "b"))
-	w.want("a", "b")
-	os.RemoveAll(filepath.Join(w.dir, "v1"))
-	w.want("rejected", "no list file found")
-	if err := os.Mkdir(filepath.Join(w.dir, "v1"), 0o700); err != nil {
+	os.Mkdir(filepath.Join(running.dir, "v1"), 0o700)
+	running.write("v1/f.toml", listText(3, "a", "b"))
+	running.want("a", "b")
+	os.RemoveAll(filepath.Join(running.dir, "v1"))
+	running.want("rejected", "no list file found")
+	if err := os.Mkdir(filepath.Join(running.dir, "v1"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	os.Mkdir(filepath.Join(w.dir, "v1", "f.toml"), 0o700)
-	w.want("rejected", "not a regular file")
+	os.Mkdir(filepath.Join(running.dir, "v1", "f.toml"), 0o700)
+	running.want("rejected", "not a regular file")
 }
 
 // The last list is cached over a restart, with the drains and issues that an old copy of a file must not undo. A damaged cached list is
@@ -267,30 +267,30 @@
 	restart := func() *runningSource {
 		return start(t, dir, NewCached(NewFiles([]string{list}, limits, clock.New().Now), state, clock.New().Now))
 	}
-	w := restart()
-	w.want("a", "b!", "c")
-	w.replace("f.toml", listText(7, "a", "b!", "c", "d"))
-	w.want("a", "b!", "c", "d")
-	w.stop()
-	w = restart()
-	w.want("a", "b!", "c", "d") // from the cache
-	w.want("a", "b!", "c", "d") // from the file
-	w.stop()
+	running := restart()
+	running.want("a", "b!", "c")
+	running.replace("f.toml", listText(7, "a", "b!", "c", "d"))
+	running.want("a", "b!", "c", "d")
+	running.stop()
+	running = restart()
+	running.want("a", "b!", "c", "d") // from the cache
+	running.want("a", "b!", "c", "d") // from the file
+	running.stop()
 	os.WriteFile(list, listText(6, "a", "b", "c"), 0o600)
-	w = restart()
-	w.want("a", "b!", "c", "d")
-	w.want("rejected", "found 6, allowed 7 or higher")
-	w.stop()
+	running = restart()
+	running.want("a", "b!", "c", "d")
+	running.want("rejected", "found 6, allowed 7 or higher")
+	running.stop()
 	cachePath := filepath.Join(state, "servers")
 	content, err := os.ReadFile(cachePath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	os.WriteFile(cachePath, content[:len(content)-5], 0o600)
-	w = restart()
-	w.want("note", "cached endpoint list ignored: ")
-	w.want("a", "b", "c")
-	w.stop()
+	running = restart()
+	running.want("note", "cached endpoint list ignored: ")
+	running.want("a", "b", "c")
+	running.stop()
 	// Changes are merged into the list.
 	entries := map[string]Entry{}
 	entry := func(uid string, status policy.EndpointStatus) Entry {
--- a/internal/discovery/platform_agent_test.go
+++ b/internal/discovery/platform_agent_test.go
@@ -195,7 +195,7 @@
 func TestAgentRestartsOrStopsAnsweringDuringWatch(t *testing.T) {
 	const grace = 400 * time.Millisecond
 	silent := func(net.Conn, *http.Request) bool { return true }
-	for name, k := range map[string]struct {
+	for name, test := range map[string]struct {
 		second func(net.Conn, *http.Request) bool // handles the second call, a watch
 		limit  time.Duration
 	}{
@@ -209,10 +209,13 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var at atomic.Int64
-			broken := func(c net.Conn, call *http.Request) bool { at.Store(time.Now().UnixNano()); return k.second(c, call) }
+			broken := func(c net.Conn, call *http.Request) bool {
+				at.Store(time.Now().UnixNano())
+				return test.second(c, call)
+			}
 			s := newScriptedAgent(t, respond(listAt(41, true, "Ready")), broken, restarted(listAt(3, true, "Terminating")))
-			if delay := drainDelay(t, s, grace, func() time.Time { return time.Unix(0, at.Load()) }); delay > k.limit {
-				t.Errorf("the drain was emitted after %v, want at most %v; requested %v", delay, k.limit, s.requested())
+			if delay := drainDelay(t, s, grace, func() time.Time { return time.Unix(0, at.Load()) }); delay > test.limit {
+				t.Errorf("the drain was emitted after %v, want at most %v; requested %v", delay, test.limit, s.requested())
 			}
 		})
 	}
@@ -220,14 +223,14 @@
 
 // Watches of an agent are held for two seconds; watches of a shared service are held longer the more instances watch.
 func TestWatchTimeout(t *testing.T) {
-	for _, k := range []struct {
+	for _, test := range []struct {
 		agent     bool
 		instances int
 		want      time.Duration
 	}{{true, 1, 2 * time.Second}, {true, 350, 2 * time.Second}, {false, 8, 2 * time.Second}, {false, 350, 3500 * time.Millisecond},
 		{false, 60000, 20 * time.Second}} {
-		if got := WatchTimeout(k.agent, k.instances); got != k.want {
-			t.Errorf("%+v: %v", k, got)
+		if got := WatchTimeout(test.agent, test.instances); got != test.want {
+			t.Errorf("%+v: got %v", test, got)
 		}
 	}
 }
--- a/internal/endpointfiles/file_test.go
+++ b/internal/endpointfiles/file_test.go
@@ -69,7 +69,7 @@
 
 func TestProblemsNameLineAndKey(t *testing.T) {
 	valid, _ := sealed(t, listText(3, 1), 1)
-	for _, k := range [][3]string{
+	for _, test := range [][3]string{
 		{`id = "s-0"`, `id = 5`, "f:4: server[0].id: found 5, allowed a text"},
 		{`id = "s-0"`, `id = "a b"`, "f:4: server[0].id: found \"a b\", allowed a text without spaces"},
 		{`address = "127.0.0.1:9000"`, `address = "host:9"`, "f:5: server[0].address: found \"host:9\", allowed an IP address and port"},
@@ -83,9 +83,9 @@
 		{"[whole]", "[whole]\nservers = 3\n[whole]", "f:20: document: found "},
 		{"issue = 1", "issue = 1\ntakes_away = 1.5", "f:21: whole.takes_away: found 1.5, allowed a whole number"},
 	} {
-		in := strings.Replace(valid, k[0], k[1], 1)
-		if f := Parse("f", []byte(in)); !strings.Contains(f.Problem, k[2]) || in == valid {
-			t.Errorf("%s instead of %s: got %q, want %q", k[1], k[0], f.Problem, k[2])
+		in := strings.Replace(valid, test[0], test[1], 1)
+		if f := Parse("f", []byte(in)); !strings.Contains(f.Problem, test[2]) || in == valid {
+			t.Errorf("%s instead of %s: got %q, want %q", test[1], test[0], f.Problem, test[2])
 		}
 	}
 }
@@ -93,12 +93,12 @@
 func TestJoinFindsConflicts(t *testing.T) {
 	a, b := Parse("a", []byte(listOfOne("x", 1))), Parse("b", []byte(listOfOne("x", 2)))
 	c := Parse("c", []byte(listOfOne("y", 1)))
-	for _, k := range []struct {
+	for _, test := range []struct {
 		files []File
 		want  string
 	}{{[]File{a, c}, "both ready"}, {[]File{a, b}, "also listed in a:"}, {[]File{b, c}, ""}} {
-		if reason := Join(k.files); !strings.Contains(reason, k.want) || (reason == "") != (k.want == "") {
-			t.Errorf("got %q, want %q", reason, k.want)
+		if reason := Join(test.files); !strings.Contains(reason, test.want) || (reason == "") != (test.want == "") {
+			t.Errorf("got %q, want %q", reason, test.want)
 		}
 	}
 }
--- a/internal/endpointfiles/validator_test.go
+++ b/internal/endpointfiles/validator_test.go
@@ -292,7 +292,7 @@
 		return f
 	}
 	const R, D = policy.Ready, policy.Draining // short names for the table
-	for _, k := range []struct {
+	for _, test := range []struct {
 		before, after File
 		want          Verdict
 	}{
@@ -303,11 +303,11 @@
 		{file(0, R, R, D), file(0, R, R, R), Rejected},
 	} {
 		first := New(Limits{MaxRemovedShare: 0.5, DrainMemory: 1000})
-		accepted := first.Evaluate(1, []File{k.before})
+		accepted := first.Evaluate(1, []File{test.before})
 		next := New(first.limits)
 		next.Resume(accepted.Entries, first.State())
-		if got := next.Evaluate(500, []File{k.after}); got.Verdict != k.want {
-			t.Errorf("issue %d after issue %d: got %+v, want verdict %d", k.after.Issue, k.before.Issue, got, k.want)
+		if got := next.Evaluate(500, []File{test.after}); got.Verdict != test.want {
+			t.Errorf("issue %d after issue %d: got %+v, want verdict %d", test.after.Issue, test.before.Issue, got, test.want)
 		}
 	}
 }
--- a/internal/engine/activerules_test.go
+++ b/internal/engine/activerules_test.go
@@ -84,7 +84,7 @@
 	e.list.handle(0, sourceEvent{event: discovery.Event{List: &discovery.List{Kind: policy.ListFull, Entries: []discovery.Entry{{Member: policy.Member{ID: 9}, UID: "own"}}}}})
 	now := e.Clock.Now()
 	first := e.NewRequest(0)
-	e.Admit(now, now, first, a, policy.NoTenant, "k", false, 2*policy.Second) // idempotent, and stays so or stricter
+	e.Admit(now, now, first, a, policy.NoTenant, "k", false, 2*policy.Second) // admitted as idempotent: its rules may become stricter later, but not laxer
 	e.Round(now)
 	if f.attempts != 1 || len(e.Endpoints) != 1 {
 		t.Fatalf("%d attempts and %d endpoints, want 1 and 1", f.attempts, len(e.Endpoints))
--- a/internal/engine/write_test.go
+++ b/internal/engine/write_test.go
@@ -13,8 +13,8 @@
 // A keyed request that may have run is retried only within its deduplication window. If the loop stalls between the decision and the
 // write, the window may have passed: the retry is checked again right before the write, by the time at that moment.
 func TestRetriesAreCheckedBeforeTheWrite(t *testing.T) {
-	for _, k := range []struct {
-		ago  policy.Time // age of the first attempt at the time of the write
+	for _, test := range []struct {
+		age  policy.Time // age of the first attempt at the time of the write
 		want int         // attempts written
 	}{{200 * policy.Millisecond, 2}, {1500 * policy.Millisecond, 1}} {
 		log := logrus.New()
@@ -25,7 +25,7 @@
 		f := &fakeFront{}
 		e.AddFront(f)
 		now := e.Clock.Now()
-		admitted := now - k.ago
+		admitted := now - test.age
 		e.ApplyList(admitted, &discovery.List{Kind: policy.ListFull, Entries: []discovery.Entry{{Member: policy.Member{ID: 1, Weight: 1}, UID: "x"},
 			{Member: policy.Member{ID: 2, Weight: 1}, UID: "y"}}})
 		request := e.NewRequest(0)
@@ -36,10 +36,10 @@
 		if request.Attempts != 2 || f.attempts != 1 {
 			t.Fatalf("%d attempts decided on, %d written", request.Attempts, f.attempts)
 		}
-		if e.Round(admitted + 10*policy.Millisecond); f.attempts != k.want {
-			t.Errorf("%d ms after the first attempt: %d attempts written, want %d", k.ago/policy.Millisecond, f.attempts, k.want)
+		if e.Round(admitted + 10*policy.Millisecond); f.attempts != test.want {
+			t.Errorf("%d ms after the first attempt: %d attempts written, want %d", test.age/policy.Millisecond, f.attempts, test.want)
 		}
-		if e.ReportEndedAttempts(now); k.want == 1 && (f.answers != 0 || len(e.steps) != 1) {
+		if e.ReportEndedAttempts(now); test.want == 1 && (f.answers != 0 || len(e.steps) != 1) {
 			t.Errorf("the request is not answered in place of the retry: %d steps", len(e.steps))
 		}
 	}
