--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -12,16 +12,16 @@
 }
 
 // addStep queues a step for the request with the given handle, and returns that request.
-func (e *Engine) addStep(h policy.Handle, s step) *Request {
-	s.request = e.requests[h.Index()]
+func (e *Engine) addStep(handle policy.Handle, s step) *Request {
+	s.request = e.requests[handle.Index()]
 	s.request.PendingSteps++
 	e.steps = append(e.steps, s)
 	return s.request
 }
 
 // Attempt implements policy.Front.
-func (e *Engine) Attempt(h policy.Handle, to policy.EndpointID, timeout policy.Time) {
-	request := e.addStep(h, step{run: sendAttempt, endpoint: to, duration: timeout})
+func (e *Engine) Attempt(handle policy.Handle, to policy.EndpointID, timeout policy.Time) {
+	request := e.addStep(handle, step{run: sendAttempt, endpoint: to, duration: timeout})
 	request.InFlight = true
 	request.Endpoint = to
 	request.AttemptNo = policy.AttemptNo(request.Attempts)
@@ -30,23 +30,23 @@
 }
 
 // Cancel implements policy.Front.
-func (e *Engine) Cancel(h policy.Handle, attempt policy.AttemptNo) {
-	e.addStep(h, step{run: cancelAttempt, attempt: attempt})
+func (e *Engine) Cancel(handle policy.Handle, attempt policy.AttemptNo) {
+	e.addStep(handle, step{run: cancelAttempt, attempt: attempt})
 }
 
 // Succeed implements policy.Front.
-func (e *Engine) Succeed(h policy.Handle, _ policy.AttemptNo) {
-	e.addStep(h, step{run: succeed}).Decided = true
+func (e *Engine) Succeed(handle policy.Handle, _ policy.AttemptNo) {
+	e.addStep(handle, step{run: succeed}).Decided = true
 }
 
 // Reject implements policy.Front.
-func (e *Engine) Reject(h policy.Handle, retryAfter policy.Time) {
-	e.addStep(h, step{run: reject, duration: retryAfter}).Decided = true
+func (e *Engine) Reject(handle policy.Handle, retryAfter policy.Time) {
+	e.addStep(handle, step{run: reject, duration: retryAfter}).Decided = true
 }
 
 // Fail implements policy.Front.
-func (e *Engine) Fail(h policy.Handle) {
-	e.addStep(h, step{run: fail}).Decided = true
+func (e *Engine) Fail(handle policy.Handle) {
+	e.addStep(handle, step{run: fail}).Decided = true
 }
 
 // Wake implements policy.Front.
--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -14,7 +14,7 @@
 	ClientsSilent       int // connections closed because the client sent nothing
 	Requests            int
 	MalformedRequests   int
-	Overflowed          int
+	Overflowed          int // requests rejected for lack of buffer memory
 	ClientsDisconnected int
 	Succeeded           int
 	Rejected            int
@@ -27,10 +27,10 @@
 	StreamsBroken       int // streamed responses that were never completed
 	Attempts            int
 	Dials               int
-	Reused              int
+	Reused              int // attempts sent on an idle connection
 	Outcomes            [policy.Declined + 1]int
-	Lists               int
-	ListEntries         int
+	Lists               int // endpoint lists applied
+	ListEntries         int // entries of these lists
 	ListFailures        int
 	ListsRefused        int // rejected by the validation of list files
 	Reconfigurations    int
