--- a/internal/ruleset/classtable.go
+++ b/internal/ruleset/classtable.go
@@ -2,31 +2,34 @@
 
 import "pepperlead/policy"
 
-// ClassTable assigns each class a slot, and its rule, while revisions change. A request is bound by the rule it was
-// admitted under or a stricter one, so a class moves to a new slot if its rule is relaxed while requests are in flight.
+// ClassTable assigns each class a slot, whose rule binds the requests of the slot, across changes of the revision. A
+// request is bound by the rule it was admitted under or a stricter one, so a class moves to a new slot if its rule is
+// relaxed while requests are in flight.
 type ClassTable struct {
 	slots    []classSlot               // by policy.ClassID
-	current  map[string]policy.ClassID // the slot that admits requests of a class
-	Capacity int                       // maximum number of slots; without a free one a class keeps its stricter rule
+	current  map[string]policy.ClassID // by class name: the slot that admits new requests
+	Capacity int                       // maximum number of slots; a class that finds none free keeps its stricter rule
 }
 
-// classSlot is one slot of the table.
+// classSlot is one slot of a ClassTable. Its requests all follow the same rule.
 type classSlot struct {
 	name      string
-	rule      ClassRule // the strictest in force since the first request in flight was admitted
-	inFlight  int       // requests
-	admitting bool      // new requests are admitted to it
-	keyed     bool      // its requests carry an idempotency key
+	rule      ClassRule // the strictest rule since the first of the requests in flight was admitted
+	inFlight  int       // number of requests in flight
+	admitting bool      // whether the slot admits new requests
+	keyed     bool      // whether the requests carry an idempotency key
 }
 
 // free reports whether the slot can be given to another class.
 func (s *classSlot) free() bool { return !s.admitting && s.inFlight == 0 }
 
-// ClassTableSetter receives the rule that the requests of a slot follow now, and whether the slot admits new ones.
+// ClassTableSetter is called with the rule that the requests of a slot follow from now on, and with whether the slot
+// admits new requests.
 type ClassTableSetter func(id policy.ClassID, name string, rule ClassRule, admits bool)
 
-// Update puts rules in force and passes every slot in use to set. Without a lease, the rules only restrict the slots
-// for the time being: nothing is retried and no deadline is later than theirs.
+// Update puts rules in force and calls set for every slot in use. Without a lease the table itself stays unchanged:
+// until the next update, the rules passed to set allow no retries, and their deadlines are no longer than those of
+// rules.
 func (t *ClassTable) Update(rules *Rules, leased bool, set ClassTableSetter) {
 	if t.current == nil {
 		t.current = map[string]policy.ClassID{}
@@ -46,13 +49,14 @@
 		}
 		rule := slot.rule
 		if !leased {
-			rule = withoutLease(slot, rules)
+			rule = ruleWithoutLease(slot, rules)
 		}
 		set(policy.ClassID(i), slot.name, rule, slot.admitting)
 	}
 }
 
-// restrict binds the requests in flight of a slot by the new rules, and closes the slot if its class is gone.
+// restrict binds the requests in flight of a slot by the new rules too. If these lack the class of the slot, the slot
+// admits no more requests.
 func (t *ClassTable) restrict(slot *classSlot, rules *Rules) {
 	rule, known := rules.Class(slot.name)
 	if !known {
@@ -71,17 +75,18 @@
 	}
 }
 
-// withoutLease is the rule of a slot while there is no lease.
-func withoutLease(slot *classSlot, rules *Rules) ClassRule {
+// ruleWithoutLease returns the rule of a slot while there is no lease: no retries, and the shorter one of the deadlines
+// of the slot and of rules.
+func ruleWithoutLease(slot *classSlot, rules *Rules) ClassRule {
 	rule := ClassRule{Deadline: slot.rule.Deadline}
-	if now, known := rules.Class(slot.name); known {
-		rule.Deadline = shorterDeadline(rule.Deadline, now.Deadline)
+	if current, known := rules.Class(slot.name); known {
+		rule.Deadline = shorterDeadline(rule.Deadline, current.Deadline)
 	}
 	return rule
 }
 
-// admit has new requests of a class admitted under exactly its rule: in its current slot if no request in flight there
-// was admitted under another rule, else in a free one.
+// admit makes new requests of a class follow exactly its rule. The class stays in its current slot if that has no
+// requests in flight or already has this rule, and otherwise moves to a free slot.
 func (t *ClassTable) admit(class NamedClassRule) {
 	current, known := t.current[class.Name]
 	if known {
@@ -94,7 +99,7 @@
 	}
 	free, ok := t.freeSlot()
 	if !ok {
-		return // a known class keeps its stricter rule, an unknown one isn't admitted
+		return // a class with a slot keeps its stricter rule, and a new class is not admitted
 	}
 	if known {
 		t.slots[current].admitting = false
@@ -103,7 +108,7 @@
 	t.current[class.Name] = policy.ClassID(free)
 }
 
-// freeSlot returns the index of an unused slot, which it adds if the capacity allows.
+// freeSlot returns the index of a free slot. It adds one if all are in use and the capacity allows.
 func (t *ClassTable) freeSlot() (int, bool) {
 	for i := range t.slots {
 		if t.slots[i].free() {
@@ -123,8 +128,8 @@
 	return id, known
 }
 
-// Acquire counts a request that was admitted to a slot.
+// Acquire records that a request was admitted to a slot.
 func (t *ClassTable) Acquire(id policy.ClassID) { t.slots[id].inFlight++ }
 
-// Release counts a request of a slot that has ended.
+// Release records that a request of a slot has ended.
 func (t *ClassTable) Release(id policy.ClassID) { t.slots[id].inFlight-- }
--- a/internal/ruleset/explore_test.go
+++ b/internal/ruleset/explore_test.go
@@ -7,55 +7,61 @@
 	"pepperlead/policy"
 )
 
-// What is explored: every order of requests, answers, losses, confirmations, leaders that follow each other without the
-// old one knowing, a change of revisions, instances that restart, and a clock that runs slow, for some moments of time.
+// This file explores every order of events of the lease protocol for a few ticks of time: lease requests, responses,
+// lost messages, term confirmations, new leaders that the old one doesn't know of, a change of the revision, restarts
+// of an instance and a slow clock.
 
 const (
-	leaseDuration = 1 // moments of a lease
-	lastMoment    = 4 // last
-	// A clock that loses one moment in three: longest = 1*(1+0.5)+1 covers the moment of the asker and the one lost.
+	leaseDuration = 1 // ticks
+	lastTick      = 4
+	// clockDrift is for a clock that loses one tick in three: policy.Time(1*(1+0.5))+1, the longest life of a lease,
+	// covers the tick of the lease and the lost one.
 	clockDrift = 0.5
 )
 
-// fault is one planted in the machines, which the exploration must find.
+// fault is a fault planted in the protocol, which the exploration must find.
 type fault int
 
 const (
-	noFault fault = iota
-	noWait
-	noTermConfirmation
-	leaseFromAnswer
-	acceptAnyAnswer
+	noFault                    fault = iota
+	completeWithoutWaiting           // a change completes while leases of the old revision may be valid
+	skipTermConfirmation             // leases are issued without a quorum round
+	leaseStartsAtResponse            // the lease duration starts when the response arrives
+	acceptResponseToOldRequest       // a response to any request is accepted
 )
 
-// bounds say how much may happen in one exploration.
+// bounds limits the events of one exploration.
 type bounds struct {
 	requests, leaders int
 	clients           int  // 0: two
-	slow, restart     bool // the first instance's clock loses moments; it restarts once
+	slow              bool // the clock of the first instance may lose ticks
+	restart           bool // the first instance may restart once
 }
 
-type leaseRequest struct {
+// requestInFlight is a lease request that its leader has not answered.
+type requestInFlight struct {
 	client, leader int
 	id             uint64
 	known          []RevisionNumber
 }
 
-type leaseAnswer struct {
+// responseInFlight is a lease that has not reached its client.
+type responseInFlight struct {
 	client int
 	lease  Lease
 }
 
-// state is the state of all instances and leaders. Clients and issuers are values, so a copy is a state of its own.
+// state is the state of all instances and leaders. It holds clients and issuers by value, so that copies are
+// independent.
 type state struct {
 	now          policy.Time
-	lost         policy.Time // moments that the first instance's clock has not counted
-	lastLost     policy.Time
+	lostTicks    policy.Time // ticks that the clock of the first instance has not counted
+	lastLostTick policy.Time
 	clients      []LeaseClient
 	generations  []uint32
 	leaders      []LeaseIssuer
-	requests     []leaseRequest
-	answers      []leaseAnswer
+	requests     []requestInFlight
+	responses    []responseInFlight
 	requestCount int
 }
 
@@ -63,65 +69,70 @@
 	s.clients = slices.Clone(s.clients)
 	for i := range s.clients {
 		client := &s.clients[i]
-		client.known = slices.Clone(client.known)
+		client.ruleSets = slices.Clone(client.ruleSets)
 		client.leasedRevisions = slices.Clone(client.leasedRevisions)
 	}
 	s.generations, s.leaders = slices.Clone(s.generations), slices.Clone(s.leaders)
-	s.requests, s.answers = slices.Clone(s.requests), slices.Clone(s.answers)
+	s.requests, s.responses = slices.Clone(s.requests), slices.Clone(s.responses)
 	return s
 }
 
+// key encodes the state, to recognise states that were visited before.
 func (s *state) key() string {
-	k := []byte{byte(s.now), byte(s.lost), byte(s.lastLost), byte(s.requestCount), byte(s.generations[0])}
+	key := []byte{byte(s.now), byte(s.lostTicks), byte(s.lastLostTick), byte(s.requestCount), byte(s.generations[0])}
 	for i := range s.clients {
-		h := &s.clients[i]
-		k = append(k, byte(h.term), byte(h.leaseExpiry), byte(h.lastRequestID), byte(h.lastRequestID>>32),
-			byte(h.requestedAt), byte(len(h.leasedRevisions)))
-		for _, n := range h.leasedRevisions {
-			k = append(k, byte(n))
+		client := &s.clients[i]
+		key = append(key, byte(client.term), byte(client.leaseExpiry), byte(client.lastRequestID),
+			byte(client.lastRequestID>>32), byte(client.requestedAt), byte(len(client.leasedRevisions)))
+		for _, number := range client.leasedRevisions {
+			key = append(key, byte(number))
 		}
 	}
-	for _, g := range s.leaders {
-		k = append(k, 'g', byte(g.active), byte(g.next), byte(g.activeOnlyExpiry), byte(g.confirmedAt))
+	for _, leader := range s.leaders {
+		key = append(key, 'g', byte(leader.active), byte(leader.next), byte(leader.activeOnlyExpiry),
+			byte(leader.confirmedAt))
 	}
-	for _, q := range s.requests {
-		k = append(k, 'q', byte(q.client), byte(q.leader), byte(q.id), byte(q.id>>32))
+	for _, request := range s.requests {
+		key = append(key, 'q', byte(request.client), byte(request.leader), byte(request.id), byte(request.id>>32))
 	}
-	for _, a := range s.answers {
-		k = append(k, 'a', byte(a.client), byte(a.lease.Term), byte(a.lease.RequestID), byte(a.lease.RequestID>>32),
-			byte(len(a.lease.Revisions)), byte(a.lease.Revisions[0]))
+	for _, response := range s.responses {
+		lease := response.lease
+		key = append(key, 'a', byte(response.client), byte(lease.Term), byte(lease.RequestID),
+			byte(lease.RequestID>>32), byte(len(lease.Revisions)), byte(lease.Revisions[0]))
 	}
-	return string(k)
+	return string(key)
 }
 
-func (s *state) clock(i int) policy.Time {
-	if i == 0 {
-		return s.now - s.lost
+// clock returns the time on the clock of an instance.
+func (s *state) clock(client int) policy.Time {
+	if client == 0 {
+		return s.now - s.lostTicks
 	}
 	return s.now
 }
 
-func ruleSetNumbered(n RevisionNumber) RuleSet {
-	// 2 allows less of x and more of y than 1 does, so either way of acting by the wrong one shows.
-	r := Rules{AnyEndpoint: true, Instances: 1, ColdCapacity: 1, OverloadMultiple: 1,
+// testRuleSet returns the rule set of a revision. Revision 2 allows less for class x and more for class y than the
+// other revisions do, so that following the wrong one shows in either direction.
+func testRuleSet(number RevisionNumber) RuleSet {
+	rules := Rules{AnyEndpoint: true, Instances: 1, ColdCapacity: 1, OverloadMultiple: 1,
 		Classes: []NamedClassRule{{"x", IdempotentRule(9)}, {"y", ClassRule{Deadline: 9}}}}
-	if n == 2 {
-		r.Classes = []NamedClassRule{{"x", ClassRule{Deadline: 9}}, {"y", IdempotentRule(9)}}
+	if number == 2 {
+		rules.Classes = []NamedClassRule{{"x", ClassRule{Deadline: 9}}, {"y", IdempotentRule(9)}}
 	}
-	return RuleSet{Number: n, Digest: [32]byte{byte(n)}, Rules: r}
+	return RuleSet{Number: number, Digest: [32]byte{byte(number)}, Rules: rules}
 }
 
-// contradicts looks for an instance that acts by the new revision alone, beside one that may do what it forbids, or the
-// other way round.
+// contradicts reports whether one instance follows revision 2 alone and may do what revision 1 forbids, while another
+// may do what revision 2 forbids.
 func (s *state) contradicts() bool {
 	for i := range s.clients {
-		mine, leased := s.clients[i].Active(s.clock(i))
-		if of := s.clients[i].leasedRevisions; !leased || len(of) != 1 || of[0] != 2 {
+		own, leased := s.clients[i].Active(s.clock(i))
+		if revisions := s.clients[i].leasedRevisions; !leased || len(revisions) != 1 || revisions[0] != 2 {
 			continue
 		}
 		for j := range s.clients {
-			if other, _ := s.clients[j].Active(s.clock(j)); j != i && !ruleSetNumbered(2).Rules.Allows(*other) &&
-				!ruleSetNumbered(1).Rules.Allows(*mine) {
+			if other, _ := s.clients[j].Active(s.clock(j)); j != i && !testRuleSet(2).Rules.Allows(*other) &&
+				!testRuleSet(1).Rules.Allows(*own) {
 				return true
 			}
 		}
@@ -129,137 +140,142 @@
 	return false
 }
 
-// next gives every state that one step leads to.
-func (s state) next(f fault, b bounds) (all []state) {
-	step := func(do func(n *state) bool) {
-		if n := s.copy(); do(&n) {
-			all = append(all, n)
+// successors returns every state that one event leads to.
+func (s state) successors(planted fault, limits bounds) (all []state) {
+	// step adds the state that apply changes a copy of s to, if apply reports success.
+	step := func(apply func(next *state) bool) {
+		if next := s.copy(); apply(&next) {
+			all = append(all, next)
 		}
 	}
-	if s.now < lastMoment {
-		step(func(n *state) bool { n.now++; return true })
-		if b.slow && (s.lost == 0 || s.now-s.lastLost >= 3) {
-			step(func(n *state) bool { n.now++; n.lost++; n.lastLost = n.now; return true })
+	if s.now < lastTick {
+		step(func(next *state) bool { next.now++; return true })
+		if limits.slow && (s.lostTicks == 0 || s.now-s.lastLostTick >= 3) {
+			step(func(next *state) bool { next.now++; next.lostTicks++; next.lastLostTick = next.now; return true })
 		}
 	}
-	last := len(s.leaders) - 1
-	for i := range s.clients {
-		if s.requestCount < b.requests {
-			for l := range s.leaders {
-				step(func(n *state) bool {
-					n.requestCount++
-					ask, knows := n.clients[i].NewRequest(n.clock(i))
-					n.requests = append(n.requests, leaseRequest{i, l, ask, knows})
+	latest := len(s.leaders) - 1
+	for client := range s.clients {
+		if s.requestCount < limits.requests {
+			for leader := range s.leaders {
+				step(func(next *state) bool {
+					next.requestCount++
+					id, known := next.clients[client].NewRequest(next.clock(client))
+					next.requests = append(next.requests, requestInFlight{client, leader, id, known})
 					return true
 				})
 			}
 		}
-		if i == 0 && b.restart && s.generations[0] == 0 && s.requestCount > 0 {
-			step(func(n *state) bool { // starts again, with what it kept of versions
-				n.generations[0]++
-				h := NewLeaseClient(n.generations[0])
-				h.known = n.clients[0].known
-				h.recompute()
-				n.clients[0] = *h
+		if client == 0 && limits.restart && s.generations[0] == 0 && s.requestCount > 0 {
+			step(func(next *state) bool { // the instance restarts with its stored rule sets
+				next.generations[0]++
+				restarted := NewLeaseClient(next.generations[0])
+				restarted.ruleSets = next.clients[0].ruleSets
+				restarted.recompute()
+				next.clients[0] = *restarted
 				return true
 			})
 		}
 	}
-	for q, of := range s.requests {
-		step(func(n *state) bool {
-			n.requests = slices.Delete(n.requests, q, q+1)
-			g, came := &n.leaders[of.leader], n.now
-			if of.leader == last {
-				g.ConfirmTerm(n.now) // a round of the group finds only the latest term confirmed
+	for i, request := range s.requests {
+		step(func(next *state) bool {
+			next.requests = slices.Delete(next.requests, i, i+1)
+			issuer, received := &next.leaders[request.leader], next.now
+			if request.leader == latest {
+				issuer.ConfirmTerm(next.now) // a quorum round confirms only the latest term
 			}
-			if f == noTermConfirmation {
-				came = -1
+			if planted == skipTermConfirmation {
+				received = -1
 			}
-			lease, issued := g.Issue(of.id, of.known, came)
+			lease, issued := issuer.Issue(request.id, request.known, received)
 			if issued {
-				n.answers = append(n.answers, leaseAnswer{of.client, lease})
+				next.responses = append(next.responses, responseInFlight{request.client, lease})
 			}
 			return issued
 		})
 	}
-	for a, of := range s.answers { // one that is lost never comes
-		step(func(n *state) bool {
-			n.answers = slices.Delete(n.answers, a, a+1)
-			h := &n.clients[of.client]
-			if f == leaseFromAnswer {
-				h.requestedAt = n.clock(of.client)
+	for i, response := range s.responses { // a response that is never delivered is a lost one
+		step(func(next *state) bool {
+			next.responses = slices.Delete(next.responses, i, i+1)
+			client := &next.clients[response.client]
+			if planted == leaseStartsAtResponse {
+				client.requestedAt = next.clock(response.client)
 			}
-			if f == acceptAnyAnswer {
-				h.lastRequestID = of.lease.RequestID
+			if planted == acceptResponseToOldRequest {
+				client.lastRequestID = response.lease.RequestID
 			}
-			return h.Accept(of.lease)
+			return client.Accept(response.lease)
 		})
 	}
-	g := &s.leaders[last]
-	if g.next == 1 {
-		step(func(n *state) bool { return n.leaders[last].BeginChange(2, n.now) })
+	issuer := &s.leaders[latest]
+	if issuer.next == 1 {
+		step(func(next *state) bool { return next.leaders[latest].BeginChange(2, next.now) })
 	}
-	if g.ChangeReady(s.now) || f == noWait && g.active != g.next {
-		step(func(n *state) bool { n.leaders[last].CompleteChange(); return true })
+	if issuer.ChangeReady(s.now) || planted == completeWithoutWaiting && issuer.active != issuer.next {
+		step(func(next *state) bool { next.leaders[latest].CompleteChange(); return true })
 	}
-	if len(s.leaders) < b.leaders {
-		step(func(n *state) bool {
-			n.leaders = append(n.leaders, *NewLeaseIssuer(2, leaseDuration, clockDrift, g.active, g.next, n.now))
+	if len(s.leaders) < limits.leaders {
+		step(func(next *state) bool {
+			next.leaders = append(next.leaders,
+				*NewLeaseIssuer(2, leaseDuration, clockDrift, issuer.active, issuer.next, next.now))
 			return true
 		})
 	}
 	return all
 }
 
-// explore looks at every state that can be reached, and counts them. It ends at the first contradiction.
-func explore(f fault, b bounds, most int) (states int, complete, found bool) {
-	first := state{clients: make([]LeaseClient, max(2, b.clients)), generations: make([]uint32, 2),
+// explore visits every reachable state, up to maxStates, and returns how many it found. It stops at the first
+// contradiction. complete reports whether it visited all of them.
+func explore(planted fault, limits bounds, maxStates int) (states int, complete, contradiction bool) {
+	initial := state{clients: make([]LeaseClient, max(2, limits.clients)), generations: make([]uint32, 2),
 		leaders: []LeaseIssuer{*NewLeaseIssuer(1, leaseDuration, clockDrift, 1, 1, 0)}}
-	for i := range first.clients {
-		h := NewLeaseClient(0)
-		h.Add(ruleSetNumbered(1))
-		h.Add(ruleSetNumbered(2))
-		first.clients[i] = *h
+	for i := range initial.clients {
+		client := NewLeaseClient(0)
+		client.Add(testRuleSet(1))
+		client.Add(testRuleSet(2))
+		initial.clients[i] = *client
 	}
-	seen, open := map[string]bool{first.key(): true}, []state{first}
-	for len(open) > 0 && len(seen) < most {
-		s := open[0]
-		open = open[1:]
-		for _, n := range s.next(f, b) {
-			if k := n.key(); !seen[k] {
-				seen[k] = true
-				if n.contradicts() {
+	seen, queue := map[string]bool{initial.key(): true}, []state{initial}
+	for len(queue) > 0 && len(seen) < maxStates {
+		current := queue[0]
+		queue = queue[1:]
+		for _, next := range current.successors(planted, limits) {
+			if key := next.key(); !seen[key] {
+				seen[key] = true
+				if next.contradicts() {
 					return len(seen), false, true
 				}
-				open = append(open, n)
+				queue = append(queue, next)
 			}
 		}
 	}
-	return len(seen), len(open) == 0, false
+	return len(seen), len(queue) == 0, false
 }
 
-func TestNoOrderOfEventsMakesTwoContradict(t *testing.T) {
-	const most = 2_000_000
+// No order of events lets two instances follow contradicting revisions, and each planted fault does.
+func TestNoEventOrderLetsInstancesContradict(t *testing.T) {
+	const maxStates = 2_000_000
 	if raceDetector {
-		if _, _, found := explore(noFault, bounds{requests: 2, leaders: 2}, 10_000); found {
-			t.Error("a contradiction")
+		if _, _, contradiction := explore(noFault, bounds{requests: 2, leaders: 2}, 10_000); contradiction {
+			t.Error("two instances contradict each other")
 		}
 		return
 	}
-	for _, b := range []bounds{{requests: 2, leaders: 2, clients: 3}, {requests: 2, leaders: 1, slow: true,
+	for _, limits := range []bounds{{requests: 2, leaders: 2, clients: 3}, {requests: 2, leaders: 1, slow: true,
 		restart: true}, {requests: 3, leaders: 1}} {
-		states, complete, found := explore(noFault, b, most)
-		if t.Logf("%+v: %d states", b, states); found || !complete {
-			t.Errorf("%+v: a contradiction: %v, all looked at: %v", b, found, complete)
+		states, complete, contradiction := explore(noFault, limits, maxStates)
+		if t.Logf("%+v: %d states", limits, states); contradiction || !complete {
+			t.Errorf("%+v: contradiction: %v, all states visited: %v", limits, contradiction, complete)
 		}
 	}
-	for f, b := range map[fault]bounds{noWait: {requests: 2, leaders: 1}, noTermConfirmation: {requests: 2, leaders: 2},
-		leaseFromAnswer: {requests: 2, leaders: 1},
-		acceptAnyAnswer: {requests: 3, leaders: 1}} {
-		if states, _, found := explore(f, b, most); !found {
-			t.Errorf("fault %d was not found in %d states", f, states)
+	for planted, limits := range map[fault]bounds{completeWithoutWaiting: {requests: 2, leaders: 1},
+		skipTermConfirmation:       {requests: 2, leaders: 2},
+		leaseStartsAtResponse:      {requests: 2, leaders: 1},
+		acceptResponseToOldRequest: {requests: 3, leaders: 1}} {
+		if states, _, contradiction := explore(planted, limits, maxStates); !contradiction {
+			t.Errorf("fault %d was not found in %d states", planted, states)
 		} else {
-			t.Logf("fault %d found after %d states", f, states)
+			t.Logf("fault %d found after %d states", planted, states)
 		}
 	}
 }
--- a/internal/ruleset/leaseclient.go
+++ b/internal/ruleset/leaseclient.go
@@ -7,76 +7,80 @@
 	"pepperlead/policy"
 )
 
-// maxRuleSets is how many rule sets a client keeps: those in force and a few that may come into force.
+// maxRuleSets is the maximum number of rule sets that a client keeps: those in force and a few that may come into
+// force.
 const maxRuleSets = 4
 
-// generationShift is where the client's generation begins in its request IDs.
+// generationShift is the position of the lowest bit of the client's generation in its request IDs.
 const generationShift = 32
 
 // LeaseClient is an instance's side of the lease protocol.
 type LeaseClient struct {
-	known           []RuleSet // in order of number
-	term            Term
-	leasedRevisions []RevisionNumber
-	leaseExpiry     policy.Time // on the client's own clock
+	ruleSets        []RuleSet        // in order of number
+	term            Term             // of the last accepted lease
+	leasedRevisions []RevisionNumber // of the last accepted lease
+	leaseExpiry     policy.Time      // on the client's own clock
 	lastRequestID   uint64
-	requestedAt     policy.Time
-	leasedRules     Rules  // the strictest of the leased revisions
-	floorRules      Rules  // what applies without a lease
-	changes         uint64 // changes of leasedRules and floorRules
+	requestedAt     policy.Time // time of the last request
+	leasedRules     Rules       // the strictest combination of the leased revisions
+	floorRules      Rules       // the rules that apply without a lease
+	changes         uint64      // number of updates of leasedRules and floorRules
 }
 
-// NewLeaseClient returns a client that knows no rule set. generation tells the restarts of an instance apart: answers
-// to requests of an earlier generation are rejected.
+// NewLeaseClient returns a client without rule sets. generation distinguishes the restarts of an instance: leases
+// requested by an earlier generation are rejected.
 func NewLeaseClient(generation uint32) *LeaseClient {
 	return &LeaseClient{lastRequestID: uint64(generation) << generationShift}
 }
 
-// Add stores a rule set. It reports false if the number is known with another digest, if the rule set is older than the
-// leased ones, or if there is no room for it beside those that may be in force.
+// Add stores a rule set and reports whether it is stored. It rejects a rule set if another one has the same number, if
+// it is older than the leased revisions, or if the client is full and can't drop its oldest rule set: that one may be
+// in force, or the new one is older still.
 func (c *LeaseClient) Add(ruleSet RuleSet) bool {
 	i, known := c.find(ruleSet.Number)
 	if known {
-		return c.known[i].Digest == ruleSet.Digest
+		return c.ruleSets[i].Digest == ruleSet.Digest
 	}
 	leased := len(c.leasedRevisions) > 0
 	if leased && ruleSet.Number < c.leasedRevisions[0] {
 		return false
 	}
-	full := len(c.known) >= maxRuleSets
+	full := len(c.ruleSets) >= maxRuleSets
 	if full {
-		oldestMayBeInForce := leased && c.known[0].Number >= c.leasedRevisions[0]
+		oldestMayBeInForce := leased && c.ruleSets[0].Number >= c.leasedRevisions[0]
 		if i == 0 || oldestMayBeInForce {
-			return false // the coordinator sends the rejected one again
+			return false // the coordinator sends the rejected rule set again
 		}
 	}
-	c.known = slices.Insert(c.known, i, ruleSet)
+	c.ruleSets = slices.Insert(c.ruleSets, i, ruleSet)
 	if full {
-		c.known = c.known[1:]
+		c.ruleSets = c.ruleSets[1:]
 	}
 	c.recompute()
 	return true
 }
 
-// find returns the index of the rule set with a number, or where it would be inserted.
+// find returns the index of the rule set with a number and true, or the index at which to insert it and false.
 func (c *LeaseClient) find(number RevisionNumber) (int, bool) {
-	return slices.BinarySearchFunc(c.known, number, func(ruleSet RuleSet, number RevisionNumber) int {
+	return slices.BinarySearchFunc(c.ruleSets, number, func(ruleSet RuleSet, number RevisionNumber) int {
 		return cmp.Compare(ruleSet.Number, number)
 	})
 }
 
-// NewRequest starts a lease request that is sent at now. known are the revisions that the client could act by.
+// NewRequest starts a lease request, which the caller sends at now. known are the revisions whose rule sets the client
+// has.
 func (c *LeaseClient) NewRequest(now policy.Time) (id uint64, known []RevisionNumber) {
 	c.lastRequestID++
 	c.requestedAt = now
-	for _, ruleSet := range c.known {
+	for _, ruleSet := range c.ruleSets {
 		known = append(known, ruleSet.Number)
 	}
 	return c.lastRequestID, known
 }
 
-// Accept takes a lease and reports whether it is valid. Only the answer to the latest request is: an older answer names
-// what was in force before that request.
+// Accept installs a lease and reports whether it is valid. Only a lease that answers the latest request is valid: one
+// for an earlier request names what was in force before the latest request. A lease is also invalid if its term or its
+// first revision is older than that of the last accepted lease, or if the client lacks one of its revisions.
 func (c *LeaseClient) Accept(lease Lease) bool {
 	if lease.RequestID != c.lastRequestID || lease.Term < c.term || len(lease.Revisions) == 0 {
 		return false
@@ -98,23 +102,23 @@
 	return true
 }
 
-// recompute updates both rule combinations, so that Active costs nothing. Revisions older than the leased ones can't
-// come into force again, so the floor leaves them out.
+// recompute updates both combinations of rules in advance, so that Active only has to select one. Revisions older than
+// the leased ones can't come into force again, so the floor leaves them out.
 func (c *LeaseClient) recompute() {
-	c.leasedRules = c.strictestKnown(func(number RevisionNumber) bool {
+	c.leasedRules = c.strictestOf(func(number RevisionNumber) bool {
 		return slices.Contains(c.leasedRevisions, number)
 	})
-	c.floorRules = c.strictestKnown(func(number RevisionNumber) bool {
+	c.floorRules = c.strictestOf(func(number RevisionNumber) bool {
 		return len(c.leasedRevisions) == 0 || number >= c.leasedRevisions[0]
 	}).Floor()
 	c.changes++
 }
 
-// strictestKnown combines the selected rule sets; without any it returns the zero Rules.
-func (c *LeaseClient) strictestKnown(selected func(RevisionNumber) bool) Rules {
+// strictestOf returns the strictest combination of the selected rule sets, or the zero Rules if none is selected.
+func (c *LeaseClient) strictestOf(selected func(RevisionNumber) bool) Rules {
 	var combined Rules
 	first := true
-	for _, ruleSet := range c.known {
+	for _, ruleSet := range c.ruleSets {
 		if !selected(ruleSet.Number) {
 			continue
 		}
@@ -128,18 +132,18 @@
 	return combined
 }
 
-// Changes counts how often the rules returned by Active changed, expiries of leases excluded.
+// Changes returns how often the rules behind Active were updated. Expiries of leases are not counted.
 func (c *LeaseClient) Changes() uint64 { return c.changes }
 
-// Knows reports whether a rule set with the number is stored, whatever its digest.
+// Knows reports whether a rule set with the number is stored. It doesn't compare digests.
 func (c *LeaseClient) Knows(number RevisionNumber) bool {
 	_, known := c.find(number)
 	return known
 }
 
 // Active returns the rules that apply at now and whether they are leased. Without a valid lease they are the floor of
-// all rule sets that may be in force. Call it after a decision and right before the result is sent, in one turn of the
-// loop, because the process may have been paused in between.
+// all rule sets that may be in force. Call it after a decision and immediately before its result is sent, within the
+// same step of the loop: the process may have been paused earlier, and the lease may have expired meanwhile.
 func (c *LeaseClient) Active(now policy.Time) (rules *Rules, leased bool) {
 	if len(c.leasedRevisions) > 0 && now < c.leaseExpiry {
 		return &c.leasedRules, true
--- a/internal/ruleset/leaseissuer.go
+++ b/internal/ruleset/leaseissuer.go
@@ -8,21 +8,21 @@
 
 // LeaseIssuer is the leader's side of the lease protocol, for one term.
 //
-// A change has two phases. Once revision n+1 is committed, leases name n and n+1, and their holders act by what both
+// A change has two phases. Once revision n+1 is committed, leases name n and n+1, and their holders do only what both
 // allow. Leases of n+1 alone are issued only when no lease of n alone can be valid any more, judged by the issuer's
-// clock and the permitted clock drift. So no instance acts by n alone while another acts by n+1 alone.
+// clock and the permitted clock drift. So no instance follows n alone while another follows n+1 alone.
 type LeaseIssuer struct {
 	term             Term
 	leaseDuration    policy.Time
-	clockDrift       float64        // how much faster or slower any two clocks may run, as a fraction
+	clockDrift       float64        // maximum difference between the rates of two clocks, as a fraction
 	active           RevisionNumber // equal to next while no change is in progress
 	next             RevisionNumber
 	activeOnlyExpiry policy.Time // when the last lease of the active revision alone has expired, on the issuer's clock
-	confirmedAt      policy.Time // start of the last quorum round that confirmed the term
+	confirmedAt      policy.Time // start of the last quorum round that confirmed the term; -1: none
 }
 
-// NewLeaseIssuer begins a term at now. What earlier terms issued is unknown, so a change can't complete before all
-// their leases have expired. active and next are the numbers of the revision log.
+// NewLeaseIssuer returns the issuer of a term that begins at now. It doesn't know which leases earlier terms issued, so
+// no change completes before all of these have expired. active and next are those of the revision log.
 func NewLeaseIssuer(term Term, leaseDuration policy.Time, clockDrift float64, active, next RevisionNumber,
 	now policy.Time,
 ) *LeaseIssuer {
@@ -38,8 +38,8 @@
 	return i
 }
 
-// maxLeaseLifetime is how long a lease can be valid after it was issued, on the issuer's clock: the holder's clock may
-// run slower.
+// maxLeaseLifetime returns how long a lease can be valid after it was issued, on the issuer's clock. That is longer
+// than the lease duration, because the holder's clock may run slower.
 func (i *LeaseIssuer) maxLeaseLifetime() policy.Time {
 	return policy.Time(float64(i.leaseDuration)*(1+i.clockDrift)) + 1
 }
@@ -57,25 +57,28 @@
 	return true
 }
 
-// ChangeReady reports whether the change in progress can be completed. The coordinators then commit that, and
-// CompleteChange follows.
+// ChangeReady reports whether the change in progress can be completed. The coordinators then commit its completion, and
+// CompleteChange is called once that is committed.
 func (i *LeaseIssuer) ChangeReady(now policy.Time) bool {
 	return i.active != i.next && now >= i.activeOnlyExpiry
 }
 
-// CompleteChange ends the change in progress with the next revision in force.
+// CompleteChange completes the change in progress: only the next revision is in force from now on.
 func (i *LeaseIssuer) CompleteChange() { i.active = i.next }
 
-// WithdrawChange ends the change in progress with the active revision in force. Holders of a lease on both act by the
-// stricter combination until it expires. The withdrawn number is never used again.
+// WithdrawChange cancels the change in progress: the active revision stays in force. Holders of a lease on both
+// revisions follow the stricter combination until the lease expires. The withdrawn number is never used again.
 func (i *LeaseIssuer) WithdrawChange() { i.next = i.active }
 
-// ConfirmTerm records that a quorum round begun at that time found this term to be the latest.
-func (i *LeaseIssuer) ConfirmTerm(begun policy.Time) { i.confirmedAt = max(i.confirmedAt, begun) }
+// ConfirmTerm records that a quorum round, begun at roundStart, confirmed this term to be the latest.
+func (i *LeaseIssuer) ConfirmTerm(roundStart policy.Time) {
+	i.confirmedAt = max(i.confirmedAt, roundStart)
+}
 
-// Issue answers a lease request that was received at that time. It issues none unless a quorum round begun since has
-// confirmed the term: a partitioned leader would otherwise keep issuing what a later leader has changed. It issues none
-// to an instance that lacks a revision in force either.
+// Issue returns a lease for a request that was received at the given time and lists the revisions that the instance
+// knows. It issues none unless a quorum round begun since then has confirmed the term: a partitioned leader would
+// otherwise go on issuing leases on revisions that a later leader has replaced. It also issues none to an instance that
+// lacks a revision in force.
 func (i *LeaseIssuer) Issue(requestID uint64, known []RevisionNumber, received policy.Time) (Lease, bool) {
 	if i.confirmedAt < received {
 		return Lease{}, false
--- a/internal/ruleset/messages.go
+++ b/internal/ruleset/messages.go
@@ -7,7 +7,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrMalformedMessage is returned for bytes that are no message of this package.
+// ErrMalformedMessage is returned for bytes that don't encode a message of this package.
 var ErrMalformedMessage = errors.New("malformed message")
 
 // MessageKind is the first byte of an encoded message. The message's fields follow as an array in CBOR (RFC 8949), the
@@ -42,9 +42,9 @@
 
 // LeaseRequest asks a coordinator for a lease.
 type LeaseRequest struct {
-	Sender string // the address that is answered
+	Sender string // the address to which the response is sent
 	ID     uint64
-	Known  []RevisionNumber // the revisions that the sender could act by
+	Known  []RevisionNumber // the revisions whose rule sets the sender has
 }
 
 // LeaseResponse carries a lease to the instance that requested it.
@@ -68,27 +68,28 @@
 // Kind returns KindRevisionUpdate.
 func (RevisionUpdate) Kind() MessageKind { return KindRevisionUpdate }
 
-// Encode returns the message as it is sent.
+// Encode returns the encoded request.
 func (m LeaseRequest) Encode() []byte { return encode(m.Kind(), m.Sender, m.ID, m.Known) }
 
-// Encode returns the message as it is sent.
+// Encode returns the encoded response.
 func (m LeaseResponse) Encode() []byte {
 	lease := m.Lease
 	return encode(m.Kind(), m.Sender, uint64(lease.Term), lease.RequestID, lease.Revisions, int64(lease.Duration))
 }
 
-// Encode returns the message as it is sent.
+// Encode returns the encoded update.
 func (m RevisionUpdate) Encode() []byte { return encode(m.Kind(), m.Sender, m.Revision) }
 
+// encode returns the kind followed by the fields as a CBOR array.
 func encode(kind MessageKind, fields ...any) []byte {
 	encoded, _ := cbor.Marshal(fields) // numbers, strings and bytes can always be encoded
 	return append([]byte{byte(kind)}, encoded...)
 }
 
-// Decode reads a message. Its error wraps ErrMalformedMessage.
+// Decode decodes a message. Its error wraps ErrMalformedMessage.
 func Decode(encoded []byte) (Message, error) {
 	if len(encoded) == 0 {
-		return nil, fmt.Errorf("%w: it is empty", ErrMalformedMessage)
+		return nil, fmt.Errorf("%w: empty", ErrMalformedMessage)
 	}
 	var fields []cbor.RawMessage
 	if err := cbor.Unmarshal(encoded[1:], &fields); err != nil {
@@ -117,12 +118,13 @@
 	return nil, fmt.Errorf("%w: unknown %v", ErrMalformedMessage, kind)
 }
 
-// decodeFields reads the fields in order. Further fields, of a later build, are ignored.
-func decodeFields(fields []cbor.RawMessage, into ...any) error {
-	if len(fields) < len(into) {
-		return fmt.Errorf("%w: %d fields instead of %d", ErrMalformedMessage, len(fields), len(into))
+// decodeFields decodes the fields into the targets, in order. Additional fields are ignored: a newer version may send
+// them.
+func decodeFields(fields []cbor.RawMessage, targets ...any) error {
+	if len(fields) < len(targets) {
+		return fmt.Errorf("%w: %d fields instead of %d", ErrMalformedMessage, len(fields), len(targets))
 	}
-	for i, target := range into {
+	for i, target := range targets {
 		if err := cbor.Unmarshal(fields[i], target); err != nil {
 			return fmt.Errorf("%w: %w", ErrMalformedMessage, err)
 		}
--- a/internal/ruleset/norace_test.go
+++ b/internal/ruleset/norace_test.go
@@ -2,4 +2,5 @@
 
 package ruleset
 
+// raceDetector reports whether the race detector is on.
 const raceDetector = false
--- a/internal/ruleset/race_test.go
+++ b/internal/ruleset/race_test.go
@@ -2,5 +2,6 @@
 
 package ruleset
 
-// raceDetector: there is no goroutine here, so the race detector sees a part of the states only.
+// raceDetector reports whether the race detector is on. The package starts no goroutine, so explore visits only a part
+// of the states under the much slower race detector.
 const raceDetector = true
--- a/internal/ruleset/random_test.go
+++ b/internal/ruleset/random_test.go
@@ -10,83 +10,86 @@
 	"pepperlead/policy"
 )
 
-// drawRules draws rules of two classes, so that requests in flight meet every kind of change.
+// drawRules draws rules for up to two classes. They are so few that most changes affect requests in flight.
 func drawRules(t *rapid.T) *Rules {
-	r := &Rules{AnyEndpoint: true, Instances: 1, OverloadMultiple: 1}
+	rules := &Rules{AnyEndpoint: true, Instances: 1, OverloadMultiple: 1}
 	for _, name := range []string{"a", "b"} {
-		o := ClassRule{Deadline: policy.Time(rapid.IntRange(1, 3).Draw(t, "deadline"))}
-		switch rapid.IntRange(0, 3).Draw(t, "repeats") {
+		rule := ClassRule{Deadline: policy.Time(rapid.IntRange(1, 3).Draw(t, "deadline"))}
+		switch rapid.IntRange(0, 3).Draw(t, "kind of rule") {
 		case 0:
 			continue
 		case 1:
-			o = IdempotentRule(o.Deadline)
+			rule = IdempotentRule(rule.Deadline)
 		case 2:
-			o = ClassRule{true, rapid.Bool().Draw(t, "zone"), rapid.Bool().Draw(t, "pod"),
-				policy.Time(rapid.IntRange(1, 3).Draw(t, "window")), o.Deadline}
+			rule = ClassRule{true, rapid.Bool().Draw(t, "zone"), rapid.Bool().Draw(t, "cell"),
+				policy.Time(rapid.IntRange(1, 3).Draw(t, "window")), rule.Deadline}
 		}
-		r.Classes = append(r.Classes, NamedClassRule{name, o})
+		rules.Classes = append(rules.Classes, NamedClassRule{name, rule})
 	}
-	return r
+	return rules
 }
 
-// Whatever changes, a request follows nothing that the revision which admitted it forbids, nor one that was in force
-// since; new ones follow exactly what is in force; and without a lease nothing is retried.
+// Across random changes of the rules, a request never does what the revision that admitted it forbids, nor what a later
+// revision in force forbids. New requests follow exactly the rules in force, and without a lease nothing is retried.
 func TestRequestsFollowTheirOwnRevisionOrAStricterOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		type admitted struct {
-			at    policy.ClassID
-			bound []ClassRule
+		type admittedRequest struct {
+			slot  policy.ClassID
+			bound []ClassRule // by the revisions in force since it was admitted
 			keyed bool
 		}
 		table := ClassTable{Capacity: rapid.IntRange(2, 8).Draw(t, "slots")}
-		requests := []admitted{}
-		now := map[policy.ClassID]ClassRule{}
+		requests := []admittedRequest{}
+		current := map[policy.ClassID]ClassRule{}
 		active, leased := drawRules(t), true
 		for range rapid.IntRange(5, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
 				active, leased = drawRules(t), rapid.IntRange(0, 3).Draw(t, "leased") > 0
-				clear(now)
-				table.Update(active, leased, func(at policy.ClassID, _ string, o ClassRule, _ bool) { now[at] = o })
+				clear(current)
+				table.Update(active, leased, func(slot policy.ClassID, _ string, rule ClassRule, _ bool) {
+					current[slot] = rule
+				})
 				for i := range requests {
-					if name := table.slots[requests[i].at].name; leased {
-						o, known := active.Class(name)
+					if name := table.slots[requests[i].slot].name; leased {
+						rule, known := active.Class(name)
 						if !known {
-							o = ClassRule{Deadline: o.Deadline}
+							rule = ClassRule{Deadline: rule.Deadline}
 						}
-						requests[i].bound = append(requests[i].bound, o)
+						requests[i].bound = append(requests[i].bound, rule)
 					}
 				}
 			case 1, 2:
 				name := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "class")
-				at, offered := table.Lookup(name)
-				if !offered {
+				slot, admitting := table.Lookup(name)
+				if !admitting {
 					continue
 				}
-				if o, known := active.Class(name); leased && table.Capacity >= 8 && (!known || now[at] != o) {
-					t.Fatalf("%s is admitted by %+v, in force is %+v", name, now[at], o)
+				if rule, known := active.Class(name); leased && table.Capacity >= 8 &&
+					(!known || current[slot] != rule) {
+					t.Fatalf("class %s is admitted under %+v, but %+v is in force", name, current[slot], rule)
 				}
-				table.Acquire(at)
-				requests = append(requests, admitted{at: at, bound: []ClassRule{table.slots[at].rule},
-					keyed: now[at].NeedsKey()})
+				table.Acquire(slot)
+				requests = append(requests, admittedRequest{slot: slot, bound: []ClassRule{table.slots[slot].rule},
+					keyed: current[slot].NeedsKey()})
 			case 3:
 				if len(requests) > 0 {
 					i := rapid.IntRange(0, len(requests)-1).Draw(t, "request")
-					table.Release(requests[i].at)
+					table.Release(requests[i].slot)
 					requests = slices.Delete(requests, i, i+1)
 				}
 			}
-			for _, one := range requests {
-				is := now[one.at]
-				if !leased && is.Repeatable {
-					t.Fatalf("%+v is retried without a lease", is)
+			for _, request := range requests {
+				followed := current[request.slot]
+				if !leased && followed.Repeatable {
+					t.Fatalf("%+v allows retries without a lease", followed)
 				}
-				if is.NeedsKey() && !one.keyed && !table.slots[one.at].keyed {
-					t.Fatalf("a request without a key follows %+v", is)
+				if followed.NeedsKey() && !request.keyed && !table.slots[request.slot].keyed {
+					t.Fatalf("a request without a key follows %+v", followed)
 				}
-				for _, o := range one.bound {
-					if strictestClassRule(o, is) != is && is.Repeatable {
-						t.Fatalf("a request bound by %+v follows %+v", o, is)
+				for _, rule := range request.bound {
+					if strictestClassRule(rule, followed) != followed && followed.Repeatable {
+						t.Fatalf("a request bound by %+v follows %+v", rule, followed)
 					}
 				}
 			}
@@ -94,91 +97,92 @@
 	})
 }
 
-// Three instances and a revision log under random histories far longer than those explored: leases and revisions late,
-// lost and doubled, leaders that follow each other, changes, withdrawn ones, and rollbacks. Never do two act by leased
-// revisions that have none in common.
-func TestNoHistoryMakesTwoContradict(t *testing.T) {
-	for range 30 { // a hundred histories each
+// Any two instances with valid leases have a leased revision in common. The random histories are far longer than those
+// of explore: messages are delayed, lost and duplicated, leaders replaced, changes withdrawn and revisions rolled back.
+func TestRandomHistoriesKeepLeasesConsistent(t *testing.T) {
+	for range 30 { // rapid runs a hundred histories per check
 		rapid.Check(t, randomHistory)
 	}
 }
 
+// randomHistory runs three instances, a revision log and its leaders through one random history.
 func randomHistory(t *rapid.T) {
-	const span, drift = 10, 0.1
+	const duration, drift = 10, 0.1
 	var revisionLog RevisionLog
 	now := policy.Time(1)
 	clients := make([]*LeaseClient, 3)
 	for i := range clients {
 		clients[i] = NewLeaseClient(uint32(i))
-		clients[i].Add(RuleSet{Rules: ruleSetNumbered(1).Rules})
+		clients[i].Add(RuleSet{Rules: testRuleSet(1).Rules})
 	}
-	leader := NewLeaseIssuer(1, span, drift, 0, 0, now)
-	old := []*LeaseIssuer{}
-	type message struct {
-		to    int
-		id    uint64
-		known []RevisionNumber
-		came  policy.Time
-		by    *LeaseIssuer
-		lease *Lease
+	leader := NewLeaseIssuer(1, duration, drift, 0, 0, now)
+	formerLeaders := []*LeaseIssuer{}
+	type message struct { // a lease, or else a request for one
+		client   int
+		id       uint64
+		known    []RevisionNumber
+		received policy.Time
+		issuer   *LeaseIssuer
+		lease    *Lease
 	}
-	var inTransit []message
+	var inFlight []message
 	texts := 0
-	answer := func(w message) (message, bool) {
-		if w.by == leader {
-			w.by.ConfirmTerm(now) // only the latest term finds most of the others
+	answer := func(request message) (message, bool) {
+		if request.issuer == leader {
+			request.issuer.ConfirmTerm(now) // only the latest term finds a quorum
 		}
-		g, issued := w.by.Issue(w.id, w.known, w.came)
+		lease, issued := request.issuer.Issue(request.id, request.known, request.received)
 		if !issued {
-			for _, p := range revisionLog.InForce() {
-				clients[w.to].Add(RuleSet{Number: p.Number, Digest: p.Digest,
-					Rules: ruleSetNumbered(1 + p.Number%2).Rules})
+			for _, revision := range revisionLog.InForce() {
+				clients[request.client].Add(RuleSet{Number: revision.Number, Digest: revision.Digest,
+					Rules: testRuleSet(1 + revision.Number%2).Rules})
 			}
 		}
-		return message{to: w.to, lease: &g}, issued
+		return message{client: request.client, lease: &lease}, issued
 	}
 	for range rapid.IntRange(50, 300).Draw(t, "steps") {
-		switch i := rapid.IntRange(0, 2).Draw(t, "who"); rapid.IntRange(0, 13).Draw(t, "step") {
-		case 10, 11, 12, 13: // there and back at once
-			by := leader
-			if len(old) > 0 && rapid.IntRange(0, 3).Draw(t, "old leader") == 0 {
-				by = old[len(old)-1]
+		switch client := rapid.IntRange(0, 2).Draw(t, "client"); rapid.IntRange(0, 13).Draw(t, "step") {
+		case 10, 11, 12, 13: // a request that is answered at once
+			issuer := leader
+			if len(formerLeaders) > 0 && rapid.IntRange(0, 3).Draw(t, "former leader") == 0 {
+				issuer = formerLeaders[len(formerLeaders)-1]
 			}
-			id, known := clients[i].NewRequest(now)
-			if w, issued := answer(message{to: i, id: id, known: known, came: now, by: by}); issued {
-				clients[i].Accept(*w.lease)
+			id, known := clients[client].NewRequest(now)
+			request := message{client: client, id: id, known: known, received: now, issuer: issuer}
+			if response, issued := answer(request); issued {
+				clients[client].Accept(*response.lease)
 			}
-		case 0, 1, 2:
-			now += policy.Time(rapid.IntRange(1, 4).Draw(t, "moments"))
-		case 3, 4:
-			id, known := clients[i].NewRequest(now)
-			by := leader
-			if len(old) > 0 && rapid.IntRange(0, 3).Draw(t, "old leader") == 0 {
-				by = old[len(old)-1]
+		case 0, 1, 2: // time passes
+			now += policy.Time(rapid.IntRange(1, 4).Draw(t, "ticks"))
+		case 3, 4: // a request is sent
+			id, known := clients[client].NewRequest(now)
+			issuer := leader
+			if len(formerLeaders) > 0 && rapid.IntRange(0, 3).Draw(t, "former leader") == 0 {
+				issuer = formerLeaders[len(formerLeaders)-1]
 			}
-			inTransit = append(inTransit, message{to: i, id: id, known: known, came: now, by: by})
-		case 5, 6, 7:
-			if len(inTransit) == 0 {
+			inFlight = append(inFlight, message{client: client, id: id, known: known, received: now, issuer: issuer})
+		case 5, 6, 7: // a message arrives, and may arrive again
+			if len(inFlight) == 0 {
 				continue
 			}
-			at := rapid.IntRange(0, len(inTransit)-1).Draw(t, "message")
-			w := inTransit[at]
-			if rapid.IntRange(0, 4).Draw(t, "doubled") > 0 {
-				inTransit = slices.Delete(inTransit, at, at+1)
+			i := rapid.IntRange(0, len(inFlight)-1).Draw(t, "message")
+			arrived := inFlight[i]
+			if rapid.IntRange(0, 4).Draw(t, "duplicated") > 0 {
+				inFlight = slices.Delete(inFlight, i, i+1)
 			}
-			if w.lease != nil {
-				clients[w.to].Accept(*w.lease)
+			if arrived.lease != nil {
+				clients[arrived.client].Accept(*arrived.lease)
 				continue
 			}
-			if w, issued := answer(w); issued {
-				inTransit = append(inTransit, w)
+			if response, issued := answer(arrived); issued {
+				inFlight = append(inFlight, response)
 			}
-		case 8:
+		case 8: // a revision is proposed or withdrawn
 			texts++
 			var err error
-			if back := RevisionNumber(rapid.IntRange(0, 5).Draw(t, "back")); back > 0 &&
-				revisionLog.find(back) != nil && back != revisionLog.Active {
-				err = revisionLog.ProposeRollback(back, Revision{}, revisionLog.LastNumber, revisionLog.Active)
+			if target := RevisionNumber(rapid.IntRange(0, 5).Draw(t, "rollback")); target > 0 &&
+				revisionLog.find(target) != nil && target != revisionLog.Active {
+				err = revisionLog.ProposeRollback(target, Revision{}, revisionLog.LastNumber, revisionLog.Active)
 			} else {
 				err = revisionLog.Propose(Revision{Text: fmt.Append(nil, texts)}, revisionLog.LastNumber,
 					revisionLog.Active)
@@ -188,28 +192,30 @@
 			} else if rapid.Bool().Draw(t, "withdrawn") && revisionLog.Withdraw(revisionLog.Next) == nil {
 				leader.WithdrawChange()
 			}
-		case 9:
+		case 9: // a change completes, or a new leader takes over
 			if leader.ChangeReady(now) && revisionLog.Complete(revisionLog.Next) {
 				leader.CompleteChange()
 			} else if rapid.IntRange(0, 2).Draw(t, "next leader") == 0 {
-				old = append(old, leader)
-				leader = NewLeaseIssuer(leader.term+1, span, drift, revisionLog.Active, revisionLog.Next, now)
+				formerLeaders = append(formerLeaders, leader)
+				leader = NewLeaseIssuer(leader.term+1, duration, drift, revisionLog.Active, revisionLog.Next, now)
 			}
 		}
 		for i, a := range clients {
 			for _, b := range clients[:i] {
-				_, l := a.Active(now)
-				_, m := b.Active(now)
-				if l && m && !slices.ContainsFunc(a.Leased(),
-					func(n RevisionNumber) bool { return slices.Contains(b.Leased(), n) }) {
-					t.Fatalf("at %d one acts by %v, another by %v, revision log %d %d", now, a.Leased(), b.Leased(),
-						revisionLog.Active, revisionLog.Next)
+				_, aLeased := a.Active(now)
+				_, bLeased := b.Active(now)
+				if aLeased && bLeased && !slices.ContainsFunc(a.Leased(),
+					func(number RevisionNumber) bool { return slices.Contains(b.Leased(), number) }) {
+					t.Fatalf("time %d: one instance follows revisions %v, another %v; active %d, next %d", now,
+						a.Leased(), b.Leased(), revisionLog.Active, revisionLog.Next)
 				}
 			}
 		}
 	}
 }
 
+// The log accepts one change at a time, on top of the latest revision only, and keeps the active revision however many
+// are withdrawn after it.
 func TestRevisionLogKeepsOneOrder(t *testing.T) {
 	var log RevisionLog
 	revision := func(text string) Revision { return Revision{Text: []byte(text), Author: "a"} }
@@ -221,10 +227,10 @@
 		t.Fatalf("%+v", log)
 	}
 	if err := log.Propose(revision("y"), 0, log.Active); err == nil {
-		t.Error("one that has not seen the latest is let in")
+		t.Error("a proposal whose author did not know the latest revision is accepted")
 	}
 	if err := log.Propose(revision("x"), 1, log.Active); err == nil {
-		t.Error("the text in force is let in")
+		t.Error("a proposal with the text in force is accepted")
 	}
 	if log.Propose(revision("y"), 1, log.Active) != nil || log.Withdraw(1) != ErrNoChange || log.Withdraw(2) != nil ||
 		log.Active != 1 || log.Next != 1 {
@@ -240,7 +246,7 @@
 		t.Fatalf("%+v", active)
 	}
 	log.Complete(4)
-	for i := range 2 * maxRevisions { // withdrawn ones must not push out what is in force
+	for i := range 2 * maxRevisions { // withdrawn revisions must not push out the active one
 		if log.Propose(revision(fmt.Sprint(i)), log.LastNumber, log.Active) != nil || log.Withdraw(log.Next) != nil {
 			t.Fatalf("%+v", log)
 		}
--- a/internal/ruleset/revisionlog.go
+++ b/internal/ruleset/revisionlog.go
@@ -8,19 +8,19 @@
 	"slices"
 )
 
-// maxRevisions is how many revisions a log keeps.
+// maxRevisions is the maximum number of revisions that a log keeps.
 const maxRevisions = 32
 
-// Outcomes of a revision; empty while it may still be in force.
+// Outcomes of a revision; empty while it is in force or may come into force.
 const (
-	outcomeFollowed  = "followed"
+	outcomeFollowed  = "followed" // replaced by a later revision
 	outcomeWithdrawn = "withdrawn"
 )
 
 // Errors of changes to a revision log.
 var (
-	ErrChangeInProgress = errors.New("a change is under way: try again once it is over, or withdraw it")
-	ErrNoChange         = errors.New("no change to that version is under way")
+	ErrChangeInProgress = errors.New("a change is in progress: retry after it completes, or withdraw it")
+	ErrNoChange         = errors.New("no change to that revision is in progress")
 )
 
 // Revision is one revision of the settings as its author submitted it.
@@ -30,36 +30,35 @@
 	Author     string         `cbor:"3,keyasint"`
 	ProposedAt int64          `cbor:"4,keyasint"` // Unix time in nanoseconds on the leader's clock; for display only
 	Text       []byte         `cbor:"5,keyasint"`
-	RollbackOf RevisionNumber `cbor:"6,keyasint"` // the revision whose text is reused; 0: none
-	Outcome    string         `cbor:"7,keyasint"` // "followed", "withdrawn", or empty while it may be in force
+	RollbackOf RevisionNumber `cbor:"6,keyasint"` // the revision whose text it reuses; 0: none
+	Outcome    string         `cbor:"7,keyasint"` // outcomeFollowed, outcomeWithdrawn or empty
 	Table      []byte         `cbor:"8,keyasint"` // slot assignment by policy.EncodeTable; empty without endpoints
 }
 
 // RevisionLog is the agreed order of revisions. It is a replicated state machine: every coordinator applies the same
-// calls in the same order. The zero value has no revision, and each instance then uses the rules of its own file,
-// number 0.
+// calls in the same order. The zero value has no revision, and each instance then uses the rules of its own settings
+// file, number 0.
 type RevisionLog struct {
-	Revisions []Revision `cbor:"1,keyasint"` // the latest ones in order, withdrawn ones included
-	// Active is in force and Next is coming into force; they are equal while no change is in progress.
+	Revisions []Revision `cbor:"1,keyasint"` // the latest revisions in order, withdrawn ones included
+	// Active is the revision in force, and Next the one coming into force. They are equal unless a change is in
+	// progress.
 	Active     RevisionNumber `cbor:"Old"`
 	Next       RevisionNumber `cbor:"New"`
 	LastNumber RevisionNumber `cbor:"Last"` // the highest number assigned so far
 }
 
-// Propose begins a change to a revision. last is the number that its author took for the latest, so of two concurrent
-// proposals only the first succeeds. base is the active revision whose slot assignment the proposal's own was derived
-// from.
+// Propose begins a change to a revision. last is the latest revision that its author knew, so of two concurrent
+// proposals only the first succeeds. base is the active revision from whose slot assignment that of the proposal was
+// derived.
 func (l *RevisionLog) Propose(revision Revision, last, base RevisionNumber) error {
 	if l.Active != l.Next {
 		return ErrChangeInProgress
 	}
 	if last != l.LastNumber || base != l.Active {
-		return fmt.Errorf("found version %d to be the latest, allowed only on top of the one that was seen, %d",
-			l.LastNumber, last)
+		return fmt.Errorf("proposal is out of date: the latest revision is %d, its author knew %d", l.LastNumber, last)
 	}
 	if active := l.find(l.Active); active != nil && bytes.Equal(active.Text, revision.Text) {
-		return fmt.Errorf("found the text of version %d, which is in force, allowed one that changes something",
-			l.Active)
+		return fmt.Errorf("proposal has the same text as revision %d, which is in force", l.Active)
 	}
 	l.LastNumber++
 	revision.Number = l.LastNumber
@@ -71,8 +70,8 @@
 	return nil
 }
 
-// trim removes the oldest revision that has an outcome once there are too many. The one in force may be far older than
-// withdrawn ones behind it, and stays.
+// trim removes the oldest revision that has an outcome if there are more than maxRevisions. The active revision stays,
+// although it may be much older than the withdrawn ones after it.
 func (l *RevisionLog) trim() {
 	if len(l.Revisions) <= maxRevisions {
 		return
@@ -81,19 +80,19 @@
 	l.Revisions = slices.Delete(l.Revisions, oldest, oldest+1)
 }
 
-// ProposeRollback begins a change to the text of an earlier revision, as a revision of its own.
-func (l *RevisionLog) ProposeRollback(to RevisionNumber, revision Revision, last, base RevisionNumber) error {
-	earlier := l.find(to)
+// ProposeRollback begins a change to a new revision that has the text of an earlier one.
+func (l *RevisionLog) ProposeRollback(target RevisionNumber, revision Revision, last, base RevisionNumber) error {
+	earlier := l.find(target)
 	if earlier == nil {
-		return fmt.Errorf("found version %d, allowed one of those kept", to)
+		return fmt.Errorf("revision %d is not in the revision log", target)
 	}
 	revision.Text = earlier.Text
-	revision.RollbackOf = to
+	revision.RollbackOf = target
 	return l.Propose(revision, last, base)
 }
 
-// Withdraw cancels the change in progress to a revision; the active one stays in force. It returns ErrNoChange if there
-// is no such change.
+// Withdraw cancels the change in progress to a revision; the active revision stays in force. It returns ErrNoChange if
+// there is no such change.
 func (l *RevisionLog) Withdraw(number RevisionNumber) error {
 	if l.Active == l.Next || number != l.Next {
 		return ErrNoChange
@@ -116,7 +115,8 @@
 	return true
 }
 
-// InForce returns the revisions that an instance must know to be issued a lease. Number 0 has no revision.
+// InForce returns the revisions that an instance must know to be issued a lease: the active one and, during a change,
+// the next one. Number 0 has no entry in the log and is left out.
 func (l *RevisionLog) InForce() []Revision {
 	var revisions []Revision
 	for _, number := range slices.Compact([]RevisionNumber{l.Active, l.Next}) {
@@ -127,7 +127,7 @@
 	return revisions
 }
 
-// find returns the revision with a number, or nil if it isn't kept.
+// find returns the revision with a number, or nil if it isn't in the log.
 func (l *RevisionLog) find(number RevisionNumber) *Revision {
 	i := slices.IndexFunc(l.Revisions, func(revision Revision) bool { return revision.Number == number })
 	if i < 0 {
--- a/internal/ruleset/rules.go
+++ b/internal/ruleset/rules.go
@@ -8,16 +8,16 @@
 	"pepperlead/policy"
 )
 
-// ClassRule is what is binding for one class. The zero value is the strictest: non-idempotent.
+// ClassRule is the binding rule of one class. The zero value allows no retries: the class is non-idempotent.
 type ClassRule struct {
-	Repeatable bool        // a request may run twice, within the limits of the other fields
-	Zone       bool        // only within the zone of the endpoint that may have run it first
-	Cell       bool        // only within that endpoint's cell
-	Window     policy.Time // how long after the first attempt
+	Repeatable bool        // whether a request may run twice, within the limits of the other fields
+	Zone       bool        // retries stay in the zone of the endpoint that may have run the request first
+	Cell       bool        // retries stay in the cell of that endpoint
+	Window     policy.Time // how long after the first attempt a request may be retried
 	Deadline   policy.Time // longest deadline of a request; 0: none is stated
 }
 
-// NamedClassRule is the rule of a class and its name.
+// NamedClassRule is the name of a class with its rule.
 type NamedClassRule struct {
 	Name string
 	ClassRule
@@ -35,17 +35,17 @@
 	Quota float64
 }
 
-// Rules are what is binding in a revision. Each list is sorted by name or ID and has no duplicates.
+// Rules are the binding rules of a revision. Each list is sorted by name or ID and has no duplicates.
 type Rules struct {
 	Classes          []NamedClassRule
 	Tenants          []TenantQuota
-	Endpoints        []Endpoint          // the ready ones; unused with AnyEndpoint
+	Endpoints        []Endpoint          // the ready endpoints; unused with AnyEndpoint
 	AnyEndpoint      bool                // the revision names no endpoints
-	Drained          []policy.EndpointID // administratively drained, whatever lists them
-	Instances        int                 // the instances that budgets are split among
-	ColdCapacity     float64             // the fraction of its capacity that a cold endpoint has
+	Drained          []policy.EndpointID // administratively drained, whichever list contains them
+	Instances        int                 // number of instances among which budgets are split
+	ColdCapacity     float64             // capacity of a cold endpoint, as a fraction of its full one
 	ColdTime         policy.Time         // how long an endpoint is cold
-	OverloadMultiple float64             // of its capacity, at which a cold endpoint fails; 0: it gets no load
+	OverloadMultiple float64             // multiple of its capacity at which a cold endpoint fails; 0: it gets no load
 }
 
 // IdempotentRule returns the rule that allows every retry.
@@ -58,8 +58,8 @@
 	return r.Repeatable && (r.Zone || r.Cell || r.Window < math.MaxInt64)
 }
 
-// NewRules returns what is binding in settings whose classes have these deadlines. endpoints is nil if the revision
-// names none.
+// NewRules returns the binding rules of settings. deadlines holds the deadline of each class, in the order of
+// settings.Classes; endpoints is nil if the revision names none.
 func NewRules(settings *policy.Settings, deadlines []policy.Time, endpoints []policy.Member,
 	drained []policy.EndpointID,
 ) Rules {
@@ -106,8 +106,8 @@
 	return ClassRule{Deadline: deadline}
 }
 
-// ApplyTo writes the rule into a class of the settings. A rule that limits retries to a zone and to a cell allows none
-// there, because a class has a single group.
+// ApplyTo writes the rule into a class of the settings. If the rule limits retries to both a zone and a cell, the class
+// allows none, because a class has a single deduplication group.
 func (r ClassRule) ApplyTo(class *policy.Class) {
 	class.Idempotency = policy.NonIdempotent
 	class.Group = policy.GroupAll
@@ -132,7 +132,7 @@
 	}
 }
 
-// Class returns the rule of the class with a name.
+// Class returns the rule of the class with a name, and whether there is one.
 func (r *Rules) Class(name string) (ClassRule, bool) {
 	i, known := slices.BinarySearchFunc(r.Classes, name, func(class NamedClassRule, name string) int {
 		return cmp.Compare(class.Name, name)
--- a/internal/ruleset/ruleset.go
+++ b/internal/ruleset/ruleset.go
@@ -1,6 +1,6 @@
-// Package ruleset holds the rules that instances agree on: what is binding in one revision of the settings, the
-// strictest combination of several revisions, leases on revisions, and when a new revision may replace the one in
-// force.
+// Package ruleset implements the rules that all instances agree on: the binding rules of one revision of the settings,
+// the strictest combination of several revisions, leases on revisions, and the protocol by which a new revision
+// replaces the one in force.
 //
 // The package does no I/O, starts no goroutine and reads no clock: callers pass the time in. The protocol and its proof
 // are described in docs/agreement.md.
@@ -8,22 +8,22 @@
 
 import "pepperlead/policy"
 
-// RevisionNumber is the position of a revision in the agreed order, from 1. Number 0 stands for the rules of an
+// RevisionNumber is the position of a revision in the agreed order, from 1. Number 0 denotes the rules of an
 // instance's own settings file.
 type RevisionNumber uint64
 
 // Term is the election term of a lease issuer. Leases of an older term than the last accepted one are rejected.
 type Term uint64
 
-// RuleSet is what is binding in one revision.
+// RuleSet holds the binding rules of one revision.
 type RuleSet struct {
 	Number RevisionNumber
 	Digest [32]byte // SHA-256 of the revision's text
 	Rules  Rules
 }
 
-// Lease lets an instance act by the strictest combination of the named revisions for a duration. The duration counts
-// from the moment of the request on the requester's own clock, so neither clock offsets nor slow links extend it.
+// Lease allows an instance to follow the strictest combination of the named revisions for a limited time. The duration
+// starts when the request is sent, on the requester's own clock, so neither clock offsets nor slow links extend it.
 type Lease struct {
 	Term      Term
 	RequestID uint64           // the request that this lease answers
--- a/internal/ruleset/strictest.go
+++ b/internal/ruleset/strictest.go
@@ -18,8 +18,9 @@
 	return floor
 }
 
-// Strictest returns what both a and b allow. The operation is commutative, associative and idempotent. A class that
-// only one of them has is non-idempotent under the other; a tenant that only one of them has keeps its quota.
+// Strictest returns rules that allow only what both a and b allow. The operation is commutative, associative and
+// idempotent. A class that only one of them has becomes non-idempotent; a tenant that only one of them has keeps its
+// quota.
 func Strictest(a, b Rules) Rules {
 	return Rules{
 		Classes:   mergeSorted(a.Classes, b.Classes, compareClasses, strictestClass),
@@ -35,7 +36,7 @@
 	}
 }
 
-// strictestClassRule returns what both rules allow.
+// strictestClassRule returns the rule that allows only what both rules allow.
 func strictestClassRule(a, b ClassRule) ClassRule {
 	deadline := shorterDeadline(a.Deadline, b.Deadline)
 	if !a.Repeatable || !b.Repeatable {
@@ -50,7 +51,7 @@
 	}
 }
 
-// shorterDeadline returns the shorter of two deadlines, of which 0 is none.
+// shorterDeadline returns the shorter of two deadlines, where 0 means none.
 func shorterDeadline(a, b policy.Time) policy.Time {
 	if a == 0 || b == 0 {
 		return max(a, b)
@@ -90,8 +91,9 @@
 	})
 }
 
-// mergeSorted walks two sorted lists in parallel. combine gets the elements that compare equal, nil where a list has
-// none, and reports whether its result belongs to the merged list.
+// mergeSorted merges two sorted lists. It calls combine for each pair of elements that compare equal, and for each
+// element that only one list has, with nil in place of the other. combine reports whether its result belongs in the
+// merged list.
 func mergeSorted[T any](a, b []T, compare func(x, y T) int, combine func(x, y *T) (T, bool)) []T {
 	var merged []T
 	for len(a) > 0 || len(b) > 0 {
