--- a/internal/coordinator/admin.go
+++ b/internal/coordinator/admin.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	maxTextBytes      = 4 << 20 // of a revision
+	maxTextBytes      = 4 << 20 // size of a revision's text
 	maxHeaderBytes    = 16 << 10
 	adminReadTimeout  = 10 * time.Second
 	adminWriteTimeout = 20 * time.Second
-	digestPrefixBytes = 8 // of a digest in the report
+	digestPrefixBytes = 8 // how much of a digest the report shows
 )
 
-// LeaderHeader is the header that names the leader's admin address in an answer 421 (Misdirected Request, RFC 9110) of
-// a coordinator that doesn't lead.
+// LeaderHeader is the header that holds the leader's admin address in a response with status 421 (Misdirected Request,
+// RFC 9110), which a coordinator that isn't the leader sends.
 const LeaderHeader = "Leader"
 
 // AdminServer serves a coordinator's admin interface over HTTP:
@@ -82,7 +82,7 @@
 	return mux
 }
 
-// writeBody writes an answer. An error means that the client has gone, and nothing is left to do for it.
+// writeBody writes the body of a response. It ignores errors: they mean that the client has disconnected.
 func writeBody(w io.Writer, body string) { _, _ = io.WriteString(w, body) }
 
 func (c *Coordinator) serveRevisionLog(w http.ResponseWriter, _ *http.Request) {
@@ -96,7 +96,7 @@
 			return
 		}
 	}
-	http.Error(w, "no such version is kept", http.StatusNotFound)
+	http.Error(w, "no such revision in the revision log", http.StatusNotFound)
 }
 
 func (c *Coordinator) servePeers(w http.ResponseWriter, _ *http.Request) {
@@ -114,13 +114,15 @@
 func (c *Coordinator) serveApply(w http.ResponseWriter, r *http.Request) {
 	proposal, err := readProposal(w, r)
 	if err == nil && r.URL.Query().Get("dry") == "yes" {
-		c.writeResult(w, c.DryRun(proposal), fmt.Sprintf("it could be applied on top of version %d\n", proposal.Last))
+		c.writeResult(w, c.DryRun(proposal),
+			fmt.Sprintf("the proposal can be applied on top of revision %d\n", proposal.Last))
 		return
 	}
 	var number ruleset.RevisionNumber
 	if err == nil {
 		number, err = c.Propose(proposal)
 	}
+	// The command line reads the number from this text.
 	c.writeResult(w, err, fmt.Sprintf("version %d is agreed on\n", number))
 }
 
@@ -132,7 +134,7 @@
 	c.writeResult(w, err, fmt.Sprintf("version %d is withdrawn\n", number))
 }
 
-// readProposal reads the body and the query of a request to propose. Its error names everything that is wrong.
+// readProposal reads a proposal from the body and the query of a request. Its error joins all faults found.
 func readProposal(w http.ResponseWriter, r *http.Request) (Proposal, error) {
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxTextBytes))
 	last, lastErr := revisionParameter(r, "last")
@@ -148,12 +150,13 @@
 	text := r.URL.Query().Get(name)
 	number, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("%s: found %q, allowed the number of a version", name, text)
+		return 0, fmt.Errorf("%s: %q is not a revision number", name, text)
 	}
 	return ruleset.RevisionNumber(number), nil
 }
 
-// writeResult answers with success, or with the error and the status that tells clients what to do next.
+// writeResult writes the success text, or the text of the error with a status that tells clients whether to go to the
+// leader, to retry or to check the outcome.
 func (c *Coordinator) writeResult(w http.ResponseWriter, err error, success string) {
 	leader, leaderErr := c.Leader()
 	switch {
@@ -165,13 +168,14 @@
 	case errors.Is(err, errOutcomeUnknown):
 		http.Error(w, err.Error(), http.StatusGatewayTimeout)
 	case errors.Is(err, ErrNotLeader), errors.Is(err, errNoLeader):
-		http.Error(w, err.Error(), http.StatusServiceUnavailable) // nothing was changed, the client may retry
+		http.Error(w, err.Error(), http.StatusServiceUnavailable) // nothing has changed, so the client may retry
 	default:
 		http.Error(w, err.Error(), http.StatusConflict)
 	}
 }
 
-// Report returns the revision log as text, one revision a line.
+// Report returns the revision log as text, one revision a line. The command line and the fault-injection tests read the
+// numbers in the first line.
 func (c *Coordinator) Report() string {
 	log := c.RevisionLog()
 	leader, err := c.Leader()
@@ -185,7 +189,7 @@
 		revision := &log.Revisions[i]
 		rollback := ""
 		if revision.RollbackOf > 0 {
-			rollback = fmt.Sprintf(" (the text of %d)", revision.RollbackOf)
+			rollback = fmt.Sprintf(" (rollback to %d)", revision.RollbackOf)
 		}
 		fmt.Fprintf(&out, "%d %s by %q at %s, %d bytes, sha256 %s%s\n",
 			revision.Number, revisionState(&log, revision), revision.Author,
@@ -195,7 +199,7 @@
 	return out.String()
 }
 
-// revisionState returns the state of a revision as the report names it.
+// revisionState returns the state of a revision as the report shows it.
 func revisionState(log *ruleset.RevisionLog, revision *ruleset.Revision) string {
 	switch revision.Number {
 	case log.Active:
--- a/internal/coordinator/command.go
+++ b/internal/coordinator/command.go
@@ -10,7 +10,7 @@
 	"pepperlead/policy"
 )
 
-// Errors of log entries that can't be applied.
+// Errors for log entries that can't be applied.
 var (
 	errMalformedCommand = errors.New("malformed command")
 	errUnknownCommand   = errors.New("unknown command, written by a newer coordinator")
@@ -46,7 +46,7 @@
 	ProposedAt int64 // Unix time in nanoseconds
 }
 
-// completeCommand ends a change with its revision in force alone.
+// completeCommand completes a change, after which its revision alone is in force.
 type completeCommand struct {
 	_      struct{} `cbor:",toarray"`
 	Name   commandName
@@ -64,7 +64,7 @@
 func (c *completeCommand) encode() ([]byte, error) { return cbor.Marshal(c) }
 func (c *withdrawCommand) encode() ([]byte, error) { return cbor.Marshal(c) }
 
-// decodeCommand reads a log entry.
+// decodeCommand decodes a log entry.
 func decodeCommand(encoded []byte) (command, error) {
 	var fields []cbor.RawMessage
 	if err := cbor.Unmarshal(encoded, &fields); err != nil {
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -1,8 +1,8 @@
 // Package coordinator replicates the revision log of a cluster's settings and issues leases on it. A few coordinators
 // agree on the log with hashicorp/raft; the leader answers the lease requests of the instances.
 //
-// Package ruleset decides; this package adds the replicated log, storage, authentication and the admin pages. The
-// design is in docs/agreement.md.
+// Package ruleset implements the decisions; this package adds the replicated log, storage, authentication and the admin
+// interface. The design is described in docs/agreement.md.
 package coordinator
 
 import (
@@ -24,30 +24,31 @@
 
 const (
 	// heartbeatTimeout is also the election timeout. It is shorter than a lease, so that few leases expire when the
-	// leader is lost.
+	// leader fails.
 	heartbeatTimeout   = 500 * time.Millisecond
 	leaderLeaseTimeout = 400 * time.Millisecond
 	commitTimeout      = 20 * time.Millisecond
 	applyTimeout       = 5 * time.Second
-	// snapshotEntries is both how many log entries lead to a snapshot and how many are kept behind it.
+	// snapshotEntries is both the number of new log entries that trigger a snapshot and the number of entries that stay
+	// in the log after one.
 	snapshotEntries = 64
 
-	transportPoolSize = 2 // connections kept to each coordinator
+	transportPoolSize = 2 // connections kept open to each other coordinator
 	transportTimeout  = 2 * time.Second
 
-	// damagedStorePause is how long a coordinator waits after its store was damaged. It no longer knows whom it voted
-	// for, so it must not vote before every election of that time is over.
+	// damagedStorePause is how long a coordinator whose store was damaged waits before it joins the group. It has lost
+	// the record of its votes, so it must not vote before every election in which it may have voted is over.
 	damagedStorePause = 10 * time.Second
 )
 
-// Errors of requests to a coordinator. Operators see their texts.
+// Errors of requests to a coordinator. Their texts are shown to operators.
 var (
-	ErrNotLeader      = errors.New("another keeper leads")
-	errOutcomeUnknown = errors.New("it is not known whether the group has agreed, see what is in force")
-	errNoLeader       = errors.New("no keeper leads: most of them are not there, or cannot reach each other")
+	ErrNotLeader      = errors.New("this coordinator is not the leader")
+	errOutcomeUnknown = errors.New("outcome unknown: the change may have been committed, check the revision log")
+	errNoLeader       = errors.New("no leader: there is no quorum of coordinators that can reach each other")
 )
 
-// Member is one coordinator of the group. All coordinators have the same list of members.
+// Member describes one coordinator of the group. All coordinators have the same list of members.
 type Member struct {
 	Name         string
 	RaftAddress  string
@@ -57,21 +58,21 @@
 // Config configures a coordinator.
 type Config struct {
 	Name          string // the member that this coordinator is
-	Directory     string // of its store
-	Listen        string // for the other coordinators
+	Directory     string // directory of the store
+	Listen        string // address for connections of the other coordinators
 	Cluster       string
 	Key           []byte // shared by all coordinators and instances of the cluster
 	Members       []Member
 	LeaseDuration policy.Time
-	ClockDrift    float64 // how much faster or slower any two clocks may run, as a fraction
-	// Validate returns why a text can't follow the one in force, which is nil if there is none.
+	ClockDrift    float64 // maximum difference between the rates of two clocks, as a fraction
+	// Validate returns nil, or the reason why a text can't replace the one in force, which is nil if there is none.
 	Validate func(text, inForce []byte) error
-	// AssignSlots returns the slot assignment of a text that follows the revision in force, nil if there is none. It
-	// returns nil for a text that names no endpoints.
+	// AssignSlots returns the slot assignment of a text that replaces the revision in force, which is nil if there is
+	// none. It returns nil for a text that names no endpoints.
 	AssignSlots func(text []byte, inForce *ruleset.Revision) []byte
 }
 
-// member returns the group's entry for this coordinator.
+// member returns the member entry of this coordinator.
 func (c *Config) member() Member {
 	i := slices.IndexFunc(c.Members, func(member Member) bool { return member.Name == c.Name })
 	return c.Members[i]
@@ -96,7 +97,7 @@
 	revisionsSentAt map[string]time.Time // by the instance's address
 	changeBegan     policy.Time
 
-	requestsPending chan struct{} // has an element while pendingRequests may not be empty
+	requestsPending chan struct{} // holds a signal while pendingRequests may not be empty
 	revisionSends   chan struct{} // semaphore of concurrent transfers
 	metrics         metrics
 }
@@ -177,24 +178,25 @@
 	return servers
 }
 
-// JoinCluster sets the membership through which instances are answered.
+// JoinCluster sets the cluster through which the coordinator answers instances.
 func (c *Coordinator) JoinCluster(cluster *membership.Cluster) { c.cluster.Store(cluster) }
 
-// Close stops the coordinator. A leader transfers its leadership first, so that the others need no election timeout.
+// Close stops the coordinator. A leader transfers its leadership first, so that the others need not wait for the
+// election timeout.
 func (c *Coordinator) Close() {
 	close(c.stop)
 	if c.raft.State() == raft.Leader && len(c.config.Members) > 1 {
-		_ = c.raft.LeadershipTransfer().Error() // if no other can take it, they hold an election
+		_ = c.raft.LeadershipTransfer().Error() // after a failure the others hold an election
 	}
-	_ = c.raft.Shutdown().Error() // it waits for the end, and is always nil
+	_ = c.raft.Shutdown().Error() // waits for the shutdown; the error is always nil
 	c.loops.Wait()
-	_ = c.stream.Close() // raft's transport has closed it, unless it failed to start
+	_ = c.stream.Close() // already closed by raft's transport, unless that failed to start
 	if err := c.store.Close(); err != nil {
 		c.log.WithError(err).Warn("close of the coordinator's store failed")
 	}
 }
 
-// Leader returns the leader that this coordinator knows of.
+// Leader returns the leader as far as this coordinator knows, or an error if it knows of none.
 func (c *Coordinator) Leader() (Member, error) {
 	_, id := c.raft.LeaderWithID()
 	i := slices.IndexFunc(c.config.Members, func(member Member) bool { return member.Name == string(id) })
@@ -204,7 +206,7 @@
 	return c.config.Members[i], nil
 }
 
-// RevisionLog returns a copy of the log as far as this coordinator knows it to be committed.
+// RevisionLog returns a copy of the revision log as far as this coordinator knows it to be committed.
 func (c *Coordinator) RevisionLog() ruleset.RevisionLog {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -213,7 +215,8 @@
 	return log
 }
 
-// commit has the group commit a command and returns the state machine's error.
+// commit replicates a command to the group and returns the error of applying it. The error is ErrNotLeader if this
+// coordinator can't commit it, and wraps errOutcomeUnknown if it may or may not have been committed.
 func (c *Coordinator) commit(command command) error {
 	encoded, err := command.encode()
 	if err != nil {
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -19,7 +19,8 @@
 	"pepperlead/policy"
 )
 
-// startThree starts a group of three coordinators in one process, at addresses of this run's own.
+// startThree starts a group of three coordinators in this process. Their IP address depends on the process ID, so that
+// concurrent runs don't collide.
 func startThree(t *testing.T, log *logrus.Logger) ([]Config, []*Coordinator) {
 	t.Helper()
 	var configs []Config
@@ -28,22 +29,22 @@
 	var members []Member
 	for i := range 3 {
 		freeAddress := func() string {
-			l, err := net.Listen("tcp", ip+":0")
+			listener, err := net.Listen("tcp", ip+":0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer l.Close()
-			return l.Addr().String()
+			defer listener.Close()
+			return listener.Addr().String()
 		}
 		members = append(members, Member{fmt.Sprint("k", i), freeAddress(), freeAddress()})
 	}
 	dir := t.TempDir()
-	for _, m := range members {
-		config := Config{Name: m.Name, Directory: filepath.Join(dir, m.Name), Listen: m.RaftAddress, Cluster: "c",
-			Key: []byte("0123456789abcdef"), Members: members,
+	for _, member := range members {
+		config := Config{Name: member.Name, Directory: filepath.Join(dir, member.Name), Listen: member.RaftAddress,
+			Cluster: "c", Key: []byte("0123456789abcdef"), Members: members,
 			LeaseDuration: 600 * policy.Millisecond, ClockDrift: 0.01, Validate: func(text, _ []byte) error {
 				if bytes.HasPrefix(text, []byte("bad")) {
-					return errors.New("it is bad")
+					return errors.New("invalid text")
 				}
 				return nil
 			}, AssignSlots: func([]byte, *ruleset.Revision) []byte { return nil }}
@@ -57,17 +58,17 @@
 	return configs, coordinators
 }
 
-// eventually waits until a condition holds.
-func eventually(t *testing.T, what string, condition func() bool) {
+// eventually waits until a condition holds, and fails the test after a timeout.
+func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(15 * time.Second); !condition(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("timed out: " + what)
+			t.Fatal("timed out waiting: " + description)
 		}
 	}
 }
 
-// propose proposes a text, or a rollback, at the leader.
+// propose proposes a text, or a rollback, to whichever coordinator is the leader.
 func propose(t *testing.T, coordinators []*Coordinator, text string,
 	rollbackOf ruleset.RevisionNumber) ruleset.RevisionNumber {
 	t.Helper()
@@ -87,7 +88,7 @@
 	return number
 }
 
-// inForceAlone returns a condition for eventually.
+// inForceAlone returns the condition that only a revision is in force, with no change in progress.
 func inForceAlone(c *Coordinator, number ruleset.RevisionNumber) func() bool {
 	return func() bool {
 		log := c.RevisionLog()
@@ -95,6 +96,8 @@
 	}
 }
 
+// Three coordinators agree on one revision log: invalid proposals are rejected, followers redirect to the leader, a new
+// leader takes over, a coordinator with a damaged store catches up, and unauthenticated connections are rejected.
 func TestCoordinatorsAgree(t *testing.T) {
 	log := quietLog()
 	configs, coordinators := startThree(t, log)
@@ -105,72 +108,73 @@
 	}()
 	number := propose(t, coordinators, "one", 0)
 	for _, c := range coordinators {
-		eventually(t, "the first alone", inForceAlone(c, number))
+		eventually(t, "the first revision is in force alone", inForceAlone(c, number))
 	}
 	for _, c := range coordinators {
 		if _, err := c.Propose(Proposal{Text: []byte("bad"), Last: number, Author: "me"}); err == nil {
-			t.Error("a bad one is taken")
+			t.Error("an invalid text is accepted")
 		}
 		if _, err := c.Propose(Proposal{Text: []byte("two"), Last: number + 7, Author: "me"}); err == nil {
-			t.Error("one on top of what nobody has seen is taken")
+			t.Error("a proposal on top of an unknown revision is accepted")
 		}
 	}
-	// Over HTTP, at one that does not lead.
+	// The admin interface of a follower.
 	for _, c := range coordinators {
-		if known, err := c.Leader(); err != nil || known.Name == c.config.Name {
+		if leader, err := c.Leader(); err != nil || leader.Name == c.config.Name {
 			continue
 		}
 		server, err := ListenAdmin(c)
 		if err != nil {
 			t.Fatal(err)
 		}
-		answer, err := http.Post("http://"+server.Address+"/_apply?last=1&author=me", "", strings.NewReader("two"))
-		if err != nil || answer.StatusCode != http.StatusMisdirectedRequest || answer.Header.Get(LeaderHeader) == "" {
-			t.Errorf("%v %v", answer, err)
+		response, err := http.Post("http://"+server.Address+"/_apply?last=1&author=me", "", strings.NewReader("two"))
+		if err != nil || response.StatusCode != http.StatusMisdirectedRequest ||
+			response.Header.Get(LeaderHeader) == "" {
+			t.Errorf("proposal to a follower: response %v, error %v", response, err)
 		}
-		answer, err = http.Get("http://" + server.Address + "/_versions/1")
+		response, err = http.Get("http://" + server.Address + "/_versions/1")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if text, _ := io.ReadAll(answer.Body); string(text) != "one" {
-			t.Errorf("%q", text)
+		if text, _ := io.ReadAll(response.Body); string(text) != "one" {
+			t.Errorf("text of revision 1: got %q, want %q", text, "one")
 		}
 		server.Close()
 		break
 	}
-	// The leader stops and another takes over; restarted with a damaged store, the first catches up.
+	// The leader stops and another takes over. The former leader restarts with a damaged store and catches up.
 	leader := 0
 	for i, c := range coordinators {
-		if known, err := c.Leader(); err == nil && known.Name == c.config.Name {
+		if member, err := c.Leader(); err == nil && member.Name == c.config.Name {
 			leader = i
 		}
 	}
 	coordinators[leader].Close()
-	rest := append(append([]*Coordinator{}, coordinators[:leader]...), coordinators[leader+1:]...)
-	number = propose(t, rest, "two", 0)
-	eventually(t, "the second alone", inForceAlone(rest[0], number))
-	if back := propose(t, rest, "", 1); back != number+1 {
-		t.Errorf("rolled back as revision %d", back)
+	others := append(append([]*Coordinator{}, coordinators[:leader]...), coordinators[leader+1:]...)
+	number = propose(t, others, "two", 0)
+	eventually(t, "the second revision is in force alone", inForceAlone(others[0], number))
+	if rollback := propose(t, others, "", 1); rollback != number+1 {
+		t.Errorf("the rollback has number %d, want %d", rollback, number+1)
 	}
-	eventually(t, "the first again", inForceAlone(rest[1], number+1))
+	eventually(t, "the rollback is in force alone", inForceAlone(others[1], number+1))
 	path := filepath.Join(configs[leader].Directory, storeFile)
 	if err := os.WriteFile(path, bytes.Repeat([]byte("no page"), 3000), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	store, err := openStore(configs[leader].Directory, log, newRaftLogger(log))
 	if err != nil || store.damagedCopy == "" || !store.fresh {
-		t.Fatalf("%v %+v", err, store)
+		t.Fatalf("damaged store: error %v, store %+v", err, store)
 	}
 	if _, err := openStore(configs[leader].Directory, log, newRaftLogger(log)); err == nil ||
 		errors.Is(err, errDamaged) {
-		t.Errorf("a store that another process has: %v", err)
+		t.Errorf("a store in use by another process: %v", err)
 	}
 	store.Close()
 	if coordinators[leader], err = Open(configs[leader], log); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "what was missed", inForceAlone(coordinators[leader], number+1))
-	// No coordinator accepts connections without the key.
+	eventually(t, "the restarted coordinator catches up", inForceAlone(coordinators[leader], number+1))
+	// Coordinators reject connections that don't prove knowledge of the key.
 	for i, config := range configs {
 		conn, err := net.Dial("tcp", config.Listen)
 		if err != nil {
--- a/internal/coordinator/golden_test.go
+++ b/internal/coordinator/golden_test.go
@@ -19,46 +19,46 @@
 	"pepperlead/policy"
 )
 
-// quietLog keeps the log of a test to itself.
+// quietLog returns a logger that discards its output.
 func quietLog() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-// The commands of the golden log, in their order: each has a file of its own.
+// goldenCommands are the commands of the golden log in order. Each is stored in the file of that name.
 var goldenCommands = []string{"command-1-apply", "command-2-drop", "command-3-apply", "command-4-withdraw",
 	"command-5-apply",
 	"command-6-withdraw", "command-7-apply-back"}
 
-// goldenTime stands in golden files where a command has the time at which it was given, in Unix nanoseconds.
+// goldenTime is the proposal time of all commands in golden files, in Unix nanoseconds.
 const goldenTime = 1_700_000_000_000_000_007
 
-// fixTime puts goldenTime in the place of a command's time, its last part. Commands without a time stay as they are.
-// What is not written as CBOR writes a number of eight bytes is an error.
-func fixTime(t *testing.T, command []byte) []byte {
+// replaceTime returns a command with goldenTime in place of its time, the last field. Commands without a time are
+// returned unchanged. The test fails if the time isn't encoded as a CBOR integer of eight bytes.
+func replaceTime(t *testing.T, command []byte) []byte {
 	t.Helper()
-	var parts []cbor.RawMessage
+	var fields []cbor.RawMessage
 	var name string
-	if err := cbor.Unmarshal(command, &parts); err != nil {
+	if err := cbor.Unmarshal(command, &fields); err != nil {
 		t.Fatal(err)
 	}
-	if err := cbor.Unmarshal(parts[0], &name); err != nil {
+	if err := cbor.Unmarshal(fields[0], &name); err != nil {
 		t.Fatal(err)
 	}
 	if name != "apply" {
 		return command
 	}
 	const eightBytes = 0x1b // RFC 8949, section 3: an unsigned integer in the eight bytes that follow
-	last := len(command) - 9
-	if !bytes.Equal(parts[len(parts)-1], command[last:]) || command[last] != eightBytes {
-		t.Fatalf("found %x at the end of a command, want a time", parts[len(parts)-1])
+	timeStart := len(command) - 9
+	if !bytes.Equal(fields[len(fields)-1], command[timeStart:]) || command[timeStart] != eightBytes {
+		t.Fatalf("found %x at the end of a command, want a time", fields[len(fields)-1])
 	}
-	return binary.BigEndian.AppendUint64(bytes.Clone(command[:last+1]), goldenTime)
+	return binary.BigEndian.AppendUint64(bytes.Clone(command[:timeStart+1]), goldenTime)
 }
 
-// startSingle starts a group of one coordinator. Its lease is long enough for a change to be withdrawn before it
-// expires.
+// startSingle starts a group of one coordinator. Its leases last long enough for a change to be withdrawn before they
+// expire.
 func startSingle(t *testing.T) *Coordinator {
 	t.Helper()
 	ip := fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()>>14%64, os.Getpid()>>7%128, 1+os.Getpid()%128)
@@ -84,8 +84,8 @@
 	return coordinator
 }
 
-// commandsOf reads the log as it lies on disk.
-func commandsOf(t *testing.T, coordinator *Coordinator) [][]byte {
+// storedCommands returns the commands in the log on disk.
+func storedCommands(t *testing.T, coordinator *Coordinator) [][]byte {
 	t.Helper()
 	var commands [][]byte
 	first, err := coordinator.store.FirstIndex()
@@ -108,24 +108,24 @@
 	return commands
 }
 
-// Coordinators of an earlier build read what this one writes into the log.
-func TestCommandsKeepTheirBytes(t *testing.T) {
+// The encoding of commands stays the same: coordinators of other versions read the same log.
+func TestCommandsKeepTheirEncoding(t *testing.T) {
 	coordinator := startSingle(t)
-	eventually(t, "the coordinator leads", func() bool {
+	eventually(t, "the coordinator becomes the leader", func() bool {
 		coordinator.mu.Lock()
 		defer coordinator.mu.Unlock()
 		return coordinator.leaseIssuer != nil
 	})
-	propose := func(text string, back, last ruleset.RevisionNumber, author string) {
+	propose := func(text string, rollbackOf, last ruleset.RevisionNumber, author string) {
 		t.Helper()
-		if _, err := coordinator.Propose(Proposal{Text: []byte(text), RollbackOf: back, Last: last,
+		if _, err := coordinator.Propose(Proposal{Text: []byte(text), RollbackOf: rollbackOf, Last: last,
 			Author: author}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	withdraw := func(n ruleset.RevisionNumber) {
+	withdraw := func(number ruleset.RevisionNumber) {
 		t.Helper()
-		if err := coordinator.Withdraw(n); err != nil {
+		if err := coordinator.Withdraw(number); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -135,15 +135,15 @@
 	withdraw(2)
 	propose("third text", 0, 2, "third author")
 	withdraw(3)
-	// Gone back to version 2, with 3 as the latest, on top of 1: three numbers that differ.
+	// A rollback to revision 2, with 3 as the latest and 1 as the active one: three different numbers.
 	propose("", 2, 3, "fourth author")
 
-	commands := commandsOf(t, coordinator)
+	commands := storedCommands(t, coordinator)
 	if len(commands) != len(goldenCommands) {
 		t.Fatalf("found %d commands, want %d", len(commands), len(goldenCommands))
 	}
 	for i, file := range goldenCommands {
-		command := fixTime(t, commands[i])
+		command := replaceTime(t, commands[i])
 		if want := golden.ReadOrWrite(t, file+".cbor", command); !bytes.Equal(command, want) {
 			t.Errorf("%s: encoded\n%x\nwant\n%x", file, command, want)
 		}
@@ -157,8 +157,8 @@
 func (*snapshotBuffer) Cancel() error { return nil }
 func (*snapshotBuffer) Close() error  { return nil }
 
-// snapshotOf returns what the coordinator writes into a snapshot.
-func snapshotOf(t *testing.T, coordinator *Coordinator) []byte {
+// encodedSnapshot returns the content of a snapshot of the coordinator.
+func encodedSnapshot(t *testing.T, coordinator *Coordinator) []byte {
 	t.Helper()
 	snapshot, err := (*stateMachine)(coordinator).Snapshot()
 	if err != nil {
@@ -172,8 +172,8 @@
 	return buffer.Bytes()
 }
 
-// The log and the snapshots of an earlier build are read, and written again in the same bytes.
-func TestLogAndSnapshotOfAnEarlierBuild(t *testing.T) {
+// The log and the snapshots of an earlier version are decoded, and encoded again to the same bytes.
+func TestLogAndSnapshotOfAnEarlierVersion(t *testing.T) {
 	coordinator := &Coordinator{log: quietLog()}
 	for i, file := range goldenCommands {
 		if result := (*stateMachine)(coordinator).Apply(&raft.Log{Index: uint64(i + 1), Type: raft.LogCommand,
@@ -181,7 +181,7 @@
 			t.Fatalf("%s: %v", file, result)
 		}
 	}
-	encoded := snapshotOf(t, coordinator)
+	encoded := encodedSnapshot(t, coordinator)
 	want := golden.ReadOrWrite(t, "snapshot.cbor", encoded)
 	if !bytes.Equal(encoded, want) {
 		t.Errorf("encoded\n%x\nwant\n%x", encoded, want)
@@ -190,12 +190,12 @@
 	if err := (*stateMachine)(restored).Restore(io.NopCloser(bytes.NewReader(want))); err != nil {
 		t.Fatal(err)
 	}
-	if again := snapshotOf(t, restored); !bytes.Equal(again, want) {
+	if again := encodedSnapshot(t, restored); !bytes.Equal(again, want) {
 		t.Errorf("decoded and encoded again\n%x\nwant\n%x", again, want)
 	}
 	log := restored.revisionLog
 	if log.Active != 1 || log.Next != 4 || log.LastNumber != 4 || len(log.Revisions) != 4 {
-		t.Fatalf("found revisions %d, %d and %d among %d, want 1, 4 and 4 among 4", log.Active, log.Next,
+		t.Fatalf("active %d, next %d, last %d, %d revisions, want 1, 4, 4 and 4", log.Active, log.Next,
 			log.LastNumber, len(log.Revisions))
 	}
 	for i, revision := range []struct{ author, text, table, outcome string }{
--- a/internal/coordinator/leader.go
+++ b/internal/coordinator/leader.go
@@ -18,13 +18,13 @@
 		select {
 		case <-c.stop:
 			return
-		case leads := <-c.raft.LeaderCh():
+		case isLeader := <-c.raft.LeaderCh():
 			c.endTerm()
-			if !leads {
+			if !isLeader {
 				c.log.Info("lost leadership")
 				continue
 			}
-			// A barrier waits until everything that earlier terms committed is applied here.
+			// A barrier waits until all entries committed in earlier terms are applied here.
 			if c.raft.Barrier(applyTimeout).Error() == nil {
 				c.beginTerm()
 			}
@@ -32,7 +32,7 @@
 	}
 }
 
-// endTerm drops the lease issuer and the requests that wait for it.
+// endTerm drops the lease issuer and the pending lease requests.
 func (c *Coordinator) endTerm() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,7 +40,7 @@
 	c.pendingRequests = nil
 }
 
-// beginTerm starts to issue leases.
+// beginTerm starts issuing leases.
 func (c *Coordinator) beginTerm() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,7 +71,7 @@
 	}
 }
 
-// changeReady returns the revision whose change can be completed now.
+// changeReady returns the next revision, and whether the change to it can be completed now.
 func (c *Coordinator) changeReady() (ruleset.RevisionNumber, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/coordinator/leases.go
+++ b/internal/coordinator/leases.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	maxPendingRequests  = 4096 // lease requests that wait for one quorum round
+	maxPendingRequests  = 4096 // lease requests that wait for a quorum round
 	maxTrackedAddresses = 4096 // in revisionsSentAt
 	maxRevisionSends    = 32   // concurrent transfers of revisions
 
@@ -25,7 +25,7 @@
 	received policy.Time
 }
 
-// HandleMessage takes a message of an instance. It doesn't block.
+// HandleMessage handles a message of an instance. It doesn't block.
 func (c *Coordinator) HandleMessage(encoded []byte) {
 	message, err := ruleset.Decode(encoded)
 	if err != nil {
@@ -39,12 +39,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.leaseIssuer == nil || len(c.pendingRequests) >= maxPendingRequests {
-		return // the instance retries, and asks the leader too
+		return // the instance retries, and asks all coordinators if it gets no lease
 	}
 	c.pendingRequests = append(c.pendingRequests, pendingRequest{request, clock.LeaseTime()})
 	select {
 	case c.requestsPending <- struct{}{}:
-	default: // it is signalled already
+	default: // a signal is pending already
 	}
 }
 
@@ -63,29 +63,30 @@
 		if len(requests) == 0 {
 			continue
 		}
-		begun := clock.LeaseTime()
+		roundStart := clock.LeaseTime()
 		c.metrics.quorumRounds.Add(1)
 		if c.raft.VerifyLeader().Error() != nil {
 			c.metrics.failedQuorumRounds.Add(1)
 			continue
 		}
 		for _, request := range requests {
-			c.answer(request, begun)
+			c.answer(request, roundStart)
 		}
 	}
 }
 
-// answer sends a lease, or the revisions that the instance lacks for one. The quorum round began at begun.
-func (c *Coordinator) answer(request pendingRequest, begun policy.Time) {
+// answer sends the instance a lease or, if it lacks revisions in force, those revisions. roundStart is when the quorum
+// round began.
+func (c *Coordinator) answer(request pendingRequest, roundStart policy.Time) {
 	cluster := c.cluster.Load()
 	if cluster == nil {
 		return
 	}
-	lease, issued, missing := c.issueLease(request, begun)
+	lease, issued, missing := c.issueLease(request, roundStart)
 	if issued {
 		c.metrics.leasesIssued.Add(1)
 		response := ruleset.LeaseResponse{Sender: cluster.Address(), Lease: lease}
-		_ = cluster.Send(request.Sender, response.Encode()) // the instance asks again
+		_ = cluster.Send(request.Sender, response.Encode()) // the instance retries if the response is lost
 		return
 	}
 	if len(missing) == 0 {
@@ -94,7 +95,7 @@
 	select {
 	case c.revisionSends <- struct{}{}:
 	default:
-		return // the instance asks again
+		return // the instance retries
 	}
 	go func() {
 		defer func() { <-c.revisionSends }()
@@ -102,18 +103,19 @@
 	}()
 }
 
-// issueLease returns a lease, or else the revisions that are due to be sent to the instance first.
-func (c *Coordinator) issueLease(request pendingRequest, begun policy.Time) (
+// issueLease returns a lease, or else the revisions that the instance lacks for one. It returns neither after a loss of
+// leadership, or if the instance was sent revisions within revisionResendInterval.
+func (c *Coordinator) issueLease(request pendingRequest, roundStart policy.Time) (
 	lease ruleset.Lease, issued bool, missing []ruleset.Revision,
 ) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.leaseIssuer == nil || c.leaseIssuer.Term() != ruleset.Term(c.raft.CurrentTerm()) {
-		// Leadership may have been lost and regained before followLeadership has noticed. This issuer doesn't know what
-		// was committed in between.
+		// Leadership may have been lost and regained before followLeadership notices. This issuer doesn't know what was
+		// committed in between.
 		return ruleset.Lease{}, false, nil
 	}
-	c.leaseIssuer.ConfirmTerm(begun)
+	c.leaseIssuer.ConfirmTerm(roundStart)
 	lease, issued = c.leaseIssuer.Issue(request.ID, request.Known, request.received)
 	if issued || time.Since(c.revisionsSentAt[request.Sender]) <= revisionResendInterval {
 		return lease, issued, nil
@@ -130,14 +132,14 @@
 	return ruleset.Lease{}, false, missing
 }
 
-// sendRevisions transfers revisions to an instance until one transfer fails.
+// sendRevisions transfers revisions to an instance, and stops at the first transfer that fails.
 func (c *Coordinator) sendRevisions(cluster *membership.Cluster, address string, revisions []ruleset.Revision) {
 	for _, revision := range revisions {
 		encoded := ruleset.RevisionUpdate{Sender: cluster.Address(), Revision: revision}.Encode()
 		c.metrics.revisionsSent.Add(1)
 		c.metrics.revisionBytesSent.Add(uint64(len(encoded)))
 		if cluster.SendReliable(address, encoded) != nil {
-			return // the instance asks again
+			return // the instance retries, and is sent them again
 		}
 	}
 }
--- a/internal/coordinator/metrics.go
+++ b/internal/coordinator/metrics.go
@@ -18,19 +18,19 @@
 	unreadableMessages atomic.Uint64
 }
 
-// EachMetric passes each metric to report. counter tells counters from gauges.
+// EachMetric calls report with each metric. counter is true for a counter and false for a gauge.
 func (c *Coordinator) EachMetric(report func(name string, value float64, counter bool)) {
 	c.mu.Lock()
 	active := c.revisionLog.Active
 	next := c.revisionLog.Next
-	leads := 0.0
+	isLeader := 0.0
 	if c.leaseIssuer != nil {
-		leads = 1
+		isLeader = 1
 	}
 	c.mu.Unlock()
 	report("keep_version", float64(active), false)
 	report("keep_coming", float64(next), false)
-	report("keep_leads", leads, false)
+	report("keep_leads", isLeader, false)
 	report("keep_grants", float64(c.metrics.leasesIssued.Load()), true)
 	report("keep_rounds", float64(c.metrics.quorumRounds.Load()), true)
 	report("keep_rounds_failed", float64(c.metrics.failedQuorumRounds.Load()), true)
@@ -43,11 +43,11 @@
 // metricsCollector exposes the metrics of a coordinator and its cluster to Prometheus.
 type metricsCollector struct{ coordinator *Coordinator }
 
-// Describe sends nothing, which makes the collector an unchecked one: its metrics are known only when they are
+// Describe sends no descriptions, which makes this an unchecked collector: its metrics are known only once they are
 // collected.
 func (metricsCollector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect sends the current values.
+// Collect sends the current value of each metric.
 func (m metricsCollector) Collect(values chan<- prometheus.Metric) {
 	report := admin.Metric(values, "See docs/agreement.md.")
 	m.coordinator.EachMetric(report)
--- a/internal/coordinator/proposal.go
+++ b/internal/coordinator/proposal.go
@@ -12,19 +12,19 @@
 type Proposal struct {
 	Text       []byte                 // unused for a rollback
 	RollbackOf ruleset.RevisionNumber // the revision whose text is proposed again; 0: none
-	Last       ruleset.RevisionNumber // the latest revision that the author saw
+	Last       ruleset.RevisionNumber // the latest revision that the author knew
 	Author     string
 }
 
-// validatedProposal is a proposal that may follow the revision in force.
+// validatedProposal is a proposal that may replace the revision in force.
 type validatedProposal struct {
 	Proposal
-	inForce *ruleset.Revision // nil if there is none
-	base    ruleset.RevisionNumber
+	inForce *ruleset.Revision      // nil if there is none
+	base    ruleset.RevisionNumber // the active revision
 }
 
-// Propose commits a proposal and returns the number of its revision. It returns ErrNotLeader, why the proposal was
-// refused, or that its outcome is unknown.
+// Propose commits a proposal and returns the number of its revision. The error says that this coordinator is not the
+// leader (ErrNotLeader), that there is none, why the proposal was rejected, or that its outcome is unknown.
 func (c *Coordinator) Propose(proposal Proposal) (ruleset.RevisionNumber, error) {
 	if _, err := c.Leader(); err != nil {
 		return 0, err
@@ -52,7 +52,7 @@
 	return proposal.Last + 1, nil
 }
 
-// DryRun returns why a proposal would be refused.
+// DryRun returns the reason why Propose would reject a proposal, or nil if there is none.
 func (c *Coordinator) DryRun(proposal Proposal) error {
 	valid, err := c.validate(proposal)
 	if err != nil {
@@ -65,7 +65,8 @@
 	return log.Propose(ruleset.Revision{Text: valid.Text}, valid.Last, valid.base)
 }
 
-// validate checks the proposal's text, for a rollback that of the earlier revision, against the revision in force.
+// validate checks the text of a proposal against the revision in force. The text of a rollback is that of the earlier
+// revision.
 func (c *Coordinator) validate(proposal Proposal) (validatedProposal, error) {
 	log := c.RevisionLog()
 	valid := validatedProposal{Proposal: proposal, base: log.Active}
--- a/internal/coordinator/statemachine.go
+++ b/internal/coordinator/statemachine.go
@@ -14,10 +14,10 @@
 	"pepperlead/policy"
 )
 
-// stateMachine is the coordinator as the raft.FSM of its group. Its state is the revision log.
+// stateMachine is the coordinator in its role as raft.FSM. Its state is the revision log.
 type stateMachine Coordinator
 
-// Apply applies a committed log entry. It returns nil or an error.
+// Apply applies a committed log entry. The result is nil or an error.
 func (m *stateMachine) Apply(entry *raft.Log) any {
 	decoded, err := decodeCommand(entry.Data)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// Snapshot returns the revision log as it is now.
+// Snapshot returns a snapshot of the revision log.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -89,9 +89,9 @@
 	return snapshot(encoded), err
 }
 
-// Restore replaces the revision log by that of a snapshot.
+// Restore replaces the revision log with that of a snapshot.
 func (m *stateMachine) Restore(from io.ReadCloser) error {
-	defer func() { _ = from.Close() }() // it was only read from
+	defer func() { _ = from.Close() }() // the snapshot was only read
 	var log ruleset.RevisionLog
 	if err := cbor.NewDecoder(from).Decode(&log); err != nil {
 		return err
--- a/internal/coordinator/store.go
+++ b/internal/coordinator/store.go
@@ -19,14 +19,14 @@
 	storeFile       = "log.db"
 	storeMode       = 0o600
 	directoryMode   = 0o700
-	lockTimeout     = 2 * time.Second // for a previous process to release the file
-	storedSnapshots = 2
+	lockTimeout     = 2 * time.Second // time for a previous process to release the file
+	storedSnapshots = 2               // number of snapshots kept
 )
 
 // errDamaged is returned for a store whose contents can't be read.
-var errDamaged = errors.New("cannot be read")
+var errDamaged = errors.New("store is damaged")
 
-// store is a coordinator's log, votes and snapshots on disk.
+// store holds a coordinator's log, votes and snapshots on disk.
 type store struct {
 	*boltdb.BoltStore
 	snapshots   raft.SnapshotStore
@@ -34,8 +34,8 @@
 	damagedCopy string // the directory that a damaged previous store was renamed to; empty: there was none
 }
 
-// openStore opens the store in a directory. A damaged one is renamed and replaced by a fresh one, whose contents the
-// other coordinators will send. It fails if the directory can't be written or another process uses it.
+// openStore opens the store in a directory. A damaged store is renamed and replaced by a fresh one, which receives its
+// contents from the other coordinators. openStore fails if the directory can't be written or another process uses it.
 func openStore(directory string, log *logrus.Logger, raftLogger hclog.Logger) (*store, error) {
 	opened, err := openOnce(directory, raftLogger)
 	if err == nil || !errors.Is(err, errDamaged) {
@@ -55,14 +55,14 @@
 	return opened, nil
 }
 
-// openOnce opens a store, which it creates if there is none.
+// openOnce opens a store, or creates it if there is none. It returns errDamaged if the store can't be read.
 func openOnce(directory string, raftLogger hclog.Logger) (opened *store, err error) {
 	if err := os.MkdirAll(directory, directoryMode); err != nil {
 		return nil, err
 	}
 	path := filepath.Join(directory, storeFile)
 	defer func() {
-		// bbolt takes its pages for valid: a torn one shows as a panic, or as a fault in the mapped file.
+		// bbolt doesn't validate its pages: a torn page causes a panic, or a fault in the mapped file.
 		if cause := recover(); cause != nil {
 			opened = nil
 			err = fmt.Errorf("%s: %w: %v", path, errDamaged, cause)
@@ -87,19 +87,19 @@
 	return &store{BoltStore: bolt, snapshots: snapshots, fresh: !hasState}, nil
 }
 
-// checkFile reads every page of the file once: a damaged one found later would be a crash.
+// checkFile checks every page of the file once: a damaged page found later would crash the process.
 func checkFile(path string) error {
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
 	db, err := bbolt.Open(path, storeMode, &bbolt.Options{Timeout: lockTimeout})
 	if errors.Is(err, bbolterrors.ErrTimeout) {
-		return fmt.Errorf("%s: another process has it", path)
+		return fmt.Errorf("%s: in use by another process", path)
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %w: %w", path, errDamaged, err)
 	}
-	defer func() { _ = db.Close() }() // it was only read from
+	defer func() { _ = db.Close() }() // the file was only read
 	return db.View(func(tx *bbolt.Tx) error {
 		var last error
 		for err := range tx.Check() {
@@ -109,8 +109,8 @@
 	})
 }
 
-// newRaftLogger returns a logger that passes raft's lines on at debug level. What matters of them is logged as changes
-// of leadership.
+// newRaftLogger returns a logger that writes raft's messages at debug level. The coordinator itself logs the events
+// that matter to operators, which are changes of leadership.
 func newRaftLogger(log *logrus.Logger) hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{
 		Name:        "raft",
--- a/internal/coordinator/stream.go
+++ b/internal/coordinator/stream.go
@@ -19,12 +19,12 @@
 	nonceSize        = 16 // bytes
 )
 
-// errUnauthenticated is returned for a peer that doesn't prove that it has the key.
-var errUnauthenticated = errors.New("peer does not know the key")
+// errUnauthenticated is returned if a handshake fails.
+var errUnauthenticated = errors.New("authentication with the shared key failed")
 
-// streamLayer is the raft.StreamLayer of a coordinator: TCP with a handshake. The accepting side sends a random nonce,
-// and the dialing side answers with the HMAC-SHA-256 (RFC 2104) of the nonce and the cluster's name under the shared
-// key. The handshake authenticates the dialing side; the connection isn't encrypted.
+// streamLayer is the raft.StreamLayer of a coordinator: TCP connections with a handshake. The accepting side sends a
+// random nonce, and the dialing side answers with the HMAC-SHA-256 (RFC 2104) of the nonce and the cluster's name under
+// the shared key. The handshake authenticates the dialing side; the connection isn't encrypted.
 type streamLayer struct {
 	net.Listener
 	key           []byte
@@ -37,7 +37,7 @@
 	rejected      atomic.Uint64 // connections that failed the handshake
 }
 
-// listen starts to accept connections.
+// listen starts accepting connections at the configured address.
 func listen(config *Config) (*streamLayer, error) {
 	listener, err := net.Listen("tcp", config.Listen)
 	if err != nil {
@@ -70,7 +70,7 @@
 	}
 }
 
-// mac returns what proves knowledge of the key.
+// mac returns the HMAC that proves knowledge of the key.
 func (s *streamLayer) mac(nonce []byte) []byte {
 	hash := hmac.New(sha256.New, s.key)
 	hash.Write(nonce)
@@ -78,26 +78,26 @@
 	return hash.Sum(nil)
 }
 
-// authenticate hands a connection to Accept after a successful handshake and closes it otherwise.
+// authenticate passes a connection to Accept after a successful handshake, and closes it otherwise.
 func (s *streamLayer) authenticate(conn net.Conn) {
 	if err := s.challenge(conn); err != nil {
 		if errors.Is(err, errUnauthenticated) {
 			s.rejected.Add(1)
 		}
-		_ = conn.Close() // the handshake's error is what counts
+		_ = conn.Close() // the error of the handshake is the relevant one
 		return
 	}
 	select {
 	case s.authenticated <- conn:
 	case <-s.closed:
-		_ = conn.Close() // nobody accepts it any more
+		_ = conn.Close() // Accept is not called any more
 	}
 }
 
 // challenge is the accepting side of the handshake.
 func (s *streamLayer) challenge(conn net.Conn) error {
 	var nonce [nonceSize]byte
-	_, _ = rand.Read(nonce[:]) // it never fails
+	_, _ = rand.Read(nonce[:]) // never fails
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return err
 	}
@@ -135,7 +135,7 @@
 		return nil, err
 	}
 	if err := s.respond(conn, min(timeout, handshakeTimeout)); err != nil {
-		_ = conn.Close() // the handshake's error is what counts
+		_ = conn.Close() // the error of the handshake is the relevant one
 		return nil, errors.Join(errUnauthenticated, err)
 	}
 	return conn, nil
--- a/internal/coordinator/transport.go
+++ b/internal/coordinator/transport.go
@@ -2,7 +2,7 @@
 
 import "net"
 
-// advertisedStream is a stream layer whose address is the one that the other coordinators dial.
+// advertisedStream is a stream layer that reports the address that the other coordinators dial.
 type advertisedStream struct {
 	*streamLayer
 	address advertisedAddress
@@ -11,7 +11,7 @@
 // Addr returns the advertised address.
 func (s advertisedStream) Addr() net.Addr { return s.address }
 
-// advertisedAddress is a host and port.
+// advertisedAddress is a net.Addr that holds host and port as text.
 type advertisedAddress string
 
 // Network returns "tcp".
