--- a/internal/membership/cluster.go
+++ b/internal/membership/cluster.go
@@ -1,6 +1,6 @@
 // Package membership tracks which sidecars of a cluster are alive. hashicorp/memberlist (SWIM with Lifeguard) finds
 // members and detects failures; this package configures it, announces the metadata of this member, joins former members
-// again after a network partition, and answers the queries of the rest of the sidecar. Membership is off unless it is
+// again after a network partition, and reports the members to the rest of the sidecar. Membership is off unless it is
 // configured. See docs/peers.md.
 package membership
 
@@ -22,11 +22,12 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Descriptors is how many file descriptors the sockets, and the few short connections that exchange full state, take.
+// Descriptors is the number of file descriptors for the sockets and for the few short-lived connections that exchange
+// full state.
 const Descriptors = 12
 
-// How memberlist detects failures, where that differs from its defaults for a LAN. With the defaults a member of a
-// cluster of five can take a minute to notice that it is partitioned, as few members are left to confirm a suspicion.
+// Settings of memberlist's failure detection that differ from its defaults for a LAN. With the defaults, a member of a
+// cluster of five can take a minute to notice that it is partitioned, as few members remain to confirm a suspicion.
 const (
 	probeInterval          = 500 * time.Millisecond
 	probeTimeout           = 300 * time.Millisecond // far above a round trip: a process that waits for CPU is not dead
@@ -37,15 +38,15 @@
 const (
 	// announceSpacing is the mean time between two announcements in the cluster while all members have changes.
 	announceSpacing = 200 * time.Millisecond
-	// announceTimeout is how long an announcement waits for its broadcast, which goes on afterwards.
+	// announceTimeout is how long an announcement waits for its broadcast, which continues after the timeout.
 	announceTimeout = time.Millisecond
-	// leaveTimeout is how long Close waits until the other members know that this one leaves.
+	// leaveTimeout is how long Close waits for the other members to learn that this one leaves.
 	leaveTimeout = 200 * time.Millisecond
-	// joinTurnRange is the range of the random position at which a member starts in its list of addresses to join.
+	// joinTurnRange is the range of the random position in the list of addresses to join at which a member starts.
 	joinTurnRange = 1 << 16
 )
 
-// Peer is a member as this one knows it.
+// Peer is what this member knows about a member of the cluster.
 type Peer struct {
 	Metadata
 	Name, Address string
@@ -67,14 +68,14 @@
 	announceAt time.Time        // when changed metadata is announced; zero: nothing has changed
 	peers      map[string]*Peer // by name, former members included
 	joinTurn   int              // position in the addresses to join
-	joined     uint64
-	left       uint64
+	joins      uint64           // number of joins of other members
+	departures uint64           // number of other members that left or were declared dead
 
-	dropped atomic.Uint64 // packets and connections of another key or cluster
+	dropped atomic.Uint64 // number of packets and connections with another key or cluster name
 }
 
-// newCluster returns a cluster that knows no members yet. It starts at a random position in the addresses to join:
-// hundreds of members that start at once with one list would otherwise all join through the same one.
+// newCluster returns a cluster without members. It starts at a random position in the addresses to join: hundreds of
+// members that start at once with the same list would otherwise all join through the same member.
 func newCluster(config Config, log *logrus.Logger) *Cluster {
 	return &Cluster{
 		config:   config,
@@ -85,7 +86,7 @@
 	}
 }
 
-// Open starts to listen, and to join the configured addresses in the background.
+// Open starts listening, and joins members at the configured addresses in the background.
 func Open(config Config, log *logrus.Logger) (*Cluster, error) {
 	c := newCluster(config, log)
 	listConfig, err := c.memberlistConfig()
@@ -140,11 +141,11 @@
 
 // Announce sets the revision and the digest that this member announces. It is called periodically.
 //
-// Each announcement is gossiped to all members, and a new revision changes all of them at once. So that they don't
-// flood the network, each waits for a random time that grows with the size of the cluster.
+// Each announcement is gossiped to all members, and a new revision changes the metadata of all members at once. So that
+// they don't flood the network, each delays its announcement by a random time that grows with the size of the cluster.
 func (c *Cluster) Announce(revision, tableDigest uint64) {
 	if c.setMetadata(revision, tableDigest) {
-		_ = c.list.UpdateNode(announceTimeout) // times out regularly: the broadcast goes on without a caller that waits
+		_ = c.list.UpdateNode(announceTimeout) // usually times out, and the broadcast continues in the background
 	}
 }
 
@@ -180,7 +181,7 @@
 	return alive
 }
 
-// Coordinators returns the addresses of the coordinators. Those considered dead are included, as that may be an error.
+// Coordinators returns the addresses of the coordinators, including those considered dead, as that may be a mistake.
 func (c *Cluster) Coordinators() []string {
 	var addresses []string
 	for _, peer := range c.Peers() {
@@ -219,7 +220,7 @@
 	return peers
 }
 
-// Report returns the known members as text, one a line.
+// Report returns the known members as text, one a line. Fault-injection tests read it.
 func (c *Cluster) Report() string {
 	var report strings.Builder
 	now := time.Now()
@@ -243,12 +244,12 @@
 	return report.String()
 }
 
-// EachMetric calls each with every metric; counter tells a counter from a gauge.
-func (c *Cluster) EachMetric(each func(name string, value float64, counter bool)) {
+// EachMetric calls report with each metric. counter is true for a counter and false for a gauge.
+func (c *Cluster) EachMetric(report func(name string, value float64, counter bool)) {
 	c.mu.Lock()
 	known := len(c.peers)
-	joined := c.joined
-	left := c.left
+	joins := c.joins
+	departures := c.departures
 	tables := map[uint64]bool{}
 	for _, peer := range c.peers {
 		if peer.Alive && !peer.Coordinator {
@@ -256,21 +257,21 @@
 		}
 	}
 	c.mu.Unlock()
-	each("peers_alive", float64(c.Alive()), false)
-	each("peers_known", float64(known), false)
-	each("peers_tables", float64(len(tables)), false)
-	each("peers_own_health", float64(c.list.GetHealthScore()), false)
-	each("peers_joined", float64(joined), true)
-	each("peers_gone", float64(left), true)
-	each("peers_dropped", float64(c.dropped.Load()), true)
-	each("peers_packets_sent", float64(c.transport.packets.Load()), true)
-	each("peers_bytes_sent", float64(c.transport.bytes.Load()), true)
+	report("peers_alive", float64(c.Alive()), false)
+	report("peers_known", float64(known), false)
+	report("peers_tables", float64(len(tables)), false)
+	report("peers_own_health", float64(c.list.GetHealthScore()), false)
+	report("peers_joined", float64(joins), true)
+	report("peers_gone", float64(departures), true)
+	report("peers_dropped", float64(c.dropped.Load()), true)
+	report("peers_packets_sent", float64(c.transport.packets.Load()), true)
+	report("peers_bytes_sent", float64(c.transport.bytes.Load()), true)
 }
 
-// Close leaves the cluster, so that the other members need not detect a failure, and stops.
+// Close leaves the cluster, so that the other members don't have to detect a failure, and stops.
 func (c *Cluster) Close() {
 	c.cancel()
-	_ = c.list.Leave(leaveTimeout) // after a timeout the others detect that this member is gone
+	_ = c.list.Leave(leaveTimeout) // after a timeout the others detect the failure
 	_ = c.list.Shutdown()          // nothing can be done about a socket that fails to close
 	c.background.Wait()
 }
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -16,9 +16,9 @@
 // Config describes this sidecar and the cluster that it joins.
 type Config struct {
 	Name        string   // unique in the cluster
-	Cluster     string   // packets of other clusters are dropped
-	Listen      string   // address for TCP and UDP
-	Advertise   string   // address that others use; empty: Listen
+	Cluster     string   // name of the cluster; packets of other clusters are dropped
+	Listen      string   // address to listen on, for TCP and UDP
+	Advertise   string   // address at which other members reach this one; empty: Listen
 	Join        []string // addresses of members to join through
 	Key         []byte   // 16, 24 or 32 bytes; encrypts every packet
 	Zone        string
@@ -40,7 +40,7 @@
 	}
 	key, err := base64.StdEncoding.DecodeString(string(bytes.TrimSpace(text)))
 	if len(text) > maxKeyFileSize || err != nil || !slices.Contains(keySizes, len(key)) {
-		return nil, fmt.Errorf("%s: found no key, allowed base64 of 16, 24 or 32 bytes", path)
+		return nil, fmt.Errorf("%s: not a key of 16, 24 or 32 bytes in base64", path)
 	}
 	return key, nil
 }
--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -7,7 +7,7 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// delegate receives the callbacks of memberlist for a cluster.
+// delegate implements the callbacks of memberlist for a cluster.
 type delegate struct {
 	cluster *Cluster
 }
@@ -35,8 +35,8 @@
 	if node.Name == c.config.Name {
 		return
 	}
-	c.joined++
-	c.log.Infof("peers: %s joined, %d there", node.Name, c.countAlive())
+	c.joins++
+	c.log.Infof("peers: %s joined, %d alive", node.Name, c.countAlive())
 }
 
 // NotifyUpdate is called when the metadata of a member has changed.
@@ -55,8 +55,8 @@
 	if node.Name == c.config.Name {
 		return
 	}
-	c.left++
-	c.log.Infof("peers: %s gone, %d there", node.Name, c.countAlive())
+	c.departures++
+	c.log.Infof("peers: %s left or is dead, %d alive", node.Name, c.countAlive())
 }
 
 // NotifyPingComplete is called when a member has answered a ping.
@@ -68,39 +68,39 @@
 	}
 }
 
-// NotifyConflict is called when two members use one name: the first of them stays.
+// NotifyConflict is called when two members have the same name. memberlist ignores the second one.
 func (d delegate) NotifyConflict(existing, other *memberlist.Node) {
-	d.cluster.log.Warnf("peers: %s is the name of %s, and of %s, which is left out",
+	d.cluster.log.Warnf("peers: name %s is used by %s and also by %s, which is ignored",
 		existing.Name, existing.Address(), other.Address())
 }
 
-// NotifyMsg is called with a message of another member. memberlist reuses the bytes afterwards.
+// NotifyMsg is called with a message of another member. memberlist reuses the buffer afterwards.
 func (d delegate) NotifyMsg(message []byte) {
 	if onMessage := d.cluster.config.OnMessage; onMessage != nil {
 		onMessage(slices.Clone(message))
 	}
 }
 
-// AckPayload is empty: answers to pings carry nothing.
+// AckPayload returns nil: answers to pings carry no payload.
 func (delegate) AckPayload() []byte { return nil }
 
-// GetBroadcasts is empty: nothing but memberlist's own messages is gossiped.
+// GetBroadcasts returns nil: only memberlist's own messages are gossiped.
 func (delegate) GetBroadcasts(_, _ int) [][]byte { return nil }
 
-// LocalState is empty: members exchange no state beyond memberlist's own.
+// LocalState returns nil: members exchange no state besides memberlist's own.
 func (delegate) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState does nothing, as LocalState is empty.
+// MergeRemoteState does nothing, as LocalState returns nothing.
 func (delegate) MergeRemoteState([]byte, bool) {}
 
-// updatePeer records what memberlist knows of a member. The caller holds the lock.
+// updatePeer records what memberlist knows about a member. The caller holds the lock.
 func (c *Cluster) updatePeer(node *memberlist.Node, alive bool) {
 	peer := c.peers[node.Name]
 	if peer == nil {
 		peer = &Peer{Name: node.Name}
 		c.peers[node.Name] = peer
 	}
-	// Metadata in a later format can't be decoded; the member counts all the same, with its last known metadata.
+	// Metadata in a later format may fail to decode. The member still counts, with its last known metadata.
 	if metadata, err := decodeMetadata(node.Meta); err == nil {
 		peer.Metadata = metadata
 	}
@@ -109,7 +109,7 @@
 	peer.LastSeen = time.Now()
 }
 
-// countAlive counts the members that are alive, coordinators among them. The caller holds the lock.
+// countAlive returns the number of members that are alive, coordinators included. The caller holds the lock.
 func (c *Cluster) countAlive() int {
 	alive := 0
 	for _, peer := range c.peers {
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -11,12 +11,13 @@
 	"pepperlead/internal/golden"
 )
 
-// The metadata of a member is decoded by members of an earlier build, and encoded by them in the same bytes.
-func TestMetadataKeepsItsKeys(t *testing.T) {
+// The encoding of metadata stays the same: members of other versions send and receive it.
+func TestMetadataKeepsItsEncoding(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	sender := newCluster(Config{Name: "sender"}, log)
-	sender.metadata = Metadata{Zone: "zone", StartedAt: 1_700_000_000_000_000_001, Revision: 2, TableDigest: 1 << 63, Coordinator: true}
+	sender.metadata = Metadata{Zone: "zone", StartedAt: 1_700_000_000_000_000_001, Revision: 2, TableDigest: 1 << 63,
+		Coordinator: true}
 	encoded := delegate{sender}.NodeMeta(memberlist.MetaMaxSize)
 	want := golden.ReadOrWrite(t, "says.cbor", encoded)
 	if !bytes.Equal(encoded, want) {
--- a/internal/membership/log.go
+++ b/internal/membership/log.go
@@ -8,16 +8,16 @@
 	"github.com/sirupsen/logrus"
 )
 
-// newLogger returns memberlist's logger. Its lines become debug lines of the sidecar's log: changes of membership that
-// matter are logged by the delegate.
-func newLogger(to *logrus.Logger, dropped *atomic.Uint64) *log.Logger {
-	return log.New(logWriter{to, dropped}, "", 0)
+// newLogger returns memberlist's logger. It writes to the sidecar's log at debug level, because the delegate logs the
+// changes of membership that matter to operators.
+func newLogger(target *logrus.Logger, dropped *atomic.Uint64) *log.Logger {
+	return log.New(logWriter{target, dropped}, "", 0)
 }
 
-// logWriter passes memberlist's log lines on and counts the packets and connections that memberlist drops, which it
-// reports nowhere else.
+// logWriter writes memberlist's log lines to the target and counts the packets and connections that memberlist drops,
+// which it reports nowhere else.
 type logWriter struct {
-	to      *logrus.Logger
+	target  *logrus.Logger
 	dropped *atomic.Uint64
 }
 
@@ -27,11 +27,11 @@
 	if reportsDrop(text) {
 		w.dropped.Add(1)
 	}
-	w.to.Debug("peers: " + strings.TrimSpace(text))
+	w.target.Debug("peers: " + strings.TrimSpace(text))
 	return len(line), nil
 }
 
-// reportsDrop reports whether a log line says that a packet or connection of another key or cluster was dropped.
+// reportsDrop reports whether a log line says that a packet or connection with another key or cluster name was dropped.
 func reportsDrop(line string) bool {
 	switch {
 	case strings.Contains(line, "Decrypt packet failed"):
--- a/internal/membership/metadata.go
+++ b/internal/membership/metadata.go
@@ -6,21 +6,21 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Metadata is what each member announces of itself to all others.
+// Metadata is what each member announces about itself to all others.
 type Metadata struct {
 	Zone        string `cbor:"1,keyasint"`
 	StartedAt   int64  `cbor:"2,keyasint"` // Unix time of the start, in nanoseconds
-	Revision    uint64 `cbor:"3,keyasint"` // of the active rule set; 0: the member's own file
+	Revision    uint64 `cbor:"3,keyasint"` // latest one leased; 0: the rules of its own settings file
 	TableDigest uint64 `cbor:"4,keyasint"` // digest of the slot table
 	Coordinator bool   `cbor:"5,keyasint"` // the member is a coordinator and serves no requests
 }
 
-// newMetadata describes a member that starts now.
+// newMetadata returns the metadata of a member that starts now.
 func newMetadata(config Config) Metadata {
 	return Metadata{Zone: config.Zone, StartedAt: time.Now().UnixNano(), Coordinator: config.Coordinator}
 }
 
-// encode returns the metadata in CBOR, or nil if that takes more bytes than the limit.
+// encode returns the metadata in CBOR, or nil if that is longer than limit bytes.
 func (m Metadata) encode(limit int) []byte {
 	encoded, err := cbor.Marshal(m)
 	if err != nil || len(encoded) > limit {
--- a/internal/membership/rejoin.go
+++ b/internal/membership/rejoin.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// rejoinInterval is the mean time between two attempts to join a member that is not alive.
+	// rejoinInterval is the mean time between two attempts to join a member that isn't known to be alive.
 	rejoinInterval = 3 * time.Second
-	// forgetAfter is how long a member that left is remembered, and joined again if it comes back.
+	// forgetAfter is how long a former member is remembered, and attempts to join it again are made.
 	forgetAfter = 10 * time.Minute
 )
 
@@ -27,13 +27,14 @@
 		case <-time.After(pause):
 		}
 		if address := c.nextToJoin(time.Now()); address != "" {
-			_, _ = c.list.Join([]string{address}) // the delegate learns who joined, and a failed attempt is repeated
+			_, _ = c.list.Join([]string{address}) // the delegate records who joined; failed attempts are repeated
 		}
 		pause = rejoinInterval/2 + rand.N(rejoinInterval)
 	}
 }
 
-// nextToJoin returns the next address, in turn, at which no member is known to be alive; empty if there is none.
+// nextToJoin returns the next address, in rotation, at which no member is known to be alive, or "" if there is none. It
+// forgets former members after forgetAfter.
 func (c *Cluster) nextToJoin(now time.Time) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -9,12 +9,12 @@
 )
 
 // transport is memberlist's network transport with counters. Its connections use the same local address as its packets,
-// so that a fault between two addresses affects both alike.
+// so that a network fault between two addresses affects both.
 type transport struct {
 	*memberlist.NetTransport
 	localAddress string
-	packets      atomic.Uint64
-	bytes        atomic.Uint64
+	packets      atomic.Uint64 // number of packets sent
+	bytes        atomic.Uint64 // bytes sent in packets and over connections
 }
 
 // WriteToAddress sends a packet.
@@ -47,13 +47,13 @@
 	return t.DialAddressTimeout(memberlist.Address{Addr: address}, timeout)
 }
 
-// countingConn adds the bytes that it sends to the transport's counter.
+// countingConn is a connection that adds the bytes it sends to the transport's counter.
 type countingConn struct {
 	net.Conn
 	transport *transport
 }
 
-// Write sends and counts bytes.
+// Write sends bytes and counts them.
 func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.transport.bytes.Add(uint64(n))
