--- a/internal/hotrestart/drained.go
+++ b/internal/hotrestart/drained.go
@@ -14,12 +14,12 @@
 	"pepperlead/internal/snapshot"
 )
 
-// The file of drained endpoints: a uid a line. Other builds read it too.
+// The file of drained endpoints has one uid per line. Processes of other versions read it too.
 const (
 	drainedFile    = "out-by-hand"
 	drainedKind    = "out-by-hand"
 	drainedVersion = 1
-	// unreadableSuffix is appended to the name of a file that can't be read when it is moved out of the way.
+	// unreadableSuffix is appended to the name of a file that can't be read, when it is moved aside.
 	unreadableSuffix = ".unread"
 )
 
@@ -34,18 +34,18 @@
 // confirmTimeout is how long the other processes may take to confirm a change.
 const confirmTimeout = 350 * time.Millisecond
 
-// ErrNotConfirmed reports that a process of the group has not applied a saved change in time. It does so once its event
-// loop gets to it.
-var ErrNotConfirmed = errors.New("kept, but not every process of this sidecar has said in time that it is in force")
+// ErrNotConfirmed reports that a process of the group has not applied a saved change in time. The process applies it
+// once its event loop is free.
+var ErrNotConfirmed = errors.New("saved, but not confirmed in time by every process of this sidecar")
 
-// Drained returns the uids of the drained endpoints. A file that can't be read is moved out of the way, and drains
-// none.
+// Drained returns the uids of the drained endpoints. A file that can't be read is moved aside, and then no endpoint is
+// drained.
 func (g *ProcessGroup) Drained() ([]string, error) {
 	uids, err := g.readDrained()
 	if err == nil {
 		return uids, nil
 	}
-	// Read again under the lock: by now another process may have replaced the file by one that must stay.
+	// Read again under the lock: another process may have replaced the file meanwhile, and the new one must stay.
 	unlock, err := g.lock()
 	if err != nil {
 		return nil, err
@@ -54,8 +54,8 @@
 	return g.readOrQuarantine(nil)
 }
 
-// SetDrained drains an endpoint, or ends that, in all processes of the group: the change is saved, then applied here
-// and by the others. An error tells how far the change came.
+// SetDrained drains an endpoint, or stops draining it, in all processes of the group. The change is saved, then applied
+// by this process and by the others. An error says how far the change got.
 func (g *ProcessGroup) SetDrained(uid string, drained bool) error {
 	g.changing.Lock()
 	defer g.changing.Unlock()
@@ -81,20 +81,20 @@
 	return nil
 }
 
-// applyUnsaved applies a change in this process alone, as it could not be saved. It always returns an error.
+// applyUnsaved applies a change that could not be saved, in this process only. It always returns an error.
 func (g *ProcessGroup) applyUnsaved(uid string, drained bool, reason error) error {
 	g.mu.Lock()
 	g.unsaved[uid] = drained
 	g.mu.Unlock()
-	effect := "in force in this process alone, until it ends, as it cannot be kept"
+	effect := "in force in this process only, until it ends, because the change cannot be saved"
 	if errors.Is(g.applyDrained(), ErrNotConfirmed) {
-		effect = "neither kept nor in force yet: it will be in this process once its loop comes to it"
+		effect = "neither saved nor in force yet: this process applies the change once its event loop is free"
 	}
 	return fmt.Errorf("%s: %w", effect, reason)
 }
 
-// beginChange starts the change of an endpoint that was saved. It returns the sequence number of the change, and for
-// each other process a channel that is closed once that process has applied it.
+// beginChange registers a saved change of an endpoint. It returns the sequence number of the change and, for each other
+// process, a channel that is closed once that process has applied the change.
 func (g *ProcessGroup) beginChange(uid string) (uint64, map[*peerProcess]chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -108,8 +108,8 @@
 	return g.sequence, confirmations
 }
 
-// applyDrained has this process drain the saved endpoints, changed by what could not be saved. If the file can't be
-// read, what is in force stays.
+// applyDrained makes this process drain the saved endpoints, modified by the unsaved changes. If the file can't be
+// read, it uses the endpoints that were applied last instead of the saved ones.
 func (g *ProcessGroup) applyDrained() error {
 	g.applying.Lock()
 	defer g.applying.Unlock()
@@ -131,8 +131,8 @@
 	return err
 }
 
-// saveDrained changes the file under the lock. If the file can't be read, the endpoints in force here are saved
-// instead.
+// saveDrained saves a change to the file, under the lock. If the file can't be read, it saves the change on top of the
+// endpoints that this process last applied.
 func (g *ProcessGroup) saveDrained(uid string, drained bool) error {
 	if g.unavailable != nil {
 		return g.unavailable
@@ -153,7 +153,7 @@
 	return g.store.Put(drainedFile, drainedKind, drainedVersion, []byte(body))
 }
 
-// readDrained reads the file. Without one, no endpoint is drained.
+// readDrained reads the file. If there is none, no endpoint is drained.
 func (g *ProcessGroup) readDrained() ([]string, error) {
 	if g.unavailable != nil {
 		return nil, nil
@@ -165,8 +165,8 @@
 	return strings.Fields(string(body)), err
 }
 
-// readOrQuarantine reads the file under the lock. A file that is damaged or of another version is renamed, out of the
-// way of the next change, where an operator can look at it, and the fallback is returned.
+// readOrQuarantine reads the file; the caller holds the lock. If the file is damaged or of another version, it is
+// renamed so that the next change can be saved and an operator can inspect the file, and the fallback is returned.
 func (g *ProcessGroup) readOrQuarantine(fallback []string) ([]string, error) {
 	uids, err := g.readDrained()
 	if err == nil {
@@ -178,7 +178,7 @@
 	return fallback, os.Rename(path, path+unreadableSuffix)
 }
 
-// lock keeps other processes from changing the file until unlock is called.
+// lock keeps other processes from changing the file until unlock is called. It fails after lockTimeout.
 func (g *ProcessGroup) lock() (unlock func(), err error) {
 	file, err := os.OpenFile(filepath.Join(g.dir, lockFile), os.O_CREATE|os.O_RDWR, lockMode)
 	if err != nil {
@@ -188,17 +188,17 @@
 	for {
 		err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 		if err == nil {
-			return func() { _ = file.Close() }, nil // closing releases the lock, even where it reports an error
+			return func() { _ = file.Close() }, nil // closing releases the lock even if it returns an error
 		}
 		if time.Now().After(deadline) {
-			err = fmt.Errorf("another process holds the list of servers out by hand: %w", err)
+			err = fmt.Errorf("another process holds the lock on the drained endpoints: %w", err)
 			return nil, errors.Join(err, file.Close())
 		}
 		time.Sleep(lockRetryInterval)
 	}
 }
 
-// withEndpoint returns a copy of the list with an endpoint at its end, or without that endpoint.
+// withEndpoint returns a copy of the list that ends with the endpoint if it is drained, and lacks it otherwise.
 func withEndpoint(uids []string, uid string, drained bool) []string {
 	changed := slices.DeleteFunc(slices.Clone(uids), func(other string) bool { return other == uid })
 	if drained {
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -19,33 +19,33 @@
 	"pepperlead/internal/golden"
 )
 
-// quietLog keeps the log of a test to itself.
+// quietLog returns a logger that discards its output.
 func quietLog() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-// earlierBuild stands for a process of an earlier build at the other end of a connection, line by line. It notes both
-// sides' lines.
-type earlierBuild struct {
+// earlierVersion plays a process of an earlier version at the other end of a connection. It records the lines of both
+// sides.
+type earlierVersion struct {
 	t          *testing.T
 	connection net.Conn
 	lines      *bufio.Reader
 	transcript *strings.Builder
 }
 
-func newEarlierBuild(t *testing.T, connection net.Conn, transcript *strings.Builder) *earlierBuild {
+func newEarlierVersion(t *testing.T, connection net.Conn, transcript *strings.Builder) *earlierVersion {
 	t.Helper()
 	t.Cleanup(func() { connection.Close() })
 	if err := connection.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	return &earlierBuild{t, connection, bufio.NewReader(connection), transcript}
+	return &earlierVersion{t, connection, bufio.NewReader(connection), transcript}
 }
 
 // send sends a line.
-func (e *earlierBuild) send(line string) {
+func (e *earlierVersion) send(line string) {
 	e.t.Helper()
 	fmt.Fprintf(e.transcript, "earlier build: %s\n", line)
 	if _, err := fmt.Fprintln(e.connection, line); err != nil {
@@ -53,8 +53,8 @@
 	}
 }
 
-// receive takes the next line.
-func (e *earlierBuild) receive() {
+// receive reads the next line.
+func (e *earlierVersion) receive() {
 	e.t.Helper()
 	line, err := e.lines.ReadString('\n')
 	if err != nil {
@@ -63,21 +63,22 @@
 	fmt.Fprintf(e.transcript, "this build: %s", line)
 }
 
-// transcriptMatches compares what was said with the golden transcript.
-func transcriptMatches(t *testing.T, file, transcript string) {
+// compareTranscript compares a transcript with the golden one.
+func compareTranscript(t *testing.T, file, transcript string) {
 	t.Helper()
 	if want := golden.ReadOrWrite(t, file, []byte(transcript)); transcript != string(want) {
-		t.Errorf("said\n%s\nwant\n%s", transcript, want)
+		t.Errorf("got transcript\n%s\nwant\n%s", transcript, want)
 	}
 }
 
-// serve has the process apply every change, and export a fixed state.
+// serve makes the process apply every change, and export a fixed state.
 func serve(g *ProcessGroup) {
 	g.Serve(func([]string) bool { return true }, func() []byte { return []byte(`{"learned":1}`) }, func(int) {})
 }
 
-// A process of an earlier build that comes later asks in these lines, and is answered in them.
-func TestAnswersKeepTheirLines(t *testing.T) {
+// The protocol stays the same for a process of an earlier version that joins later: its requests are understood, and
+// the responses have the golden lines.
+func TestResponsesKeepTheirLines(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "folder")
 	process, err := Join(dir, quietLog())
 	if err != nil {
@@ -90,21 +91,22 @@
 		t.Fatal(err)
 	}
 	var transcript strings.Builder
-	earlier := newEarlierBuild(t, connection, &transcript)
+	earlier := newEarlierVersion(t, connection, &transcript)
 	for _, line := range []string{"here", "look 17", "tell"} {
 		earlier.send(line)
 		earlier.receive()
 	}
-	transcriptMatches(t, "answers.txt", transcript.String())
+	compareTranscript(t, "answers.txt", transcript.String())
 }
 
-// A process of an earlier build that is there already is asked in these lines, and its answers are understood.
+// The protocol stays the same for a process of an earlier version that runs already: requests to it have the golden
+// lines, and its responses are understood.
 func TestRequestsKeepTheirLines(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "folder")
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	root, err := os.Open(dir) // the path by its descriptor is short enough for a socket's, whatever the folder's name
+	root, err := os.Open(dir) // a path through its descriptor is short enough for a socket address
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,7 +129,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	earlier := newEarlierBuild(t, connection, &transcript)
+	earlier := newEarlierVersion(t, connection, &transcript)
 	earlier.receive()
 	earlier.send("met")
 	process := <-joined
@@ -149,13 +151,13 @@
 	go func() { learned <- process.LearnedStates() }()
 	earlier.receive()
 	earlier.send(`told {"learned": 2}`)
-	if texts := <-learned; len(texts) != 1 || string(texts[0]) != `{"learned": 2}` {
-		t.Errorf("learned %q", texts)
+	if states := <-learned; len(states) != 1 || string(states[0]) != `{"learned": 2}` {
+		t.Errorf("learned states %q", states)
 	}
-	transcriptMatches(t, "questions.txt", transcript.String())
+	compareTranscript(t, "questions.txt", transcript.String())
 }
 
-// The endpoints that an earlier build has drained stay drained, and are saved again in the same bytes.
+// Endpoints drained by an earlier version stay drained, and are saved to the same bytes again.
 func TestDrainedEndpointsKeepTheirFile(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "folder")
 	process, err := Join(dir, quietLog())
@@ -186,7 +188,7 @@
 	if drained, err := process.Drained(); err != nil || !slices.Equal(drained, uids) {
 		t.Errorf("decoded %q, %v, want %q", drained, err, uids)
 	}
-	// The last one once more: the file is read and written again, and the order stays.
+	// Draining the last endpoint again rewrites the file, in the same order.
 	if err := process.SetDrained("server-1", true); err != nil {
 		t.Fatal(err)
 	}
@@ -195,11 +197,11 @@
 	}
 }
 
-// Processes of two builds meet by these names.
+// The names of the directory and of its files stay the same, so that processes of different versions find each other.
 func TestDirectoryKeepsItsNames(t *testing.T) {
-	folder := []byte(filepath.Base(Directory("name", "127.0.0.1:80")) + "\n")
-	if want := golden.ReadOrWrite(t, "folder.txt", folder); !bytes.Equal(folder, want) {
-		t.Errorf("found the folder %q, want %q", folder, want)
+	name := []byte(filepath.Base(Directory("name", "127.0.0.1:80")) + "\n")
+	if want := golden.ReadOrWrite(t, "folder.txt", name); !bytes.Equal(name, want) {
+		t.Errorf("got directory name %q, want %q", name, want)
 	}
 	dir := filepath.Join(t.TempDir(), "folder")
 	process, err := Join(dir, quietLog())
@@ -234,6 +236,6 @@
 		fmt.Fprintf(&names, "%s %v\n", name, entry.Type())
 	}
 	if want := golden.ReadOrWrite(t, "names.txt", []byte(names.String())); names.String() != string(want) {
-		t.Errorf("found\n%s\nwant\n%s", names.String(), want)
+		t.Errorf("got files\n%s\nwant\n%s", names.String(), want)
 	}
 }
--- a/internal/hotrestart/messages.go
+++ b/internal/hotrestart/messages.go
@@ -5,17 +5,17 @@
 	"strings"
 )
 
-// messageKind is the word that a message begins with. Processes of different builds exchange messages, so words never
-// change.
+// messageKind is the word that a message begins with. Processes of different versions exchange messages, so the words
+// never change.
 type messageKind string
 
 const (
 	messageHello        messageKind = "here" // the sender has joined
-	messageWelcome      messageKind = "met"  // the answer to a hello: the sender has reduced its share of the limits
+	messageWelcome      messageKind = "met"  // the response to a hello: the sender has reduced its share of the limits
 	messageApply        messageKind = "look" // the drained endpoints have changed; carries a sequence number
-	messageApplied      messageKind = "done" // the answer to an apply, with its number: the change is in force
-	messageStateRequest messageKind = "tell" // asks for the learned state
-	messageState        messageKind = "told" // the answer to a state request; carries the learned state
+	messageApplied      messageKind = "done" // the response to an apply, with its number: the change is in force
+	messageStateRequest messageKind = "tell" // requests the learned state
+	messageState        messageKind = "told" // the response to a state request; carries the learned state
 )
 
 // message is one line on the socket between two processes.
@@ -24,17 +24,17 @@
 	payload string // a sequence number or a learned state, for the kinds that carry one
 }
 
-// newApply asks a process to apply the change with a sequence number.
+// newApply returns a message that asks a process to apply the change with a sequence number.
 func newApply(sequence uint64) message {
 	return message{messageApply, strconv.FormatUint(sequence, 10)}
 }
 
-// newState carries a learned state, which must be a single line.
+// newState returns a message with a learned state, which must be a single line.
 func newState(state []byte) message {
 	return message{messageState, string(state)}
 }
 
-// parseMessage splits a line into the kind of the message and its payload. The kind may be unknown.
+// parseMessage splits a line into the kind and the payload of a message. The kind may be unknown.
 func parseMessage(line string) message {
 	kind, payload, _ := strings.Cut(line, " ")
 	return message{messageKind(kind), payload}
@@ -49,7 +49,7 @@
 	return sequence
 }
 
-// String returns the line of the message.
+// String returns the message as a line, without a line break.
 func (m message) String() string {
 	switch m.kind {
 	case messageApply, messageApplied, messageState:
--- a/internal/hotrestart/messages_test.go
+++ b/internal/hotrestart/messages_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Each message is parsed from its line, and has the same line again.
+// Each line is parsed into its message, which has the same line again.
 func TestMessagesAreParsed(t *testing.T) {
 	for line, want := range map[string]message{
 		"here":              {kind: messageHello},
@@ -24,6 +24,7 @@
 	}
 }
 
+// Payloads that are no sequence number count as 0.
 func TestSequenceNumbers(t *testing.T) {
 	for line, want := range map[string]uint64{"done 17": 17, "done": 0, "done x": 0, "done -1": 0} {
 		if got := parseMessage(line).sequence(); got != want {
--- a/internal/hotrestart/processgroup.go
+++ b/internal/hotrestart/processgroup.go
@@ -1,6 +1,7 @@
-// Package hotrestart lets the processes of one sidecar, an old version and the one that replaces it, act as one. The
-// processes share a directory: it holds the endpoints that an operator has drained, and a socket of each process, over
-// which they agree on how many they are, confirm changes of drained endpoints and pass learned state on.
+// Package hotrestart coordinates the processes of one sidecar during a hot restart: an old version and the one that
+// replaces it. The processes share a directory, which holds the endpoints that an operator has drained and a socket for
+// each process. Over the sockets they agree on the number of processes, confirm changes of the drained endpoints and
+// hand over learned state.
 package hotrestart
 
 import (
@@ -21,8 +22,8 @@
 	"pepperlead/internal/snapshot"
 )
 
-// Descriptors is how many file descriptors a process group takes: the directory, the socket, the file of drained
-// endpoints and its lock, and connections to two other processes.
+// Descriptors is the number of file descriptors that a process group takes: the directory, the socket, the file of
+// drained endpoints and its lock, and connections to two other processes.
 const Descriptors = 6
 
 // Permissions of the shared directory.
@@ -31,7 +32,7 @@
 	writableByOthers = 0o022 // permission bits that the directory must not have
 )
 
-// ProcessGroup is the group of processes of one sidecar, seen by one of them.
+// ProcessGroup is the group of processes of one sidecar, from the point of view of one of them.
 type ProcessGroup struct {
 	dir        string
 	root       *os.File // the open directory
@@ -40,10 +41,11 @@
 	store      snapshot.Store
 	log        *logrus.Logger
 
-	// unavailable is why there is no directory. The process is alone then, and can save nothing. nil: there is one.
+	// unavailable is the reason why there is no directory, or nil if there is one. Without a directory the process is
+	// alone in its group and can't save changes.
 	unavailable error
 
-	changing sync.Mutex // held while an operator's change is under way, so that there is one at a time
+	changing sync.Mutex // held during an operator's change, so that there is only one at a time
 
 	// applying is held while drained endpoints are read and applied, so that the latest file is applied last.
 	applying sync.Mutex
@@ -53,19 +55,20 @@
 	setDrained   func(uids []string) bool
 	exportState  func() []byte
 	setProcesses func(processes int)
-	unsaved      map[string]bool // changes in force in this process alone, by uid, as they could not be saved
+	unsaved      map[string]bool // by uid: changes that could not be saved, in force in this process only
 	peers        map[*peerProcess]struct{}
-	sequence     uint64 // of the last change that the peers were asked to apply
+	sequence     uint64 // number of the last change that the peers were asked to apply
 	closed       bool
 }
 
-// Directory returns the directory in which the processes of a sidecar meet. Sidecars differ in name or address.
+// Directory returns the directory that the processes of a sidecar share. It differs between sidecars that differ in
+// name or listen address.
 func Directory(name, listen string) string {
 	hash := xxhash.Sum64String(name + "\x00" + listen)
 	return filepath.Join(os.TempDir(), fmt.Sprintf("pepperlead-%016x", hash))
 }
 
-// Join opens the directory and connects to the processes that are running.
+// Join opens the directory and connects to the other running processes of the sidecar.
 func Join(dir string, log *logrus.Logger) (*ProcessGroup, error) {
 	root, err := openDirectory(dir)
 	if err != nil {
@@ -87,14 +90,14 @@
 	if err != nil {
 		return nil, errors.Join(err, root.Close())
 	}
-	listener.SetUnlinkOnClose(false) // its path is of this process alone; Close removes the file
+	listener.SetUnlinkOnClose(false) // the path is valid in this process only; Close removes the file
 	g.listener = listener
 	g.joinPeers()
 	return g, nil
 }
 
-// openDirectory opens the directory, and creates it if need be. A directory that other users may write to is rejected:
-// they could drain endpoints.
+// openDirectory opens the directory, and creates it if it doesn't exist. It rejects a directory that other users may
+// write to, because they could drain endpoints.
 func openDirectory(dir string) (*os.File, error) {
 	if err := os.Mkdir(dir, directoryMode); err != nil && !errors.Is(err, os.ErrExist) {
 		return nil, err
@@ -105,20 +108,21 @@
 	}
 	stat, ok := info.Sys().(*syscall.Stat_t)
 	if !ok || !info.IsDir() || info.Mode().Perm()&writableByOthers != 0 || stat.Uid != uint32(os.Geteuid()) {
-		return nil, fmt.Errorf("%s: found a folder that others may write to, allowed one of this user alone", dir)
+		return nil, fmt.Errorf("%s: not a directory that only this user owns and can write to", dir)
 	}
 	return os.Open(dir)
 }
 
-// Standalone returns a group of this process alone, for when Join has failed with a reason. Drained endpoints are in
-// force in it, but can't be saved.
+// Standalone returns a group of this process only, for use after Join has failed for the given reason. Drained
+// endpoints are in force in this process, but can't be saved.
 func Standalone(reason error, log *logrus.Logger) *ProcessGroup {
 	return &ProcessGroup{unavailable: reason, log: log, unsaved: map[string]bool{}}
 }
 
-// Serve starts to apply changes and to answer other processes. setDrained has the process drain these endpoints and no
-// others, and reports whether they are in force. exportState returns the learned state on a single line, or nil if
-// there is none now. setProcesses has the process keep to its share of the limits. Only setProcesses must not block.
+// Serve starts applying changes and answering other processes. setDrained makes the process drain exactly these
+// endpoints and reports whether the change is in force. exportState returns the learned state on a single line, or nil
+// if there is none now. setProcesses makes the process limit itself to its share of the limits; it must not block, but
+// the others may.
 func (g *ProcessGroup) Serve(
 	setDrained func(uids []string) bool, exportState func() []byte, setProcesses func(processes int),
 ) {
@@ -132,19 +136,19 @@
 		return
 	}
 	go func() {
-		_ = g.applyDrained() // catches up with changes since Drained; logs its failures
+		_ = g.applyDrained() // catches up with changes since the call of Drained; logs its failures
 		g.acceptPeers()
 	}()
 }
 
-// Processes returns how many processes the group has, this one included.
+// Processes returns the number of processes in the group, this one included.
 func (g *ProcessGroup) Processes() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return 1 + len(g.peers)
 }
 
-// LearnedStates returns the learned states of the other processes that answer in time.
+// LearnedStates returns the learned states of those other processes that answer before peerTimeout.
 func (g *ProcessGroup) LearnedStates() [][]byte {
 	g.mu.Lock()
 	peers := slices.Collect(maps.Keys(g.peers))
@@ -166,7 +170,7 @@
 	return states
 }
 
-// Close leaves the group. Failures are ignored: the process ends, and the next one removes a socket that is left.
+// Close leaves the group. It ignores failures, because the process ends and the next one removes a stale socket.
 func (g *ProcessGroup) Close() {
 	if g.unavailable != nil {
 		return
@@ -182,7 +186,7 @@
 	_ = g.root.Close()
 }
 
-// updateShare tells the process how many share the limits.
+// updateShare calls setProcesses with the number of processes that share the limits.
 func (g *ProcessGroup) updateShare() {
 	g.mu.Lock()
 	setProcesses := g.setProcesses
--- a/internal/hotrestart/processgroup_test.go
+++ b/internal/hotrestart/processgroup_test.go
@@ -13,16 +13,17 @@
 	"github.com/sirupsen/logrus"
 )
 
-// process is a process of a group, with the effects of its callbacks.
+// process is one process of a group, with the effects of its callbacks.
 type process struct {
 	*ProcessGroup
 	mu        sync.Mutex
 	drained   []string
-	applies   int // how often setDrained was called
-	processes int
-	stuck     bool // it confirms no change
+	applies   int  // number of calls of setDrained
+	processes int  // as last set by setProcesses
+	stuck     bool // setDrained reports that the change is not in force
 }
 
+// join starts a process in the group of a directory and waits until it has applied the drained endpoints.
 func join(t *testing.T, dir string) *process {
 	t.Helper()
 	g, err := Join(dir, quietLog())
@@ -37,12 +38,12 @@
 		p.drained = uids
 		p.applies++
 		return !p.stuck
-	}, func() []byte { return []byte(`{"of":"` + g.socketName + `"}`) }, func(n int) {
+	}, func() []byte { return []byte(`{"of":"` + g.socketName + `"}`) }, func(processes int) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.processes = n
+		p.processes = processes
 	})
-	within(t, "never applied", func() bool {
+	eventually(t, "the drained endpoints were not applied", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return p.applies > 0
@@ -56,50 +57,57 @@
 	return slices.Equal(p.drained, uids)
 }
 
-func (p *process) hasProcesses(n int) bool {
+func (p *process) hasProcesses(processes int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.processes == n
+	return p.processes == processes
 }
 
-func within(t *testing.T, what string, holds func() bool) {
+// eventually waits until a condition holds, and fails the test with the message after two seconds.
+func eventually(t *testing.T, message string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(2 * time.Second); !holds(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(2 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal(what)
+			t.Fatal(message)
 		}
 	}
 }
 
-// A change through either process is in force in both when the call returns, and outlasts each process, killed ones
-// too.
+// A change through either process is in force in both when the call returns, and stays in force after any process ends,
+// even a killed one.
 func TestSetDrainedWaitsForAllProcesses(t *testing.T) {
-	dir := filepath.Join(t.TempDir(), "a name far longer than the path of a socket may be, which is some hundred bytes on this system, or less")
+	const longName = "a name far longer than the path of a socket may be, " +
+		"which is some hundred bytes on this system, or less"
+	dir := filepath.Join(t.TempDir(), longName)
 	old := join(t, dir)
 	if err := old.SetDrained("s-1", true); err != nil || !old.hasDrained("s-1") || old.Processes() != 1 {
 		t.Fatal(err, old.drained)
 	}
 	fresh := join(t, dir)
-	within(t, "not shared", func() bool { return old.hasProcesses(2) && fresh.hasProcesses(2) })
-	within(t, "not inherited", func() bool { return fresh.hasDrained("s-1") })
+	eventually(t, "the processes do not see each other", func() bool {
+		return old.hasProcesses(2) && fresh.hasProcesses(2)
+	})
+	eventually(t, "the new process does not drain the saved endpoint", func() bool { return fresh.hasDrained("s-1") })
 	if states := fresh.LearnedStates(); len(states) != 1 || string(states[0]) != `{"of":"`+old.socketName+`"}` {
-		t.Errorf("learned %q", states)
+		t.Errorf("learned states %q", states)
 	}
-	if err := fresh.SetDrained("s-2", true); err != nil || !old.hasDrained("s-1", "s-2") || !fresh.hasDrained("s-1", "s-2") {
+	if err := fresh.SetDrained("s-2", true); err != nil || !old.hasDrained("s-1", "s-2") ||
+		!fresh.hasDrained("s-1", "s-2") {
 		t.Error(err, old.drained, fresh.drained)
 	}
 	if err := old.SetDrained("s-1", false); err != nil || !old.hasDrained("s-2") || !fresh.hasDrained("s-2") {
 		t.Error(err, old.drained, fresh.drained)
 	}
-	// A process that does not answer delays a change only up to the timeout, and is reported.
+	// A process that doesn't confirm delays a change only up to the timeout, and the error reports it.
 	old.mu.Lock()
 	old.stuck = true
 	old.mu.Unlock()
 	start := time.Now()
-	if err := fresh.SetDrained("s-3", true); !errors.Is(err, ErrNotConfirmed) || time.Since(start) > time.Second || !fresh.hasDrained("s-2", "s-3") {
+	if err := fresh.SetDrained("s-3", true); !errors.Is(err, ErrNotConfirmed) || time.Since(start) > time.Second ||
+		!fresh.hasDrained("s-2", "s-3") {
 		t.Error(err, time.Since(start), fresh.drained)
 	}
-	// Killed: its socket stays in the directory, and a third process still joins.
+	// The socket of a killed process stays in the directory, and a third process still joins.
 	old.mu.Lock()
 	old.stuck = false
 	old.mu.Unlock()
@@ -109,12 +117,14 @@
 		peer.conn.Close()
 	}
 	old.ProcessGroup.mu.Unlock()
-	within(t, "the share is not raised", func() bool { return fresh.hasProcesses(1) })
+	eventually(t, "the remaining process does not take the full share", func() bool { return fresh.hasProcesses(1) })
 	third := join(t, dir)
-	within(t, "not joined", func() bool { return third.hasProcesses(2) && fresh.hasProcesses(2) && third.hasDrained("s-2", "s-3") })
+	eventually(t, "the third process does not join", func() bool {
+		return third.hasProcesses(2) && fresh.hasProcesses(2) && third.hasDrained("s-2", "s-3")
+	})
 }
 
-// Several find a damaged file at once: it is moved out of the way once, and what replaces it stays.
+// If several readers find a damaged file at once, it is moved aside only once, and the file that replaces it stays.
 func TestConcurrentReadersMoveADamagedFileOnce(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "x")
 	a, b := join(t, dir), join(t, dir)
@@ -125,27 +135,27 @@
 		if err := os.WriteFile(filepath.Join(dir, drainedFile), []byte("damaged"), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		var all sync.WaitGroup
+		var callers sync.WaitGroup
 		for i := range 8 {
-			all.Go(func() {
+			callers.Go(func() {
 				if _, err := []*process{a, b}[i%2].Drained(); err != nil {
 					t.Error(err)
 				}
 			})
 		}
-		all.Go(func() {
+		callers.Go(func() {
 			if err := a.SetDrained("s-9", true); err != nil {
 				t.Error(err)
 			}
 		})
-		all.Wait()
+		callers.Wait()
 		if uids, err := b.Drained(); err != nil || !slices.Contains(uids, "s-9") || !b.hasDrained(uids...) {
 			t.Fatal(uids, err, b.drained)
 		}
 	}
 }
 
-// Endpoints in force stay drained when the file is damaged.
+// The drained endpoints in force stay drained, and are saved again, after the file was damaged.
 func TestDamagedFileLosesNoDrainedEndpoint(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "x")
 	p := join(t, dir)
@@ -161,6 +171,8 @@
 	}
 }
 
+// Damaged files, failed writes, a blocked lock, a silent peer and a directory open to other users lose no endpoint that
+// is drained in the process, and delay it only up to the timeouts.
 func TestUnusableDirectoriesAndFiles(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "x")
 	p := join(t, dir)
@@ -174,17 +186,17 @@
 	if uids, err := p.Drained(); err != nil || len(uids) != 0 {
 		t.Error(uids, err)
 	}
-	if left, err := os.ReadFile(path + ".unread"); err != nil || string(left) != string(text) {
-		t.Error("not moved out of the way", err)
+	if moved, err := os.ReadFile(path + ".unread"); err != nil || string(moved) != string(text) {
+		t.Error("the damaged file was not moved aside:", err)
 	}
-	// A change that can't be saved is in force all the same, and reported as not saved.
+	// A change that can't be saved is in force nevertheless, and SetDrained returns an error.
 	os.Mkdir(path, 0o700)
 	os.WriteFile(filepath.Join(path, "full"), nil, 0o600)
 	if err := p.SetDrained("s-4", true); err == nil || !p.hasDrained("s-1", "s-4") {
 		t.Error(err, p.drained)
 	}
 	os.RemoveAll(path)
-	// It stays in force after the next change that can be saved, and so does what another process has saved.
+	// It stays in force after the next change that can be saved, and so do the changes that another process has saved.
 	if err := join(t, dir).SetDrained("s-5", true); err != nil || !p.hasDrained("s-5", "s-4") {
 		t.Error(err, p.drained)
 	}
@@ -194,25 +206,26 @@
 		t.Error(err, p.drained)
 	}
 	// A process that never answers delays Join only up to the timeout.
-	l, err := net.Listen("unix", filepath.Join(dir, "y"+socketSuffix))
+	listener, err := net.Listen("unix", filepath.Join(dir, "y"+socketSuffix))
 	if err != nil {
 		t.Skip(err)
 	}
-	defer l.Close()
+	defer listener.Close()
 	start := time.Now()
 	join(t, dir)
 	if time.Since(start) > time.Second {
-		t.Error("delayed by", time.Since(start))
+		t.Error("Join was delayed by", time.Since(start))
 	}
 	os.Chmod(dir, 0o777)
 	_, err = Join(dir, logrus.New())
 	if err == nil {
-		t.Fatal("a directory that all may write to was accepted")
+		t.Fatal("a directory that all users may write to was accepted")
 	}
 	var drained []string
 	g := Standalone(err, logrus.New())
 	g.Serve(func(uids []string) bool { drained = uids; return true }, nil, func(int) {})
-	if failure := g.SetDrained("s-1", true); !errors.Is(failure, err) || !slices.Equal(drained, []string{"s-1"}) || g.Processes() != 1 {
+	if failure := g.SetDrained("s-1", true); !errors.Is(failure, err) || !slices.Equal(drained, []string{"s-1"}) ||
+		g.Processes() != 1 {
 		t.Error("standalone:", failure, drained)
 	}
 }
--- a/internal/hotrestart/socket.go
+++ b/internal/hotrestart/socket.go
@@ -16,7 +16,7 @@
 const (
 	// socketSuffix ends the file names of the processes' sockets.
 	socketSuffix = ".sock"
-	// peerTimeout is how long another process may take to accept a connection or a message, or to answer one.
+	// peerTimeout is how long another process may take to accept a connection or a message, or to answer a message.
 	peerTimeout = 300 * time.Millisecond
 	// maxLineSize bounds a message, in bytes.
 	maxLineSize = 8 << 20
@@ -25,18 +25,19 @@
 // peerProcess is a connection to another process of the sidecar.
 type peerProcess struct {
 	conn    net.Conn
-	writing sync.Mutex // of messages
+	writing sync.Mutex // held while a message is written
 
 	welcomeOnce sync.Once
-	welcomed    chan struct{} // closed by the first welcome
-	states      chan []byte   // learned states that it has sent
+	welcomed    chan struct{} // closed on the first welcome
+	states      chan []byte   // learned states received from the process
 	closed      chan struct{} // closed when the connection has ended
 
-	// pending has a channel for each change that it has not confirmed, by sequence number; ProcessGroup.mu guards it.
+	// pending holds, by sequence number, a channel for each change that the process has not confirmed. ProcessGroup.mu
+	// guards it.
 	pending map[uint64]chan struct{}
 }
 
-// newPeerProcess wraps a connection.
+// newPeerProcess returns the peer process at the other end of a connection.
 func newPeerProcess(conn net.Conn) *peerProcess {
 	return &peerProcess{
 		conn:     conn,
@@ -47,24 +48,24 @@
 	}
 }
 
-// send sends a message. A failure needs no handling: the reader of the connection sees that it has ended, and every
-// wait for an answer has a timeout.
+// send sends a message. Failures need no handling: readMessages notices the end of the connection, and every wait for a
+// response has a timeout.
 func (p *peerProcess) send(m message) {
 	p.writing.Lock()
 	defer p.writing.Unlock()
 	_ = p.conn.SetWriteDeadline(time.Now().Add(peerTimeout)) // fails only on a closed connection
-	_, _ = fmt.Fprintln(p.conn, m)                           // see above
+	_, _ = fmt.Fprintln(p.conn, m)                           // see the comment of send
 }
 
-// socketPath returns a path to a socket in the directory that is short enough for a socket address, however long the
-// path of the directory is.
+// socketPath returns a path to a socket in the directory. It is short enough for a socket address even if the path of
+// the directory is long.
 func (g *ProcessGroup) socketPath(name string) string {
 	return fmt.Sprintf("/proc/self/fd/%d/%s", g.root.Fd(), name)
 }
 
 // peerSockets returns the names of the sockets of other processes.
 func (g *ProcessGroup) peerSockets() []string {
-	entries, _ := os.ReadDir(g.dir) // without them this process goes on as the first of its group
+	entries, _ := os.ReadDir(g.dir) // after an error this process goes on as if it were the first of its group
 	var names []string
 	for _, entry := range entries {
 		name := entry.Name()
@@ -75,12 +76,12 @@
 	return names
 }
 
-// joinPeers connects to the processes that are running, and waits until each has reduced its share of the limits.
+// joinPeers connects to the other running processes, and waits until each has reduced its share of the limits.
 func (g *ProcessGroup) joinPeers() {
 	for _, name := range g.peerSockets() {
 		conn, err := net.DialTimeout("unix", g.socketPath(name), peerTimeout)
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			_ = os.Remove(filepath.Join(g.dir, name)) // left by a process that was killed; the next one tries again
+			_ = os.Remove(filepath.Join(g.dir, name)) // socket of a killed process; the next process retries
 		}
 		if err != nil {
 			continue
@@ -91,12 +92,12 @@
 		case <-peer.welcomed:
 		case <-peer.closed:
 		case <-time.After(peerTimeout):
-			g.log.Warn("hot restart: another process of this sidecar has not answered in time")
+			g.log.Warn("hot restart: another process of this sidecar did not answer in time")
 		}
 	}
 }
 
-// acceptPeers accepts connections of processes that join later, until the listener is closed.
+// acceptPeers accepts connections from processes that join later, until the listener is closed.
 func (g *ProcessGroup) acceptPeers() {
 	for {
 		conn, err := g.listener.Accept()
@@ -118,7 +119,7 @@
 	return peer
 }
 
-// readMessages handles the messages of a process until its connection ends, and removes it from the group then.
+// readMessages handles the messages of a process until its connection ends, and then removes it from the group.
 func (g *ProcessGroup) readMessages(peer *peerProcess) {
 	lines := bufio.NewScanner(peer.conn)
 	lines.Buffer(nil, maxLineSize)
@@ -133,7 +134,7 @@
 	g.updateShare()
 }
 
-// handle acts on a message. Messages of unknown kinds are ignored: a later build may send them.
+// handle processes a message. It ignores messages of unknown kinds, which newer versions may send.
 func (g *ProcessGroup) handle(peer *peerProcess, m message) {
 	switch m.kind {
 	case messageHello:
@@ -154,12 +155,12 @@
 	case messageState:
 		select {
 		case peer.states <- []byte(m.payload):
-		default: // nobody waits for a second one
+		default: // dropped, because an earlier state has not been read
 		}
 	}
 }
 
-// confirm notes that a process has applied a change.
+// confirm records that a process has applied a change.
 func (g *ProcessGroup) confirm(peer *peerProcess, sequence uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
