--- a/internal/snapshot/filesystem.go
+++ b/internal/snapshot/filesystem.go
@@ -5,7 +5,7 @@
 	"os"
 )
 
-// fileSystem does the steps by which a file is replaced. Tests interrupt it between steps.
+// fileSystem has the operations by which a file is replaced. Tests interrupt the process between them.
 type fileSystem interface {
 	// Create opens an empty file for writing.
 	Create(path string, mode os.FileMode) (writableFile, error)
@@ -22,7 +22,7 @@
 	Sync() error
 }
 
-// osFileSystem is the operating system's.
+// osFileSystem is the fileSystem of the operating system.
 type osFileSystem struct{}
 
 // Create opens an empty file for writing.
@@ -30,7 +30,7 @@
 	return os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, mode)
 }
 
-// Rename renames a file, in place of one that has the new name.
+// Rename renames a file, and replaces a file that has the new name.
 func (osFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Remove removes a file.
@@ -42,6 +42,6 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = directory.Close() }() // it was only read
+	defer func() { _ = directory.Close() }() // the directory was only read
 	return directory.Sync()
 }
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -9,7 +9,7 @@
 	"pepperlead/internal/golden"
 )
 
-// A file of an earlier build is read, and written again in the same bytes, for its owner alone.
+// A file of an earlier version is read, and written again to the same bytes, accessible only to its owner.
 func TestFileKeepsItsLayout(t *testing.T) {
 	const name, kind, version = "name", "kind", 7
 	dir := t.TempDir()
@@ -33,10 +33,10 @@
 	if info, err := os.Stat(filepath.Join(dir, name)); err != nil {
 		t.Error(err)
 	} else if info.Mode() != 0o600 {
-		t.Errorf("found mode %v, want 0600", info.Mode())
+		t.Errorf("got mode %v, want 0600", info.Mode())
 	}
 	if files, err := os.ReadDir(dir); err != nil || len(files) != 1 {
-		t.Errorf("found files %v, %v, want %s alone", files, err, name)
+		t.Errorf("got files %v, error %v, want only %s", files, err, name)
 	}
 	if err := os.WriteFile(filepath.Join(dir, name), want, 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/snapshot/replace.go
+++ b/internal/snapshot/replace.go
@@ -12,8 +12,8 @@
 	defaultMode = 0o644
 )
 
-// Replace atomically replaces the content of the file at a path, or creates the file. A symbolic link is followed, and
-// the mode of an existing file is kept.
+// Replace atomically replaces the content of the file at a path, or creates the file. It follows a symbolic link and
+// keeps the mode of an existing file.
 func Replace(path string, content []byte) error {
 	if target, err := filepath.EvalSymlinks(path); err == nil {
 		path = target
@@ -44,15 +44,15 @@
 	return files.SyncDirectory(filepath.Dir(path))
 }
 
-// writeSynced writes and closes a file. It syncs the file, as one that is renamed before its content is on disk may be
-// empty after a power failure.
+// writeSynced writes, syncs and closes a file. Without the sync, a file that is renamed before its content is on disk
+// may be empty after a power failure.
 func writeSynced(file writableFile, content []byte) error {
 	_, err := file.Write(content)
 	if err == nil {
 		err = file.Sync()
 	}
 	if err != nil {
-		_ = file.Close() // the first error is reported
+		_ = file.Close() // the first error is returned
 		return err
 	}
 	return file.Close()
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// steps are those of replacing a file, each with whether the new content counts if the process is killed before it.
+// steps are the steps of replacing a file. renamed says whether the file has its new content if the process is killed
+// before the step.
 var steps = []struct {
 	name    string
 	renamed bool
@@ -19,11 +20,12 @@
 }
 
 const (
-	envKilledDir  = "SNAPSHOT_KILLED_DIR"  // the store of the process that is killed; empty: this is the test
-	envKilledStep = "SNAPSHOT_KILLED_STEP" // the step before which it is killed
+	envKilledDir  = "SNAPSHOT_KILLED_DIR"  // directory of the killed process's store; empty: run the tests
+	envKilledStep = "SNAPSHOT_KILLED_STEP" // the step before which the process is killed
 )
 
-// TestMain is the process that is killed: it writes, and before the step named kills itself as a power failure would.
+// TestMain runs the tests or, with envKilledDir set, acts as the killed process: it stores a value and kills itself
+// before the given step, as a power failure would.
 func TestMain(m *testing.M) {
 	dir := os.Getenv(envKilledDir)
 	if dir == "" {
@@ -34,7 +36,7 @@
 	killBefore("done")
 }
 
-// killBefore ends the process if it is to be killed before the step.
+// killBefore kills the process if it is to be killed before this step.
 func killBefore(step string) {
 	if step == os.Getenv(envKilledStep) {
 		syscall.Kill(os.Getpid(), syscall.SIGKILL)
@@ -42,7 +44,7 @@
 	}
 }
 
-// killedFileSystem may end the process before each step.
+// killedFileSystem kills the process before the step given in the environment.
 type killedFileSystem struct{ osFileSystem }
 
 func (k killedFileSystem) Create(path string, mode os.FileMode) (writableFile, error) {
@@ -61,7 +63,7 @@
 	return k.osFileSystem.SyncDirectory(path)
 }
 
-// killedFile may end the process before each step, also within a write.
+// killedFile does the same for the steps on a file, one of which is in the middle of a write.
 type killedFile struct{ writableFile }
 
 func (f killedFile) Write(content []byte) (int, error) {
@@ -71,8 +73,8 @@
 		return first, err
 	}
 	killBefore("rest of write")
-	rest, err := f.writableFile.Write(content[len(content)/2:])
-	return first + rest, err
+	second, err := f.writableFile.Write(content[len(content)/2:])
+	return first + second, err
 }
 
 func (f killedFile) Sync() error {
@@ -88,33 +90,33 @@
 // A process killed at any step leaves the old value or the new one.
 func TestKillLeavesOldOrNewValue(t *testing.T) {
 	for _, step := range steps {
-		s := &Store{Dir: t.TempDir()}
-		if err := s.Put("x", "kind", 1, []byte("the old")); err != nil {
+		store := &Store{Dir: t.TempDir()}
+		if err := store.Put("x", "kind", 1, []byte("the old")); err != nil {
 			t.Fatal(err)
 		}
-		c := exec.Command(os.Args[0])
-		c.Env = append(os.Environ(), envKilledDir+"="+s.Dir, envKilledStep+"="+step.name)
-		if err := c.Run(); err == nil {
-			t.Fatalf("%s: was not killed", step.name)
+		command := exec.Command(os.Args[0])
+		command.Env = append(os.Environ(), envKilledDir+"="+store.Dir, envKilledStep+"="+step.name)
+		if err := command.Run(); err == nil {
+			t.Fatalf("%s: the process was not killed", step.name)
 		}
 		want := "the old"
 		if step.renamed {
 			want = "the new one"
 		}
-		if got, err := s.Get("x", "kind", 1); err != nil || string(got) != want {
-			t.Errorf("%s: %q %v", step.name, got, err)
+		if got, err := store.Get("x", "kind", 1); err != nil || string(got) != want {
+			t.Errorf("%s: got %q, error %v, want %q", step.name, got, err, want)
 		}
-		// A temporary file that is left does not prevent the next write.
-		if err := s.Put("x", "kind", 1, []byte("later")); err != nil {
+		// A leftover temporary file does not prevent the next write.
+		if err := store.Put("x", "kind", 1, []byte("later")); err != nil {
 			t.Error(err)
 		}
-		if got, err := s.Get("x", "kind", 1); err != nil || string(got) != "later" {
-			t.Errorf("%s: then %q %v", step.name, got, err)
+		if got, err := store.Get("x", "kind", 1); err != nil || string(got) != "later" {
+			t.Errorf("%s: after the next write: got %q, error %v", step.name, got, err)
 		}
 	}
 }
 
-// A damaged value is an error, and so is a write that fails, which leaves the old value.
+// Get returns an error for a damaged value, and a write that fails leaves the old value.
 func TestDamageIsDetected(t *testing.T) {
 	s := &Store{Dir: t.TempDir()}
 	if _, err := s.Get("x", "kind", 1); !errors.Is(err, ErrNotFound) {
@@ -134,7 +136,10 @@
 	path := filepath.Join(s.Dir, "x")
 	intact, _ := os.ReadFile(path)
 	for i := range intact {
-		for _, damaged := range [][]byte{intact[:i], append(append([]byte(nil), intact[:i]...), append([]byte{intact[i] ^ 1}, intact[i+1:]...)...)} {
+		for _, damaged := range [][]byte{
+			intact[:i], // truncated
+			append(append([]byte(nil), intact[:i]...), append([]byte{intact[i] ^ 1}, intact[i+1:]...)...),
+		} {
 			os.WriteFile(path, damaged, 0o600)
 			if body, err := s.Get("x", "kind", 1); err == nil && string(body) != "a body" {
 				t.Fatalf("damaged at %d: %q", i, body)
@@ -143,13 +148,14 @@
 	}
 	os.WriteFile(path, intact, 0o600)
 	if os.Mkdir(path+".new", 0o700); s.Put("x", "kind", 1, []byte("b")) == nil {
-		t.Error("written through a folder")
+		t.Error("a write succeeded although a directory has the name of the temporary file")
 	}
 	if body, err := s.Get("x", "kind", 1); err != nil || string(body) != "a body" {
-		t.Errorf("after a write that failed: %q %v", body, err)
+		t.Errorf("after a failed write: got %q, error %v", body, err)
 	}
 }
 
+// Replace writes to the target of a symbolic link and keeps its mode.
 func TestReplaceFollowsLinksAndKeepsModes(t *testing.T) {
 	dir := t.TempDir()
 	file, link := filepath.Join(dir, "file"), filepath.Join(dir, "link")
@@ -158,10 +164,10 @@
 	if err := Replace(link, []byte("new")); err != nil {
 		t.Fatal(err)
 	}
-	info, _ := os.Lstat(link)
+	linkInfo, _ := os.Lstat(link)
 	got, _ := os.ReadFile(file)
-	is, _ := os.Stat(file)
-	if info.Mode()&os.ModeSymlink == 0 || string(got) != "new" || is.Mode().Perm() != 0o640 {
-		t.Errorf("%v %q %v", info.Mode(), got, is.Mode())
+	target, _ := os.Stat(file)
+	if linkInfo.Mode()&os.ModeSymlink == 0 || string(got) != "new" || target.Mode().Perm() != 0o640 {
+		t.Errorf("link mode %v, content %q, target mode %v", linkInfo.Mode(), got, target.Mode())
 	}
 }
