--- a/internal/ruleset/rules.go
+++ b/internal/ruleset/rules.go
@@ -11,8 +11,8 @@
 // ClassRule is the binding rule of one class. The zero value allows no retries: the class is non-idempotent.
 type ClassRule struct {
 	Repeatable bool        // whether a request may run twice, within the limits of the other fields
-	Zone       bool        // retries stay in the zone of the endpoint that may have run the request first
-	Cell       bool        // retries stay in the cell of that endpoint
+	SameZone   bool        // retries stay in the zone of the endpoint that may have run the request first
+	SameCell   bool        // retries stay in the cell of that endpoint
 	Window     policy.Time // how long after the first attempt a request may be retried
 	Deadline   policy.Time // longest deadline of a request; 0: none is stated
 }
@@ -55,7 +55,7 @@
 
 // NeedsKey reports whether requests may be retried only with an idempotency key that endpoints deduplicate by.
 func (r ClassRule) NeedsKey() bool {
-	return r.Repeatable && (r.Zone || r.Cell || r.Window < math.MaxInt64)
+	return r.Repeatable && (r.SameZone || r.SameCell || r.Window < math.MaxInt64)
 }
 
 // NewRules returns the binding rules of settings. deadlines holds the deadline of each class, in the order of
@@ -97,8 +97,8 @@
 	case policy.Keyed:
 		return ClassRule{
 			Repeatable: true,
-			Zone:       class.Group == policy.GroupZone,
-			Cell:       class.Group == policy.GroupCell,
+			SameZone:   class.Group == policy.GroupZone,
+			SameCell:   class.Group == policy.GroupCell,
 			Window:     class.Window,
 			Deadline:   deadline,
 		}
@@ -115,7 +115,7 @@
 	if r.Deadline > 0 {
 		class.Deadline = r.Deadline
 	}
-	if !r.Repeatable || r.Zone && r.Cell {
+	if !r.Repeatable || r.SameZone && r.SameCell {
 		return
 	}
 	if !r.NeedsKey() {
@@ -124,10 +124,10 @@
 	}
 	class.Idempotency = policy.Keyed
 	class.Window = r.Window
-	if r.Zone {
+	if r.SameZone {
 		class.Group = policy.GroupZone
 	}
-	if r.Cell {
+	if r.SameCell {
 		class.Group = policy.GroupCell
 	}
 }
--- a/internal/ruleset/rules_test.go
+++ b/internal/ruleset/rules_test.go
@@ -90,7 +90,7 @@
 	for name, laxer := range map[string]func(rules *Rules){
 		"idempotent":      func(rules *Rules) { rules.Classes[0].ClassRule = IdempotentRule(9) },
 		"longer window":   func(rules *Rules) { rules.Classes[0].Window++ },
-		"larger group":    func(rules *Rules) { rules.Classes[0].Zone = false },
+		"larger group":    func(rules *Rules) { rules.Classes[0].SameZone = false },
 		"longer deadline": func(rules *Rules) { rules.Classes[0].Deadline++ },
 		"no deadline":     func(rules *Rules) { rules.Classes[0].Deadline = 0 },
 		"additional class": func(rules *Rules) {
--- a/internal/ruleset/strictest.go
+++ b/internal/ruleset/strictest.go
@@ -44,8 +44,8 @@
 	}
 	return ClassRule{
 		Repeatable: true,
-		Zone:       a.Zone || b.Zone,
-		Cell:       a.Cell || b.Cell,
+		SameZone:   a.SameZone || b.SameZone,
+		SameCell:   a.SameCell || b.SameCell,
 		Window:     min(a.Window, b.Window),
 		Deadline:   deadline,
 	}
