--- a/internal/engine/activerules.go
+++ b/internal/engine/activerules.go
@@ -97,13 +97,13 @@
 
 // LeasedRevisions are the revisions by which the instance acts, and whether it has a lease on them.
 func (e *Engine) LeasedRevisions() (revisions []ruleset.RevisionNumber, leased bool) {
-	return e.rules.lease.Leased(), e.rules.leased
+	return e.rules.lease.LeasedRevisions(), e.rules.leased
 }
 
 // RulesLog is a log entry that says by which rules the instance acts, and when.
 func (e *Engine) RulesLog() *logrus.Entry {
 	return e.Logger.WithFields(logrus.Fields{
-		"versions": e.rules.lease.Leased(),
+		"versions": e.rules.lease.LeasedRevisions(),
 		"leased":   e.rules.leased,
 		"awake_ns": int64(clock.BootTime()),
 	})
@@ -171,11 +171,11 @@
 // logRules logs a change of the rules' revisions, or of whether there is a lease.
 func (e *Engine) logRules(leased bool) {
 	a := e.rules
-	if a.leased == leased && slices.Equal(a.logged, a.lease.Leased()) {
+	if a.leased == leased && slices.Equal(a.logged, a.lease.LeasedRevisions()) {
 		return
 	}
 	a.leased = leased
-	a.logged = slices.Clone(a.lease.Leased())
+	a.logged = slices.Clone(a.lease.LeasedRevisions())
 	message := LogLeaseExpired
 	if leased {
 		message = LogLeaseHeld
@@ -185,7 +185,7 @@
 
 // current is the revision in force, and the one before while a change is under way; 0 without a lease.
 func (a *activeRules) current() ruleset.RevisionNumber {
-	if revisions := a.lease.Leased(); len(revisions) > 0 {
+	if revisions := a.lease.LeasedRevisions(); len(revisions) > 0 {
 		return revisions[0]
 	}
 	return 0
@@ -199,7 +199,7 @@
 		sets = append(sets, set)
 	}
 	inForce := func(set *RuleSet) int {
-		if slices.Contains(a.lease.Leased(), set.Number) {
+		if slices.Contains(a.lease.LeasedRevisions(), set.Number) {
 			return 1
 		}
 		return 0
@@ -214,6 +214,6 @@
 // counts without a lease.
 func (a *activeRules) listSources(sets []*RuleSet, leased bool) []*RuleSet {
 	return slices.DeleteFunc(sets, func(set *RuleSet) bool {
-		return set.Number < a.current() || leased && !slices.Contains(a.lease.Leased(), set.Number)
+		return set.Number < a.current() || leased && !slices.Contains(a.lease.LeasedRevisions(), set.Number)
 	})
 }
--- a/internal/ruleset/leaseclient.go
+++ b/internal/ruleset/leaseclient.go
@@ -151,5 +151,5 @@
 	return &c.floorRules, false
 }
 
-// Leased returns the revisions of the last accepted lease.
-func (c *LeaseClient) Leased() []RevisionNumber { return c.leasedRevisions }
+// LeasedRevisions returns the revisions of the last accepted lease.
+func (c *LeaseClient) LeasedRevisions() []RevisionNumber { return c.leasedRevisions }
--- a/internal/ruleset/random_test.go
+++ b/internal/ruleset/random_test.go
@@ -204,10 +204,10 @@
 			for _, b := range clients[:i] {
 				_, aLeased := a.Active(now)
 				_, bLeased := b.Active(now)
-				if aLeased && bLeased && !slices.ContainsFunc(a.Leased(),
-					func(number RevisionNumber) bool { return slices.Contains(b.Leased(), number) }) {
+				if aLeased && bLeased && !slices.ContainsFunc(a.LeasedRevisions(),
+					func(number RevisionNumber) bool { return slices.Contains(b.LeasedRevisions(), number) }) {
 					t.Fatalf("time %d: one instance follows revisions %v, another %v; active %d, next %d", now,
-						a.Leased(), b.Leased(), revisionLog.Active, revisionLog.Next)
+						a.LeasedRevisions(), b.LeasedRevisions(), revisionLog.Active, revisionLog.Next)
 				}
 			}
 		}
