--- a/internal/daemon/cluster.go
+++ b/internal/daemon/cluster.go
@@ -77,7 +77,7 @@
 
 // announce shares budgets among the live instances, and tells them this one's rules and endpoint table.
 func (m *clusterMember) announce(cluster *membership.Cluster) {
-	live := cluster.Alive()
+	live := cluster.AliveSidecars()
 	var table uint64
 	update := func() {
 		m.SetInstances(live)
--- a/internal/membership/cluster.go
+++ b/internal/membership/cluster.go
@@ -151,7 +151,7 @@
 
 // setMetadata changes the metadata and reports whether it is to be announced now.
 func (c *Cluster) setMetadata(revision, tableDigest uint64) bool {
-	members := c.Alive()
+	members := c.AliveSidecars()
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -168,8 +168,8 @@
 	return true
 }
 
-// Alive returns how many sidecars are alive, this one included and coordinators excluded.
-func (c *Cluster) Alive() int {
+// AliveSidecars returns the number of sidecars that are alive, this one included and coordinators excluded.
+func (c *Cluster) AliveSidecars() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	alive := 0
@@ -257,7 +257,7 @@
 		}
 	}
 	c.mu.Unlock()
-	report("peers_alive", float64(c.Alive()), false)
+	report("peers_alive", float64(c.AliveSidecars()), false)
 	report("peers_known", float64(known), false)
 	report("peers_tables", float64(len(tables)), false)
 	report("peers_own_health", float64(c.list.GetHealthScore()), false)
