--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -57,7 +57,7 @@
 
 // Config configures a coordinator.
 type Config struct {
-	Name          string // the member that this coordinator is
+	Name          string // of this coordinator's entry in Members
 	Directory     string // directory of the store
 	Listen        string // address for connections of the other coordinators
 	Cluster       string
@@ -65,10 +65,11 @@
 	Members       []Member
 	LeaseDuration policy.Time
 	ClockDrift    float64 // maximum difference between the rates of two clocks, as a fraction
-	// Validate returns nil, or the reason why a text can't replace the one in force, which is nil if there is none.
+	// Validate returns the reason why a text can't replace the one in force, or nil. inForce is nil if no revision is
+	// in force.
 	Validate func(text, inForce []byte) error
-	// AssignSlots returns the slot assignment of a text that replaces the revision in force, which is nil if there is
-	// none. It returns nil for a text that names no endpoints.
+	// AssignSlots returns the slot assignment of a text that replaces the revision in force, or nil for a text that
+	// names no endpoints. inForce is nil if no revision is in force.
 	AssignSlots func(text []byte, inForce *ruleset.Revision) []byte
 }
 
@@ -95,7 +96,7 @@
 	leaseIssuer     *ruleset.LeaseIssuer // nil unless this coordinator leads
 	pendingRequests []pendingRequest
 	revisionsSentAt map[string]time.Time // by the instance's address
-	changeBegan     policy.Time
+	changeBegan     policy.Time          // when the change in progress began
 
 	requestsPending chan struct{} // holds a signal while pendingRequests may not be empty
 	revisionSends   chan struct{} // semaphore of concurrent transfers
--- a/internal/hotrestart/processgroup.go
+++ b/internal/hotrestart/processgroup.go
@@ -148,7 +148,7 @@
 	return 1 + len(g.peers)
 }
 
-// LearnedStates returns the learned states of those other processes that answer before peerTimeout.
+// LearnedStates returns the learned states of those other processes that answer within peerTimeout.
 func (g *ProcessGroup) LearnedStates() [][]byte {
 	g.mu.Lock()
 	peers := slices.Collect(maps.Keys(g.peers))
--- a/internal/hotrestart/processgroup_test.go
+++ b/internal/hotrestart/processgroup_test.go
@@ -51,12 +51,14 @@
 	return p
 }
 
+// hasDrained reports whether exactly these endpoints are drained in the process.
 func (p *process) hasDrained(uids ...string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Equal(p.drained, uids)
 }
 
+// hasProcesses reports whether the process shares the limits among this number of processes.
 func (p *process) hasProcesses(processes int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/hotrestart/socket.go
+++ b/internal/hotrestart/socket.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// socketSuffix ends the file names of the processes' sockets.
+	// socketSuffix is the suffix of the file names of the processes' sockets.
 	socketSuffix = ".sock"
 	// peerTimeout is how long another process may take to accept a connection or a message, or to answer a message.
 	peerTimeout = 300 * time.Millisecond
-	// maxLineSize bounds a message, in bytes.
+	// maxLineSize is the maximum length of a message, in bytes.
 	maxLineSize = 8 << 20
 )
 
@@ -54,7 +54,7 @@
 	p.writing.Lock()
 	defer p.writing.Unlock()
 	_ = p.conn.SetWriteDeadline(time.Now().Add(peerTimeout)) // fails only on a closed connection
-	_, _ = fmt.Fprintln(p.conn, m)                           // see the comment of send
+	_, _ = fmt.Fprintln(p.conn, m)                           // failures are ignored, see above
 }
 
 // socketPath returns a path to a socket in the directory. It is short enough for a socket address even if the path of
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -10,7 +10,7 @@
 	"strconv"
 )
 
-// maxKeyFileSize bounds the file that ReadKey accepts, in bytes.
+// maxKeyFileSize is the maximum size of a key file, in bytes.
 const maxKeyFileSize = 1 << 10
 
 // Config describes this sidecar and the cluster that it joins.
--- a/internal/ruleset/explore_test.go
+++ b/internal/ruleset/explore_test.go
@@ -13,7 +13,7 @@
 
 const (
 	leaseDuration = 1 // ticks
-	lastTick      = 4
+	lastTick      = 4 // time at which the exploration ends
 	// clockDrift is for a clock that loses one tick in three: policy.Time(1*(1+0.5))+1, the longest life of a lease,
 	// covers the tick of the lease and the lost one.
 	clockDrift = 0.5
