--- a/internal/hotrestart/drained.go
+++ b/internal/hotrestart/drained.go
@@ -36,7 +36,7 @@
 
 // ErrNotConfirmed reports that a process of the group has not applied a saved change in time. The process applies it
 // once its event loop is free.
-var ErrNotConfirmed = errors.New("saved, but not confirmed in time by every process of this sidecar")
+var ErrNotConfirmed = errors.New("kept, but not every process of this sidecar has said in time that it is in force")
 
 // Drained returns the uids of the drained endpoints. A file that can't be read is moved aside, and then no endpoint is
 // drained.
@@ -86,9 +86,9 @@
 	g.mu.Lock()
 	g.unsaved[uid] = drained
 	g.mu.Unlock()
-	effect := "in force in this process only, until it ends, because the change cannot be saved"
+	effect := "in force in this process alone, until it ends, as it cannot be kept"
 	if errors.Is(g.applyDrained(), ErrNotConfirmed) {
-		effect = "neither saved nor in force yet: this process applies the change once its event loop is free"
+		effect = "neither kept nor in force yet: it will be in this process once its loop comes to it"
 	}
 	return fmt.Errorf("%s: %w", effect, reason)
 }
@@ -191,7 +191,7 @@
 			return func() { _ = file.Close() }, nil // closing releases the lock even if it returns an error
 		}
 		if time.Now().After(deadline) {
-			err = fmt.Errorf("another process holds the lock on the drained endpoints: %w", err)
+			err = fmt.Errorf("another process holds the list of servers out by hand: %w", err)
 			return nil, errors.Join(err, file.Close())
 		}
 		time.Sleep(lockRetryInterval)
