--- a/internal/engine/activerules.go
+++ b/internal/engine/activerules.go
@@ -98,13 +98,13 @@
 
 // LeasedRevisions returns the revisions of the last accepted lease, and whether that lease is still in force.
 func (e *Engine) LeasedRevisions() (revisions []ruleset.RevisionNumber, leased bool) {
-	return e.rules.lease.Leased(), e.rules.leased
+	return e.rules.lease.LeasedRevisions(), e.rules.leased
 }
 
 // RulesLog returns a log entry with the leased revisions, whether there is a lease, and the time since boot.
 func (e *Engine) RulesLog() *logrus.Entry {
 	return e.Logger.WithFields(logrus.Fields{
-		"versions": e.rules.lease.Leased(),
+		"versions": e.rules.lease.LeasedRevisions(),
 		"leased":   e.rules.leased,
 		"awake_ns": int64(clock.BootTime()),
 	})
@@ -175,11 +175,11 @@
 // logRules logs the rules if the leased revisions have changed, or if a lease was obtained or has expired.
 func (e *Engine) logRules(leased bool) {
 	active := e.rules
-	if active.leased == leased && slices.Equal(active.logged, active.lease.Leased()) {
+	if active.leased == leased && slices.Equal(active.logged, active.lease.LeasedRevisions()) {
 		return
 	}
 	active.leased = leased
-	active.logged = slices.Clone(active.lease.Leased())
+	active.logged = slices.Clone(active.lease.LeasedRevisions())
 	message := LogLeaseExpired
 	if leased {
 		message = LogLeaseHeld
@@ -190,7 +190,7 @@
 // current returns the revision in force, or the older one of two while a change of revisions is in progress. It is 0
 // before the first lease.
 func (a *activeRules) current() ruleset.RevisionNumber {
-	if revisions := a.lease.Leased(); len(revisions) > 0 {
+	if revisions := a.lease.LeasedRevisions(); len(revisions) > 0 {
 		return revisions[0]
 	}
 	return 0
@@ -204,7 +204,7 @@
 		sets = append(sets, set)
 	}
 	inForce := func(set *RuleSet) int {
-		if slices.Contains(a.lease.Leased(), set.Number) {
+		if slices.Contains(a.lease.LeasedRevisions(), set.Number) {
 			return 1
 		}
 		return 0
@@ -219,6 +219,6 @@
 // they are all that are not older than the current revision, including those that are not in force yet.
 func (a *activeRules) listSources(sets []*RuleSet, leased bool) []*RuleSet {
 	return slices.DeleteFunc(sets, func(set *RuleSet) bool {
-		return set.Number < a.current() || leased && !slices.Contains(a.lease.Leased(), set.Number)
+		return set.Number < a.current() || leased && !slices.Contains(a.lease.LeasedRevisions(), set.Number)
 	})
 }
