--- a/internal/engine/reconfigure.go
+++ b/internal/engine/reconfigure.go
@@ -30,7 +30,7 @@
 func (e *Engine) SetInstances(live int) {
 	e.liveInstances = live
 	if n := max(e.configuredInstances, live); n != e.Settings.Instances {
-		e.Logger.Infof("peers: budgets are shared among %d instances, %d are configured", n, e.configuredInstances)
+		e.Logger.Infof("peers: budgets are shared among %d, %d are configured", n, e.configuredInstances)
 		e.Settings.Instances = n
 	}
 }
