--- a/internal/httpproxy/proxy.go
+++ b/internal/httpproxy/proxy.go
@@ -64,7 +64,7 @@
 		Recorder:     config.Recorder,
 		StallAfter:   config.StallAfter,
 	}, log)
-	p.frontIndex = p.Add(p)
+	p.frontIndex = p.AddFront(p)
 	for i, class := range config.Settings.Classes {
 		p.classes[class.Name] = policy.ClassID(i)
 	}
@@ -120,7 +120,7 @@
 	}
 	for _, e := range p.sockets.takeEvents() {
 		p.handleEvent(now, e)
-		p.RunSteps(now)
+		p.ReportEndedAttempts(now)
 	}
 	ready := p.ready
 	p.ready = nil
@@ -129,8 +129,8 @@
 	}
 }
 
-// More reports whether a request may have come already.
-func (p *Proxy) More() bool { return len(p.ready) > 0 }
+// HasPending reports whether a request may have come already.
+func (p *Proxy) HasPending() bool { return len(p.ready) > 0 }
 
 // handleEvent handles an event of a socket.
 func (p *Proxy) handleEvent(now policy.Time, e event) {
