--- a/internal/httpproxy/admission.go
+++ b/internal/httpproxy/admission.go
@@ -18,18 +18,19 @@
 	text   string
 }
 
-// candidate is a request with what its headers say about its admission.
+// candidate is a parsed request with the values of the headers that decide on its admission.
 type candidate struct {
 	parsedRequest
 	class      policy.ClassID
 	classKnown bool
 	id         []byte
 	idHash     uint64
-	timeLeft   policy.Time // how long the client waits
+	timeLeft   policy.Time // how long the client waits for the response
 	hasTimeout bool
 }
 
-// handleRequest admits a request or answers it; buf holds its bytes, and at is when the last of them came.
+// handleRequest admits a request or answers it without an endpoint. buf holds its bytes; at is the arrival time of the
+// last one.
 func (p *Proxy) handleRequest(now, at policy.Time, c *connstate.Conn, buf *connstate.Buffer, request parsedRequest) {
 	if strings.HasPrefix(asString(request.target), localPrefix) && p.serveLocal(now, c, request.requestHead) {
 		p.buffers.Put(buf)
@@ -46,8 +47,8 @@
 		return
 	}
 	if p.buffers.Full() {
-		// An answer costs nothing, while the request might cost the process. No attempt has been made, so the client
-		// may safely try again.
+		// Rejecting takes no memory, while admitting the request could exhaust the memory of the process. No attempt
+		// has been made, so the client may safely retry.
 		p.Count(incoming.class, engine.Rejected)
 		p.buffers.Put(buf)
 		p.rejectForMemory(now, c)
@@ -56,7 +57,7 @@
 	p.admit(now, at, c, buf, &incoming)
 }
 
-// classify reads what the headers say about the admission of the request.
+// classify reads the headers that decide on the admission of the request.
 func (p *Proxy) classify(request parsedRequest) candidate {
 	incoming := candidate{parsedRequest: request}
 	headers := request.headers
@@ -71,7 +72,7 @@
 	return incoming
 }
 
-// check returns why the request cannot be served, if it cannot.
+// check returns the refusal of a request that cannot be served; its status is 0 if the request can be served.
 func (p *Proxy) check(incoming *candidate) refusal {
 	if !servedMethod(incoming.method) {
 		return refusal{http.StatusBadRequest, "this method is not served\n"}
@@ -86,7 +87,7 @@
 		return refusal{http.StatusBadRequest,
 			"X-Request-ID or Idempotency-Key is given twice, or for this connection only\n"}
 	case len(incoming.id) > 0 && p.idInUse(incoming):
-		// Otherwise a client that uses another's id could get its response.
+		// Otherwise a client that uses the request ID of another client could get the response to that request.
 		return refusal{http.StatusConflict, "a request with this X-Request-ID is in hand\n"}
 	case p.config.Settings.Classes[incoming.class].Idempotency == policy.Keyed &&
 		headerValue(headers, headerIdempotencyKey) == nil:
@@ -104,13 +105,13 @@
 	return false
 }
 
-// idInUse reports whether a request in flight has the same id.
+// idInUse reports whether a request in flight has the same request ID.
 func (p *Proxy) idInUse(incoming *candidate) bool {
 	other := p.requests.Find(incoming.idHash)
 	return other != nil && bytes.Equal(headerValue(other.Head, headerRequestID), incoming.id)
 }
 
-// admit hands the request to the engine.
+// admit passes the request to the engine.
 func (p *Proxy) admit(now, at policy.Time, c *connstate.Conn, buf *connstate.Buffer, incoming *candidate) {
 	headers := incoming.headers
 	tenant, known := p.tenants[string(headerValue(headers, headerTenant))]
@@ -145,8 +146,8 @@
 	}
 }
 
-// timeLeft returns how long the client of a request waits: as its header says, and no longer than its class allows
-// where that has a deadline. It is not ok where neither says it.
+// timeLeft returns how long the client of a request waits: the value of its timeout header, at most the deadline of its
+// class if classes have deadlines. ok is false if the header is malformed, or missing while classes have no deadlines.
 func (p *Proxy) timeLeft(class policy.ClassID, header []byte) (timeLeft policy.Time, ok bool) {
 	timeLeft, ok = parseSeconds(header)
 	if p.config.Deadlines == nil {
--- a/internal/httpproxy/attempts.go
+++ b/internal/httpproxy/attempts.go
@@ -8,24 +8,25 @@
 	"pepperlead/policy"
 )
 
-// restTime is how long a connection is idle before it is used again. Bytes that an endpoint sends behind a response,
-// such as a late copy of it, show in that time. Nothing in a response says to which request it belongs, so a copy that
-// comes after the next request is written would be taken for its response.
-const restTime = 20 * policy.Millisecond
+// reuseDelay is how long a connection must be idle before it carries another request. Surplus bytes that an endpoint
+// sends after a response, such as a late duplicate of it, are detected in that time. A response does not identify its
+// request, so a duplicate that arrives after the next request is written would be taken for the response to that one.
+const reuseDelay = 20 * policy.Millisecond
 
-// restWaitPart is the part of its target latency that an attempt waits for a connection to have rested. Otherwise
-// another one is opened, which costs the endpoint work and this request a handshake.
-const restWaitPart = 32
+// reuseWaitDivisor limits the time that an attempt waits for an idle connection to become reusable, to the target
+// latency of its class divided by this number. If that is not enough, another connection is opened, which costs the
+// endpoint work and this request a handshake.
+const reuseWaitDivisor = 32
 
 // Send begins an attempt, on an idle connection to the endpoint or on a new one.
 func (p *Proxy) Send(now policy.Time, request *engine.Request, to *engine.Endpoint) {
 	r := connstate.AsRequest(request)
 	endpoint := p.endpointConns(to)
 	if r.Upload.Active {
-		p.Timers.Stop(&r.AttemptTimer) // the attempt's time begins when the body is complete
+		p.Timers.Stop(&r.AttemptTimer) // the timeout of the attempt starts when the body is complete
 	}
 	if r.Upload.Forwarded {
-		// A part of the body was forwarded with an earlier attempt and not kept.
+		// A part of the body was forwarded with an earlier attempt and is no longer in memory.
 		p.AttemptEnded(now, request, policy.NotSent)
 		return
 	}
@@ -36,23 +37,23 @@
 		p.writeRequest(now, r)
 		return
 	}
-	if p.waitForRest(now, r, endpoint) {
+	if p.waitForReusable(now, r, endpoint) {
 		return
 	}
 	full := p.conns.Count(connstate.EndpointSide) >= p.conns.Limit[connstate.EndpointSide]
 	if full && !p.closeOldestIdle(connstate.EndpointSide, now, now) {
-		// Every descriptor carries an attempt: nothing was sent, and the endpoint is not at fault.
+		// Every descriptor is in use by an attempt. Nothing was sent, and the endpoint is not at fault.
 		p.AttemptEnded(now, request, policy.NotSent)
 		return
 	}
 	p.dialFor(r, endpoint)
 }
 
-// takeIdle returns a rested connection to the endpoint, nil if there is none. It closes those on which something has
-// come unasked, or that the endpoint has closed.
+// takeIdle returns a connection to the endpoint that has been idle for reuseDelay or has never been used, nil if there
+// is none. It closes connections that the endpoint has closed or on which it has sent unsolicited bytes.
 func (p *Proxy) takeIdle(now policy.Time, endpoint *connstate.Endpoint) *connstate.Conn {
 	for {
-		c := p.conns.TakeIdle(endpoint, now-restTime)
+		c := p.conns.TakeIdle(endpoint, now-reuseDelay)
 		if c == nil {
 			return nil
 		}
@@ -76,18 +77,19 @@
 	p.sockets.dial(c, to.Addr, p.config.ConnectTimeout)
 }
 
-// waitForRest has an attempt wait, once, for the connection that will have rested next, and reports whether it does.
-func (p *Proxy) waitForRest(now policy.Time, r *connstate.Request, endpoint *connstate.Endpoint) bool {
+// waitForReusable makes an attempt wait, at most once, until the next idle connection may be reused. It reports whether
+// the attempt waits.
+func (p *Proxy) waitForReusable(now policy.Time, r *connstate.Request, endpoint *connstate.Endpoint) bool {
 	if r.RestAwaited || r.Upload.Active || endpoint.Awaited >= len(endpoint.Idle) {
 		r.RestAwaited = false
 		return false
 	}
-	wait := endpoint.Idle[endpoint.Awaited].IdleSince + restTime - now
-	if wait > p.config.Settings.Classes[r.Class].Target/restWaitPart {
+	wait := endpoint.Idle[endpoint.Awaited].IdleSince + reuseDelay - now
+	if wait > p.config.Settings.Classes[r.Class].Target/reuseWaitDivisor {
 		return false
 	}
 	if r.RestTimer.Run == nil {
-		r.RestTimer.Run = func(now policy.Time) { p.afterRest(now, r) }
+		r.RestTimer.Run = func(now policy.Time) { p.resumeAfterWait(now, r) }
 	}
 	r.RestAwaited = true
 	r.AttemptEndpoint = endpoint.Endpoint
@@ -96,8 +98,8 @@
 	return true
 }
 
-// afterRest resumes an attempt that waited for a connection, unless it is not allowed any more.
-func (p *Proxy) afterRest(now policy.Time, r *connstate.Request) {
+// resumeAfterWait resumes an attempt that waited for a reusable connection, or ends it if it is no longer allowed.
+func (p *Proxy) resumeAfterWait(now policy.Time, r *connstate.Request) {
 	p.endpointConns(r.AttemptEndpoint).Awaited--
 	switch {
 	case r.AttemptEndpoint.Draining:
@@ -109,30 +111,30 @@
 	}
 }
 
-// endpointConnected handles a connection to an endpoint that has been established.
+// endpointConnected handles a newly established connection to an endpoint.
 func (p *Proxy) endpointConnected(now policy.Time, c *connstate.Conn) {
 	switch {
 	case c.Request == nil:
-		p.returnIdle(now, c) // its request did not wait for it
+		p.returnIdle(now, c) // the attempt that dialled it has ended
 	case outdated(c):
 		p.endAttempt(now, c.Request, policy.NotConnected, false)
 	case c.Request.Decided || !p.AttemptStillValid(now, c.Request.Request):
-		// The request is answered, or its client has left; or the rules or the list have changed, or the window in
-		// which it may be retried has closed since the attempt was decided on.
+		// Since the attempt was decided on, the request was answered, its client disconnected, the rules or the
+		// endpoint list changed, or the window in which it may be retried ended.
 		p.endAttempt(now, c.Request, policy.NotSent, true)
 	default:
 		p.writeRequest(now, c.Request)
 	}
 }
 
-// outdated reports whether the endpoint is draining, or another process stands in its place, since the connection was
-// dialled: it gets no new attempts.
+// outdated reports whether the endpoint is draining, or has been replaced by another process since the connection was
+// dialled. Such a connection carries no new attempts.
 func outdated(c *connstate.Conn) bool {
 	endpoint := c.Endpoint.Endpoint
 	return endpoint.Draining || c.Generation != endpoint.Generation
 }
 
-// writeRequest writes the request to its connection. Nothing of it is sent again without a new attempt.
+// writeRequest writes the request to the connection of its attempt. Only a new attempt sends any of it again.
 func (p *Proxy) writeRequest(now policy.Time, r *connstate.Request) {
 	p.traceAttempt(r)
 	size := len(r.Body)
@@ -175,8 +177,8 @@
 	}).Debug(engine.LogAttemptStarted)
 }
 
-// returnIdle keeps a connection for the next attempt to its endpoint. It is closed well before the endpoint would close
-// it: what is written at that moment may have been processed or not.
+// returnIdle keeps a connection for a later attempt to its endpoint. It is closed well before the endpoint's own idle
+// timeout: a request written while the endpoint closes the connection may or may not have been processed.
 func (p *Proxy) returnIdle(now policy.Time, c *connstate.Conn) {
 	if outdated(c) {
 		p.closeConn(c)
@@ -186,12 +188,12 @@
 	p.Timers.Set(&c.Timer, now+p.config.IdleTimeout*3/4)
 }
 
-// readResponse handles bytes from an endpoint. It ends the attempt once the response is complete, or starts to stream
-// it. at is when the last bytes came.
+// readResponse handles bytes from an endpoint: it ends the attempt once the response is complete, or starts to stream
+// the response. at is the arrival time of the last bytes.
 func (p *Proxy) readResponse(now, at policy.Time, c *connstate.Conn) {
 	r := c.Request
 	if r == nil {
-		p.closeConn(c) // these bytes answer no request
+		p.closeConn(c) // no request is waiting for these bytes
 		return
 	}
 	in := c.Input.Buffer.B
@@ -210,7 +212,7 @@
 	}
 }
 
-// takeResponse moves the response with its buffer from the connection to the request.
+// takeResponse moves the response and its buffer from the connection to the request.
 func (p *Proxy) takeResponse(r *connstate.Request, c *connstate.Conn, response parsedResponse) {
 	r.Response.Buffer = c.Input.Buffer
 	r.Response.Status = response.status
@@ -219,7 +221,7 @@
 	c.Input.Buffer = nil
 }
 
-// endpointClosed handles the end of a connection to an endpoint, or a dial that failed.
+// endpointClosed handles a connection to an endpoint that has ended or could not be established.
 func (p *Proxy) endpointClosed(at policy.Time, c *connstate.Conn) {
 	r := c.Request
 	if r == nil {
@@ -249,8 +251,8 @@
 	p.endAttempt(at, r, policy.ConnectionLost, false)
 }
 
-// TimedOut ends an attempt at its timeout. A request that has not been written completely is cut short by the end of
-// its connection, so it is never processed.
+// TimedOut ends an attempt at its timeout. If the request has not been written completely, the endpoint receives only a
+// part of it before the connection closes and never processes it.
 func (p *Proxy) TimedOut(now policy.Time, request *engine.Request) {
 	r := connstate.AsRequest(request)
 	outcome := policy.TimedOut
@@ -260,9 +262,9 @@
 	p.endAttempt(now, r, outcome, false)
 }
 
-// abortUnwritten closes the connection of an attempt that has not been written completely, and reports whether it
-// never will be. Pending bytes are written beside the loop: if they were checked before the close, the last one could
-// go out in between, and a request that was processed would be retried.
+// abortUnwritten closes the connection of an attempt whose request is not written completely, and reports whether the
+// endpoint never receives all of it. The poller writes pending bytes concurrently, so the check follows the close:
+// otherwise the last byte could be written after the check, and a request that was processed would be retried.
 func (p *Proxy) abortUnwritten(r *connstate.Request) bool {
 	c := r.AttemptConn
 	if c == nil || !c.Connected || r.Upload.Active {
@@ -271,20 +273,20 @@
 	if c.Flushed() {
 		return false
 	}
-	_ = c.Socket.Close() // its end is reported by the poller
+	_ = c.Socket.Close() // the poller reports the end of the connection
 	return !c.Flushed()
 }
 
-// CancelAttempt ends an attempt whose response is not needed any more.
+// CancelAttempt ends an attempt whose response is no longer needed.
 func (p *Proxy) CancelAttempt(now policy.Time, request *engine.Request) {
 	r := connstate.AsRequest(request)
-	if attempting(r) && !r.Response.Streaming {
+	if hasAttempt(r) && !r.Response.Streaming {
 		p.endAttempt(now, r, policy.Cancelled, false)
 	}
 }
 
-// attempting reports whether an attempt has a connection, or waits for one to have rested.
-func attempting(r *connstate.Request) bool { return r.AttemptConn != nil || r.RestTimer.Active() }
+// hasAttempt reports whether the request has an attempt with a connection, or one that waits for a reusable one.
+func hasAttempt(r *connstate.Request) bool { return r.AttemptConn != nil || r.RestTimer.Active() }
 
 // endAttempt ends the attempt in flight.
 func (p *Proxy) endAttempt(at policy.Time, r *connstate.Request, outcome policy.Outcome, reusable bool) {
@@ -292,8 +294,8 @@
 	p.AttemptEnded(at, r.Request, outcome)
 }
 
-// detachEndpoint separates the request from its connection to an endpoint, which is kept if it is reusable and closed
-// otherwise. A connection that is not established yet carries nothing and is kept once it is.
+// detachEndpoint separates the request from its connection to an endpoint. An established connection is kept if it is
+// reusable and closed otherwise. One that is still being dialled has carried nothing and is kept once established.
 func (p *Proxy) detachEndpoint(at policy.Time, r *connstate.Request, reusable bool) {
 	r.RestAwaited = false
 	if r.RestTimer.Active() {
--- a/internal/httpproxy/attempts_test.go
+++ b/internal/httpproxy/attempts_test.go
@@ -22,7 +22,7 @@
 	c := r.client()
 	for _, size := range []int{0, 1, 2000, 5000, maxBody} {
 		for _, act := range []string{"echo", "slow"} {
-			time.Sleep(time.Duration(restTime + 5*policy.Millisecond)) // for what may still come behind the last response
+			time.Sleep(time.Duration(reuseDelay + 5*policy.Millisecond)) // for what may still come behind the last response
 			body := strings.Repeat("b", size)
 			id := c.send("step/"+act, body, "X-Priority-Class: step\r\nX-Attrs: a=1\r\n")
 			if answer, got := c.receive(); answer.StatusCode != 200 || got != body || answer.Close {
--- a/internal/httpproxy/chunked.go
+++ b/internal/httpproxy/chunked.go
@@ -2,20 +2,20 @@
 
 import "bytes"
 
-// Limits of the line before a chunk.
+// Limits of the line with the size of a chunk.
 const (
-	maxChunkSizeLine   = 256
-	maxChunkSizeDigits = 8
+	maxChunkSizeLine   = 256 // bytes
+	maxChunkSizeDigits = 8   // hexadecimal
 )
 
-// chunkedExtent is the extent of a chunked body.
+// chunkedExtent holds the encoded and decoded lengths of a chunked body.
 type chunkedExtent struct {
 	length int // with chunk sizes and trailers; 0: the body is incomplete
-	size   int // of the body itself, as far as it is known
+	size   int // of the decoded body, as far as it is known
 }
 
-// measureChunks measures the chunked body at the front of b. It isn't ok where the body is malformed or longer than
-// limit; in the latter case size is over limit.
+// measureChunks measures the chunked body at the start of b. ok is false if the body is malformed or longer than limit;
+// in the latter case size exceeds limit.
 func measureChunks(b []byte, limit int) (extent chunkedExtent, ok bool) {
 	length, size := 0, 0
 	for {
@@ -45,7 +45,7 @@
 	}
 }
 
-// measureTrailers adds the trailers, which are ignored, to the extent of the body before them.
+// measureTrailers adds the length of the trailers, whose content is ignored, to the extent of the body before them.
 func measureTrailers(b []byte, body chunkedExtent) (extent chunkedExtent, ok bool) {
 	length := body.length
 	for {
@@ -60,7 +60,7 @@
 	}
 }
 
-// parseChunkSize reads the line before a chunk. The length of the line is 0 while it is incomplete.
+// parseChunkSize parses the line with the size of a chunk. length is that of the line, 0 while it is incomplete.
 func parseChunkSize(b []byte) (size, length int, ok bool) {
 	end := bytes.Index(b, lineEnd)
 	if end < 0 {
@@ -82,7 +82,7 @@
 	return size, end + len(lineEnd), true
 }
 
-// joinChunks moves the data of a complete chunked body together, at its front.
+// joinChunks decodes a complete chunked body in place: it moves the data of the chunks to the start of b.
 func joinChunks(b []byte) []byte {
 	joined, at := 0, 0
 	for {
--- a/internal/httpproxy/classes.go
+++ b/internal/httpproxy/classes.go
@@ -2,8 +2,8 @@
 
 import "pepperlead/policy"
 
-// SetClass maps the class of that name to an id of the settings, with the deadline of its requests. With NoClass they
-// are refused from now on. Requests in flight keep their class.
+// SetClass maps a class name to a class id of the settings and sets the deadline of its requests. With NoClass, new
+// requests that name the class are refused. Requests in flight keep their class.
 func (p *Proxy) SetClass(name string, id policy.ClassID, deadline policy.Time) {
 	if id == policy.NoClass {
 		delete(p.classes, name)
@@ -19,7 +19,8 @@
 	}
 }
 
-// SetTenant maps the tenant of that name to an id of the settings. With NoTenant its requests count for no tenant.
+// SetTenant maps a tenant name to a tenant id of the settings. With NoTenant, requests that name the tenant count for
+// no tenant.
 func (p *Proxy) SetTenant(name string, id policy.TenantID) {
 	if id == policy.NoTenant {
 		delete(p.tenants, name)
--- a/internal/httpproxy/clients.go
+++ b/internal/httpproxy/clients.go
@@ -7,32 +7,34 @@
 	"pepperlead/policy"
 )
 
-// Timing of client connections.
+// Timing of client connections. A connection that is idle since its last response is called resting.
 const (
-	// headTimeout is how long a head may take: the first from the connect on, later ones from their first byte on.
+	// headTimeout is how long a request head may take to arrive: the first one from the connect on, later ones from
+	// their first byte on.
 	headTimeout = 2600 * policy.Millisecond
-	// bodyTimeout is how long a body may take to begin; from then on minBodyRate applies.
+	// bodyTimeout is how long a body may take to begin after the head. Received bytes extend it by minBodyRate.
 	bodyTimeout = 1500 * policy.Millisecond
-	// minBodyRate is the least number of bytes of a body that must come in each second.
+	// minBodyRate is the lowest accepted rate of a body, in bytes per second.
 	minBodyRate = 16 << 10
-	// idleCloseAfter is how long a connection has been idle when it may be closed: on one idle for less a request may
-	// be on its way.
+	// idleCloseAfter is how long a connection must be idle before it may be closed. On one used more recently the next
+	// request may already be on its way.
 	idleCloseAfter = 2 * policy.Second
-	// unusedCloseAfter is the same for a connection without a request so far.
+	// unusedCloseAfter is the same for a connection that has not carried a request yet.
 	unusedCloseAfter = 100 * policy.Millisecond
-	// restingCheckInterval is the time between looks whether a resting connection should be closed.
+	// restingCheckInterval is the time between checks whether a resting connection should be closed.
 	restingCheckInterval = idleCloseAfter / 8
-	// roomCheckInterval is the time between looks for connections to close while there are too many.
-	roomCheckInterval = 20 * policy.Millisecond
-	// flushCheckInterval is the time between looks whether the last response has been written.
+	// clientLimitCheckInterval is the time between searches for connections to close while too many are open.
+	clientLimitCheckInterval = 20 * policy.Millisecond
+	// flushCheckInterval is the time between checks whether the last response has been written.
 	flushCheckInterval = 10 * policy.Millisecond
-	// lingerTime is how long the client of a refused request has to read the response.
+	// lingerTime is how long the connection of a refused request stays open for the client to read the response.
 	lingerTime = 300 * policy.Millisecond
-	// flushTimeout is how long a client may take nothing of a response before it is closed.
+	// flushTimeout is how long a client may accept no bytes of a response, or an endpoint none of a streamed body,
+	// before it counts as stalled.
 	flushTimeout = 2 * policy.Second
 )
 
-// maxSkippedLines bounds the bytes of empty lines that are skipped before a request.
+// maxSkippedLines is how many bytes of empty lines are skipped before a request.
 const maxSkippedLines = 8
 
 // clientConnected handles a new connection of a client.
@@ -44,25 +46,25 @@
 	p.Timers.Set(&c.Timer, now+headTimeout)
 	p.conns.Add(c)
 	p.Counters.ClientConns++
-	p.makeRoom(now)
+	p.enforceClientLimit(now)
 }
 
-// makeRoom closes idle client connections while there are too many, first those that never carried a request. Where
-// none can be closed yet, each response closes its connection.
-func (p *Proxy) makeRoom(now policy.Time) {
-	p.noRoom = false
-	for p.conns.OverLimit(connstate.ClientSide) && !p.noRoom {
+// enforceClientLimit closes idle client connections while too many are open, first those that never carried a request.
+// If none can be closed yet, it tries again later, and until then each response closes its connection.
+func (p *Proxy) enforceClientLimit(now policy.Time) {
+	p.overClientLimit = false
+	for p.conns.OverLimit(connstate.ClientSide) && !p.overClientLimit {
 		if p.closeOldestIdle(connstate.ClientSide, 0, now-unusedCloseAfter) ||
 			p.closeOldestIdle(connstate.ClientSide, now-idleCloseAfter, 0) {
 			p.Counters.ClientConnsBroken++
 			continue
 		}
-		p.noRoom = true
-		p.Timers.Set(&p.roomTimer, now+roomCheckInterval)
+		p.overClientLimit = true
+		p.Timers.Set(&p.clientLimitTimer, now+clientLimitCheckInterval)
 	}
 }
 
-// readRequests handles the complete requests that a client has sent; at is when the last bytes came.
+// readRequests handles the complete requests that a client has sent. at is the arrival time of the last bytes.
 func (p *Proxy) readRequests(now, at policy.Time, c *connstate.Conn) {
 	for p.readyForRequest(now, c) {
 		if !p.readRequest(now, at, c) {
@@ -70,17 +72,17 @@
 		}
 	}
 	if in := c.Input.Buffer; in != nil && len(in.B) > connstate.LargeBuffer && (c.Request != nil || !c.Flushed()) {
-		p.closeConn(c) // it keeps sending without waiting for responses
+		p.closeConn(c) // the client keeps sending while its response is outstanding
 	}
 }
 
-// readyForRequest reports whether bytes have come that the next request may be read from.
+// readyForRequest reports whether there is input from which the next request may be read now.
 func (p *Proxy) readyForRequest(now policy.Time, c *connstate.Conn) bool {
 	return c.Input.Buffer != nil && c.Request == nil && !c.Output.CloseWhenFlushed && !c.Closing &&
-		!c.Input.PeerClosed.Load() && p.lastResponseTaken(now, c)
+		!c.Input.PeerClosed.Load() && p.lastResponseWritten(now, c)
 }
 
-// readRequest handles the next request and reports whether it was complete.
+// readRequest handles the next request if it is complete, and reports whether it was.
 func (p *Proxy) readRequest(now, at policy.Time, c *connstate.Conn) bool {
 	in := c.Input.Buffer
 	if len(in.B) < c.Input.Needed && !p.buffers.Full() {
@@ -102,7 +104,7 @@
 		p.refuse(now, c, refusal{status, "the request cannot be read\n"})
 		return false
 	case request.length == 0 && p.buffers.Full():
-		// Requests that come in pieces must not fill the memory while they cannot be admitted.
+		// Partly received requests must not fill the memory while they cannot be admitted.
 		p.rejectForMemory(now, c)
 		return false
 	case request.length == 0:
@@ -120,7 +122,7 @@
 	return true
 }
 
-// copyOf returns a buffer with these bytes, nil if there are none.
+// copyOf returns a new buffer with a copy of b, nil if b is empty.
 func (p *Proxy) copyOf(b []byte) *connstate.Buffer {
 	if len(b) == 0 {
 		return nil
@@ -130,7 +132,7 @@
 	return buf
 }
 
-// sendContinue asks a client for the body where it waits with that.
+// sendContinue sends 100 Continue to a client that waits for it before it sends the body.
 func (p *Proxy) sendContinue(c *connstate.Conn) {
 	if !c.Upload.ContinueSent && expectsContinue(c.Input.Buffer.B) {
 		c.Upload.ContinueSent = true
@@ -138,7 +140,7 @@
 	}
 }
 
-// awaitMore sets the time by when more of an incomplete request must have come. Clients may be slow, but silent ones
+// awaitMore sets the deadline for more bytes of an incomplete request. Clients may be slow, but one that sends nothing
 // must not occupy a descriptor.
 func (p *Proxy) awaitMore(now policy.Time, c *connstate.Conn) {
 	head := splitHead(c.Input.Buffer.B)
@@ -158,15 +160,15 @@
 	p.conns.MarkBusy(c)
 }
 
-// setBodyTimer sets the time by when more of the body must have come.
+// setBodyTimer sets the deadline for more bytes of the body.
 func (p *Proxy) setBodyTimer(c *connstate.Conn) {
 	received := policy.Time(len(c.Input.Buffer.B))
 	p.Timers.Set(&c.Timer, c.Input.HeadAt+bodyTimeout+received*policy.Second/minBodyRate)
 }
 
-// lastResponseTaken reports whether the client has taken its last response. Until then its next request waits:
-// responses that are not read must not pile up. clientTimerDue checks again.
-func (p *Proxy) lastResponseTaken(now policy.Time, c *connstate.Conn) bool {
+// lastResponseWritten reports whether the last response has been written to the client completely. Until then the next
+// request waits, so that unread responses do not pile up; clientTimerDue checks again.
+func (p *Proxy) lastResponseWritten(now policy.Time, c *connstate.Conn) bool {
 	c.Output.AwaitingFlush = !c.Flushed()
 	if c.Output.AwaitingFlush {
 		p.Timers.Set(&c.Timer, now+flushCheckInterval)
@@ -174,7 +176,7 @@
 	return !c.Output.AwaitingFlush
 }
 
-// clientTimerDue handles the one timer of a client's connection. It is set while a request is incomplete, while a
+// clientTimerDue handles the only timer of a client connection. It is set while a request is incomplete, while a
 // response is being written, and while the connection is idle.
 func (p *Proxy) clientTimerDue(now policy.Time, c *connstate.Conn) {
 	switch {
@@ -185,7 +187,7 @@
 		if c.Progressed(now, c.Output.Written.Load(), flushTimeout) {
 			p.Timers.Set(&c.Timer, now+flushCheckInterval)
 		} else {
-			p.closeConn(c) // it does not read its response
+			p.closeConn(c) // the client does not read its response
 		}
 	case c.Output.CloseWhenFlushed:
 		p.closeConn(c)
@@ -200,7 +202,7 @@
 	}
 }
 
-// checkResting closes a resting connection while many rest: they occupy descriptors that other clients wait for.
+// checkResting closes a resting connection while many are resting, as they occupy descriptors that other clients need.
 func (p *Proxy) checkResting(now policy.Time, c *connstate.Conn) {
 	if 2*p.conns.RestingCount > p.conns.ExcessResting && c.Socket.CloseIfIdle(c) {
 		p.conns.MarkClosing(c)
@@ -210,7 +212,8 @@
 	p.Timers.Set(&c.Timer, now+restingCheckInterval)
 }
 
-// checkSilent closes a connection on which nothing has come since it was opened, unless bytes are coming just now.
+// checkSilent closes a connection on which nothing has been received since it was opened. If input has arrived that is
+// not processed yet, it checks again later.
 func (p *Proxy) checkSilent(now policy.Time, c *connstate.Conn) {
 	if c.Socket.CloseIfIdle(c) {
 		p.conns.MarkClosing(c)
@@ -220,8 +223,8 @@
 	p.Timers.Set(&c.Timer, now+flushCheckInterval)
 }
 
-// clientLeft handles the end of a client's connection, which ends its request as well.
-func (p *Proxy) clientLeft(now policy.Time, c *connstate.Conn) {
+// clientDisconnected handles the end of a client connection, which ends its request as well.
+func (p *Proxy) clientDisconnected(now policy.Time, c *connstate.Conn) {
 	r := c.Request
 	if r == nil {
 		return
@@ -233,20 +236,20 @@
 	p.abandonRequest(now, c, r)
 }
 
-// abandonRequest ends a request whose client is gone, or has not sent all of it.
+// abandonRequest ends a request whose client has disconnected or has not sent all of the body.
 func (p *Proxy) abandonRequest(now policy.Time, c *connstate.Conn, r *connstate.Request) {
 	c.Request = nil
 	r.Client = nil
 	p.requests.Remove(r)
 	p.ClientLeft(now, r.Request)
-	if attempting(r) && p.abortUnwritten(r) {
-		// What is missing of the request never comes. No endpoint has all of it, so ending the attempt is allowed even
-		// where attempts may not be cancelled.
+	if hasAttempt(r) && p.abortUnwritten(r) {
+		// The endpoint never receives the rest of the request, so it cannot process it, and ending the attempt is
+		// allowed even if attempts may not be cancelled.
 		p.endAttempt(now, r, policy.Cancelled, false)
 	}
 }
 
-// skipEmptyLines removes empty lines before a request, as some clients send them behind a body.
+// skipEmptyLines removes empty lines before a request, as some clients send them after a body.
 func skipEmptyLines(in *connstate.Buffer) {
 	n := 0
 	for n+1 < len(in.B) && n < maxSkippedLines && in.B[n] == '\r' && in.B[n+1] == '\n' {
--- a/internal/httpproxy/dial.go
+++ b/internal/httpproxy/dial.go
@@ -12,10 +12,10 @@
 	"pepperlead/policy"
 )
 
-// connector opens a connection to an address within a time.
+// connector opens a connection to an address, with a timeout.
 type connector func(addr string, timeout policy.Time) (net.Conn, error)
 
-// newConnector returns a connector whose connections have that local address; nil: the kernel picks one.
+// newConnector returns a connector that dials from the local address source. If it is nil, the kernel picks one.
 func newConnector(source net.IP) connector {
 	var local net.Addr
 	if source != nil {
@@ -34,31 +34,31 @@
 
 func setReceiveBuffer(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
-		// Where this fails the kernel's default holds.
+		// If this fails, the kernel's default applies.
 		_ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, endpointReceiveBuffer)
 	})
 }
 
-// dial opens the connection and posts the result. It waits in a goroutine of its own, as nbio's dialler neither says
+// dial opens the connection in a goroutine of its own and posts the result. nbio's dialler is not used: it neither says
 // which connection has failed nor lets one be identified before it is established.
 func (s *sockets) dial(conn *connstate.Conn, addr string, timeout policy.Time) {
 	go func() {
-		up, err := s.connect(addr, timeout)
+		dialled, err := s.connect(addr, timeout)
 		if err != nil {
 			s.post(event{kind: eventClosed, conn: conn})
 			return
 		}
-		c, err := nbio.NBConn(up)
+		c, err := nbio.NBConn(dialled)
 		if err != nil {
-			_ = up.Close() // it has carried nothing
+			_ = dialled.Close() // nothing has been sent on it
 			s.post(event{kind: eventClosed, conn: conn})
 			return
 		}
 		conn.Socket = newSocket(c)
 		c.SetSession(conn)
 		if _, err := s.engine.AddConn(c); err != nil {
-			_ = c.Close()                                // it has carried nothing
-			s.post(event{kind: eventClosed, conn: conn}) // a second event of the same end is ignored
+			_ = c.Close()                                // nothing has been sent on it
+			s.post(event{kind: eventClosed, conn: conn}) // a second event for the same connection is ignored
 		}
 	}()
 }
--- a/internal/httpproxy/frame.go
+++ b/internal/httpproxy/frame.go
@@ -2,14 +2,14 @@
 
 import "pepperlead/internal/connstate"
 
-// Kinds of framing, in connstate.Frame.
+// Values of connstate.Frame.Kind: how the end of a body is determined.
 const (
 	sizedBody = iota
 	chunkedBody
-	bodyUntilClose // the body ends with its connection
+	bodyUntilClose // the body ends when its connection closes
 )
 
-// Phases of a chunked body, in connstate.Frame: what the next byte belongs to.
+// Values of connstate.Frame.Phase: the part of a chunked body to which the next byte belongs.
 const (
 	phaseSize = iota
 	phaseAfterDigits
@@ -18,13 +18,13 @@
 	phaseData
 	phaseDataCR
 	phaseDataLF
-	phaseTrailerStart // the first byte of a line
+	phaseTrailerStart // first byte of a line
 	phaseTrailer
 	phaseTrailerLF
 	phaseLastLF
 )
 
-// maxStreamedBody is how long a body may be that is forwarded as it comes.
+// maxStreamedBody is the maximum size in bytes of a body that is forwarded while it arrives.
 const maxStreamedBody = 64 << 20
 
 func newFrame(size int, chunked bool) connstate.Frame {
@@ -37,15 +37,15 @@
 	return connstate.Frame{Kind: bodyUntilClose}
 }
 
-// decoded is the result of decoding some bytes of a message.
+// decoded is the result of decoding some bytes of a body.
 type decoded struct {
-	size int  // bytes of the body, moved to the front of the input
-	used int  // bytes of the input that belong to the message; all of them unless done
+	size int  // decoded bytes, moved to the start of the input
+	used int  // bytes of the input that belong to the message: all of them unless done
 	done bool // the body is complete
 }
 
-// decodeBody decodes the next bytes of a body in place. It follows the same rules as measureChunks and joinChunks,
-// which work on complete bodies.
+// decodeBody decodes the next bytes of a body in place. For chunked bodies it follows the same rules as measureChunks
+// and joinChunks, which work on complete bodies.
 func decodeBody(f *connstate.Frame, b []byte) (part decoded, ok bool) {
 	switch f.Kind {
 	case sizedBody:
@@ -88,7 +88,7 @@
 	return part, f.Received <= maxStreamedBody && f.RawReceived <= maxChunkOverhead*maxStreamedBody
 }
 
-// decodeFramingByte takes one byte of a chunked body that is not data, and reports whether it is valid.
+// decodeFramingByte decodes one byte of a chunked body that is not data, and reports whether it is valid.
 func decodeFramingByte(f *connstate.Frame, c byte) bool {
 	f.LineLength++
 	switch f.Phase {
@@ -108,7 +108,7 @@
 	return decodeTrailerByte(f, c)
 }
 
-// decodeSizeLineByte takes a byte of the line with the size of a chunk.
+// decodeSizeLineByte decodes a byte of the line with the size of a chunk, and reports whether it is valid.
 func decodeSizeLineByte(f *connstate.Frame, c byte) bool {
 	if f.LineLength > maxChunkSizeLine+1 || f.LineLength == maxChunkSizeLine+1 && c != '\r' {
 		return false
@@ -139,7 +139,8 @@
 	return true
 }
 
-// beginChunk goes over to the data of a chunk, or to the trailers behind the last one.
+// beginChunk proceeds to the data of a chunk, or to the trailers after the last chunk. It reports whether the size of
+// the chunk is acceptable.
 func beginChunk(f *connstate.Frame) bool {
 	f.Remaining = int64(f.ChunkSize)
 	f.ChunkSize = 0
@@ -152,8 +153,8 @@
 	return f.Remaining <= maxStreamedBody
 }
 
-// decodeTrailerByte takes a byte of the trailers, which are ignored. Lines end with CRLF, and an empty one is the last.
-// LineLength counts the bytes of all of them.
+// decodeTrailerByte decodes a byte of the trailers, whose content is ignored. Lines end with CRLF, and an empty line is
+// the last. LineLength counts the bytes of all of them, and the result is false once they exceed maxHead.
 func decodeTrailerByte(f *connstate.Frame, c byte) bool {
 	switch {
 	case c == '\n' && f.Phase == phaseTrailerLF:
--- a/internal/httpproxy/harness_test.go
+++ b/internal/httpproxy/harness_test.go
@@ -133,7 +133,7 @@
 			respond("200 OK", "")
 			s.mu.Lock()
 			s.copies++
-			if policy.Time(time.Since(began)) >= restTime {
+			if policy.Time(time.Since(began)) >= reuseDelay {
 				s.overdue++ // this process was delayed: later than a connection rests
 			}
 			s.mu.Unlock()
--- a/internal/httpproxy/header.go
+++ b/internal/httpproxy/header.go
@@ -5,11 +5,11 @@
 	"unsafe"
 )
 
-// Limits of a message.
+// Limits of a message, in bytes.
 const (
 	maxHead          = 16 << 10
 	maxBody          = 64 << 10
-	maxChunkOverhead = 8 // a chunked message with its chunk sizes may be so many times as long as its body
+	maxChunkOverhead = 8 // maximum ratio of the length of a chunked body with its framing to the maximum body size
 )
 
 var (
@@ -17,17 +17,17 @@
 	emptyLine = []byte("\r\n\r\n")
 )
 
-// asString returns the bytes as a string without copying. It must not be kept beyond the life of the bytes.
+// asString returns the bytes as a string without copying. The string must not be used once the bytes may change.
 func asString(b []byte) string { return unsafe.String(unsafe.SliceData(b), len(b)) }
 
 // messageHead is the first line and the header lines of a message.
 type messageHead struct {
 	firstLine []byte
-	headers   []byte // each line with its line end
-	length    int    // of the head with the empty line behind it; 0: the head is incomplete
+	headers   []byte // lines including their line ends
+	length    int    // of the head including the empty line after it; 0: the head is incomplete
 }
 
-// splitHead returns the head at the front of b.
+// splitHead returns the head at the start of b.
 func splitHead(b []byte) messageHead {
 	end := bytes.Index(b, emptyLine)
 	if end < 0 {
@@ -45,7 +45,7 @@
 // header is one header line.
 type header struct{ name, value []byte }
 
-// nextHeader splits the first header line off the headers.
+// nextHeader splits off the first header line. ok is false if there is none or it is malformed.
 func nextHeader(headers []byte) (first header, rest []byte, ok bool) {
 	line, rest, ok := bytes.Cut(headers, lineEnd)
 	if !ok {
@@ -59,7 +59,7 @@
 	return header{name, value}, rest, !bytes.ContainsAny(value, "\x00\r\n")
 }
 
-// isToken reports whether the bytes are all allowed in methods and header names.
+// isToken reports whether all of the bytes are allowed in methods and header names.
 func isToken(b []byte) bool {
 	for _, c := range b {
 		if !tokenByte[c] {
@@ -69,7 +69,8 @@
 	return true
 }
 
-// noControlBytes reports whether no byte of the value could be taken for the end of a line.
+// noControlBytes reports whether the value contains no control bytes except tabs. A parser could take such a byte for
+// the end of a line.
 func noControlBytes(value []byte) bool {
 	for _, c := range value {
 		if c < ' ' && c != '\t' || c == 0x7f {
@@ -93,7 +94,7 @@
 	return t
 }()
 
-// headerValue returns the value of the first header of that name, nil if there is none.
+// headerValue returns the value of the first header with the given name, nil if there is none.
 func headerValue(headers []byte, name string) []byte {
 	for len(headers) > 0 {
 		first, rest, ok := nextHeader(headers)
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// equalFold compares ASCII text without regard to case.
+// equalFold reports whether b and s are equal as ASCII text, ignoring case.
 func equalFold(b []byte, s string) bool {
 	if len(b) != len(s) {
 		return false
@@ -140,11 +141,11 @@
 	return false
 }
 
-// framing is what the headers say about the length of the body and the end of the connection.
+// framing holds what the headers specify about the length of the body and the end of the connection.
 type framing struct {
 	size    int // of the body; -1: unknown
 	chunked bool
-	closing bool // the connection closes after the message
+	closing bool // the connection is to be closed after the message
 }
 
 // parseFraming reads the framing headers. In strict mode no header value may contain control bytes.
@@ -172,14 +173,15 @@
 			f.closing = f.closing || hasToken(first.value, "close")
 		}
 	}
-	// Both at once is how requests are smuggled past one of two parsers.
+	// A message with both Content-Length and Transfer-Encoding allows request smuggling: two parsers may disagree on
+	// where it ends.
 	return f, !f.chunked || f.size < 0
 }
 
-// maxParsed keeps parseDigits from overflowing.
+// maxParsed prevents an overflow in parseDigits.
 const maxParsed = 1 << 40
 
-// parseDigits reads a number written in decimal digits alone.
+// parseDigits parses a number that consists of decimal digits only.
 func parseDigits(b []byte) (n int, ok bool) {
 	for _, c := range b {
 		if c < '0' || c > '9' || n > maxParsed {
--- a/internal/httpproxy/listener.go
+++ b/internal/httpproxy/listener.go
@@ -10,19 +10,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// clientListener accepts clients while there is room. A client accepted without room would have to be closed at once,
-// and its request with it; otherwise it waits in the kernel's queue. Where other processes listen on the same queue,
-// they accept what this one does not.
+// clientListener accepts clients while fewer than the maximum are connected. A client accepted beyond it would have to
+// be closed at once, which would lose its request. Instead it waits in the kernel's accept queue, from which other
+// processes may accept it if they share the queue.
 type clientListener struct {
 	net.Listener
 	sockets   *sockets
 	opened    chan struct{} // closed once clients may be accepted
-	closed    chan struct{} // closed once no more may be accepted
+	closed    chan struct{} // closed once no more clients may be accepted
 	closeOnce sync.Once
-	stopped   atomic.Bool // the acceptor has seen the close and posted all that it accepted
+	stopped   atomic.Bool // the accepting goroutine has noticed the close, after posting all clients it accepted
 }
 
-// Accept waits for room and then for a client.
+// Accept waits until a client may be accepted, and then for a client.
 func (l *clientListener) Accept() (net.Conn, error) {
 	select {
 	case <-l.opened:
@@ -30,7 +30,7 @@
 	}
 	for l.sockets.clients.Load() >= l.sockets.maxClients.Load() {
 		select {
-		case <-l.sockets.roomFreed:
+		case <-l.sockets.acceptSignal:
 		case <-l.closed:
 			return nil, net.ErrClosed
 		}
@@ -38,7 +38,7 @@
 	return l.Listener.Accept()
 }
 
-// hasPending reports whether a client waits in the kernel's queue.
+// hasPending reports whether a client waits in the kernel's accept queue.
 func (l *clientListener) hasPending() bool {
 	tcp, ok := l.Listener.(*net.TCPListener)
 	if !ok {
@@ -57,20 +57,20 @@
 	return err == nil && pending
 }
 
-// Close closes this process's listener. One that is shared with other processes is not shut down by it.
+// Close closes the descriptor of this process. A listener that is shared with other processes stays open in them.
 func (l *clientListener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
-// openListener listens on the address, or takes the listener that the process has inherited.
+// openListener listens on the address, or uses the inherited descriptor if that is not 0.
 func openListener(network, addr string, inherited int) (net.Listener, error) {
 	if inherited == 0 {
 		return net.Listen(network, addr)
 	}
 	f := os.NewFile(uintptr(inherited), "inherited listener")
 	if f == nil {
-		return nil, fmt.Errorf("inherited listener: %d is no descriptor", inherited)
+		return nil, fmt.Errorf("inherited listener: %d is not a descriptor", inherited)
 	}
 	defer func() { _ = f.Close() }() // FileListener has duplicated it
 	l, err := net.FileListener(f)
--- a/internal/httpproxy/local.go
+++ b/internal/httpproxy/local.go
@@ -10,7 +10,7 @@
 	"pepperlead/policy"
 )
 
-// Paths that the instance serves itself.
+// Paths that the instance serves itself, without an endpoint.
 const (
 	localPrefix   = "/_"
 	healthPath    = "/_health"
@@ -18,7 +18,7 @@
 	endpointsPath = "/_servers"
 )
 
-// serveLocal answers a request for one of the instance's own paths, and reports whether it was for one.
+// serveLocal answers a request for one of the instance's own paths. It reports whether the request was for such a path.
 func (p *Proxy) serveLocal(now policy.Time, c *connstate.Conn, request requestHead) bool {
 	status := http.StatusOK
 	var body string
@@ -40,7 +40,7 @@
 	return true
 }
 
-// endpointList returns the current list of endpoints with the ids that the module uses for them.
+// endpointList returns the current endpoint list as text, with the ids that the module uses for the endpoints.
 func (p *Proxy) endpointList() string {
 	var lines []string
 	for id, endpoint := range p.Endpoints {
--- a/internal/httpproxy/proxy.go
+++ b/internal/httpproxy/proxy.go
@@ -11,48 +11,48 @@
 	"pepperlead/policy"
 )
 
-// Proxy is the HTTP front with its sockets, and the engine that decides for it. The engine's loop owns all of its
-// state.
+// Proxy is the HTTP front: it owns the sockets and embeds the engine, which makes the decisions. Only the goroutine of
+// the engine's loop uses its fields, apart from the atomic ones.
 type Proxy struct {
 	*engine.Engine
-	frontIndex int // of this front in the engine
+	frontIndex int // index of this front in the engine
 	config     Config
 	sockets    *sockets
 	buffers    *connstate.Buffers
 	conns      *connstate.Conns
 	requests   *connstate.RequestIndex
 
-	classes      map[string]policy.ClassID
-	tenants      map[string]policy.TenantID
-	defaultClass policy.ClassID    // of requests that name none
-	ready        []*connstate.Conn // clients whose next request may have come already
-	scratch      []byte            // for messages being written
-	startTimer   engine.Timer      // checks whether clients may be accepted
-	roomTimer    engine.Timer      // looks for client connections to close
-	noRoom       bool              // there are too many client connections, and none can be closed yet
+	classes          map[string]policy.ClassID
+	tenants          map[string]policy.TenantID
+	defaultClass     policy.ClassID    // class of requests that name none
+	ready            []*connstate.Conn // client connections with input that may hold the next request
+	scratch          []byte            // reused to assemble messages
+	startTimer       engine.Timer      // checks whether clients may be accepted
+	clientLimitTimer engine.Timer      // searches for client connections to close
+	overClientLimit  bool              // too many client connections are open, and none can be closed yet
 
-	processes    atomic.Int64 // of this instance, this one included
-	sharedBy     int          // processes by which the limits are shared now
-	streamCount  int          // responses that are being streamed
-	serving      atomic.Bool  // it accepts clients and is not shutting down
-	awaitingList bool         // clients wait until the source has given its list
-	drainedAt    policy.Time  // during a shutdown: when no client is expected any more
-	acceptUntil  policy.Time  // during a shutdown: until then new connections may come
+	processes      atomic.Int64 // processes of this instance, this one included
+	limitsSharedBy int          // number of processes for which the limits are currently divided
+	streamCount    int          // responses that are being streamed
+	serving        atomic.Bool  // this process accepts clients and is not shutting down
+	awaitingList   bool         // clients wait until the source has supplied its list
+	drainedAt      policy.Time  // during a shutdown: time from which no client is expected to reconnect
+	acceptUntil    policy.Time  // during a shutdown: time until which new clients are accepted
 }
 
 var _ engine.RulesFront = (*Proxy)(nil)
 
-// New returns an instance that does not serve yet.
+// New returns an instance, which serves once Run is called.
 func New(config Config, log *logrus.Logger) *Proxy {
 	p := &Proxy{
-		config:       config,
-		buffers:      &connstate.Buffers{Limit: config.MessageMemory},
-		conns:        connstate.NewConns(config.Descriptors - config.ReservedDescriptors),
-		requests:     &connstate.RequestIndex{},
-		classes:      map[string]policy.ClassID{},
-		tenants:      map[string]policy.TenantID{},
-		defaultClass: policy.NoClass,
-		sharedBy:     1,
+		config:         config,
+		buffers:        &connstate.Buffers{Limit: config.MessageMemory},
+		conns:          connstate.NewConns(config.Descriptors - config.ReservedDescriptors),
+		requests:       &connstate.RequestIndex{},
+		classes:        map[string]policy.ClassID{},
+		tenants:        map[string]policy.TenantID{},
+		defaultClass:   policy.NoClass,
+		limitsSharedBy: 1,
 	}
 	p.Engine = engine.New(engine.Config{
 		Seed:         config.Seed,
@@ -76,11 +76,12 @@
 	}
 	p.processes.Store(1)
 	p.sockets = newSockets(p.Clock, p.buffers, &config, p.conns.AcceptLimit, p.Signal)
-	p.roomTimer.Run = p.makeRoom
+	p.clientLimitTimer.Run = p.enforceClientLimit
 	return p
 }
 
-// Run serves until a signal comes and all requests are answered. It applies each configuration that comes meanwhile.
+// Run serves until a signal arrives on stop and the shutdown that it begins is complete. Meanwhile it applies each
+// configuration received from configs.
 func (p *Proxy) Run(stop <-chan os.Signal, configs <-chan Config) error {
 	if err := p.sockets.engine.Start(); err != nil {
 		p.Abandon()
@@ -112,7 +113,7 @@
 	}
 }
 
-// Gather handles what has happened on the sockets, and requests that came behind earlier ones.
+// Gather handles the queued socket events, and pipelined requests whose predecessors have been answered.
 func (p *Proxy) Gather(now policy.Time) {
 	p.applyShare(now)
 	if p.awaitingList && p.ListFresh() {
@@ -129,7 +130,7 @@
 	}
 }
 
-// More reports whether a request may have come already.
+// More reports whether a pipelined request may be waiting to be handled.
 func (p *Proxy) More() bool { return len(p.ready) > 0 }
 
 // handleEvent handles an event of a socket.
@@ -141,7 +142,7 @@
 	case eventConnected:
 		c.Connected = true
 		if c.Closing {
-			_ = c.Socket.Close() // its end is reported by the poller
+			_ = c.Socket.Close() // the poller reports the end of the connection
 			return
 		}
 		p.endpointConnected(now, c)
@@ -154,7 +155,7 @@
 	}
 }
 
-// handleData handles bytes that have been read.
+// handleData handles bytes that were read from a connection.
 func (p *Proxy) handleData(now policy.Time, e event) {
 	c := e.conn
 	c.Input.Unread.Add(-int64(len(e.buf.B)))
@@ -182,19 +183,19 @@
 	}
 }
 
-// closeConn ends a connection. connClosed, called when its end is reported, releases what it holds.
+// closeConn starts to close a connection. connClosed releases its resources once the poller reports its end.
 func (p *Proxy) closeConn(c *connstate.Conn) {
 	if c.Closing {
 		return
 	}
 	p.conns.MarkClosing(c)
 	if c.Connected {
-		_ = c.Socket.Close() // its end is reported by the poller
+		_ = c.Socket.Close() // the poller reports the end of the connection
 	}
 }
 
-// closeOldestIdle makes room by closing the connection that has been idle for longest. It reports whether there was one
-// that has been idle since usedBefore, or that has carried nothing since it was opened before openedBefore.
+// closeOldestIdle closes the connection of that side that has been idle longest, and reports whether it closed one.
+// Only connections idle since usedBefore qualify, or since openedBefore if they have not carried anything yet.
 func (p *Proxy) closeOldestIdle(side connstate.Side, usedBefore, openedBefore policy.Time) bool {
 	oldest := p.conns.OldestIdle(side, usedBefore, openedBefore)
 	if oldest == nil || !oldest.Socket.CloseIfIdle(oldest) {
@@ -204,7 +205,7 @@
 	return true
 }
 
-// connClosed handles the end of a connection and releases what it held.
+// connClosed handles the end of a connection and releases its resources.
 func (p *Proxy) connClosed(now, at policy.Time, c *connstate.Conn) {
 	if !p.conns.Remove(c) {
 		return
@@ -213,7 +214,7 @@
 	c.Closing = true
 	switch c.Side {
 	case connstate.ClientSide:
-		p.clientLeft(now, c)
+		p.clientDisconnected(now, c)
 	case connstate.EndpointSide:
 		if !closedHere {
 			p.endpointClosed(at, c)
@@ -224,26 +225,26 @@
 	c.Input.Buffer = nil
 }
 
-// write sends bytes on a connection. What the kernel does not take at once goes out later.
+// write sends bytes on a connection. Those that the kernel does not accept at once are written by the poller later.
 func (p *Proxy) write(c *connstate.Conn, b []byte) {
 	p.Counters.BytesOut += int64(len(b))
-	_, _ = c.Socket.Write(b) // a failure ends the connection, which is reported as its end
+	_, _ = c.Socket.Write(b) // a failure ends the connection, and the poller reports that
 	c.Output.Queued += int64(len(b))
 }
 
-// DiscardResponse releases a response that is not forwarded.
+// DiscardResponse releases a response that is not to be forwarded.
 func (p *Proxy) DiscardResponse(request *engine.Request) {
 	r := connstate.AsRequest(request)
 	p.buffers.Put(r.Response.Buffer)
 	r.Response.Buffer = nil
 }
 
-// Released releases the request's buffers.
+// Released releases the buffers of a request that the engine has released.
 func (p *Proxy) Released(request *engine.Request) {
 	connstate.AsRequest(request).ReleaseBuffers(p.buffers)
 }
 
-// endpointConns returns what this front keeps of an endpoint.
+// endpointConns returns the connections that this front keeps to an endpoint.
 func (p *Proxy) endpointConns(endpoint *engine.Endpoint) *connstate.Endpoint {
 	if endpoint.FrontData[p.frontIndex] == nil {
 		endpoint.FrontData[p.frontIndex] = &connstate.Endpoint{Endpoint: endpoint}
@@ -262,5 +263,5 @@
 	}
 }
 
-// Forget does nothing: connections that are still in use are closed when they become idle.
+// Forget has nothing to do when an endpoint is removed: connections still in use are closed when they become idle.
 func (p *Proxy) Forget(*engine.Endpoint) {}
--- a/internal/httpproxy/proxy_test.go
+++ b/internal/httpproxy/proxy_test.go
@@ -269,7 +269,7 @@
 	answer := []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	now := s.Clock.Now()
 	once := func() {
-		now += restTime + 5*policy.Millisecond
+		now += reuseDelay + 5*policy.Millisecond
 		buf := s.buffers.Get(connstate.SmallBuffer)
 		buf.B = append(buf.B, request...)
 		client.Input.Buffer = s.buffers.Join(client.Input.Buffer, buf)
@@ -312,7 +312,7 @@
 	buf := s.buffers.Get(connstate.SmallBuffer)
 	buf.B = append(buf.B, "GET /step/a HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Timeout: 1\r\n\r\n"...)
 	client.Input.Buffer = buf
-	now += 2*policy.Millisecond + restTime // the last has not rested yet, the one before has input
+	now += 2*policy.Millisecond + reuseDelay // the last has not rested yet, the one before has input
 	s.readRequests(now, now, client)
 	s.Round(now)
 	if len(idle[1].last) == 0 || len(idle[0].last)+len(idle[2].last)+len(idle[3].last) > 0 || !all[2].Closing || all[3].Closing {
--- a/internal/httpproxy/races_test.go
+++ b/internal/httpproxy/races_test.go
@@ -184,7 +184,7 @@
 		server.Socket = &flushingSocket{plain, k.slips}
 		server.Output.Queued++ // the kernel has all but one byte
 		if k.left {
-			s.clientLeft(now, client)
+			s.clientDisconnected(now, client)
 		} else {
 			s.TimedOut(now, request.Request)
 		}
@@ -210,7 +210,7 @@
 	r.stop <- syscall.SIGTERM
 	time.Sleep(time.Duration(r.config.AcceptTime+reconnectTime) + 100*time.Millisecond)
 	r.sockets.maxClients.Store(most)
-	r.sockets.signalRoom()
+	r.sockets.signalAcceptor()
 	if answer, got := waits.receive(); answer.StatusCode != 200 || got != "b" || !answer.Close {
 		t.Errorf("%d %q, closes %v", answer.StatusCode, got, answer.Close)
 	}
@@ -273,7 +273,7 @@
 		r.shutdown()
 		lines := 0
 		for _, e := range log.AllEntries() {
-			if _, says := e.Data["waited_ms"]; says && strings.Contains(e.Message, "silent") == (name != "agent answers") {
+			if _, says := e.Data["waited_ms"]; says && strings.Contains(e.Message, "has not answered") == (name != "agent answers") {
 				lines++
 			}
 		}
@@ -309,13 +309,13 @@
 			if answer.StatusCode == 200 && got == body {
 				continue
 			}
-			time.Sleep(time.Duration(2 * restTime)) // for the endpoint to have counted it
+			time.Sleep(time.Duration(2 * reuseDelay)) // for the endpoint to have counted it
 			server.mu.Lock()
 			overdue := server.overdue
 			server.mu.Unlock()
 			// A copy that left the endpoint in time is overdue as well where this process was delayed before it read it.
 			if overdue == 0 {
-				if heldUp := stopWatch(); heldUp < time.Duration(restTime)-lateCopyAfter {
+				if heldUp := stopWatch(); heldUp < time.Duration(reuseDelay)-lateCopyAfter {
 					t.Fatalf("%d %q, want %q; the machine delayed this process by %v", answer.StatusCode, got, body, heldUp)
 				}
 				return false
@@ -324,7 +324,7 @@
 		}
 	}
 	// Forty requests may be over before the first duplicate is due.
-	time.Sleep(time.Duration(restTime))
+	time.Sleep(time.Duration(reuseDelay))
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	return server.copies > server.overdue
--- a/internal/httpproxy/reconfigure.go
+++ b/internal/httpproxy/reconfigure.go
@@ -7,8 +7,8 @@
 	"pepperlead/policy"
 )
 
-// reconfigure applies a new configuration. Requests, connections and what is known of endpoints stay. Settings that
-// take effect only after a restart are logged.
+// reconfigure applies a new configuration. Requests, connections and the learned state of endpoints are kept. Settings
+// that take effect only after a restart are logged.
 func (p *Proxy) reconfigure(config Config) {
 	var afterRestart []string
 	if config.Listen != p.config.Listen {
@@ -18,7 +18,7 @@
 		afterRestart = append(afterRestart, "limits")
 	}
 	if config.DefaultClass != p.config.DefaultClass {
-		// Requests in flight that name no class would get another one: such settings do not fit.
+		// Requests in flight that name no class would change theirs. Empty settings make the engine refuse the change.
 		config.Settings = &policy.Settings{}
 	}
 	applied := p.Reconfigure(engine.Config{
--- a/internal/httpproxy/reports.go
+++ b/internal/httpproxy/reports.go
@@ -7,17 +7,17 @@
 	"pepperlead/internal/connstate"
 )
 
-// figure is a counter or a gauge of the instance.
-type figure struct {
-	name    string
-	value   int64
-	counter bool // it only rises
+// metric is a counter or a gauge of the instance.
+type metric struct {
+	name      string
+	value     int64
+	isCounter bool // the value never falls; otherwise it is a gauge
 }
 
-// figures returns the counters and the gauges, in the order of the reports.
-func (p *Proxy) figures() []figure {
-	var all []figure
-	p.Counters.Each(func(name string, value int64) { all = append(all, figure{name, value, true}) })
+// metrics returns the counters and gauges in the order in which reports list them.
+func (p *Proxy) metrics() []metric {
+	var all []metric
+	p.Counters.Each(func(name string, value int64) { all = append(all, metric{name, value, true}) })
 	refused := int64(0)
 	if _, why := p.ListStatus(); why != "" {
 		refused = 1
@@ -42,21 +42,22 @@
 		{"lateness_percent", int64(100 * module.Lateness)},
 	}
 	for _, gauge := range gauges {
-		all = append(all, figure{gauge.name, gauge.value, false})
+		all = append(all, metric{gauge.name, gauge.value, false})
 	}
 	return all
 }
 
-// report returns the figures, a line each.
+// report returns the counters and gauges, one per line.
 func (p *Proxy) report() string {
 	var b strings.Builder
-	for _, f := range p.figures() {
-		fmt.Fprintf(&b, "%s %d\n", f.name, f.value)
+	for _, m := range p.metrics() {
+		fmt.Fprintf(&b, "%s %d\n", m.name, m.value)
 	}
 	return b.String()
 }
 
-// Report returns the counters and gauges, a line each, also once the instance has ended. Any goroutine may call it.
+// Report returns the counters and gauges, one per line. It also works once the instance has stopped. Any goroutine may
+// call it.
 func (p *Proxy) Report() (report string) {
 	if !p.RunOnLoop(func() { report = p.report() }) {
 		report = p.report()
@@ -64,21 +65,21 @@
 	return report
 }
 
-// ServersReport returns the current list of endpoints. Any goroutine may call it.
+// ServersReport returns the current endpoint list as text. Any goroutine may call it.
 func (p *Proxy) ServersReport() (report string) {
 	p.RunOnLoop(func() { report = p.endpointList() })
 	return report
 }
 
-// Ready reports whether this process can serve: it listens, has a list of endpoints and is not shutting down. Any
+// Ready reports whether this process can serve: it accepts clients, has an endpoint list and is not shutting down. Any
 // goroutine may call it.
 func (p *Proxy) Ready() bool { return p.serving.Load() && p.Tally.HasList.Load() }
 
-// EachMetric calls each for every counter, which rises only, and every gauge. Any goroutine may call it.
-func (p *Proxy) EachMetric(each func(name string, value float64, rises bool)) {
-	var all []figure
-	p.RunOnLoop(func() { all = p.figures() })
-	for _, f := range all {
-		each(f.name, float64(f.value), f.counter)
+// EachMetric calls each for every counter and every gauge. Any goroutine may call it.
+func (p *Proxy) EachMetric(each func(name string, value float64, isCounter bool)) {
+	var all []metric
+	p.RunOnLoop(func() { all = p.metrics() })
+	for _, m := range all {
+		each(m.name, float64(m.value), m.isCounter)
 	}
 }
--- a/internal/httpproxy/request.go
+++ b/internal/httpproxy/request.go
@@ -8,7 +8,7 @@
 	"pepperlead/policy"
 )
 
-// Headers with a meaning of their own.
+// Headers that the front interprets or sets.
 const (
 	headerRequestID      = "X-Request-ID"
 	headerIdempotencyKey = "Idempotency-Key"
@@ -20,13 +20,13 @@
 	headerNotProcessed   = "X-Not-Processed"
 )
 
-// maxMethod is how many bytes of a method are waited for.
+// maxMethod is the maximum length of a method in an incomplete request head, in bytes.
 const maxMethod = 32
 
 // maxSeconds is the longest timeout in seconds, exclusive.
 const maxSeconds = 1e6
 
-// requestHead is what the head of a request says.
+// requestHead is the parsed head of a request.
 type requestHead struct {
 	bodyStart  int // offset of the body; 0: the head is incomplete
 	method     []byte
@@ -35,11 +35,11 @@
 	bodySize   int // -1: unknown
 	chunked    bool
 	http10     bool
-	closeAfter bool // the connection is closed after the response
+	closeAfter bool // the client connection is closed after the response
 }
 
-// parseRequestHead reads the head at the front of b. A request that cannot be served has the status of its response,
-// others have 0.
+// parseRequestHead parses the head at the start of b. status is that of the response to a request that cannot be
+// served, and 0 for others.
 func parseRequestHead(b []byte) (head requestHead, status int) {
 	raw := splitHead(b)
 	switch {
@@ -69,7 +69,7 @@
 	return head, 0
 }
 
-// parseRequestLine reads the first line of a request.
+// parseRequestLine parses the first line of a request.
 func parseRequestLine(line []byte) (head requestHead, ok bool) {
 	method, rest, ok := bytes.Cut(line, []byte{' '})
 	if !ok || len(method) == 0 || !isToken(method) {
@@ -89,7 +89,7 @@
 
 var rootPath = []byte("/")
 
-// originForm returns the target without the scheme and authority of the absolute form.
+// originForm returns the target in origin form: it removes the scheme and authority of the absolute form.
 func originForm(target []byte) []byte {
 	const scheme = "http://"
 	if len(target) <= len(scheme) || !equalFold(target[:len(scheme)], scheme) {
@@ -102,15 +102,15 @@
 	return target[len(scheme)+path:]
 }
 
-// parsedRequest is a request that has been read with its body.
+// parsedRequest is a parsed request with its body.
 type parsedRequest struct {
 	requestHead
-	length int // of the message; 0: it is incomplete
+	length int // of the whole message; 0: the message is incomplete
 	body   []byte
 }
 
-// parseRequest reads the request at the front of b. A request that cannot be served has the status of its response,
-// which is 413 for a body over maxSize; others have 0.
+// parseRequest parses the request at the start of b. status is that of the response to a request that cannot be served,
+// which is 413 if the body exceeds maxSize, and 0 for others.
 func parseRequest(b []byte, maxSize int) (request parsedRequest, status int) {
 	head, status := parseRequestHead(b)
 	request.requestHead = head
@@ -140,7 +140,8 @@
 	return request, 0
 }
 
-// mayBeRequest reports whether these bytes may become a request, so that nothing else is waited for.
+// mayBeRequest reports whether an incomplete head may still become a request. Other input is refused without waiting
+// for more.
 func mayBeRequest(b []byte) bool {
 	for i, c := range b {
 		if c == ' ' {
@@ -159,7 +160,8 @@
 	return head.length > 0 && equalFold(headerValue(head.headers, "Expect"), "100-continue")
 }
 
-// className returns the class that a request names, in its header or else as the first part of its path.
+// className returns the class that a request names in its header or, without that header, as the first segment of its
+// path.
 func className(target, headers []byte) []byte {
 	if name := headerValue(headers, headerClass); name != nil {
 		return name
@@ -169,7 +171,7 @@
 	return name
 }
 
-// parseSeconds reads a duration in seconds, written in digits with or without a point.
+// parseSeconds parses a duration in seconds, written in decimal digits with an optional decimal point.
 func parseSeconds(b []byte) (duration policy.Time, ok bool) {
 	for _, c := range b {
 		if c != '.' && (c < '0' || c > '9') {
@@ -183,7 +185,8 @@
 	return policy.Time(seconds * float64(policy.Second)), true
 }
 
-// hasAmbiguousID reports whether an endpoint could read another id or key than was read here, or none.
+// hasAmbiguousID reports whether an endpoint could see a different request ID or idempotency key than was read here, or
+// none: a header is repeated, or the Connection header lists it and it is not forwarded.
 func hasAmbiguousID(headers []byte) bool {
 	dropped := headerValue(headers, "Connection")
 	for _, name := range [...]string{headerRequestID, headerIdempotencyKey} {
@@ -206,8 +209,8 @@
 	return false
 }
 
-// isHopByHop reports whether a header is for one connection only, or written anew for each attempt. It goes by the
-// length first, as it is called for every header.
+// isHopByHop reports whether a header applies to one connection only, or is written anew for each attempt. It compares
+// the length first, for speed, as it is called for every header.
 func isHopByHop(name []byte) bool {
 	switch len(name) {
 	case 2:
@@ -230,7 +233,7 @@
 	return false
 }
 
-// appendEndToEnd appends the headers that are forwarded from one side to the other.
+// appendEndToEnd appends the headers that are forwarded between client and endpoint.
 func appendEndToEnd(to, headers []byte) []byte {
 	dropped := headerValue(headers, "Connection")
 	for len(headers) > 0 {
@@ -249,8 +252,8 @@
 	return to
 }
 
-// appendRequestHead appends the head of a request as it goes to an endpoint, with the time for which the response
-// is waited for. A bodySize of -1 is unknown: the body goes in chunks.
+// appendRequestHead appends the head of a request in the form sent to an endpoint. timeout is how long the response is
+// awaited. A bodySize of -1 means that the size is unknown and the body is sent in chunks.
 func appendRequestHead(to, method, target, headers []byte, bodySize int, timeout policy.Time) []byte {
 	to = append(to, method...)
 	to = append(to, ' ')
--- a/internal/httpproxy/response.go
+++ b/internal/httpproxy/response.go
@@ -8,22 +8,22 @@
 	"pepperlead/policy"
 )
 
-// maxStatusLine is how many bytes of a status line are waited for.
+// maxStatusLine is the maximum length of an incomplete status line, in bytes.
 const maxStatusLine = 256
 
-// responseHead is what the head of a response says.
+// responseHead is the parsed head of a response.
 type responseHead struct {
 	bodyStart int // offset of the body; 0: the head is incomplete
 	status    int
 	headers   []byte
 	bodySize  int // -1: unknown
 	chunked   bool
-	reusable  bool // the connection can carry more after the response
+	reusable  bool // the connection can carry another request after the response
 }
 
-// parseResponseHead reads the head of a response and skips interim responses (1xx) before it. ended tells that
-// nothing more comes, and noBody that the response to this request has no body. A response that cannot be read is not
-// ok as soon as that shows: its endpoint may leave the connection open.
+// parseResponseHead parses the head of a response and skips interim responses (1xx) before it. ended means that the
+// endpoint sends nothing more, noBody that the response to this request has no body. ok is false as soon as the input
+// proves malformed, without waiting for more of it: the endpoint may leave the connection open.
 func parseResponseHead(b []byte, ended, noBody bool) (response responseHead, ok bool) {
 	bodyStart := 0
 	for {
@@ -56,23 +56,23 @@
 			chunked:   body.chunked,
 			reusable:  !status.http10 && !body.closing,
 		}
-		// A body without a length ends with the connection, and the response must say that it does: otherwise a part of
-		// it could not be told from the complete body.
+		// A body without a length ends when the connection closes, and the response must announce that. Otherwise a
+		// truncated body could not be distinguished from a complete one.
 		return response, body.size >= 0 || body.chunked || !response.reusable
 	}
 }
 
-// parsedResponse is a response that has been read with its body.
+// parsedResponse is a parsed response with its body.
 type parsedResponse struct {
-	length   int // of the message; 0: it is incomplete
+	length   int // of the whole message; 0: the message is incomplete
 	status   int
 	headers  []byte
 	body     []byte
-	reusable bool // the connection can carry more after the response
+	reusable bool // the connection can carry another request after the response
 }
 
-// parseResponse reads the response at the front of b, whose body may hold maxSize bytes. The other parameters are those
-// of parseResponseHead.
+// parseResponse parses the response at the start of b, whose body may have up to maxSize bytes. The other parameters
+// are those of parseResponseHead.
 func parseResponse(b []byte, ended, noBody bool, maxSize int) (response parsedResponse, ok bool) {
 	head, ok := parseResponseHead(b, ended, noBody)
 	switch {
@@ -102,7 +102,7 @@
 	return parsedResponse{length: length, status: h.status, headers: h.headers, body: body, reusable: h.reusable}
 }
 
-// mayBeResponse reports whether an incomplete head may still become one.
+// mayBeResponse reports whether an incomplete head may still become that of a response.
 func mayBeResponse(b []byte) bool {
 	firstLine, headers, complete := bytes.Cut(b, lineEnd)
 	if !complete {
@@ -120,7 +120,7 @@
 // statusLine is the first line of a response.
 type statusLine struct {
 	code   int
-	http10 bool // the version keeps no connections
+	http10 bool // HTTP/1.0: the connection closes after the response
 }
 
 func parseStatusLine(line []byte) (status statusLine, ok bool) {
@@ -134,7 +134,7 @@
 	return statusLine{code, http10}, ok && code >= 100
 }
 
-// outcomeOf returns the outcome of an attempt that a complete response has ended.
+// outcomeOf returns the outcome of an attempt that ended with a response of this status and these headers.
 func outcomeOf(status int, headers []byte) policy.Outcome {
 	switch {
 	case status == http.StatusOK:
@@ -148,7 +148,7 @@
 	return policy.Errored
 }
 
-// appendResponseHead appends the head of an endpoint's response as it goes to the client.
+// appendResponseHead appends the head of an endpoint's response in the form sent to the client.
 func appendResponseHead(to []byte, status int, headers []byte, bodySize int, closing bool) []byte {
 	to = appendStatusLine(to, status)
 	to = appendEndToEnd(to, headers)
@@ -165,7 +165,7 @@
 	return append(to, emptyLine...)
 }
 
-// appendLocalResponse appends a response that no endpoint made.
+// appendLocalResponse appends a response that the instance makes itself.
 func appendLocalResponse(to []byte, status int, body string, retryAfter policy.Time, closing bool) []byte {
 	to = appendStatusLine(to, status)
 	to = append(to, "Content-Type: text/plain\r\n"...)
@@ -186,7 +186,7 @@
 	return append(to, lineEnd...)
 }
 
-// reasonPhrases are the phrases of the statuses that the instance sends itself; other responses have none.
+// reasonPhrases holds the reason phrases of the statuses that the instance sends itself; other statuses have none.
 var reasonPhrases = map[int]string{
 	http.StatusOK:                          "OK",
 	http.StatusBadRequest:                  "Bad Request",
--- a/internal/httpproxy/responses.go
+++ b/internal/httpproxy/responses.go
@@ -8,7 +8,7 @@
 	"pepperlead/policy"
 )
 
-// Kinds of final answers, as the engine counts them.
+// Kinds of final responses, with the values of the engine's constants AnswerSucceeded and so on.
 const (
 	answerSucceeded = iota
 	answerDeclined
@@ -16,22 +16,22 @@
 	answerFailed
 )
 
-// localResponse is a response that no endpoint made.
+// localResponse is a response that the instance makes itself.
 type localResponse struct {
 	status     int
 	body       string
-	retryAfter policy.Time // 0: no advice
+	retryAfter policy.Time // value of the Retry-After header; 0: no such header
 }
 
-// detachClient separates the client from a request that is being answered, and returns its connection, nil if it has
-// left.
+// detachClient separates the client from a request that is being answered. It returns the client connection, or nil if
+// the client has disconnected.
 func (p *Proxy) detachClient(now policy.Time, r *connstate.Request, answer int) *connstate.Conn {
 	c := r.Client
 	r.Client = nil
 	p.requests.Remove(r)
 	if c == nil || c.Closing {
 		if c != nil {
-			c.Request = nil // the request's slot may be reused before the end of this connection is reported
+			c.Request = nil // the request may be reused before the poller reports the end of this connection
 		}
 		p.Counters.Unsent++
 		p.Unanswered(r.Request)
@@ -41,8 +41,8 @@
 	return c
 }
 
-// detachClientOf detaches the client for an endpoint's response, and counts that as a success or as declined.
-func (p *Proxy) detachClientOf(now policy.Time, r *connstate.Request) *connstate.Conn {
+// detachClientForResponse detaches the client for the response of an endpoint, and counts it as succeeded or declined.
+func (p *Proxy) detachClientForResponse(now policy.Time, r *connstate.Request) *connstate.Conn {
 	answer := answerSucceeded
 	counter := &p.Counters.Succeeded
 	if r.Response.Status != http.StatusOK {
@@ -56,15 +56,15 @@
 	return c
 }
 
-// Succeed forwards an endpoint's response, also one that declines the request.
+// Succeed forwards the response of an endpoint, which may also be one that declines the request.
 func (p *Proxy) Succeed(now policy.Time, request *engine.Request) {
 	r := connstate.AsRequest(request)
-	c := p.detachClientOf(now, r)
+	c := p.detachClientForResponse(now, r)
 	if c == nil {
 		return
 	}
 	response := &r.Response
-	// After a request that the endpoint cannot use, what else the client has sent is not trusted.
+	// If the endpoint has declined the request, further input from the client is not processed.
 	closing := r.CloseAfter || p.closesAfterResponse() || response.Status != http.StatusOK
 	p.scratch = appendResponseHead(p.scratch[:0], response.Status, response.Head, len(response.Body), closing)
 	if len(response.Body) <= connstate.SmallBuffer {
@@ -77,7 +77,7 @@
 	p.responseSent(now, c, closing)
 }
 
-// Reject answers a request that the module rejects.
+// Reject answers a request that the module has rejected.
 func (p *Proxy) Reject(now policy.Time, request *engine.Request, retryAfter policy.Time) {
 	r := connstate.AsRequest(request)
 	if c := p.detachClient(now, r, answerRejected); c != nil {
@@ -96,20 +96,21 @@
 	}
 }
 
-// rejectForMemory answers a request for which there is no memory.
+// rejectForMemory answers a request for which there is not enough memory.
 func (p *Proxy) rejectForMemory(now policy.Time, c *connstate.Conn) {
 	p.Counters.Overflowed++
 	p.respond(now, c, localResponse{status: http.StatusServiceUnavailable, body: "out of room\n"}, true)
 }
 
-// refuse answers a request that cannot be served, and closes the connection: where the next request begins is unknown.
+// refuse answers a request that cannot be served, and closes the connection, as the start of the next request is
+// unknown.
 func (p *Proxy) refuse(now policy.Time, c *connstate.Conn, refused refusal) {
 	p.Counters.MalformedRequests++
 	p.respond(now, c, localResponse{status: refused.status, body: refused.text}, true)
 	p.Timers.Set(&c.Timer, now+lingerTime)
 }
 
-// respond sends a response that no endpoint made.
+// respond sends a response that the instance makes itself.
 func (p *Proxy) respond(now policy.Time, c *connstate.Conn, response localResponse, closing bool) {
 	closing = closing || p.closesAfterResponse()
 	p.scratch = appendLocalResponse(p.scratch[:0], response.status, response.body, response.retryAfter, closing)
@@ -117,14 +118,14 @@
 	p.responseSent(now, c, closing)
 }
 
-// closesAfterResponse reports whether client connections are closed with their next response. While there are too many,
-// that is the one moment at which no request can be on its way.
+// closesAfterResponse reports whether client connections are closed after their next response: during a shutdown, and
+// while too many are open or resting. That is the only moment at which no request can be on its way.
 func (p *Proxy) closesAfterResponse() bool {
 	_, shuttingDown := p.ShuttingDown()
-	return shuttingDown || p.noRoom || p.conns.RestingCount > p.conns.ExcessResting
+	return shuttingDown || p.overClientLimit || p.conns.RestingCount > p.conns.ExcessResting
 }
 
-// responseSent lets a client's connection go on to its next request, or closes it once the response is written.
+// responseSent prepares a client connection for its next request, or has it closed once the response is written.
 func (p *Proxy) responseSent(now policy.Time, c *connstate.Conn, closing bool) {
 	c.Request = nil
 	c.IdleSince = now
@@ -132,7 +133,8 @@
 	c.Progress.At = 0
 	switch {
 	case c.Upload.State == connstate.StreamingUpload:
-		// The client is still sending a body that is not needed any more, and may read the response only after that.
+		// The client is still sending a body that is no longer needed, and may not read the response before the end
+		// of that body.
 		c.Upload.CloseAfter = closing
 		p.resumeReading(c)
 	case closing:
--- a/internal/httpproxy/shutdown.go
+++ b/internal/httpproxy/shutdown.go
@@ -10,35 +10,37 @@
 
 // Timing of a shutdown.
 const (
-	// lastWriteTime is how long a client has to take the last response.
+	// lastWriteTime is how long a client has to receive the last response.
 	lastWriteTime = 100 * policy.Millisecond
 	// closeTimeout is how long connections have to close.
 	closeTimeout = 50 * policy.Millisecond
-	// recentUseTime is how long a client's connection stays open after its last use while other processes accept new
-	// clients: a client that has just used a connection uses it again.
+	// recentUseTime is how long a client connection stays open after its last use while other processes accept new
+	// clients. A client that has just used a connection is likely to use it again.
 	recentUseTime = 700 * policy.Millisecond
-	// reconnectTime is how long a client has to come again whose connection was closed while it was sending.
+	// reconnectTime is how long a client has to reconnect if its connection was closed while it was sending.
 	reconnectTime = 50 * policy.Millisecond
 )
 
-// BeginShutdown begins the shutdown: clients are accepted for a while, and every response closes its connection.
+// BeginShutdown begins the shutdown: clients are accepted for Config.AcceptTime, and every response closes its
+// connection.
 func (p *Proxy) BeginShutdown(now policy.Time) {
 	if p.awaitingList {
-		p.admitClients(now) // clients that came before the first list get an answer as well
+		p.admitClients(now) // clients that connected before the first list are answered as well
 	}
 	p.serving.Store(false)
 	p.acceptUntil = now + p.config.AcceptTime
 	if p.sharesListener() {
-		// The queue stays, and the other processes accept from it. This one answers what it has accepted.
+		// The accept queue persists, and the other processes accept from it. This one only serves the clients that it
+		// has already accepted.
 		p.acceptUntil = now
 		_ = p.sockets.listener.Close() // the descriptor is closed either way
 	}
 }
 
-// sharesListener reports whether other processes listen on the same queue.
+// sharesListener reports whether other processes accept from the same queue.
 func (p *Proxy) sharesListener() bool { return p.config.InheritedListener > 0 }
 
-// Drained reports whether no request can come any more.
+// Drained reports whether no further request can arrive, or the time of the shutdown is over.
 func (p *Proxy) Drained(now policy.Time) bool {
 	shutdownBy, _ := p.ShuttingDown()
 	if now < p.acceptUntil {
@@ -52,7 +54,7 @@
 	return now >= min(max(p.drainedAt, p.acceptUntil), shutdownBy+lastWriteTime)
 }
 
-// acceptPending reports whether a client that this process must answer may not have come to the loop yet.
+// acceptPending reports whether there may be a client that this process must serve and the loop does not know yet.
 func (p *Proxy) acceptPending() bool {
 	if p.sharesListener() {
 		return !p.sockets.listener.stopped.Load()
@@ -60,16 +62,16 @@
 	return p.sockets.listener.hasPending()
 }
 
-// closeIdleClients closes client connections that are idle, and reports whether any client is connected. Where other
-// processes accept new clients, those used recently are kept if keepRecent: their next response closes them.
-func (p *Proxy) closeIdleClients(now policy.Time, spareRecent bool) bool {
+// closeIdleClients closes idle client connections and reports whether any client was connected. If other processes
+// accept new clients and keepRecent is set, recently used connections stay open: their next response closes them.
+func (p *Proxy) closeIdleClients(now policy.Time, keepRecent bool) bool {
 	connected := false
 	for c := range p.conns.Open {
 		if c.Side != connstate.ClientSide || c.Closing {
 			continue
 		}
 		connected = true
-		recent := p.sharesListener() && spareRecent && now-c.IdleSince < recentUseTime
+		recent := p.sharesListener() && keepRecent && now-c.IdleSince < recentUseTime
 		idle := c.Request == nil && c.Input.Buffer == nil && !c.Output.CloseWhenFlushed &&
 			c.Upload.State == connstate.NoUpload
 		if idle && !recent && c.Socket.CloseIfIdle(c) {
@@ -79,17 +81,17 @@
 	return connected
 }
 
-// Close closes the connections and releases what they hold.
+// Close closes all connections, releases their resources and stops the poller.
 func (p *Proxy) Close() {
 	for c := range p.conns.Open {
 		p.closeConn(c)
 	}
-	// A dial may take longer; what the process holds ends with it.
+	// A dial may outlast closeTimeout; its resources are freed when the process ends.
 	for end := p.Clock.Now() + closeTimeout; len(p.conns.Open) > 0 && p.Clock.Now() < end; {
 		p.Round(p.Clock.Now())
 		time.Sleep(time.Millisecond)
 	}
-	p.Timers.Stop(&p.roomTimer)
+	p.Timers.Stop(&p.clientLimitTimer)
 	p.Timers.Stop(&p.startTimer)
 	close(p.sockets.stopped)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(closeTimeout))
--- a/internal/httpproxy/socket.go
+++ b/internal/httpproxy/socket.go
@@ -13,36 +13,36 @@
 	"pepperlead/internal/connstate"
 )
 
-// socket is the socket of a connection, for the poller and the loop. Its descriptor is closed in one place, by nbio's
-// poller, when the socket has ended. If it were closed elsewhere, its number could belong to a new connection by the
-// time the poller handles an event of the old one, and would close the new one.
+// socket is the socket of a connection, used by the poller and the loop. Only nbio's poller closes the descriptor, once
+// the socket has ended. If it were closed elsewhere, its number could already belong to a new connection when the
+// poller handles an event of the old one, and the poller would close the new connection.
 type socket struct {
 	nb           *nbio.Conn
 	fd           int
-	inputLeft    atomic.Bool // more may be in the socket than has been read
-	mu           sync.Mutex  // guards the rest
-	ended        bool        // the descriptor may belong to another connection at any moment
+	mayHaveInput atomic.Bool // the socket may hold input that has not been read
+	mu           sync.Mutex  // guards the fields below
+	ended        bool        // the descriptor may be closed and reused at any moment
 	failed       bool        // a read or a write has failed
 	readShut     bool        // further input is not read
 	discarding   bool        // further input is read and discarded
-	discardLimit int         // how much of it at most
+	discardLimit int         // bytes that may still be discarded
 }
 
 func newSocket(c *nbio.Conn) *socket {
 	s := &socket{nb: c}
-	raw, _ := c.SyscallConn()                            // nbio's never fails
-	_ = raw.Control(func(fd uintptr) { s.fd = int(fd) }) // fails only where raw is invalid
+	raw, _ := c.SyscallConn()                            // never fails for an nbio.Conn
+	_ = raw.Control(func(fd uintptr) { s.fd = int(fd) }) // fails only if raw is invalid
 	return s
 }
 
-// read reads what is available into buf and reports whether there was anything. The lock must be held.
+// read reads available input into buf and reports whether buf now holds input to process. s.mu must be held.
 func (s *socket) read(conn *connstate.Conn, buf *connstate.Buffer) bool {
 	if s.readShut {
 		s.ended = true
 		return false
 	}
 	if s.discarding && s.discardLimit <= 0 {
-		return false // the rest stays in the kernel, which slows down its sender, until the connection is closed
+		return false // the rest stays in the kernel, which slows down the sender, until the connection is closed
 	}
 	for {
 		n, err := s.nb.Read(buf.B[:cap(buf.B)])
@@ -58,7 +58,8 @@
 			return true
 		case errors.Is(err, unix.EINTR):
 		case n == 0 && err == nil:
-			// The socket reports a reset once, to a write or a read: a read after that looks like an orderly end.
+			// The kernel reports a reset only once, to a write or a read. After a write that failed, a read after a
+			// reset looks like an orderly end.
 			conn.Input.EOF.Store(!s.failed)
 			s.ended = true
 			return false
@@ -72,16 +73,16 @@
 	}
 }
 
-// peerClosed reports whether the peer has closed. The lock must be held.
+// peerClosed reports whether the peer has closed its side of the connection. s.mu must be held.
 func (s *socket) peerClosed() bool {
 	polled := []unix.PollFd{{Fd: int32(s.fd), Events: unix.POLLRDHUP}}
 	n, err := unix.Poll(polled, 0)
 	return !s.ended && err == nil && n > 0 && polled[0].Revents != 0
 }
 
-// CloseIfIdle closes a connection on which nothing is under way. It refuses where bytes have come: their sender would
-// take the close for the loss of a request. What comes later is left unread and reset by the kernel: the client sends
-// it again.
+// CloseIfIdle closes a connection without pending input and reports whether it did. If bytes have arrived it does
+// nothing, as their sender would take the close for the loss of a request. Bytes that arrive after the close are not
+// read, and the kernel answers them with a reset, so the client sends its request again.
 func (s *socket) CloseIfIdle(conn *connstate.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,8 +93,8 @@
 	return syscall.Shutdown(s.fd, syscall.SHUT_RDWR) == nil
 }
 
-// Idle reports whether nothing has come that the loop has not processed. What comes before a request is sent is no
-// response to it.
+// Idle reports whether the connection is open and has no input that the loop has not processed. Input that arrives
+// before a request is sent cannot be the response to it.
 func (s *socket) Idle(conn *connstate.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,14 +105,15 @@
 	if s.ended || conn.Input.Unread.Load() > 0 {
 		return false
 	}
-	// Neither bytes nor the peer's close, which the poller may not have handled yet.
+	// Check for bytes and for a close by the peer that the poller has not handled yet.
 	var one [1]byte
 	_, _, err := unix.Recvfrom(s.fd, one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return err == unix.EAGAIN
 }
 
-// DiscardInput is called with the last response. A client that keeps sending must cost neither memory nor the loop's
-// time, and still gets to read its response: closed at once, the kernel would throw that away.
+// DiscardInput discards all further input. It is called with the last response: a client that keeps sending must cost
+// neither memory nor time of the loop, but must be able to read its response. If the socket were closed at once, the
+// kernel would drop the response.
 func (s *socket) DiscardInput() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,8 +121,8 @@
 	s.discardLimit = maxDiscarded
 }
 
-// Write sends what the kernel takes and leaves the rest to nbio. A failure is reported by the poller, as the socket's
-// end.
+// Write passes to the kernel what it accepts and leaves the rest to nbio. The poller reports a failure as the end of
+// the socket.
 func (s *socket) Write(b []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,7 +133,7 @@
 	if conn.Flushed() {
 		n, err := syscall.Write(s.fd, b)
 		if n > 0 {
-			conn.RecordWritten(n) // no event: the loop checks by itself what it waits for
+			conn.RecordWritten(n) // no event: the loop itself checks the total that it waits for
 			b = b[n:]
 		}
 		if err != nil && !errors.Is(err, unix.EAGAIN) && !errors.Is(err, unix.EINTR) {
@@ -145,16 +147,16 @@
 	return s.nb.Write(b)
 }
 
-// shutdown closes the socket to a sender of too much. The lock must be held.
+// shutdown shuts the socket down, as its peer has sent more than is accepted. s.mu must be held.
 func (s *socket) shutdown() {
 	if !s.ended && !s.readShut {
 		s.readShut = true
-		_ = syscall.Shutdown(s.fd, syscall.SHUT_RDWR) // fails only where the peer has ended it already
+		_ = syscall.Shutdown(s.fd, syscall.SHUT_RDWR) // fails only if the peer has already ended it
 	}
 }
 
-// Close shuts the socket down both ways; the poller notices it and closes the descriptor. After it no more bytes are
-// sent, and Conn.Output.Written counts all that were.
+// Close shuts the socket down in both directions; the poller notices that and closes the descriptor. After Close
+// returns, no more bytes are sent, and Conn.Output.Written counts all bytes that were.
 func (s *socket) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,13 +164,13 @@
 		return nil
 	}
 	err := syscall.Shutdown(s.fd, syscall.SHUT_RDWR)
-	_, _ = s.nb.Write(nil) // waits for a write of nbio that is under way
+	_, _ = s.nb.Write(nil) // waits for a write by nbio that is in progress
 	return err
 }
 
-// Reset ends the socket without an orderly end of its stream: where neither a length nor chunks tell a part from the
-// complete body, nothing else does. The reading side is shut down, which the poller notices; when it closes the socket,
-// the kernel sends a reset, as it must not linger.
+// Reset ends the socket with a TCP reset. For a body that ends when the connection closes, only a reset distinguishes a
+// truncated body from a complete one. The reading side is shut down, which the poller notices. When the poller closes
+// the socket, the kernel sends a reset, because SO_LINGER is set to 0 seconds.
 func (s *socket) Reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -176,7 +178,7 @@
 		return
 	}
 	s.readShut = true
-	// Both fail only where the peer has ended the socket already.
+	// Both calls fail only if the peer has already ended the socket.
 	_ = unix.SetsockoptLinger(s.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	_ = syscall.Shutdown(s.fd, syscall.SHUT_RD)
 }
--- a/internal/httpproxy/sockets.go
+++ b/internal/httpproxy/sockets.go
@@ -14,7 +14,7 @@
 	"pepperlead/policy"
 )
 
-// eventKind is what happened on a socket.
+// eventKind is the kind of an event.
 type eventKind uint8
 
 const (
@@ -22,7 +22,7 @@
 	eventConnected                  // a connection to an endpoint is established
 	eventData                       // bytes have been read
 	eventClosed                     // the connection has ended, or could not be established
-	eventDrained                    // the bytes that the loop waits for have been written
+	eventDrained                    // output that the loop waits for has been written
 )
 
 // String returns the name of the kind.
@@ -34,20 +34,20 @@
 type event struct {
 	kind eventKind
 	conn *connstate.Conn
-	buf  *connstate.Buffer // of eventData
-	at   policy.Time
+	buf  *connstate.Buffer // bytes read, for eventData
+	at   policy.Time       // when the event was queued
 }
 
 // Limits of the sockets.
 const (
-	maxDiscarded          = 512 << 10 // input discarded after a last response
-	maxPendingBytes       = 128 << 10 // input of one connection that the loop has not processed, or output not written
-	endpointReceiveBuffer = 64 << 10  // of the kernel: so much may have to be read at once when an endpoint closes
-	spareDescriptors      = 64        // added to the size of nbio's table of connections
+	maxDiscarded          = 512 << 10 // bytes of input discarded after the last response of a connection
+	maxPendingBytes       = 128 << 10 // unprocessed input or unwritten output of one connection, in bytes
+	endpointReceiveBuffer = 64 << 10  // in bytes, of the kernel; all of it may be read at once when an endpoint closes
+	spareDescriptors      = 64        // added to the size of nbio's connection table
 	acceptRetryInterval   = 20 * time.Millisecond
 )
 
-// sockets serves all connections and queues their events; the loop takes the queue.
+// sockets serves all connections and queues their events for the loop.
 type sockets struct {
 	clock   clock.Clock
 	buffers *connstate.Buffers
@@ -58,28 +58,28 @@
 
 	mu          sync.Mutex
 	events      []event
-	spareEvents []event // the queue taken last, for reuse
+	spareEvents []event // the queue returned last by takeEvents, for reuse
 
-	listener   *clientListener
-	clients    atomic.Int64 // accepted and not closed
-	maxClients atomic.Int64
-	roomFreed  chan struct{} // signals the listener that a client may be accepted
+	listener     *clientListener
+	clients      atomic.Int64 // client connections accepted and not closed
+	maxClients   atomic.Int64
+	acceptSignal chan struct{} // signals the listener to check again whether a client may be accepted
 
-	// openCount counts connections handed to nbio. It is raised in OnOpen and read in the other callbacks, as the race
-	// detector does not see the order in which nbio calls them.
+	// openCount counts the connections handed to nbio. onOpen increments it and the other callbacks read it, because
+	// the race detector does not otherwise see the order in which nbio calls them.
 	openCount atomic.Int64
-	// maxPending is how many unprocessed or unwritten bytes one connection may have before its sender waits.
+	// maxPending is how many unprocessed or unwritten bytes a connection may have before its sender is paused.
 	maxPending atomic.Int64
 }
 
 func newSockets(clock clock.Clock, buffers *connstate.Buffers, config *Config, clients int, signal func()) *sockets {
 	s := &sockets{
-		clock:     clock,
-		buffers:   buffers,
-		connect:   newConnector(config.SourceIP),
-		signal:    signal,
-		stopped:   make(chan struct{}),
-		roomFreed: make(chan struct{}, 1),
+		clock:        clock,
+		buffers:      buffers,
+		connect:      newConnector(config.SourceIP),
+		signal:       signal,
+		stopped:      make(chan struct{}),
+		acceptSignal: make(chan struct{}, 1),
 	}
 	s.maxClients.Store(int64(clients))
 	s.maxPending.Store(maxPendingBytes)
@@ -91,8 +91,8 @@
 		Network: "tcp",
 		Addrs:   []string{config.Listen},
 		NPoller: 1,
-		// Edge-triggered, nbio never changes what it waits for. Level-triggered, it can forget, when a connection comes
-		// up, that bytes are still to be written.
+		// In edge-triggered mode nbio never changes the events it waits for. In level-triggered mode it can lose track,
+		// when a connection is established, of bytes that are still to be written.
 		EpollMod: nbio.EPOLLET,
 		Listen: func(network, addr string) (net.Listener, error) {
 			l, err := openListener(network, addr, config.InheritedListener)
@@ -136,22 +136,24 @@
 	}
 	if conn.Side == connstate.ClientSide {
 		s.clients.Add(-1)
-		s.signalRoom()
+		s.signalAcceptor()
 	}
 	s.post(event{kind: eventClosed, conn: conn})
 }
 
-// onAcceptError pauses: without descriptors accepting fails at once, and would keep a core busy.
+// onAcceptError pauses before the next accept. While descriptors are exhausted, accepting fails at once, and retrying
+// without a pause would keep a core busy.
 func (s *sockets) onAcceptError(error) {
 	select {
 	case <-s.listener.closed:
 		s.listener.stopped.Store(true)
-		<-s.stopped // nbio tries again until it is stopped itself
+		<-s.stopped // nbio would retry until it is stopped itself
 	case <-time.After(acceptRetryInterval):
 	}
 }
 
-// recordWritten adds to what the kernel has taken, and notifies the loop if it waits for that.
+// recordWritten adds n to the bytes that the kernel has accepted, and notifies the loop once the total is what it waits
+// for.
 func (s *sockets) recordWritten(conn *connstate.Conn, n int) {
 	total := conn.RecordWritten(n)
 	notifyAt := conn.Output.NotifyAt.Load()
@@ -160,10 +162,10 @@
 	}
 }
 
-// signalRoom has the listener check again whether clients may be accepted.
-func (s *sockets) signalRoom() {
+// signalAcceptor makes the listener check again whether clients may be accepted.
+func (s *sockets) signalAcceptor() {
 	select {
-	case s.roomFreed <- struct{}{}:
+	case s.acceptSignal <- struct{}{}:
 	default:
 	}
 }
@@ -177,7 +179,7 @@
 	s.signal()
 }
 
-// takeEvents returns the events since the last call. They are valid until the next one.
+// takeEvents returns the events queued since the last call. They are valid until the next call.
 func (s *sockets) takeEvents() []event {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,42 +190,43 @@
 	return taken
 }
 
-// read is called by the poller when a socket has become readable. It reads up to the end of the stream where that has
-// come: nbio closes the socket after it, and the socket must know before.
+// read is called by the poller when a socket has become readable. If the peer has closed, it reads to the end of the
+// stream: nbio closes the socket after this call, and the end must be recorded before that.
 func (s *sockets) read(c *nbio.Conn) {
-	s.openCount.Load() // what OnOpen wrote was written before this
+	s.openCount.Load() // synchronises with onOpen for the race detector
 	if conn, ok := c.Session().(*connstate.Conn); ok {
 		s.readAvailable(conn, conn.Socket.(*socket))
 	}
 }
 
-// resume continues reading where it was paused. The poller does not report again what is already in the socket.
+// resume continues to read from a connection that was paused. The poller does not report input again that is already in
+// the socket.
 func (s *sockets) resume(conn *connstate.Conn) {
-	if socket, ok := conn.Socket.(*socket); ok && socket.inputLeft.Load() && !conn.Input.Paused.Load() {
+	if socket, ok := conn.Socket.(*socket); ok && socket.mayHaveInput.Load() && !conn.Input.Paused.Load() {
 		s.readAvailable(conn, socket)
 	}
 }
 
-// saturated reports whether no more should be read from the connection for now.
+// saturated reports whether reading from the connection should pause for now.
 func (s *sockets) saturated(conn *connstate.Conn) bool {
 	return conn.Input.Paused.Load() ||
 		conn.Input.UnreadMemory.Load() >= max(connstate.SmallBuffer, s.maxPending.Load())
 }
 
-// flooding reports whether a client has sent more than is acceptable while memory is overcommitted: many of them could
-// fill the memory before the loop comes to reject them.
+// flooding reports whether a client has sent more than is acceptable while memory is overcommitted. Many such clients
+// could fill the memory before the loop rejects their requests.
 func (s *sockets) flooding(conn *connstate.Conn) bool {
 	return conn.Input.Unread.Load() > connstate.SmallBuffer && conn.Side == connstate.ClientSide &&
 		s.buffers.Overcommitted()
 }
 
-// readAvailable reads until the socket is empty or the connection is saturated. The poller and the loop may both call
-// it; what is read is posted in order, as both happens under the socket's lock.
+// readAvailable reads until the socket is empty or the connection is saturated. Both the poller and the loop may call
+// it. Input is posted in order, as the lock of the socket is held for reading and posting.
 func (s *sockets) readAvailable(conn *connstate.Conn, socket *socket) {
 	socket.mu.Lock()
 	defer socket.mu.Unlock()
-	socket.inputLeft.Store(false)
-	// The latest buffer is posted one read late: only behind it shows whether the peer has closed.
+	socket.mayHaveInput.Store(false)
+	// Each buffer is posted after the next read, as only that read shows whether the peer has closed after it.
 	var last *connstate.Buffer
 	defer func() { s.postData(conn, last) }()
 	size := connstate.SmallBuffer
@@ -233,20 +236,20 @@
 			return
 		}
 		if s.saturated(conn) && !socket.discarding && !socket.readShut {
-			socket.inputLeft.Store(true)
+			socket.mayHaveInput.Store(true)
 			if !s.saturated(conn) {
-				continue // the loop has caught up meanwhile, and may not have seen that input is left
+				continue // the loop has caught up meanwhile, and may not have seen mayHaveInput
 			}
 			if conn.Side == connstate.ClientSide || !socket.peerClosed() {
-				return // the rest stays in the kernel, which slows down its sender
+				return // the rest stays in the kernel, which slows down the sender
 			}
-			// The endpoint has closed. nbio closes after this call, so its last bytes can only be read now.
+			// The endpoint has closed, and nbio closes the socket after this call: the last bytes must be read now.
 		}
 		buf := s.buffers.Get(size)
 		if !socket.read(conn, buf) {
 			s.buffers.Put(buf)
 			if socket.ended && conn.Side == connstate.ClientSide {
-				conn.Input.PeerClosed.Store(true) // before its last request is posted, which needs no response
+				conn.Input.PeerClosed.Store(true) // set before the last request is posted: it needs no response
 			}
 			return
 		}
--- a/internal/httpproxy/startup.go
+++ b/internal/httpproxy/startup.go
@@ -2,19 +2,19 @@
 
 import "pepperlead/policy"
 
-// startCheckInterval is the time between checks whether there is a list.
+// startCheckInterval is the time between checks whether there is an endpoint list.
 const startCheckInterval = 20 * policy.Millisecond
 
-// start accepts clients as soon as they can be served.
+// start makes the listener accept clients as soon as they can be served.
 func (p *Proxy) start(now policy.Time) {
 	switch {
 	case p.config.Successor:
-		// Another process serves: clients that this one accepted before it can serve would wait.
+		// Another process is serving. Clients that this one accepted before it can serve would have to wait.
 		p.startTimer.Run = p.startWhenReady
 		p.Timers.Set(&p.startTimer, now+startCheckInterval)
 	case p.config.FirstListTimeout > 0:
-		// The saved list may be outdated, and the source's counts from the first attempt on. The source is asked first;
-		// while it is silent clients wait for no longer than this, and the saved list is used after that.
+		// The saved list may be outdated, and the first attempt should already use the list of the source. So clients
+		// wait for it, but at most for this time; after that the saved list is used.
 		p.awaitingList = true
 		p.startTimer.Run = p.admitClients
 		p.Timers.Set(&p.startTimer, now+p.config.FirstListTimeout)
@@ -23,11 +23,11 @@
 	}
 }
 
-// admitClients has the listener accept clients. It is called once.
+// admitClients makes the listener accept clients. It is called once.
 func (p *Proxy) admitClients(now policy.Time) {
 	if p.awaitingList {
 		began := p.startTimer.At() - p.config.FirstListTimeout
-		message := "accepting clients with the saved list, the source is silent"
+		message := "accepting clients with the saved list: the source has not answered"
 		if p.ListFresh() {
 			message = "accepting clients with the list of the source"
 		}
@@ -40,7 +40,8 @@
 	p.serving.Store(!shuttingDown)
 }
 
-// startWhenReady accepts clients in a process that succeeds another, once it has a list and what the other has learned.
+// startWhenReady accepts clients in a process that succeeds another one, once it has an endpoint list and has imported
+// the learned state of the other process.
 func (p *Proxy) startWhenReady(now policy.Time) {
 	if _, shuttingDown := p.ShuttingDown(); shuttingDown {
 		return
--- a/internal/httpproxy/stream.go
+++ b/internal/httpproxy/stream.go
@@ -11,31 +11,31 @@
 
 // Timing of streamed responses.
 const (
-	// streamAfter is how long a response of unknown length may take before it is streamed.
+	// streamAfter is how long after its head a response of unknown length may take before it is streamed.
 	streamAfter = 300 * policy.Millisecond
-	// streamStallTimeout is how long the client may take nothing of what is pending.
+	// streamStallTimeout is how long the client may accept none of the pending bytes.
 	streamStallTimeout = 5 * policy.Second
-	// longBodyPause is how long after its last bytes a long body may pause once the deadline has passed.
+	// longBodyPause is how long a long body may pause after its latest bytes once the client's deadline has passed.
 	longBodyPause = policy.Second
-	// shortBodyPause is the same for a body that may turn out to be short: that one is lost half a second after the
-	// deadline.
+	// shortBodyPause is the same for a body that may turn out to be short. A short response counts as lost
+	// half a second after the deadline.
 	shortBodyPause = 300 * policy.Millisecond
 	// streamCheckInterval is the time between checks of a stream.
 	streamCheckInterval = 250 * policy.Millisecond
 )
 
-// minPendingBytes may be pending of each stream, however many there are.
+// minPendingBytes is the least number of bytes that may be pending per stream, however many streams there are.
 const minPendingBytes = 16 << 10
 
 var lastChunk = []byte("0\r\n\r\n")
 
-// tryStream starts to stream an incomplete response to the client where that is due, and reports whether nothing else
-// is to be done about it. tooLong tells that the response is too long to be kept.
+// tryStream starts to stream an incomplete response to the client if that is due, and reports whether the response
+// needs no further handling. tooLong means that the response is too long to be buffered.
 //
-// Once a response is streamed, a fault can only be shown to the client; until then it costs an attempt. So a short
-// response is kept until it is complete or its attempt is over. One of unknown length is streamed once it has taken
-// some time and more of it comes. Where its endpoint has gone silent, nothing is gained by that, and the attempt is
-// lost.
+// Once a response is streamed, a failure can no longer be retried and becomes visible to the client; before that it
+// costs only an attempt. So a short response is buffered until it is complete or its attempt ends. A response of
+// unknown length is streamed when bytes arrive later than streamAfter. If its endpoint sends nothing more, streaming
+// would gain nothing, and the attempt fails.
 func (p *Proxy) tryStream(now, at policy.Time, c *connstate.Conn, tooLong bool) bool {
 	r := c.Request
 	in := c.Input.Buffer.B
@@ -43,13 +43,13 @@
 	if !ok || head.bodyStart == 0 || head.bodySize > maxStreamedBody || r.Client == nil || r.Decided {
 		return false
 	}
-	noteHead(c, at, head)
+	recordHead(c, at, head)
 	outcome := outcomeOf(head.status, head.headers)
 	if outcome != policy.Succeeded && outcome != policy.Declined {
 		if head.bodySize <= maxBody {
 			return false
 		}
-		// The long body of a failure is not waited for.
+		// The long body of a failed attempt is not needed.
 		p.endAttempt(at, r, outcome, false)
 		return true
 	}
@@ -72,8 +72,8 @@
 	return true
 }
 
-// noteHead notes when the head of a response was complete, and how many bytes make the response complete.
-func noteHead(c *connstate.Conn, at policy.Time, head responseHead) {
+// recordHead records when the head of a response was complete, and how many bytes complete the response.
+func recordHead(c *connstate.Conn, at policy.Time, head responseHead) {
 	if c.Input.HeadAt != 0 {
 		return
 	}
@@ -84,8 +84,8 @@
 	}
 }
 
-// beginStream ends the attempt and writes the head of the response to the client. For the module the attempt ends with
-// the first bytes, as the endpoint's work does.
+// beginStream ends the attempt and writes the head of the response to the client. For the module the attempt ends here,
+// with the first bytes, as the endpoint has done its work by then.
 func (p *Proxy) beginStream(at policy.Time, c *connstate.Conn, head responseHead) {
 	r := c.Request
 	r.Decided = true
@@ -118,7 +118,7 @@
 	r.Client.Progress.At = 0
 }
 
-// streamData forwards bytes of a streamed response.
+// streamData decodes and forwards bytes of a streamed response.
 func (p *Proxy) streamData(now, at policy.Time, c *connstate.Conn, b []byte) {
 	r := c.Request
 	c.Progress.At = at
@@ -134,7 +134,8 @@
 	}
 }
 
-// writeStreamed writes a part of the body to the client. Where much is pending there, the endpoint waits.
+// writeStreamed writes a part of the body to the client. While too much is pending there, reading from the endpoint is
+// paused.
 func (p *Proxy) writeStreamed(c *connstate.Conn, r *connstate.Request, b []byte) {
 	if len(b) == 0 {
 		return
@@ -147,7 +148,7 @@
 	p.applyBackpressure(c, r.Client)
 }
 
-// writeChunk writes a chunk of a body.
+// writeChunk writes b as one chunk of a chunked body.
 func (p *Proxy) writeChunk(c *connstate.Conn, b []byte) {
 	p.scratch = strconv.AppendInt(p.scratch[:0], int64(len(b)), 16)
 	p.scratch = append(p.scratch, lineEnd...)
@@ -156,8 +157,8 @@
 	p.write(c, lineEnd)
 }
 
-// applyBackpressure pauses reading from the sender while too much is pending to the receiver, until most of that has
-// been taken.
+// applyBackpressure pauses reading from the sender if too many bytes are pending for the receiver, until most of them
+// have been written.
 func (p *Proxy) applyBackpressure(sender, receiver *connstate.Conn) {
 	limit := p.sockets.maxPending.Load()
 	if receiver.Unwritten() <= limit {
@@ -167,11 +168,11 @@
 	notifyAt := receiver.Output.Queued - limit/4
 	receiver.Output.NotifyAt.Store(notifyAt)
 	if receiver.Output.Written.Load() >= notifyAt && receiver.Output.NotifyAt.CompareAndSwap(notifyAt, 0) {
-		p.resumeReading(sender) // taken meanwhile
+		p.resumeReading(sender) // the bytes were written meanwhile
 	}
 }
 
-// resumeReading continues reading from a sender that was paused.
+// resumeReading continues to read from a sender that was paused.
 func (p *Proxy) resumeReading(sender *connstate.Conn) {
 	sender.Input.Paused.Store(false)
 	if sender.Connected && !sender.Closing {
@@ -179,7 +180,7 @@
 	}
 }
 
-// outputDrained resumes the other side of a connection that has taken most of what was pending.
+// outputDrained resumes reading from the sender once most of the bytes pending for the receiver c have been written.
 func (p *Proxy) outputDrained(c *connstate.Conn) {
 	r := c.Request
 	switch {
@@ -191,7 +192,8 @@
 	}
 }
 
-// sharePendingBytes divides a quarter of the memory for messages among the streams.
+// sharePendingBytes divides a quarter of the memory for messages among the streams, within minPendingBytes and
+// maxPendingBytes for each.
 func (p *Proxy) sharePendingBytes() {
 	share := p.buffers.Limit / 4 / max(1, p.streamCount)
 	p.sockets.maxPending.Store(int64(min(maxPendingBytes, max(minPendingBytes, share))))
@@ -203,13 +205,14 @@
 		p.write(r.Client, lastChunk)
 	}
 	p.detachStream(now, r, reusable)
-	if c := p.detachClientOf(now, r); c != nil {
+	if c := p.detachClientForResponse(now, r); c != nil {
 		p.responseSent(now, c, r.CloseAfter)
 	}
 	p.Done(r.Request)
 }
 
-// breakStream ends a stream whose response stays incomplete. The client notices it by a close before the announced end.
+// breakStream ends a stream whose response remains incomplete. The client notices that the connection closes before the
+// end of the response.
 func (p *Proxy) breakStream(now policy.Time, r *connstate.Request) {
 	p.Counters.StreamsBroken++
 	p.detachStream(now, r, false)
@@ -235,8 +238,8 @@
 	p.sharePendingBytes()
 }
 
-// endpointTimerDue handles the one timer of a connection to an endpoint: it has been idle for too long, or its stream
-// is to be checked.
+// endpointTimerDue handles the only timer of a connection to an endpoint: the connection has been idle for too long, or
+// its stream is to be checked.
 func (p *Proxy) endpointTimerDue(now policy.Time, c *connstate.Conn) {
 	r := c.Request
 	switch {
@@ -247,7 +250,7 @@
 	}
 }
 
-// checkStream breaks a stream that makes no progress, or sets the time of the next check.
+// checkStream breaks a stream that makes no progress, and otherwise schedules the next check.
 func (p *Proxy) checkStream(now policy.Time, c *connstate.Conn, r *connstate.Request) {
 	if r.Client == nil {
 		p.breakStream(now, r)
@@ -256,11 +259,11 @@
 	deadline := now + streamStallTimeout
 	switch {
 	case r.Client.Unwritten() > 0:
-		c.Progress.At = now // the endpoint may have to wait for the client
+		c.Progress.At = now // the endpoint may be paused because of the client
 		if !r.Client.Progressed(now, r.Client.Output.Written.Load(), streamStallTimeout) {
 			deadline = now
 		}
-	case r.Upload.Active: // the request's time has not begun
+	case r.Upload.Active: // the client's deadline counts from the end of the request body
 		deadline = c.Progress.At + streamStallTimeout
 	default:
 		clientDeadline := r.ReceivedAt + r.ClientTimeLeft - engine.BeforeDeadline*p.Settings.Tick
@@ -273,8 +276,8 @@
 	p.Timers.Set(&c.Timer, min(deadline, now+streamCheckInterval))
 }
 
-// streamDeadline returns when a stream is broken whose endpoint sends nothing more. Its client knows by its deadline
-// that it gets no more, or, where some bytes came just before that, soon after it.
+// streamDeadline returns when a stream is broken if its endpoint sends nothing more: at the client's deadline, or soon
+// after it if bytes arrived shortly before it.
 func streamDeadline(f connstate.Frame, progressAt, clientDeadline policy.Time) policy.Time {
 	pause := shortBodyPause
 	if f.Kind == sizedBody || f.Received > maxBody { // a short body of known size is never streamed
--- a/internal/httpproxy/upload.go
+++ b/internal/httpproxy/upload.go
@@ -7,10 +7,11 @@
 	"pepperlead/policy"
 )
 
-// A request body over maxBody is collected while it fits, so that it can be sent again and no endpoint waits for its
-// client. Otherwise it is streamed to an endpoint, and an attempt that fails in the middle of it is the request's last.
+// A request body longer than maxBody is collected in memory if it fits, so that it can be sent again and no endpoint
+// has to wait for the client. Otherwise it is streamed to an endpoint, and an attempt that fails while the body is
+// being forwarded is the last one of the request.
 
-// maxCollected returns how much of one body is collected.
+// maxCollected returns how many bytes of one body are collected before it is streamed.
 func (p *Proxy) maxCollected() int {
 	if p.buffers.Lent() > p.buffers.Limit/2 {
 		return maxBody
@@ -18,7 +19,7 @@
 	return max(maxBody, p.buffers.Limit/6)
 }
 
-// beginUpload begins with the long body of a request whose head is complete.
+// beginUpload starts to receive the long body of a request whose head is complete.
 func (p *Proxy) beginUpload(now, at policy.Time, c *connstate.Conn, head requestHead) {
 	p.sendContinue(c)
 	p.conns.MarkBusy(c)
@@ -65,7 +66,8 @@
 	}
 }
 
-// collectUpload keeps a part of a body, and begins to stream the body once it is too long to be collected.
+// collectUpload appends a part of a body to the collected ones, and starts to stream the body once it is too long to be
+// collected.
 func (p *Proxy) collectUpload(now, at policy.Time, c *connstate.Conn, buf *connstate.Buffer, done bool) {
 	c.Input.Buffer = p.buffers.Join(c.Input.Buffer, buf)
 	if done {
@@ -77,7 +79,7 @@
 	}
 }
 
-// forwardUpload forwards a part of a body to the endpoint, or keeps it until there is an attempt.
+// forwardUpload forwards a part of a body to the endpoint, or buffers it until there is an attempt.
 func (p *Proxy) forwardUpload(c *connstate.Conn, buf *connstate.Buffer) {
 	r := c.Request
 	switch {
@@ -89,14 +91,14 @@
 		p.applyBackpressure(c, r.AttemptConn)
 	default:
 		r.Upload.Buffer = p.buffers.Join(r.Upload.Buffer, buf)
-		c.Input.Paused.Store(true) // until an attempt takes it
+		c.Input.Paused.Store(true) // until an attempt forwards it
 	}
 }
 
 func (p *Proxy) setUploadTimer(now policy.Time, c *connstate.Conn) {
 	deadline := uploadDeadline(c)
 	if c.Input.Paused.Load() {
-		deadline = min(deadline, now+streamCheckInterval) // it waits for its endpoint, which may have stalled
+		deadline = min(deadline, now+streamCheckInterval) // the client waits for its endpoint, which may have stalled
 	}
 	p.Timers.Set(&c.Timer, deadline)
 }
@@ -111,7 +113,7 @@
 	p.handleRequest(now, at, c, buf, parsedRequest{requestHead: head, body: buf.B[head.bodyStart:]})
 }
 
-// uploadComplete handles the end of a body; next holds what came behind it.
+// uploadComplete handles the end of a body; next holds the bytes received after it.
 func (p *Proxy) uploadComplete(now, at policy.Time, c *connstate.Conn, next *connstate.Buffer) {
 	collected := c.Upload.State == connstate.CollectingUpload
 	r := c.Request
@@ -139,7 +141,7 @@
 	}
 }
 
-// writeBody writes to the endpoint what is kept of the body.
+// writeBody writes the buffered part of the body to the endpoint.
 func (p *Proxy) writeBody(r *connstate.Request) {
 	p.writeBodyPart(r, r.Body)
 	if r.Upload.Buffer != nil {
@@ -147,7 +149,7 @@
 	}
 }
 
-// continueUpload resumes reading the body of a request whose first part has been written to the endpoint.
+// continueUpload resumes reading a request body after its first part has been written to the endpoint.
 func (p *Proxy) continueUpload(r *connstate.Request) {
 	if r.Client == nil {
 		return
@@ -171,7 +173,7 @@
 	}
 }
 
-// writeBodyEnd ends the body to the endpoint.
+// writeBodyEnd marks the end of the body towards the endpoint.
 func (p *Proxy) writeBodyEnd(r *connstate.Request) {
 	c := r.AttemptConn
 	if r.Upload.Size < 0 {
@@ -180,20 +182,21 @@
 		return
 	}
 	c.Output.CompleteAt.Store(c.Output.Queued)
-	c.RecordWritten(0) // all of it may have been written already
+	c.RecordWritten(0) // all bytes may already have been written
 }
 
-// uploadDeadline returns by when more of the body must have come.
+// uploadDeadline returns the time by which more of the body must have arrived.
 func uploadDeadline(c *connstate.Conn) policy.Time {
 	return c.Input.HeadAt + bodyTimeout + transferTime(c.Frame.Received)
 }
 
-// transferTime returns how long so many bytes of a body may take.
+// transferTime returns how long the transfer of this many bytes of a body may take.
 func transferTime(bytes int64) policy.Time {
 	return policy.Time(bytes) * policy.Second / minBodyRate
 }
 
-// checkUpload checks whether a body still comes. While the client has to wait, the endpoint must take something.
+// checkUpload checks whether the transfer of a body makes progress. While reading from the client is paused, the
+// endpoint must accept bytes.
 func (p *Proxy) checkUpload(now policy.Time, c *connstate.Conn) {
 	r := c.Request
 	switch {
@@ -214,13 +217,13 @@
 	}
 }
 
-// endpointStalled reports whether the endpoint has taken nothing of a forwarded body for too long.
+// endpointStalled reports whether the endpoint has accepted no bytes of a forwarded body for flushTimeout.
 func (p *Proxy) endpointStalled(now policy.Time, r *connstate.Request) bool {
 	to := r.AttemptConn
 	return r.Upload.Forwarded && to != nil && !to.Progressed(now, to.Output.Written.Load(), flushTimeout)
 }
 
-// failUpload ends a request whose body stays incomplete.
+// failUpload ends a request whose body remains incomplete.
 func (p *Proxy) failUpload(now policy.Time, c *connstate.Conn, refused refusal) {
 	if r := c.Request; r != nil {
 		p.abandonRequest(now, c, r)
