--- a/internal/httpproxy/answers_test.go
+++ b/internal/httpproxy/answers_test.go
@@ -19,30 +19,33 @@
 	"pepperlead/policy"
 )
 
-// A response is complete only when its framing says so, and one framed by its connection only when that ended in order.
+// The tests in this file check when a response is complete: only at the end that its framing defines. If its body ends when the connection
+// closes, that requires an orderly close.
 
-// responseFramings write a response with this body; rest writes what is still missing of it, except for an orderly close.
+// responseFramings holds the ways to frame a body. part and remainder together, followed by an orderly close if untilClose is set, make the
+// complete body; part alone is incomplete.
 var responseFramings = []struct {
-	name     string
-	headSays string // in the head
-	part     func(body string) string
-	rest     func(body string) string
-	byEnd    bool // complete where the connection ends in order
+	name       string
+	header     string // framing header of the response
+	part       func(body string) string
+	remainder  func(body string) string
+	untilClose bool // an orderly close of the connection completes the body
 }{
 	{"sized", "Content-Length: %d\r\n", func(b string) string { return b[:len(b)-1] }, func(b string) string { return b[len(b)-1:] }, false},
 	{"in chunks", "Transfer-Encoding: chunked\r\n", func(b string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(b), b) },
 		func(string) string { return "0\r\n\r\n" }, false},
-	{"to the end", "Connection: close\r\n", func(b string) string { return b }, func(string) string { return "" }, true},
+	{"until close", "Connection: close\r\n", func(b string) string { return b }, func(string) string { return "" }, true},
 }
 
-// resetConn ends a connection without an orderly end of its stream.
+// resetConn ends a connection with a reset.
 func resetConn(c net.Conn) {
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
-// exchangeRaw sends one request on a new connection, and returns all that comes back until its end, and how it ended.
-func (r *runningProxy) exchangeRaw(method, class, version string) (came []byte, took time.Duration, err error) {
+// exchangeRaw sends one request on a new connection. It returns all bytes received until the connection ends, and the error with which it
+// ended.
+func (r *runningProxy) exchangeRaw(method, class, version string) (received []byte, took time.Duration, err error) {
 	c := r.client()
 	lastID++
 	length := ""
@@ -52,14 +55,15 @@
 	fmt.Fprintf(c, "%s /%s/x HTTP/%s\r\nHost: o\r\nConnection: close\r\nX-Request-ID: id-%d\r\nX-Timeout: 1.0\r\n%s\r\n",
 		method, class, version, lastID, length)
 	began := time.Now()
-	came, err = io.ReadAll(c.in)
-	return came, time.Since(began), err
+	received, err = io.ReadAll(c.in)
+	return received, time.Since(began), err
 }
 
-// readByClient returns the response that a client reads from these bytes, and whether it takes it for complete.
-func readByClient(t *testing.T, method string, came []byte, ended error) (status int, body string, is bool) {
+// readByClient returns the response that a client reads from these bytes, followed by the error endErr, and whether it is complete to the
+// client.
+func readByClient(t *testing.T, method string, received []byte, endErr error) (status int, body string, complete bool) {
 	t.Helper()
-	a, err := http.ReadResponse(bufio.NewReader(io.MultiReader(bytes.NewReader(came), failingReader{ended})), &http.Request{Method: method})
+	a, err := http.ReadResponse(bufio.NewReader(io.MultiReader(bytes.NewReader(received), failingReader{endErr})), &http.Request{Method: method})
 	if err != nil {
 		return 0, "", false
 	}
@@ -67,6 +71,7 @@
 	return a.StatusCode, string(b), err == nil
 }
 
+// failingReader returns err, or io.EOF if err is nil.
 type failingReader struct{ err error }
 
 func (f failingReader) Read([]byte) (int, error) {
@@ -76,67 +81,67 @@
 	return 0, f.err
 }
 
-// Whatever its framing, a response that is reset is incomplete: one that was kept costs an attempt, after which the class's
-// idempotency decides; of one that was streamed the client can tell that it is incomplete, over HTTP/1.0 too.
-func TestResetIsNoEndOfAnAnswer(t *testing.T) {
+// A response whose connection is reset is incomplete, whatever its framing. If it was buffered, the attempt fails, and the idempotency of
+// the class decides about a retry. If it was streamed, the client can tell that it is incomplete, also over HTTP/1.0.
+func TestResetDoesNotCompleteResponse(t *testing.T) {
 	const short = "what the endpoint has made for this request"
 	for _, f := range responseFramings {
-		for _, passed := range []bool{false, true} {
+		for _, streamed := range []bool{false, true} {
 			for _, k := range []struct {
-				method, offering, version string
-				status                    int // of a kept one that was reset: the other endpoint's response, or failed
+				method, class, version string
+				status                 int // if it was buffered: that of the other endpoint's response, or of a failure
 			}{{"GET", "step", "1.1", 200}, {"GET", "step", "1.0", 200}, {"POST", "note", "1.1", 200}, {"POST", "once", "1.1", 502},
 				{"POST", "once", "1.0", 502}} {
-				name := fmt.Sprintf("%s, passed on %v, %s %s HTTP/%s", f.name, passed, k.method, k.offering, k.version)
+				name := fmt.Sprintf("%s, streamed %v, %s %s HTTP/%s", f.name, streamed, k.method, k.class, k.version)
 				t.Run(name, func(t *testing.T) {
 					var seen atomic.Int64
 					body := short
-					if passed {
-						body = strings.Repeat(short, 3000) // over what is kept
+					if streamed {
+						body = strings.Repeat(short, 3000) // longer than maxBody
 					}
 					serve := func(c net.Conn, r *http.Request, _ int) bool {
-						says := f.headSays
-						if strings.Contains(says, "%d") {
-							says = fmt.Sprintf(says, len(body))
+						header := f.header
+						if strings.Contains(header, "%d") {
+							header = fmt.Sprintf(header, len(body))
 						}
-						fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s\r\n%s", says, f.part(body))
+						fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s\r\n%s", header, f.part(body))
 						if seen.Add(1) == 1 {
-							if passed {
-								time.Sleep(50 * time.Millisecond) // a reset right behind would discard what is still under way
+							if streamed {
+								time.Sleep(50 * time.Millisecond) // an immediate reset would discard bytes that are not read yet
 							}
 							resetConn(c)
 							return false
 						}
-						io.WriteString(c, f.rest(body))
-						return !f.byEnd
+						io.WriteString(c, f.remainder(body))
+						return !f.untilClose
 					}
 					one, _ := scriptedEndpoint(t, serve)
 					two, _ := scriptedEndpoint(t, serve)
 					r, _ := startProxy(t, nil, one, two)
-					came, _, ended := r.exchangeRaw(k.method, k.offering, k.version)
-					status, got, is := readByClient(t, k.method, came, ended)
+					received, _, endErr := r.exchangeRaw(k.method, k.class, k.version)
+					status, got, complete := readByClient(t, k.method, received, endErr)
 					switch {
-					case passed && is:
-						t.Errorf("a part is taken for complete: %d bytes of %d, %v", len(got), len(body), ended)
-					case passed && seen.Load() != 1:
-						t.Errorf("sent %d times, though a part of an answer had gone on", seen.Load())
-					case !passed && (!is || status != k.status || status == 200 && got != body):
-						t.Errorf("%d %q, %v; want %d", status, got, ended, k.status)
+					case streamed && complete:
+						t.Errorf("a truncated response is taken for complete: %d bytes of %d, %v", len(got), len(body), endErr)
+					case streamed && seen.Load() != 1:
+						t.Errorf("sent %d times, although a part of a response had been forwarded", seen.Load())
+					case !streamed && (!complete || status != k.status || status == 200 && got != body):
+						t.Errorf("%d %q, %v; want %d", status, got, endErr, k.status)
 					}
-					r.waitUntil("ended", func() bool { return r.InFlight == 0 })
+					r.waitUntil("no request in flight", func() bool { return r.InFlight == 0 })
 					r.RunOnLoop(func() {
 						want := int64(1)
-						if !passed {
+						if !streamed {
 							want = 0
 						}
-						if r.Counters.StreamsBroken != int(want) || !passed && r.Counters.Outcomes[policy.ConnectionLost] != 1 {
+						if r.Counters.StreamsBroken != int(want) || !streamed && r.Counters.Outcomes[policy.ConnectionLost] != 1 {
 							t.Errorf("%d streams broken, outcomes %v", r.Counters.StreamsBroken, r.Counters.Outcomes)
 						}
 					})
-					// Conversely, the same bytes with an orderly end are the complete response.
-					came, _, ended = r.exchangeRaw(k.method, k.offering, k.version)
-					if status, got, is = readByClient(t, k.method, came, ended); !is || status != 200 || got != body {
-						t.Errorf("an answer that came whole: %d, %d bytes, %v", status, len(got), ended)
+					// Conversely, the same bytes with the remainder and an orderly close are the complete response.
+					received, _, endErr = r.exchangeRaw(k.method, k.class, k.version)
+					if status, got, complete = readByClient(t, k.method, received, endErr); !complete || status != 200 || got != body {
+						t.Errorf("a complete response: %d, %d bytes, %v", status, len(got), endErr)
 					}
 				})
 			}
@@ -144,60 +149,62 @@
 	}
 }
 
-// A reset is distinguished from an orderly end also where a write has failed before the next read.
-func TestFailedWriteHidesNoReset(t *testing.T) {
-	far, nb, conn := connectedPair(t)
-	io.WriteString(far, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\npart")
-	resetConn(far)
-	time.Sleep(20 * time.Millisecond) // for the kernel to have both at this end
+// A reset is distinguished from an orderly close even if a write fails because of it before the next read.
+func TestFailedWriteDoesNotHideReset(t *testing.T) {
+	peer, nb, conn := connectedPair(t)
+	io.WriteString(peer, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\npart")
+	resetConn(peer)
+	time.Sleep(20 * time.Millisecond) // until both have arrived at this end
 	if _, err := conn.Socket.Write([]byte("more")); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
-		t.Fatal("the write went well:", err)
+		t.Fatal("the write did not fail with a reset:", err)
 	}
 	s, _ := newStoppedProxy(t)
 	s.sockets.read(nb)
 	if conn.Input.EOF.Load() {
-		t.Error("taken for an end in order")
+		t.Error("the reset is taken for an orderly close")
 	}
 	for _, e := range s.sockets.takeEvents() {
 		s.buffers.Put(e.buf)
 	}
 }
 
-// hangingResponse is a response that its endpoint begins and never ends.
-type hangingResponse struct {
-	name, framing, part string
-	parts               int  // this many, 40 ms apart
-	retried             bool // another endpoint gets an attempt
+// hungResponse is a response that its endpoint begins and never completes.
+type hungResponse struct {
+	name, header, part string
+	parts              int  // number of parts that are sent, 40 ms apart
+	retried            bool // another endpoint gets an attempt
 }
 
+// chunkOf returns a chunk of n bytes.
 func chunkOf(n int) string { return fmt.Sprintf("%x\r\n%s\r\n", n, strings.Repeat("x", n)) }
 
-var hangingResponses = []hangingResponse{
+var hungResponses = []hungResponse{
 	{"short, sized", "Content-Length: 1000\r\n", "xxx", 1, true},
 	{"short, sized, slow", "Content-Length: 1000\r\n", "xxx", 11, true},
 	{"short, in chunks", "Transfer-Encoding: chunked\r\n", chunkOf(9), 1, true},
-	{"short, to the end", "Connection: close\r\n", "xxx", 1, true},
+	{"short, until close", "Connection: close\r\n", "xxx", 1, true},
 	{"in chunks, slow", "Transfer-Encoding: chunked\r\n", chunkOf(9), 11, false},
-	{"to the end, slow", "Connection: close\r\n", "xxx", 11, false},
+	{"until close, slow", "Connection: close\r\n", "xxx", 11, false},
 	{"long, sized", "Content-Length: 1000000\r\n", "xxx", 1, false},
 	{"long, in chunks", "Transfer-Encoding: chunked\r\n", chunkOf(80000), 1, false},
 }
 
-// An endpoint that hangs in the middle of a response costs an attempt where nothing has been forwarded; otherwise its client knows by
-// the deadline that the response is incomplete. A long one that makes progress has a second more, counted from its last bytes. A run is
-// void, and repeated, only where the machine delayed the endpoint's first bytes, or any timer, by as much as the client knew too late.
-func TestHangInMidAnswerIsKnownByTheDeadline(t *testing.T) {
-	const known, plays = 1030 * time.Millisecond, 10
-	for _, h := range hangingResponses {
+// If an endpoint hangs in the middle of a response of which nothing has been forwarded, the attempt fails and is retried. Otherwise the
+// client learns by its deadline that the response is incomplete; a long response that makes progress has a second more, counted from its
+// last bytes. A run that takes too long is repeated only if the machine delayed the first bytes of the endpoint, or any timer, by at least
+// the excess.
+func TestHungResponseEndsByDeadline(t *testing.T) {
+	const limit, runs = 1030 * time.Millisecond, 10
+	for _, h := range hungResponses {
 		for _, version := range []string{"1.1", "1.0"} {
 			t.Run(h.name+", HTTP/"+version, func(t *testing.T) {
-				for play := 1; ; play++ {
-					took, heldUp := h.play(t, version)
-					if took <= known {
+				for run := 1; ; run++ {
+					took, delay := h.run(t, version)
+					if took <= limit {
 						return
 					}
-					if took-known > heldUp || play == plays {
-						t.Fatalf("run %d: known after %v, the deadline is 1 s; the machine delayed this process by %v", play, took, heldUp)
+					if took-limit > delay || run == runs {
+						t.Fatalf("run %d: ended after %v, the deadline is 1 s; the machine delayed this process by %v", run, took, delay)
 					}
 				}
 			})
@@ -205,8 +212,8 @@
 	}
 }
 
-// play requests such a response once, and returns how long the client took to know, and how long the machine delayed this process.
-func (h hangingResponse) play(t *testing.T, version string) (took, heldUp time.Duration) {
+// run requests the response once. It returns the time until the response ended for the client, and the delay caused by the machine.
+func (h hungResponse) run(t *testing.T, version string) (took, delay time.Duration) {
 	t.Helper()
 	var seen, firstBytes atomic.Int64
 	var began time.Time
@@ -216,7 +223,7 @@
 			return true
 		}
 		firstBytes.Store(int64(time.Since(began)))
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s\r\n", h.framing)
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s\r\n", h.header)
 		for i := range h.parts {
 			if i > 0 {
 				time.Sleep(40 * time.Millisecond)
@@ -231,42 +238,42 @@
 	r, _ := startProxy(t, func(p *Config) { p.Settings.Classes[0].LateValue = 0.5 }, one, two)
 	stopWatch := watchDelays()
 	began = time.Now()
-	came, took, ended := r.exchangeRaw("GET", "step", version)
-	heldUp = stopWatch() + time.Duration(firstBytes.Load())
-	status, body, is := readByClient(t, "GET", came, ended)
-	if h.retried && (!is || status != 200 || body != "whole") {
-		t.Errorf("status %d, complete %v, %q", status, is, body)
+	received, took, endErr := r.exchangeRaw("GET", "step", version)
+	delay = stopWatch() + time.Duration(firstBytes.Load())
+	status, body, complete := readByClient(t, "GET", received, endErr)
+	if h.retried && (!complete || status != 200 || body != "whole") {
+		t.Errorf("status %d, complete %v, %q", status, complete, body)
 	}
-	if !h.retried && (is || status != 200 || seen.Load() != 1) {
-		t.Errorf("status %d, complete %v, %d bytes, sent %d times", status, is, len(came), seen.Load())
+	if !h.retried && (complete || status != 200 || seen.Load() != 1) {
+		t.Errorf("status %d, complete %v, %d bytes, sent %d times", status, complete, len(received), seen.Load())
 	}
-	return took, heldUp
+	return took, delay
 }
 
-// A stream whose endpoint is silent ends by the deadline, unless it sent something just before.
-func TestStreamsEndInTime(t *testing.T) {
+// A stream whose endpoint sends nothing more ends at the deadline, unless bytes arrived shortly before it.
+func TestStreamDeadline(t *testing.T) {
 	const ms = policy.Millisecond
 	for _, k := range []struct {
-		kind          uint8
-		got           int64
-		movedAt, want policy.Time
+		kind             uint8
+		received         int64
+		progressAt, want policy.Time
 	}{
 		{sizedBody, 1, 0, 1000 * ms},
 		{sizedBody, 1, 600 * ms, 1600 * ms},
 		{bodyUntilClose, 100, 0, 1000 * ms},
 		{bodyUntilClose, 100, 990 * ms, 1290 * ms},
-		{chunkedBody, 100, 1390 * ms, 1690 * ms}, // still coming, may be long
+		{chunkedBody, 100, 1390 * ms, 1690 * ms}, // its size is unknown, so it may be long
 		{chunkedBody, maxBody + 1, 1390 * ms, 2390 * ms},
 	} {
-		if got := streamDeadline(connstate.Frame{Kind: k.kind, Received: k.got}, k.movedAt, 1000*ms); got != k.want {
+		if got := streamDeadline(connstate.Frame{Kind: k.kind, Received: k.received}, k.progressAt, 1000*ms); got != k.want {
 			t.Errorf("%+v: %v", k, got)
 		}
 	}
 }
 
-// A long response that makes progress goes on past its deadline, also to a client that reads slowly, and one whose endpoint pauses for
-// less than a second.
-func TestLongAnswersOutlastTheDeadline(t *testing.T) {
+// A long response that makes progress continues after the deadline, even if its client reads slowly or its endpoint pauses for less than
+// a second.
+func TestLongStreamsMayOutlastDeadline(t *testing.T) {
 	addr := respondingEndpoint(t, func(w io.Writer, body *rand.Rand) {
 		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", longBody)
 		for range 3 {
@@ -295,8 +302,9 @@
 	}
 }
 
-// An endpoint begins a long response and takes no more of the body that still comes: its client's connection is closed.
-func TestAnswerBegunUnderABodyThatIsNotTaken(t *testing.T) {
+// An endpoint begins a long response while the request body is still being sent, and then reads no more of that body. The client
+// connection is closed.
+func TestStalledUploadDuringStreamedResponse(t *testing.T) {
 	addr, _ := scriptedEndpoint(t, func(c net.Conn, r *http.Request, _ int) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\npart", longBody)
 		time.Sleep(6 * time.Second)
@@ -310,5 +318,5 @@
 	if _, err := io.ReadAll(c.in); time.Since(began) > 4*time.Second {
 		t.Errorf("ended after %v, %v", time.Since(began), err)
 	}
-	r.waitUntil("ended", func() bool { return r.InFlight == 0 })
+	r.waitUntil("no request in flight", func() bool { return r.InFlight == 0 })
 }
--- a/internal/httpproxy/attempts_test.go
+++ b/internal/httpproxy/attempts_test.go
@@ -22,7 +22,7 @@
 	c := r.client()
 	for _, size := range []int{0, 1, 2000, 5000, maxBody} {
 		for _, act := range []string{"echo", "slow"} {
-			time.Sleep(time.Duration(reuseDelay + 5*policy.Millisecond)) // for what may still come behind the last response
+			time.Sleep(time.Duration(reuseDelay + 5*policy.Millisecond)) // until the connection may be reused
 			body := strings.Repeat("b", size)
 			id := c.send("step/"+act, body, "X-Priority-Class: step\r\nX-Attrs: a=1\r\n")
 			if answer, got := c.receive(); answer.StatusCode != 200 || got != body || answer.Close {
@@ -34,13 +34,13 @@
 		}
 	}
 	if _, conns := server.count(""); conns != 1 {
-		t.Errorf("%d connections for requests one after another", conns)
+		t.Errorf("%d connections for sequential requests", conns)
 	}
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	if q, w := server.last.URL.RequestURI(), server.last.Header.Get("X-Timeout"); q != "/step/slow?q=1" ||
 		server.last.Header.Get("X-Attrs") != "a=1" || w <= "0.4" || w >= "1.0" {
-		t.Errorf("went on as %s, waiting %s", q, w)
+		t.Errorf("forwarded as %s with timeout %s", q, w)
 	}
 }
 
@@ -61,7 +61,7 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	if answer, _ := http.ReadResponse(c.in, nil); answer == nil || answer.StatusCode != 100 {
-		t.Error("not asked for the body")
+		t.Error("no 100 Continue")
 	}
 	if answer, got := c.receive(); answer.StatusCode != 200 || got != "abcde" {
 		t.Errorf("%d %q", answer.StatusCode, got)
@@ -75,7 +75,8 @@
 	}
 }
 
-// Each way in which an attempt ends, by the idempotency of the request: how often endpoints see it, and what the client gets.
+// Checks for each outcome of an attempt, by the idempotency of the request, how often endpoints see the request and which response the
+// client gets.
 func TestOutcomesOfAttempts(t *testing.T) {
 	for _, k := range []struct {
 		act            string
@@ -125,13 +126,13 @@
 	}
 }
 
-// Bytes behind a response are not the response to the next request.
+// Surplus bytes after a response are not taken for the response to the next request.
 func TestDuplicateResponsesAreDiscarded(t *testing.T) {
 	server := newFakeEndpoint(t)
 	r, _ := startProxy(t, nil, server.Addr().String())
 	c := r.client()
 	for i := range 300 {
-		body := strings.Repeat(fmt.Sprint(i%10), 1+i*43) // also over the capacities of buffers
+		body := strings.Repeat(fmt.Sprint(i%10), 1+i*43) // also larger than a buffer
 		c.send("step/copy", body, "")
 		if answer, got := c.receive(); answer.StatusCode != 200 || got != body {
 			t.Fatalf("%d: %d, %d bytes of %.1q, want %d of %.1q", i, answer.StatusCode, len(got), got, len(body), body)
@@ -139,7 +140,7 @@
 	}
 }
 
-// A connection that was never established proves that nothing was processed, also for non-idempotent requests.
+// A connection that was never established proves that the request was not processed, so even a non-idempotent one is retried.
 func TestRefusedConnectionsAreRetried(t *testing.T) {
 	up, down := newFakeEndpoint(t), newFakeEndpoint(t)
 	down.Close()
@@ -153,11 +154,11 @@
 	}
 	r.shutdown()
 	if r.Counters.Outcomes[policy.NotConnected] == 0 {
-		t.Error("the test reached no server that is down")
+		t.Error("no attempt went to the endpoint that is down")
 	}
 }
 
-// A request that was written only in part was not processed. Here the endpoint reads nothing, so the kernel takes only a part.
+// A request that was only partly written was not processed. Here the kernel has accepted 10 bytes of it.
 func TestPartlyWrittenRequestIsNotConnected(t *testing.T) {
 	l, err := net.Listen("tcp", loopbackAddr)
 	if err != nil {
@@ -179,7 +180,7 @@
 	}
 }
 
-func TestAttemptEndsWithItsClient(t *testing.T) {
+func TestAttemptIsCancelledWhenClientDisconnects(t *testing.T) {
 	server := newFakeEndpoint(t)
 	r, _ := startProxy(t, nil, server.Addr().String())
 	for range 5 {
@@ -196,6 +197,6 @@
 	time.Sleep(50 * time.Millisecond)
 	r.shutdown()
 	if r.Counters.ClientsDisconnected != 5 || r.Counters.Outcomes[policy.Cancelled] != 5 {
-		t.Errorf("left %d, outcomes %v", r.Counters.ClientsDisconnected, r.Counters.Outcomes)
+		t.Errorf("%d clients disconnected, outcomes %v", r.Counters.ClientsDisconnected, r.Counters.Outcomes)
 	}
 }
--- a/internal/httpproxy/golden_test.go
+++ b/internal/httpproxy/golden_test.go
@@ -19,7 +19,7 @@
 	"pepperlead/policy"
 )
 
-// TestMessagesMatchGoldenFile compares what is written to clients and to endpoints, status lines and headers of each form, with
+// TestMessagesMatchGoldenFile compares the status lines, request lines and headers written to clients and endpoints, in each form, with
 // the golden file.
 func TestMessagesMatchGoldenFile(t *testing.T) {
 	head := []byte("X-Made-By: server\r\nconnection: X-Dropped\r\nX-Dropped: 1\r\nKeep-Alive: 1\r\nProxy-Connection: 1\r\nTE: a\r\n" +
@@ -45,24 +45,24 @@
 	golden.Compare(t, "messages.txt", written.Bytes())
 }
 
-// retryAfterHeader is the header whose value depends on the load.
+// retryAfterHeader matches the header whose value depends on the load.
 var retryAfterHeader = regexp.MustCompile(`Retry-After: [0-9]+\.[0-9]{3}\r\n`)
 
-// exchange is what a client sends on a connection of its own.
+// exchange is a request that a client sends on a connection of its own.
 type exchange struct {
 	title string
 	send  string
 	body  string // sent after 100 Continue
 }
 
-// requestText returns a request with the headers that it must have; more are further header lines.
-func requestText(method, path, id, more, body string) string {
+// requestText returns a request with the mandatory headers and further header lines.
+func requestText(method, path, id, headers, body string) string {
 	return fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: o\r\nX-Request-ID: %s\r\nX-Timeout: 1.0\r\n%sContent-Length: %d\r\n\r\n%s", method, path, id,
-		more, len(body), body)
+		headers, len(body), body)
 }
 
-// answered returns the exact bytes that a new connection gets for it, up to the end of the final response.
-func (one exchange) answered(t *testing.T, address string) string {
+// run performs the exchange on a new connection, and returns the exact bytes received up to the end of the final response.
+func (one exchange) run(t *testing.T, address string) string {
 	t.Helper()
 	connection, err := net.Dial("tcp", address)
 	if err != nil {
@@ -70,22 +70,22 @@
 	}
 	defer connection.Close()
 	connection.SetDeadline(time.Now().Add(5 * time.Second))
-	var came bytes.Buffer
-	in := bufio.NewReader(io.TeeReader(connection, &came))
+	var received bytes.Buffer
+	in := bufio.NewReader(io.TeeReader(connection, &received))
 	io.WriteString(connection, one.send)
 	for {
-		answer, err := http.ReadResponse(in, nil)
+		response, err := http.ReadResponse(in, nil)
 		if err != nil {
-			t.Fatalf("%s: %v after %q", one.title, err, came.String())
+			t.Fatalf("%s: %v after %q", one.title, err, received.String())
 		}
-		if answer.StatusCode == http.StatusContinue {
+		if response.StatusCode == http.StatusContinue {
 			io.WriteString(connection, one.body)
 			continue
 		}
-		if _, err := io.ReadAll(answer.Body); err != nil {
-			t.Fatalf("%s: %v after %q", one.title, err, came.String())
+		if _, err := io.ReadAll(response.Body); err != nil {
+			t.Fatalf("%s: %v after %q", one.title, err, received.String())
 		}
-		return came.String()
+		return received.String()
 	}
 }
 
@@ -100,8 +100,8 @@
 	chunked := "Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n"
 	var responses bytes.Buffer
 	show := func(one exchange, from *runningProxy) {
-		answer := retryAfterHeader.ReplaceAllString(one.answered(t, from.addr), "Retry-After: SECONDS\r\n")
-		fmt.Fprintf(&responses, "%s:\n%q\n", one.title, answer)
+		response := retryAfterHeader.ReplaceAllString(one.run(t, from.addr), "Retry-After: SECONDS\r\n")
+		fmt.Fprintf(&responses, "%s:\n%q\n", one.title, response)
 	}
 	fmt.Fprintf(&responses, "servers:\n%s", strings.ReplaceAll(proxy.ServersReport(), address, "ADDRESS"))
 	for _, one := range []exchange{
@@ -141,11 +141,13 @@
 	golden.Compare(t, "answers.txt", responses.Bytes())
 }
 
-// TestReportsMatchGoldenFile compares the names, kinds and order of the figures with the golden file.
+// TestReportsMatchGoldenFile compares the names, kinds and order of the metrics with the golden file.
 func TestReportsMatchGoldenFile(t *testing.T) {
 	proxy, _ := startProxy(t, nil)
 	var names bytes.Buffer
-	proxy.EachMetric(func(name string, _ float64, rises bool) { fmt.Fprintf(&names, "figure %s, rises %v\n", name, rises) })
+	proxy.EachMetric(func(name string, _ float64, isCounter bool) {
+		fmt.Fprintf(&names, "figure %s, rises %v\n", name, isCounter)
+	})
 	for line := range strings.Lines(proxy.Report()) {
 		name, _, _ := strings.Cut(line, " ")
 		fmt.Fprintf(&names, "counter %s\n", name)
--- a/internal/httpproxy/harness_test.go
+++ b/internal/httpproxy/harness_test.go
@@ -22,13 +22,14 @@
 	"pepperlead/policy"
 )
 
-// loopbackAddr is an address of this process's own, so that runs side by side never use a port that another has just released.
+// loopbackAddr is a loopback address derived from the process id, so that parallel test processes never reuse a port that another one
+// has just released.
 var loopbackAddr = fmt.Sprintf("127.%d.%d.%d:0", 64+os.Getpid()>>14%64, os.Getpid()>>7%128, 1+os.Getpid()%128)
 
-// lateCopyAfter is how long after a response a fake endpoint sends it again, where it is asked to.
-const lateCopyAfter = 10 * time.Millisecond
+// lateDuplicateDelay is how long after a response a fake endpoint sends it again if the path of the request ends in "late".
+const lateDuplicateDelay = 10 * time.Millisecond
 
-// fakeEndpoint is an endpoint that behaves as the path of a request says, and counts what it was sent.
+// fakeEndpoint is an endpoint that counts its requests. The last part of a request's path selects its behaviour, see serve.
 type fakeEndpoint struct {
 	net.Listener
 	mu    sync.Mutex
@@ -36,7 +37,7 @@
 	last  *http.Request
 	conns int
 
-	copies, overdue int // duplicate responses, and those that came too late to be recognised
+	duplicates, tooLate int // late duplicate responses, and those of them sent too late to be detected
 }
 
 func newFakeEndpoint(t *testing.T) *fakeEndpoint {
@@ -62,12 +63,14 @@
 	return s
 }
 
+// count returns how many requests with this id, and how many connections, the endpoint has received.
 func (s *fakeEndpoint) count(id string) (seen, conns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.seen[id], s.conns
 }
 
+// serve answers the requests of one connection, each according to its path.
 func (s *fakeEndpoint) serve(c net.Conn) {
 	defer c.Close()
 	in := bufio.NewReader(c)
@@ -84,10 +87,10 @@
 		s.seen[r.Header.Get("X-Request-ID")]++
 		s.last = r
 		s.mu.Unlock()
-		respond := func(status, more string) {
-			fmt.Fprintf(c, "HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, more, len(body), body)
+		respond := func(status, headers string) {
+			fmt.Fprintf(c, "HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, headers, len(body), body)
 		}
-		switch _, act, _ := strings.Cut(strings.Trim(r.URL.Path, "/"), "/"); act {
+		switch _, behaviour, _ := strings.Cut(strings.Trim(r.URL.Path, "/"), "/"); behaviour {
 		case "echo":
 			respond("200 OK", "X-Made-By: server\r\n")
 		case "chunked":
@@ -107,14 +110,14 @@
 			respond("200 OK", "")
 		case "error":
 			respond("500 Oh", "")
-		case "away":
+		case "away": // rejected without being processed
 			respond("503 Full", "X-Not-Processed: 1\r\n")
 		case "reset":
 			return
-		case "half":
+		case "half": // a truncated response
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
 			return
-		case "icy": // the connection stays open
+		case "icy": // not HTTP, and the connection stays open
 			fmt.Fprint(c, "ICY 200 OK\r\nContent-Le")
 		case "huge":
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")
@@ -123,18 +126,18 @@
 			}
 		case "declined":
 			respond("422 Useless", "")
-		case "copy":
-			answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-			io.WriteString(c, answer+answer)
-		case "late": // a duplicate that comes when the next request may have been written
+		case "copy": // an immediate duplicate
+			response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+			io.WriteString(c, response+response)
+		case "late": // a duplicate that arrives when the next request may already have been written
 			began := time.Now()
 			respond("200 OK", "")
-			time.Sleep(lateCopyAfter)
+			time.Sleep(lateDuplicateDelay)
 			respond("200 OK", "")
 			s.mu.Lock()
-			s.copies++
+			s.duplicates++
 			if policy.Time(time.Since(began)) >= reuseDelay {
-				s.overdue++ // this process was delayed: later than a connection rests
+				s.tooLate++ // the machine delayed this process for longer than a connection must be idle before reuse
 			}
 			s.mu.Unlock()
 		case "garbage":
@@ -154,7 +157,7 @@
 	list    string
 	changed chan struct{}
 	calls   []string
-	hasty   bool // answers at once, also if nothing has changed
+	noWait  bool // answers at once even if the list has not changed
 }
 
 func newFakeDiscovery(t *testing.T, list string) *fakeDiscovery {
@@ -167,11 +170,11 @@
 	server := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		a.mu.Lock()
 		a.calls = append(a.calls, r.URL.String())
-		known, news, hasty := fmt.Sprint(a.rev), a.changed, a.hasty
+		revision, changed, noWait := fmt.Sprint(a.rev), a.changed, a.noWait
 		a.mu.Unlock()
-		if !hasty && r.URL.Query().Get("from") == known {
+		if !noWait && r.URL.Query().Get("from") == revision {
 			select {
-			case <-news:
+			case <-changed:
 			case <-r.Context().Done():
 				return
 			}
@@ -185,6 +188,7 @@
 	return a
 }
 
+// setList replaces the list under a new revision and wakes the watchers.
 func (a *fakeDiscovery) setList(list string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -194,20 +198,21 @@
 	a.changed = make(chan struct{})
 }
 
-// listOf returns the list of the endpoints at these addresses; an address may be followed by a state.
+// listOf returns a list of endpoints at these addresses, each optionally followed by a space and a state.
 func listOf(addrs ...string) string {
 	var all []string
-	for i, at := range addrs {
-		at, standing, _ := strings.Cut(at, " ")
-		if standing == "" {
-			standing = "Ready"
+	for i, entry := range addrs {
+		addr, state, _ := strings.Cut(entry, " ")
+		if state == "" {
+			state = "Ready"
 		}
 		all = append(all, fmt.Sprintf(`{"uid":"s-%d","endpoint":"%s","az":"a","pod_group":1,"state":"%s","boot_ms":0}`,
-			i, at, standing))
+			i, addr, state))
 	}
 	return `{"rev":REV,"all":true,"targets":[` + strings.Join(all, ",") + `]}`
 }
 
+// runningProxy is an instance that serves.
 type runningProxy struct {
 	*Proxy
 	t       *testing.T
@@ -217,7 +222,8 @@
 	done    chan error
 }
 
-// startProxy starts an instance with these endpoints. Whatever the test does, nothing may be left at its end.
+// startProxy starts an instance with these endpoints. At the end of the test it stops the instance and checks that no request, timer,
+// buffer or connection remains.
 func startProxy(t *testing.T, change func(*Config), addrs ...string) (*runningProxy, *fakeDiscovery) {
 	t.Helper()
 	list := strings.Replace(listOf(addrs...), "REV", "1", 1)
@@ -250,7 +256,7 @@
 			break
 		}
 		if i > 500 {
-			t.Fatal("does not listen")
+			t.Fatal("the instance does not listen")
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
@@ -258,6 +264,7 @@
 	return r, a
 }
 
+// shutdown stops the instance and checks that it has released everything. It may be called again.
 func (r *runningProxy) shutdown() {
 	select {
 	case r.stop <- syscall.SIGTERM:
@@ -269,23 +276,24 @@
 			r.t.Error(err)
 		}
 	case <-time.After(3 * time.Second):
-		where := make([]byte, 1<<20)
-		r.t.Fatalf("does not end:\n%s", where[:runtime.Stack(where, true)])
+		stacks := make([]byte, 1<<20)
+		r.t.Fatalf("the instance does not stop:\n%s", stacks[:runtime.Stack(stacks, true)])
 	}
 	r.done <- nil
 	if r.InFlight != 0 || r.Timers.Len() != 0 || r.buffers.Lent() != 0 || len(r.conns.Open) != 0 ||
 		r.conns.Count(connstate.ClientSide) != 0 || r.conns.Count(connstate.EndpointSide) != 0 {
-		r.t.Errorf("left at the end: %s", r.Report())
+		r.t.Errorf("not everything was released: %s", r.Report())
 	}
 }
 
-// testClient is one connection of an application.
+// testClient is a client connection.
 type testClient struct {
 	net.Conn
 	t  *testing.T
 	in *bufio.Reader
 }
 
+// client opens a client connection to the instance.
 func (r *runningProxy) client() *testClient {
 	r.t.Helper()
 	c, err := net.Dial("tcp", r.addr)
@@ -299,25 +307,26 @@
 
 var lastID int
 
-// send sends a request with this path and returns its id.
-func (c *testClient) send(path, body, more string) string {
+// send sends a request with this path, body and further header lines, and returns its id.
+func (c *testClient) send(path, body, headers string) string {
 	lastID++
 	id := fmt.Sprint("id-", lastID)
 	class, _, _ := strings.Cut(path, "/")
 	fmt.Fprintf(c, "POST /%s?q=1 HTTP/1.1\r\nHost: o\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\nX-Timeout: 1.0\r\n"+
-		"Idempotency-Key: k-%s\r\n%sContent-Length: %d\r\n\r\n%s", path, id, class, id, more, len(body), body)
+		"Idempotency-Key: k-%s\r\n%sContent-Length: %d\r\n\r\n%s", path, id, class, id, headers, len(body), body)
 	return id
 }
 
+// receive reads a response with its body.
 func (c *testClient) receive() (*http.Response, string) {
 	c.t.Helper()
-	answer, err := http.ReadResponse(c.in, nil)
+	response, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	body, err := io.ReadAll(answer.Body)
+	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	return answer, string(body)
+	return response, string(body)
 }
--- a/internal/httpproxy/limits_test.go
+++ b/internal/httpproxy/limits_test.go
@@ -17,8 +17,8 @@
 	"pepperlead/internal/connstate"
 )
 
-// With few descriptors all clients are still answered: long idle connections are closed, and while there are too many each response
-// closes its connection.
+// With few descriptors all clients are still answered: connections that were idle for long are closed, and while too many are open each
+// response closes its connection.
 func TestMoreClientsThanDescriptors(t *testing.T) {
 	server := newFakeEndpoint(t)
 	r, _ := startProxy(t, func(p *Config) { p.Descriptors = 30 }, server.Addr().String())
@@ -26,7 +26,7 @@
 		c := r.client()
 		c.send("step/echo", "b", "")
 		if answer, _ := c.receive(); answer.StatusCode != 200 || answer.Close {
-			t.Errorf("with room: %d, closes %v", answer.StatusCode, answer.Close)
+			t.Errorf("below the limit: %d, closes %v", answer.StatusCode, answer.Close)
 		}
 	}
 	time.Sleep(2050 * time.Millisecond)
@@ -36,35 +36,35 @@
 		c.send("step/slow", "b", "")
 		clients = append(clients, c)
 	}
-	codes, ended := map[int]int{}, map[bool]int{}
+	codes, closing := map[int]int{}, map[bool]int{}
 	for _, c := range clients {
 		answer, _ := c.receive()
 		codes[answer.StatusCode]++
-		ended[answer.Close]++
+		closing[answer.Close]++
 		c.Close()
 	}
-	if codes[200] == 0 || codes[503] == 0 || codes[200]+codes[503] != 40 || ended[true] < 20 {
-		t.Errorf("answers %v, ended %v", codes, ended)
+	if codes[200] == 0 || codes[503] == 0 || codes[200]+codes[503] != 40 || closing[true] < 20 {
+		t.Errorf("responses %v, closing %v", codes, closing)
 	}
 	time.Sleep(20 * time.Millisecond)
 	c := r.client()
 	c.send("step/echo", "b", "")
 	if answer, _ := c.receive(); answer.StatusCode != 200 {
-		t.Errorf("after them: %d", answer.StatusCode)
+		t.Errorf("afterwards: %d", answer.StatusCode)
 	}
 	r.shutdown()
 	if r.Counters.ClientConnsBroken == 0 {
-		t.Errorf("the limits were not reached: %s", r.Report())
+		t.Errorf("the limit was not reached: %s", r.Report())
 	}
 }
 
-// Hundreds of clients send nothing, or only a part of a request: they are closed in time, and others neither wait for them nor lose
-// their connections to them, also while they pause.
+// A hundred clients send nothing, or only a part of a request. They are closed in time, and they neither delay other clients nor cause
+// the connections of those to be closed, even idle ones.
 func TestSilentClientsDoNotAffectOthers(t *testing.T) {
 	server := newFakeEndpoint(t)
 	r, _ := startProxy(t, func(p *Config) { p.Descriptors = 160 }, server.Addr().String())
-	usual := r.client()
-	ask := func(c *testClient) {
+	active := r.client()
+	exchange := func(c *testClient) {
 		t.Helper()
 		began := time.Now()
 		c.send("step/echo", "b", "")
@@ -72,7 +72,7 @@
 			t.Errorf("%d after %v", answer.StatusCode, time.Since(began))
 		}
 	}
-	ask(usual)
+	exchange(active)
 	began := time.Now()
 	var silent []*testClient
 	for i := range 100 {
@@ -83,7 +83,7 @@
 		silent = append(silent, c)
 	}
 	for range 5 {
-		ask(r.client())
+		exchange(r.client())
 	}
 	for i, c := range silent {
 		answer, err := http.ReadResponse(c.in, nil)
@@ -94,17 +94,18 @@
 	if took := time.Since(began); took > 3*time.Second {
 		t.Errorf("all closed after %v", took)
 	}
-	ask(usual)
+	exchange(active)
 	r.shutdown()
 	if k := r.Counters; k.ClientConnsBroken+k.ClientsSilent != 95 || k.ClientsSilent == 0 || k.ClientConnsBroken == 0 {
 		t.Errorf("%s", k.String())
 	}
 }
 
-// Clients send one request and stay connected: beyond a few of them responses close connections, and those that rest for long are closed.
-func TestClientsThatStayMakeRoom(t *testing.T) {
+// Clients send one request and stay connected. Beyond a limit responses close their connections, and connections that rest for long are
+// closed.
+func TestExcessRestingClientsAreClosed(t *testing.T) {
 	r, _ := startProxy(t, func(p *Config) { p.Descriptors = 160 }, newFakeEndpoint(t).Addr().String())
-	var stay []*testClient
+	var clients []*testClient
 	closes := 0
 	for range 40 {
 		c := r.client()
@@ -116,32 +117,32 @@
 		if answer.Close {
 			closes++
 		}
-		stay = append(stay, c)
+		clients = append(clients, c)
 	}
 	idle := r.conns.ExcessResting
 	if idle != 20 || closes != 40-idle-1 {
-		t.Errorf("%d answers closed, %d may rest", closes, idle)
+		t.Errorf("%d responses closed their connection, %d may rest", closes, idle)
 	}
 	time.Sleep(2300 * time.Millisecond)
-	last := stay[idle/2-2] // rests for no longer than the others, and may stay
+	last := clients[idle/2-2] // has rested for no longer than the others, and may stay open
 	ended := 0
-	for _, c := range stay {
+	for _, c := range clients {
 		c.SetReadDeadline(time.Now().Add(time.Millisecond))
 		if _, err := c.in.ReadByte(); err == io.EOF {
 			ended++
 		}
 	}
 	if ended < 40-idle/2-1 || ended == 40 {
-		t.Errorf("%d of 40 ended", ended)
+		t.Errorf("%d of 40 connections closed", ended)
 	}
 	last.Close()
 	r.shutdown()
 	if r.conns.RestingCount != 0 {
-		t.Errorf("%d rest at the end", r.conns.RestingCount)
+		t.Errorf("%d connections rest after the shutdown", r.conns.RestingCount)
 	}
 }
 
-// The id of a request in flight is refused to others, and free again once the request is answered.
+// A request with the ID of another one in flight is refused. The ID may be used again once the other request is answered.
 func TestIDInUseIsRefused(t *testing.T) {
 	server := newFakeEndpoint(t)
 	r, _ := startProxy(t, nil, server.Addr().String())
@@ -162,16 +163,16 @@
 		}
 		io.WriteString(first, request)
 	}
-	first.Close() // leaves while its third is in flight
+	first.Close() // while its third request is in flight
 	time.Sleep(20 * time.Millisecond)
 	third := r.client()
 	io.WriteString(third, request)
 	if answer, _ := third.receive(); answer.StatusCode != 200 {
-		t.Errorf("after its client left: %d", answer.StatusCode)
+		t.Errorf("after the client disconnected: %d", answer.StatusCode)
 	}
 }
 
-// While memory is full requests are rejected.
+// Requests are rejected while the memory for messages is full.
 func TestFullMemoryRejects(t *testing.T) {
 	r, _ := startProxy(t, func(p *Config) { p.MessageMemory = 0 }, newFakeEndpoint(t).Addr().String())
 	for i := range 3 {
@@ -187,7 +188,7 @@
 	}
 }
 
-// A peer that sends without end is closed, whatever the loop does.
+// The connection of a client that sends without end is closed while its first request is still in flight.
 func TestFloodingClientsAreClosed(t *testing.T) {
 	r, _ := startProxy(t, nil, newFakeEndpoint(t).Addr().String())
 	c := r.client()
@@ -197,12 +198,12 @@
 		_, err = c.Write(bytes.Repeat([]byte("x"), 16<<10))
 	}
 	if err == nil {
-		t.Error("64 MB were taken")
+		t.Error("64 MB were accepted")
 	}
 	c.Close()
 }
 
-// A client that sends requests and reads no responses has one response pending, and not for long.
+// A client that sends requests and reads no responses has at most one response pending, and its connection is closed soon.
 func TestClientsThatReadNothingAreClosed(t *testing.T) {
 	r, _ := startProxy(t, nil, newFakeEndpoint(t).Addr().String())
 	c := r.client()
@@ -218,14 +219,14 @@
 	}
 	c.Close()
 	r.shutdown()
-	// What the kernels at either end buffer does not count.
+	// The bounds leave room for what the kernel buffers at both ends.
 	if r.Counters.BytesOut > 24<<20 || r.Counters.Succeeded > 200 {
-		t.Errorf("%d bytes were sent to one that reads nothing: %s", r.Counters.BytesOut, r.Report())
+		t.Errorf("%d bytes were sent to a client that reads nothing: %s", r.Counters.BytesOut, r.Report())
 	}
 }
 
-// Connections that both ends close at once free their descriptors for new ones, which events of the old must not affect.
-func TestQuickClosesLoseNothing(t *testing.T) {
+// Both ends close their connections at the same time. Events of a closed connection must not affect a new one that reuses its descriptor.
+func TestSimultaneousClosesLoseNoRequests(t *testing.T) {
 	r, _ := startProxy(t, nil, newFakeEndpoint(t).Addr().String())
 	var wait sync.WaitGroup
 	lost := make(chan error, 8)
@@ -255,69 +256,69 @@
 	}
 }
 
-// connectedPair is a connection as the instance has it, and its peer's end.
-func connectedPair(t *testing.T) (far net.Conn, nb *nbio.Conn, conn *connstate.Conn) {
+// connectedPair returns a connection in the form the instance uses, and the peer's end of it.
+func connectedPair(t *testing.T) (peer net.Conn, nb *nbio.Conn, conn *connstate.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", loopbackAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if far, err = net.Dial("tcp", l.Addr().String()); err != nil {
+	if peer, err = net.Dial("tcp", l.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { far.Close() })
-	near, err := l.Accept()
+	t.Cleanup(func() { peer.Close() })
+	accepted, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if nb, err = nbio.NBConn(near); err != nil {
+	if nb, err = nbio.NBConn(accepted); err != nil {
 		t.Fatal(err)
 	}
 	conn = &connstate.Conn{Socket: newSocket(nb)}
 	nb.SetSession(conn)
-	return far, nb, conn
+	return peer, nb, conn
 }
 
-// Where memory is overcommitted, a client with much unprocessed input is closed.
+// While memory is overcommitted, the connection of a client with much unprocessed input is closed.
 func TestFloodingClientsAreClosedWhenMemoryIsFull(t *testing.T) {
-	far, nb, conn := connectedPair(t)
+	peer, nb, conn := connectedPair(t)
 	s := &sockets{buffers: &connstate.Buffers{Limit: connstate.SmallBuffer}, signal: func() {}}
 	s.maxPending.Store(maxPendingBytes)
 	held := s.buffers.Get(connstate.LargeBuffer)
-	fmt.Fprint(far, "GET")
+	fmt.Fprint(peer, "GET")
 	time.Sleep(20 * time.Millisecond)
-	s.read(nb) // a little is always read, to be rejected
+	s.read(nb) // a little input is always read, so that the request can be rejected
 	if conn.Socket.(*socket).readShut || conn.Input.Unread.Load() != 3 {
-		t.Errorf("cut at its first bytes, or they were not read: %d", conn.Input.Unread.Load())
+		t.Errorf("closed at the first bytes, or they were not read: %d", conn.Input.Unread.Load())
 	}
-	fmt.Fprint(far, strings.Repeat("x", 2*connstate.SmallBuffer))
+	fmt.Fprint(peer, strings.Repeat("x", 2*connstate.SmallBuffer))
 	time.Sleep(20 * time.Millisecond)
 	s.read(nb)
 	if !conn.Socket.(*socket).readShut {
-		t.Error("goes on sending")
+		t.Error("the connection was not closed")
 	}
 	s.buffers.Put(held)
 }
 
-// A connection on which bytes have come is not closed: their sender would have lost a request.
-func TestOnlyQuietConnectionsAreCut(t *testing.T) {
-	far, _, conn := connectedPair(t)
+// CloseIfIdle does not close a connection on which bytes have arrived, as their sender would lose a request.
+func TestCloseIfIdleSparesConnectionsWithInput(t *testing.T) {
+	peer, _, conn := connectedPair(t)
 	buffers := &connstate.Buffers{}
 	if !conn.Socket.Idle(conn) {
-		t.Error("not quiet before anything came")
+		t.Error("not idle before any input")
 	}
-	fmt.Fprint(far, "GET")
-	time.Sleep(20 * time.Millisecond) // for the kernel to have it at this end
+	fmt.Fprint(peer, "GET")
+	time.Sleep(20 * time.Millisecond) // until the bytes have arrived at this end
 	if conn.Socket.Idle(conn) || conn.Socket.CloseIfIdle(conn) {
-		t.Fatal("cut with bytes in the kernel")
+		t.Fatal("closed with unread bytes in the kernel")
 	}
 	buf := buffers.Get(connstate.SmallBuffer)
 	if !conn.Socket.(*socket).read(conn, buf) || string(buf.B) != "GET" || conn.Socket.CloseIfIdle(conn) {
-		t.Error("cut with bytes that the loop has not looked at")
+		t.Error("closed with bytes that the loop has not processed")
 	}
 	conn.Input.Unread.Store(0)
 	if !conn.Socket.CloseIfIdle(conn) || conn.Socket.(*socket).read(conn, buf) {
-		t.Error("not cut, or read after it")
+		t.Error("not closed, or read after the close")
 	}
 }
--- a/internal/httpproxy/mixed_test.go
+++ b/internal/httpproxy/mixed_test.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// Clients and endpoints of all behaviours at once: each request gets one response, or none if its client left, non-idempotent requests
-// are not retried once they may have been processed, and nothing is left at the end.
-func TestAllMannersAtOnce(t *testing.T) {
+// Runs clients and endpoints with all kinds of behaviour concurrently. Each request gets one response, or none if its client
+// disconnected. Non-idempotent requests are not retried once they may have been processed, and everything is released at the end.
+func TestMixedClientAndEndpointBehaviour(t *testing.T) {
 	var servers []*fakeEndpoint
 	var addrs []string
 	for range 4 {
@@ -94,6 +94,6 @@
 	time.Sleep(50 * time.Millisecond)
 	r.shutdown()
 	if k := r.Counters; k.Requests < 400 || k.Succeeded == 0 || k.Failed == 0 || k.Rejected == 0 || k.ClientsDisconnected == 0 {
-		t.Errorf("the histories reach too little: %s", k.String())
+		t.Errorf("not all kinds of results occurred: %s", k.String())
 	}
 }
--- a/internal/httpproxy/operated_test.go
+++ b/internal/httpproxy/operated_test.go
@@ -14,19 +14,21 @@
 	"pepperlead/policy"
 )
 
+// drainByOperator sets the administratively drained endpoints.
 func (r *runningProxy) drainByOperator(uids ...string) {
 	r.t.Helper()
 	if !r.RunOnLoopWithin(time.Second, func() { r.SetDrained(r.Clock.Now(), uids) }) {
-		r.t.Fatal("the loop does not come")
+		r.t.Fatal("the loop does not respond")
 	}
 }
 
-// An administratively drained endpoint gets no requests, whatever the list says; once it is back it is cold, and used.
+// An administratively drained endpoint gets no requests, whatever the endpoint list contains. After the drain is lifted it is cold, and
+// used again.
 func TestAdministrativeDrainOverridesList(t *testing.T) {
 	one, two := newFakeEndpoint(t), newFakeEndpoint(t)
 	r, a := startProxy(t, nil, one.Addr().String(), two.Addr().String())
 	c := r.client()
-	asked := func(n int) (to [2]int) {
+	requestsTo := func(n int) (counts [2]int) {
 		t.Helper()
 		for range n {
 			id := c.send("step/echo", "x", "")
@@ -35,30 +37,30 @@
 			}
 			for i, s := range []*fakeEndpoint{one, two} {
 				seen, _ := s.count(id)
-				to[i] += seen
+				counts[i] += seen
 			}
 		}
-		return to
+		return counts
 	}
-	if to := asked(40); to[0] == 0 || to[1] == 0 {
-		t.Fatal("both should be used", to)
+	if counts := requestsTo(40); counts[0] == 0 || counts[1] == 0 {
+		t.Fatal("both should be used", counts)
 	}
 	r.drainByOperator("s-0")
 	list := listOf(one.Addr().String(), two.Addr().String())
-	for i, told := range []string{"", list, listOf(one.Addr().String()+" Terminating", two.Addr().String()), listOf("127.0.0.1:1 Gone", two.Addr().String()), list} {
-		if told != "" {
-			a.setList(told)
+	for i, newList := range []string{"", list, listOf(one.Addr().String()+" Terminating", two.Addr().String()), listOf("127.0.0.1:1 Gone", two.Addr().String()), list} {
+		if newList != "" {
+			a.setList(newList)
 			time.Sleep(20 * time.Millisecond)
 		}
-		if to := asked(20); to[0] != 0 {
-			t.Errorf("list %d: %v", i, to)
+		if counts := requestsTo(20); counts[0] != 0 {
+			t.Errorf("list %d: requests by endpoint %v", i, counts)
 		}
 	}
-	var listed, never bool
+	var listed, unknownListed bool
 	var started policy.Time
-	r.RunOnLoop(func() { listed, never = r.Listed("s-0"), r.Listed("s-9") })
-	if !listed || never || r.Tally.Endpoints.Load() != 2 || r.Tally.Unavailable.Load() != 1 {
-		t.Error(listed, never, r.Tally.Endpoints.Load(), r.Tally.Unavailable.Load())
+	r.RunOnLoop(func() { listed, unknownListed = r.Listed("s-0"), r.Listed("s-9") })
+	if !listed || unknownListed || r.Tally.Endpoints.Load() != 2 || r.Tally.Unavailable.Load() != 1 {
+		t.Error(listed, unknownListed, r.Tally.Endpoints.Load(), r.Tally.Unavailable.Load())
 	}
 	before := r.Clock.Now()
 	r.drainByOperator()
@@ -70,19 +72,19 @@
 		}
 	})
 	if started < before {
-		t.Error("taken for warm")
+		t.Error("the endpoint is not cold after the drain")
 	}
 	time.Sleep(1100 * time.Millisecond) // until it is warm
-	if to := asked(40); to[0] == 0 {
-		t.Error("not used again", to)
+	if counts := requestsTo(40); counts[0] == 0 {
+		t.Error("not used again", counts)
 	}
 	if r.Tally.Unavailable.Load() != 0 {
-		t.Error("still shown as avoided")
+		t.Error("still counted as unavailable")
 	}
 }
 
 // Each request is counted once by class and result, and each attempt once it is written.
-func TestFiguresMatchWhatPeersSaw(t *testing.T) {
+func TestMetricsMatchObservedRequests(t *testing.T) {
 	one := newFakeEndpoint(t)
 	r, _ := startProxy(t, nil, one.Addr().String())
 	want := map[string]int{}
@@ -101,10 +103,10 @@
 		want[fmt.Sprintf(`edge_gw_downstream_requests_total{lane="%s",result="%s"}`, path[:4], result)]++
 		c.Close()
 	}
-	stat := string(r.AppendFigures(nil))
+	metrics := string(r.AppendFigures(nil))
 	for line, n := range want {
-		if !strings.Contains(stat, fmt.Sprintf("%s %d\n", line, n)) {
-			t.Errorf("no %s %d in\n%s", line, n, stat)
+		if !strings.Contains(metrics, fmt.Sprintf("%s %d\n", line, n)) {
+			t.Errorf("no %s %d in\n%s", line, n, metrics)
 		}
 	}
 	one.mu.Lock()
@@ -115,17 +117,17 @@
 	one.mu.Unlock()
 	for _, line := range []string{fmt.Sprintf("edge_gw_upstream_requests_total %d\n", seen), "edge_gw_pending 0\n", "edge_gw_members 1\n",
 		"edge_gw_members_unavailable "} {
-		if !strings.Contains(stat, line) {
-			t.Errorf("no %q in\n%s", line, stat)
+		if !strings.Contains(metrics, line) {
+			t.Errorf("no %q in\n%s", line, metrics)
 		}
 	}
 	buf := make([]byte, 0, 4<<10)
 	if n := testing.AllocsPerRun(100, func() { r.AppendFigures(buf[:0]) }); n > 1 {
-		t.Errorf("%v allocations to read the figures", n)
+		t.Errorf("%v allocations to write the metrics", n)
 	}
 }
 
-// One process succeeds another on a shared listener: no client is refused, and no request is lost.
+// Processes succeed each other on a shared listener while clients send requests: no client is refused, and almost no request is lost.
 func TestListenerHandover(t *testing.T) {
 	one := newFakeEndpoint(t)
 	l, err := net.Listen("tcp", loopbackAddr)
@@ -138,16 +140,16 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	next := func(follows bool) *runningProxy {
+	startProcess := func(successor bool) *runningProxy {
 		r, _ := startProxy(t, func(p *Config) {
-			p.Listen, p.Successor, p.ImportState = l.Addr().String(), follows, func() {}
+			p.Listen, p.Successor, p.ImportState = l.Addr().String(), successor, func() {}
 			if p.InheritedListener, err = syscall.Dup(int(f.Fd())); err != nil {
 				t.Fatal(err)
 			}
 		}, one.Addr().String())
 		return r
 	}
-	old := next(false)
+	old := startProcess(false)
 	var wg sync.WaitGroup
 	var served, lost atomic.Int64
 	end := time.Now().Add(1200 * time.Millisecond)
@@ -155,7 +157,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			// A keyed request is sent again where its connection was closed before it was read, as clients do.
+			// The client resends a keyed request if its connection is closed before the response.
 			client := http.Client{Transport: &http.Transport{}, Timeout: 2 * time.Second}
 			for i := 0; time.Now().Before(end); i++ {
 				r, _ := http.NewRequest("POST", "http://"+l.Addr().String()+"/step/echo", strings.NewReader("x"))
@@ -173,14 +175,14 @@
 	}
 	for range 3 {
 		time.Sleep(150 * time.Millisecond)
-		fresh := next(true)
+		fresh := startProcess(true)
 		if fresh.Ready() && !fresh.Tally.HasList.Load() {
-			t.Error("ready with no list")
+			t.Error("ready without an endpoint list")
 		}
 		time.Sleep(100 * time.Millisecond)
 		old.shutdown()
 		if old.Ready() {
-			t.Error("ready after its end")
+			t.Error("ready after the shutdown")
 		}
 		old = fresh
 	}
--- a/internal/httpproxy/parse_test.go
+++ b/internal/httpproxy/parse_test.go
@@ -11,6 +11,7 @@
 	"pepperlead/policy"
 )
 
+// quickCheck runs a property test with a fixed seed.
 func quickCheck(t *testing.T, seed int64, f any) {
 	t.Helper()
 	if err := quick.Check(f, &quick.Config{MaxCount: 300, Rand: rand.New(rand.NewSource(seed))}); err != nil {
@@ -18,7 +19,7 @@
 	}
 }
 
-// randomChunks returns the body in chunks of random sizes.
+// randomChunks encodes the body in chunks of random sizes.
 func randomChunks(r *rand.Rand, body []byte) []byte {
 	var out []byte
 	for len(body) > 0 {
@@ -29,7 +30,7 @@
 	return append(out, "0\r\nTrailer: x\r\n\r\n"...)
 }
 
-// randomMessage returns a random body and the bytes of a message behind its first line.
+// randomMessage returns a random body, and a message with this body without its first line.
 func randomMessage(r *rand.Rand) (body, rest []byte) {
 	body = make([]byte, r.Intn(300))
 	r.Read(body)
@@ -39,7 +40,8 @@
 	return body, append([]byte(fmt.Sprintf("Host: a\r\ncontent-length:  %d \r\n\r\n", len(body))), body...)
 }
 
-func TestMessagesAreParsedHoweverTheyAreSplit(t *testing.T) {
+// Every proper prefix of a message is incomplete, and the whole message is parsed even if more bytes follow.
+func TestMessagePrefixesAreIncomplete(t *testing.T) {
 	quickCheck(t, 1, func(seed int64) bool {
 		r := rand.New(rand.NewSource(seed))
 		body, rest := randomMessage(r)
@@ -58,15 +60,15 @@
 				return false // a truncated response is never complete
 			}
 		}
-		asked, status := parseRequest(append(bytes.Clone(request), "GET"...), maxBody)
-		answered, ok := parseResponse(append(bytes.Clone(response), '!'), false, false, maxBody)
-		return asked.length == len(request) && string(asked.method) == "POST" && string(asked.target) == "/step/a?b=1" &&
-			!asked.closeAfter && status == 0 && bytes.Equal(asked.body, body) && answered.length == len(response) &&
-			answered.status == 200 && bytes.Equal(answered.body, body) && answered.reusable && ok
+		parsed, status := parseRequest(append(bytes.Clone(request), "GET"...), maxBody)
+		reply, ok := parseResponse(append(bytes.Clone(response), '!'), false, false, maxBody)
+		return parsed.length == len(request) && string(parsed.method) == "POST" && string(parsed.target) == "/step/a?b=1" &&
+			!parsed.closeAfter && status == 0 && bytes.Equal(parsed.body, body) && reply.length == len(response) &&
+			reply.status == 200 && bytes.Equal(reply.body, body) && reply.reusable && ok
 	})
 }
 
-func TestBadRequestsHaveTheirStatus(t *testing.T) {
+func TestStatusOfMalformedRequests(t *testing.T) {
 	long := strings.Repeat("x", maxHead)
 	for in, want := range map[string]int{
 		"GET / HTTP/1.1\r\nHost: a\r\n\r\n":                                                         0,
@@ -144,7 +146,7 @@
 	}
 }
 
-// What cannot become a response is detected while it is incomplete: its endpoint may leave the connection open and send no more.
+// Input that cannot become a response is detected while it is incomplete, as the endpoint may send no more and leave the connection open.
 func TestMalformedResponsesAreDetectedEarly(t *testing.T) {
 	for _, in := range []string{"\x93\x0c", "HTTQ", "ICY 200 OK\r\n", "HTTP/1.1 2x0 OK\r\n", "HTTP/1.1 OK 200\r\nA: b",
 		"HTTP/1.1 200 OK\r\nno colon here\r\nA", "HTTP/1.1 200 OK\r\nA: \x00\r\n", "HTTP/1.1 200 OK\r\n\r\nand no length",
@@ -153,12 +155,12 @@
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1;"+strings.Repeat("x", 99)+"\r\na\r\n", 6000),
 		"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: pppppppppppp\r\n", maxHead/21+1)} {
 		if _, ok := parseResponse([]byte(in), false, false, maxBody); ok {
-			t.Errorf("%.80q: more is waited for", in)
+			t.Errorf("%.80q: taken for an incomplete response", in)
 		}
 	}
 }
 
-// An endpoint must not be able to read another id or key than the instance did.
+// A request must not be forwarded if the endpoint could see a different request ID or idempotency key than the instance.
 func TestAmbiguousIDs(t *testing.T) {
 	for head, want := range map[string]bool{"X-Request-ID: 1\r\nIdempotency-Key: 2\r\nConnection: close\r\n": false,
 		"X-Request-ID: 1\r\nx-request-id: 2\r\n":               true,
@@ -169,7 +171,7 @@
 	}
 	for _, in := range []string{"", "1e3", "0x10", "inf", "nan", "+1", "-1", "1_0", "1.2.3", "."} {
 		if _, ok := parseSeconds([]byte(in)); ok {
-			t.Errorf("%q passes for a number of seconds", in)
+			t.Errorf("%q is accepted as a number of seconds", in)
 		}
 	}
 }
@@ -196,7 +198,7 @@
 		if request.length == 0 {
 			return
 		}
-		// What is forwarded to an endpoint must be read there as one request with the same body.
+		// The endpoint must parse the forwarded bytes as one request with the same body.
 		size := len(request.body)
 		out := appendRequestHead(nil, request.method, request.target, request.headers, size, policy.Second)
 		out = append(out, request.body...)
--- a/internal/httpproxy/proxy_test.go
+++ b/internal/httpproxy/proxy_test.go
@@ -22,10 +22,10 @@
 	r, _ := startProxy(t, nil, server.Addr().String())
 	for in, want := range map[string]int{
 		"GET /step/echo HTTP/1.1\r\nHost: o\r\nX-Timeout: 1\r\n\r\n":                                      400, // no id
-		"GET /step/echo HTTP/1.1\r\nHost: o\r\nX-Request-ID: a\r\n\r\n":                                   400, // no time
+		"GET /step/echo HTTP/1.1\r\nHost: o\r\nX-Request-ID: a\r\n\r\n":                                   400, // no timeout
 		"GET /step/echo HTTP/1.1\r\nHost: o\r\nX-Request-ID: a\r\nX-Timeout: soon\r\n\r\n":                400,
 		"GET /step/echo HTTP/1.1\r\nHost: o\r\nX-Request-ID: a\r\nX-Timeout: -1\r\n\r\n":                  400,
-		"POST /note/echo HTTP/1.1\r\nHost: o\r\nX-Request-ID: a\r\nX-Timeout: 1\r\n\r\n":                  400, // no mark
+		"POST /note/echo HTTP/1.1\r\nHost: o\r\nX-Request-ID: a\r\nX-Timeout: 1\r\n\r\n":                  400, // no idempotency key
 		"TRACE /step/echo HTTP/1.1\r\nHost: o\r\nX-Request-ID: a\r\nX-Timeout: 1\r\n\r\n":                 400,
 		"GET /other/echo HTTP/1.1\r\nHost: o\r\nX-Request-ID: a\r\nX-Timeout: 1\r\n\r\n":                  404,
 		"GET / HTTP/1.1\r\nHost: o\r\nX-Request-ID: a\r\nX-Timeout: 1\r\n\r\n":                            404,
@@ -46,7 +46,7 @@
 		}
 	}
 	if _, conns := server.count(""); conns != 0 {
-		t.Error("a bad request went on")
+		t.Error("a malformed request was forwarded")
 	}
 }
 
@@ -76,51 +76,51 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.calls) < 2 || a.calls[0] != "/catalog/members" || a.calls[1] != "/catalog/members?from=1&hold_ms=20000" {
-		t.Errorf("asked %v", a.calls)
+		t.Errorf("calls %v", a.calls)
 	}
 }
 
-func TestListIsFollowed(t *testing.T) {
+func TestListChangesAreApplied(t *testing.T) {
 	old, new := newFakeEndpoint(t), newFakeEndpoint(t)
 	r, a := startProxy(t, nil, old.Addr().String())
-	ask := func() (tookOld int) {
+	requestsToOld := func() (count int) {
 		c := r.client()
 		id := c.send("step/echo", "b", "")
 		if answer, _ := c.receive(); answer.StatusCode != 200 {
 			t.Errorf("%d", answer.StatusCode)
 		}
-		tookOld, _ = old.count(id)
-		return tookOld
+		count, _ = old.count(id)
+		return count
 	}
 	for range 3 {
-		ask()
+		requestsToOld()
 	}
 	for _, broken := range []string{"{", `{"rev":9,"all":true,"targets":[{"uid":"x"}]}`, "", strings.Repeat("[", 1000)} {
 		a.setList(broken)
 		time.Sleep(20 * time.Millisecond)
-		if ask() != 1 {
-			t.Errorf("the list %.20q was taken", broken)
+		if requestsToOld() != 1 {
+			t.Errorf("the list %.20q was applied", broken)
 		}
 	}
 	a.setList(listOf(old.Addr().String()+" Terminating", new.Addr().String()))
-	for i := 0; ask() != 0; i++ {
+	for i := 0; requestsToOld() != 0; i++ {
 		if i > 500 {
-			t.Fatal("the change was not heard")
+			t.Fatal("the change was not applied")
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	for range 10 {
-		if ask() != 0 {
-			t.Error("something went to a server that drains")
+		if requestsToOld() != 0 {
+			t.Error("a draining endpoint got a request")
 		}
 	}
 }
 
-// Discovery that never waits must not be polled in a busy loop.
+// A discovery service that answers at once, without a change, must not be polled in a busy loop.
 func TestUnchangedListIsNotPolledWithoutPause(t *testing.T) {
 	_, a := startProxy(t, nil, newFakeEndpoint(t).Addr().String())
 	a.mu.Lock()
-	a.hasty = true
+	a.noWait = true
 	a.mu.Unlock()
 	a.setList(strings.Replace(a.list, `"rev":1`, `"rev":REV`, 1))
 	time.Sleep(300 * time.Millisecond)
@@ -131,7 +131,7 @@
 	}
 }
 
-// A new configuration changes discovery and nothing else: requests in flight are answered, and connections to endpoints stay.
+// A new configuration switches to another discovery service. Requests in flight are answered, and client connections stay open.
 func TestNewConfigurationUnderLoad(t *testing.T) {
 	old, new := newFakeEndpoint(t), newFakeEndpoint(t)
 	r, first := startProxy(t, nil, old.Addr().String())
@@ -146,7 +146,7 @@
 	r.configs <- config
 	first.Close()
 	if answer, got := slow.receive(); answer.StatusCode != 200 || got != "b" || answer.Close {
-		t.Errorf("in hand: %d %q, closes %v", answer.StatusCode, got, answer.Close)
+		t.Errorf("in flight: %d %q, closes %v", answer.StatusCode, got, answer.Close)
 	}
 	for i := 0; ; i++ {
 		id := kept.send("step/echo", "c", "")
@@ -157,7 +157,7 @@
 			break
 		}
 		if i > 500 {
-			t.Fatal("the new discovery is not followed")
+			t.Fatal("the list of the new discovery service is not applied")
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -165,7 +165,7 @@
 	r.configs <- config // the module's classes cannot change while it runs
 	kept.send("step/echo", "d", "")
 	if answer, _ := kept.receive(); answer.StatusCode != 200 {
-		t.Errorf("after settings of another shape: %d", answer.StatusCode)
+		t.Errorf("after settings with other classes: %d", answer.StatusCode)
 	}
 	changed := *r.config.Settings
 	changed.MaxRetryAfter = 2 * policy.Second
@@ -173,20 +173,21 @@
 	r.configs <- config
 	kept.send("step/away", "e", "")
 	if answer, _ := kept.receive(); answer.StatusCode != 503 {
-		t.Errorf("turned away: %d", answer.StatusCode)
+		t.Errorf("rejected by the endpoint: %d", answer.StatusCode)
 	}
 	second.mu.Lock()
 	if len(second.calls) < 2 || second.calls[0] != "/catalog/members" {
-		t.Errorf("asked %v", second.calls)
+		t.Errorf("calls %v", second.calls)
 	}
 	second.mu.Unlock()
 	r.shutdown()
 	if r.Counters.Reconfigurations != 3 || r.config.Settings.MaxRetryAfter != 2*policy.Second {
-		t.Errorf("renewed %d times, advice %d", r.Counters.Reconfigurations, r.config.Settings.MaxRetryAfter)
+		t.Errorf("%d reconfigurations, MaxRetryAfter %d", r.Counters.Reconfigurations, r.config.Settings.MaxRetryAfter)
 	}
 }
 
-func TestLeaving(t *testing.T) {
+// During a shutdown new clients are accepted for a while, each response closes its connection, and requests that remain at the end fail.
+func TestShutdown(t *testing.T) {
 	server := newFakeEndpoint(t)
 	r, _ := startProxy(t, func(p *Config) { p.AcceptTime, p.ShutdownTime = 200*policy.Millisecond, 600*policy.Millisecond }, server.Addr().String())
 	idle, slow, silent := r.client(), r.client(), r.client()
@@ -198,16 +199,16 @@
 	began := time.Now()
 	r.stop <- syscall.SIGTERM
 	if answer, got := slow.receive(); answer.StatusCode != 200 || got != "b" || !answer.Close {
-		t.Errorf("in hand: %d, closes %v", answer.StatusCode, answer.Close)
+		t.Errorf("in flight: %d, closes %v", answer.StatusCode, answer.Close)
 	}
 	late := r.client()
 	late.send("step/echo", "b", "")
 	if answer, _ := late.receive(); answer.StatusCode != 200 || !answer.Close {
-		t.Errorf("came while leaving: %d, closes %v", answer.StatusCode, answer.Close)
+		t.Errorf("new client during the shutdown: %d, closes %v", answer.StatusCode, answer.Close)
 	}
 	idle.send("step/echo", "b", "")
 	if answer, _ := idle.receive(); answer.StatusCode != 200 || !answer.Close {
-		t.Errorf("on a kept connection: %d, closes %v", answer.StatusCode, answer.Close)
+		t.Errorf("on an idle connection: %d, closes %v", answer.StatusCode, answer.Close)
 	}
 	if answer, _ := silent.receive(); answer.StatusCode != 502 || time.Since(began) > 650*time.Millisecond {
 		t.Errorf("silent: %d after %v", answer.StatusCode, time.Since(began))
@@ -222,7 +223,7 @@
 type recordingSocket struct {
 	conn     *connstate.Conn
 	last     []byte
-	hasInput bool // unexpected bytes have come
+	hasInput bool // unexpected bytes have arrived
 }
 
 func (k *recordingSocket) Write(b []byte) (int, error) {
@@ -236,7 +237,8 @@
 func (k *recordingSocket) Reset()                           {}
 func (k *recordingSocket) Idle(*connstate.Conn) bool        { return !k.hasInput }
 
-// newStoppedProxy returns an instance that has one endpoint and does not run, and a function that connects to it without sockets.
+// newStoppedProxy returns an instance that has one endpoint and does not run, and a function that adds a connection without a real
+// socket.
 func newStoppedProxy(t *testing.T) (*Proxy, func(side connstate.Side) (*connstate.Conn, *recordingSocket)) {
 	t.Helper()
 	r, _ := startProxy(t, nil, "127.0.0.1:1")
@@ -293,8 +295,8 @@
 	}
 }
 
-// A connection with unexpected input, or whose last response has only just come, is not used for the next attempt.
-func TestPushesGoOutOnQuietConnections(t *testing.T) {
+// A connection with unexpected input, or one whose last response arrived less than reuseDelay ago, is not used for the next attempt.
+func TestOnlyReusableConnectionsCarryAttempts(t *testing.T) {
 	s, connect := newStoppedProxy(t)
 	client, _ := connect(connstate.ClientSide)
 	now := s.Clock.Now()
@@ -312,7 +314,7 @@
 	buf := s.buffers.Get(connstate.SmallBuffer)
 	buf.B = append(buf.B, "GET /step/a HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Timeout: 1\r\n\r\n"...)
 	client.Input.Buffer = buf
-	now += 2*policy.Millisecond + reuseDelay // the last has not rested yet, the one before has input
+	now += 2*policy.Millisecond + reuseDelay // too early for the last one; the one before it has input
 	s.readRequests(now, now, client)
 	s.Round(now)
 	if len(idle[1].last) == 0 || len(idle[0].last)+len(idle[2].last)+len(idle[3].last) > 0 || !all[2].Closing || all[3].Closing {
@@ -320,7 +322,7 @@
 	}
 }
 
-// Whatever clients, endpoints and discovery send, in whatever pieces: the process goes on, and everything is released.
+// Whatever clients, endpoints and discovery send, and however it is split, the process keeps running and releases everything.
 func TestMalformedInputIsSurvived(t *testing.T) {
 	s, connect := newStoppedProxy(t)
 	texts := []string{"GET /step/a HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Route-Key: k\r\nX-Timeout: 1\r\n\r\n",
@@ -335,7 +337,7 @@
 		server, _ := connect(connstate.EndpointSide)
 		client.Timer.Run = func(now policy.Time) { s.clientTimerDue(now, client) }
 		for _, one := range s.Endpoints {
-			server.Endpoint, server.Generation = s.endpointConns(one), one.Generation // of its current generation
+			server.Endpoint, server.Generation = s.endpointConns(one), one.Generation
 			s.returnIdle(now, server)
 			break
 		}
@@ -375,7 +377,7 @@
 			s.Round(now)
 		}
 		now += 2 * policy.Second
-		for i := 0; i < 1000 && (i < 2 || len(s.conns.Open) > 0); i++ { // pending dials fail by themselves
+		for i := 0; i < 1000 && (i < 2 || len(s.conns.Open) > 0); i++ { // until the pending dials have failed
 			s.Round(now)
 			if i > 2 {
 				time.Sleep(100 * time.Microsecond)
@@ -387,6 +389,6 @@
 		t.Error(err, s.report())
 	}
 	if k := s.Counters; k.Succeeded == 0 || k.MalformedRequests == 0 || k.Outcomes[policy.ConnectionLost] == 0 || k.Lists < 100 {
-		t.Errorf("too little was reached: %s", k.String())
+		t.Errorf("not all kinds of results occurred: %s", k.String())
 	}
 }
--- a/internal/httpproxy/races_test.go
+++ b/internal/httpproxy/races_test.go
@@ -19,44 +19,44 @@
 	"pepperlead/policy"
 )
 
-// Each test here forces a race of two events that is rare by itself; docs/crossings.md has the table.
+// Each test in this file forces a race of two events that rarely occurs by itself; docs/crossings.md has the table.
 
-// waitUntil waits until the condition, checked on the loop, holds.
-func (r *runningProxy) waitUntil(what string, is func() bool) {
+// waitUntil waits until the condition, which is checked on the loop, is true.
+func (r *runningProxy) waitUntil(what string, condition func() bool) {
 	r.t.Helper()
 	for i := 0; ; i++ {
-		so := false
-		r.RunOnLoop(func() { so = is() })
-		if so {
+		met := false
+		r.RunOnLoop(func() { met = condition() })
+		if met {
 			return
 		}
 		if i > 1000 {
-			r.t.Fatal("never came: " + what)
+			r.t.Fatal("timeout waiting for: " + what)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-// holdDials blocks the dials to endpoints from the nth on until they are released.
-func (r *runningProxy) holdDials(from int) (begun chan string, release chan struct{}) {
+// blockDials blocks dials to endpoints, from the given one on, until release is closed, and sends the address of each to begun.
+func (r *runningProxy) blockDials(first int) (begun chan string, release chan struct{}) {
 	begun, release = make(chan string, 8), make(chan struct{})
 	r.RunOnLoop(func() {
-		really, n := r.sockets.connect, 0
-		r.sockets.connect = func(addr string, within policy.Time) (net.Conn, error) {
-			if n++; n >= from {
+		connect, n := r.sockets.connect, 0
+		r.sockets.connect = func(addr string, timeout policy.Time) (net.Conn, error) {
+			if n++; n >= first {
 				begun <- addr
 				<-release
 			}
-			return really(addr, within)
+			return connect(addr, timeout)
 		}
 	})
 	return begun, release
 }
 
-// A connection is established when its request's attempt is not allowed any more: its client has left, its endpoint drains or has moved,
-// or the window in which duplicates are dropped has closed. Nothing is sent on it.
-func TestLateConnectionsCarryNothingThatIsOver(t *testing.T) {
-	type scene struct {
+// A connection is established only after its attempt is no longer allowed: the client has disconnected, the endpoint is draining or has
+// moved to another address, or the deduplication window has ended. Nothing is sent on it.
+func TestLateConnectionsCarryNoExpiredAttempts(t *testing.T) {
+	type setup struct {
 		*runningProxy
 		*fakeDiscovery
 		*testClient
@@ -64,71 +64,71 @@
 		id       string
 	}
 	for name, k := range map[string]struct {
-		path   string
-		from   int // which dial is blocked
-		cancel bool
-		meets  func(s *scene) // the event that races with the dial
+		path      string
+		firstDial int // the first dial to be blocked, counted from 1
+		mayCancel bool
+		event     func(s *setup) // races with the dial
 	}{
-		"client left": {"step/echo", 1, true, func(s *scene) {
+		"client disconnects": {"step/echo", 1, true, func(s *setup) {
 			s.testClient.Close()
-			s.waitUntil("left", func() bool { return s.Counters.ClientsDisconnected == 1 })
+			s.waitUntil("the disconnect is noticed", func() bool { return s.Counters.ClientsDisconnected == 1 })
 		}},
-		"client left, no cancel": {"step/echo", 1, false, func(s *scene) {
+		"client disconnects, no cancellation": {"step/echo", 1, false, func(s *setup) {
 			s.testClient.Close()
-			s.waitUntil("left", func() bool { return s.Counters.ClientsDisconnected == 1 })
+			s.waitUntil("the disconnect is noticed", func() bool { return s.Counters.ClientsDisconnected == 1 })
 		}},
-		"server drains": {"step/echo", 1, true, func(s *scene) {
+		"endpoint drains": {"step/echo", 1, true, func(s *setup) {
 			s.setList(listOf(s.one.Addr().String()+" Terminating", s.two.Addr().String()))
 			s.waitUntil("the list is applied", func() bool { return s.Counters.Lists > 2 })
 		}},
-		"server moves": {"step/echo", 1, true, func(s *scene) {
+		"endpoint moves": {"step/echo", 1, true, func(s *setup) {
 			s.setList(listOf(s.two.Addr().String(), s.two.Addr().String()+" Terminating"))
 			s.waitUntil("the list is applied", func() bool { return s.Counters.Lists > 2 })
 		}},
-		"window closes": {"note/reset", 2, true, func(s *scene) { time.Sleep(400 * time.Millisecond) }},
+		"window ends": {"note/reset", 2, true, func(s *setup) { time.Sleep(400 * time.Millisecond) }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := &scene{one: newFakeEndpoint(t), two: newFakeEndpoint(t)}
+			s := &setup{one: newFakeEndpoint(t), two: newFakeEndpoint(t)}
 			addrs := []string{s.one.Addr().String(), s.two.Addr().String() + " Terminating"}
-			if k.from > 1 {
+			if k.firstDial > 1 {
 				addrs[1] = s.two.Addr().String()
 			}
 			s.runningProxy, s.fakeDiscovery = startProxy(t, func(p *Config) {
-				p.Settings.MayCancel, p.ConnectTimeout = k.cancel, 2*policy.Second
+				p.Settings.MayCancel, p.ConnectTimeout = k.mayCancel, 2*policy.Second
 				p.Settings.Classes[1].Target, p.Settings.Classes[1].Window = 2*policy.Second, 300*policy.Millisecond
 			}, addrs...)
 			s.waitUntil("the list is applied", func() bool { return s.Counters.Lists == 2 })
-			begun, release := s.holdDials(k.from)
+			begun, release := s.blockDials(k.firstDial)
 			s.testClient = s.runningProxy.client()
 			s.id = s.send(k.path, "b", "X-Timeout: 3.0\r\n")
-			held := <-begun
-			k.meets(s)
+			blocked := <-begun
+			k.event(s)
 			close(release)
 			s.waitUntil("no attempt in flight", func() bool { return s.Module.Gauges().InFlight == 0 })
 			time.Sleep(30 * time.Millisecond)
 			for _, to := range []*fakeEndpoint{s.one, s.two} {
-				if n, _ := to.count(s.id); to.Addr().String() == held && n != 0 {
-					t.Errorf("sent %d times on the connection that came up late", n)
+				if n, _ := to.count(s.id); to.Addr().String() == blocked && n != 0 {
+					t.Errorf("sent %d times on the connection that was established late", n)
 				}
 			}
 		})
 	}
 }
 
-// A request and its client's close are in the kernel together, as when accepting was delayed: no one waits for the response, and it is
-// not forwarded.
-func TestRequestThatComesWithItsEndIsNotSentOn(t *testing.T) {
-	for name, leave := range map[string]func(c *net.TCPConn){
+// A request and the close by its client are read together, as happens when accepting was delayed. Nobody waits for the response, so the
+// request is not forwarded.
+func TestRequestFollowedByCloseIsNotForwarded(t *testing.T) {
+	for name, closeClient := range map[string]func(c *net.TCPConn){
 		"closed":      func(c *net.TCPConn) { c.Close() },
 		"half closed": func(c *net.TCPConn) { c.CloseWrite() },
 	} {
 		s, _ := newStoppedProxy(t)
-		far, nb, conn := connectedPair(t)
+		peer, nb, conn := connectedPair(t)
 		conn.Side, conn.Connected = connstate.ClientSide, true
 		s.conns.Add(conn)
-		fmt.Fprint(far, "GET /step/a HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Timeout: 1\r\n\r\n")
-		leave(far.(*net.TCPConn))
-		time.Sleep(20 * time.Millisecond) // for the kernel to have both at this end
+		fmt.Fprint(peer, "GET /step/a HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Timeout: 1\r\n\r\n")
+		closeClient(peer.(*net.TCPConn))
+		time.Sleep(20 * time.Millisecond) // until both have arrived at this end
 		s.sockets.read(nb)
 		now := s.Clock.Now()
 		for _, e := range s.sockets.takeEvents() {
@@ -141,7 +141,7 @@
 	}
 }
 
-// flushingSocket is a socket whose last bytes are written at the moment at which it is closed.
+// flushingSocket is a socket that writes its last bytes at the moment it is closed, if flushesOnClose is set.
 type flushingSocket struct {
 	*recordingSocket
 	flushesOnClose bool
@@ -154,15 +154,16 @@
 	return nil
 }
 
-// A request written in part is never processed, unless the rest is written just before its connection closes. That decides whether an
-// attempt may have been processed that ends at its timeout or with its client; one that was not ends even where none may be cancelled.
-func TestPushCutOffAsItsLastBytesGoOut(t *testing.T) {
+// A partly written request is never processed, unless its last bytes are written as its connection closes. That decides whether an attempt
+// that times out or loses its client may have been processed; one that was not is ended even if attempts may not be cancelled.
+func TestAttemptEndedDuringItsLastWrite(t *testing.T) {
 	for _, k := range []struct {
-		slips, left bool
-		want        policy.Outcome
-		none        bool
-	}{{slips: false, want: policy.NotConnected}, {slips: true, want: policy.TimedOut}, {left: true, want: policy.Cancelled},
-		{left: true, slips: true, none: true}} {
+		flushed      bool // the last bytes are written as the connection closes
+		disconnected bool // the client disconnects, rather than the attempt timing out
+		want         policy.Outcome
+		notEnded     bool // the attempt stays in flight
+	}{{flushed: false, want: policy.NotConnected}, {flushed: true, want: policy.TimedOut}, {disconnected: true, want: policy.Cancelled},
+		{disconnected: true, flushed: true, notEnded: true}} {
 		s, connect := newStoppedProxy(t)
 		s.Engine.Settings.MayCancel = false
 		client, _ := connect(connstate.ClientSide)
@@ -181,37 +182,37 @@
 		if request == nil {
 			t.Fatal("no attempt")
 		}
-		server.Socket = &flushingSocket{plain, k.slips}
-		server.Output.Queued++ // the kernel has all but one byte
-		if k.left {
+		server.Socket = &flushingSocket{plain, k.flushed}
+		server.Output.Queued++ // all but one byte are written
+		if k.disconnected {
 			s.clientDisconnected(now, client)
 		} else {
 			s.TimedOut(now, request.Request)
 		}
 		s.RunSteps(now)
-		if n := s.Counters.Outcomes[k.want]; !k.none && n != 1 || k.none && request.AttemptConn == nil {
+		if n := s.Counters.Outcomes[k.want]; !k.notEnded && n != 1 || k.notEnded && request.AttemptConn == nil {
 			t.Errorf("%+v: outcomes %v", k, s.Counters.Outcomes)
 		}
 	}
 }
 
-// During the shutdown a client with its request waits in the kernel to be accepted: it is accepted and answered.
-func TestWhoWaitsToBeAcceptedAtTheEndIsAnswered(t *testing.T) {
+// A client that waits in the kernel's accept queue during the shutdown is accepted and its request answered.
+func TestPendingClientIsServedDuringShutdown(t *testing.T) {
 	server := newFakeEndpoint(t)
 	r, _ := startProxy(t, func(p *Config) { p.ShutdownTime = 2 * policy.Second }, server.Addr().String())
 	first := r.client()
 	first.send("step/echo", "a", "")
 	first.receive()
-	most := r.sockets.maxClients.Swap(0) // the acceptor accepts one more, and then has no room
+	limit := r.sockets.maxClients.Swap(0) // the listener accepts one more client and then waits
 	r.client()
-	r.waitUntil("the last with room", func() bool { return r.conns.Count(connstate.ClientSide) == 2 })
-	waits := r.client()
-	waits.send("step/echo", "b", "")
+	r.waitUntil("the last client is accepted", func() bool { return r.conns.Count(connstate.ClientSide) == 2 })
+	pending := r.client()
+	pending.send("step/echo", "b", "")
 	r.stop <- syscall.SIGTERM
 	time.Sleep(time.Duration(r.config.AcceptTime+reconnectTime) + 100*time.Millisecond)
-	r.sockets.maxClients.Store(most)
+	r.sockets.maxClients.Store(limit)
 	r.sockets.signalAcceptor()
-	if answer, got := waits.receive(); answer.StatusCode != 200 || got != "b" || !answer.Close {
+	if answer, got := pending.receive(); answer.StatusCode != 200 || got != "b" || !answer.Close {
 		t.Errorf("%d %q, closes %v", answer.StatusCode, got, answer.Close)
 	}
 	r.shutdown()
@@ -240,10 +241,10 @@
 	return l.Addr().String(), release
 }
 
-// The agent's list counts from the first attempt on, and the saved list may be outdated: the agent is asked first. Where it is silent,
-// clients wait no longer than configured, and the saved list is used; also in a process that shuts down meanwhile.
-func TestAgentIsHeardBeforeTheFirstPush(t *testing.T) {
-	for _, name := range []string{"agent answers", "agent is silent", "told to end"} {
+// The first attempt uses the list of the discovery service, as the saved one may be outdated. If the service does not answer, clients
+// wait no longer than configured and the saved list is used, also in a process that begins its shutdown meanwhile.
+func TestClientsWaitForFirstList(t *testing.T) {
+	for _, name := range []string{"discovery answers", "discovery does not answer", "shutdown"} {
 		drained, ready := newFakeEndpoint(t), newFakeEndpoint(t)
 		addr, release := blockedDiscovery(t, strings.Replace(listOf(drained.Addr().String()+" Terminating", ready.Addr().String()), "REV", "7", 1))
 		r, _ := startProxy(t, func(p *Config) {
@@ -256,46 +257,46 @@
 		id := c.send("step/echo", "b", "")
 		time.Sleep(50 * time.Millisecond)
 		if n, _ := drained.count(id); n != 0 || r.Ready() {
-			t.Errorf("%s: sent %d times before the agent was heard, ready %v", name, n, r.Ready())
+			t.Errorf("%s: sent %d times before the discovery service answered, ready %v", name, n, r.Ready())
 		}
 		want := 1
 		switch name {
-		case "agent answers":
+		case "discovery answers":
 			close(release)
 			want = 0
-		case "told to end":
+		case "shutdown":
 			r.stop <- syscall.SIGTERM
 		}
 		answer, _ := c.receive()
 		if n, _ := drained.count(id); answer.StatusCode != 200 || n != want || time.Since(began) > 600*time.Millisecond {
-			t.Errorf("%s: %d, sent %d times to the server that drains, after %v", name, answer.StatusCode, n, time.Since(began))
+			t.Errorf("%s: %d, sent %d times to the draining endpoint, after %v", name, answer.StatusCode, n, time.Since(began))
 		}
 		r.shutdown()
 		lines := 0
 		for _, e := range log.AllEntries() {
-			if _, says := e.Data["waited_ms"]; says && strings.Contains(e.Message, "has not answered") == (name != "agent answers") {
+			if _, ok := e.Data["waited_ms"]; ok && strings.Contains(e.Message, "has not answered") == (name != "discovery answers") {
 				lines++
 			}
 		}
 		if lines != 1 {
-			t.Errorf("%s: %d lines of the wait", name, lines)
+			t.Errorf("%s: %d log lines of the wait with the right message", name, lines)
 		}
 	}
 }
 
-// A second response comes milliseconds behind the first, when the next request may have been written already: it is discarded.
-func TestLateCopiesReachNobody(t *testing.T) {
+// A duplicate of a response arrives milliseconds after it, when the next request could already have been written. It is discarded.
+func TestLateDuplicateResponsesAreDiscarded(t *testing.T) {
 	for range 10 {
-		if lateCopiesArriveInTime(t) {
+		if lateDuplicatesArriveInTime(t) {
 			return
 		}
-		// The machine let the endpoint sleep for longer than a connection rests: that run has shown nothing.
+		// The machine delayed the endpoint for longer than reuseDelay, so that run proves nothing.
 	}
 	t.Error("no duplicate came in time in ten runs: the machine is too busy for this test")
 }
 
-// lateCopiesArriveInTime sends requests whose responses come twice, and reports whether a second one came in time to be mistaken.
-func lateCopiesArriveInTime(t *testing.T) bool {
+// lateDuplicatesArriveInTime sends requests whose responses are sent twice, and reports whether a duplicate came early enough to detect.
+func lateDuplicatesArriveInTime(t *testing.T) bool {
 	server := newFakeEndpoint(t)
 	r, _ := startProxy(t, nil, server.Addr().String())
 	c := r.client()
@@ -309,47 +310,47 @@
 			if answer.StatusCode == 200 && got == body {
 				continue
 			}
-			time.Sleep(time.Duration(2 * reuseDelay)) // for the endpoint to have counted it
+			time.Sleep(time.Duration(2 * reuseDelay)) // until the endpoint has counted it
 			server.mu.Lock()
-			overdue := server.overdue
+			tooLate := server.tooLate
 			server.mu.Unlock()
-			// A copy that left the endpoint in time is overdue as well where this process was delayed before it read it.
-			if overdue == 0 {
-				if heldUp := stopWatch(); heldUp < time.Duration(reuseDelay)-lateCopyAfter {
-					t.Fatalf("%d %q, want %q; the machine delayed this process by %v", answer.StatusCode, got, body, heldUp)
+			// A duplicate that the endpoint sent in time is too late as well if this process was delayed before reading it.
+			if tooLate == 0 {
+				if delay := stopWatch(); delay < time.Duration(reuseDelay)-lateDuplicateDelay {
+					t.Fatalf("%d %q, want %q; the machine delayed this process by %v", answer.StatusCode, got, body, delay)
 				}
 				return false
 			}
-			c = r.client() // what it reads here may be an earlier copy
+			c = r.client() // the old connection may still receive an earlier duplicate
 		}
 	}
-	// Forty requests may be over before the first duplicate is due.
+	// All forty requests may be answered before the first duplicate is sent.
 	time.Sleep(time.Duration(reuseDelay))
 	server.mu.Lock()
 	defer server.mu.Unlock()
-	return server.copies > server.overdue
+	return server.duplicates > server.tooLate
 }
 
-// A client closes while its request has not been sent yet, or has failed and would be retried. No attempt begins after that, also where
-// attempts may not be cancelled.
-func TestNothingBeginsForAClientThatHasLeft(t *testing.T) {
+// A client disconnects before its request is sent, or before a failed one is retried. No attempt begins after that, even if attempts may
+// not be cancelled.
+func TestNoAttemptAfterClientDisconnects(t *testing.T) {
 	for name, k := range map[string]struct {
-		quoted policy.Time
-		before func(r *runningProxy) // what delays the attempt
-		path   string
-		stays  time.Duration // how long the client stays after it has sent
-		seen   int           // attempts that had begun by then
+		target   policy.Time           // target latency
+		prepare  func(r *runningProxy) // delays the attempt
+		path     string
+		waits    time.Duration // how long the client waits after sending before it disconnects
+		attempts int           // attempts that have begun by then
 	}{
-		"behind another on its connection": {policy.Second / 4, nil, "step/slow", 30 * time.Millisecond, 1},
-		"a further attempt":                {policy.Second / 4, nil, "step/fail", 30 * time.Millisecond, 1},
-		"queued, every server at its limit": {2 * policy.Second, func(r *runningProxy) {
+		"pipelined behind another request": {policy.Second / 4, nil, "step/slow", 30 * time.Millisecond, 1},
+		"retry":                            {policy.Second / 4, nil, "step/fail", 30 * time.Millisecond, 1},
+		"queued, every endpoint at its limit": {2 * policy.Second, func(r *runningProxy) {
 			for range 8 {
 				c := r.client()
 				c.send("step/slow", "b", "")
 			}
 			r.waitUntil("full", func() bool { return r.Module.Gauges().Waiting > 1 })
 		}, "step/x", 10 * time.Millisecond, 0},
-		"waits for a connection to rest": {2 * policy.Second, func(r *runningProxy) {
+		"waits for a reusable connection": {2 * policy.Second, func(r *runningProxy) {
 			c := r.client()
 			c.send("step/x", "b", "")
 			c.receive()
@@ -378,29 +379,29 @@
 					two, _ := scriptedEndpoint(t, serve)
 					addrs = append(addrs, two)
 				}
-				r, _ := startProxy(t, func(p *Config) { p.Settings.MayCancel, p.Settings.Classes[0].Target = cancel, k.quoted }, addrs...)
-				if k.before != nil {
-					k.before(r)
+				r, _ := startProxy(t, func(p *Config) { p.Settings.MayCancel, p.Settings.Classes[0].Target = cancel, k.target }, addrs...)
+				if k.prepare != nil {
+					k.prepare(r)
 				}
 				c := r.client()
 				c.send(k.path, "b", "X-Leaves: 1\r\n")
-				if strings.HasPrefix(name, "behind") {
+				if strings.HasPrefix(name, "pipelined") {
 					c.send("step/x", "b", "X-Leaves: 1\r\n")
 				}
-				time.Sleep(k.stays)
+				time.Sleep(k.waits)
 				c.Close()
 				time.Sleep(400 * time.Millisecond)
-				if n := int(seen.Load()); n != k.seen {
-					t.Errorf("%d attempts, want %d", n, k.seen)
+				if n := int(seen.Load()); n != k.attempts {
+					t.Errorf("%d attempts, want %d", n, k.attempts)
 				}
-				r.waitUntil("ended", func() bool { return r.InFlight == 0 })
+				r.waitUntil("no request in flight", func() bool { return r.InFlight == 0 })
 			})
 		}
 	}
 }
 
-// Bytes are sent at once on either side: what the kernel still delayed would be lost with a reset.
-func TestSmallWritesAreNotHeldBack(t *testing.T) {
+// TCP_NODELAY is set on both sides, as bytes that the kernel delays would be lost with a reset.
+func TestNoDelayIsSet(t *testing.T) {
 	r, _ := startProxy(t, nil, newFakeEndpoint(t).Addr().String())
 	c := r.client()
 	c.send("step/echo", "b", "")
--- a/internal/httpproxy/stream_test.go
+++ b/internal/httpproxy/stream_test.go
@@ -18,7 +18,7 @@
 	"pepperlead/internal/connstate"
 )
 
-// A chunked body that is decoded as it comes is the one that is measured at once, however it is split.
+// decodeBody, fed with a chunked body in random pieces, gives the same result as measureChunks and joinChunks on the whole body.
 func FuzzDecodeBody(f *testing.F) {
 	for _, in := range []string{"5\r\nhello\r\n0\r\n\r\n", "5 ; x=1\r\nhello\r\n1\r\n!\r\n0;y\r\nA: b\r\nC: d\r\n\r\nmore", "g\r\n", "5\nhello", "0\r\n\r\n", "\r\n",
 		" 3\r\nabc\r\n000\r\n\r\n", "3\r\nabcd\r\n", "ffffffffff\r\n", "3\r\nabc\r\n0\r\nA: b\r\r\n\r\n"} {
@@ -35,31 +35,32 @@
 		rnd, frame, got := rand.New(rand.NewSource(seed)), newFrame(-1, true), []byte(nil)
 		for at := 0; at < len(in); {
 			part := bytes.Clone(in[at:min(len(in), at+1+rnd.Intn(9))])
-			decoded, fine := decodeBody(&frame, part)
+			decoded, valid := decodeBody(&frame, part)
 			done := decoded.done
 			got = append(got, part[:decoded.size]...)
 			at += decoded.used
-			if done != (done && fine) || !fine && complete {
+			if done != (done && valid) || !valid && complete {
 				t.Fatalf("%q: refused at %d, but it is complete", in, at)
 			}
-			if !fine {
+			if !valid {
 				return
 			}
 			if done {
-				// A partial trailer line may be refused here and complete there, never the other way round.
+				// decodeBody may refuse a trailer line that measureChunks accepts, but never the other way round.
 				if !complete || at != used || !bytes.Equal(got, want) {
-					t.Fatalf("%q: took %d, %q; complete: %d, %q", in, at, got, used, want)
+					t.Fatalf("%q: decoded %d bytes to %q, want %d bytes to %q", in, at, got, used, want)
 				}
 				return
 			}
 		}
 		if complete {
-			t.Fatalf("%q: not done, but complete at %d", in, used)
+			t.Fatalf("%q: not done, but the body is complete at %d", in, used)
 		}
 	})
 }
 
-// scriptedEndpoint is an endpoint that serves each request by the function, until that returns false; seen counts them.
+// scriptedEndpoint starts an endpoint that passes each request, with its number, to serve, and closes the connection when that returns
+// false. seen counts the requests.
 func scriptedEndpoint(t *testing.T, serve func(c net.Conn, r *http.Request, n int) bool) (addr string, seen *atomic.Int64) {
 	t.Helper()
 	l, err := net.Listen("tcp", loopbackAddr)
@@ -88,11 +89,11 @@
 	return l.Addr().String(), seen
 }
 
-// respondingEndpoint is an endpoint whose responses the function writes.
-func respondingEndpoint(t *testing.T, answer func(w io.Writer, body *rand.Rand)) string {
+// respondingEndpoint starts an endpoint whose responses are written by respond, which is passed a fixed random body.
+func respondingEndpoint(t *testing.T, respond func(w io.Writer, body *rand.Rand)) string {
 	addr, _ := scriptedEndpoint(t, func(c net.Conn, r *http.Request, _ int) bool {
 		io.Copy(io.Discard, r.Body)
-		answer(c, rand.New(rand.NewSource(1)))
+		respond(c, rand.New(rand.NewSource(1)))
 		return true
 	})
 	return addr
@@ -100,13 +101,14 @@
 
 const longBody = 3 << 20
 
+// digestOf returns the digest of the first n bytes of the fixed random body.
 func digestOf(n int64) [32]byte {
 	h := sha256.New()
 	io.CopyN(h, rand.New(rand.NewSource(1)), n)
 	return [32]byte(h.Sum(nil))
 }
 
-// Long responses are streamed unchanged in every framing, to slow clients too, and take no more memory than may be pending.
+// Long responses are streamed unchanged in every framing, also to slow clients, and occupy no more memory than may be pending.
 func TestLongResponsesAreStreamedUnchanged(t *testing.T) {
 	for name, answer := range map[string]func(w io.Writer, body *rand.Rand){
 		"sized": func(w io.Writer, body *rand.Rand) {
@@ -124,7 +126,7 @@
 			}
 			io.WriteString(w, "0\r\nX-T: 1\r\n\r\n")
 		},
-		"to the end": func(w io.Writer, body *rand.Rand) {
+		"until close": func(w io.Writer, body *rand.Rand) {
 			io.WriteString(w, "HTTP/1.1 200 OK\r\nX-Made-By: server\r\nConnection: close\r\n\r\n")
 			io.CopyN(w, body, longBody)
 			w.(net.Conn).Close()
@@ -139,28 +141,28 @@
 				if err != nil || a.StatusCode != 200 || a.Header.Get("X-Made-By") != "server" {
 					t.Fatal(err, a)
 				}
-				h, most := sha256.New(), int64(0)
+				h, maxHeld := sha256.New(), int64(0)
 				for err == nil {
 					_, err = io.CopyN(h, a.Body, 32<<10)
-					most = max(most, int64(r.buffers.Lent()))
+					maxHeld = max(maxHeld, int64(r.buffers.Lent()))
 					time.Sleep(pace)
 				}
 				if [32]byte(h.Sum(nil)) != digestOf(longBody) {
-					t.Error("not the bytes that the server sent")
+					t.Error("the body differs from that of the endpoint")
 				}
-				if most > maxPendingBytes+3*connstate.LargeBuffer {
-					t.Errorf("%d bytes were held", most)
+				if maxHeld > maxPendingBytes+3*connstate.LargeBuffer {
+					t.Errorf("%d bytes of buffers were in use", maxHeld)
 				}
 			}
 			if r.Counters.StreamsBroken != 0 {
-				t.Error("broken")
+				t.Error("a stream was broken")
 			}
 		})
 	}
 }
 
-// A long response that breaks off, or becomes malformed, ends early for the client, and is not retried.
-func TestFaultsInMidAnswerShow(t *testing.T) {
+// A streamed response that is truncated or becomes malformed ends early for the client, and the request is not retried.
+func TestFailureDuringStreamIsVisibleToClient(t *testing.T) {
 	for name, answer := range map[string]func(w io.Writer, body *rand.Rand){
 		"sized": func(w io.Writer, body *rand.Rand) {
 			fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", longBody)
@@ -182,7 +184,7 @@
 				t.Fatal(err, a)
 			}
 			if n, err := io.Copy(io.Discard, a.Body); err == nil || n > longBody/2 {
-				t.Errorf("%d bytes came, %v", n, err)
+				t.Errorf("%d bytes received, %v", n, err)
 			}
 			r.RunOnLoop(func() {
 				if r.Counters.Attempts != 1 || r.Counters.StreamsBroken != 1 || r.Tally.Answered[0][2].Load() != 1 {
@@ -193,7 +195,7 @@
 	}
 }
 
-// Clients may send a head and a body slowly; one that sends no more soon gets 408.
+// Clients may send a head and a body slowly, but one that stops sending soon gets 408.
 func TestSlowRequestsTimeOut(t *testing.T) {
 	r, _ := startProxy(t, nil, newFakeEndpoint(t).Addr().String())
 	slow := r.client()
@@ -218,14 +220,15 @@
 	}
 }
 
-// readingEndpoint is an endpoint that reads each body by the function, and responds with its length and digest.
-func readingEndpoint(t *testing.T, take func(r *http.Request, n int) (int64, [32]byte, bool)) (string, *atomic.Int64) {
-	return scriptedEndpoint(t, func(c net.Conn, r *http.Request, no int) bool {
-		n, sum, goesOn := take(r, no)
-		if answer := fmt.Sprintf("%d %x", n, sum); goesOn {
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answer), answer)
+// readingEndpoint starts an endpoint that reads each body with read and responds with its length and digest. If the last result of read
+// is false, it closes the connection instead.
+func readingEndpoint(t *testing.T, read func(r *http.Request, n int) (int64, [32]byte, bool)) (string, *atomic.Int64) {
+	return scriptedEndpoint(t, func(c net.Conn, r *http.Request, number int) bool {
+		n, digest, ok := read(r, number)
+		if body := fmt.Sprintf("%d %x", n, digest); ok {
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		}
-		return goesOn
+		return ok
 	})
 }
 
@@ -254,26 +257,26 @@
 	io.WriteString(c, "0\r\nX-Trailer: 1\r\n\r\n")
 }
 
-// withLittleMemory limits the memory for messages, so that one body may take 1 MiB.
+// withLittleMemory limits the memory for messages so that up to 1 MiB of one body is collected.
 func withLittleMemory(p *Config) { p.MessageMemory = 6 << 20 }
 
-// Long bodies reach the endpoint unchanged, collected or streamed, and the connection carries its next request.
+// Long bodies reach the endpoint unchanged, whether collected or streamed, and the client connection then carries its next request.
 func TestLongBodiesAreForwardedUnchanged(t *testing.T) {
 	addr, _ := readingEndpoint(t, func(r *http.Request, n int) (int64, [32]byte, bool) {
-		time.Sleep(50 * time.Millisecond) // its client has to wait
+		time.Sleep(50 * time.Millisecond) // makes the client wait
 		return readAll(r, n)
 	})
 	r, _ := startProxy(t, withLittleMemory, addr)
 	c := r.client()
-	var most atomic.Int64
-	over := make(chan struct{})
+	var maxHeld atomic.Int64
+	done := make(chan struct{})
 	go func() {
 		for {
 			select {
-			case <-over:
+			case <-done:
 				return
 			default:
-				most.Store(max(most.Load(), int64(r.buffers.Lent())))
+				maxHeld.Store(max(maxHeld.Load(), int64(r.buffers.Lent())))
 				time.Sleep(time.Millisecond)
 			}
 		}
@@ -287,18 +290,19 @@
 			}
 		}
 	}
-	close(over)
-	if m := most.Load(); m > 5<<20 {
-		t.Errorf("%d bytes were held", m)
+	close(done)
+	if m := maxHeld.Load(); m > 5<<20 {
+		t.Errorf("%d bytes of buffers were in use", m)
 	}
 	if written := r.Tally.Written.Load(); written != 8 {
-		t.Errorf("%d attempts counted of 8", written)
+		t.Errorf("%d written requests counted, want 8", written)
 	}
 }
 
-// A collected body is retried elsewhere; one that was streamed is not, and its client gets 503, as it was never processed.
-func TestLongBodiesWhoseEndpointFails(t *testing.T) {
-	broken := func(r *http.Request, n int) (int64, [32]byte, bool) {
+// A request with a collected body is retried at another endpoint. One with a streamed body is not: its client gets 503, as the request
+// was never processed.
+func TestRetryOfLongBodies(t *testing.T) {
+	failFirst := func(r *http.Request, n int) (int64, [32]byte, bool) {
 		if n == 1 {
 			io.CopyN(io.Discard, r.Body, 70<<10)
 			return 0, [32]byte{}, false
@@ -309,20 +313,20 @@
 		n      int64
 		status int
 	}{{1 << 20, 200}, {5 << 20, 503}} {
-		addr, seen := readingEndpoint(t, broken)
-		other, also := readingEndpoint(t, func(r *http.Request, n int) (int64, [32]byte, bool) { return broken(r, n+1) })
+		addr, seen := readingEndpoint(t, failFirst)
+		other, seenByOther := readingEndpoint(t, func(r *http.Request, n int) (int64, [32]byte, bool) { return failFirst(r, n+1) })
 		r, _ := startProxy(t, withLittleMemory, addr, other)
 		for i := 0; seen.Load() == 0; i++ {
 			client := r.client()
 			client.sendLongBody(c.n, false)
 			a, _ := client.receive()
 			if seen.Load() == 0 {
-				continue // it was sent to the other at once
+				continue // the first attempt went to the other endpoint
 			}
-			if a.StatusCode != c.status || c.status == 200 && also.Load() == 0 {
-				t.Errorf("%d bytes: %s, %d and %d requests", c.n, a.Status, seen.Load(), also.Load())
+			if a.StatusCode != c.status || c.status == 200 && seenByOther.Load() == 0 {
+				t.Errorf("%d bytes: %s, %d and %d requests", c.n, a.Status, seen.Load(), seenByOther.Load())
 			}
-			client.sendLongBody(3, false) // the connection carries on
+			client.sendLongBody(3, false) // the connection remains usable
 			if a, _ := client.receive(); a.StatusCode != 200 {
 				t.Error(a.Status)
 			}
@@ -330,8 +334,8 @@
 	}
 }
 
-// A client that stops in the middle of a long body gets 408 and is closed, and its request ends.
-func TestLongBodiesThatStop(t *testing.T) {
+// A client that stops sending in the middle of a long body gets 408, its connection is closed, and its request ends.
+func TestStalledLongBodyGets408(t *testing.T) {
 	addr, _ := readingEndpoint(t, readAll)
 	r, _ := startProxy(t, nil, addr)
 	for _, n := range []int{100 << 10, 5 << 20} {
