--- a/internal/daemon/adminoperations.go
+++ b/internal/daemon/adminoperations.go
@@ -26,7 +26,7 @@
 		return err
 	}
 	o.Engine.SetDrained(o.Clock.Now(), uids)
-	o.group.Serve(o.applyDrained, o.exportState, o.Share)
+	o.group.Serve(o.applyDrained, o.exportState, o.ShareLimits)
 	return nil
 }
 
--- a/internal/httpproxy/limits.go
+++ b/internal/httpproxy/limits.go
@@ -2,9 +2,9 @@
 
 import "pepperlead/policy"
 
-// Share sets how many processes of the instance share its limits, this one included. Each process keeps to an equal
-// share. Any goroutine may call it.
-func (p *Proxy) Share(processes int) {
+// ShareLimits sets how many processes of the instance share its limits, this one included. Each process keeps to an
+// equal share. Any goroutine may call it.
+func (p *Proxy) ShareLimits(processes int) {
 	p.processes.Store(int64(processes))
 	p.Signal()
 }
