--- a/internal/httpproxy/attempts_test.go
+++ b/internal/httpproxy/attempts_test.go
@@ -17,41 +17,41 @@
 )
 
 func TestBodiesAreForwardedUnchangedOnReusedConnections(t *testing.T) {
-	server := newFakeEndpoint(t)
-	r, _ := startProxy(t, nil, server.Addr().String())
+	endpoint := newFakeEndpoint(t)
+	r, _ := startProxy(t, nil, endpoint.Addr().String())
 	c := r.client()
 	for _, size := range []int{0, 1, 2000, 5000, maxBody} {
-		for _, act := range []string{"echo", "slow"} {
+		for _, behaviour := range []string{"echo", "slow"} {
 			time.Sleep(time.Duration(reuseDelay + 5*policy.Millisecond)) // until the connection may be reused
 			body := strings.Repeat("b", size)
-			id := c.send("step/"+act, body, "X-Priority-Class: step\r\nX-Attrs: a=1\r\n")
+			id := c.send("step/"+behaviour, body, "X-Priority-Class: step\r\nX-Attrs: a=1\r\n")
 			if answer, got := c.receive(); answer.StatusCode != 200 || got != body || answer.Close {
-				t.Errorf("%s %d: %d, %d bytes", act, size, answer.StatusCode, len(got))
+				t.Errorf("%s %d: %d, %d bytes", behaviour, size, answer.StatusCode, len(got))
 			}
-			if n, _ := server.count(id); n != 1 {
-				t.Errorf("%s %d: seen %d times", act, size, n)
+			if n, _ := endpoint.count(id); n != 1 {
+				t.Errorf("%s %d: seen %d times", behaviour, size, n)
 			}
 		}
 	}
-	if _, conns := server.count(""); conns != 1 {
+	if _, conns := endpoint.count(""); conns != 1 {
 		t.Errorf("%d connections for sequential requests", conns)
 	}
-	server.mu.Lock()
-	defer server.mu.Unlock()
-	if q, w := server.last.URL.RequestURI(), server.last.Header.Get("X-Timeout"); q != "/step/slow?q=1" ||
-		server.last.Header.Get("X-Attrs") != "a=1" || w <= "0.4" || w >= "1.0" {
+	endpoint.mu.Lock()
+	defer endpoint.mu.Unlock()
+	if q, w := endpoint.last.URL.RequestURI(), endpoint.last.Header.Get("X-Timeout"); q != "/step/slow?q=1" ||
+		endpoint.last.Header.Get("X-Attrs") != "a=1" || w <= "0.4" || w >= "1.0" {
 		t.Errorf("forwarded as %s with timeout %s", q, w)
 	}
 }
 
 func TestRequestAndResponseFramings(t *testing.T) {
-	server := newFakeEndpoint(t)
-	r, _ := startProxy(t, nil, server.Addr().String())
-	for _, act := range []string{"chunked", "close"} {
+	endpoint := newFakeEndpoint(t)
+	r, _ := startProxy(t, nil, endpoint.Addr().String())
+	for _, behaviour := range []string{"chunked", "close"} {
 		c := r.client()
-		c.send("step/"+act, "some body that is longer than one piece", "")
+		c.send("step/"+behaviour, "some body that is longer than one piece", "")
 		if answer, got := c.receive(); answer.StatusCode != 200 || got != "some body that is longer than one piece" {
-			t.Errorf("%s: %d %q", act, answer.StatusCode, got)
+			t.Errorf("%s: %d %q", behaviour, answer.StatusCode, got)
 		}
 	}
 	c := r.client()
@@ -79,7 +79,7 @@
 // client gets.
 func TestOutcomesOfAttempts(t *testing.T) {
 	for _, k := range []struct {
-		act            string
+		behaviour      string
 		step, note     int // status of the response, idempotent and keyed
 		once, onceSeen int
 		outcome        policy.Outcome
@@ -94,42 +94,42 @@
 		{"declined", 422, 422, 422, 1, policy.Declined},
 		{"silent", 503, 502, 502, 1, policy.TimedOut},
 	} {
-		servers := []*fakeEndpoint{newFakeEndpoint(t), newFakeEndpoint(t), newFakeEndpoint(t)}
+		endpoints := []*fakeEndpoint{newFakeEndpoint(t), newFakeEndpoint(t), newFakeEndpoint(t)}
 		var addrs []string
-		for _, s := range servers {
+		for _, s := range endpoints {
 			addrs = append(addrs, s.Addr().String())
 		}
 		r, _ := startProxy(t, nil, addrs...)
 		for class, want := range map[string]int{"step": k.step, "note": k.note, "once": k.once} {
 			c, began := r.client(), time.Now()
-			id := c.send(class+"/"+k.act, "b", "")
+			id := c.send(class+"/"+k.behaviour, "b", "")
 			answer, _ := c.receive()
 			if answer.StatusCode != want || answer.StatusCode == 503 && answer.Header.Get("Retry-After") == "" {
-				t.Errorf("%s of %s: %d, want %d", k.act, class, answer.StatusCode, want)
+				t.Errorf("%s of %s: %d, want %d", k.behaviour, class, answer.StatusCode, want)
 			}
-			if took := time.Since(began); took > 1050*time.Millisecond || k.act == "icy" && took > 200*time.Millisecond {
-				t.Errorf("%s of %s: answered after %v", k.act, class, time.Since(began))
+			if took := time.Since(began); took > 1050*time.Millisecond || k.behaviour == "icy" && took > 200*time.Millisecond {
+				t.Errorf("%s of %s: answered after %v", k.behaviour, class, time.Since(began))
 			}
 			seen := 0
-			for _, s := range servers {
+			for _, s := range endpoints {
 				n, _ := s.count(id)
 				seen += n
 			}
 			if class == "once" && seen != k.onceSeen || seen == 0 || seen > 3 {
-				t.Errorf("%s of %s: seen %d times", k.act, class, seen)
+				t.Errorf("%s of %s: seen %d times", k.behaviour, class, seen)
 			}
 		}
 		r.shutdown()
 		if r.Counters.Outcomes[k.outcome] < 3 {
-			t.Errorf("%s: outcomes %v", k.act, r.Counters.Outcomes)
+			t.Errorf("%s: outcomes %v", k.behaviour, r.Counters.Outcomes)
 		}
 	}
 }
 
 // Surplus bytes after a response are not taken for the response to the next request.
 func TestDuplicateResponsesAreDiscarded(t *testing.T) {
-	server := newFakeEndpoint(t)
-	r, _ := startProxy(t, nil, server.Addr().String())
+	endpoint := newFakeEndpoint(t)
+	r, _ := startProxy(t, nil, endpoint.Addr().String())
 	c := r.client()
 	for i := range 300 {
 		body := strings.Repeat(fmt.Sprint(i%10), 1+i*43) // also larger than a buffer
@@ -181,13 +181,13 @@
 }
 
 func TestAttemptIsCancelledWhenClientDisconnects(t *testing.T) {
-	server := newFakeEndpoint(t)
-	r, _ := startProxy(t, nil, server.Addr().String())
+	endpoint := newFakeEndpoint(t)
+	r, _ := startProxy(t, nil, endpoint.Addr().String())
 	for range 5 {
 		c := r.client()
 		id := c.send("step/silent", "b", "")
 		for i := 0; i < 200; i++ {
-			if n, _ := server.count(id); n > 0 {
+			if n, _ := endpoint.count(id); n > 0 {
 				break
 			}
 			time.Sleep(time.Millisecond)
--- a/internal/httpproxy/golden_test.go
+++ b/internal/httpproxy/golden_test.go
@@ -91,8 +91,8 @@
 
 // TestLocalResponsesMatchGoldenFile compares the responses that the instance makes itself with the golden file.
 func TestLocalResponsesMatchGoldenFile(t *testing.T) {
-	server := newFakeEndpoint(t)
-	address := server.Addr().String()
+	endpoint := newFakeEndpoint(t)
+	address := endpoint.Addr().String()
 	proxy, _ := startProxy(t, nil, address)
 	empty, _ := startProxy(t, func(config *Config) {
 		config.SavedList, config.Source = nil, discovery.NewPlatform("127.0.0.1:1", false)
@@ -131,7 +131,7 @@
 	first := proxy.client()
 	io.WriteString(first, requestText("POST", "step/slow", "16", "", ""))
 	for deadline := time.Now().Add(2 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-		if seen, _ := server.count("16"); seen > 0 {
+		if seen, _ := endpoint.count("16"); seen > 0 {
 			break
 		}
 	}
--- a/internal/httpproxy/harness_test.go
+++ b/internal/httpproxy/harness_test.go
@@ -166,12 +166,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &fakeDiscovery{Listener: l, rev: 1, list: list, changed: make(chan struct{})}
+	d := &fakeDiscovery{Listener: l, rev: 1, list: list, changed: make(chan struct{})}
 	server := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		a.mu.Lock()
-		a.calls = append(a.calls, r.URL.String())
-		revision, changed, noWait := fmt.Sprint(a.rev), a.changed, a.noWait
-		a.mu.Unlock()
+		d.mu.Lock()
+		d.calls = append(d.calls, r.URL.String())
+		revision, changed, noWait := fmt.Sprint(d.rev), d.changed, d.noWait
+		d.mu.Unlock()
 		if !noWait && r.URL.Query().Get("from") == revision {
 			select {
 			case <-changed:
@@ -179,23 +179,23 @@
 				return
 			}
 		}
-		a.mu.Lock()
-		defer a.mu.Unlock()
-		fmt.Fprint(w, a.list)
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		fmt.Fprint(w, d.list)
 	})}
 	go server.Serve(l)
 	t.Cleanup(func() { server.Close() })
-	return a
+	return d
 }
 
 // setList replaces the list under a new revision and wakes the watchers.
-func (a *fakeDiscovery) setList(list string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.rev++
-	a.list = strings.Replace(list, "REV", fmt.Sprint(a.rev), 1)
-	close(a.changed)
-	a.changed = make(chan struct{})
+func (d *fakeDiscovery) setList(list string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.rev++
+	d.list = strings.Replace(list, "REV", fmt.Sprint(d.rev), 1)
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
 // listOf returns a list of endpoints at these addresses, each optionally followed by a space and a state.
@@ -227,14 +227,14 @@
 func startProxy(t *testing.T, change func(*Config), addrs ...string) (*runningProxy, *fakeDiscovery) {
 	t.Helper()
 	list := strings.Replace(listOf(addrs...), "REV", "1", 1)
-	a := newFakeDiscovery(t, list)
+	service := newFakeDiscovery(t, list)
 	free, err := net.Listen("tcp", loopbackAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	free.Close()
 	s := time.Second.Nanoseconds()
-	config := Config{Listen: free.Addr().String(), Source: discovery.NewPlatform(a.Addr().String(), false), Seed: 5, Descriptors: 256, MessageMemory: 32 << 20,
+	config := Config{Listen: free.Addr().String(), Source: discovery.NewPlatform(service.Addr().String(), false), Seed: 5, Descriptors: 256, MessageMemory: 32 << 20,
 		ConnectTimeout: policy.Time(s / 5), IdleTimeout: policy.Time(s * 60), ShutdownTime: policy.Time(s), AcceptTime: policy.Time(s / 20),
 		SavedList: []byte(list), Settings: &policy.Settings{Instances: 1, Zone: "a", Zones: 1, MayCancel: true, MaxAttempts: 3,
 			MaxRetryAfter: policy.Second, Tick: 5 * policy.Millisecond, ColdCapacity: 0.2, ColdTime: policy.Second, OverloadMultiple: 3,
@@ -261,7 +261,7 @@
 		time.Sleep(2 * time.Millisecond)
 	}
 	t.Cleanup(r.shutdown)
-	return r, a
+	return r, service
 }
 
 // shutdown stops the instance and checks that it has released everything. It may be called again.
--- a/internal/httpproxy/limits_test.go
+++ b/internal/httpproxy/limits_test.go
@@ -20,8 +20,8 @@
 // With few descriptors all clients are still answered: connections that were idle for long are closed, and while too many are open each
 // response closes its connection.
 func TestMoreClientsThanDescriptors(t *testing.T) {
-	server := newFakeEndpoint(t)
-	r, _ := startProxy(t, func(p *Config) { p.Descriptors = 30 }, server.Addr().String())
+	endpoint := newFakeEndpoint(t)
+	r, _ := startProxy(t, func(p *Config) { p.Descriptors = 30 }, endpoint.Addr().String())
 	for range 3 {
 		c := r.client()
 		c.send("step/echo", "b", "")
@@ -61,8 +61,8 @@
 // A hundred clients send nothing, or only a part of a request. They are closed in time, and they neither delay other clients nor cause
 // the connections of those to be closed, even idle ones.
 func TestSilentClientsDoNotAffectOthers(t *testing.T) {
-	server := newFakeEndpoint(t)
-	r, _ := startProxy(t, func(p *Config) { p.Descriptors = 160 }, server.Addr().String())
+	endpoint := newFakeEndpoint(t)
+	r, _ := startProxy(t, func(p *Config) { p.Descriptors = 160 }, endpoint.Addr().String())
 	active := r.client()
 	exchange := func(c *testClient) {
 		t.Helper()
@@ -144,8 +144,8 @@
 
 // A request with the ID of another one in flight is refused. The ID may be used again once the other request is answered.
 func TestIDInUseIsRefused(t *testing.T) {
-	server := newFakeEndpoint(t)
-	r, _ := startProxy(t, nil, server.Addr().String())
+	endpoint := newFakeEndpoint(t)
+	r, _ := startProxy(t, nil, endpoint.Addr().String())
 	first, second := r.client(), r.client()
 	request := "GET /step/slow HTTP/1.1\r\nHost: o\r\nX-Request-ID: same\r\nX-Timeout: 1\r\n\r\n"
 	io.WriteString(first, request)
@@ -158,7 +158,7 @@
 		if answer, _ := first.receive(); answer.StatusCode != 200 {
 			t.Errorf("first: %d", answer.StatusCode)
 		}
-		if n, _ := server.count("same"); n != i+1 {
+		if n, _ := endpoint.count("same"); n != i+1 {
 			t.Errorf("seen %d times", n)
 		}
 		io.WriteString(first, request)
--- a/internal/httpproxy/mixed_test.go
+++ b/internal/httpproxy/mixed_test.go
@@ -16,14 +16,14 @@
 // Runs clients and endpoints with all kinds of behaviour concurrently. Each request gets one response, or none if its client
 // disconnected. Non-idempotent requests are not retried once they may have been processed, and everything is released at the end.
 func TestMixedClientAndEndpointBehaviour(t *testing.T) {
-	var servers []*fakeEndpoint
+	var endpoints []*fakeEndpoint
 	var addrs []string
 	for range 4 {
-		servers = append(servers, newFakeEndpoint(t))
-		addrs = append(addrs, servers[len(servers)-1].Addr().String())
+		endpoints = append(endpoints, newFakeEndpoint(t))
+		addrs = append(addrs, endpoints[len(endpoints)-1].Addr().String())
 	}
-	r, a := startProxy(t, nil, addrs...)
-	acts := []string{"echo", "echo", "echo", "chunked", "close", "slow", "error", "away", "reset", "half", "garbage", "silent"}
+	r, service := startProxy(t, nil, addrs...)
+	behaviours := []string{"echo", "echo", "echo", "chunked", "close", "slow", "error", "away", "reset", "half", "garbage", "silent"}
 	var wait sync.WaitGroup
 	for n := range 16 {
 		wait.Add(1)
@@ -33,11 +33,11 @@
 			var c net.Conn
 			var in *bufio.Reader
 			for i := range 40 {
-				class, act := []string{"step", "note", "once"}[rnd.Intn(3)], acts[rnd.Intn(len(acts))]
+				class, behaviour := []string{"step", "note", "once"}[rnd.Intn(3)], behaviours[rnd.Intn(len(behaviours))]
 				body := strings.Repeat("x", rnd.Intn(3)*rnd.Intn(9000))
 				id := fmt.Sprintf("%d-%d", n, i)
 				message := fmt.Sprintf("POST /%s/%s HTTP/1.1\r\nHost: o\r\nX-Request-ID: %s\r\nX-Timeout: 0.3\r\nX-Route-Key: %d\r\n"+
-					"Idempotency-Key: %s\r\nContent-Length: %d\r\n\r\n%s", class, act, id, rnd.Intn(20), id, len(body), body)
+					"Idempotency-Key: %s\r\nContent-Length: %d\r\n\r\n%s", class, behaviour, id, rnd.Intn(20), id, len(body), body)
 				if c == nil {
 					var err error
 					if c, err = net.Dial("tcp", r.addr); err != nil {
@@ -73,19 +73,19 @@
 					t.Errorf("%s: %d, %d bytes, %v", message[:40], answer.StatusCode, len(got), err)
 				}
 				seen := 0
-				for _, s := range servers {
+				for _, s := range endpoints {
 					k, _ := s.count(id)
 					seen += k
 				}
-				if class == "once" && act != "away" && seen > 1 || seen > 3 {
-					t.Errorf("%s of %s: sent %d times", act, class, seen)
+				if class == "once" && behaviour != "away" && seen > 1 || seen > 3 {
+					t.Errorf("%s of %s: sent %d times", behaviour, class, seen)
 				}
 				if answer.Close {
 					c.Close()
 					c = nil
 				}
 				if n == 0 && i%10 == 0 {
-					a.setList(listOf(addrs[:2+i/20]...))
+					service.setList(listOf(addrs[:2+i/20]...))
 				}
 			}
 		}()
--- a/internal/httpproxy/operated_test.go
+++ b/internal/httpproxy/operated_test.go
@@ -26,7 +26,7 @@
 // used again.
 func TestAdministrativeDrainOverridesList(t *testing.T) {
 	one, two := newFakeEndpoint(t), newFakeEndpoint(t)
-	r, a := startProxy(t, nil, one.Addr().String(), two.Addr().String())
+	r, service := startProxy(t, nil, one.Addr().String(), two.Addr().String())
 	c := r.client()
 	requestsTo := func(n int) (counts [2]int) {
 		t.Helper()
@@ -49,7 +49,7 @@
 	list := listOf(one.Addr().String(), two.Addr().String())
 	for i, newList := range []string{"", list, listOf(one.Addr().String()+" Terminating", two.Addr().String()), listOf("127.0.0.1:1 Gone", two.Addr().String()), list} {
 		if newList != "" {
-			a.setList(newList)
+			service.setList(newList)
 			time.Sleep(20 * time.Millisecond)
 		}
 		if counts := requestsTo(20); counts[0] != 0 {
@@ -88,9 +88,9 @@
 	one := newFakeEndpoint(t)
 	r, _ := startProxy(t, nil, one.Addr().String())
 	want := map[string]int{}
-	for i, act := range []string{"echo", "error", "away", "declined", "reset", "echo", "once"} {
+	for i, behaviour := range []string{"echo", "error", "away", "declined", "reset", "echo", "once"} {
 		c := r.client()
-		path := []string{"step", "once"}[i%2] + "/" + act
+		path := []string{"step", "once"}[i%2] + "/" + behaviour
 		c.send(path, "x", "")
 		answer, _ := c.receive()
 		result := "failed"
--- a/internal/httpproxy/proxy_test.go
+++ b/internal/httpproxy/proxy_test.go
@@ -18,8 +18,8 @@
 )
 
 func TestBadRequestsAreAnsweredAndClosed(t *testing.T) {
-	server := newFakeEndpoint(t)
-	r, _ := startProxy(t, nil, server.Addr().String())
+	endpoint := newFakeEndpoint(t)
+	r, _ := startProxy(t, nil, endpoint.Addr().String())
 	for in, want := range map[string]int{
 		"GET /step/echo HTTP/1.1\r\nHost: o\r\nX-Timeout: 1\r\n\r\n":                                      400, // no id
 		"GET /step/echo HTTP/1.1\r\nHost: o\r\nX-Request-ID: a\r\n\r\n":                                   400, // no timeout
@@ -45,13 +45,13 @@
 			t.Errorf("%.60q: not closed", in)
 		}
 	}
-	if _, conns := server.count(""); conns != 0 {
+	if _, conns := endpoint.count(""); conns != 0 {
 		t.Error("a malformed request was forwarded")
 	}
 }
 
 func TestLocalPaths(t *testing.T) {
-	r, a := startProxy(t, func(p *Config) { p.SavedList = nil }, newFakeEndpoint(t).Addr().String())
+	r, service := startProxy(t, func(p *Config) { p.SavedList = nil }, newFakeEndpoint(t).Addr().String())
 	ready := func() int {
 		c := r.client()
 		io.WriteString(c, "GET /_health HTTP/1.1\r\nHost: o\r\n\r\n")
@@ -73,16 +73,16 @@
 	if answer, body := c.receive(); answer.StatusCode != 200 || !strings.Contains(body, "\nlists 1\n") || !answer.Close {
 		t.Errorf("%d %q", answer.StatusCode, body)
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if len(a.calls) < 2 || a.calls[0] != "/catalog/members" || a.calls[1] != "/catalog/members?from=1&hold_ms=20000" {
-		t.Errorf("calls %v", a.calls)
+	service.mu.Lock()
+	defer service.mu.Unlock()
+	if len(service.calls) < 2 || service.calls[0] != "/catalog/members" || service.calls[1] != "/catalog/members?from=1&hold_ms=20000" {
+		t.Errorf("calls %v", service.calls)
 	}
 }
 
 func TestListChangesAreApplied(t *testing.T) {
 	old, new := newFakeEndpoint(t), newFakeEndpoint(t)
-	r, a := startProxy(t, nil, old.Addr().String())
+	r, service := startProxy(t, nil, old.Addr().String())
 	requestsToOld := func() (count int) {
 		c := r.client()
 		id := c.send("step/echo", "b", "")
@@ -96,13 +96,13 @@
 		requestsToOld()
 	}
 	for _, broken := range []string{"{", `{"rev":9,"all":true,"targets":[{"uid":"x"}]}`, "", strings.Repeat("[", 1000)} {
-		a.setList(broken)
+		service.setList(broken)
 		time.Sleep(20 * time.Millisecond)
 		if requestsToOld() != 1 {
 			t.Errorf("the list %.20q was applied", broken)
 		}
 	}
-	a.setList(listOf(old.Addr().String()+" Terminating", new.Addr().String()))
+	service.setList(listOf(old.Addr().String()+" Terminating", new.Addr().String()))
 	for i := 0; requestsToOld() != 0; i++ {
 		if i > 500 {
 			t.Fatal("the change was not applied")
@@ -118,15 +118,15 @@
 
 // A discovery service that answers at once, without a change, must not be polled in a busy loop.
 func TestUnchangedListIsNotPolledWithoutPause(t *testing.T) {
-	_, a := startProxy(t, nil, newFakeEndpoint(t).Addr().String())
-	a.mu.Lock()
-	a.noWait = true
-	a.mu.Unlock()
-	a.setList(strings.Replace(a.list, `"rev":1`, `"rev":REV`, 1))
+	_, service := startProxy(t, nil, newFakeEndpoint(t).Addr().String())
+	service.mu.Lock()
+	service.noWait = true
+	service.mu.Unlock()
+	service.setList(strings.Replace(service.list, `"rev":1`, `"rev":REV`, 1))
 	time.Sleep(300 * time.Millisecond)
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if n := len(a.calls); n < 4 || n > 12 {
+	service.mu.Lock()
+	defer service.mu.Unlock()
+	if n := len(service.calls); n < 4 || n > 12 {
 		t.Errorf("%d calls", n)
 	}
 }
@@ -188,8 +188,8 @@
 
 // During a shutdown new clients are accepted for a while, each response closes its connection, and requests that remain at the end fail.
 func TestShutdown(t *testing.T) {
-	server := newFakeEndpoint(t)
-	r, _ := startProxy(t, func(p *Config) { p.AcceptTime, p.ShutdownTime = 200*policy.Millisecond, 600*policy.Millisecond }, server.Addr().String())
+	endpoint := newFakeEndpoint(t)
+	r, _ := startProxy(t, func(p *Config) { p.AcceptTime, p.ShutdownTime = 200*policy.Millisecond, 600*policy.Millisecond }, endpoint.Addr().String())
 	idle, slow, silent := r.client(), r.client(), r.client()
 	idle.send("step/echo", "b", "")
 	idle.receive()
@@ -262,10 +262,10 @@
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
 	s, connect := newStoppedProxy(t)
 	client, responses := connect(connstate.ClientSide)
-	server, attempts := connect(connstate.EndpointSide)
+	endpointConn, attempts := connect(connstate.EndpointSide)
 	for _, one := range s.Endpoints {
-		server.Endpoint = s.endpointConns(one)
-		s.returnIdle(1, server)
+		endpointConn.Endpoint = s.endpointConns(one)
+		s.returnIdle(1, endpointConn)
 	}
 	request := []byte("GET /step/a HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Route-Key: k\r\nX-Timeout: 1\r\n\r\n")
 	answer := []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
@@ -279,8 +279,8 @@
 		s.Round(now)
 		buf = s.buffers.Get(connstate.SmallBuffer)
 		buf.B = append(buf.B, answer...)
-		server.Input.Buffer = s.buffers.Join(server.Input.Buffer, buf)
-		s.readResponse(now+policy.Millisecond, now+policy.Millisecond, server)
+		endpointConn.Input.Buffer = s.buffers.Join(endpointConn.Input.Buffer, buf)
+		s.readResponse(now+policy.Millisecond, now+policy.Millisecond, endpointConn)
 		s.Round(now + policy.Millisecond)
 	}
 	for range 500 {
@@ -334,11 +334,11 @@
 	feed := func(seed int64) bool {
 		rnd := rand.New(rand.NewSource(seed))
 		client, _ := connect(connstate.ClientSide)
-		server, _ := connect(connstate.EndpointSide)
+		endpointConn, _ := connect(connstate.EndpointSide)
 		client.Timer.Run = func(now policy.Time) { s.clientTimerDue(now, client) }
 		for _, one := range s.Endpoints {
-			server.Endpoint, server.Generation = s.endpointConns(one), one.Generation
-			s.returnIdle(now, server)
+			endpointConn.Endpoint, endpointConn.Generation = s.endpointConns(one), one.Generation
+			s.returnIdle(now, endpointConn)
 			break
 		}
 		for range 6 {
@@ -364,14 +364,14 @@
 				}
 				s.Apply(now, &discovery.List{Kind: kind, Entries: entries})
 			}
-			c := []*connstate.Conn{client, server}[rnd.Intn(2)]
+			c := []*connstate.Conn{client, endpointConn}[rnd.Intn(2)]
 			buf := s.buffers.Get(len(in))
 			buf.B = append(buf.B, in...)
 			s.handleEvent(now, event{kind: eventData, conn: c, buf: buf, at: now})
 			s.RunSteps(now)
 			s.Round(now)
 		}
-		for _, c := range []*connstate.Conn{client, server} {
+		for _, c := range []*connstate.Conn{client, endpointConn} {
 			s.handleEvent(now, event{kind: eventClosed, conn: c, at: now})
 			s.RunSteps(now)
 			s.Round(now)
--- a/internal/httpproxy/races_test.go
+++ b/internal/httpproxy/races_test.go
@@ -167,10 +167,10 @@
 		s, connect := newStoppedProxy(t)
 		s.Engine.Settings.MayCancel = false
 		client, _ := connect(connstate.ClientSide)
-		server, plain := connect(connstate.EndpointSide)
+		endpointConn, plain := connect(connstate.EndpointSide)
 		for _, one := range s.Endpoints {
-			server.Endpoint = s.endpointConns(one)
-			s.returnIdle(1, server)
+			endpointConn.Endpoint = s.endpointConns(one)
+			s.returnIdle(1, endpointConn)
 		}
 		buf := s.buffers.Get(connstate.SmallBuffer)
 		buf.B = append(buf.B, "GET /step/a HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Timeout: 1\r\n\r\n"...)
@@ -178,12 +178,12 @@
 		now := s.Clock.Now()
 		s.readRequests(now, now, client)
 		s.Round(now)
-		request := server.Request
+		request := endpointConn.Request
 		if request == nil {
 			t.Fatal("no attempt")
 		}
-		server.Socket = &flushingSocket{plain, k.flushed}
-		server.Output.Queued++ // all but one byte are written
+		endpointConn.Socket = &flushingSocket{plain, k.flushed}
+		endpointConn.Output.Queued++ // all but one byte are written
 		if k.disconnected {
 			s.clientDisconnected(now, client)
 		} else {
@@ -198,8 +198,8 @@
 
 // A client that waits in the kernel's accept queue during the shutdown is accepted and its request answered.
 func TestPendingClientIsServedDuringShutdown(t *testing.T) {
-	server := newFakeEndpoint(t)
-	r, _ := startProxy(t, func(p *Config) { p.ShutdownTime = 2 * policy.Second }, server.Addr().String())
+	endpoint := newFakeEndpoint(t)
+	r, _ := startProxy(t, func(p *Config) { p.ShutdownTime = 2 * policy.Second }, endpoint.Addr().String())
 	first := r.client()
 	first.send("step/echo", "a", "")
 	first.receive()
@@ -297,23 +297,23 @@
 
 // lateDuplicatesArriveInTime sends requests whose responses are sent twice, and reports whether a duplicate came early enough to detect.
 func lateDuplicatesArriveInTime(t *testing.T) bool {
-	server := newFakeEndpoint(t)
-	r, _ := startProxy(t, nil, server.Addr().String())
+	endpoint := newFakeEndpoint(t)
+	r, _ := startProxy(t, nil, endpoint.Addr().String())
 	c := r.client()
 	stopWatch := watchDelays()
 	defer stopWatch()
 	for i := range 20 {
-		for _, act := range []string{"late", "echo"} {
-			body := fmt.Sprint(act, i)
-			c.send("step/"+act, body, "")
+		for _, behaviour := range []string{"late", "echo"} {
+			body := fmt.Sprint(behaviour, i)
+			c.send("step/"+behaviour, body, "")
 			answer, got := c.receive()
 			if answer.StatusCode == 200 && got == body {
 				continue
 			}
 			time.Sleep(time.Duration(2 * reuseDelay)) // until the endpoint has counted it
-			server.mu.Lock()
-			tooLate := server.tooLate
-			server.mu.Unlock()
+			endpoint.mu.Lock()
+			tooLate := endpoint.tooLate
+			endpoint.mu.Unlock()
 			// A duplicate that the endpoint sent in time is too late as well if this process was delayed before reading it.
 			if tooLate == 0 {
 				if delay := stopWatch(); delay < time.Duration(reuseDelay)-lateDuplicateDelay {
@@ -326,9 +326,9 @@
 	}
 	// All forty requests may be answered before the first duplicate is sent.
 	time.Sleep(time.Duration(reuseDelay))
-	server.mu.Lock()
-	defer server.mu.Unlock()
-	return server.duplicates > server.tooLate
+	endpoint.mu.Lock()
+	defer endpoint.mu.Unlock()
+	return endpoint.duplicates > endpoint.tooLate
 }
 
 // A client disconnects before its request is sent, or before a failed one is retried. No attempt begins after that, even if attempts may
