--- a/internal/httpproxy/admission.go
+++ b/internal/httpproxy/admission.go
@@ -39,7 +39,7 @@
 	incoming := p.classify(request)
 	if refused := p.check(&incoming); refused.status != 0 {
 		if incoming.classKnown {
-			p.Count(incoming.class, engine.Failed)
+			p.CountResult(incoming.class, engine.Failed)
 		}
 		c.Upload.State = connstate.NoUpload
 		p.refuse(now, c, refused)
@@ -49,7 +49,7 @@
 	if p.buffers.Full() {
 		// Rejecting takes no memory, while admitting the request could exhaust the memory of the process. No attempt
 		// has been made, so the client may safely retry.
-		p.Count(incoming.class, engine.Rejected)
+		p.CountResult(incoming.class, engine.Rejected)
 		p.buffers.Put(buf)
 		p.rejectForMemory(now, c)
 		return
--- a/internal/httpproxy/attempts.go
+++ b/internal/httpproxy/attempts.go
@@ -69,7 +69,7 @@
 func (p *Proxy) dialFor(r *connstate.Request, endpoint *connstate.Endpoint) {
 	to := endpoint.Endpoint
 	c := &connstate.Conn{Side: connstate.EndpointSide, Endpoint: endpoint, Generation: to.Generation, Request: r}
-	c.Output.RequestsWritten = &p.Tally.Written
+	c.Output.RequestsWritten = &p.Metrics.Written
 	c.Timer.Run = func(now policy.Time) { p.endpointTimerDue(now, c) }
 	r.AttemptConn = c
 	p.conns.Add(c)
@@ -80,27 +80,27 @@
 // waitForReusable makes an attempt wait, at most once, until the next idle connection may be reused. It reports whether
 // the attempt waits.
 func (p *Proxy) waitForReusable(now policy.Time, r *connstate.Request, endpoint *connstate.Endpoint) bool {
-	if r.RestAwaited || r.Upload.Active || endpoint.Awaited >= len(endpoint.Idle) {
-		r.RestAwaited = false
+	if r.ReuseAwaited || r.Upload.Active || endpoint.AwaitingReuse >= len(endpoint.Idle) {
+		r.ReuseAwaited = false
 		return false
 	}
-	wait := endpoint.Idle[endpoint.Awaited].IdleSince + reuseDelay - now
+	wait := endpoint.Idle[endpoint.AwaitingReuse].IdleSince + reuseDelay - now
 	if wait > p.config.Settings.Classes[r.Class].Target/reuseWaitDivisor {
 		return false
 	}
-	if r.RestTimer.Run == nil {
-		r.RestTimer.Run = func(now policy.Time) { p.resumeAfterWait(now, r) }
+	if r.ReuseTimer.Run == nil {
+		r.ReuseTimer.Run = func(now policy.Time) { p.resumeAfterWait(now, r) }
 	}
-	r.RestAwaited = true
+	r.ReuseAwaited = true
 	r.AttemptEndpoint = endpoint.Endpoint
-	endpoint.Awaited++
-	p.Timers.Set(&r.RestTimer, now+wait)
+	endpoint.AwaitingReuse++
+	p.Timers.Set(&r.ReuseTimer, now+wait)
 	return true
 }
 
 // resumeAfterWait resumes an attempt that waited for a reusable connection, or ends it if it is no longer allowed.
 func (p *Proxy) resumeAfterWait(now policy.Time, r *connstate.Request) {
-	p.endpointConns(r.AttemptEndpoint).Awaited--
+	p.endpointConns(r.AttemptEndpoint).AwaitingReuse--
 	switch {
 	case r.AttemptEndpoint.Draining:
 		p.endAttempt(now, r, policy.NotConnected, false)
@@ -286,7 +286,7 @@
 }
 
 // hasAttempt reports whether the request has an attempt with a connection, or one that waits for a reusable one.
-func hasAttempt(r *connstate.Request) bool { return r.AttemptConn != nil || r.RestTimer.Active() }
+func hasAttempt(r *connstate.Request) bool { return r.AttemptConn != nil || r.ReuseTimer.Active() }
 
 // endAttempt ends the attempt in flight.
 func (p *Proxy) endAttempt(at policy.Time, r *connstate.Request, outcome policy.Outcome, reusable bool) {
@@ -297,10 +297,10 @@
 // detachEndpoint separates the request from its connection to an endpoint. An established connection is kept if it is
 // reusable and closed otherwise. One that is still being dialled has carried nothing and is kept once established.
 func (p *Proxy) detachEndpoint(at policy.Time, r *connstate.Request, reusable bool) {
-	r.RestAwaited = false
-	if r.RestTimer.Active() {
-		p.Timers.Stop(&r.RestTimer)
-		p.endpointConns(r.AttemptEndpoint).Awaited--
+	r.ReuseAwaited = false
+	if r.ReuseTimer.Active() {
+		p.Timers.Stop(&r.ReuseTimer)
+		p.endpointConns(r.AttemptEndpoint).AwaitingReuse--
 	}
 	c := r.AttemptConn
 	if c == nil {
--- a/internal/httpproxy/limits_test.go
+++ b/internal/httpproxy/limits_test.go
@@ -119,7 +119,7 @@
 		}
 		clients = append(clients, c)
 	}
-	idle := r.conns.ExcessResting
+	idle := r.conns.MaxIdleClients
 	if idle != 20 || closes != 40-idle-1 {
 		t.Errorf("%d responses closed their connection, %d may rest", closes, idle)
 	}
@@ -137,8 +137,8 @@
 	}
 	last.Close()
 	r.shutdown()
-	if r.conns.RestingCount != 0 {
-		t.Errorf("%d connections rest after the shutdown", r.conns.RestingCount)
+	if r.conns.IdleClients != 0 {
+		t.Errorf("%d connections rest after the shutdown", r.conns.IdleClients)
 	}
 }
 
--- a/internal/httpproxy/operated_test.go
+++ b/internal/httpproxy/operated_test.go
@@ -58,9 +58,9 @@
 	}
 	var listed, unknownListed bool
 	var started policy.Time
-	r.RunOnLoop(func() { listed, unknownListed = r.Listed("s-0"), r.Listed("s-9") })
-	if !listed || unknownListed || r.Tally.Endpoints.Load() != 2 || r.Tally.Unavailable.Load() != 1 {
-		t.Error(listed, unknownListed, r.Tally.Endpoints.Load(), r.Tally.Unavailable.Load())
+	r.RunOnLoop(func() { listed, unknownListed = r.WasListed("s-0"), r.WasListed("s-9") })
+	if !listed || unknownListed || r.Metrics.Endpoints.Load() != 2 || r.Metrics.Unavailable.Load() != 1 {
+		t.Error(listed, unknownListed, r.Metrics.Endpoints.Load(), r.Metrics.Unavailable.Load())
 	}
 	before := r.Clock.Now()
 	r.drainByOperator()
@@ -78,7 +78,7 @@
 	if counts := requestsTo(40); counts[0] == 0 {
 		t.Error("not used again", counts)
 	}
-	if r.Tally.Unavailable.Load() != 0 {
+	if r.Metrics.Unavailable.Load() != 0 {
 		t.Error("still counted as unavailable")
 	}
 }
@@ -176,7 +176,7 @@
 	for range 3 {
 		time.Sleep(150 * time.Millisecond)
 		fresh := startProcess(true)
-		if fresh.Ready() && !fresh.Tally.HasList.Load() {
+		if fresh.Ready() && !fresh.Metrics.HasList.Load() {
 			t.Error("ready without an endpoint list")
 		}
 		time.Sleep(100 * time.Millisecond)
--- a/internal/httpproxy/races_test.go
+++ b/internal/httpproxy/races_test.go
@@ -189,7 +189,7 @@
 		} else {
 			s.TimedOut(now, request.Request)
 		}
-		s.RunSteps(now)
+		s.ReportEndedAttempts(now)
 		if n := s.Counters.Outcomes[k.want]; !k.notEnded && n != 1 || k.notEnded && request.AttemptConn == nil {
 			t.Errorf("%+v: outcomes %v", k, s.Counters.Outcomes)
 		}
--- a/internal/httpproxy/responses.go
+++ b/internal/httpproxy/responses.go
@@ -122,7 +122,7 @@
 // while too many are open or resting. That is the only moment at which no request can be on its way.
 func (p *Proxy) closesAfterResponse() bool {
 	_, shuttingDown := p.ShuttingDown()
-	return shuttingDown || p.overClientLimit || p.conns.RestingCount > p.conns.ExcessResting
+	return shuttingDown || p.overClientLimit || p.conns.IdleClients > p.conns.MaxIdleClients
 }
 
 // responseSent prepares a client connection for its next request, or has it closed once the response is written.
@@ -146,7 +146,7 @@
 	case c.Input.Buffer != nil:
 		p.ready = append(p.ready, c)
 	default:
-		p.conns.MarkResting(c)
+		p.conns.MarkIdle(c)
 		p.Timers.Set(&c.Timer, now+idleCloseAfter)
 	}
 }
--- a/internal/httpproxy/stream.go
+++ b/internal/httpproxy/stream.go
@@ -208,7 +208,7 @@
 	if c := p.detachClientForResponse(now, r); c != nil {
 		p.responseSent(now, c, r.CloseAfter)
 	}
-	p.Done(r.Request)
+	p.FinishRequest(r.Request)
 }
 
 // breakStream ends a stream whose response remains incomplete. The client notices that the connection closes before the
@@ -228,7 +228,7 @@
 			p.closeConn(c)
 		}
 	}
-	p.Done(r.Request)
+	p.FinishRequest(r.Request)
 }
 
 func (p *Proxy) detachStream(now policy.Time, r *connstate.Request, reusable bool) {
@@ -266,7 +266,7 @@
 	case r.Upload.Active: // the client's deadline counts from the end of the request body
 		deadline = c.Progress.At + streamStallTimeout
 	default:
-		clientDeadline := r.ReceivedAt + r.ClientTimeLeft - engine.BeforeDeadline*p.Settings.Tick
+		clientDeadline := r.ReceivedAt + r.ClientTimeLeft - engine.DeadlineMarginTicks*p.Settings.Tick
 		deadline = streamDeadline(c.Frame, c.Progress.At, clientDeadline)
 	}
 	if now >= deadline {
--- a/internal/httpproxy/stream_test.go
+++ b/internal/httpproxy/stream_test.go
@@ -144,7 +144,7 @@
 				h, maxHeld := sha256.New(), int64(0)
 				for err == nil {
 					_, err = io.CopyN(h, a.Body, 32<<10)
-					maxHeld = max(maxHeld, int64(r.buffers.Lent()))
+					maxHeld = max(maxHeld, int64(r.buffers.InUse()))
 					time.Sleep(pace)
 				}
 				if [32]byte(h.Sum(nil)) != digestOf(longBody) {
@@ -187,7 +187,7 @@
 				t.Errorf("%d bytes received, %v", n, err)
 			}
 			r.RunOnLoop(func() {
-				if r.Counters.Attempts != 1 || r.Counters.StreamsBroken != 1 || r.Tally.Answered[0][2].Load() != 1 {
+				if r.Counters.Attempts != 1 || r.Counters.StreamsBroken != 1 || r.Metrics.Answered[0][2].Load() != 1 {
 					t.Error(r.Counters.Attempts, r.Counters.StreamsBroken)
 				}
 			})
@@ -276,7 +276,7 @@
 			case <-done:
 				return
 			default:
-				maxHeld.Store(max(maxHeld.Load(), int64(r.buffers.Lent())))
+				maxHeld.Store(max(maxHeld.Load(), int64(r.buffers.InUse())))
 				time.Sleep(time.Millisecond)
 			}
 		}
@@ -294,7 +294,7 @@
 	if m := maxHeld.Load(); m > 5<<20 {
 		t.Errorf("%d bytes of buffers were in use", m)
 	}
-	if written := r.Tally.Written.Load(); written != 8 {
+	if written := r.Metrics.Written.Load(); written != 8 {
 		t.Errorf("%d written requests counted, want 8", written)
 	}
 }
@@ -351,7 +351,7 @@
 			t.Error(n, a.Status)
 		}
 	}
-	if r.Tally.Written.Load() != 0 || r.Tally.Pending.Load() != 0 {
-		t.Error(r.Tally.Written.Load(), r.Tally.Pending.Load())
+	if r.Metrics.Written.Load() != 0 || r.Metrics.Pending.Load() != 0 {
+		t.Error(r.Metrics.Written.Load(), r.Metrics.Pending.Load())
 	}
 }
--- a/internal/httpproxy/upload.go
+++ b/internal/httpproxy/upload.go
@@ -13,7 +13,7 @@
 
 // maxCollected returns how many bytes of one body are collected before it is streamed.
 func (p *Proxy) maxCollected() int {
-	if p.buffers.Lent() > p.buffers.Limit/2 {
+	if p.buffers.InUse() > p.buffers.Limit/2 {
 		return maxBody
 	}
 	return max(maxBody, p.buffers.Limit/6)
