--- a/internal/httpproxy/attempts_test.go
+++ b/internal/httpproxy/attempts_test.go
@@ -17,41 +17,41 @@
 )
 
 func TestBodiesAreForwardedUnchangedOnReusedConnections(t *testing.T) {
-	server := newFakeEndpoint(t)
-	r, _ := startProxy(t, nil, server.Addr().String())
+	endpoint := newFakeEndpoint(t)
+	r, _ := startProxy(t, nil, endpoint.Addr().String())
 	c := r.client()
 	for _, size := range []int{0, 1, 2000, 5000, maxBody} {
-		for _, act := range []string{"echo", "slow"} {
-			time.Sleep(time.Duration(restTime + 5*policy.Millisecond)) // for what may still come behind the last response
+		for _, behaviour := range []string{"echo", "slow"} {
+			time.Sleep(time.Duration(reuseDelay + 5*policy.Millisecond)) // until the connection may be reused
 			body := strings.Repeat("b", size)
-			id := c.send("step/"+act, body, "X-Priority-Class: step\r\nX-Attrs: a=1\r\n")
+			id := c.send("step/"+behaviour, body, "X-Priority-Class: step\r\nX-Attrs: a=1\r\n")
 			if answer, got := c.receive(); answer.StatusCode != 200 || got != body || answer.Close {
-				t.Errorf("%s %d: %d, %d bytes", act, size, answer.StatusCode, len(got))
+				t.Errorf("%s %d: %d, %d bytes", behaviour, size, answer.StatusCode, len(got))
 			}
-			if n, _ := server.count(id); n != 1 {
-				t.Errorf("%s %d: seen %d times", act, size, n)
+			if n, _ := endpoint.count(id); n != 1 {
+				t.Errorf("%s %d: seen %d times", behaviour, size, n)
 			}
 		}
 	}
-	if _, conns := server.count(""); conns != 1 {
-		t.Errorf("%d connections for requests one after another", conns)
+	if _, conns := endpoint.count(""); conns != 1 {
+		t.Errorf("%d connections for sequential requests", conns)
 	}
-	server.mu.Lock()
-	defer server.mu.Unlock()
-	if q, w := server.last.URL.RequestURI(), server.last.Header.Get("X-Timeout"); q != "/step/slow?q=1" ||
-		server.last.Header.Get("X-Attrs") != "a=1" || w <= "0.4" || w >= "1.0" {
-		t.Errorf("went on as %s, waiting %s", q, w)
+	endpoint.mu.Lock()
+	defer endpoint.mu.Unlock()
+	if q, w := endpoint.last.URL.RequestURI(), endpoint.last.Header.Get("X-Timeout"); q != "/step/slow?q=1" ||
+		endpoint.last.Header.Get("X-Attrs") != "a=1" || w <= "0.4" || w >= "1.0" {
+		t.Errorf("forwarded as %s with timeout %s", q, w)
 	}
 }
 
 func TestRequestAndResponseFramings(t *testing.T) {
-	server := newFakeEndpoint(t)
-	r, _ := startProxy(t, nil, server.Addr().String())
-	for _, act := range []string{"chunked", "close"} {
+	endpoint := newFakeEndpoint(t)
+	r, _ := startProxy(t, nil, endpoint.Addr().String())
+	for _, behaviour := range []string{"chunked", "close"} {
 		c := r.client()
-		c.send("step/"+act, "some body that is longer than one piece", "")
+		c.send("step/"+behaviour, "some body that is longer than one piece", "")
 		if answer, got := c.receive(); answer.StatusCode != 200 || got != "some body that is longer than one piece" {
-			t.Errorf("%s: %d %q", act, answer.StatusCode, got)
+			t.Errorf("%s: %d %q", behaviour, answer.StatusCode, got)
 		}
 	}
 	c := r.client()
@@ -61,7 +61,7 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	if answer, _ := http.ReadResponse(c.in, nil); answer == nil || answer.StatusCode != 100 {
-		t.Error("not asked for the body")
+		t.Error("no 100 Continue")
 	}
 	if answer, got := c.receive(); answer.StatusCode != 200 || got != "abcde" {
 		t.Errorf("%d %q", answer.StatusCode, got)
@@ -75,10 +75,11 @@
 	}
 }
 
-// Each way in which an attempt ends, by the idempotency of the request: how often endpoints see it, and what the client gets.
+// Checks for each outcome of an attempt, by the idempotency of the request, how often endpoints see the request and which response the
+// client gets.
 func TestOutcomesOfAttempts(t *testing.T) {
 	for _, k := range []struct {
-		act            string
+		behaviour      string
 		step, note     int // status of the response, idempotent and keyed
 		once, onceSeen int
 		outcome        policy.Outcome
@@ -93,45 +94,45 @@
 		{"declined", 422, 422, 422, 1, policy.Declined},
 		{"silent", 503, 502, 502, 1, policy.TimedOut},
 	} {
-		servers := []*fakeEndpoint{newFakeEndpoint(t), newFakeEndpoint(t), newFakeEndpoint(t)}
+		endpoints := []*fakeEndpoint{newFakeEndpoint(t), newFakeEndpoint(t), newFakeEndpoint(t)}
 		var addrs []string
-		for _, s := range servers {
+		for _, s := range endpoints {
 			addrs = append(addrs, s.Addr().String())
 		}
 		r, _ := startProxy(t, nil, addrs...)
 		for class, want := range map[string]int{"step": k.step, "note": k.note, "once": k.once} {
 			c, began := r.client(), time.Now()
-			id := c.send(class+"/"+k.act, "b", "")
+			id := c.send(class+"/"+k.behaviour, "b", "")
 			answer, _ := c.receive()
 			if answer.StatusCode != want || answer.StatusCode == 503 && answer.Header.Get("Retry-After") == "" {
-				t.Errorf("%s of %s: %d, want %d", k.act, class, answer.StatusCode, want)
+				t.Errorf("%s of %s: %d, want %d", k.behaviour, class, answer.StatusCode, want)
 			}
-			if took := time.Since(began); took > 1050*time.Millisecond || k.act == "icy" && took > 200*time.Millisecond {
-				t.Errorf("%s of %s: answered after %v", k.act, class, time.Since(began))
+			if took := time.Since(began); took > 1050*time.Millisecond || k.behaviour == "icy" && took > 200*time.Millisecond {
+				t.Errorf("%s of %s: answered after %v", k.behaviour, class, time.Since(began))
 			}
 			seen := 0
-			for _, s := range servers {
+			for _, s := range endpoints {
 				n, _ := s.count(id)
 				seen += n
 			}
 			if class == "once" && seen != k.onceSeen || seen == 0 || seen > 3 {
-				t.Errorf("%s of %s: seen %d times", k.act, class, seen)
+				t.Errorf("%s of %s: seen %d times", k.behaviour, class, seen)
 			}
 		}
 		r.shutdown()
 		if r.Counters.Outcomes[k.outcome] < 3 {
-			t.Errorf("%s: outcomes %v", k.act, r.Counters.Outcomes)
+			t.Errorf("%s: outcomes %v", k.behaviour, r.Counters.Outcomes)
 		}
 	}
 }
 
-// Bytes behind a response are not the response to the next request.
+// Surplus bytes after a response are not taken for the response to the next request.
 func TestDuplicateResponsesAreDiscarded(t *testing.T) {
-	server := newFakeEndpoint(t)
-	r, _ := startProxy(t, nil, server.Addr().String())
+	endpoint := newFakeEndpoint(t)
+	r, _ := startProxy(t, nil, endpoint.Addr().String())
 	c := r.client()
 	for i := range 300 {
-		body := strings.Repeat(fmt.Sprint(i%10), 1+i*43) // also over the capacities of buffers
+		body := strings.Repeat(fmt.Sprint(i%10), 1+i*43) // also larger than a buffer
 		c.send("step/copy", body, "")
 		if answer, got := c.receive(); answer.StatusCode != 200 || got != body {
 			t.Fatalf("%d: %d, %d bytes of %.1q, want %d of %.1q", i, answer.StatusCode, len(got), got, len(body), body)
@@ -139,7 +140,7 @@
 	}
 }
 
-// A connection that was never established proves that nothing was processed, also for non-idempotent requests.
+// A connection that was never established proves that the request was not processed, so even a non-idempotent one is retried.
 func TestRefusedConnectionsAreRetried(t *testing.T) {
 	up, down := newFakeEndpoint(t), newFakeEndpoint(t)
 	down.Close()
@@ -153,11 +154,11 @@
 	}
 	r.shutdown()
 	if r.Counters.Outcomes[policy.NotConnected] == 0 {
-		t.Error("the test reached no server that is down")
+		t.Error("no attempt went to the endpoint that is down")
 	}
 }
 
-// A request that was written only in part was not processed. Here the endpoint reads nothing, so the kernel takes only a part.
+// A request that was only partly written was not processed. Here the kernel has accepted 10 bytes of it.
 func TestPartlyWrittenRequestIsNotConnected(t *testing.T) {
 	l, err := net.Listen("tcp", loopbackAddr)
 	if err != nil {
@@ -179,14 +180,14 @@
 	}
 }
 
-func TestAttemptEndsWithItsClient(t *testing.T) {
-	server := newFakeEndpoint(t)
-	r, _ := startProxy(t, nil, server.Addr().String())
+func TestAttemptIsCancelledWhenClientDisconnects(t *testing.T) {
+	endpoint := newFakeEndpoint(t)
+	r, _ := startProxy(t, nil, endpoint.Addr().String())
 	for range 5 {
 		c := r.client()
 		id := c.send("step/silent", "b", "")
 		for i := 0; i < 200; i++ {
-			if n, _ := server.count(id); n > 0 {
+			if n, _ := endpoint.count(id); n > 0 {
 				break
 			}
 			time.Sleep(time.Millisecond)
@@ -196,6 +197,6 @@
 	time.Sleep(50 * time.Millisecond)
 	r.shutdown()
 	if r.Counters.ClientsDisconnected != 5 || r.Counters.Outcomes[policy.Cancelled] != 5 {
-		t.Errorf("left %d, outcomes %v", r.Counters.ClientsDisconnected, r.Counters.Outcomes)
+		t.Errorf("%d clients disconnected, outcomes %v", r.Counters.ClientsDisconnected, r.Counters.Outcomes)
 	}
 }
