--- a/internal/admin/collector.go
+++ b/internal/admin/collector.go
@@ -16,7 +16,7 @@
 
 // Collect implements prometheus.Collector.
 func (c collector) Collect(metrics chan<- prometheus.Metric) {
-	c.reporter.EachMetric(Metric(metrics, "See docs/oncall.md."))
+	c.reporter.EachMetric(MetricSender(metrics, "See docs/oncall.md."))
 	c.reporter.EachFigure(func(name, labels string, n int64, isCounter bool) {
 		names, values, err := parseLabels(labels)
 		if err != nil {
@@ -27,8 +27,8 @@
 	})
 }
 
-// Metric returns a function that passes each value on as a metric of the product, with that help text.
-func Metric(metrics chan<- prometheus.Metric, help string) func(name string, value float64, isCounter bool) {
+// MetricSender returns a function that passes each value on as a metric of the product, with that help text.
+func MetricSender(metrics chan<- prometheus.Metric, help string) func(name string, value float64, isCounter bool) {
 	return func(name string, value float64, isCounter bool) {
 		fullName := "pepperlead_" + name
 		if isCounter {
--- a/internal/coordinator/metrics.go
+++ b/internal/coordinator/metrics.go
@@ -49,7 +49,7 @@
 
 // Collect sends the current values.
 func (m metricsCollector) Collect(values chan<- prometheus.Metric) {
-	report := admin.Metric(values, "See docs/agreement.md.")
+	report := admin.MetricSender(values, "See docs/agreement.md.")
 	m.coordinator.EachMetric(report)
 	if cluster := m.coordinator.cluster.Load(); cluster != nil {
 		cluster.EachMetric(report)
