--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -48,7 +48,7 @@
 	SourceKind     SourceKind
 	Discovery      string                // address of the discovery service
 	Patterns       []string              // of endpoint files
-	Terms          endpointfiles.Limits  // on changes of endpoint files
+	FileLimits     endpointfiles.Limits  // on changes of endpoint files
 	Endpoints      []endpointfiles.Entry // of a fixed source
 	StateDirectory string                // empty: no state is stored
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -34,7 +34,7 @@
 		config.Deadlines[0] != 2*policy.Second || settings.Classes[0].Deadline != 2*policy.Second ||
 		!settings.FixedWeights || settings.StreamsPerConnection != 1 || config.ShutdownTime != 3*policy.Second ||
 		settings.TotalQuota != 250 || settings.ColdTime != 24*policy.Second ||
-		config.Patterns[0] != "../../deploy/servers.toml" || config.Terms.SettleTime != 200*policy.Millisecond {
+		config.Patterns[0] != "../../deploy/servers.toml" || config.FileLimits.SettleTime != 200*policy.Millisecond {
 		t.Errorf("%+v\n%+v", config, settings)
 	}
 	list, err := os.ReadFile(config.Patterns[0])
--- a/internal/config/source.go
+++ b/internal/config/source.go
@@ -45,7 +45,7 @@
 		}
 		c.Patterns = append(c.Patterns, resolvePath(directory, pattern))
 	}
-	c.Terms = endpointfiles.Limits{
+	c.FileLimits = endpointfiles.Limits{
 		MaxRemovedShare: t.Float("may_take_away", 0.5, 0, 1),
 		SettleTime:      t.Duration("settle", 200*policy.Millisecond, 0, 60*policy.Second),
 		MissingTime:     t.Duration("missing_for", 5*policy.Second, 0, 3600*policy.Second),
--- a/internal/daemon/productconfig.go
+++ b/internal/daemon/productconfig.go
@@ -133,7 +133,7 @@
 	now := clock.New().Now
 	switch in.SourceKind {
 	case config.Files:
-		source = discovery.NewFiles(in.Patterns, in.Terms, now)
+		source = discovery.NewFiles(in.Patterns, in.FileLimits, now)
 		descriptors = watchDescriptors
 	case config.Discovery:
 		platform := discovery.NewPlatform(in.Discovery, false)
