--- a/internal/endpointfiles/file.go
+++ b/internal/endpointfiles/file.go
@@ -82,7 +82,7 @@
 	if digest == "" || document.Err() != nil {
 		return
 	}
-	if digest != sealDigest(text[:document.LastAt], count, f.Issue, f.Removes) {
+	if digest != sealDigest(text[:document.LastTableOffset], count, f.Issue, f.Removes) {
 		allowed := "only the digest of what stands above it: look it over, then seal it"
 		closing.Fault("digest", strconv.Quote(digest), allowed)
 	}
--- a/internal/endpointfiles/seal.go
+++ b/internal/endpointfiles/seal.go
@@ -23,7 +23,7 @@
 			return nil, File{}, fmt.Errorf("%s:%d: %s: found before another table, allowed as the file's last",
 				name, root.Line(closingTable), closingTable)
 		}
-		above = text[:document.LastAt]
+		above = text[:document.LastTableOffset]
 		if issue == 0 {
 			issue = Issue(root.Table(closingTable).Count("issue", 0, 0, maxIssue-1)) + 1
 		}
--- a/internal/tomlfile/document.go
+++ b/internal/tomlfile/document.go
@@ -39,9 +39,9 @@
 	File      string
 	faults    []Fault
 	positions map[string]position // by the path of a key or table
-	// LastTable is the path of the last table header, and LastAt the offset of the line it is on.
-	LastTable string
-	LastAt    int
+	// LastTable is the path of the last table header, and LastTableOffset the offset of the line it is on.
+	LastTable       string
+	LastTableOffset int
 }
 
 // position is where a key is.
--- a/internal/tomlfile/positions.go
+++ b/internal/tomlfile/positions.go
@@ -64,7 +64,7 @@
 	if first := expression.Child(); first != nil {
 		offset := int(first.Raw.Offset)
 		s.doc.LastTable = path
-		s.doc.LastAt = 1 + bytes.LastIndexByte(s.text[:offset], '\n')
+		s.doc.LastTableOffset = 1 + bytes.LastIndexByte(s.text[:offset], '\n')
 		s.doc.positions[path] = position{s.doc.File, s.lineAt(offset)}
 	}
 	return path, err
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -30,8 +30,8 @@
 	if root.Line("name") != 1 || limits.Line("share") != 5 || endpoints[1].Line("id") != 10 || limits.Line("none") != 3 {
 		t.Errorf("%+v", doc.positions)
 	}
-	if doc.LastTable != "endpoint[1]" || document[doc.LastAt:] != "[[endpoint]]\nid = \"y\"\n" {
-		t.Errorf("last table %s at %d", doc.LastTable, doc.LastAt)
+	if doc.LastTable != "endpoint[1]" || document[doc.LastTableOffset:] != "[[endpoint]]\nid = \"y\"\n" {
+		t.Errorf("last table %s at %d", doc.LastTable, doc.LastTableOffset)
 	}
 	if err := doc.Err(); err != nil {
 		t.Error(err)
