--- a/cmd/pepperlead/demo.go
+++ b/cmd/pepperlead/demo.go
@@ -22,13 +22,13 @@
 		Example: "  pepperlead demo\n" +
 			"  pepperlead demo --listen 127.0.0.1:9000 --servers 10 --seed 7 --for 10s",
 	}
-	var scene demo.Scene
-	c.Flags().StringVar(&scene.Listen, "listen", "127.0.0.1:0",
+	var options demo.Options
+	c.Flags().StringVar(&options.Listen, "listen", "127.0.0.1:0",
 		"`address` of the daemon; port 0 takes any that is free")
-	c.Flags().IntVar(&scene.Servers, "servers", defaultDemoServers, "how many stand-in servers there are")
-	c.Flags().Uint64Var(&scene.Seed, "seed", 1,
+	c.Flags().IntVar(&options.Servers, "servers", defaultDemoServers, "how many stand-in servers there are")
+	c.Flags().Uint64Var(&options.Seed, "seed", 1,
 		"of all chance: one seed, one sequence of faults at each server")
-	c.Flags().DurationVar(&scene.For, "for", 0, "how long it runs (default until Ctrl-C)")
+	c.Flags().DurationVar(&options.Duration, "for", 0, "how long it runs (default until Ctrl-C)")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		log, err := daemon.NewLogger("warning", "text")
 		if err != nil {
@@ -36,7 +36,7 @@
 		}
 		ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 		defer cancel()
-		return demo.Run(ctx, scene, log, c.OutOrStdout())
+		return demo.Run(ctx, options, log, c.OutOrStdout())
 	}
 	return c
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -21,12 +21,12 @@
 	"pepperlead/policy"
 )
 
-// Scene is what a demo runs.
-type Scene struct {
-	Listen  string // of the daemon; port 0: any free one
-	Servers int
-	Seed    uint64
-	For     time.Duration // 0: until the context ends
+// Options are the options of a demo.
+type Options struct {
+	Listen   string // of the daemon; port 0: any free one
+	Servers  int
+	Seed     uint64
+	Duration time.Duration // 0: until the context ends
 }
 
 // Limits of the demo.
@@ -66,21 +66,21 @@
 	},
 }
 
-// Run runs the scene until its time or the context is over. It writes what there is to try and what was counted.
-func Run(ctx context.Context, scene Scene, log *logrus.Logger, out io.Writer) error {
-	if scene.Servers < 1 || scene.Servers > maxServers {
-		return fmt.Errorf("servers: found %d, allowed 1 to %d", scene.Servers, maxServers)
+// Run runs the demo until its time or the context is over. It writes what there is to try and what was counted.
+func Run(ctx context.Context, options Options, log *logrus.Logger, out io.Writer) error {
+	if options.Servers < 1 || options.Servers > maxServers {
+		return fmt.Errorf("servers: found %d, allowed 1 to %d", options.Servers, maxServers)
 	}
-	listen, err := freeAddress(scene.Listen)
+	listen, err := freeAddress(options.Listen)
 	if err != nil {
 		return err
 	}
 	var backends endpoints
 	defer backends.close()
-	if err := backends.start(scene); err != nil {
+	if err := backends.start(options); err != nil {
 		return err
 	}
-	daemon := httpproxy.New(config(scene, listen, &backends.list), log)
+	daemon := httpproxy.New(config(options, listen, &backends.list), log)
 	stop := make(chan os.Signal, 1)
 	ended := make(chan error, 1)
 	go func() { ended <- daemon.Run(stop, nil) }()
@@ -88,9 +88,9 @@
 		return err
 	}
 	p := printer{out}
-	p.printIntroduction(scene, listen)
-	if scene.For > 0 {
-		timed, cancel := context.WithTimeout(ctx, scene.For)
+	p.printIntroduction(options, listen)
+	if options.Duration > 0 {
+		timed, cancel := context.WithTimeout(ctx, options.Duration)
 		defer cancel()
 		ctx = timed
 	}
@@ -119,11 +119,11 @@
 }
 
 // config returns the configuration of the daemon.
-func config(scene Scene, listen string, source discovery.Source) httpproxy.Config {
+func config(options Options, listen string, source discovery.Source) httpproxy.Config {
 	return httpproxy.Config{
 		Listen:         listen,
 		Source:         source,
-		Seed:           scene.Seed,
+		Seed:           options.Seed,
 		Descriptors:    descriptors,
 		MessageMemory:  messageMemory,
 		ConnectTimeout: 200 * policy.Millisecond,
@@ -156,10 +156,10 @@
 	list    discovery.Fixed
 }
 
-// start starts the endpoints of the scene. After an error those started before are running.
-func (e *endpoints) start(scene Scene) error {
+// start starts the endpoints of the demo. After an error those started before are running.
+func (e *endpoints) start(options Options) error {
 	e.list.Label = "stand-ins of the demo"
-	for i := range scene.Servers {
+	for i := range options.Servers {
 		traits := fakebackend.Traits{
 			Name:   fmt.Sprintf("s-%d", i+1),
 			Cores:  2,
@@ -167,7 +167,7 @@
 			Work:   20 * time.Millisecond,
 			Warm:   2 * time.Second,
 			Cold:   4,
-			Seed:   scene.Seed + uint64(i),
+			Seed:   options.Seed + uint64(i),
 			Faults: fakebackend.Faults{Errors: faultRate, Resets: faultRate, Slow: faultRate},
 		}
 		server, err := fakebackend.Start("127.0.0.1:0", traits)
@@ -196,12 +196,12 @@
 func (p printer) printf(format string, values ...any) { _, _ = fmt.Fprintf(p.out, format, values...) }
 
 // printIntroduction prints what there is to try.
-func (p printer) printIntroduction(scene Scene, listen string) {
+func (p printer) printIntroduction(options Options, listen string) {
 	p.printf("%d stand-in servers, one daemon before them at %s. Try:\n\n    curl -i http://%s/step/hello\n"+
 		"    curl -i -H 'X-Route-Key: me' -d 'a note' -H 'Idempotency-Key: 1' http://%s/note\n"+
 		"    curl http://%s/_counters\n    curl http://%s/_servers\n\n",
-		scene.Servers, listen, listen, listen, listen, listen)
-	if scene.For <= 0 {
+		options.Servers, listen, listen, listen, listen, listen)
+	if options.Duration <= 0 {
 		p.printf("Ctrl-C ends it.\n")
 	}
 }
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -39,7 +39,7 @@
 	log.SetOutput(io.Discard)
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- Run(ctx, Scene{Listen: "127.0.0.1:0", Servers: 3, Seed: 1}, log, &out) }()
+	go func() { ended <- Run(ctx, Options{Listen: "127.0.0.1:0", Servers: 3, Seed: 1}, log, &out) }()
 	url := regexp.MustCompile(`curl -i (http://\S+)`)
 	for i := 0; !url.MatchString(out.String()); i++ {
 		if i > 500 {
@@ -62,7 +62,7 @@
 		!strings.Contains(out.String(), "    s-3: ") {
 		t.Errorf("%v, %d succeeded: %s", err, succeeded, out.String())
 	}
-	if err := Run(ctx, Scene{Servers: 0}, log, &out); err == nil || !strings.Contains(err.Error(), "allowed 1 to 200") {
+	if err := Run(ctx, Options{Servers: 0}, log, &out); err == nil || !strings.Contains(err.Error(), "allowed 1 to 200") {
 		t.Error(err)
 	}
 }
