--- a/internal/tomlfile/document.go
+++ b/internal/tomlfile/document.go
@@ -1,4 +1,4 @@
-// Package tomlfile reads TOML whose values know their lines, so that every fault is reported with its position: file,
+// Package tomlfile reads TOML and keeps the line of each key, so that every fault is reported with its position: file,
 // line, key, what was found and what is allowed. All faults of a document are reported at once. The package reads bytes
 // and opens no files.
 package tomlfile
@@ -18,10 +18,10 @@
 	maxFoundLength = 48 // bytes of a value shown in a fault
 )
 
-// documentKey is the key of faults that concern all of the document.
+// documentKey is the key of faults that concern the whole document.
 const documentKey = "document"
 
-// Fault is one value that can't be used.
+// Fault is a key whose value is invalid, missing or unknown.
 type Fault struct {
 	File           string
 	Line           int
@@ -39,7 +39,7 @@
 	File      string
 	faults    []Fault
 	positions map[string]position // by the path of a key or table
-	// LastTable is the path of the last table header, and LastTableOffset the offset of the line it is on.
+	// LastTable is the path of the last table header, and LastTableOffset the offset of its line.
 	LastTable       string
 	LastTableOffset int
 }
@@ -50,7 +50,8 @@
 	line int
 }
 
-// Parse reads a document of up to maxBytes. If it is no TOML, the returned table is empty and Err returns the reason.
+// Parse parses a document of up to maxBytes. If it is not valid TOML, the returned table is empty and Err returns the
+// reason.
 func Parse(file string, text []byte, maxBytes int) (*Document, *Table) {
 	d := &Document{File: file, positions: map[string]position{}}
 	start := position{file, 1}
@@ -75,7 +76,7 @@
 	return d, &Table{doc: d, values: values, position: start}
 }
 
-// Err returns all faults, a line each and sorted by line, or nil if there are none.
+// Err returns an error with a line for each of the first maxFaults faults, sorted by line, or nil if there are none.
 func (d *Document) Err() error {
 	if len(d.faults) == 0 {
 		return nil
@@ -84,7 +85,7 @@
 	var lines []string
 	for i, fault := range d.faults {
 		if i == maxFaults {
-			lines = append(lines, fmt.Sprintf("%s: and %d more", d.File, len(d.faults)-i))
+			lines = append(lines, fmt.Sprintf("%s: and %d more faults", d.File, len(d.faults)-i))
 			break
 		}
 		lines = append(lines, fault.String())
--- a/internal/tomlfile/overlay.go
+++ b/internal/tomlfile/overlay.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Set replaces the value at a path within the table, such as load.part or offering[1].work. A value can't replace a
-// table, nor the other way round.
+// Set sets the value at a path within the table, such as load.part or offering[1].work. It can't replace a table or a
+// list.
 func (t *Table) Set(path string, value any) error {
 	table := t.values
 	parts := strings.Split(path, ".")
@@ -26,7 +26,7 @@
 		next, isTable := current.(map[string]any)
 		if !isTable {
 			if exists {
-				return fmt.Errorf("%s: %s is no table", path, part)
+				return fmt.Errorf("%s: %s is not a table", path, part)
 			}
 			return fmt.Errorf("%s: there is no %s", path, part)
 		}
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// elementAt returns the element of a list at an index that a path names.
+// elementAt returns the element of a list at the index in a path.
 func elementAt(value any, index, path string) (any, error) {
 	list, _ := value.([]any)
 	n, err := strconv.Atoi(index)
@@ -57,7 +57,7 @@
 	return list[n], nil
 }
 
-// Overlay adds the keys of base that the table doesn't have, table by table. A list, [[of tables]] too, replaces that
+// Overlay adds the keys of base that the table doesn't have, table by table. A list, also one of tables, replaces that
 // of base entirely. Faults name the file that a key is from.
 func (t *Table) Overlay(base *Table) {
 	overlayValues(t.values, base.values)
@@ -69,14 +69,14 @@
 }
 
 func overlayValues(top, base map[string]any) {
-	for key, below := range base {
-		above, exists := top[key]
+	for key, baseValue := range base {
+		topValue, exists := top[key]
 		if !exists {
-			top[key] = below
+			top[key] = baseValue
 			continue
 		}
-		topTable, topIsTable := above.(map[string]any)
-		baseTable, baseIsTable := below.(map[string]any)
+		topTable, topIsTable := topValue.(map[string]any)
+		baseTable, baseIsTable := baseValue.(map[string]any)
 		if topIsTable && baseIsTable {
 			overlayValues(topTable, baseTable)
 		}
--- a/internal/tomlfile/positions.go
+++ b/internal/tomlfile/positions.go
@@ -8,12 +8,12 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// maxDepth limits the parts of a dotted key and the levels of a value. Deeper ones cost memory by the square of their
-// length.
+// maxDepth limits the parts of a dotted key and the levels of a value. Deeper ones would cost memory proportional to
+// the square of their length.
 const maxDepth = 8
 
 // errTooDeep is returned for a document over maxDepth.
-var errTooDeep = errors.New("a key of more parts, or a value of more levels")
+var errTooDeep = errors.New("a key with too many parts or a value with too many levels")
 
 // positionScanner finds the line of each key and table header.
 type positionScanner struct {
@@ -25,13 +25,13 @@
 	line        int            // the line at that offset
 }
 
-// scanPositions notes the positions of all keys. It reports false, with a fault, if the document is too deep to be
-// read. Other errors are left to the reader proper, which describes them better.
+// scanPositions notes the positions of all keys. It adds a fault and returns false if the document is too deep. Syntax
+// errors are left to the TOML decoder, which describes them better.
 func (d *Document) scanPositions(text []byte) bool {
 	s := positionScanner{doc: d, text: text, arrayLength: map[string]int{}, line: 1}
 	s.parser.Reset(text)
 	if err := s.scan(); err != nil {
-		allowed := fmt.Sprintf("%d parts and levels at most", maxDepth)
+		allowed := fmt.Sprintf("at most %d parts and levels", maxDepth)
 		d.add(position{d.File, s.line}, documentKey, err.Error(), allowed)
 		return false
 	}
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// header notes a table header and returns the table's path.
+// header notes the position of a table header and returns the table's path.
 func (s *positionScanner) header(expression *unstable.Node) (string, error) {
 	path, err := s.path("", expression.Key(), expression.Kind == unstable.ArrayTable)
 	if first := expression.Child(); first != nil {
@@ -70,29 +70,29 @@
 	return path, err
 }
 
-// path notes the position of each part of a dotted key within a table and returns the full path. With array, the key
-// is the header of another table of an array.
-func (s *positionScanner) path(table string, keys unstable.Iterator, array bool) (string, error) {
+// path notes the position of each part of a dotted key within a table and returns the full path. isArray is set if the
+// key is the header of the next table of an array.
+func (s *positionScanner) path(table string, keys unstable.Iterator, isArray bool) (string, error) {
 	path := table
 	for parts := 1; keys.Next(); parts++ {
 		if parts > maxDepth {
 			return path, errTooDeep
 		}
 		path = joinPath(path, string(keys.Node().Data))
-		if array && keys.IsLast() {
+		if isArray && keys.IsLast() {
 			s.arrayLength[path]++
 		}
 		if length := s.arrayLength[path]; length > 0 {
 			path = fmt.Sprintf("%s[%d]", path, length-1)
 		}
-		if _, known := s.doc.positions[path]; !known {
+		if _, exists := s.doc.positions[path]; !exists {
 			s.doc.positions[path] = position{s.doc.File, s.lineAt(int(keys.Node().Raw.Offset))}
 		}
 	}
 	return path, nil
 }
 
-// lineAt returns the line of an offset. Offsets are asked for in ascending order, except within a line.
+// lineAt returns the line of an offset. Offsets must be passed in ascending order, except within a line.
 func (s *positionScanner) lineAt(offset int) int {
 	for ; s.scanned < offset; s.scanned++ {
 		if s.text[s.scanned] == '\n' {
--- a/internal/tomlfile/table.go
+++ b/internal/tomlfile/table.go
@@ -12,7 +12,7 @@
 	path     string
 	position position
 	values   map[string]any // nil if the table isn't in the document
-	known    []string       // keys that were read, in that order
+	known    []string       // keys that were read, in the order of reading
 }
 
 // Table returns the table under a key; it is empty if there is none.
@@ -54,18 +54,18 @@
 func (t *Table) Line(key string) int { return t.positionOf(key).line }
 
 func (t *Table) positionOf(key string) position {
-	if at, known := t.doc.positions[joinPath(t.path, key)]; known {
+	if at, exists := t.doc.positions[joinPath(t.path, key)]; exists {
 		return at
 	}
 	return t.position
 }
 
-// Fault reports that the value of the key can't be used.
+// Fault adds a fault of the key to the document.
 func (t *Table) Fault(key, found, allowed string) {
 	t.doc.add(t.positionOf(key), joinPath(t.path, key), found, allowed)
 }
 
-// Found returns the value of the key as faults show it.
+// Found returns the value of the key in the form in which faults show it.
 func (t *Table) Found(key string) string {
 	value, exists := t.values[key]
 	if !exists {
@@ -92,7 +92,8 @@
 	}
 }
 
-// Require reports each of the keys that is missing. A table that is missing itself is one fault, not several.
+// Require adds a fault for each of the keys that is missing. It adds none if the table itself is missing, so that a
+// missing required table is one fault, not several.
 func (t *Table) Require(keys ...string) {
 	if t.values == nil {
 		return
@@ -104,7 +105,7 @@
 	}
 }
 
-// RejectUnknown reports each key that was never read.
+// RejectUnknown adds a fault for each key that was never read.
 func (t *Table) RejectUnknown() {
 	var unknown []string
 	for key := range t.values {
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -19,7 +19,7 @@
 id = "y"
 `
 
-func TestValuesAndTheirLines(t *testing.T) {
+func TestValuesAndLinesAreRead(t *testing.T) {
 	doc, root := Parse("f", []byte(document), 1<<10)
 	limits := root.Table("limits")
 	endpoints := root.Tables("endpoint")
@@ -54,13 +54,13 @@
 	}
 }
 
-func TestDocumentsThatAreNotRead(t *testing.T) {
+func TestInvalidDocumentsAreRejected(t *testing.T) {
 	for text, want := range map[string]string{
 		strings.Repeat("#", 100):         "f:1: document: found 100 bytes, allowed at most 64",
-		"\na.b.c.d.e.f.g.h.i = 1":        "f:2: document: found a key of more parts",
-		"x = [[[[[[[[[[1]]]]]]]]]]":      "f:1: document: found a key of more parts, or a value of more levels",
+		"\na.b.c.d.e.f.g.h.i = 1":        "f:2: document: found a key with too many parts",
+		"x = [[[[[[[[[[1]]]]]]]]]]":      "f:1: document: found a key with too many parts or a value with too many levels",
 		"x = 1\ny =":                     "f:2: document: found ",
-		"[a]\nb = {c.d.e.f.g.h.i.j.k=1}": "f:2: document: found a key of more parts",
+		"[a]\nb = {c.d.e.f.g.h.i.j.k=1}": "f:2: document: found a key with too many parts",
 	} {
 		doc, root := Parse("f", []byte(text), 64)
 		if err := doc.Err(); err == nil || !strings.HasPrefix(err.Error(), want) || len(root.values) != 0 {
@@ -88,7 +88,7 @@
 		"limits":         "limits: found a table, allowed a value",
 		"endpoint[1]":    "endpoint[1]: found a table, allowed a value",
 		"endpoint[2].id": "endpoint[2].id: found 2, allowed 0 to 1",
-		"name.x":         "name.x: name is no table",
+		"name.x":         "name.x: name is not a table",
 		"none.x":         "none.x: there is no none",
 	} {
 		if err := root.Set(path, 1); err == nil || err.Error() != want {
--- a/internal/tomlfile/values.go
+++ b/internal/tomlfile/values.go
@@ -17,7 +17,7 @@
 	maxTimestampYear = 2200
 )
 
-// read returns the value of a key. It reports false if there is none, or, with a fault, if it has another type.
+// read returns the value of a key. It returns false if there is none, or, after adding a fault, if it has another type.
 func read[T any](t *Table, key, allowed string) (T, bool) {
 	t.markKnown(key)
 	value, exists := t.values[key]
@@ -32,7 +32,7 @@
 	return typed, ok
 }
 
-// validString reports whether a string has an allowed length.
+// validString reports whether a string has 1 to maxStringLength bytes.
 func validString(value string) bool { return value != "" && len(value) <= maxStringLength }
 
 // String reads a string of 1 to 255 bytes.
@@ -124,7 +124,7 @@
 	return value
 }
 
-// Duration reads a time from low to high, written as "400ms" or "2s".
+// Duration reads a duration from low to high, written like "400ms" or "2s".
 func (t *Table) Duration(key string, fallback, low, high policy.Time) policy.Time {
 	allowed := fmt.Sprintf(`a time as "400ms" or "2s", from %v to %v`, time.Duration(low), time.Duration(high))
 	text, ok := read[string](t, key, allowed)
@@ -139,7 +139,7 @@
 	return policy.Time(value)
 }
 
-// Timestamp reads a date with time and zone and returns its Unix time; it returns 0 if there is none.
+// Timestamp reads a date with time and zone and returns its Unix time in nanoseconds, or 0 if there is none.
 func (t *Table) Timestamp(key string) policy.Time {
 	const allowed = "a date, time and zone as 2026-12-01T08:00:00Z, from 1970 on"
 	value, ok := read[time.Time](t, key, allowed)
