--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -11,7 +11,7 @@
 )
 
 // minDeadlineTicks is the shortest deadline in ticks. The policy answers that many ticks before a deadline, so a
-// shorter one would leave no time.
+// shorter one would leave no time to serve the request.
 const minDeadlineTicks = 4
 
 // maxClassTime is the longest target latency and deadline.
@@ -26,13 +26,13 @@
 	maxQuantity = 1e9
 )
 
-// definitions has the line on which each name was defined first.
+// definitions maps each name to the line on which it was last defined.
 type definitions map[string]int
 
-// define notes a table's name and reports a fault if another table has it.
+// define notes the name of a table, and reports a fault if another table has the same name.
 func (d definitions) define(t *tomlfile.Table, name string) {
 	if line, defined := d[name]; defined && name != "" {
-		t.Fault("name", t.Found("name"), fmt.Sprintf("a name of its own: line %d has it", line))
+		t.Fault("name", t.Found("name"), fmt.Sprintf("a unique name: line %d has the same", line))
 	}
 	d[name] = t.Line("name")
 }
@@ -46,7 +46,7 @@
 		c.Methods = append(c.Methods, readMethods(t, methods))
 		if t.Bool("default", false) {
 			if c.DefaultClass != "" {
-				t.Fault("default", "true", "true for one offering; "+c.DefaultClass+" has it")
+				t.Fault("default", "true", "true for one offering only: "+c.DefaultClass+" has it already")
 			}
 			c.DefaultClass = class.Name
 		}
@@ -68,7 +68,7 @@
 	}
 	if !validClassName(class.Name) {
 		t.Fault("name", t.Found("name"),
-			"printable ASCII without / ? # and spaces, and no _ at its front: it is part of a path")
+			"printable ASCII without / ? # and spaces, not starting with _: the name is part of a path")
 	}
 	names.define(t, class.Name)
 	minDeadline := minDeadlineTicks * tick
@@ -95,15 +95,15 @@
 	return policy.Idempotency(t.OneOf("repeats", int(policy.NonIdempotent), "reissuable", "numbered", "at-most-once"))
 }
 
-// validClassName reports whether a name can be part of a URL's path without escapes. Paths with an underscore at their
-// front are the admin interface's.
+// validClassName reports whether a name can be part of a URL's path without escapes. Paths that start with an
+// underscore are reserved for operators.
 func validClassName(name string) bool {
 	return !strings.HasPrefix(name, "_") && !strings.ContainsFunc(name, func(r rune) bool {
 		return r <= ' ' || r >= 0x7f || strings.ContainsRune("/?#", r)
 	})
 }
 
-// readMethods reads the RPC methods of a class; no two classes have the same one.
+// readMethods reads the RPC methods of a class. It reports a fault if a method is invalid or defined already.
 func readMethods(t *tomlfile.Table, defined definitions) []string {
 	methods := t.Strings("methods")
 	for _, method := range methods {
@@ -112,7 +112,7 @@
 		case !validMethod(method):
 			t.Fault("methods", strconv.Quote(method), "/package.Service/Method, /package.Service/* or *")
 		case duplicate:
-			t.Fault("methods", strconv.Quote(method), fmt.Sprintf("each method once: line %d has it", line))
+			t.Fault("methods", strconv.Quote(method), fmt.Sprintf("each method only once: line %d has it", line))
 		}
 		defined[method] = t.Line("methods")
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,15 +19,15 @@
 // maxFileBytes is the largest size of a settings file.
 const maxFileBytes = 1 << 20
 
-// maxDefaultShutdownTime limits the shutdown time that follows from the deadlines. Supervisors kill a process after 90
-// s or less.
+// maxDefaultShutdownTime limits the default shutdown time, which is the longest deadline. Supervisors kill a process
+// after 90 s or less.
 const maxDefaultShutdownTime = 30 * policy.Second
 
 // Config is the configuration of an instance.
 type Config struct {
 	Name           string
 	Seed           uint64
-	Seeded         bool   // false: the seed is to be drawn
+	Seeded         bool   // false: no seed is configured, and one is drawn
 	Listen         string // for HTTP
 	Anonymous      bool   // requests without an ID are accepted
 	AdminAddress   string // for operators' commands; empty: none
@@ -43,7 +43,7 @@
 	DefaultClass   string        // the class of requests that name none
 	Methods        [][]string    // RPC methods by class: /package.Service/Method, /package.Service/* or *
 	KeyMetadata    string        // name of the RPC metadata that holds a request's key
-	KeyField       string        // name of the request message's field that holds it otherwise
+	KeyField       string        // name of the request message's field that holds it if no metadata does
 
 	SourceKind     SourceKind
 	Discovery      string                // address of the discovery service
@@ -109,7 +109,7 @@
 func requiredTables(root *tomlfile.Table, key string) []*tomlfile.Table {
 	tables := root.Tables(key)
 	if root.Has(key) && len(tables) == 0 {
-		root.Fault(key, root.Found(key), "one "+key+" at least")
+		root.Fault(key, root.Found(key), "at least one "+key)
 	}
 	return tables
 }
@@ -123,15 +123,15 @@
 	t.RejectUnknown()
 }
 
-// usedAddresses has the owner of each address that is listened on.
+// usedAddresses maps each listen address of the file to its owner, as faults name it.
 type usedAddresses map[string]string
 
-// readListener reads an optional listen address that nothing else may use.
+// readListener reads an optional listen address, which must differ from the used ones.
 func readListener(t *tomlfile.Table, name string, used usedAddresses) string {
 	address := readAddress(t, "listen", false)
 	if address != "" {
 		if owner, isUsed := used[address]; isUsed {
-			t.Fault("listen", t.Found("listen"), "another address than "+owner)
+			t.Fault("listen", t.Found("listen"), "an address other than "+owner)
 		}
 		used[address] = "that of [" + name + "]"
 	}
@@ -161,7 +161,7 @@
 	return level, format
 }
 
-// resolvePath makes a path relative to the directory of the settings file.
+// resolvePath resolves a path that may be relative to the directory of the settings file.
 func resolvePath(directory, path string) string {
 	if filepath.IsAbs(path) {
 		return path
@@ -169,7 +169,7 @@
 	return filepath.Join(directory, path)
 }
 
-// readAddress reads an IP address and port; without one it returns "".
+// readAddress reads an IP address and port. It returns "" if there is none.
 func readAddress(t *tomlfile.Table, key string, required bool) string {
 	if required {
 		t.Require(key)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,14 +12,14 @@
 const exampleFile = "../../deploy/standalone.toml"
 
 func exampleText(t testing.TB) string {
-	b, err := os.ReadFile(exampleFile)
+	text, err := os.ReadFile(exampleFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(b)
+	return string(text)
 }
 
-func TestExampleIsRead(t *testing.T) {
+func TestExampleIsParsed(t *testing.T) {
 	config, err := Read(exampleFile, []byte(exampleText(t)))
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 	}
 }
 
-// Each fault is reported with line, key, what was found and what is allowed, and all of them at once.
+// All faults are reported at once, each with its line, its key, what was found and what is allowed.
 func TestFaultsAreReportedAtOnce(t *testing.T) {
 	valid := exampleText(t)
 	var expected []string
@@ -70,7 +70,7 @@
 			`offering[0].cut_off: found "100ms", allowed at least the quoted time, 400ms`,
 		},
 		{`window = "2s"`, ``, "offering[1].window: found nothing, allowed a value: it must be given"},
-		{`name = "call"`, `name = "step"`, `offering[2].name: found "step", allowed a name of its own: line `},
+		{`name = "call"`, `name = "step"`, `offering[2].name: found "step", allowed a unique name: line `},
 		{
 			`repeats = "at-most-once"`, `group = "all"`,
 			`offering[2].group: found "all", allowed nothing: only with repeats`,
@@ -91,7 +91,7 @@
 	}
 	_, err := Read("x.toml", []byte(broken))
 	if err == nil {
-		t.Fatal("read")
+		t.Fatal("accepted")
 	}
 	lines := strings.Split(err.Error(), "\n")
 	for _, want := range expected {
@@ -123,12 +123,12 @@
 	}
 }
 
-func TestPeersAreReadOrFaultsReported(t *testing.T) {
-	good := "[peers]\nlisten = \"127.0.0.1:9003\"\ncluster = \"c\"\nkey_file = \"k\"\njoin = [\"10.0.0.8:9003\"]\n[limits]"
-	in, err := Read(exampleFile, []byte(strings.Replace(exampleText(t), "[limits]", good, 1)))
-	if err != nil || in.Peers.Listen != "127.0.0.1:9003" || in.Peers.KeyFile != "../../deploy/k" ||
-		len(in.Peers.Join) != 1 {
-		t.Errorf("%v %+v", err, in)
+func TestPeersAreParsedAndValidated(t *testing.T) {
+	peers := "[peers]\nlisten = \"127.0.0.1:9003\"\ncluster = \"c\"\nkey_file = \"k\"\njoin = [\"10.0.0.8:9003\"]\n[limits]"
+	config, err := Read(exampleFile, []byte(strings.Replace(exampleText(t), "[limits]", peers, 1)))
+	if err != nil || config.Peers.Listen != "127.0.0.1:9003" || config.Peers.KeyFile != "../../deploy/k" ||
+		len(config.Peers.Join) != 1 {
+		t.Errorf("%v %+v", err, config)
 	}
 	for _, change := range [][2]string{
 		{"9003\"\nc", "9000\"\nc"},
@@ -137,7 +137,7 @@
 		{`key_file = "k"`, ""},
 		{`name = "desk-1"`, ""},
 	} {
-		bad := strings.Replace(strings.Replace(exampleText(t), "[limits]", good, 1), change[0], change[1], 1)
+		bad := strings.Replace(strings.Replace(exampleText(t), "[limits]", peers, 1), change[0], change[1], 1)
 		if _, err := Read("x.toml", []byte(bad)); err == nil || !strings.Contains(err.Error(), "x.toml:") ||
 			!strings.Contains(err.Error(), ", allowed ") {
 			t.Errorf("%s: %v", change[1], err)
@@ -145,30 +145,30 @@
 	}
 }
 
-// Any text is read without a panic, and what is read can be served.
+// No text may cause a panic, and a configuration that is accepted must be complete and consistent.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(exampleText(f)))
 	f.Add([]byte("front = {http = {listen = '[::1]:1'}}\nsource = {kind = 'fixed', server = [{id = 'a', address = '[::1]:2'}]}\n" +
 		"[[offering]]\nname = 'a'\nquoted_time = '1s'\ncut_off = '2s'"))
-	f.Fuzz(func(t *testing.T, b []byte) {
-		in, err := Read("f", b)
+	f.Fuzz(func(t *testing.T, text []byte) {
+		config, err := Read("f", text)
 		if err != nil {
 			if !strings.HasPrefix(err.Error(), "f:") {
 				t.Fatal(err)
 			}
 			return
 		}
-		c := in.Settings
-		if len(c.Classes) == 0 || len(in.Deadlines) != len(c.Classes) || !endpointfiles.ValidAddress(in.Listen) ||
-			c.Instances < 1 ||
-			in.ShutdownTime <= 0 || in.SourceKind == Files && len(in.Patterns) == 0 ||
-			in.SourceKind == Fixed && len(in.Endpoints) == 0 {
-			t.Fatalf("%+v %+v", in, c)
+		settings := config.Settings
+		if len(settings.Classes) == 0 || len(config.Deadlines) != len(settings.Classes) || !endpointfiles.ValidAddress(config.Listen) ||
+			settings.Instances < 1 ||
+			config.ShutdownTime <= 0 || config.SourceKind == Files && len(config.Patterns) == 0 ||
+			config.SourceKind == Fixed && len(config.Endpoints) == 0 {
+			t.Fatalf("%+v %+v", config, settings)
 		}
-		for i, o := range c.Classes {
-			if o.Target <= 0 || in.Deadlines[i] < o.Target || o.Name == "" ||
-				(o.Idempotency == policy.Keyed) != (o.Window > 0) {
-				t.Fatalf("%+v", o)
+		for i, class := range settings.Classes {
+			if class.Target <= 0 || config.Deadlines[i] < class.Target || class.Name == "" ||
+				(class.Idempotency == policy.Keyed) != (class.Window > 0) {
+				t.Fatalf("%+v", class)
 			}
 		}
 	})
--- a/internal/config/coordinator.go
+++ b/internal/config/coordinator.go
@@ -15,7 +15,7 @@
 	Listen    string // for the other coordinators; by default the address at which they reach it
 	Members   []Coordinator
 	Lease     policy.Time
-	Drift     float64 // how much faster or slower any two clocks may run, as a fraction
+	Drift     float64 // by how much the rates of any two clocks may differ, as a fraction
 	Peers     Peers
 
 	LogLevel  string
@@ -73,7 +73,7 @@
 			AdminAddress: readAddress(t, "pages", true),
 		}
 		if names[member.Name] {
-			t.Fault("name", t.Found("name"), "a name of its own")
+			t.Fault("name", t.Found("name"), "a unique name")
 		}
 		names[member.Name] = true
 		t.RejectUnknown()
@@ -81,7 +81,7 @@
 	}
 	if count := len(c.Members); root.Has("keeper") && count%2 == 0 {
 		root.Fault("keeper", fmt.Sprintf("%d keepers", count),
-			"1, 3 or 5: of an even number no more may be lost than of one less")
+			"1, 3 or 5: an even number tolerates no more failures than one less")
 	}
 }
 
@@ -99,6 +99,6 @@
 		}
 	}
 	if c.Name != "" && len(c.Members) > 0 && !isMember {
-		instance.Fault("name", instance.Found("name"), "one of the keepers'")
+		instance.Fault("name", instance.Found("name"), "the name of one of the keepers")
 	}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -7,19 +7,19 @@
 	"pepperlead/internal/golden"
 )
 
-// readAs reads a text as one of the documents of this package.
-type readAs func(path string, text []byte) (any, error)
+// readFunc parses a text as one of the kinds of documents of this package.
+type readFunc func(path string, text []byte) (any, error)
 
-// TestDocumentsAreReadAsBefore holds the values that the documents of the repository, and some with each key, are read
-// as to those that they were read as before. The values stand in the order of their fields, without names.
-func TestDocumentsAreReadAsBefore(t *testing.T) {
+// The values parsed from the documents of the repository, and from test documents with each key, must be those of the
+// golden files, which have the values in the order of the struct fields, without names.
+func TestParsedDocumentsMatchGoldenFiles(t *testing.T) {
 	daemon := func(path string, text []byte) (any, error) { return Read(path, text) }
 	client := func(path string, text []byte) (any, error) { return ReadClient(path, text) }
 	rules := func(path string, text []byte) (any, error) { return ReadRules(path, text) }
 	coordinator := func(path string, text []byte) (any, error) { return ReadCoordinator(path, text) }
 	for _, document := range []struct {
 		path, golden string
-		read         readAs
+		read         readFunc
 	}{
 		{"../../deploy/standalone.toml", "standalone.values", daemon},
 		{"../../deploy/standalone.toml", "standalone-client.values", client},
--- a/internal/config/instance.go
+++ b/internal/config/instance.go
@@ -10,7 +10,7 @@
 	"pepperlead/policy"
 )
 
-// readInstance reads what the instance is and where it runs.
+// readInstance reads the name, zone, seed and weights of the instance, and the number of instances.
 func (c *Config) readInstance(t *tomlfile.Table) {
 	settings := c.Settings
 	c.Name = t.String("name", "pepperlead")
@@ -59,10 +59,10 @@
 	t.RejectUnknown()
 }
 
-// defaultTick is the policy's time step by default.
+// defaultTick is the default of the policy's time step.
 const defaultTick = 5 * policy.Millisecond
 
-// readColdStart reads how endpoints behave after their start.
+// readColdStart reads how endpoints warm up after their start, and how they behave under overload.
 func readColdStart(t *tomlfile.Table, settings *policy.Settings) {
 	settings.ColdCapacity = t.Float("share", 0.2, 0.001, 1)
 	settings.ColdTime = t.Duration("time", 24*policy.Second, 0, 3600*policy.Second)
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -11,22 +11,22 @@
 	Cluster           string
 	Join              []string // addresses of known members
 	KeyFile           string
-	AgreedRules       bool // rules come from the coordinators; the file's own apply until the cluster has some
+	AgreedRules       bool // rules come from the coordinators; those of the file apply until the cluster has some
 }
 
-// readPeers reads the cluster membership. Each member needs a name of its own, so the default name isn't enough.
+// readPeers reads the cluster membership. Each member needs a unique name, so the default name isn't enough.
 func readPeers(root *tomlfile.Table, directory string, used usedAddresses) Peers {
 	t := root.Table("peers")
 	if root.Has("peers") {
 		t.Require("listen", "cluster", "key_file")
 		if instance := root.Table("instance"); !instance.Has("name") {
-			t.Fault("listen", t.Found("listen"), "only with a name in [instance] that no other sidecar has")
+			t.Fault("listen", t.Found("listen"), "an address only if [instance] has a name that no other sidecar has")
 		}
 	}
 	var peers Peers
 	peers.Listen = readAddress(t, "listen", false)
 	if owner := used[peers.Listen]; peers.Listen != "" && owner != "" {
-		t.Fault("listen", t.Found("listen"), "another address than "+owner)
+		t.Fault("listen", t.Found("listen"), "an address other than "+owner)
 	}
 	peers.Advertise = readAddress(t, "advertise", false)
 	peers.Cluster = t.String("cluster", "")
--- a/internal/config/rules.go
+++ b/internal/config/rules.go
@@ -17,7 +17,7 @@
 	Settings  *policy.Settings      // classes, tenants, instances, cold start
 	Deadlines []policy.Time         // by class
 	Endpoints []endpointfiles.Entry // nil: the revision names none
-	Drained   []policy.EndpointID   // administratively drained, whatever lists them
+	Drained   []policy.EndpointID   // administratively drained, whatever their status in a list
 }
 
 // ReadRules reads a revision. Its error has a line for each fault.
@@ -34,7 +34,7 @@
 }
 
 func (r *Rules) readRoot(root *tomlfile.Table, file string) {
-	// Classes are read as those of an instance are.
+	// Classes have the same format as in an instance's configuration.
 	c := &Config{Settings: &policy.Settings{Tick: defaultTick}}
 	r.Settings = c.Settings
 	root.Require("fleet", "offering")
@@ -59,8 +59,8 @@
 	root.RejectUnknown()
 }
 
-// readFleet reads what concerns all instances and endpoints. It returns how long endpoints remember idempotency keys; 0
-// if the revision doesn't state it.
+// readFleet reads the number of instances, and returns how long endpoints remember idempotency keys, or 0 if the
+// revision doesn't state it.
 func readFleet(t *tomlfile.Table, settings *policy.Settings) policy.Time {
 	t.Require("instances")
 	settings.Instances = readInstances(t)
@@ -78,7 +78,7 @@
 	for i, class := range classes {
 		if class.Idempotency == policy.Keyed && class.Window > keyMemory {
 			tables[i].Fault("window", tables[i].Found("window"),
-				fmt.Sprintf("at most what servers keep, %v", time.Duration(keyMemory)))
+				fmt.Sprintf("at most fleet.servers_keep, %v", time.Duration(keyMemory)))
 		}
 	}
 }
--- a/internal/config/rules_test.go
+++ b/internal/config/rules_test.go
@@ -27,7 +27,7 @@
 address = "10.0.0.1:80"
 `
 
-func TestRulesAreRead(t *testing.T) {
+func TestRulesAreParsedAndValidated(t *testing.T) {
 	rules, err := ReadRules("v", []byte(rulesText))
 	if err != nil || rules.Settings.Instances != 7 || rules.Settings.ColdCapacity != 0.3 || len(rules.Endpoints) != 1 ||
 		rules.Deadlines[0] != 2*policy.Second ||
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestCoordinatorsAreRead(t *testing.T) {
+func TestCoordinatorConfigIsParsedAndValidated(t *testing.T) {
 	text := "[instance]\nname = \"k2\"\n[keep]\nfolder = \"f\"\n[peers]\nlisten = \"10.0.0.2:1\"\ncluster = \"c\"\nkey_file = \"k\"\n"
 	for _, name := range []string{"k1", "k2", "k3"} {
 		text += "[[keeper]]\nname = \"" + name + "\"\nlog = \"10.0.0." + name[1:] + ":4\"\npages = \"10.0.0." + name[1:] + ":5\"\n"
--- a/internal/config/source.go
+++ b/internal/config/source.go
@@ -23,7 +23,7 @@
 var sourceKeys = []struct {
 	kind     string
 	required string
-	keys     []string // that only this kind has
+	keys     []string // keys that only this kind has
 }{
 	Files: {
 		kind:     "files",
@@ -69,7 +69,7 @@
 			t.Require(source.required)
 			empty := len(c.Patterns)+len(c.Endpoints) == 0
 			if t.Has(source.required) && empty && c.SourceKind != Discovery {
-				t.Fault(source.required, t.Found(source.required), "one at least")
+				t.Fault(source.required, t.Found(source.required), "at least one")
 			}
 			continue
 		}
@@ -84,10 +84,10 @@
 	}
 }
 
-// checkEndpoints reports duplicates among the endpoints that a table lists. name stands for the list in the fault.
+// checkEndpoints reports duplicates among the endpoints that a table lists. name is the name of the list in the fault.
 func checkEndpoints(t *tomlfile.Table, name string, endpoints []endpointfiles.Entry) {
 	problem := endpointfiles.Join([]endpointfiles.File{{Name: name, Entries: endpoints}})
 	if problem != "" {
-		t.Fault("server", problem, "each id once, and one ready server at an address")
+		t.Fault("server", problem, "each id only once, and at most one ready server at each address")
 	}
 }
