--- a/internal/platformsettings/settings.go
+++ b/internal/platformsettings/settings.go
@@ -10,14 +10,14 @@
 	"pepperlead/policy"
 )
 
-// Indexes of choices: the last kind of weights that stay as they were announced, and the mode in which the endpoint
-// list is polled.
 const (
-	weightsRough  = 1
+	// weightsRough is the index of the last kind of weights that don't change once they are announced.
+	weightsRough = 1
+	// listOnRequest is the index of the mode in which the endpoint list is polled.
 	listOnRequest = 1
 )
 
-// Read returns the settings that the values hold, and all their faults as one error.
+// Read returns the settings that the values describe, and all their faults as one error.
 func Read(values *Values) (*policy.Settings, error) {
 	settings := &policy.Settings{
 		Instances:        max(1, values.Count("balancers")),
@@ -61,7 +61,7 @@
 	return streams
 }
 
-// elementPath returns the path under which the fields of a list's element are.
+// elementPath returns the prefix of the paths of the fields of a list's element.
 func elementPath(list string, index int) string { return list + "." + strconv.Itoa(index) + "." }
 
 func readClasses(values *Values, settings *policy.Settings) {
--- a/internal/platformsettings/settings_test.go
+++ b/internal/platformsettings/settings_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestSettingsAreRead(t *testing.T) {
+func TestSettingsAreParsed(t *testing.T) {
 	settings, err := Read(&Values{Text: validValues()})
 	if err != nil {
 		t.Fatal(err)
@@ -41,8 +41,8 @@
 	}
 }
 
-// Each fault has a line, in the order in which the values are read.
-func TestFaults(t *testing.T) {
+// The error has a line for each fault, in the order in which the values are read.
+func TestAllFaultsAreReported(t *testing.T) {
 	values := validValues()
 	maps.Copy(values, map[string]string{
 		"weight_kind": "heavy", "limits.cancel": "maybe", "tick_s": "nan", "limits.streams_per_conn": "0",
--- a/internal/platformsettings/values.go
+++ b/internal/platformsettings/values.go
@@ -13,12 +13,12 @@
 // maxSeconds is the longest duration, in seconds, that policy.Time can hold with a margin.
 const maxSeconds = 9e9
 
-// Values reads the values of flattened settings. Faults are collected in Err, so that all of them can be reported at
+// Values parses the values of flattened settings. Faults are collected in Err, so that all of them can be reported at
 // once.
 type Values struct {
 	Text   map[string]string // by path, such as limits.cancel
 	Err    error             // a line for each fault
-	failed map[string]bool   // paths whose fault is in Err
+	failed map[string]bool   // paths that have a fault in Err
 }
 
 // fail adds the first fault of a path to Err.
@@ -48,7 +48,7 @@
 	return text
 }
 
-// Float returns a finite number from 0 up.
+// Float returns the finite number from 0 up under the path.
 func (v *Values) Float(path string) float64 {
 	text := v.String(path)
 	number, err := strconv.ParseFloat(text, 64)
@@ -58,7 +58,7 @@
 	return number
 }
 
-// Count returns an integer of 16 bits.
+// Count returns the unsigned 16-bit integer under the path.
 func (v *Values) Count(path string) int {
 	text := v.String(path)
 	number, err := strconv.ParseUint(text, 10, 16)
@@ -68,7 +68,7 @@
 	return int(number)
 }
 
-// Duration returns a duration that is written in seconds.
+// Duration returns the duration under the path, which is written in seconds.
 func (v *Values) Duration(path string) policy.Time {
 	text := v.String(path)
 	duration, err := ParseDuration(path, text)
@@ -78,7 +78,7 @@
 	return duration
 }
 
-// Bool returns true or false.
+// Bool returns the boolean under the path.
 func (v *Values) Bool(path string) bool {
 	text := v.String(path)
 	value, err := ParseBool(path, text)
@@ -88,7 +88,7 @@
 	return value
 }
 
-// OneOf returns the index of the value among the choices.
+// OneOf returns the index of the value under the path among the choices.
 func (v *Values) OneOf(path string, choices ...string) int {
 	text := v.String(path)
 	for i, choice := range choices {
