--- a/internal/migration/json.go
+++ b/internal/migration/json.go
@@ -23,12 +23,12 @@
 	if err := decoder.Decode(&document); err != nil {
 		return Result{}, err
 	}
-	settings, _ := document["settings"].(map[string]any) // a valid configuration has both
+	settings, _ := document["settings"].(map[string]any) // a valid configuration has settings and limits
 	limits, _ := settings["limits"].(map[string]any)
 	if settings["weight_kind"] == "live" {
-		lines, _ := daemon.JSONLines(file, text) // it was parsed before
+		lines, _ := daemon.JSONLines(file, text) // daemon.Parse has parsed it already
 		return Result{}, fmt.Errorf("%s:%d: settings.weight_kind: found live, allowed nominal, rough or silent: "+
-			"this file has the new shape already", file, lines["settings.weight_kind"])
+			"this file is for a pool already", file, lines["settings.weight_kind"])
 	}
 	var converted Result
 	converted.noteClients(fmt.Sprint(document["listen"]))
@@ -37,10 +37,10 @@
 	converted.setMember(settings, "settings.", "weight_kind", "live")
 	converted.setMember(limits, "settings.limits.", "streams_per_conn", pool.Streams)
 	document["seed"] = fmt.Sprintf("%016x", pool.Seed)
-	converted.addUnconverted("seed", "each sidecar of a pool has its own; a new one was drawn")
+	converted.addUnconverted("seed", "each sidecar of a pool needs its own; a new one was drawn")
 	if document["known"] != nil {
 		delete(document, "known")
-		converted.addUnconverted("known", "the list in it has nominal sizes; the sidecar asks for a new one")
+		converted.addUnconverted("known", "the list in it has nominal weights; the sidecar requests a new one")
 	}
 	encoded, err := json.MarshalIndent(document, "", "  ")
 	if err != nil {
@@ -50,7 +50,7 @@
 	return converted, nil
 }
 
-// setMember sets a member of an object whose path in the document is given.
+// setMember sets a member of an object and notes the change. path is the prefix of the object's members in notes.
 func (m *Result) setMember(object map[string]any, path, name string, value any) {
 	old, exists := object[name]
 	object[name] = value
--- a/internal/migration/migration.go
+++ b/internal/migration/migration.go
@@ -1,7 +1,7 @@
-// Package migration converts a configuration of the old shape into the new one. In the old shape a sidecar runs beside
-// each client, and lists have nominal weights; in the new one a pool of sidecars serves all clients, weights follow the
-// load, and connections carry many requests. It converts text and does no I/O. docs/migration.md has the steps around
-// it.
+// Package migration converts the configuration of a sidecar that runs beside one client into that of a sidecar in a
+// pool, which serves all clients. In the old configuration lists have nominal weights; in the new one weights follow
+// the load, and connections carry many requests at once. The package converts text and does no I/O. docs/migration.md
+// describes the whole procedure.
 package migration
 
 import (
@@ -13,7 +13,7 @@
 	"pepperlead/internal/endpointfiles"
 )
 
-// maxConfigSize is how many bytes a configuration may have.
+// maxConfigSize is the largest size of a configuration in bytes.
 const maxConfigSize = 1 << 20
 
 // Bounds on the pool.
@@ -24,15 +24,15 @@
 	maxStreams  = 1 << 16
 )
 
-// Pool is what the new configuration says and the old one can't.
+// Pool has the values of the new configuration that the old one doesn't have.
 type Pool struct {
 	Listen   string // address at which clients reach this sidecar
 	Sidecars int    // sidecars in the pool
-	Streams  int    // requests that one connection carries at once
+	Streams  int    // requests that a connection may carry at once
 	Seed     uint64 // of this sidecar
 }
 
-// Result is a converted configuration, and what an operator should know about it.
+// Result is a converted configuration with notes for the operator.
 type Result struct {
 	Text        []byte
 	Changed     []string // keys with their old and new values
@@ -59,7 +59,7 @@
 	return converted, nil
 }
 
-// validate checks the bounds.
+// validate checks the address and the bounds.
 func (p Pool) validate() error {
 	if !endpointfiles.ValidAddress(p.Listen) {
 		return fmt.Errorf("listen: found %q, allowed an IP address and port, as 10.0.0.7:9000", p.Listen)
@@ -67,7 +67,7 @@
 	sidecarsValid := p.Sidecars >= minSidecars && p.Sidecars <= maxSidecars
 	streamsValid := p.Streams >= minStreams && p.Streams <= maxStreams
 	if !sidecarsValid || !streamsValid {
-		return fmt.Errorf("instances and streams: found %d and %d, allowed from 1 and from 2 to 65536",
+		return fmt.Errorf("instances and streams: found %d and %d, allowed 1 to 65536 and 2 to 65536",
 			p.Sidecars, p.Streams)
 	}
 	return nil
@@ -78,12 +78,12 @@
 	return bytes.HasPrefix(bytes.TrimSpace(text), []byte("{"))
 }
 
-// verify checks that a converted configuration is valid and has the pool's values: the old one may be written in a form
-// that the conversion does not expect.
+// verify checks that a converted configuration is valid and has the pool's values: it may not have them if the old one
+// is written in a form that the conversion does not expect.
 func verify(file string, text []byte, pool Pool) error {
 	config, err := daemon.Parse(file, text, noEnvironment)
 	if err != nil {
-		return fmt.Errorf("what was made of it cannot be served, and was thrown away:\n%w", err)
+		return fmt.Errorf("the converted configuration is invalid and was discarded:\n%w", err)
 	}
 	settings := config.Settings
 	settingsMatch := settings.StreamsPerConnection == pool.Streams && settings.Instances == pool.Sidecars
@@ -107,11 +107,11 @@
 	m.Unconverted = append(m.Unconverted, key+": "+reason)
 }
 
-// noteClients notes that clients must be reconfigured, if they reach the old sidecar on their own machine.
+// noteClients notes that clients must be reconfigured, if the old sidecar listens on a loopback address.
 func (m *Result) noteClients(listen string) {
 	host, _, err := net.SplitHostPort(listen)
 	if err == nil && net.ParseIP(host).IsLoopback() {
 		m.addUnconverted("clients",
-			"they asked "+listen+", on their own machine; they must be told of the pool's front")
+			"they used "+listen+", on their own machine; configure them with the address of the pool's front")
 	}
 }
--- a/internal/migration/migration_test.go
+++ b/internal/migration/migration_test.go
@@ -21,52 +21,55 @@
 {"name":"step","credit":5.0,"overdue_credit":0.2,"quoted_time_s":1.5,"cut_off_s":2.0,"idempotency":"retryable"}]}}`
 
 func readOldTOML(t *testing.T) string {
-	b, err := os.ReadFile(oldTOML)
+	text, err := os.ReadFile(oldTOML)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(b)
+	return string(text)
 }
 
-// Everything but what the pool needs has its old value; what was not converted is noted.
+// Every value that the pool doesn't change must stay, and each key that was not converted must be noted.
 func TestConvertedConfigurationsKeepOtherValues(t *testing.T) {
 	toml := strings.NewReplacer("# [state]\n# folder", "[state]\nfolder", `name = "desk-1" `, "seed = 'ab'\nname = \"desk-1\" ").Replace(readOldTOML(t))
 	for name, in := range map[string]string{"old.toml": toml, "old.json": oldJSON} {
-		m, err := Convert(name, []byte(in), pool)
+		result, err := Convert(name, []byte(in), pool)
 		if err != nil {
 			t.Fatal(err)
 		}
-		was, _ := daemon.Parse(name, []byte(in), noEnvironment)
-		is, err := daemon.Parse(name, m.Text, noEnvironment)
+		before, _ := daemon.Parse(name, []byte(in), noEnvironment)
+		after, err := daemon.Parse(name, result.Text, noEnvironment)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := *is.Settings
-		if c.FixedWeights || c.StreamsPerConnection != 100 || c.Instances != 12 || is.Listen != pool.Listen || len(m.Changed) != 4 || len(m.Unconverted) < 3 {
-			t.Errorf("%s: %+v\n%q\n%q", name, c, m.Changed, m.Unconverted)
+		newSettings := *after.Settings
+		if newSettings.FixedWeights || newSettings.StreamsPerConnection != 100 || newSettings.Instances != 12 ||
+			after.Listen != pool.Listen || len(result.Changed) != 4 || len(result.Unconverted) < 3 {
+			t.Errorf("%s: %+v\n%q\n%q", name, newSettings, result.Changed, result.Unconverted)
 		}
-		a := *was.Settings
-		if c.Classes[0] != a.Classes[0] || len(c.Classes) != len(a.Classes) || c.TotalQuota != a.TotalQuota || c.ColdTime != a.ColdTime ||
-			c.MaxRetryAfter != a.MaxRetryAfter || c.Zones != a.Zones || is.ShutdownTime != was.ShutdownTime || is.Descriptors != was.Descriptors {
-			t.Errorf("%s: something else has changed:\n%s", name, m.Text)
+		oldSettings := *before.Settings
+		if newSettings.Classes[0] != oldSettings.Classes[0] || len(newSettings.Classes) != len(oldSettings.Classes) ||
+			newSettings.TotalQuota != oldSettings.TotalQuota || newSettings.ColdTime != oldSettings.ColdTime ||
+			newSettings.MaxRetryAfter != oldSettings.MaxRetryAfter || newSettings.Zones != oldSettings.Zones ||
+			after.ShutdownTime != before.ShutdownTime || after.Descriptors != before.Descriptors {
+			t.Errorf("%s: something else has changed:\n%s", name, result.Text)
 		}
-		unconverted := strings.Join(m.Unconverted, "\n")
+		unconverted := strings.Join(result.Unconverted, "\n")
 		for _, key := range map[string][]string{"old.toml": {"instance.seed", "state.folder"}, "old.json": {"seed", "known"}}[name] {
 			if !strings.Contains(unconverted, key+": ") {
 				t.Errorf("%s: %s is not noted:\n%s", name, key, unconverted)
 			}
 		}
-		if strings.Contains(string(m.Text), "8c1f30d27a5be964") || strings.Contains(string(m.Text), "\nseed") {
+		if strings.Contains(string(result.Text), "8c1f30d27a5be964") || strings.Contains(string(result.Text), "\nseed") {
 			t.Errorf("%s: the seed was kept", name)
 		}
-		if _, err := Convert(name, m.Text, pool); err == nil || !strings.Contains(err.Error(), "new shape already") {
+		if _, err := Convert(name, result.Text, pool); err == nil || !strings.Contains(err.Error(), "for a pool already") {
 			t.Errorf("%s: converted twice: %v", name, err)
 		}
 	}
 }
 
-// What can't be converted is an error with file, line and key.
-func TestFaultsHaveTheirPlace(t *testing.T) {
+// The error of a configuration that can't be converted has file, line and key.
+func TestErrorsHaveFileLineAndKey(t *testing.T) {
 	valid := readOldTOML(t)
 	for _, c := range []struct{ name, in, want string }{
 		{"a.toml", strings.Replace(valid, "cancel = true", "cancel = 7", 1), "a.toml:26: limits.cancel: found 7, allowed true or false"},
--- a/internal/migration/toml.go
+++ b/internal/migration/toml.go
@@ -7,10 +7,10 @@
 	"pepperlead/internal/tomlfile"
 )
 
-// sourceKinds are the values of source.kind, in the order of the kinds below.
+// sourceKinds are the values of source.kind. sourceFiles and sourceFixed are indexes of it.
 var sourceKinds = []string{"files", "discovery", "fixed"}
 
-// The kinds of sources that need a note.
+// Indexes of the kinds of sources that need a note.
 const (
 	sourceFiles = 0
 	sourceFixed = 2
@@ -24,7 +24,7 @@
 	document, root := tomlfile.Parse(file, text, maxConfigSize)
 	instance := root.Table("instance")
 	if instance.OneOf("weights", 0, "nominal", "live") == 1 {
-		instance.Fault("weights", `"live"`, "nominal: this file has the new shape already")
+		instance.Fault("weights", `"live"`, "nominal: this file is for a pool already")
 	}
 	var converted Result
 	editor := newTOMLEditor(root, text, &converted)
@@ -33,8 +33,8 @@
 	editor.set("instance", "instances", strconv.Itoa(pool.Sidecars))
 	editor.set("instance", "weights", `"live"`)
 	editor.set("limits", "streams", strconv.Itoa(pool.Streams))
-	editor.commentOut("instance", "seed", "each sidecar of a pool draws its own")
-	editor.commentOut("state", "folder", "a list kept there has nominal sizes; name a new folder")
+	editor.commentOut("instance", "seed", "each sidecar of a pool draws its own seed")
+	editor.commentOut("state", "folder", "a list stored there has nominal weights; configure a new folder")
 	converted.noteSource(root.Table("source"))
 	if err := document.Err(); err != nil {
 		return Result{}, err
@@ -43,15 +43,15 @@
 	return converted, nil
 }
 
-// noteSource notes what an operator must change about the source of the list.
+// noteSource notes what the operator must change at the source of the endpoint list.
 func (m *Result) noteSource(source *tomlfile.Table) {
 	switch source.OneOf("kind", 0, sourceKinds...) {
 	case sourceFiles:
 		if !source.Bool("sealed", false) {
 			m.addUnconverted("source.files",
-				"a list renewed each second must be sealed, or it never holds still for source.settle")
+				"a list that is rewritten each second must be sealed, or it never stays unchanged for source.settle")
 		}
 	case sourceFixed:
-		m.addUnconverted("source.server", "weights written here never move with load: name a list that is renewed")
+		m.addUnconverted("source.server", "weights in this file never follow the load: use a list that is updated")
 	}
 }
--- a/internal/migration/tomleditor.go
+++ b/internal/migration/tomleditor.go
@@ -10,7 +10,7 @@
 var (
 	// headerPattern matches the header of a table. Its group is the table's path.
 	headerPattern = regexp.MustCompile(`^\s*\[\s*([A-Za-z0-9_.-]+)\s*\]`)
-	// entryPattern matches a key with a value on one line. Its groups are those of the entry type.
+	// entryPattern matches a key with a value on one line. Its groups are the fields of entry.
 	entryPattern = regexp.MustCompile(
 		`^(\s*)([A-Za-z0-9_-]+)(\s*=\s*)("[^"\\]*"|'[^']*'|[^\s#"'\[{]+)(\s*(?:#.*)?)$`)
 )
@@ -24,7 +24,7 @@
 	comment string
 }
 
-// parseEntry parses a line. It returns false if the line has another form.
+// parseEntry parses a line. It returns false if the line is not a key with a value.
 func parseEntry(line string) (entry, bool) {
 	groups := entryPattern.FindStringSubmatch(line)
 	if groups == nil {
@@ -36,16 +36,17 @@
 // String returns the line.
 func (e entry) String() string { return e.indent + e.key + e.equals + e.value + e.comment }
 
-// tomlEditor changes a TOML text line by line, so that comments and the order of lines stay. Lines are numbered from 1.
+// tomlEditor changes a TOML text line by line, so that comments and the order of lines are kept. Lines are numbered
+// from 1.
 type tomlEditor struct {
 	root    *tomlfile.Table
 	lines   []string
 	headers map[string]int   // line of a table's header, by the table's path
 	added   map[int][]string // lines to add after a line
-	result  *Result          // takes notes of changes
+	result  *Result          // receives notes of the changes
 }
 
-// newTOMLEditor returns an editor of a text whose parsed root is given.
+// newTOMLEditor returns an editor for a text. root is its parsed root table.
 func newTOMLEditor(root *tomlfile.Table, text []byte, result *Result) *tomlEditor {
 	e := &tomlEditor{
 		root:    root,
@@ -71,8 +72,8 @@
 	return table
 }
 
-// set sets the value of a key, and adds the key and its table if need be. A line that can't be changed is a fault of
-// the document.
+// set sets the value of a key, and adds the key and its table if need be. If the line can't be changed, it adds a fault
+// to the document.
 func (e *tomlEditor) set(path, key, value string) {
 	line := key + " = " + value
 	if table := e.table(path); table.Has(key) {
