--- a/internal/admin/collector.go
+++ b/internal/admin/collector.go
@@ -8,10 +8,10 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// collector passes the reporter's metrics and figures to Prometheus, made anew at each scrape.
+// collector reads the reporter's metrics and figures at each scrape.
 type collector struct{ reporter Reporter }
 
-// Describe describes nothing, as the metrics are known only when they are collected.
+// Describe sends no descriptions, because the metrics are known only when they are collected.
 func (collector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect implements prometheus.Collector.
@@ -27,7 +27,8 @@
 	})
 }
 
-// MetricSender returns a function that passes each value on as a metric of the product, with that help text.
+// MetricSender returns a function that sends a value as a Prometheus metric with the product's prefix and the help
+// text.
 func MetricSender(metrics chan<- prometheus.Metric, help string) func(name string, value float64, isCounter bool) {
 	return func(name string, value float64, isCounter bool) {
 		fullName := "pepperlead_" + name
@@ -46,7 +47,7 @@
 	return prometheus.GaugeValue
 }
 
-// parseLabels parses labels as the command server shows them: {lane="...",result="..."}, or nothing.
+// parseLabels parses labels in the command server's format: {lane="...",result="..."}, or an empty string.
 func parseLabels(labels string) (names, values []string, err error) {
 	rest := strings.Trim(labels, "{}")
 	for rest != "" {
--- a/internal/admin/commandserver.go
+++ b/internal/admin/commandserver.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// maxCommandConnections is how many connections may be open at once. For one more, the one that has waited for its
-	// command for longest is closed.
+	// maxCommandConnections is how many connections may be open at once. To accept one more, the server closes the
+	// connection that has waited longest for its command.
 	maxCommandConnections = 24
 	maxCommandLength      = 8 << 10
 	commandBufferSize     = 512
@@ -21,23 +21,23 @@
 	commandWriteTimeout   = 2 * time.Second
 	acceptRetryDelay      = 10 * time.Millisecond
 
-	// What follows a command is read and dropped for that long and up to that size: the kernel would take the answer
-	// back from a client if the connection were closed with bytes unread.
+	// Bytes that follow a command are read and discarded for lingerTimeout and up to maxLingerSize: if the connection
+	// were closed with bytes unread, the kernel would reset it, and the client could lose the answer.
 	lingerTimeout = 200 * time.Millisecond
 	maxLingerSize = 256 << 10
 
-	// CommandDescriptors are the descriptors that the command server may hold.
+	// CommandDescriptors is how many descriptors the command server may hold.
 	CommandDescriptors = maxCommandConnections + 4
 )
 
-// Operations carries out commands. Any goroutine may call it, and each call ends within a second.
+// Operations carries out commands. It is safe for concurrent use, and each call returns within a second.
 type Operations interface {
 	Ready() bool
 	AppendFigures(to []byte) []byte
 	SetDrained(uid string, drained bool) error
 }
 
-// CommandServer answers one command a connection. Only commands that change something wait for the engine's loop.
+// CommandServer answers one command per connection. Only commands that change something wait for the engine's loop.
 type CommandServer struct {
 	listener   net.Listener
 	operations Operations
@@ -45,17 +45,17 @@
 	mu      sync.Mutex
 	waiting list.List // connections without a complete command, the oldest first
 	open    int
-	slot    *sync.Cond // a connection has been closed
+	slot    *sync.Cond // signals that a connection was closed
 	closed  bool
 }
 
 // commandConn is a connection of the command server.
 type commandConn struct {
 	net.Conn
-	waiting *list.Element // nil once its command is complete, or it had to be closed
+	waiting *list.Element // nil once its command is complete or closeOldest has closed it
 }
 
-// ListenCommands serves at the address until Close.
+// ListenCommands starts a command server, which serves at the address until Close.
 func ListenCommands(address string, operations Operations) (*CommandServer, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -99,7 +99,7 @@
 	}
 }
 
-// add counts a connection, once there is a slot for it.
+// add waits until there is a slot for a connection, and registers it as waiting for its command.
 func (s *CommandServer) add(conn net.Conn) *commandConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,7 +112,7 @@
 	return c
 }
 
-// closeOldest closes the connection that has waited for its command for longest, if there is one.
+// closeOldest closes the connection that has waited longest for its command. It returns false if none waits.
 func (s *CommandServer) closeOldest() bool {
 	oldest := s.waiting.Front()
 	if oldest == nil {
@@ -156,7 +156,8 @@
 	return true
 }
 
-// respond sends an answer and lets the client read it. Errors mean that the client has gone.
+// respond writes an answer and gives the client time to read it. Errors are ignored: they mean that the client has
+// gone.
 func (s *CommandServer) respond(c *commandConn, answer []byte) {
 	_ = c.SetWriteDeadline(time.Now().Add(commandWriteTimeout))
 	_, _ = c.Write(answer)
--- a/internal/admin/commandserver_test.go
+++ b/internal/admin/commandserver_test.go
@@ -26,32 +26,32 @@
 }
 
 // sendCommand sends bytes and returns all that comes back.
-func sendCommand(t *testing.T, d *CommandServer, in string) string {
+func sendCommand(t *testing.T, server *CommandServer, sent string) string {
 	t.Helper()
-	c, err := net.Dial("tcp", d.Addr())
+	c, err := net.Dial("tcp", server.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(time.Second))
-	io.WriteString(c, in)
-	all, err := io.ReadAll(c)
+	io.WriteString(c, sent)
+	answer, err := io.ReadAll(c)
 	if err != nil {
-		t.Errorf("%.40q: %v", in, err)
+		t.Errorf("%.40q: %v", sent, err)
 	}
-	return string(all)
+	return string(answer)
 }
 
-// Each command gets its one answer, whatever was sent, also beside clients that hold more connections than there may be.
+// Each command gets exactly one answer, whatever was sent, while idle clients open more connections than are allowed.
 func TestCommandsAreAnsweredBesideIdleConnections(t *testing.T) {
 	operations := &fakeOperations{}
-	d, err := ListenCommands("127.0.0.1:0", operations)
+	server, err := ListenCommands("127.0.0.1:0", operations)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.Close()
+	defer server.Close()
 	for i := range 3 * maxCommandConnections {
-		c, err := net.Dial("tcp", d.Addr())
+		c, err := net.Dial("tcp", server.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -65,16 +65,16 @@
 		{"disable-server s-2\n", "ERR disable-server: no list has; ever named this id\n"}, {"disable-server\n", "ERR disable-server: found no id"},
 		{"enable-server s-1 s-2\n", "ERR enable-server: found no id"}, {"\n", "ERR no such call; allowed: ready, "},
 		{"\x00\xff\n", "ERR no such call"}, {strings.Repeat("x", 20<<10) + "\n", "ERR no such call"}} {
-		if got := sendCommand(t, d, c[0]); !strings.HasPrefix(got, c[1]) || !strings.HasSuffix(got, "\n") || got[0] == 'E' && strings.Count(got, "\n") != 1 {
+		if got := sendCommand(t, server, c[0]); !strings.HasPrefix(got, c[1]) || !strings.HasSuffix(got, "\n") || got[0] == 'E' && strings.Count(got, "\n") != 1 {
 			t.Errorf("%.30q: %q", c[0], got)
 		}
 	}
 	if operations.drained.Load() != false {
-		t.Error("not put back into use")
+		t.Error("the endpoint was not returned to service")
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.open > maxCommandConnections || d.waiting.Len() > d.open {
-		t.Errorf("%d open, %d of them waiting", d.open, d.waiting.Len())
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	if server.open > maxCommandConnections || server.waiting.Len() > server.open {
+		t.Errorf("%d open, %d of them waiting", server.open, server.waiting.Len())
 	}
 }
--- a/internal/admin/doc.go
+++ b/internal/admin/doc.go
@@ -1,4 +1,4 @@
-// Package admin has the two servers for operators: the command server, with one command and one answer a connection,
-// and the metrics server, with counters, endpoints and Prometheus metrics over HTTP. Each has an address of its own,
-// and is off where there is none.
+// Package admin has the two servers for operators: the command server, which answers one command per connection, and
+// the metrics server, which serves counters, endpoints and Prometheus metrics over HTTP. Each is enabled by its own
+// address in the configuration.
 package admin
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -17,9 +17,9 @@
 
 func (s *fakeReporterWithPeers) PeersReport() string { return "n-1 alive\n" }
 
-// TestPagesAreAsBefore holds the paths, statuses, types and texts of the pages, and the names, kinds, helps and labels of the
-// metrics, to what they were before. Metrics of the Go runtime and of the process are left out.
-func TestPagesAreAsBefore(t *testing.T) {
+// The paths, statuses, content types and texts of the metrics server's pages, and the names, kinds, help texts and
+// labels of the metrics, must be those of the golden file. Metrics of the Go runtime and of the process are left out.
+func TestPagesMatchGoldenFile(t *testing.T) {
 	reporter := &fakeReporterWithPeers{}
 	latency := NewLatency([]policy.Class{{Name: "step"}, {Name: "call"}})
 	for answer := range AnswerNames {
@@ -52,7 +52,7 @@
 	golden.Compare(t, "pages.txt", pages.Bytes())
 }
 
-// ownMetrics leaves the metrics of the Go runtime, of the process and of the handler out of that page.
+// ownMetrics removes the metrics of the Go runtime, of the process and of the HTTP handler from the page of metrics.
 func ownMetrics(path, body string) string {
 	if path != "/metrics" {
 		return body
@@ -66,8 +66,8 @@
 	return own.String()
 }
 
-// TestCommandsAreAnsweredAsBefore holds the answer to each command to what it was before.
-func TestCommandsAreAnsweredAsBefore(t *testing.T) {
+// The answer to each command must be that of the golden file.
+func TestAnswersToCommandsMatchGoldenFile(t *testing.T) {
 	commands, err := ListenCommands("127.0.0.1:0", &fakeOperations{})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/admin/latency.go
+++ b/internal/admin/latency.go
@@ -9,16 +9,16 @@
 // LatencyBuckets are the upper bounds of the latency histograms, in seconds.
 var LatencyBuckets = []float64{.001, .0025, .005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5, 10}
 
-// AnswerNames are the labels of the kinds of final answers, in the order of the engine's constants.
+// AnswerNames are the metric labels of the kinds of final responses, in the order of the engine's constants.
 var AnswerNames = []string{"honoured", "declined", "turned_back", "given_up"}
 
-// Latency measures final answers by class and kind. Observing allocates nothing.
+// Latency records the latency of final responses by class and kind. Observe doesn't allocate.
 type Latency struct {
 	histograms *prometheus.HistogramVec
-	byClass    [][]prometheus.Observer // then by kind of answer
+	byClass    [][]prometheus.Observer // by class, then by index in AnswerNames
 }
 
-// NewLatency makes the histograms, all of them empty.
+// NewLatency returns empty histograms for the classes.
 func NewLatency(classes []policy.Class) *Latency {
 	options := prometheus.HistogramOpts{
 		Name:    "pepperlead_answer_seconds",
@@ -32,7 +32,7 @@
 	return l
 }
 
-// SetClassName has the answers of a class count under that name.
+// SetClassName sets the name under which the responses of a class are recorded from now on.
 func (l *Latency) SetClassName(class policy.ClassID, name string) {
 	for len(l.byClass) <= int(class) {
 		l.byClass = append(l.byClass, nil)
@@ -44,7 +44,7 @@
 	l.byClass[class] = observers
 }
 
-// Observe measures a final answer; answer is its index in AnswerNames.
-func (l *Latency) Observe(class policy.ClassID, answer int, spent policy.Time) {
-	l.byClass[class][answer].Observe(float64(spent) / float64(policy.Second))
+// Observe records a final response whose kind is the index in AnswerNames.
+func (l *Latency) Observe(class policy.ClassID, kind int, latency policy.Time) {
+	l.byClass[class][kind].Observe(float64(latency) / float64(policy.Second))
 }
--- a/internal/admin/limitlistener.go
+++ b/internal/admin/limitlistener.go
@@ -5,7 +5,8 @@
 	"sync"
 )
 
-// limitListener accepts only so many connections at once, so that they can't take the descriptors that requests need.
+// limitListener limits the connections that are open at once, so that they can't take the descriptors that requests
+// need.
 type limitListener struct {
 	net.Listener
 	slots chan struct{}
--- a/internal/admin/metricsserver.go
+++ b/internal/admin/metricsserver.go
@@ -21,18 +21,18 @@
 	metricsMaxHeaderBytes = 16 << 10
 )
 
-// Reporter is what the metrics server reports on. Any goroutine may call it.
+// Reporter provides what the metrics server shows. It is safe for concurrent use.
 type Reporter interface {
 	Ready() bool
 	Report() string
 	ServersReport() string
-	// EachMetric passes each metric; isCounter tells counters from gauges.
-	EachMetric(each func(name string, value float64, isCounter bool))
-	// EachFigure passes each figure of the command server, under the same names.
-	EachFigure(figure func(name, labels string, n int64, isCounter bool))
+	// EachMetric calls report with each metric; isCounter distinguishes counters from gauges.
+	EachMetric(report func(name string, value float64, isCounter bool))
+	// EachFigure calls report with each figure that the command server prints, under the same name.
+	EachFigure(report func(name, labels string, n int64, isCounter bool))
 }
 
-// peersReporter is a Reporter that has peers.
+// peersReporter is a Reporter of an instance that has peers.
 type peersReporter interface {
 	PeersReport() string
 }
@@ -43,7 +43,7 @@
 	address net.Addr
 }
 
-// ListenMetrics serves at the address until Close.
+// ListenMetrics starts a metrics server, which serves at the address until Close.
 func ListenMetrics(address string, reporter Reporter, latency *Latency) (*MetricsServer, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -71,7 +71,7 @@
 // Close closes the listener and all connections.
 func (s *MetricsServer) Close() error { return s.http.Close() }
 
-// newHandler routes the server's pages.
+// newHandler returns the handler of the server's paths.
 func newHandler(reporter Reporter, latency *Latency) http.Handler {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
@@ -96,7 +96,7 @@
 	return mux
 }
 
-// textHandler serves a plain text.
+// textHandler returns a handler that responds with a plain text.
 func textHandler(text func() string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
--- a/internal/admin/metricsserver_test.go
+++ b/internal/admin/metricsserver_test.go
@@ -18,23 +18,23 @@
 func (r *fakeReporter) Ready() bool           { return r.ready }
 func (r *fakeReporter) Report() string        { return "tickets 7\n" }
 func (r *fakeReporter) ServersReport() string { return "s-1\n" }
-func (r *fakeReporter) EachMetric(each func(string, float64, bool)) {
-	each("tickets", 7, true)
-	each("tickets_in_hand", 2, false)
+func (r *fakeReporter) EachMetric(report func(string, float64, bool)) {
+	report("tickets", 7, true)
+	report("tickets_in_hand", 2, false)
 }
-func (r *fakeReporter) EachFigure(one func(string, string, int64, bool)) {
-	one("edge_gw_downstream_requests_total", `{lane="a\"b,c",result="failed"}`, 3, true)
-	one("edge_gw_pending", "", 2, false)
+func (r *fakeReporter) EachFigure(report func(string, string, int64, bool)) {
+	report("edge_gw_downstream_requests_total", `{lane="a\"b,c",result="failed"}`, 3, true)
+	report("edge_gw_pending", "", 2, false)
 }
 
 func TestPagesAndMetrics(t *testing.T) {
 	reporter := &fakeReporter{}
-	l := NewLatency([]policy.Class{{Name: "step"}, {Name: "call"}})
-	l.Observe(1, 3, 30*policy.Millisecond)
-	if n := testing.AllocsPerRun(100, func() { l.Observe(0, 0, policy.Millisecond/2) }); n > 0 {
-		t.Errorf("%v allocations an observation", n)
+	latency := NewLatency([]policy.Class{{Name: "step"}, {Name: "call"}})
+	latency.Observe(1, 3, 30*policy.Millisecond)
+	if n := testing.AllocsPerRun(100, func() { latency.Observe(0, 0, policy.Millisecond/2) }); n > 0 {
+		t.Errorf("%v allocations per observation", n)
 	}
-	s, err := ListenMetrics("127.0.0.1:0", reporter, l)
+	s, err := ListenMetrics("127.0.0.1:0", reporter, latency)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 	if _, page := get("/_counters"); page != "tickets 7\n" {
 		t.Error(page)
 	}
-	// Clients that hold connections open keep others waiting, and take no more than was reserved.
+	// Clients that hold connections open make others wait, and take no more descriptors than are reserved.
 	var held []net.Conn
 	for range MaxConnections + 4 {
 		c, err := net.Dial("tcp", s.Addr())
