--- a/cmd/pepperlead/demo.go
+++ b/cmd/pepperlead/demo.go
@@ -18,17 +18,17 @@
 	c := &cobra.Command{
 		Use:   "demo",
 		Args:  exactly(0),
-		Short: "Show the daemon on stand-in servers, in one process, without a file",
+		Short: "Run a daemon with fake servers in one process, without a configuration file",
 		Example: "  pepperlead demo\n" +
 			"  pepperlead demo --listen 127.0.0.1:9000 --servers 10 --seed 7 --for 10s",
 	}
 	var options demo.Options
 	c.Flags().StringVar(&options.Listen, "listen", "127.0.0.1:0",
-		"`address` of the daemon; port 0 takes any that is free")
-	c.Flags().IntVar(&options.Servers, "servers", defaultDemoServers, "how many stand-in servers there are")
+		"`address` of the daemon; port 0: any free port")
+	c.Flags().IntVar(&options.Servers, "servers", defaultDemoServers, "number of fake servers")
 	c.Flags().Uint64Var(&options.Seed, "seed", 1,
-		"of all chance: one seed, one sequence of faults at each server")
-	c.Flags().DurationVar(&options.Duration, "for", 0, "how long it runs (default until Ctrl-C)")
+		"seed of all random choices: the same seed gives the same sequence of faults at each server")
+	c.Flags().DurationVar(&options.Duration, "for", 0, "how long the demo runs (default until Ctrl-C)")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		log, err := daemon.NewLogger("warning", "text")
 		if err != nil {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo shows the daemon at work without any configuration: fake endpoints and the daemon in front of them, in
-// one process on loopback.
+// Package demo runs the daemon and fake endpoints in one process on loopback, without a configuration file, so that
+// users can try it.
 package demo
 
 import (
@@ -23,24 +23,23 @@
 
 // Options are the options of a demo.
 type Options struct {
-	Listen   string // of the daemon; port 0: any free one
-	Servers  int
+	Listen   string // address of the daemon; port 0: any free port
+	Servers  int    // number of fake endpoints
 	Seed     uint64
 	Duration time.Duration // 0: until the context ends
 }
 
-// Limits of the demo.
 const (
-	maxServers    = 200
+	maxServers    = 200 // fake endpoints
 	descriptors   = 512
-	messageMemory = 32 << 20
+	messageMemory = 32 << 20         // bytes
 	startInterval = time.Millisecond // between checks whether the daemon is ready
 )
 
-// faultRate is the rate of each kind of fault at the endpoints, so that there is something to see.
+// faultRate is the rate of each kind of fault at the endpoints. There are some so that the counters show retries.
 const faultRate = 0.01
 
-// classes are the classes of the demo; deploy/standalone.toml has the same.
+// classes are the classes of the demo, the same as in deploy/standalone.toml.
 var classes = []policy.Class{
 	{
 		Name:        "step",
@@ -66,7 +65,8 @@
 	},
 }
 
-// Run runs the demo until its time or the context is over. It writes what there is to try and what was counted.
+// Run runs a demo until its duration has passed or the context ends. It prints commands to try at the start, and the
+// counters of the daemon and the endpoints at the end.
 func Run(ctx context.Context, options Options, log *logrus.Logger, out io.Writer) error {
 	if options.Servers < 1 || options.Servers > maxServers {
 		return fmt.Errorf("servers: found %d, allowed 1 to %d", options.Servers, maxServers)
@@ -106,7 +106,7 @@
 	return err
 }
 
-// awaitReady waits until the daemon serves. If the daemon ends before, it returns false and the error of its end.
+// awaitReady waits until the daemon serves. If the daemon ends before that, it returns false and the daemon's error.
 func awaitReady(daemon *httpproxy.Proxy, ended <-chan error) (ready bool, err error) {
 	for !daemon.Ready() {
 		select {
@@ -156,9 +156,9 @@
 	list    discovery.Fixed
 }
 
-// start starts the endpoints of the demo. After an error those started before are running.
+// start starts the endpoints. After an error, those started before it keep running.
 func (e *endpoints) start(options Options) error {
-	e.list.Label = "stand-ins of the demo"
+	e.list.Label = "fake endpoints of the demo"
 	for i := range options.Servers {
 		traits := fakebackend.Traits{
 			Name:   fmt.Sprintf("s-%d", i+1),
@@ -190,25 +190,25 @@
 	}
 }
 
-// printer writes to the user. Errors are ignored: the demo goes on without its output.
+// printer prints to the user. Errors are ignored: the demo goes on without its output.
 type printer struct{ out io.Writer }
 
 func (p printer) printf(format string, values ...any) { _, _ = fmt.Fprintf(p.out, format, values...) }
 
-// printIntroduction prints what there is to try.
+// printIntroduction prints commands that the user can try.
 func (p printer) printIntroduction(options Options, listen string) {
-	p.printf("%d stand-in servers, one daemon before them at %s. Try:\n\n    curl -i http://%s/step/hello\n"+
+	p.printf("%d fake servers behind one daemon at %s. Try:\n\n    curl -i http://%s/step/hello\n"+
 		"    curl -i -H 'X-Route-Key: me' -d 'a note' -H 'Idempotency-Key: 1' http://%s/note\n"+
 		"    curl http://%s/_counters\n    curl http://%s/_servers\n\n",
 		options.Servers, listen, listen, listen, listen, listen)
 	if options.Duration <= 0 {
-		p.printf("Ctrl-C ends it.\n")
+		p.printf("Press Ctrl-C to stop.\n")
 	}
 }
 
 // printCounters prints the counters of the daemon that are not zero.
 func (p printer) printCounters(daemon *httpproxy.Proxy) {
-	p.printf("The daemon counted:\n")
+	p.printf("Counters of the daemon:\n")
 	for line := range strings.Lines(daemon.Report()) {
 		if !strings.HasSuffix(line, " 0\n") {
 			p.printf("    %s", line)
@@ -216,27 +216,27 @@
 	}
 }
 
-// printEndpoints prints what the endpoints have counted.
+// printEndpoints prints the counters of the endpoints.
 func (p printer) printEndpoints(e *endpoints) {
-	p.printf("The servers counted:\n")
+	p.printf("Counters of the servers:\n")
 	for i, server := range e.servers {
 		counts := server.Counts()
-		p.printf("    %s: %d requests, %d served, %d turned away, %d faults\n",
+		p.printf("    %s: %d requests, %d served, %d rejected, %d faults\n",
 			e.list.Entries[i].UID, counts.Requests, counts.Served, counts.Rejected, counts.Faults)
 	}
 }
 
-// freeAddress picks a port where the address leaves it open. Until the daemon listens another program could take the
-// port, which is then reported as an address in use.
-func freeAddress(addr string) (string, error) {
-	_, port, err := net.SplitHostPort(addr)
+// freeAddress returns the address with a free port in place of port 0. Another program could take the port before the
+// daemon listens on it, which is then reported as an address in use.
+func freeAddress(address string) (string, error) {
+	_, port, err := net.SplitHostPort(address)
 	if err != nil || port != "0" {
-		return addr, err
+		return address, err
 	}
-	l, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = l.Close() }() // only its address is needed
-	return l.Addr().String(), nil
+	defer func() { _ = listener.Close() }() // only its address is needed
+	return listener.Addr().String(), nil
 }
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -14,30 +14,30 @@
 	"github.com/sirupsen/logrus"
 )
 
-// lines is a writer that may be read while it is written.
-type lines struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+// syncBuffer is a buffer that may be read while it is written.
+type syncBuffer struct {
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.b.Write(p)
+func (b *syncBuffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.buffer.Write(p)
 }
 
-func (l *lines) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.b.String()
+func (b *syncBuffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.buffer.String()
 }
 
-// The addresses that the demo prints are served, and the requests to them are counted at its end.
-func TestDemoServesWhatItPrints(t *testing.T) {
-	var out lines
+// The address that the demo prints must be served, and the counters at its end must include the requests to it.
+func TestDemoServesItsPrintedAddress(t *testing.T) {
+	var out syncBuffer
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- Run(ctx, Options{Listen: "127.0.0.1:0", Servers: 3, Seed: 1}, log, &out) }()
 	url := regexp.MustCompile(`curl -i (http://\S+)`)
@@ -57,7 +57,7 @@
 			succeeded++
 		}
 	}
-	end()
+	cancel()
 	if err := <-ended; err != nil || succeeded < 18 || !strings.Contains(out.String(), "    tickets 20\n") ||
 		!strings.Contains(out.String(), "    s-3: ") {
 		t.Errorf("%v, %d succeeded: %s", err, succeeded, out.String())
