--- a/internal/daemon/adminoperations.go
+++ b/internal/daemon/adminoperations.go
@@ -12,14 +12,15 @@
 
 var errLoopTimeout = errors.New("the loop has not come to it in time, or is ending")
 
-// adminOperations are what operators and the instance's other processes can have done.
+// adminOperations carries out operators' commands, and shares drained endpoints and learned state with the other
+// processes of the instance.
 type adminOperations struct {
 	*httpproxy.Proxy
-	group *hotrestart.ProcessGroup // nil: no commands, and no other processes
+	group *hotrestart.ProcessGroup // nil: there is no command server and no other process
 }
 
-// start drains the endpoints that were drained before this process began, and serves the other processes from now on.
-// It is called before Run.
+// start drains the endpoints that were drained before this process started, and starts to answer the other processes of
+// the instance. It must be called before the proxy runs.
 func (o *adminOperations) start() error {
 	uids, err := o.group.Drained()
 	if err != nil {
@@ -30,12 +31,12 @@
 	return nil
 }
 
-// applyDrained makes these endpoints the drained ones and returns false if the loop didn't come to it.
+// applyDrained replaces the set of drained endpoints. It returns false if the loop didn't do so within loopTimeout.
 func (o *adminOperations) applyDrained(uids []string) bool {
 	return o.RunOnLoopWithin(loopTimeout, func() { o.Engine.SetDrained(o.Clock.Now(), uids) })
 }
 
-// SetDrained drains an endpoint or puts it back into use, for all processes of the instance.
+// SetDrained drains an endpoint or returns it to service, in all processes of the instance.
 func (o *adminOperations) SetDrained(uid string, drained bool) error {
 	listed := false
 	if !o.RunOnLoopWithin(loopTimeout, func() { listed = o.Listed(uid) }) {
@@ -47,15 +48,17 @@
 	return o.group.SetDrained(uid, drained)
 }
 
-// learnedState is what a process passes on to the one that takes over.
+// learnedState is the state that a process hands over to its successor.
 type learnedState struct {
-	// The keys of the embedded state, which has no tag, stand beside the others.
+	// LearnedState is embedded without a tag, so that its keys are encoded beside Seen.
 	policy.LearnedState
-	// Seen are the ids that lists have named: a process can also drain an endpoint that has left the list.
+	// Seen are the ids of all endpoints that any list has named: the successor must accept a command to drain one that
+	// has left the list.
 	Seen []policy.EndpointID `json:"Seen"`
 }
 
-// exportState encodes the learned state; nil if the loop can't be reached.
+// exportState returns the encoded learned state, or nil if it can't be encoded or the loop doesn't export it within
+// loopTimeout.
 func (o *adminOperations) exportState() []byte {
 	var state learnedState
 	export := func() {
@@ -73,7 +76,7 @@
 	return encoded
 }
 
-// importState takes over the learned states of the other processes. There must be an endpoint list by then.
+// importState imports the learned states of the other processes. The module must have an endpoint list already.
 func (o *adminOperations) importState() {
 	for _, encoded := range o.group.LearnedStates() {
 		var state learnedState
--- a/internal/daemon/cluster.go
+++ b/internal/daemon/cluster.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	// announceInterval is between looks at which instances are live, and tries to join them.
+	// announceInterval is the time between announcements to the peers, and between attempts to join them.
 	announceInterval = time.Second
-	// loopTimeout limits how long the engine's loop is waited for.
+	// loopTimeout limits the wait for the engine's loop to run a function.
 	loopTimeout = 250 * time.Millisecond
 )
 
-// clusterMember is an instance among its peers.
+// clusterMember is an instance as a member of its cluster.
 type clusterMember struct {
 	*httpproxy.Proxy
 	config  membership.Config
-	cluster atomic.Pointer[membership.Cluster] // nil until it is joined
-	lease   *leaseClient                       // nil: the rules are those of the file
+	cluster atomic.Pointer[membership.Cluster] // nil until the cluster is joined
+	lease   *leaseClient                       // nil: the rules are those of the configuration file
 	stop    chan struct{}
 	running sync.WaitGroup
 }
 
-// joinCluster joins the peers in the background, as serving never waits for them. own are the rules of the
-// configuration file if rules are agreed on, else nil.
-func joinCluster(proxy *httpproxy.Proxy, config membership.Config, own *engine.RuleSet) *clusterMember {
+// joinCluster joins the cluster in the background, because serving must not wait for it. fileRules are the rules of the
+// configuration file if the cluster agrees on rules, else nil.
+func joinCluster(proxy *httpproxy.Proxy, config membership.Config, fileRules *engine.RuleSet) *clusterMember {
 	m := &clusterMember{Proxy: proxy, config: config, stop: make(chan struct{})}
-	if own != nil {
-		proxy.UseAgreedRules(own, rand.Uint32())
+	if fileRules != nil {
+		proxy.UseAgreedRules(fileRules, rand.Uint32())
 		m.lease = newLeaseClient(proxy, &m.cluster)
 		m.config.OnMessage = m.lease.handleMessage
 		m.running.Go(func() { m.lease.run(m.stop) })
@@ -42,10 +42,10 @@
 	return m
 }
 
-// run joins the cluster and announces the instance until it is stopped. A join that fails, as while the address is
-// still the previous process's, is retried.
+// run joins the cluster and then announces the instance at each announceInterval until it is stopped. A failed join is
+// retried: it fails, for example, while the previous process still has the address.
 func (m *clusterMember) run() {
-	logged := ""
+	lastError := "" // as logged, so that a repeated error is logged once
 	for wait := time.Duration(0); ; wait = announceInterval {
 		select {
 		case <-m.stop:
@@ -55,14 +55,14 @@
 		cluster, err := m.join()
 		if err == nil {
 			m.announce(cluster)
-		} else if err.Error() != logged {
-			logged = err.Error()
+		} else if err.Error() != lastError {
+			lastError = err.Error()
 			m.Logger.WithError(err).Warn("cluster not joined, retrying every second")
 		}
 	}
 }
 
-// join returns the cluster, which it joins if it hasn't yet.
+// join returns the cluster, which it joins first if need be.
 func (m *clusterMember) join() (*membership.Cluster, error) {
 	if cluster := m.cluster.Load(); cluster != nil {
 		return cluster, nil
@@ -75,7 +75,7 @@
 	return cluster, nil
 }
 
-// announce shares budgets among the live instances, and tells them this one's rules and endpoint table.
+// announce divides budgets among the live instances, and sends them this one's revision and slot table digest.
 func (m *clusterMember) announce(cluster *membership.Cluster) {
 	live := cluster.Alive()
 	var table uint64
@@ -88,7 +88,7 @@
 	}
 }
 
-// revision is the latest revision of the rules that is leased, 0 without agreed rules.
+// revision returns the latest leased revision, or 0 if the cluster doesn't agree on rules.
 func (m *clusterMember) revision() uint64 {
 	if m.lease == nil {
 		return 0
@@ -96,7 +96,7 @@
 	return m.lease.revision.Load()
 }
 
-// PeersReport lists the live instances, one a line.
+// PeersReport returns a report of the live instances, one per line.
 func (m *clusterMember) PeersReport() string {
 	if cluster := m.cluster.Load(); cluster != nil {
 		return cluster.Report()
@@ -104,17 +104,18 @@
 	return ""
 }
 
-// EachMetric passes the metrics of the proxy, of the cluster and of the rules.
-func (m *clusterMember) EachMetric(each func(name string, value float64, isCounter bool)) {
-	m.Proxy.EachMetric(each)
+// EachMetric calls report with each metric of the proxy, the cluster and the leases.
+func (m *clusterMember) EachMetric(report func(name string, value float64, isCounter bool)) {
+	m.Proxy.EachMetric(report)
 	if cluster := m.cluster.Load(); cluster != nil {
-		cluster.EachMetric(each)
+		cluster.EachMetric(report)
 	}
 	if m.lease != nil {
-		m.lease.eachMetric(each)
+		m.lease.eachMetric(report)
 	}
 }
 
+// close stops the announcements and lease requests and closes the cluster.
 func (m *clusterMember) close() {
 	close(m.stop)
 	m.running.Wait()
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -15,28 +15,29 @@
 )
 
 const (
-	// acceptTime is how long clients are still accepted after SIGTERM: 50 ms more than they are said to come.
+	// acceptTime is how long clients are still accepted after SIGTERM: 50 ms longer than the platform's clients are
+	// said to connect.
 	acceptTime = 450 * policy.Millisecond
-	// minInheritedDescriptor is the first one after standard input, output and error.
+	// minInheritedDescriptor is the first descriptor after standard input, output and error.
 	minInheritedDescriptor = 3
 )
 
-// Config is the configuration of an instance: of its proxy and of what surrounds that.
+// Config is the configuration of an instance: of its proxy, cluster membership, log, and servers for operators.
 type Config struct {
 	httpproxy.Config
-	Discovery      string // address of the platform's discovery, if that is the source
+	Discovery      string // address of the discovery service, if that is the source
 	Name           string
-	fileDiscovery  string // Discovery as the file alone has it
-	AdminAddress   string // of the command server; "": none
-	MetricsAddress string // of the metrics server; "": none
-	LogLevel       string // "": as the command line says
+	fileDiscovery  string // Discovery before the environment overrides it
+	AdminAddress   string // of the command server; empty: none
+	MetricsAddress string // of the metrics server; empty: none
+	LogLevel       string // empty: as set on the command line, or by default
 	LogFormat      string
-	Membership     *membership.Config // nil: none
+	Membership     *membership.Config // nil: the instance is in no cluster
 	AgreedRules    bool               // the rules come from coordinators
 }
 
-// Read reads the configuration in a file, and what the environment says in its place. A text that begins with { is the
-// platform's JSON, any other the product's TOML.
+// Read reads a configuration file, some of whose values environment variables override. A text that starts with { is
+// the platform's JSON, any other the product's TOML.
 func Read(path string, env func(string) string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -45,7 +46,7 @@
 	return Parse(path, text, env)
 }
 
-// Parse parses the text of such a file.
+// Parse parses the text of a configuration file, as Read does. Faults are reported with the path.
 func Parse(path string, text []byte, env func(string) string) (Config, error) {
 	if bytes.HasPrefix(bytes.TrimSpace(text), []byte("{")) {
 		return parsePlatformFile(path, text, env)
@@ -57,8 +58,8 @@
 	return c, c.setAdmin(c.AdminAddress, env)
 }
 
-// setAdmin sets the command server and the inherited listener, for which the environment goes first, and reserves
-// descriptors for them.
+// setAdmin sets the address of the command server and the inherited listener, both of which the environment may
+// override, and reserves descriptors for the command server and the process group.
 func (c *Config) setAdmin(address string, env func(string) string) error {
 	c.AdminAddress = valueOrEnv(env, "GW_ADMIN", address)
 	if c.AdminAddress != "" && !endpointfiles.ValidAddress(c.AdminAddress) {
@@ -67,7 +68,8 @@
 	if inherited := env("GW_INHERITED_FD"); inherited != "" {
 		descriptor, err := strconv.Atoi(inherited)
 		if err != nil || descriptor < minInheritedDescriptor {
-			return fmt.Errorf("GW_INHERITED_FD: found %q, allowed the number of a descriptor", inherited)
+			return fmt.Errorf("GW_INHERITED_FD: found %q, allowed the number of a file descriptor, from %d up",
+				inherited, minInheritedDescriptor)
 		}
 		c.InheritedListener = descriptor
 	}
@@ -80,10 +82,11 @@
 	return nil
 }
 
-// hasProcessGroup tells whether the instance may have other processes, or has state to keep for the next one.
+// hasProcessGroup reports whether the instance may have other processes, or has drained endpoints to keep for the next
+// one.
 func (c *Config) hasProcessGroup() bool { return c.AdminAddress != "" || c.InheritedListener > 0 }
 
-// valueOrEnv is a value of the configuration unless the environment has another one.
+// valueOrEnv returns the value of an environment variable, or the configured value if the variable is empty.
 func valueOrEnv(env func(string) string, name, value string) string {
 	if v := env(name); v != "" {
 		return v
--- a/internal/daemon/coordinator.go
+++ b/internal/daemon/coordinator.go
@@ -25,7 +25,7 @@
 	return config.ReadCoordinator(path, text)
 }
 
-// ValidateRules returns why a text is no revision, or can't follow the text in force, which is nil if there is none.
+// ValidateRules checks that a text is a valid revision and can follow the text in force, which is nil if there is none.
 // The error has a line for each fault.
 func ValidateRules(file string, text, inForce []byte) error {
 	next, err := config.ReadRules(file, text)
@@ -37,14 +37,14 @@
 		return nil // an older coordinator accepted a text that this one can't read
 	}
 	if !hasReadyEndpoint(active, next) {
-		return fmt.Errorf("%s: server: found none that the version in force has ready too, "+
-			"allowed a change that keeps one: make it in two", file)
+		return fmt.Errorf("%s: server: found no endpoint that is also ready in the revision in force, "+
+			"allowed a change that keeps at least one: make this change in two revisions", file)
 	}
 	return nil
 }
 
-// hasReadyEndpoint reports whether an endpoint is usable under both rules. While a change is in progress only such
-// endpoints are used, so a change without any would be an outage.
+// hasReadyEndpoint reports whether at least one endpoint is ready and not drained under both rules. While a change is
+// in progress only such endpoints are used, so a change without any would be an outage.
 func hasReadyEndpoint(active, next *config.Rules) bool {
 	ready := map[policy.EndpointID]bool{}
 	for _, endpoint := range active.Endpoints {
@@ -59,7 +59,8 @@
 	return false
 }
 
-// assignSlots returns the encoded slot assignment of a text that follows the revision in force, nil if there is none.
+// assignSlots returns the encoded slot table of a text that follows the revision in force; inForce is nil if there is
+// none. It returns nil if the text can't be read or names no endpoints.
 func assignSlots(text []byte, inForce *ruleset.Revision) []byte {
 	next, err := config.ReadRules("version", text)
 	if err != nil || next.Endpoints == nil {
@@ -77,7 +78,7 @@
 	return policy.EncodeTable(policy.AssignSlots(previousTable, previousMembers, members), members)
 }
 
-// RunCoordinator runs a coordinator until the process gets a signal to end.
+// RunCoordinator runs a coordinator until the process receives SIGTERM or SIGINT.
 func RunCoordinator(settings *config.CoordinatorConfig, log *logrus.Logger) error {
 	stop := make(chan os.Signal, 2)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// coordinatorConfig returns the coordinator's configuration for its settings.
+// coordinatorConfig returns a coordinator's configuration by its settings file and the cluster's key.
 func coordinatorConfig(settings *config.CoordinatorConfig, key []byte) coordinator.Config {
 	result := coordinator.Config{
 		Name:          settings.Name,
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -26,7 +26,8 @@
 {"name":"note","credit":2.0,"overdue_credit":0.2,"quoted_time_s":1.5,"cut_off_s":4.0,"idempotency":"dedup","group":"cell","window_s":2.5}],
 "realms":[{"name":"x","quota_per_s":24.0},{"name":"y","quota_per_s":6.0}]}}`
 
-func write(t *testing.T, text string) string {
+// writeConfig writes a configuration file and returns its path.
+func writeConfig(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -35,60 +36,64 @@
 	return path
 }
 
-func TestConfigurationIsRead(t *testing.T) {
-	post, err := Read(write(t, platformText), func(name string) string { return map[string]string{"GW_LISTEN": "127.9.9.9:1"}[name] })
+func TestPlatformConfigurationIsParsed(t *testing.T) {
+	config, err := Read(writeConfig(t, platformText), func(name string) string { return map[string]string{"GW_LISTEN": "127.9.9.9:1"}[name] })
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := post.Settings
-	if post.Listen != "127.9.9.9:1" || post.Discovery != "127.2.0.1:8500" || post.Seed != 0x8c1f30d27a5be964 ||
-		post.Descriptors != 1024 || post.ConnectTimeout != policy.Second/5 || post.IdleTimeout != 60*policy.Second ||
-		post.ShutdownTime != maxShutdownDeadline+acceptTime || c.Zones != 2 || c.Instances != 3 || len(c.Classes) != 2 || c.TotalQuota != 30 ||
-		c.StreamsPerConnection != 1 || c.Classes[1].Deadline != 4*policy.Second || c.Classes[0].Name != "step, first" || c.Classes[1].Group != policy.GroupCell || !c.FixedWeights {
-		t.Errorf("%+v\n%+v", post, c)
+	settings := config.Settings
+	if config.Listen != "127.9.9.9:1" || config.Discovery != "127.2.0.1:8500" || config.Seed != 0x8c1f30d27a5be964 ||
+		config.Descriptors != 1024 || config.ConnectTimeout != policy.Second/5 || config.IdleTimeout != 60*policy.Second ||
+		config.ShutdownTime != maxShutdownDeadline+acceptTime || settings.Zones != 2 || settings.Instances != 3 ||
+		len(settings.Classes) != 2 || settings.TotalQuota != 30 || settings.StreamsPerConnection != 1 ||
+		settings.Classes[1].Deadline != 4*policy.Second || settings.Classes[0].Name != "step, first" ||
+		settings.Classes[1].Group != policy.GroupCell || !settings.FixedWeights {
+		t.Errorf("%+v\n%+v", config, settings)
 	}
 }
 
-func TestPoolsAreRead(t *testing.T) {
+func TestLiveWeightsAndStreamsAreParsed(t *testing.T) {
 	text := strings.NewReplacer(`"rough"`, `"live"`, `"max_pushes":3`, `"max_pushes":3,"streams_per_conn":100`).Replace(platformText)
-	post, err := Read(write(t, text), func(string) string { return "" })
-	if err != nil || post.Settings.FixedWeights || post.Settings.StreamsPerConnection != 100 {
-		t.Errorf("%v %+v", err, post.Settings)
+	config, err := Read(writeConfig(t, text), func(string) string { return "" })
+	if err != nil || config.Settings.FixedWeights || config.Settings.StreamsPerConnection != 100 {
+		t.Errorf("%v %+v", err, config.Settings)
 	}
 }
 
-func TestBadConfigurationsAreToldInOneLine(t *testing.T) {
-	none := func(string) string { return "" }
+// The error of each of these invalid configurations is one line that starts with the path.
+func TestErrorsOfInvalidConfigurationsAreOneLine(t *testing.T) {
+	noEnvironment := func(string) string { return "" }
 	for _, change := range [][2]string{{"{", ""}, {`"seed":"8c`, `"seed":"xx`}, {`"seed":"8c1f30d27a5be964",`, ""}, {"1024", "8"},
 		{"192", "1"}, {`"127.0.0.4:9000"`, `""`}, {`"tick_s":0.005,`, ""}, {`"rough"`, `"odd"`},
 		{`"max_pushes":3`, `"max_pushes":3,"streams_per_conn":0`}, {"0.13", `"much"`},
 		{`"quoted_time_s":1.5`, `"quoted_time_s":-1`}, {`"offerings":[`, `"offers":[`}, {"0.2,", "{},"}, {`"conn_idle_s":60.0`, `"x":1`}} {
 		text := strings.Replace(platformText, change[0], change[1], 1)
-		path := write(t, text)
-		_, err := Read(path, none)
+		path := writeConfig(t, text)
+		_, err := Read(path, noEnvironment)
 		if text == platformText || err == nil || !strings.HasPrefix(err.Error(), path+":") || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q for %q: %v", change[1], change[0], err)
 		}
 	}
-	if _, err := Read(filepath.Join(t.TempDir(), "none"), none); err == nil || strings.Contains(err.Error(), "\n") {
+	if _, err := Read(filepath.Join(t.TempDir(), "none"), noEnvironment); err == nil || strings.Contains(err.Error(), "\n") {
 		t.Errorf("no file: %v", err)
 	}
 }
 
-// All that is wrong is platformText at once, a line each, with the line of the file, what was found and what is allowed.
-func TestEveryFaultOfAConfigurationIsTold(t *testing.T) {
+// All faults of a configuration are reported at once, one per line, each with its line in the file, what was found and
+// what is allowed.
+func TestAllFaultsOfAConfigurationAreReported(t *testing.T) {
 	text := strings.NewReplacer(`"8c1f30d27a5be964"`, `"xx"`, "1024", "8", `"cancel":true`, `"cancel":"maybe"`, `"max_pushes":3,`, "",
 		`"quoted_time_s":1.5,"cut_off_s":4.0`, `"quoted_time_s":-1,"cut_off_s":"soon"`, `"retryable"`, `"odd"`).Replace(platformText)
-	path := write(t, text)
+	path := writeConfig(t, text)
 	_, err := Read(path, func(string) string { return "" })
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("accepted")
 	}
 	for _, want := range []string{":1: seed: found \"xx\", allowed", ":2: limits.sockets: found 8, allowed", ":4: settings: limits.cancel: found maybe, allowed true or false",
 		":4: settings: limits.max_pushes: found nothing, allowed", ":8: settings: offerings.1.quoted_time_s: found -1, allowed",
 		":8: settings: offerings.1.cut_off_s: found soon, allowed", ":7: settings: offerings.0.idempotency: found odd, allowed retryable"} {
 		if strings.Count(err.Error(), path+want) != 1 {
-			t.Errorf("not platformText, or twice: %s", want)
+			t.Errorf("not reported exactly once: %s", want)
 		}
 	}
 	if n := strings.Count(err.Error(), "\n") + 1; n != 7 {
@@ -96,67 +101,67 @@
 	}
 }
 
-// SIGHUP may come as the process ends, when nobody takes a new configuration any more.
-func TestNewConfigurationAtTheEndHoldsNothingUp(t *testing.T) {
-	path := write(t, platformText)
-	post, err := Read(path, func(string) string { return "" })
+// SIGHUP may arrive during shutdown, when the proxy no longer receives new configurations: the reloader must not block.
+func TestReloaderEndsWhenTheProxyHasStopped(t *testing.T) {
+	path := writeConfig(t, platformText)
+	config, err := Read(path, func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	again, over, ended := make(chan os.Signal), make(chan struct{}), make(chan struct{})
-	r := reloader{path: path, current: post, configs: make(chan httpproxy.Config), stopped: over, log: log}
-	go func() { r.run(again); close(ended) }()
-	again <- syscall.SIGHUP
-	close(over)
+	signals, stopped, ended := make(chan os.Signal), make(chan struct{}), make(chan struct{})
+	r := reloader{path: path, current: config, configs: make(chan httpproxy.Config), stopped: stopped, log: log}
+	go func() { r.run(signals); close(ended) }()
+	signals <- syscall.SIGHUP
+	close(stopped)
 	select {
 	case <-ended:
 	case <-time.After(5 * time.Second):
-		t.Error("it still waits for somebody to take the new configuration")
+		t.Error("the reloader still waits for the proxy to receive the new configuration")
 	}
 }
 
-// The file is read anew at a signal; one that cannot be served is a line in the log, and the next good one counts again.
-func TestFileIsReadAgain(t *testing.T) {
-	path := write(t, platformText)
-	post, err := Read(path, func(string) string { return "" })
+// The file is read again at each signal. An invalid one is logged in one line and not applied; the next valid one is.
+func TestConfigurationIsReloadedAtSignals(t *testing.T) {
+	path := writeConfig(t, platformText)
+	config, err := Read(path, func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
-	post.Discovery, post.Source = "127.2.0.9:1", discovery.NewPlatform("127.2.0.9:1", false) // as the environment had it
-	lines := make(chanWriter)
+	config.Discovery, config.Source = "127.2.0.9:1", discovery.NewPlatform("127.2.0.9:1", false) // the address from the environment
+	logLines := make(chanWriter)
 	log := logrus.New()
-	log.SetOutput(lines)
-	again, fresh := make(chan os.Signal), make(chan httpproxy.Config)
+	log.SetOutput(logLines)
+	signals, configs := make(chan os.Signal), make(chan httpproxy.Config)
 	ended := make(chan bool)
-	r := reloader{path: path, current: post, configs: fresh, log: log}
-	go func() { r.run(again); close(ended) }()
-	for _, k := range []struct{ in, discovery string }{{platformText, "127.2.0.9:1"}, {"{", ""},
+	r := reloader{path: path, current: config, configs: configs, log: log}
+	go func() { r.run(signals); close(ended) }()
+	for _, step := range []struct{ text, discovery string }{{platformText, "127.2.0.9:1"}, {"{", ""},
 		{strings.Replace(platformText, "127.2.0.1", "127.2.0.2", 1), "127.2.0.2:8500"}, {strings.Replace(platformText, `"seed"`, `"s"`, 1), ""},
 		{platformText, "127.2.0.1:8500"}} {
-		if err := os.WriteFile(path, []byte(k.in), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(step.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		again <- syscall.SIGHUP
+		signals <- syscall.SIGHUP
 		select {
-		case line := <-lines:
-			if k.discovery != "" || strings.Count(line, "\n") != 1 || !strings.Contains(line, "keeping the previous one") {
-				t.Errorf("for %.20q: %s", k.in, line)
+		case line := <-logLines:
+			if step.discovery != "" || strings.Count(line, "\n") != 1 || !strings.Contains(line, "keeping the previous one") {
+				t.Errorf("for %.20q: %s", step.text, line)
 			}
-		case next := <-fresh:
-			if next.Source.Name() != "discovery at "+k.discovery || next.MessageMemory != post.MessageMemory*messageMemoryPercent/100 {
-				t.Errorf("%s, %d bytes; want %s", next.Source.Name(), next.MessageMemory, k.discovery)
+		case next := <-configs:
+			if next.Source.Name() != "discovery at "+step.discovery || next.MessageMemory != config.MessageMemory*messageMemoryPercent/100 {
+				t.Errorf("%s, %d bytes; want %s", next.Source.Name(), next.MessageMemory, step.discovery)
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatal("not read")
+			t.Fatal("neither reloaded nor rejected")
 		}
 	}
-	close(again)
+	close(signals)
 	<-ended
 }
 
-// chanWriter hands on what is written.
+// chanWriter sends each write on a channel.
 type chanWriter chan string
 
 func (c chanWriter) Write(b []byte) (int, error) {
@@ -164,18 +169,19 @@
 	return len(b), nil
 }
 
-// The door and the listener are platformText in either kind of file or by the environment, which goes first, and take descriptors of their own.
-func TestDoorAndListenerAreTold(t *testing.T) {
+// The command server's address and the inherited listener come from the file or from the environment, which overrides
+// the file, and descriptors are reserved for them.
+func TestCommandServerAndInheritedListenerAreParsed(t *testing.T) {
 	with := strings.Replace(platformText, `"name":"n3",`, `"name":"n3","admin":"127.0.0.4:9100",`, 1)
-	plain, err := Read(write(t, platformText), func(string) string { return "" })
+	plain, err := Read(writeConfig(t, platformText), func(string) string { return "" })
 	if err != nil || plain.AdminAddress != "" || plain.ReservedDescriptors != 0 || plain.hasProcessGroup() {
 		t.Errorf("%v %+v", err, plain)
 	}
-	for _, c := range []struct{ text, admin, fd, door, fault string }{
+	for _, c := range []struct{ text, admin, fd, wantAdmin, fault string }{
 		{with, "", "", "127.0.0.4:9100", ""}, {with, "127.0.0.5:9100", "7", "127.0.0.5:9100", ""}, {platformText, "", "7", "", ""},
 		{platformText, "here", "", "", `admin: found "here", allowed`}, {platformText, "", "seven", "", `GW_INHERITED_FD: found "seven", allowed`},
 		{platformText, "", "2", "", "GW_INHERITED_FD"}} {
-		o, err := Read(write(t, c.text), func(name string) string {
+		config, err := Read(writeConfig(t, c.text), func(name string) string {
 			return map[string]string{"GW_ADMIN": c.admin, "GW_INHERITED_FD": c.fd}[name]
 		})
 		if c.fault != "" {
@@ -184,8 +190,9 @@
 			}
 			continue
 		}
-		if err != nil || o.AdminAddress != c.door || (o.InheritedListener == 7) != (c.fd == "7") || o.ReservedDescriptors == 0 || !o.hasProcessGroup() || o.Name != "n3" {
-			t.Errorf("%q %q: %v %+v", c.admin, c.fd, err, o)
+		if err != nil || config.AdminAddress != c.wantAdmin || (config.InheritedListener == 7) != (c.fd == "7") ||
+			config.ReservedDescriptors == 0 || !config.hasProcessGroup() || config.Name != "n3" {
+			t.Errorf("%q %q: %v %+v", c.admin, c.fd, err, config)
 		}
 	}
 }
--- a/internal/daemon/golden_config_test.go
+++ b/internal/daemon/golden_config_test.go
@@ -6,9 +6,8 @@
 	"pepperlead/internal/golden"
 )
 
-// TestConfigurationOfThePlatformIsReadAsBefore holds the values that the platform's JSON, with each of its keys, is read as to
-// those that it was read as before.
-func TestConfigurationOfThePlatformIsReadAsBefore(t *testing.T) {
+// The values parsed from the platform's JSON, in which each key is present, must be those of the golden files.
+func TestPlatformConfigurationMatchesGoldenFiles(t *testing.T) {
 	reads := []struct {
 		path, golden string
 		environment  map[string]string
@@ -24,7 +23,7 @@
 			t.Fatal(err)
 		}
 		if config.Latency != nil || config.Recorder != nil || config.ImportState != nil {
-			t.Errorf("%s: found what the platform's configuration does not say", read.golden)
+			t.Errorf("%s: found values that the platform's configuration does not have", read.golden)
 		}
 		source := config.Source.Name()
 		config.Source = nil
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -8,7 +8,8 @@
 	"pepperlead/policy"
 )
 
-// filledLearnedState has a distinct value in every field, so that a key that is lost, renamed or swapped with another changes the encoding.
+// filledLearnedState has a distinct value in every field, so that a key that is lost, renamed or swapped with another
+// changes the encoding.
 func filledLearnedState() learnedState {
 	return learnedState{
 		LearnedState: policy.LearnedState{
@@ -26,7 +27,7 @@
 	}
 }
 
-// A process of an earlier build reads these bytes, and writes what it has learned in them.
+// A process of an earlier build must be able to decode the learned state, and its own must be decodable here.
 func TestLearnedStateKeepsItsKeys(t *testing.T) {
 	golden.RoundTrip(t, "heritage.json", filledLearnedState(), &learnedState{}, json.Marshal, json.Unmarshal)
 }
--- a/internal/daemon/jsonlines.go
+++ b/internal/daemon/jsonlines.go
@@ -16,14 +16,14 @@
 type lineScanner struct {
 	text    []byte
 	decoder *json.Decoder
-	lines   map[string]int // by path
+	lines   map[string]int // line of each key, by its path
 }
 
-// JSONLines returns the line of each key of a JSON document, by its path as in "limits.sockets" or "list.0".
+// JSONLines returns the line of each key of a JSON document, by its path, such as "limits.sockets" or "list.0".
 func JSONLines(file string, text []byte) (map[string]int, error) {
 	s := lineScanner{text: text, decoder: json.NewDecoder(bytes.NewReader(text)), lines: map[string]int{}}
 	s.decoder.UseNumber()
-	err := s.document()
+	err := s.scanDocument()
 	if err == nil {
 		return s.lines, nil
 	}
@@ -32,12 +32,12 @@
 	if errors.As(err, &syntax) {
 		offset = syntax.Offset
 	}
-	return nil, fmt.Errorf("%s:%d: document: found %w, allowed one JSON object", file, s.line(offset), err)
+	return nil, fmt.Errorf("%s:%d: document: found %w, allowed one JSON object", file, s.lineAt(offset), err)
 }
 
-// document scans a value and the end of the text.
-func (s *lineScanner) document() error {
-	if err := s.value(""); err != nil {
+// scanDocument scans a value, after which the text must end.
+func (s *lineScanner) scanDocument() error {
+	if err := s.scanValue(""); err != nil {
 		return err
 	}
 	_, err := s.decoder.Token()
@@ -50,13 +50,13 @@
 	return err
 }
 
-// value scans the value at that path.
-func (s *lineScanner) value(path string) error {
+// scanValue scans the value at a path and notes its line.
+func (s *lineScanner) scanValue(path string) error {
 	token, err := s.decoder.Token()
 	if err != nil {
 		return err
 	}
-	s.lines[path] = s.line(s.decoder.InputOffset())
+	s.lines[path] = s.lineAt(s.decoder.InputOffset())
 	isObject := token == json.Delim('{')
 	isList := token == json.Delim('[')
 	if !isObject && !isList {
@@ -71,7 +71,7 @@
 			}
 			name = fmt.Sprint(key)
 		}
-		if err := s.value(strings.TrimPrefix(path+"."+name, ".")); err != nil {
+		if err := s.scanValue(strings.TrimPrefix(path+"."+name, ".")); err != nil {
 			return err
 		}
 	}
@@ -79,21 +79,22 @@
 	return err
 }
 
-func (s *lineScanner) line(offset int64) int {
+// lineAt returns the line of an offset in the text.
+func (s *lineScanner) lineAt(offset int64) int {
 	before := s.text[:min(int(offset), len(s.text))]
 	return 1 + bytes.Count(before, []byte{'\n'})
 }
 
-// addLines gives each fault of the platform's configuration, one a line of the error, its line in the file.
+// addLines adds to each fault of a platform's configuration its line in the file. The error has one fault per line.
 func addLines(file string, err error, lines map[string]int) error {
-	var all []error
+	var faults []error
 	for fault := range strings.SplitSeq(err.Error(), "\n") {
-		all = append(all, addLine(file, strings.TrimPrefix(fault, file+": "), lines))
+		faults = append(faults, addLine(file, strings.TrimPrefix(fault, file+": "), lines))
 	}
-	return errors.Join(all...)
+	return errors.Join(faults...)
 }
 
-// addLine gives a fault the line of its key, or else of the nearest object around it.
+// addLine adds to a fault the line of its key, or of the nearest enclosing object if the document doesn't have the key.
 func addLine(file, fault string, lines map[string]int) error {
 	path := fault
 	if rest, found := strings.CutPrefix(fault, "settings: "); found {
@@ -102,7 +103,7 @@
 	path, _, _ = strings.Cut(path, ":")
 	path, _, _ = strings.Cut(path, "=")
 	for {
-		if line, known := lines[path]; known {
+		if line, exists := lines[path]; exists {
 			return fmt.Errorf("%s:%d: %s", file, line, fault)
 		}
 		path = path[:max(0, strings.LastIndexByte(path, '.'))]
--- a/internal/daemon/leaseclient.go
+++ b/internal/daemon/leaseclient.go
@@ -18,41 +18,42 @@
 )
 
 const (
-	// leaseRequestInterval lets three requests fit into the shortest useful lease.
+	// leaseRequestInterval is the time between requests for a lease. Three requests fit into the shortest useful lease.
 	leaseRequestInterval = 400 * time.Millisecond
-	// leaseRequestJitter is the part of the interval that requests are spread over, so that instances that started
-	// together don't ask together.
+	// leaseRequestJitter is the fraction of the interval over which requests are spread, so that instances that started
+	// together don't send theirs together.
 	leaseRequestJitter = 0.2
-	// issuerTimeout is how long only the coordinator that issued the last lease is asked.
+	// issuerTimeout is how long after a lease requests are sent only to the coordinator that issued it.
 	issuerTimeout = 3 * leaseRequestInterval
 
+	// maxQueuedMessages limits the messages of coordinators that wait to be processed.
 	maxQueuedMessages = 64
 )
 
 // leaseClient requests leases from the coordinators and passes leases and revisions on to the engine.
 type leaseClient struct {
 	proxy    *httpproxy.Proxy
-	cluster  *atomic.Pointer[membership.Cluster] // nil inside until the cluster is joined
+	cluster  *atomic.Pointer[membership.Cluster] // holds nil until the cluster is joined
 	messages chan []byte
 
-	issuer     string // address of the coordinator that issued the last lease
-	issuedAt   time.Time
-	requestNow bool // a revision was added, and a lease on it may be issued now
+	issuer     string    // address of the coordinator that issued the last lease
+	issuedAt   time.Time // when the last lease was accepted
+	requestNow bool      // a revision was added, on which a lease can be issued: don't wait for the interval
 
 	leased           atomic.Bool
-	revision         atomic.Uint64 // the latest one leased
+	revision         atomic.Uint64 // the latest leased one
 	leases           atomic.Uint64
 	leasesLost       atomic.Uint64
 	revisionsAdded   atomic.Uint64
 	revisionsRefused atomic.Uint64
-	unreadable       atomic.Uint64
+	unreadable       atomic.Uint64 // messages that can't be decoded
 }
 
 func newLeaseClient(proxy *httpproxy.Proxy, cluster *atomic.Pointer[membership.Cluster]) *leaseClient {
 	return &leaseClient{proxy: proxy, cluster: cluster, messages: make(chan []byte, maxQueuedMessages)}
 }
 
-// fileRuleSet returns the rules of the instance's own settings file, which are in force until the cluster has a
+// fileRuleSet returns the rules of the instance's own configuration file, which are in force until the cluster has a
 // revision.
 func fileRuleSet(settings *policy.Settings, deadlines []policy.Time) *engine.RuleSet {
 	own := *settings
@@ -64,7 +65,7 @@
 	}
 }
 
-// parseRevision reads the rules of a revision. Its error has a line for each fault.
+// parseRevision parses the rules of a revision. Its error has a line for each fault.
 func parseRevision(revision ruleset.Revision) (*engine.RuleSet, error) {
 	rules, err := config.ReadRules("version", revision.Text)
 	if err != nil {
@@ -91,8 +92,8 @@
 	return members
 }
 
-// handleMessage queues a message of a coordinator. It doesn't block: a message that finds the queue full is dropped,
-// and what it carried is requested again.
+// handleMessage queues a message of a coordinator. It doesn't block: if the queue is full, the message is dropped, and
+// the next lease request makes the coordinator send it again.
 func (c *leaseClient) handleMessage(encoded []byte) {
 	select {
 	case c.messages <- encoded:
@@ -121,7 +122,7 @@
 	}
 }
 
-// process decodes a message and passes it on.
+// process decodes a message and passes its lease or revision on to the engine.
 func (c *leaseClient) process(encoded []byte) {
 	message, err := ruleset.Decode(encoded)
 	if err != nil {
@@ -136,7 +137,8 @@
 	}
 }
 
-// requestLease asks the coordinator that issued the last lease, or all of them if it has been silent.
+// requestLease requests a lease from the coordinator that issued the last one, or from all coordinators if that one has
+// issued none for issuerTimeout.
 func (c *leaseClient) requestLease() {
 	cluster := c.cluster.Load()
 	if cluster == nil {
@@ -163,7 +165,7 @@
 	}
 }
 
-// recordLease updates what metrics and the other instances are told about the lease. The loop calls it.
+// recordLease updates the state of the lease that metrics and announcements to the peers show. The loop calls it.
 func (c *leaseClient) recordLease() {
 	revisions, leased := c.proxy.LeasedRevisions()
 	if len(revisions) > 0 {
@@ -190,7 +192,7 @@
 // addRevision passes a revision on to the engine if it is valid.
 func (c *leaseClient) addRevision(revision ruleset.Revision) {
 	if sha256.Sum256(revision.Text) != revision.Digest {
-		c.reject(revision, "its digest is that of another text")
+		c.reject(revision, "its digest does not match its text")
 		return
 	}
 	ruleSet, err := parseRevision(revision)
@@ -200,7 +202,8 @@
 	}
 	c.proxy.RunOnLoopWithin(loopTimeout, func() {
 		if !c.proxy.AddRuleSet(ruleSet) {
-			c.reject(revision, "its number is known with another digest, or what is in force is newer")
+			c.reject(revision, "its number belongs to another digest, a newer revision is leased, "+
+				"or there is no room for it")
 			return
 		}
 		c.revisionsAdded.Add(1)
@@ -215,8 +218,8 @@
 		Error("revision rejected, the active one stays in force")
 }
 
-// eachMetric passes each metric to report. counter tells counters from gauges.
-func (c *leaseClient) eachMetric(report func(name string, value float64, counter bool)) {
+// eachMetric calls report with each metric.
+func (c *leaseClient) eachMetric(report func(name string, value float64, isCounter bool)) {
 	leased := 0.0
 	if c.leased.Load() {
 		leased = 1
--- a/internal/daemon/logger.go
+++ b/internal/daemon/logger.go
@@ -9,7 +9,7 @@
 
 const textTimestamp = "15:04:05.000"
 
-// NewLogger makes a logger of that level and format, text or json, on standard error.
+// NewLogger returns a logger that writes to standard error. The format is text or json.
 func NewLogger(level, format string) (*logrus.Logger, error) {
 	log := logrus.New()
 	switch format {
--- a/internal/daemon/platformconfig.go
+++ b/internal/daemon/platformconfig.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// minDescriptors and minMemoryMB are what an instance needs to serve at all.
+	// minDescriptors and minMemoryMB are the least resources with which an instance can serve.
 	minDescriptors = 48
 	minMemoryMB    = 24
 	// maxShutdownDeadline is the longest deadline that the shutdown waits for. The platform sends SIGKILL 0.7 s after
-	// the longest deadline; acceptTime later 250 ms are left.
+	// the longest deadline, which is 250 ms after the end of acceptTime and this wait.
 	maxShutdownDeadline = 3 * policy.Second
 )
 
@@ -44,7 +44,7 @@
 	f.err = errors.Join(f.err, fmt.Errorf(format, args...))
 }
 
-// parsePlatformFile parses the platform's configuration. Its error has the line of each fault.
+// parsePlatformFile parses the platform's configuration. Its error has a line for each fault, with its position.
 func parsePlatformFile(path string, text []byte, env func(string) string) (Config, error) {
 	lines, err := JSONLines(path, text)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return c, nil
 }
 
-// parsePlatform parses the platform's configuration. Its error has a line for each fault.
+// parsePlatform parses the platform's configuration. Its error has a line for each fault, without its position.
 func parsePlatform(path string, text []byte, env func(string) string) (Config, error) {
 	var c Config
 	var document platformDocument
@@ -87,7 +87,7 @@
 	c.Discovery = valueOrEnv(env, "GW_DISCOVERY", document.Discovery)
 	c.fileDiscovery = document.Discovery
 	if c.Listen == "" || c.Discovery == "" {
-		found.addf("listen or discovery: found nothing, allowed an address each")
+		found.addf("listen or discovery: found nothing, allowed an address for each")
 	}
 }
 
@@ -122,12 +122,12 @@
 	c.ShutdownTime = min(c.ShutdownTime, maxShutdownDeadline) + acceptTime
 }
 
-// setPlatformSettings sets the module's settings and the source of endpoints.
+// setPlatformSettings sets the module's settings and the source of the endpoint list.
 func (c *Config) setPlatformSettings(values *platformsettings.Values, found *faults) {
 	mode := values.Text["membership_mode"]
 	source := discovery.NewPlatform(c.Discovery, mode == "on_request")
 	if _, hasGrace := values.Text["rules.drain_grace_s"]; hasGrace && mode == "pushed" {
-		// Discovery is an agent on this machine: a process that starts has its list before the first attempt.
+		// Discovery is an agent on this machine: a process that starts gets its list before the first attempt.
 		source.Grace = max(time.Millisecond, time.Duration(values.Duration("rules.drain_grace_s")))
 		c.FirstListTimeout = policy.Time(source.AnswerTimeout())
 	}
@@ -141,8 +141,8 @@
 	source.WatchTimeout = discovery.WatchTimeout(source.Grace > 0, settings.Instances)
 }
 
-// flatten puts each value under its path, as in "limits.sockets" or "list.0". A list's own path has its values, joined
-// by commas, and the path of its length ends in "count".
+// flatten stores each value under its path, such as "limits.sockets" or "list.0". A list is also stored under its own
+// path, as its values joined by commas, and its length under that path with ".count" added.
 func flatten(values map[string]string, path string, raw json.RawMessage) error {
 	switch text := strings.TrimSpace(string(raw)); {
 	case text == "" || text == "null":
--- a/internal/daemon/productconfig.go
+++ b/internal/daemon/productconfig.go
@@ -16,134 +16,134 @@
 const (
 	bytesPerMB = 1 << 20
 
-	// watchDescriptors are for the notifier of file changes, and for the file being read or written.
+	// watchDescriptors are the descriptors of the file watcher and of the file being read or written.
 	watchDescriptors = 6
-	// metricsListenerDescriptors are those of the metrics server beside its connections.
+	// metricsListenerDescriptors are the descriptors of the metrics server in addition to its connections.
 	metricsListenerDescriptors = 2
 )
 
 // parseProduct parses the product's own configuration.
 func parseProduct(path string, text []byte) (Config, error) {
-	in, err := config.Read(path, text)
+	parsed, err := config.Read(path, text)
 	if err != nil {
 		return Config{}, err
 	}
 	c := Config{
-		Name:           in.Name,
-		AdminAddress:   in.AdminAddress,
-		MetricsAddress: in.MetricsAddress,
-		Discovery:      in.Discovery,
-		LogLevel:       in.LogLevel,
-		LogFormat:      in.LogFormat,
-		Config:         productProxyConfig(in),
+		Name:           parsed.Name,
+		AdminAddress:   parsed.AdminAddress,
+		MetricsAddress: parsed.MetricsAddress,
+		Discovery:      parsed.Discovery,
+		LogLevel:       parsed.LogLevel,
+		LogFormat:      parsed.LogFormat,
+		Config:         productProxyConfig(parsed),
 	}
 	c.Seed = rand.Uint64()
-	if in.Seeded {
-		c.Seed = instanceSeed(in.Seed, in.Listen)
+	if parsed.Seeded {
+		c.Seed = instanceSeed(parsed.Seed, parsed.Listen)
 	}
-	c.ShutdownTime = in.ShutdownTime + acceptTime
-	c.Source, c.ReservedDescriptors = newSource(in)
-	if in.Peers.Listen != "" {
-		if err := c.setMembership(path, in); err != nil {
+	c.ShutdownTime = parsed.ShutdownTime + acceptTime
+	c.Source, c.ReservedDescriptors = newSource(parsed)
+	if parsed.Peers.Listen != "" {
+		if err := c.setMembership(path, parsed); err != nil {
 			return c, err
 		}
 	}
-	if in.MetricsAddress != "" {
-		c.Latency = admin.NewLatency(in.Settings.Classes)
+	if parsed.MetricsAddress != "" {
+		c.Latency = admin.NewLatency(parsed.Settings.Classes)
 		c.ReservedDescriptors += admin.MaxConnections + metricsListenerDescriptors
 	}
 	return c, nil
 }
 
-// productProxyConfig returns the part of the configuration that the proxy has.
-func productProxyConfig(in *config.Config) httpproxy.Config {
+// productProxyConfig returns the proxy's part of a configuration.
+func productProxyConfig(parsed *config.Config) httpproxy.Config {
 	return httpproxy.Config{
-		Listen:         in.Listen,
-		Descriptors:    in.Descriptors,
-		MessageMemory:  in.MemoryMB * bytesPerMB,
-		ConnectTimeout: in.ConnectTimeout,
-		SourceIP:       in.SourceIP,
-		IdleTimeout:    in.IdleTimeout,
+		Listen:         parsed.Listen,
+		Descriptors:    parsed.Descriptors,
+		MessageMemory:  parsed.MemoryMB * bytesPerMB,
+		ConnectTimeout: parsed.ConnectTimeout,
+		SourceIP:       parsed.SourceIP,
+		IdleTimeout:    parsed.IdleTimeout,
 		AcceptTime:     acceptTime,
-		Settings:       in.Settings,
-		Deadlines:      in.Deadlines,
-		DefaultClass:   in.DefaultClass,
-		Anonymous:      in.Anonymous,
+		Settings:       parsed.Settings,
+		Deadlines:      parsed.Deadlines,
+		DefaultClass:   parsed.DefaultClass,
+		Anonymous:      parsed.Anonymous,
 		StallAfter:     StallAfter,
 	}
 }
 
-// setMembership sets the configuration of the instance's cluster.
-func (c *Config) setMembership(path string, in *config.Config) error {
-	key, err := membership.ReadKey(in.Peers.KeyFile)
+// setMembership sets the configuration of the cluster membership, whose key it reads.
+func (c *Config) setMembership(path string, parsed *config.Config) error {
+	key, err := membership.ReadKey(parsed.Peers.KeyFile)
 	if err != nil {
 		return fmt.Errorf("%s: peers.key_file: %w", path, err)
 	}
 	c.Membership = &membership.Config{
-		Name:      in.Name,
-		Cluster:   in.Peers.Cluster,
-		Listen:    in.Peers.Listen,
-		Advertise: in.Peers.Advertise,
-		Join:      in.Peers.Join,
+		Name:      parsed.Name,
+		Cluster:   parsed.Peers.Cluster,
+		Listen:    parsed.Peers.Listen,
+		Advertise: parsed.Peers.Advertise,
+		Join:      parsed.Peers.Join,
 		Key:       key,
-		Zone:      string(in.Settings.Zone),
+		Zone:      string(parsed.Settings.Zone),
 	}
-	c.AgreedRules = in.Peers.AgreedRules
+	c.AgreedRules = parsed.Peers.AgreedRules
 	c.ReservedDescriptors += membership.Descriptors
 	return nil
 }
 
-// ClientConfig is the configuration of a client that decides by itself, without a proxy.
+// ClientConfig is the configuration of an RPC client that balances its requests itself, without a sidecar.
 type ClientConfig struct {
-	Seed        uint64 // 0: to be drawn
+	Seed        uint64 // 0: the client draws one
 	Settings    *policy.Settings
-	Deadlines   []policy.Time
+	Deadlines   []policy.Time // by class
 	Source      discovery.Source
-	Methods     [][]string // by class
-	KeyMetadata string
-	KeyField    string
+	Methods     [][]string // RPC methods by class
+	KeyMetadata string     // name of the RPC metadata that holds a request's key
+	KeyField    string     // name of the request message's field that holds it if no metadata does
 	LogLevel    string
 	LogFormat   string
 }
 
 // ParseClient parses the configuration of a client.
 func ParseClient(name string, text []byte) (ClientConfig, error) {
-	in, err := config.ReadClient(name, text)
+	parsed, err := config.ReadClient(name, text)
 	if err != nil {
 		return ClientConfig{}, err
 	}
 	c := ClientConfig{
-		Settings:    in.Settings,
-		Deadlines:   in.Deadlines,
-		Methods:     in.Methods,
-		KeyMetadata: in.KeyMetadata,
-		KeyField:    in.KeyField,
-		LogLevel:    in.LogLevel,
-		LogFormat:   in.LogFormat,
+		Settings:    parsed.Settings,
+		Deadlines:   parsed.Deadlines,
+		Methods:     parsed.Methods,
+		KeyMetadata: parsed.KeyMetadata,
+		KeyField:    parsed.KeyField,
+		LogLevel:    parsed.LogLevel,
+		LogFormat:   parsed.LogFormat,
 	}
-	if in.Seeded {
-		c.Seed = instanceSeed(in.Seed, "")
+	if parsed.Seeded {
+		c.Seed = instanceSeed(parsed.Seed, "")
 	}
-	c.Source, _ = newSource(in)
+	c.Source, _ = newSource(parsed)
 	return c, nil
 }
 
-// newSource makes the source that the configuration names, and returns how many descriptors it takes.
-func newSource(in *config.Config) (source discovery.Source, descriptors int) {
+// newSource returns the source of endpoints that a configuration names, and how many descriptors it needs.
+func newSource(parsed *config.Config) (source discovery.Source, descriptors int) {
 	now := clock.New().Now
-	switch in.SourceKind {
+	switch parsed.SourceKind {
 	case config.Files:
-		source = discovery.NewFiles(in.Patterns, in.FileLimits, now)
+		source = discovery.NewFiles(parsed.Patterns, parsed.FileLimits, now)
 		descriptors = watchDescriptors
 	case config.Discovery:
-		platform := discovery.NewPlatform(in.Discovery, false)
-		platform.SourceIP = in.SourceIP
+		platform := discovery.NewPlatform(parsed.Discovery, false)
+		platform.SourceIP = parsed.SourceIP
 		source = platform
 	case config.Fixed:
-		source = &discovery.Fixed{Entries: in.Endpoints, Label: fmt.Sprintf("fixed: %+v", in.Endpoints)}
+		source = &discovery.Fixed{Entries: parsed.Endpoints, Label: fmt.Sprintf("fixed: %+v", parsed.Endpoints)}
 	}
-	if in.StateDirectory != "" {
-		source = discovery.NewCached(source, in.StateDirectory, now)
+	if parsed.StateDirectory != "" {
+		source = discovery.NewCached(source, parsed.StateDirectory, now)
 	}
 	return source, descriptors
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -10,16 +10,17 @@
 	"pepperlead/policy"
 )
 
-// reloader reads the configuration file again when it is told to. It runs beside the loop, which reading would hold up.
+// reloader reads the configuration file again at a signal. It runs in its own goroutine, because reading a file would
+// block the loop.
 type reloader struct {
 	path    string
 	current Config
-	configs chan<- httpproxy.Config // new configurations
-	stopped <-chan struct{}         // closed when no one receives them any more
+	configs chan<- httpproxy.Config // receives new configurations
+	stopped <-chan struct{}         // closed when the proxy no longer receives from configs
 	log     *logrus.Logger
 }
 
-// run reloads at each signal. A faulty file is logged and changes nothing.
+// run reloads the configuration at each signal. A file with faults is logged and changes nothing.
 func (r *reloader) run(signals <-chan os.Signal) {
 	for range signals {
 		next, err := Read(r.path, currentEnvironment)
@@ -37,8 +38,8 @@
 	}
 }
 
-// currentEnvironment is the environment without the discovery address: that is as old as the process, and the file's is
-// newer.
+// currentEnvironment returns the value of an environment variable, but none for the discovery address: the environment
+// is as old as the process, so the address in the file is newer.
 func currentEnvironment(name string) string {
 	if name == "GW_DISCOVERY" {
 		return ""
@@ -46,7 +47,8 @@
 	return os.Getenv(name)
 }
 
-// carryOver puts into the new configuration what stays, and notes what is current from now on.
+// carryOver completes a new configuration with what a reload doesn't change: the source unless the file names another
+// discovery address, the agreed rules, the latency histograms and the recorder. A new source becomes the current one.
 func (r *reloader) carryOver(next *Config) {
 	if next.fileDiscovery == r.current.fileDiscovery && next.fileDiscovery != "" {
 		next.Source = r.current.Source
@@ -55,7 +57,7 @@
 		r.current.Source = next.Source
 	}
 	if r.current.AgreedRules {
-		next.Settings = &policy.Settings{} // of another shape, so that the agreed settings stay
+		next.Settings = &policy.Settings{} // without classes, so that the proxy keeps the agreed ones
 	}
 	next.Latency = r.current.Latency
 	next.Recorder = r.current.Recorder
--- a/internal/daemon/rewrite_test.go
+++ b/internal/daemon/rewrite_test.go
@@ -26,7 +26,7 @@
 	"pepperlead/internal/httpproxy"
 )
 
-// localIP is an address of this run's own, so that runs side by side never meet on a port that one has just left.
+// localIP is a loopback address derived from the process id, so that concurrent runs don't reuse each other's ports.
 var localIP = fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()>>14%64, os.Getpid()>>7%128, 1+os.Getpid()%128)
 
 // recordingSource passes lists on and records them.
@@ -36,31 +36,31 @@
 	lists []*discovery.List
 }
 
-func (p *recordingSource) Run(ctx context.Context, report func(discovery.Event)) {
-	p.Source.Run(ctx, func(n discovery.Event) {
-		if n.List != nil {
-			p.mu.Lock()
-			p.lists = append(p.lists, n.List)
-			p.mu.Unlock()
+func (s *recordingSource) Run(ctx context.Context, report func(discovery.Event)) {
+	s.Source.Run(ctx, func(event discovery.Event) {
+		if event.List != nil {
+			s.mu.Lock()
+			s.lists = append(s.lists, event.List)
+			s.mu.Unlock()
 		}
-		report(n)
+		report(event)
 	})
 }
 
-// fleet is a daemon on list files, its fake backends, and clients that never stop.
+// fleet is a daemon whose source is list files, with its fake backends and clients that send requests all the time.
 type fleet struct {
-	t        *testing.T
-	dir      string
-	addr     string
-	proxy    *httpproxy.Proxy
-	source   *recordingSource
-	servers  []*fakebackend.Server
-	mu       sync.Mutex
-	drained  map[int]time.Time // since when the file, whole, has a server drain
-	late     []string          // requests that came to one of these over a second after
-	asked    atomic.Int64
-	answered [3]atomic.Int64 // succeeded, rejected, failed
-	lost     atomic.Int64
+	t            *testing.T
+	dir          string
+	addr         string
+	proxy        *httpproxy.Proxy
+	source       *recordingSource
+	servers      []*fakebackend.Server
+	mu           sync.Mutex
+	drainedSince map[int]time.Time // when a complete file was written that drains the server
+	lateAttempts []string          // requests that a server received too long after it was drained
+	requests     atomic.Int64
+	results      [3]atomic.Int64 // succeeded, rejected, failed
+	lost         atomic.Int64
 }
 
 const rewriteConfig = `[front.http]
@@ -82,37 +82,37 @@
 missing_for = "30ms"
 %s`
 
-// missingFor is how long a list file may be away, as the configuration above says.
+// missingFor is how long a list file may be missing; rewriteConfig has the same value.
 const missingFor = 30 * time.Millisecond
 
-// text is a list file of these servers, by number, with their weights.
-func (f *fleet) text(issue int, servers map[int]float64, drains map[int]bool) []byte {
+// listFile returns a sealed list file of these servers, with their weights by number.
+func (f *fleet) listFile(issue int, weights map[int]float64, drains map[int]bool) []byte {
 	var b strings.Builder
 	for i := range f.servers {
-		if w, in := servers[i]; in {
+		if w, listed := weights[i]; listed {
 			fmt.Fprintf(&b, "[[server]]\nid = \"s-%d\"\naddress = %q\nweight = %g\n", i, f.servers[i].Addr(), w)
 			if drains[i] {
 				b.WriteString("state = \"draining\"\n")
 			}
 		}
 	}
-	out, _, err := endpointfiles.Seal("list", []byte(b.String()), endpointfiles.Issue(issue), 0)
+	sealed, _, err := endpointfiles.Seal("list", []byte(b.String()), endpointfiles.Issue(issue), 0)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	return out
+	return sealed
 }
 
 func newFleet(t *testing.T, servers int) *fleet {
 	t.Helper()
-	f := &fleet{t: t, dir: t.TempDir(), drained: map[int]time.Time{}}
+	f := &fleet{t: t, dir: t.TempDir(), drainedSince: map[int]time.Time{}}
 	for i := range servers {
 		s, err := fakebackend.Start(localIP+":0", fakebackend.Traits{Name: fmt.Sprintf("s-%d", i), Cores: 4, Queue: 64,
 			Work: time.Millisecond, Seed: uint64(i), Seen: func(id, _ string, at time.Time) {
 				f.mu.Lock()
 				defer f.mu.Unlock()
-				if since, drains := f.drained[i]; drains && at.Sub(since) > fakebackend.Grace {
-					f.late = append(f.late, fmt.Sprintf("%s at s-%d, %v after", id, i, at.Sub(since)))
+				if since, drains := f.drainedSince[i]; drains && at.Sub(since) > fakebackend.Grace {
+					f.lateAttempts = append(f.lateAttempts, fmt.Sprintf("%s at s-%d, %v after", id, i, at.Sub(since)))
 				}
 			}})
 		if err != nil {
@@ -124,7 +124,7 @@
 	return f
 }
 
-// serve starts the daemon from the configuration, as `serve` reads it, and clients before it.
+// serve starts the daemon with the configuration file, as the serve command does, and clients that use it.
 func (f *fleet) serve(clients int) (configs chan httpproxy.Config, path string, end func()) {
 	free, err := net.Listen("tcp", localIP+":0")
 	if err != nil {
@@ -153,12 +153,12 @@
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	over, clientsDone := make(chan struct{}), sync.WaitGroup{}
+	stopClients, clientsDone := make(chan struct{}), sync.WaitGroup{}
 	for c := range clients {
-		clientsDone.Go(func() { f.client(c, over) })
+		clientsDone.Go(func() { f.client(c, stopClients) })
 	}
 	return configs, path, func() {
-		close(over)
+		close(stopClients)
 		clientsDone.Wait()
 		stop <- syscall.SIGTERM
 		if err := <-ended; err != nil {
@@ -167,13 +167,13 @@
 	}
 }
 
-// client sends one request after another. One that gets no complete answer is lost.
-func (f *fleet) client(c int, over chan struct{}) {
+// client sends one request after another. One that gets no complete response is counted as lost.
+func (f *fleet) client(c int, stop chan struct{}) {
 	transport := &http.Transport{DisableCompression: true}
 	defer transport.CloseIdleConnections()
 	for n := 0; ; n++ {
 		select {
-		case <-over:
+		case <-stop:
 			return
 		case <-time.After(time.Millisecond):
 		}
@@ -182,7 +182,7 @@
 		r, _ := http.NewRequest(http.MethodPost, "http://"+f.addr+"/"+class, strings.NewReader(body))
 		r.Header.Set("X-Request-ID", "id-"+body)
 		r.Header.Set("X-Route-Key", fmt.Sprint(n%97))
-		f.asked.Add(1)
+		f.requests.Add(1)
 		answer, err := transport.RoundTrip(r)
 		if err != nil {
 			f.lost.Add(1)
@@ -194,45 +194,45 @@
 		case err != nil, answer.StatusCode == 200 && string(got) != body:
 			f.lost.Add(1)
 		case answer.StatusCode == 200:
-			f.answered[0].Add(1)
+			f.results[0].Add(1)
 		case answer.StatusCode == 503:
-			f.answered[1].Add(1)
+			f.results[1].Add(1)
 		default:
-			f.answered[2].Add(1)
+			f.results[2].Add(1)
 		}
 	}
 }
 
-// truth is what a list file says at some issue.
-type truth map[string]discovery.Entry
+// listContents are the entries of a list file at some issue, by endpoint UID.
+type listContents map[string]discovery.Entry
 
-// TestThousandRewrites writes list files in all the ways in which people and programs do, whole and not, under load. No list
-// that is not one of those written whole is ever applied, no server that drains gets anything new a second later, and no
-// request is lost.
+// Two list files are rewritten 1000 times under load, completely and incompletely, in the ways in which people and
+// programs write files. Every list that is applied must consist of files that were written completely, a drained server
+// must receive no new request after the grace, and no request may be lost.
 func TestThousandRewrites(t *testing.T) {
 	f := newFleet(t, 8)
 	rnd := rand.New(rand.NewPCG(41, 1))
-	// Servers 0 to 4 stand in one file and 3 more in another.
-	in := []map[int]float64{{0: 1, 1: 1, 2: 1, 3: 1, 4: 1}, {5: 1, 6: 1, 7: 1}}
+	// Servers 0 to 4 are listed in the first file, servers 5 to 7 in the second.
+	weights := []map[int]float64{{0: 1, 1: 1, 2: 1, 3: 1, 4: 1}, {5: 1, 6: 1, 7: 1}}
 	drains := []map[int]bool{{}, {}}
-	var truths [2][]truth // by file, in the order of their issues
-	note := func(file int, text []byte) {
+	var written [2][]listContents // by file, in the order of their issues
+	record := func(file int, text []byte) {
 		parsed := endpointfiles.Parse("", text)
 		if parsed.Problem != "" {
 			t.Fatal(parsed.Problem)
 		}
-		is := truth{}
+		contents := listContents{}
 		for _, e := range parsed.Entries {
-			is[e.UID] = e
+			contents[e.UID] = e
 		}
-		truths[file] = append(truths[file], is)
+		written[file] = append(written[file], contents)
 	}
 	path := func(file int) string { return filepath.Join(f.dir, fmt.Sprint(file, ".list")) }
-	var now [2][]byte
+	var current [2][]byte
 	for file := range 2 {
-		now[file] = f.text(1, in[file], drains[file])
-		note(file, now[file])
-		os.WriteFile(path(file), now[file], 0o600)
+		current[file] = f.listFile(1, weights[file], drains[file])
+		record(file, current[file])
+		os.WriteFile(path(file), current[file], 0o600)
 	}
 	configs, config, end := f.serve(6)
 	began := time.Now()
@@ -241,9 +241,9 @@
 	broken := 0
 	for i := range 1000 {
 		file := i % 2
-		// Each step changes weights; one server in turn begins or ceases to drain when it has been as it is for long enough.
-		for s := range in[file] {
-			in[file][s] = 1 + float64((s*7+i)%5)/4
+		// Each step changes weights. One server, which alternates, starts or stops draining.
+		for s := range weights[file] {
+			weights[file][s] = 1 + float64((s*7+i)%5)/4
 		}
 		s := 1 + file*5 + i/2%2
 		if time.Since(changed[s]) > 1300*time.Millisecond && time.Since(began) > 300*time.Millisecond {
@@ -251,19 +251,19 @@
 			drains[file][s] = !drains[file][s]
 			f.mu.Lock()
 			if !drains[file][s] {
-				delete(f.drained, s) // before it can be told
+				delete(f.drainedSince, s) // before the daemon can read it
 			}
 			f.mu.Unlock()
 		}
-		next := f.text(i+2, in[file], drains[file])
-		note(file, next)
-		old := now[file]
+		next := f.listFile(i+2, weights[file], drains[file])
+		record(file, next)
+		old := current[file]
 		switch kind := rnd.IntN(9); kind {
 		case 0:
 			kinds["renamed"]++
 			os.WriteFile(path(file)+".tmp", next, 0o600)
 			os.Rename(path(file)+".tmp", path(file))
-		case 1, 2: // cut off behind each entry, standing for a while, then whole
+		case 1, 2: // truncated before each entry for a few milliseconds, then complete
 			kinds["cut off"]++
 			broken++
 			for _, at := range boundaries(next) {
@@ -271,14 +271,14 @@
 				time.Sleep(time.Duration(rnd.IntN(5)) * time.Millisecond)
 			}
 			os.WriteFile(path(file), next, 0o600)
-		case 3: // written over without being cut, the new text and the tail of the old
+		case 3: // the start overwritten in place, so that the tail of the old text follows
 			kinds["overwritten"]++
 			broken++
-			over(t, path(file), next[:rnd.IntN(len(next))])
+			overwriteStart(t, path(file), next[:rnd.IntN(len(next))])
 			time.Sleep(time.Duration(rnd.IntN(15)) * time.Millisecond)
 			os.WriteFile(path(file), next, 0o600)
 		case 4:
-			kinds["spoilt"]++
+			kinds["corrupted"]++
 			broken++
 			bad := append([]byte(nil), next...)
 			for range 1 + rnd.IntN(3) {
@@ -294,14 +294,14 @@
 			time.Sleep(time.Duration(rnd.IntN(15)) * time.Millisecond)
 			os.WriteFile(path(file), next, 0o600)
 		case 6:
-			kinds["gone for a moment"]++
+			kinds["removed for a moment"]++
 			removed := time.Now()
 			os.Remove(path(file))
 			time.Sleep(time.Duration(rnd.IntN(10)) * time.Millisecond)
 			os.WriteFile(path(file), next, 0o600)
 			if time.Since(removed) >= missingFor {
-				// The machine held this up: the file was away for long enough to be out, and that is true as well.
-				truths[file] = slices.Insert(truths[file], len(truths[file])-1, truth{})
+				// The machine was slow, so the file may have been missing for long enough to be dropped.
+				written[file] = slices.Insert(written[file], len(written[file])-1, listContents{})
 			}
 		case 7: // an old copy, then the new one
 			kinds["old copy"]++
@@ -309,21 +309,21 @@
 			os.WriteFile(path(file), old, 0o600)
 			time.Sleep(time.Duration(rnd.IntN(15)) * time.Millisecond)
 			os.WriteFile(path(file), next, 0o600)
-		case 8: // a new configuration in the middle of it
+		case 8: // a new configuration while the file is truncated
 			kinds["SIGHUP"]++
 			os.WriteFile(path(file), next[:len(next)/2], 0o600)
 			if loaded, err := Read(config, os.Getenv); err != nil {
 				t.Error(err)
 			} else {
-				configs <- loaded.Config // its source has the same name, so the one that runs stays
+				configs <- loaded.Config // its source has the same name, so the running one is kept
 			}
 			os.WriteFile(path(file), next, 0o600)
 		}
-		now[file] = next
+		current[file] = next
 		f.mu.Lock()
 		for s := range drains[file] {
-			if _, known := f.drained[s]; drains[file][s] && !known {
-				f.drained[s] = time.Now() // it is told from here on
+			if _, exists := f.drainedSince[s]; drains[file][s] && !exists {
+				f.drainedSince[s] = time.Now() // the complete file is there from now on
 			}
 		}
 		f.mu.Unlock()
@@ -332,70 +332,72 @@
 	time.Sleep(50 * time.Millisecond)
 	end()
 
-	at := [2]int{}
+	positions := [2]int{}
 	f.source.mu.Lock()
 	lists := f.source.lists
 	f.source.mu.Unlock()
-	for n, l := range lists {
-		got := truth{}
-		for _, e := range l.Entries {
+	for n, list := range lists {
+		got := listContents{}
+		for _, e := range list.Entries {
 			got[e.UID] = e
 		}
-		if !follows(got, &truths, &at) {
-			t.Fatalf("list %d of %d is not one that was written: %v", n, len(lists), l.Entries)
+		if !advance(got, &written, &positions) {
+			t.Fatalf("list %d of %d is not one that was written: %v", n, len(lists), list.Entries)
 		}
 	}
-	if at[0] < len(truths[0])-1 || at[1] < len(truths[1])-1 || len(lists) < 300 {
-		t.Errorf("%d lists were applied, the last of issues %v of %d and %d", len(lists), at, len(truths[0]), len(truths[1]))
+	if positions[0] < len(written[0])-1 || positions[1] < len(written[1])-1 || len(lists) < 300 {
+		t.Errorf("%d lists were applied, the last of issues %v of %d and %d", len(lists), positions, len(written[0]), len(written[1]))
 	}
-	if len(f.late) > 0 {
-		t.Errorf("%d late attempts: %v", len(f.late), f.late[0])
+	if len(f.lateAttempts) > 0 {
+		t.Errorf("%d late attempts: %v", len(f.lateAttempts), f.lateAttempts[0])
 	}
-	if f.lost.Load() > 0 || f.asked.Load() < 2000 ||
-		f.answered[0].Load()+f.answered[1].Load()+f.answered[2].Load() != f.asked.Load() {
-		t.Errorf("asked %d, lost %d", f.asked.Load(), f.lost.Load())
+	if f.lost.Load() > 0 || f.requests.Load() < 2000 ||
+		f.results[0].Load()+f.results[1].Load()+f.results[2].Load() != f.requests.Load() {
+		t.Errorf("%d requests, %d lost", f.requests.Load(), f.lost.Load())
 	}
-	// Servers take up to 64 at once and work for 1 ms: nothing here is a reason to fail.
-	if bad := f.answered[1].Load() + f.answered[2].Load(); bad*100 > f.asked.Load() {
-		t.Errorf("of %d requests %d were rejected and %d failed", f.asked.Load(), f.answered[1].Load(), f.answered[2].Load())
+	// Servers queue up to 64 requests and work 1 ms on each, so nearly all must succeed.
+	if bad := f.results[1].Load() + f.results[2].Load(); bad*100 > f.requests.Load() {
+		t.Errorf("of %d requests %d were rejected and %d failed", f.requests.Load(), f.results[1].Load(), f.results[2].Load())
 	}
 	if c := f.proxy.Counters; c.ListsRefused == 0 || c.Reconfigurations == 0 || broken < 300 {
-		t.Errorf("too little was provoked: %v, %d refused", kinds, c.ListsRefused)
+		t.Errorf("too few incomplete files, refused lists or reloads: %v, %d refused", kinds, c.ListsRefused)
 	}
 	t.Logf("%v: %d lists applied, %d refused, %d requests, %d rejected, %d failed", kinds, len(lists),
-		f.proxy.Counters.ListsRefused, f.asked.Load(), f.answered[1].Load(), f.answered[2].Load())
+		f.proxy.Counters.ListsRefused, f.requests.Load(), f.results[1].Load(), f.results[2].Load())
 }
 
-// boundaries are the offsets at which an entry of a list file begins, and that of its closing table.
-func boundaries(text []byte) (all []int) {
+// boundaries returns the offsets of the entries of a list file and of its closing table.
+func boundaries(text []byte) (offsets []int) {
 	for at := 0; at < len(text); at++ {
 		if strings.HasPrefix(string(text[at:]), "[[server]]") || strings.HasPrefix(string(text[at:]), "[whole]") {
-			all = append(all, at)
+			offsets = append(offsets, at)
 		}
 	}
-	return all
+	return offsets
 }
 
-func over(t *testing.T, path string, head []byte) {
+// overwriteStart overwrites the start of a file without truncating it.
+func overwriteStart(t *testing.T, path string, start []byte) {
 	f, err := os.OpenFile(path, os.O_WRONLY, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
-	f.Write(head)
+	f.Write(start)
 }
 
-// follows tells whether a list is made of one truth of either file, none older than the last one, and goes on to these.
-func follows(got truth, truths *[2][]truth, at *[2]int) bool {
-	for a := at[0]; a < len(truths[0]); a++ {
-		for b := at[1]; b < len(truths[1]); b++ {
-			both := maps.Clone(truths[0][a])
-			maps.Copy(both, truths[1][b])
+// advance reports whether a list consists of written contents of both files, none before the given positions. If so, it
+// advances the positions to these contents.
+func advance(got listContents, written *[2][]listContents, positions *[2]int) bool {
+	for a := positions[0]; a < len(written[0]); a++ {
+		for b := positions[1]; b < len(written[1]); b++ {
+			both := maps.Clone(written[0][a])
+			maps.Copy(both, written[1][b])
 			if maps.Equal(both, got) {
-				*at = [2]int{a, b}
+				*positions = [2]int{a, b}
 				return true
 			}
-			if !subset(truths[0][a], got) {
+			if !contains(got, written[0][a]) {
 				break
 			}
 		}
@@ -403,9 +405,10 @@
 	return false
 }
 
-func subset(of, in truth) bool {
-	for uid, e := range of {
-		if in[uid] != e {
+// contains reports whether a list has all of these entries.
+func contains(list, entries listContents) bool {
+	for uid, e := range entries {
+		if list[uid] != e {
 			return false
 		}
 	}
--- a/internal/daemon/seed_test.go
+++ b/internal/daemon/seed_test.go
@@ -21,8 +21,9 @@
 cut_off = "2s"
 `
 
-// Instances that read one file with a seed in it must not all make the same choices; each makes its own again after a restart.
-func TestInstancesOfOneFileHaveSeedsOfTheirOwn(t *testing.T) {
+// Instances that share a configuration file with a seed must get different seeds, and each the same one after a
+// restart.
+func TestInstancesThatShareAFileHaveDifferentSeeds(t *testing.T) {
 	seeds := map[uint64]string{}
 	for _, listen := range []string{"127.0.0.1:9000", "127.0.0.1:9001", "127.0.0.2:9000"} {
 		text := []byte(strings.Replace(seededConfiguration, "127.0.0.1:9000", listen, 1))
@@ -34,15 +35,15 @@
 		if err != nil || again.Seed != config.Seed {
 			t.Errorf("%s: seed %x, then %x (%v)", listen, config.Seed, again.Seed, err)
 		}
-		if other, taken := seeds[config.Seed]; taken {
-			t.Errorf("%s and %s have one seed", listen, other)
+		if other, exists := seeds[config.Seed]; exists {
+			t.Errorf("%s and %s have the same seed", listen, other)
 		}
 		seeds[config.Seed] = listen
 	}
 	for _, host := range []string{"one", "two", "onetwo"} {
 		seed := hostSeed(7, host, "127.0.0.1:9000")
-		if other, taken := seeds[seed]; taken {
-			t.Errorf("host %s and %s have one seed", host, other)
+		if other, exists := seeds[seed]; exists {
+			t.Errorf("hosts %s and %s have the same seed", host, other)
 		}
 		seeds[seed] = host
 	}
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -22,33 +22,34 @@
 )
 
 const (
-	// messageMemoryPercent is the part of the memory that requests and responses may take.
+	// messageMemoryPercent is the percentage of the memory limit that requests and responses may take.
 	messageMemoryPercent = 35
-	// heapMemoryShare is the part of the memory under which the garbage collector keeps the heap.
+	// heapMemoryShare is the fraction of the memory limit below which the garbage collector tries to keep the heap.
 	heapMemoryShare = 0.6
-	// minThreads lets one thread wait in the kernel for sockets while another works. With one alone the loop would
-	// start only when the runtime notices that, up to 10 ms later.
+	// minThreads lets one thread wait in the kernel for sockets while another works. With a single thread the loop
+	// would run only once the runtime notices the wait, up to 10 ms later.
 	minThreads = 2
 
-	// StallAfter is the time without a round after which an engine refreshes its endpoint list before it decides.
+	// StallAfter is the time without a round of the loop after which an engine refreshes its endpoint list before it
+	// decides.
 	StallAfter = 400 * policy.Millisecond
 )
 
 var errRecordAgreedRules = errors.New(
-	"record: a trace has one set of offerings, and with peers.agree these come and go")
+	"record: a trace has a fixed set of offerings, but with peers.agree they can change")
 
-// server is an instance with all that surrounds it.
+// server is an instance: a proxy with its process group, cluster membership, trace and servers for operators.
 type server struct {
 	config     Config
 	log        *logrus.Logger
 	proxy      *httpproxy.Proxy
 	operations *adminOperations
 	reporter   admin.Reporter
-	closers    []func() // run at the end, the last one first
+	closers    []func() // called at the end, in reverse order
 }
 
-// Serve runs an instance by the configuration of the file at that path until it receives SIGTERM or SIGINT. With a
-// record path it writes a trace there.
+// Serve runs an instance until it receives SIGTERM or SIGINT. On SIGHUP it reads the configuration again from path. If
+// record is not empty, it writes a trace to that file.
 func Serve(config Config, path, record string, log *logrus.Logger) error {
 	limitResources(&config, log)
 	stop := make(chan os.Signal, 2)
@@ -78,22 +79,22 @@
 	return nil
 }
 
-// limitResources sets the process's limits and the configuration's memory for messages. The instance keeps to its
-// limit on descriptors by itself; the kernel enforces it where clients connect faster than they are accepted.
+// limitResources sets the limits of the process and the memory for messages. The instance itself stays below its limit
+// on descriptors; the kernel enforces it if clients connect faster than they are accepted.
 func limitResources(config *Config, log *logrus.Logger) {
 	runtime.GOMAXPROCS(max(minThreads, runtime.GOMAXPROCS(0)))
 	debug.SetMemoryLimit(int64(float64(config.MessageMemory) * heapMemoryShare))
 	config.MessageMemory = messageMemory(config.MessageMemory)
 	limit := syscall.Rlimit{Cur: uint64(config.Descriptors), Max: uint64(config.Descriptors)}
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		log.WithError(err).Warn("the limit on descriptors cannot be set")
+		log.WithError(err).Warn("cannot set the limit on file descriptors")
 	}
 }
 
-// messageMemory is the part of the memory, in bytes, that messages may take.
+// messageMemory returns how much of a memory limit messages may take, in bytes.
 func messageMemory(memory int) int { return memory * messageMemoryPercent / 100 }
 
-// close closes what was started.
+// close calls the closers in reverse order.
 func (s *server) close() {
 	for i := len(s.closers) - 1; i >= 0; i-- {
 		s.closers[i]()
@@ -102,7 +103,7 @@
 
 func (s *server) onClose(closer func()) { s.closers = append(s.closers, closer) }
 
-// startTrace opens the trace, if there is to be one.
+// startTrace creates the trace, unless the path is empty.
 func (s *server) startTrace(path string) error {
 	if path == "" {
 		return nil
@@ -110,7 +111,7 @@
 	if s.config.AgreedRules {
 		return errRecordAgreedRules
 	}
-	recorder, err := trace.Create(path, traceHead(s.config))
+	recorder, err := trace.Create(path, traceHeader(s.config))
 	if err != nil {
 		return fmt.Errorf("record: %w", err)
 	}
@@ -123,19 +124,19 @@
 	return nil
 }
 
-func traceHead(config Config) trace.Header {
-	head := trace.Header{Start: clock.New().Now(), Name: config.Name, Zone: config.Settings.Zone}
+func traceHeader(config Config) trace.Header {
+	header := trace.Header{Start: clock.New().Now(), Name: config.Name, Zone: config.Settings.Zone}
 	for _, class := range config.Settings.Classes {
-		head.Classes = append(head.Classes, class.Name)
+		header.Classes = append(header.Classes, class.Name)
 	}
 	for _, tenant := range config.Settings.Tenants {
-		head.Tenants = append(head.Tenants, tenant.Name)
+		header.Tenants = append(header.Tenants, tenant.Name)
 	}
-	return head
+	return header
 }
 
-// joinProcessGroup joins the other processes of the instance, if there may be any. If that fails the process serves
-// without: drained endpoints are forgotten at its end, and a process that takes over finds no state.
+// joinProcessGroup joins the group of the instance's processes, if it has one. If that fails, the process serves
+// without a group: drained endpoints are forgotten at its end, and its successor can't import its state.
 func (s *server) joinProcessGroup() {
 	if !s.config.hasProcessGroup() {
 		return
@@ -182,7 +183,7 @@
 	if s.config.MetricsAddress == "" {
 		return nil
 	}
-	latency, _ := s.config.Latency.(*admin.Latency) // of this type where there are metrics
+	latency, _ := s.config.Latency.(*admin.Latency) // parseProduct sets it together with MetricsAddress
 	metrics, err := admin.ListenMetrics(s.config.MetricsAddress, s.reporter, latency)
 	if err != nil {
 		return fmt.Errorf("pages: %w", err)
@@ -200,7 +201,7 @@
 	}
 	commands, err := admin.ListenCommands(address, s.operations)
 	if err != nil {
-		return fmt.Errorf("admin: found %q, allowed an address that can be listened on: %w", address, err)
+		return fmt.Errorf("admin: cannot listen on %q: %w", address, err)
 	}
 	s.onClose(func() {
 		_ = commands.Close() // the process ends
