--- a/cmd/pepperlead/coordinatorclient.go
+++ b/cmd/pepperlead/coordinatorclient.go
@@ -17,10 +17,10 @@
 	// leaderTimeout is how long the coordinators may take to elect a leader.
 	leaderTimeout       = 5 * time.Second
 	leaderRetryInterval = 200 * time.Millisecond
-	coordinatorTimeout  = 15 * time.Second
+	coordinatorTimeout  = 15 * time.Second // of one request
 )
 
-// coordinatorClient sends requests to the leader of the coordinators, of which it knows one.
+// coordinatorClient sends requests to the leader of the coordinators, which it finds by way of the one at its address.
 type coordinatorClient struct{ address string }
 
 // coordinatorResponse is a coordinator's response.
@@ -38,7 +38,7 @@
 	for time.Now().Before(deadline) {
 		response, err := send(client, method, "http://"+address+path, body)
 		if isDialError(err) && address != c.address {
-			// The leader has gone and the others don't know yet. It did not get the request.
+			// The leader has failed, and the others have not noticed yet. It has not received the request.
 			address = c.address
 			time.Sleep(leaderRetryInterval)
 			continue
@@ -58,7 +58,7 @@
 			return "", errors.New(strings.TrimSpace(response.text))
 		}
 	}
-	return "", fmt.Errorf("%s: who leads changes all the time: try again", address)
+	return "", fmt.Errorf("%s: found no leader within %v: try again", address, leaderTimeout)
 }
 
 func send(client *http.Client, method, url string, body []byte) (coordinatorResponse, error) {
@@ -71,7 +71,7 @@
 		return coordinatorResponse{}, err
 	}
 	defer func() {
-		_ = response.Body.Close() // it was only read
+		_ = response.Body.Close() // the response was only read
 	}()
 	text, err := io.ReadAll(response.Body)
 	return coordinatorResponse{
@@ -86,13 +86,14 @@
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
 
-// revisions are the numbers of a cluster's revisions.
+// revisions has the numbers of a cluster's revisions.
 type revisions struct {
 	inForce uint64
-	coming  uint64 // into force; 0: none
+	coming  uint64 // the one that is coming into force; 0: none
 	last    uint64
 }
 
+// revisions requests the numbers of the cluster's revisions.
 func (c coordinatorClient) revisions() (revisions, error) {
 	text, err := c.do(http.MethodGet, "/_versions", nil)
 	if err != nil {
--- a/cmd/pepperlead/descriptors_test.go
+++ b/cmd/pepperlead/descriptors_test.go
@@ -17,10 +17,11 @@
 	"pepperlead/internal/fakebackend"
 )
 
-// agentAt is a stand-in for discovery's agent that gives this list to whoever asks for all, and lets watches wait; asked is told of calls.
-func agentAt(t *testing.T, addr, list string, asked chan<- time.Time) (at string, end func()) {
+// startAgent starts a fake discovery agent. It answers requests for the whole list with the given one, sends the time
+// of each to requests unless that is full, and leaves watches unanswered.
+func startAgent(t *testing.T, listen, list string, requests chan<- time.Time) (address string, stop func()) {
 	t.Helper()
-	l, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,16 +32,17 @@
 		}
 		io.WriteString(w, list)
 		select {
-		case asked <- time.Now():
+		case requests <- time.Now():
 		default:
 		}
 	})}
-	go server.Serve(l)
-	return l.Addr().String(), func() { server.Close() }
+	go server.Serve(listener)
+	return listener.Addr().String(), func() { server.Close() }
 }
 
-// Idle clients take all the room there is while discovery is down. What it has when it is back is asked for all the same, and acted on.
-func TestDiscoveryIsHeardWhileIdleClientsFillTheDescriptors(t *testing.T) {
+// Idle clients use up all descriptors for clients while discovery is down. Once discovery is back, the daemon must
+// still request the new list and apply it.
+func TestDiscoveryIsReachedWhileIdleClientsUseUpDescriptors(t *testing.T) {
 	dir := t.TempDir()
 	program, config := filepath.Join(dir, "pepperlead"), filepath.Join(dir, "config.json")
 	build(t, program)
@@ -54,25 +56,25 @@
 		servers[i] = s
 	}
 	list := func(rev int, states ...string) string {
-		var all []string
+		var targets []string
 		for i, state := range states {
-			all = append(all, fmt.Sprintf(`{"uid":"s-%d","endpoint":%q,"az":"a","pod_group":1,"state":%q,"boot_ms":0}`, i, servers[i].Addr(), state))
+			targets = append(targets, fmt.Sprintf(`{"uid":"s-%d","endpoint":%q,"az":"a","pod_group":1,"state":%q,"boot_ms":0}`, i, servers[i].Addr(), state))
 		}
-		return fmt.Sprintf(`{"rev":%d,"all":true,"targets":[%s]}`, rev, strings.Join(all, ","))
+		return fmt.Sprintf(`{"rev":%d,"all":true,"targets":[%s]}`, rev, strings.Join(targets, ","))
 	}
-	asked := make(chan time.Time, 16)
-	agent, down := agentAt(t, "127.0.0.1:0", list(7, "Ready"), asked)
+	requests := make(chan time.Time, 16)
+	agent, stopAgent := startAgent(t, "127.0.0.1:0", list(7, "Ready"), requests)
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := free.Addr().String()
+	address := free.Addr().String()
 	free.Close()
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1","limits":{"cores":1.0,"memory_mb":64,"sockets":48},"known":%s,
 "settings":{"balancers":3,"zone":"a","zones":["a"],"weight_kind":"nominal","membership_mode":"pushed","tick_s":0.005,"limits":{"cancel":true,
 "max_pushes":3,"retry_after":true,"max_retry_after_s":3.0,"connect_timeout_s":0.2,"conn_idle_s":60.0},"prices":{"cross_zone":0.0},
 "rules":{"cold_from":0.13,"cold_s":24.0,"fall_multiple":3.0,"fall_s":1.0,"drain_grace_s":0.5},
-"offerings":[{"name":"step","credit":1.0,"overdue_credit":0.2,"quoted_time_s":1.0,"cut_off_s":2.0,"idempotency":"retryable"}]}}`, at, agent, list(7, "Ready"))
+"offerings":[{"name":"step","credit":1.0,"overdue_credit":0.2,"quoted_time_s":1.0,"cut_off_s":2.0,"idempotency":"retryable"}]}}`, address, agent, list(7, "Ready"))
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -82,29 +84,30 @@
 	}
 	defer func() { c.Process.Signal(syscall.SIGTERM); c.Wait() }()
 	select {
-	case <-asked:
+	case <-requests:
 	case <-time.After(10 * time.Second):
-		t.Fatal("discovery was never asked")
+		t.Fatal("discovery received no request")
 	}
-	down()
-	// More clients than there is room for: those that are closed as silent make room for others that are.
+	stopAgent()
+	// There are more clients than descriptors: when the daemon closes one as silent, another silent one takes its
+	// place.
 	var idle sync.WaitGroup
-	over := make(chan struct{})
+	stopClients := make(chan struct{})
 	for range 60 {
 		idle.Go(func() {
 			for {
-				if client, err := net.Dial("tcp", at); err == nil {
+				if client, err := net.Dial("tcp", address); err == nil {
 					client.SetReadDeadline(time.Now().Add(10 * time.Second))
 					gone := make(chan struct{})
 					go func() { io.Copy(io.Discard, client); close(gone) }()
 					select {
 					case <-gone:
-					case <-over:
+					case <-stopClients:
 					}
 					client.Close()
 				}
 				select {
-				case <-over:
+				case <-stopClients:
 					return
 				case <-time.After(5 * time.Millisecond):
 				}
@@ -112,23 +115,23 @@
 		})
 	}
 	time.Sleep(3 * time.Second)
-	for len(asked) > 0 {
-		<-asked
+	for len(requests) > 0 {
+		<-requests
 	}
-	began := time.Now()
-	_, down = agentAt(t, agent, list(2, "Terminating", "Ready"), asked)
-	defer down()
+	restarted := time.Now()
+	_, stopAgent = startAgent(t, agent, list(2, "Terminating", "Ready"), requests)
+	defer stopAgent()
 	select {
-	case <-asked:
+	case <-requests:
 	case <-time.After(5500 * time.Millisecond):
-		t.Error("not asked within 5.5 s of its return")
+		t.Error("discovery received no request within 5.5 s of its restart")
 	}
-	t.Logf("asked %v after its return", time.Since(began))
-	close(over)
+	t.Logf("discovery received a request %v after its restart", time.Since(restarted))
+	close(stopClients)
 	idle.Wait()
-	time.Sleep(500 * time.Millisecond) // the grace
+	time.Sleep(500 * time.Millisecond) // the drain grace
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		answer, err := http.Get("http://" + at + "/_servers")
+		answer, err := http.Get("http://" + address + "/_servers")
 		if err == nil {
 			page, _ := io.ReadAll(answer.Body)
 			answer.Body.Close()
--- a/cmd/pepperlead/list.go
+++ b/cmd/pepperlead/list.go
@@ -23,16 +23,16 @@
 func listCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "list",
-		Short: "Check and seal files that list servers",
+		Short: "Check and seal list files",
 		RunE: func(*cobra.Command, []string) error {
-			return fmt.Errorf("list: check or seal; %w", errUsage)
+			return fmt.Errorf("list: found no subcommand, allowed check or seal; %w", errUsage)
 		},
 	}
 	c.AddCommand(listCheckCommand(), listSealCommand())
 	return c
 }
 
-// fileSummary sums up a list file.
+// fileSummary is a summary of a list file.
 type fileSummary struct {
 	File    string              `json:"file"`
 	Problem string              `json:"problem,omitempty"`
@@ -44,7 +44,7 @@
 	Removes int                 `json:"takes_away,omitempty"`
 }
 
-// checkResult is the result of checking list files as JSON has it. Its keys are in alphabetical order.
+// checkResult is the result of checking list files, as it is printed in JSON. Its keys are in alphabetical order.
 type checkResult struct {
 	Files  []fileSummary `json:"files"`
 	Usable bool          `json:"usable"`
@@ -86,14 +86,14 @@
 	c := &cobra.Command{
 		Use:   "check FILE...",
 		Args:  atLeast(1),
-		Short: "Say whether list files are whole, alone and taken together",
-		Long: "Say whether list files are whole, each alone and all of them taken as one list. Exit " +
-			"code 1 if anything would keep a daemon\n" +
-			"from taking them; whether they are newer than what a daemon has, and take away too much " +
-			"of it, only that daemon can say.",
+		Short: "Check list files, each alone and all together",
+		Long: "Check whether list files are complete and valid, each alone and all of them as one list. The " +
+			"exit code is 1 if a daemon would\n" +
+			"reject them. Not checked is what only the daemon can tell: whether they are newer than its list, " +
+			"and remove too much of it.",
 		Example: "  pepperlead list check /etc/pepperlead/servers.d/*.toml",
 	}
-	asJSON := c.Flags().Bool("json", false, "print one JSON object")
+	asJSON := c.Flags().Bool("json", false, "print the result as one JSON object")
 	c.RunE = func(c *cobra.Command, paths []string) error {
 		return checkLists(c.OutOrStdout(), paths, *asJSON)
 	}
@@ -137,16 +137,16 @@
 	c := &cobra.Command{
 		Use:   "seal FILE",
 		Args:  exactly(1),
-		Short: "Write count, issue and digest of a list file anew",
-		Long: "Write the closing table of a list file anew: the count of its servers, an issue one " +
-			"higher than it had, and a digest over all\n" +
-			"of it. What stands above stays as it is. The file is replaced whole, or not at all.",
+		Short: "Update the count, issue and digest of a list file",
+		Long: "Update the closing table of a list file: the count of its servers, an issue number one " +
+			"higher than before, and a digest of the\n" +
+			"file. The text above the table is not changed. The file is replaced atomically, or not at all.",
 		Example: "  pepperlead list seal /etc/pepperlead/servers.toml\n" +
 			"  pepperlead list seal --takes-away 12 /etc/pepperlead/servers.toml",
 	}
 	issue := c.Flags().Int64("issue", 0, "`number` of this issue (default one more than the file has)")
 	removes := c.Flags().Int("takes-away", 0,
-		"ready servers that this issue takes away on purpose, beyond the part allowed")
+		"number of ready servers that this issue removes on purpose, if that is more than the allowed share")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		if *issue < 0 || *issue > maxIssue || *removes < 0 || *removes > maxRemoved {
 			return fmt.Errorf("issue and takes-away: found %d and %d, allowed from 0 up; %w",
@@ -174,7 +174,7 @@
 	}
 	if current, err := os.ReadFile(path); err != nil || string(current) != string(text) {
 		return endpointfiles.File{}, errors.Join(err,
-			fmt.Errorf("%s: it has changed meanwhile: nothing was written", path))
+			fmt.Errorf("%s: another program changed the file meanwhile: nothing was written", path))
 	}
 	return file, snapshot.Replace(path, sealed)
 }
--- a/cmd/pepperlead/main.go
+++ b/cmd/pepperlead/main.go
@@ -1,4 +1,4 @@
-// Command pepperlead is the load balancer as a sidecar, with the tools around it.
+// Command pepperlead runs the load balancer as a sidecar, and has the commands to configure and operate it.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	exitUsage   = 2
 )
 
-// errUsage marks calls that cannot be understood.
+// errUsage marks errors in the command line.
 var errUsage = errors.New("see 'pepperlead help'")
 
 func main() {
@@ -30,19 +30,19 @@
 	os.Exit(exitFailure)
 }
 
-// run runs the command that the arguments name.
+// run executes the command that the arguments name.
 func run(args []string, out io.Writer) error {
 	root := rootCommand()
 	root.SetOut(out)
-	root.SetArgs(doubleDashes(args))
+	root.SetArgs(withDoubleDashes(args))
 	return root.Execute()
 }
 
-// singleDash matches flags in their older form: -config, -at, -log.
+// singleDash matches flags in their old form with one dash: -config, -at, -log.
 var singleDash = regexp.MustCompile(`^-[a-z][a-z-]+(=.*)?$`)
 
-// doubleDashes gives flags with a single dash their second one.
-func doubleDashes(args []string) []string {
+// withDoubleDashes returns the arguments with a second dash before flags that have one.
+func withDoubleDashes(args []string) []string {
 	args = slices.Clone(args)
 	for i, arg := range args {
 		if arg == "--" {
@@ -55,7 +55,7 @@
 	return args
 }
 
-// printf prints to a command's output. A closed output doesn't make the command fail.
+// printf prints to a command's output. Errors are ignored, so that a closed output doesn't make the command fail.
 func printf(out io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(out, format, args...)
 }
--- a/cmd/pepperlead/main_test.go
+++ b/cmd/pepperlead/main_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// A list that was edited by hand is refused with its place, sealed, and taken.
+// An unsealed list is rejected with its file and line, and accepted once it is sealed. A change after that is detected.
 func TestListIsSealedAndChecked(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "servers.toml")
 	text := "[[server]]\nid = \"a\"\naddress = \"127.0.0.1:1\"\n"
@@ -65,7 +65,7 @@
 	}
 }
 
-// build makes the program as it is deployed.
+// build compiles the program.
 func build(t *testing.T, program string) {
 	t.Helper()
 	if built, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
@@ -73,8 +73,8 @@
 	}
 }
 
-// Flags with one dash, as they were typed before, go on working.
-func TestOldFlagsWork(t *testing.T) {
+// Flags with a single dash, their old form, still work.
+func TestSingleDashFlagsWork(t *testing.T) {
 	for _, args := range [][]string{{"check", "-config", "../../deploy/standalone.toml"},
 		{"check", "-config=../../deploy/standalone.toml"}, {"check", "--config", "../../deploy/standalone.toml"}} {
 		var out bytes.Buffer
@@ -84,15 +84,15 @@
 	}
 }
 
-// The program as it is started: with a configuration that cannot be served it ends at once, with one plain line.
-func TestServeEndsOnABadConfiguration(t *testing.T) {
+// With an invalid or missing configuration the program ends at once, and prints one line.
+func TestServeEndsOnAnInvalidConfiguration(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "pepperlead")
 	build(t, program)
-	bad := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(bad, []byte(`{"listen":1}`), 0o600); err != nil {
+	invalid := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(invalid, []byte(`{"listen":1}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, path := range []string{bad, "/nowhere", ""} {
+	for _, path := range []string{invalid, "/nowhere", ""} {
 		c := exec.Command(program, "serve")
 		c.Env = append(os.Environ(), "GW_CONFIG="+path)
 		out, err := c.CombinedOutput()
@@ -102,34 +102,35 @@
 	}
 }
 
-// An old file becomes a pool's, is served, and follows a list whose weights fall with load; a dry run and a bad file write nothing.
-func TestMigratedSidecarServesALoadedList(t *testing.T) {
+// A migrated configuration must be served and follow a list whose weights fall with load. A dry run, an invalid file
+// and an existing target must write nothing.
+func TestMigratedSidecarFollowsChangingWeights(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name string) string { return filepath.Join(dir, name) }
-	put := func(name, text string) {
+	write := func(name, text string) {
 		if err := os.WriteFile(file(name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	var out bytes.Buffer
-	var addrs []string
+	var backends []string
 	for range 2 {
 		s, err := fakebackend.Start("127.0.0.1:0", fakebackend.Traits{Cores: 4, Queue: 16, Work: time.Millisecond})
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer s.Close()
-		addrs = append(addrs, s.Addr())
+		backends = append(backends, s.Addr())
 	}
-	list := func(weights ...float64) {
+	writeList := func(weights ...float64) {
 		text := ""
 		for i, w := range weights {
-			text += fmt.Sprintf("[[server]]\nid = \"s%d\"\naddress = %q\nweight = %g\n", i, addrs[i], w)
+			text += fmt.Sprintf("[[server]]\nid = \"s%d\"\naddress = %q\nweight = %g\n", i, backends[i], w)
 		}
 		if old, err := os.ReadFile(file("servers.list")); err == nil {
-			text += string(old[bytes.Index(old, []byte("[whole]")):]) // so that issues go on
+			text += string(old[bytes.Index(old, []byte("[whole]")):]) // so that the issue number rises
 		}
-		put("new.list.part", text)
+		write("new.list.part", text)
 		if err := run([]string{"list", "seal", file("new.list.part")}, &out); err != nil {
 			t.Fatal(err)
 		}
@@ -137,30 +138,31 @@
 			t.Fatal(err)
 		}
 	}
-	list(2, 2)
+	writeList(2, 2)
 	old := "[front.http]\nlisten = \"127.0.0.1:1\"\nrequest_id = \"optional\"\n[limits]\npushes = 3\n[[offering]]\nname = \"step\"\n" +
 		"quoted_time = \"1s\"\ncut_off = \"2s\"\nrepeats = \"reissuable\"\ndefault = true\n[source]\nkind = \"files\"\n" +
 		"files = [\"servers.list\"]\nsealed = true\n"
-	put("old.toml", old)
-	put("bad.toml", strings.Replace(old, "pushes = 3", "pushes = 30", 1))
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	write("old.toml", old)
+	write("bad.toml", strings.Replace(old, "pushes = 3", "pushes = 30", 1))
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := l.Addr().String()
-	l.Close()
-	for _, k := range []struct{ dry, from, fault string }{{"--dry-run", "old.toml", ""}, {"--dry-run=false", "bad.toml", ":5: limits.pushes: found 30, allowed"},
-		{"--dry-run=false", "old.toml", ""}, {"--dry-run=false", "old.toml", "it exists"}} {
+	address := listener.Addr().String()
+	listener.Close()
+	type migration struct{ dryRun, from, fault string }
+	for _, m := range []migration{{"--dry-run", "old.toml", ""}, {"--dry-run=false", "bad.toml", ":5: limits.pushes: found 30, allowed"},
+		{"--dry-run=false", "old.toml", ""}, {"--dry-run=false", "old.toml", "already exists"}} {
 		before, _ := os.ReadFile(file("new.toml"))
-		err := run([]string{"migrate", k.dry, "--listen", at, "--instances", "20", file(k.from), file("new.toml")}, &out)
+		err := run([]string{"migrate", m.dryRun, "--listen", address, "--instances", "20", file(m.from), file("new.toml")}, &out)
 		after, _ := os.ReadFile(file("new.toml"))
-		if writes := k == struct{ dry, from, fault string }{"--dry-run=false", "old.toml", ""}; (err == nil) != (k.fault == "") ||
-			err != nil && !strings.Contains(err.Error(), k.fault) || (string(before) != string(after)) != writes {
-			t.Errorf("%+v: %v; %q before, %q after", k, err, before, after)
+		if writes := m == (migration{"--dry-run=false", "old.toml", ""}); (err == nil) != (m.fault == "") ||
+			err != nil && !strings.Contains(err.Error(), m.fault) || (string(before) != string(after)) != writes {
+			t.Errorf("%+v: %v; %q before, %q after", m, err, before, after)
 		}
 	}
-	if left, _ := filepath.Glob(file(".migrate-*")); len(left) > 0 {
-		t.Errorf("left behind: %v", left)
+	if remaining, _ := filepath.Glob(file(".migrate-*")); len(remaining) > 0 {
+		t.Errorf("temporary files remain: %v", remaining)
 	}
 	program := file("pepperlead")
 	build(t, program)
@@ -170,7 +172,7 @@
 	}
 	defer func() { c.Process.Signal(syscall.SIGTERM); c.Wait() }()
 	get := func(page string) (int, string) {
-		answer, err := http.Get("http://" + at + page)
+		answer, err := http.Get("http://" + address + page)
 		if err != nil {
 			return 0, err.Error()
 		}
@@ -186,7 +188,7 @@
 		}
 	}
 	for n := range 10 {
-		list(2, 2/float64(n+2)) // the second server holds more and more
+		writeList(2, 2/float64(n+2)) // the load of the second server rises
 		for range 5 {
 			if status, body := get("/step"); status != 200 {
 				t.Errorf("%d %s", status, body)
@@ -204,20 +206,21 @@
 	}
 }
 
-// No folder to meet others in, as where $TMPDIR is missing or may not be written: one line in the log, and it serves.
-func TestServesWithoutAFolder(t *testing.T) {
+// If the directory of the process group can't be created, because $TMPDIR is missing or not writable, the program logs
+// one error and serves without hot restart.
+func TestServesWithoutAProcessGroupDirectory(t *testing.T) {
 	dir := t.TempDir()
-	program, config, l := filepath.Join(dir, "pepperlead"), filepath.Join(dir, "alone.toml"), [2]string{}
+	program, config, addresses := filepath.Join(dir, "pepperlead"), filepath.Join(dir, "alone.toml"), [2]string{}
 	build(t, program)
-	for i := range l {
-		at, err := net.Listen("tcp", "127.0.0.1:0")
+	for i := range addresses {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		l[i] = at.Addr().String()
-		at.Close()
+		addresses[i] = listener.Addr().String()
+		listener.Close()
 	}
-	text := "[front.http]\nlisten = \"" + l[0] + "\"\n[admin]\nlisten = \"" + l[1] + "\"\n[[offering]]\nname = \"step\"\n" +
+	text := "[front.http]\nlisten = \"" + addresses[0] + "\"\n[admin]\nlisten = \"" + addresses[1] + "\"\n[[offering]]\nname = \"step\"\n" +
 		"quoted_time = \"1s\"\ncut_off = \"2s\"\nrepeats = \"reissuable\"\n[source]\nkind = \"fixed\"\n" +
 		"[[source.server]]\nid = \"a\"\naddress = \"127.0.0.1:1\"\n"
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
@@ -233,7 +236,7 @@
 		ready := false
 		for end := time.Now().Add(5 * time.Second); !ready && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 			var out bytes.Buffer
-			ready = run([]string{"call", "--at", l[1], "ready"}, &out) == nil && strings.HasPrefix(out.String(), "OK")
+			ready = run([]string{"call", "--at", addresses[1], "ready"}, &out) == nil && strings.HasPrefix(out.String(), "OK")
 		}
 		c.Process.Signal(syscall.SIGTERM)
 		if err := c.Wait(); err != nil || !ready || strings.Count(log.String(), "hot restart disabled") != 1 ||
--- a/cmd/pepperlead/migrate.go
+++ b/cmd/pepperlead/migrate.go
@@ -20,20 +20,20 @@
 	c := &cobra.Command{
 		Use:   "migrate OLD NEW",
 		Args:  exactly(2),
-		Short: "Write a pool's counterpart of a configuration for one client's sidecar",
-		Long: "Read a configuration of the old shape (TOML, or the platform's JSON), write its " +
-			"counterpart for a sidecar of a pool, and list\n" +
-			"what changed and what could not be carried over. NEW must not exist. With --dry-run " +
-			"nothing is written. docs/migration.md has\n" +
-			"the steps around it.",
+		Short: "Convert a configuration for one client's sidecar into one for a sidecar of a pool",
+		Long: "Convert the configuration of a sidecar that serves one client (TOML, or the platform's JSON) " +
+			"into that of a sidecar of a pool,\n" +
+			"and print what changed and what could not be carried over. NEW must not exist. With --dry-run " +
+			"nothing is written. See\n" +
+			"docs/migration.md for the whole procedure.",
 		Example: "  pepperlead migrate --dry-run --listen 10.0.0.7:9000 --instances 12 old.toml new.toml",
 	}
 	pool := migration.Pool{Seed: rand.Uint64()}
 	c.Flags().StringVar(&pool.Listen, "listen", "", "`address` at which the pool's front reaches this sidecar")
 	c.Flags().IntVar(&pool.Sidecars, "instances", 0, "`number` of sidecars in the pool")
 	c.Flags().IntVar(&pool.Streams, "streams", defaultStreams,
-		"`number` of tickets that one connection carries at once")
-	dryRun := c.Flags().Bool("dry-run", false, "only say what would change; write nothing")
+		"`number` of requests that a connection may carry at once")
+	dryRun := c.Flags().Bool("dry-run", false, "only print what would change; write nothing")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		if pool.Listen == "" || pool.Sidecars == 0 {
 			return fmt.Errorf("migrate: --listen and --instances must be given; %w", errUsage)
@@ -43,7 +43,7 @@
 	return c
 }
 
-// migrate writes the counterpart of a configuration to a new file and prints what is different.
+// migrate writes the converted configuration to a new file and prints what has changed.
 func migrate(out io.Writer, from, to string, pool migration.Pool, dryRun bool) error {
 	text, err := discovery.ReadFile(from)
 	if err != nil {
@@ -58,7 +58,7 @@
 			return err
 		}
 	} else if _, err := os.Lstat(to); err == nil {
-		return fmt.Errorf("%s: it exists, and would not be overwritten", to)
+		return fmt.Errorf("%s: already exists and would not be overwritten", to)
 	}
 	for _, line := range result.Changed {
 		printf(out, "changed %s\n", line)
@@ -72,14 +72,14 @@
 	return nil
 }
 
-// writeNew writes a file that must not exist yet. It is complete as soon as it exists.
+// writeNew writes a file that must not exist yet. The file appears under its name only once it is complete.
 func writeNew(path string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), ".migrate-*")
 	if err != nil {
 		return err
 	}
 	defer func() {
-		_ = os.Remove(f.Name()) // the file stays under its new name
+		_ = os.Remove(f.Name()) // the link keeps the file under its new name
 	}()
 	_, err = f.Write(text)
 	if err := errors.Join(err, f.Sync(), f.Close()); err != nil {
@@ -87,7 +87,7 @@
 	}
 	err = os.Link(f.Name(), path)
 	if errors.Is(err, os.ErrExist) {
-		return fmt.Errorf("%s: it exists, and is not overwritten", path)
+		return fmt.Errorf("%s: already exists and is not overwritten", path)
 	}
 	return err
 }
--- a/cmd/pepperlead/query.go
+++ b/cmd/pepperlead/query.go
@@ -16,10 +16,10 @@
 const (
 	reportTimeout      = 2 * time.Second
 	callConnectTimeout = 2 * time.Second
-	callTimeout        = 5 * time.Second
+	callTimeout        = 5 * time.Second // of the command and its answer, after connecting
 )
 
-// reportCommand prints a report of a running sidecar.
+// reportCommand returns a command that prints a report of a running sidecar.
 func reportCommand(report, short string) *cobra.Command {
 	c := &cobra.Command{
 		Use:     report,
@@ -28,7 +28,7 @@
 		Example: "  pepperlead " + report + " --at 127.0.0.1:9000",
 	}
 	address := c.Flags().String("at", os.Getenv("GW_LISTEN"),
-		"`address` of the sidecar, or of its pages (default $GW_LISTEN)")
+		"`address` of the sidecar's front or of its metrics server (default $GW_LISTEN)")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		return printReport(c.OutOrStdout(), *address, report)
 	}
@@ -42,26 +42,26 @@
 		return err
 	}
 	defer func() {
-		_ = response.Body.Close() // it was only read
+		_ = response.Body.Close() // the response was only read
 	}()
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s: status %d: no sidecar answers there", address, response.StatusCode)
+		return fmt.Errorf("%s: unexpected status %d: not the address of a sidecar", address, response.StatusCode)
 	}
 	_, err = io.Copy(out, response.Body)
 	return err
 }
 
-// callCommand sends a command to a running sidecar's command server.
+// callCommand returns a command that sends a command to a running sidecar's command server.
 func callCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "call CALL [ID]",
-		Short: "Make a call at the operators' door of a sidecar that runs",
+		Short: "Send a command to the command server of a running sidecar",
 		Args:  atLeast(1),
-		Long: "Make a call at the operators' door of a sidecar that runs: " +
+		Long: "Send a command to the command server of a running sidecar: " +
 			"ready, show-stat, disable-server ID or enable-server ID.",
 		Example: "  pepperlead call --at 127.0.0.1:9002 disable-server s-1",
 	}
-	address := c.Flags().String("at", os.Getenv("GW_ADMIN"), "`address` of the door (default $GW_ADMIN)")
+	address := c.Flags().String("at", os.Getenv("GW_ADMIN"), "`address` of the command server (default $GW_ADMIN)")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		response, err := call(*address, strings.Join(args, " "))
 		if err != nil {
@@ -83,9 +83,9 @@
 		return nil, err
 	}
 	defer func() {
-		_ = conn.Close() // all was read, or an error is returned
+		_ = conn.Close() // the response was read, or an error is returned
 	}()
-	_ = conn.SetDeadline(time.Now().Add(callTimeout)) // on a broken connection the write fails too
+	_ = conn.SetDeadline(time.Now().Add(callTimeout)) // if the connection is broken, the write fails too
 	if _, err := fmt.Fprintln(conn, line); err != nil {
 		return nil, err
 	}
--- a/cmd/pepperlead/root.go
+++ b/cmd/pepperlead/root.go
@@ -7,24 +7,24 @@
 	"github.com/spf13/cobra"
 )
 
-// rootCommand is the program's command with all commands below it.
+// rootCommand returns the program's command with all its subcommands.
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "pepperlead",
 		Short: "A client-side load balancer that runs as a sidecar beside each calling process",
 		Long: `A client-side load balancer that runs as a sidecar beside each calling process.
 
-Exit codes: 0 done, 1 it could not be done, 2 the call was not understood.`,
+Exit codes: 0 success, 1 failure, 2 error in the command line.`,
 		Example:       "  pepperlead demo --for 10s\n  pepperlead serve --config deploy/standalone.toml",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		Args: func(_ *cobra.Command, args []string) error {
 			if len(args) > 0 {
-				return fmt.Errorf("no command %q; %w", args[0], errUsage)
+				return fmt.Errorf("unknown command %q; %w", args[0], errUsage)
 			}
 			return nil
 		},
-		RunE: func(*cobra.Command, []string) error { return fmt.Errorf("no command; %w", errUsage) },
+		RunE: func(*cobra.Command, []string) error { return fmt.Errorf("no command given; %w", errUsage) },
 	}
 	root.SetFlagErrorFunc(func(c *cobra.Command, err error) error {
 		return fmt.Errorf("%s: %w; %w", c.CommandPath(), err, errUsage)
@@ -32,9 +32,9 @@
 	root.AddCommand(
 		serveCommand(),
 		checkCommand(),
-		reportCommand("counters", "Print the counters of a sidecar that runs"),
-		reportCommand("peers", "Print the peers that a sidecar knows, asked at its pages"),
-		reportCommand("servers", "Print the servers that a sidecar knows, and whether its list was refused"),
+		reportCommand("counters", "Print the counters of a running sidecar"),
+		reportCommand("peers", "Print the peers that a running sidecar knows; --at is its metrics server"),
+		reportCommand("servers", "Print the servers that a running sidecar knows, and whether its list was rejected"),
 		callCommand(),
 		listCommand(),
 		coordinatorCommand(),
@@ -49,13 +49,13 @@
 	return root
 }
 
-// exactly requires that number of arguments.
+// exactly requires n arguments.
 func exactly(n int) cobra.PositionalArgs { return usageError(cobra.ExactArgs(n)) }
 
-// atLeast requires that many arguments or more.
+// atLeast requires n or more arguments.
 func atLeast(n int) cobra.PositionalArgs { return usageError(cobra.MinimumNArgs(n)) }
 
-// usageError marks the errors of a check as errors in the call.
+// usageError marks the errors of a check of arguments as errors in the command line.
 func usageError(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if err := check(c, args); err != nil {
@@ -74,7 +74,7 @@
 	}
 }
 
-// version is the source revision that the tool chain has recorded.
+// version returns the program's name and the source revision that the Go toolchain recorded in it.
 func version() string {
 	revision := "unknown"
 	modified := ""
--- a/cmd/pepperlead/serve.go
+++ b/cmd/pepperlead/serve.go
@@ -19,18 +19,18 @@
 	c := &cobra.Command{
 		Use:   "serve",
 		Args:  exactly(0),
-		Short: "Serve clients until SIGTERM; SIGHUP reads the configuration anew",
-		Long: "Serve clients until SIGTERM, which answers what is in hand and ends. SIGHUP reads the " +
-			"configuration anew: what cannot be\n" +
-			"served is a line in the log, and the old one stays.",
+		Short: "Run the sidecar until SIGTERM; SIGHUP reloads the configuration",
+		Long: "Run the sidecar until SIGTERM, which completes the requests in flight and ends. SIGHUP reloads the " +
+			"configuration: the faults of\n" +
+			"an invalid one are logged, and the previous one is kept.",
 		Example: "  pepperlead serve --config deploy/standalone.toml --log-format json",
 	}
 	path := configFlag(c)
 	level := c.Flags().String("log", "",
-		"least `level` that is logged: debug, info, warning or error (default info, or as configured)")
+		"lowest `level` that is logged: debug, info, warning or error (default info, or as configured)")
 	format := c.Flags().String("log-format", "", "`format` of the log: text or json (default text, or as configured)")
 	record := c.Flags().String("record", "",
-		"`file` for a trace of what comes in and how it ends, for pepperlead-sim replay (default none)")
+		"`file` for a trace of the requests and their outcomes, for pepperlead-sim replay (default none)")
 	c.RunE = func(*cobra.Command, []string) error {
 		config, err := daemon.Read(*path, os.Getenv)
 		if err != nil {
@@ -51,7 +51,7 @@
 	c := &cobra.Command{
 		Use:     "check",
 		Args:    exactly(0),
-		Short:   "Read the configuration and say whether it can be served",
+		Short:   "Check whether the configuration is valid",
 		Example: "  pepperlead check --config deploy/standalone.toml",
 	}
 	path := configFlag(c)
--- a/cmd/pepperlead/versions.go
+++ b/cmd/pepperlead/versions.go
@@ -19,7 +19,7 @@
 	defaultWait        = 30 * time.Second
 	waitPollInterval   = 50 * time.Millisecond
 
-	// latestRevision stands for the latest revision that there is.
+	// latestRevision is the value of --on for the latest revision.
 	latestRevision = -1
 )
 
@@ -27,11 +27,11 @@
 	c := &cobra.Command{
 		Use:   "keep",
 		Args:  exactly(0),
-		Short: "Keep versions of the rules, with other keepers, until SIGTERM",
-		Long: "Keep versions of the rules that bind a cluster's sidecars. One keeper, three or five " +
-			"agree on their order and survive the\n" +
-			"loss of none, one or two; whoever leads grants the sidecars leases on what is in force. " +
-			"docs/agreement.md.",
+		Short: "Run a coordinator of a cluster's rules until SIGTERM",
+		Long: "Run a coordinator, which stores the revisions of the rules that a cluster's sidecars follow. A " +
+			"group of one, three or five\n" +
+			"coordinators agrees on their order and tolerates the loss of none, one or two. The leader grants " +
+			"the sidecars leases on the\nrevisions in force. See docs/agreement.md.",
 		Example: "  pepperlead keep --config keeper.toml",
 	}
 	path := configFlag(c)
@@ -53,18 +53,19 @@
 	c := &cobra.Command{
 		Use:   "apply FILE",
 		Args:  exactly(1),
-		Short: "Have a cluster go by the rules in a file",
-		Long: "Check the file, propose it as the next version of the rules, and wait until it alone is " +
-			"in force. It comes in two steps: first\n" +
-			"whoever knows it goes by what both versions allow, then, once no lease is left on the " +
-			"old one alone, by the new.",
+		Short: "Apply the rules in a file to a cluster",
+		Long: "Check the file, propose it as the next revision of the rules, and wait until it alone is in " +
+			"force. The change has two steps: first,\n" +
+			"the sidecars that have the new revision do only what both revisions allow; then, when no lease " +
+			"on the old one alone is left,\nthey follow the new one.",
 		Example: "  pepperlead apply rules.toml --to 10.0.0.1:9005 --dry-run\n" +
 			"  pepperlead apply rules.toml --to 10.0.0.1:9005",
 	}
 	address := coordinatorFlag(c)
-	dryRun := c.Flags().Bool("dry-run", false, "only say whether it could be applied")
+	dryRun := c.Flags().Bool("dry-run", false, "only check whether the rules could be applied")
 	last := c.Flags().Int64("on", latestRevision,
-		"`number` of the version that you took for the latest (default the latest there is)")
+		"`number` of the latest revision that you know: if there is a newer one, the command "+
+			"fails (default the latest)")
 	wait := waitFlag(c)
 	author := authorFlag(c)
 	c.RunE = func(c *cobra.Command, args []string) error {
@@ -85,7 +86,7 @@
 	c := &cobra.Command{
 		Use:     "rollback N",
 		Args:    exactly(1),
-		Short:   "Have a cluster go by the rules of an earlier version again",
+		Short:   "Apply the rules of an earlier revision to a cluster again",
 		Example: "  pepperlead rollback 6 --to 10.0.0.1:9005",
 	}
 	address := coordinatorFlag(c)
@@ -93,7 +94,7 @@
 	author := authorFlag(c)
 	c.RunE = func(c *cobra.Command, args []string) error {
 		if _, err := strconv.ParseUint(args[0], 10, 64); err != nil {
-			return fmt.Errorf("rollback: found %q, allowed the number of a version; %w", args[0], errUsage)
+			return fmt.Errorf("rollback: found %q, allowed the number of a revision; %w", args[0], errUsage)
 		}
 		p := proposal{last: latestRevision, rollbackTo: args[0], author: *author}
 		return propose(c.OutOrStdout(), coordinatorClient{*address}, p, *wait)
@@ -105,7 +106,7 @@
 	c := &cobra.Command{
 		Use:     "withdraw N",
 		Args:    exactly(1),
-		Short:   "Take back a version that is coming into force",
+		Short:   "Withdraw a revision that is coming into force",
 		Example: "  pepperlead withdraw 7 --to 10.0.0.1:9005",
 	}
 	address := coordinatorFlag(c)
@@ -122,7 +123,7 @@
 	c := &cobra.Command{
 		Use:   "versions [N]",
 		Args:  usageError(cobra.MaximumNArgs(1)),
-		Short: "Print the versions that a keeper knows, or the text of one",
+		Short: "Print the revisions that a coordinator has, or the text of one",
 		Example: "  pepperlead versions --to 10.0.0.1:9005\n" +
 			"  pepperlead versions 7 --to 10.0.0.1:9005",
 	}
@@ -140,26 +141,28 @@
 }
 
 func coordinatorFlag(c *cobra.Command) *string {
-	return c.Flags().String("to", defaultCoordinator, "`address` of a keeper's pages")
+	return c.Flags().String("to", defaultCoordinator, "`address` of a coordinator's admin server")
 }
 
 func waitFlag(c *cobra.Command) *time.Duration {
-	return c.Flags().Duration("wait", defaultWait, "how long to wait until it alone is in force; 0: not at all")
+	return c.Flags().Duration("wait", defaultWait,
+		"how long to wait until the revision alone is in force; 0: don't wait")
 }
 
 func authorFlag(c *cobra.Command) *string {
-	return c.Flags().String("author", os.Getenv("USER"), "`name` that the history shows")
+	return c.Flags().String("author", os.Getenv("USER"), "`name` of the author that the history shows")
 }
 
 // proposal is a revision to be proposed.
 type proposal struct {
-	last       int64  // the latest revision that its author knows of, or latestRevision
-	rollbackTo string // number of an earlier revision; "": the text is new
+	last       int64  // the latest revision that its author knows, or latestRevision
+	rollbackTo string // number of an earlier revision; empty: the text is new
 	text       []byte
 	author     string
 	dryRun     bool
 }
 
+// query returns the parameters of the request that proposes the revision after last.
 func (p proposal) query(last uint64) url.Values {
 	query := url.Values{"last": {strconv.FormatUint(last, 10)}, "author": {p.author}}
 	if p.rollbackTo != "" {
@@ -199,16 +202,16 @@
 	for ; time.Now().Before(deadline); time.Sleep(waitPollInterval) {
 		known, err := client.revisions()
 		switch {
-		case err != nil: // the leader may have ended, and another take over
+		case err != nil: // the leader may have failed, and another may take over
 		case known.inForce == number:
-			printf(out, "version %d is in force alone\n", number)
+			printf(out, "version %d alone is in force\n", number)
 			return nil
 		case known.last >= number && known.coming != number:
 			return fmt.Errorf("version %d was withdrawn", number)
 		}
 	}
 	if wait > 0 {
-		return fmt.Errorf("version %d is agreed on, and after %v still not in force alone", number, wait)
+		return fmt.Errorf("version %d is agreed on, but after %v it alone is not yet in force", number, wait)
 	}
 	return nil
 }
