--- a/cmd/pepperlead/versions.go
+++ b/cmd/pepperlead/versions.go
@@ -31,7 +31,8 @@
 		Long: "Run a coordinator, which stores the revisions of the rules that a cluster's sidecars follow. A " +
 			"group of one, three or five\n" +
 			"coordinators agrees on their order and tolerates the loss of none, one or two. The leader grants " +
-			"the sidecars leases on the\nrevisions in force. See docs/agreement.md.",
+			"the sidecars leases on the\nrevisions in force. See " +
+			"docs/agreement.md.",
 		Example: "  pepperlead keep --config keeper.toml",
 	}
 	path := configFlag(c)
@@ -204,14 +205,14 @@
 		switch {
 		case err != nil: // the leader may have failed, and another may take over
 		case known.inForce == number:
-			printf(out, "version %d alone is in force\n", number)
+			printf(out, "version %d is in force alone\n", number)
 			return nil
 		case known.last >= number && known.coming != number:
 			return fmt.Errorf("version %d was withdrawn", number)
 		}
 	}
 	if wait > 0 {
-		return fmt.Errorf("version %d is agreed on, but after %v it alone is not yet in force", number, wait)
+		return fmt.Errorf("version %d is agreed on, and after %v still not in force alone", number, wait)
 	}
 	return nil
 }
