--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -47,8 +47,9 @@
 	return os.Getenv(name)
 }
 
-// carryOver completes a new configuration with what a reload doesn't change: the source unless the file names another
-// discovery address, the agreed rules, the latency histograms and the recorder. A new source becomes the current one.
+// carryOver completes a new configuration with what a reload doesn't change: the agreed rules, the latency histograms,
+// the recorder, and the source if the file still names the same discovery address. Otherwise the new source becomes the
+// current one.
 func (r *reloader) carryOver(next *Config) {
 	if next.fileDiscovery == r.current.fileDiscovery && next.fileDiscovery != "" {
 		next.Source = r.current.Source
--- a/internal/migration/migration.go
+++ b/internal/migration/migration.go
@@ -78,8 +78,8 @@
 	return bytes.HasPrefix(bytes.TrimSpace(text), []byte("{"))
 }
 
-// verify checks that a converted configuration is valid and has the pool's values: it may not have them if the old one
-// is written in a form that the conversion does not expect.
+// verify checks that a converted configuration is valid and has the pool's values. The conversion can miss a value if
+// the old configuration is written in a form that it does not expect.
 func verify(file string, text []byte, pool Pool) error {
 	config, err := daemon.Parse(file, text, noEnvironment)
 	if err != nil {
