--- a/internal/daemon/cluster.go
+++ b/internal/daemon/cluster.go
@@ -77,7 +77,7 @@
 
 // announce divides budgets among the live instances, and sends them this one's revision and slot table digest.
 func (m *clusterMember) announce(cluster *membership.Cluster) {
-	live := cluster.Alive()
+	live := cluster.AliveSidecars()
 	var table uint64
 	update := func() {
 		m.SetInstances(live)
