--- a/rpc/backend.go
+++ b/rpc/backend.go
@@ -10,7 +10,8 @@
 	"pepperlead/internal/clock"
 )
 
-// connectParams let a connection be tried again soon: what fails in between is sent elsewhere.
+// connectParams keep the backoff between connection attempts short. Calls that fail in the meantime are sent to other
+// endpoints.
 var connectParams = grpc.ConnectParams{
 	MinConnectTimeout: 2 * time.Second,
 	Backoff: backoff.Config{
@@ -21,16 +22,16 @@
 	},
 }
 
-// backend is the connection to an endpoint. It is closed when the endpoint has left and nothing uses it any more.
+// backend is the connection to an endpoint. Once retired, it is closed as soon as no call or stream uses it.
 type backend struct {
 	conn    *grpc.ClientConn
 	pending *pendingStreams
-	uses    int
+	uses    int // calls and streams that use the connection
 	retired bool
 }
 
-// newBackend makes a connection with one address, no retries and no configuration from a resolver: nothing may be
-// sent again without the policy's decision.
+// newBackend creates a connection to a single address. Retries and the resolver's service configuration are disabled,
+// as only the policy decides whether a call is sent again.
 func newBackend(address string, clock clock.Clock, callerOptions []grpc.DialOption) (*backend, error) {
 	pending := &pendingStreams{clock: clock}
 	options := []grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials())}
@@ -48,13 +49,13 @@
 	return &backend{conn: conn, pending: pending}, nil
 }
 
-// release ends one use.
+// release ends one use of the connection.
 func (b *backend) release() {
 	b.uses--
 	b.closeIfUnused()
 }
 
-// retire closes the connection once nothing uses it. Calls and streams that are open go on.
+// retire closes the connection once nothing uses it. Open calls and streams continue.
 func (b *backend) retire() {
 	b.retired = true
 	b.closeIfUnused()
@@ -62,6 +63,6 @@
 
 func (b *backend) closeIfUnused() {
 	if b.retired && b.uses == 0 {
-		_ = b.conn.Close() // fails only where it is closed already
+		_ = b.conn.Close() // fails only if it is already closed
 	}
 }
--- a/rpc/bench_test.go
+++ b/rpc/bench_test.go
@@ -19,8 +19,8 @@
 	"google.golang.org/grpc/resolver/manual"
 )
 
-// children starts servers in a process of their own, so that what they cost is not counted.
-func children(b *testing.B, n int) (all []member) {
+// startServerProcess starts servers in a process of their own, so that their processor time is not measured.
+func startServerProcess(b *testing.B, n int) (members []member) {
 	p := exec.Command(os.Args[0])
 	p.Env = append(os.Environ(), fmt.Sprint("RPC_SERVERS=", n))
 	out, err := p.StdoutPipe()
@@ -33,18 +33,19 @@
 	b.Cleanup(func() { p.Process.Kill(); p.Wait() })
 	lines := bufio.NewScanner(out)
 	for i := 0; i < n && lines.Scan(); i++ {
-		all = append(all, member{id: fmt.Sprint("s-", i), addr: lines.Text()})
+		members = append(members, member{id: fmt.Sprint("s-", i), addr: lines.Text()})
 	}
-	if len(all) != n {
-		b.Fatal("the servers do not start")
+	if len(members) != n {
+		b.Fatal("the server process did not start all servers")
 	}
-	return all
+	return members
 }
 
-func roundRobin(b testing.TB, all []member) *grpc.ClientConn {
+// roundRobin connects to the members by gRPC's own round_robin policy.
+func roundRobin(b testing.TB, members []member) *grpc.ClientConn {
 	r := manual.NewBuilderWithScheme("list")
 	var state resolver.State
-	for _, m := range all {
+	for _, m := range members {
 		state.Addresses = append(state.Addresses, resolver.Address{Addr: m.addr})
 	}
 	r.InitialState(state)
@@ -57,99 +58,100 @@
 	return c
 }
 
-func cpu() time.Duration {
-	var u syscall.Rusage
-	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+// processorTime returns the processor time that the process has used.
+func processorTime() time.Duration {
+	var usage syscall.Rusage
+	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkCall is a small unary call over a bare connection to one server, gRPC's own round_robin over three, and
-// the plug-in over three: go test ./rpc -run xxx -bench Call -benchmem
+// BenchmarkCall makes a small unary call over a plain connection to one server, by gRPC's own round_robin to three, and
+// by the plug-in to three: go test ./rpc -run xxx -bench Call -benchmem
 func BenchmarkCall(b *testing.B) {
-	all := children(b, 3)
-	bare, err := grpc.NewClient("passthrough:///"+all[0].addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
+	members := startServerProcess(b, 3)
+	bare, err := grpc.NewClient("passthrough:///"+members[0].addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { bare.Close() })
-	plugin, _ := dial(b, 1, all...)
+	plugin, _ := dial(b, 1, members...)
 	for _, callers := range []int{1, 64, 1024} {
-		for _, k := range []struct {
+		for _, target := range []struct {
 			name string
 			conn grpc.ClientConnInterface
-		}{{"bare", bare}, {"round_robin", roundRobin(b, all)}, {"plugin", plugin}} {
-			b.Run(fmt.Sprintf("%s-%d", k.name, callers), func(b *testing.B) {
+		}{{"bare", bare}, {"round_robin", roundRobin(b, members)}, {"plugin", plugin}} {
+			b.Run(fmt.Sprintf("%s-%d", target.name, callers), func(b *testing.B) {
 				var failed atomic.Int64
 				var mu sync.Mutex
-				times := hdrhistogram.New(1000, int64(10*time.Second), 3)
+				histogram := hdrhistogram.New(1000, int64(10*time.Second), 3)
 				run := func(n int) {
 					var wait sync.WaitGroup
-					var left atomic.Int64
-					left.Store(int64(n))
+					var remaining atomic.Int64
+					remaining.Store(int64(n))
 					for range callers {
 						wait.Go(func() {
-							var mine []int64
-							for left.Add(-1) >= 0 {
-								at := time.Now()
-								if _, err := invoke(k.conn, context.Background(), "Step", "x"); err != nil {
+							var latencies []int64
+							for remaining.Add(-1) >= 0 {
+								start := time.Now()
+								if _, err := invoke(target.conn, context.Background(), "Step", "x"); err != nil {
 									failed.Add(1)
 								}
-								mine = append(mine, int64(time.Since(at)))
+								latencies = append(latencies, int64(time.Since(start)))
 							}
 							mu.Lock()
-							for _, v := range mine {
-								times.RecordValue(v)
+							for _, v := range latencies {
+								histogram.RecordValue(v)
 							}
 							mu.Unlock()
 						})
 					}
 					wait.Wait()
 				}
-				run(20 * callers) // connections come up, limits grow
+				run(20 * callers) // until connections are established and limits have grown
 				for range 20 {
 					run(2000)
 				}
 				failed.Store(0)
-				times.Reset()
+				histogram.Reset()
 				b.ReportAllocs()
-				before := cpu()
+				before := processorTime()
 				b.ResetTimer()
 				run(b.N)
 				b.StopTimer()
-				b.ReportMetric(float64(cpu()-before)/1e3/float64(b.N), "cpu-us/op")
-				b.ReportMetric(float64(times.ValueAtQuantile(50))/1e3, "p50-us")
-				b.ReportMetric(float64(times.ValueAtQuantile(99))/1e3, "p99-us")
+				b.ReportMetric(float64(processorTime()-before)/1e3/float64(b.N), "cpu-us/op")
+				b.ReportMetric(float64(histogram.ValueAtQuantile(50))/1e3, "p50-us")
+				b.ReportMetric(float64(histogram.ValueAtQuantile(99))/1e3, "p99-us")
 				b.ReportMetric(float64(failed.Load())/float64(b.N), "failed/op")
 			})
 		}
 	}
 }
 
-// BenchmarkZoneLoss has half of six servers fall silent for four of eight seconds, and counts calls answered within
-// 300 ms: go test ./rpc -run xxx -bench ZoneLoss -benchtime 1x
+// BenchmarkZoneLoss makes calls for eight seconds, for four of which three of six servers don't answer, and reports the
+// part of the calls that are answered within 300 ms: go test ./rpc -run xxx -bench ZoneLoss -benchtime 1x
 func BenchmarkZoneLoss(b *testing.B) {
 	for _, name := range []string{"round_robin", "plugin"} {
 		b.Run(name, func(b *testing.B) {
 			for range b.N {
-				var all []member
+				var members []member
 				var servers []*server
 				for i := range 6 {
 					s := newServer(b, fmt.Sprint("s-", i))
 					servers = append(servers, s)
 					m := s.member()
 					m.pod = i % 2
-					all = append(all, m)
+					members = append(members, m)
 				}
 				var conn grpc.ClientConnInterface
 				if name == "plugin" {
-					conn, _ = dial(b, 1, all...)
+					conn, _ = dial(b, 1, members...)
 				} else {
-					conn = roundRobin(b, all)
+					conn = roundRobin(b, members)
 				}
-				var good, asked atomic.Int64
+				var answered, total atomic.Int64
 				var wait sync.WaitGroup
-				begin := time.Now()
-				for n := 0; time.Since(begin) < 8*time.Second; n++ {
+				start := time.Now()
+				for n := 0; time.Since(start) < 8*time.Second; n++ {
 					switch {
 					case n == 1000:
 						for i, s := range servers {
@@ -161,24 +163,24 @@
 						}
 					}
 					wait.Go(func() {
-						ctx, end := context.WithTimeout(context.Background(), 300*time.Millisecond)
-						defer end()
-						asked.Add(1)
+						ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
+						defer cancel()
+						total.Add(1)
 						if _, err := invoke(conn, ctx, "Step", fmt.Sprint(n)); err == nil {
-							good.Add(1)
+							answered.Add(1)
 						}
 					})
-					time.Sleep(time.Until(begin.Add(time.Duration(n+1) * 2 * time.Millisecond)))
+					time.Sleep(time.Until(start.Add(time.Duration(n+1) * 2 * time.Millisecond)))
 				}
 				wait.Wait()
-				b.ReportMetric(float64(good.Load())/float64(asked.Load()), "honoured")
+				b.ReportMetric(float64(answered.Load())/float64(total.Load()), "honoured")
 			}
 		})
 	}
 }
 
-// serveChildren is the process that children starts.
-func serveChildren(n int) {
+// runServers is the process that startServerProcess starts: it prints the address of each server.
+func runServers(n int) {
 	for i := range n {
 		s := startServer(fmt.Sprint("s-", i))
 		fmt.Println(s.addr)
--- a/rpc/call.go
+++ b/rpc/call.go
@@ -17,85 +17,85 @@
 	"pepperlead/policy"
 )
 
-// maxPendingOrders is how many orders the loop can give without waiting for the caller.
-const maxPendingOrders = 4
-
-// call is one RPC, from its admission to its end. The loop owns request, sequence, abandoned and closed, the caller
-// the rest; mu guards what both use.
-type call struct {
-	orders    chan order
-	request   *engine.Request
-	sequence  uint32 // of the latest attempt; never reset, so that late events match no later use of the call
-	abandoned bool   // the caller has its answer, or has left: it reads no more orders
-	closed    bool   // the caller has posted its last event
-
-	class    policy.ClassID
-	tenant   policy.TenantID
-	key      string
-	timeLeft policy.Time
-	stream   bool
-
-	streamCount atomic.Int32 // streams that gRPC began for the attempt
-	options     []grpc.CallOption
-	backend     *backend      // of the attempt
-	decidedAt   policy.Time   // when the loop decided on the attempt
-	pendingID   atomic.Uint64 // of the attempt's stream, while that is not written
-	trailer     metadata.MD
-	callerCreds credentials.PerRPCCredentials // nil: none
-	callerMD    *metadata.MD                  // where the caller wants the trailer; nil: nowhere
-
-	mu             sync.Mutex
-	cancel         context.CancelFunc // of the attempt
-	cancelledUntil uint32             // attempts up to this one are cancelled
+// maxPendingInstructions is how many instructions the loop can send to a call without blocking.
+const maxPendingInstructions = 4
+
+// clientCall is one RPC, from its admission to its end. The loop owns request, sequence, abandoned and closed; the
+// caller owns the other fields. mu guards the fields below it, which both use.
+type clientCall struct {
+	instructions chan instruction
+	request      *engine.Request
+	sequence     uint32 // of the latest attempt; never reset, so that late events of an earlier use match no attempt
+	abandoned    bool   // the caller has its answer or has left, and reads no more instructions
+	closed       bool   // the caller has posted its last event
+
+	class   policy.ClassID
+	tenant  policy.TenantID
+	key     string
+	timeout policy.Time // from the start of the call to its deadline
+	stream  bool        // opened by NewStream
+
+	streamCount   atomic.Int32 // streams that gRPC has begun for the current attempt
+	options       []grpc.CallOption
+	backend       *backend                      // of the current attempt
+	decidedAt     policy.Time                   // when the loop decided on the current attempt
+	pendingID     atomic.Uint64                 // of the current attempt's stream in backend.pending
+	trailer       metadata.MD                   // of the current attempt
+	callerCreds   credentials.PerRPCCredentials // nil: none
+	callerTrailer *metadata.MD                  // where the caller wants the trailer stored; nil: none
+
+	mu                sync.Mutex
+	cancel            context.CancelFunc // of the current attempt
+	cancelledSequence uint32             // latest attempt that the loop has cancelled
 }
 
-// newCall makes a call with what each of its uses needs again.
-func newCall() any {
-	k := &call{orders: make(chan order, maxPendingOrders)}
-	k.options = []grpc.CallOption{
-		grpc.PerRPCCredentials(singleStream{k}),
+// newClientCall creates a call with the channel and the options that all its uses share.
+func newClientCall() any {
+	call := &clientCall{instructions: make(chan instruction, maxPendingInstructions)}
+	call.options = []grpc.CallOption{
+		grpc.PerRPCCredentials(singleStream{call}),
 		grpc.WaitForReady(false),
-		grpc.Trailer(&k.trailer),
+		grpc.Trailer(&call.trailer),
 	}
-	return k
+	return call
 }
 
-// reset makes the call ready for its next use.
-func (k *call) reset() {
-	k.abandoned = false
-	k.closed = false
-	k.key = ""
-	k.cancel = nil
-	k.callerCreds = nil
-	k.callerMD = nil
-	k.trailer = nil
-	k.stream = false
+// reset prepares the call for its next use.
+func (c *clientCall) reset() {
+	c.abandoned = false
+	c.closed = false
+	c.key = ""
+	c.cancel = nil
+	c.callerCreds = nil
+	c.callerTrailer = nil
+	c.trailer = nil
+	c.stream = false
 }
 
-// withOptions joins the caller's options and those that watch an attempt. The caller's own credentials go on being
-// asked, and its own trailer is filled from the call's.
-func (k *call) withOptions(callerOptions []grpc.CallOption) []grpc.CallOption {
-	k.callerCreds = nil
-	k.callerMD = nil
+// withOptions returns the caller's options followed by the call's own, which override the caller's credentials and
+// trailer. singleStream still queries the caller's credentials, and finishAttempt fills the caller's trailer.
+func (c *clientCall) withOptions(callerOptions []grpc.CallOption) []grpc.CallOption {
+	c.callerCreds = nil
+	c.callerTrailer = nil
 	if len(callerOptions) == 0 {
-		return k.options
+		return c.options
 	}
 	for _, option := range callerOptions {
 		switch option := option.(type) {
 		case grpc.PerRPCCredsCallOption:
-			k.callerCreds = option.Creds
+			c.callerCreds = option.Creds
 		case grpc.TrailerCallOption:
-			k.callerMD = option.TrailerAddr
+			c.callerTrailer = option.TrailerAddr
 		}
 	}
-	joined := make([]grpc.CallOption, 0, len(callerOptions)+len(k.options))
+	joined := make([]grpc.CallOption, 0, len(callerOptions)+len(c.options))
 	joined = append(joined, callerOptions...)
-	return append(joined, k.options...)
+	return append(joined, c.options...)
 }
 
-// startAttempt lets the loop cancel an attempt from now on, or cancels it at once if the loop has done so already. A
-// zero deadline is none.
-func (k *call) startAttempt(
+// startAttempt returns the context of an attempt, which the loop can cancel from now on. If the loop has already
+// cancelled the attempt, the context is cancelled at once. A zero deadline means none.
+func (c *clientCall) startAttempt(
 	ctx context.Context, sequence uint32, deadline time.Time,
 ) (context.Context, context.CancelFunc) {
 	var cancel context.CancelFunc
@@ -104,53 +104,56 @@
 	} else {
 		ctx, cancel = context.WithDeadline(ctx, deadline)
 	}
-	k.streamCount.Store(0)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.cancel = cancel
-	if k.cancelledUntil == sequence {
+	c.streamCount.Store(0)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.cancel = cancel
+	if c.cancelledSequence == sequence {
 		cancel()
 	}
 	return ctx, cancel
 }
 
 // cancelAttempt cancels the attempt that is in flight. It runs on the loop.
-func (k *call) cancelAttempt() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.cancelledUntil = k.sequence
-	if k.cancel != nil {
-		k.cancel()
+func (c *clientCall) cancelAttempt() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.cancelledSequence = c.sequence
+	if c.cancel != nil {
+		c.cancel()
 	}
 }
 
-// finishAttempt returns how an attempt ended for its caller, and passes its trailer on.
-func (k *call) finishAttempt(err error) policy.Outcome {
-	notProcessed := isNotProcessed(k.trailer)
-	if k.callerMD != nil {
-		*k.callerMD = k.trailer
+// finishAttempt returns the outcome of an attempt that ended with err, and stores its trailer for the caller.
+func (c *clientCall) finishAttempt(err error) policy.Outcome {
+	notProcessed := isNotProcessed(c.trailer)
+	if c.callerTrailer != nil {
+		*c.callerTrailer = c.trailer
 	}
-	k.trailer = nil
-	return outcome(int(k.streamCount.Load()), status.Code(err), notProcessed)
+	c.trailer = nil
+	return outcome(int(c.streamCount.Load()), status.Code(err), notProcessed)
 }
 
-// forgetPending drops the attempt's stream from those not written yet.
-func (k *call) forgetPending() { k.backend.pending.remove(k.pendingID.Load()) }
+// forgetPending removes the attempt's stream from the streams that are not written yet.
+func (c *clientCall) forgetPending() { c.backend.pending.remove(c.pendingID.Load()) }
 
-// singleStream lets gRPC begin one stream and no more for an attempt: gRPC asks for credentials before each.
-type singleStream struct{ call *call }
+// singleStream makes gRPC begin at most one stream for an attempt. It acts as per-RPC credentials, which gRPC requests
+// before each stream, and returns an error for any further one.
+type singleStream struct{ call *clientCall }
 
-var errSecondStream = status.Error(codes.Unavailable, "pepperlead: nothing is sent a second time here")
+var errStreamRefused = status.Error(codes.Unavailable,
+	"pepperlead: stream refused: not the first of its attempt, or too late")
 
-// GetRequestMetadata refuses a second stream, and a first one that comes so long after the decision that the list may
-// have changed: the process stood still since, or connecting took long.
+// GetRequestMetadata refuses a second stream. It also refuses a stream that begins more than daemon.StallAfter after
+// the decision on its attempt: the process was suspended or connecting took long, and the endpoint list may have
+// changed since.
 func (s singleStream) GetRequestMetadata(ctx context.Context, uri ...string) (map[string]string, error) {
 	pending := s.call.backend.pending
 	if pending.clock.Now()-s.call.decidedAt > daemon.StallAfter {
-		return nil, errSecondStream
+		return nil, errStreamRefused
 	}
 	if s.call.streamCount.Add(1) > 1 {
-		return nil, errSecondStream
+		return nil, errStreamRefused
 	}
 	s.call.pendingID.Store(pending.add(s.call.decidedAt))
 	if s.call.callerCreds != nil {
@@ -159,7 +162,7 @@
 	return nil, nil
 }
 
-// RequireTransportSecurity is as the caller's credentials have it.
+// RequireTransportSecurity returns what the caller's credentials require.
 func (s singleStream) RequireTransportSecurity() bool {
 	return s.call.callerCreds != nil && s.call.callerCreds.RequireTransportSecurity()
 }
--- a/rpc/callcontext.go
+++ b/rpc/callcontext.go
@@ -13,7 +13,7 @@
 
 type tenantContextKey struct{}
 
-// WithKey sets the key of the calls made with the context: calls with one key go to one endpoint.
+// WithKey sets the key of calls made with the context. Calls with the same key go to the same endpoint.
 func WithKey(ctx context.Context, key string) context.Context {
 	return context.WithValue(ctx, keyContextKey{}, key)
 }
@@ -28,7 +28,7 @@
 // Deprecated: use WithTenant.
 func WithFranchise(ctx context.Context, name string) context.Context { return WithTenant(ctx, name) }
 
-// key finds the key of a call: in the context, else in its metadata, else in a field of the request.
+// key returns the key of a call, from the context, else from its metadata, else from a field of the request.
 func (c *Conn) key(ctx context.Context, request any) string {
 	if key, ok := ctx.Value(keyContextKey{}).(string); ok {
 		return key
@@ -67,7 +67,7 @@
 	return reflected.Get(field).String()
 }
 
-// tenant finds the tenant of a call by its context.
+// tenant returns the tenant that the context names, NoTenant if it names none or one that is not configured.
 func (c *Conn) tenant(ctx context.Context) policy.TenantID {
 	if name, ok := ctx.Value(tenantContextKey{}).(string); ok {
 		if tenant, known := c.tenants[name]; known {
--- a/rpc/callcontext_test.go
+++ b/rpc/callcontext_test.go
@@ -7,8 +7,8 @@
 	"pepperlead/policy"
 )
 
-// The tenant is the context's, by either name of the function; one that the configuration doesn't know is none.
-func TestTenantOfACall(t *testing.T) {
+// The context names the tenant, set by WithTenant or WithFranchise. A tenant that is not configured counts as none.
+func TestTenantFromContext(t *testing.T) {
 	c := &Conn{tenants: map[string]policy.TenantID{"a": 0, "b": 1}}
 	for name, want := range map[string]policy.TenantID{"a": 0, "b": 1, "unknown": policy.NoTenant} {
 		if got := c.tenant(WithTenant(context.Background(), name)); got != want {
@@ -19,6 +19,6 @@
 		}
 	}
 	if got := c.tenant(context.Background()); got != policy.NoTenant {
-		t.Errorf("tenant %d of a context without one", got)
+		t.Errorf("context without a tenant: tenant %d", got)
 	}
 }
--- a/rpc/conn.go
+++ b/rpc/conn.go
@@ -1,6 +1,7 @@
-// Package rpc is a client-side plug-in for gRPC: a grpc.ClientConnInterface that generated stubs take as they take a
-// *grpc.ClientConn, with the sidecar's decisions within. It reads the daemon's own configuration, follows the same
-// endpoint lists and keeps the same rules. docs/rpc.md says how to use it.
+// Package rpc is a client-side plug-in for gRPC that makes the sidecar's decisions within the calling process. Conn
+// implements grpc.ClientConnInterface, so that generated stubs accept it in place of a *grpc.ClientConn. It reads the
+// same configuration as the daemon, follows the same endpoint lists and applies the same rules. docs/rpc.md describes
+// how to use it.
 package rpc
 
 import (
@@ -17,10 +18,10 @@
 	"pepperlead/policy"
 )
 
-// shutdownTime is how long Close lets calls go on.
+// shutdownTime is how long Close waits for calls in flight.
 const shutdownTime = policy.Second
 
-// Conn is a connection to all endpoints of a list. It is safe for concurrent use.
+// Conn distributes calls over the endpoints of a list. It is safe for concurrent use.
 type Conn struct {
 	front     *front
 	engine    *engine.Engine
@@ -36,8 +37,9 @@
 
 var _ grpc.ClientConnInterface = (*Conn)(nil)
 
-// New reads the configuration in the file and begins to follow its endpoints. The options hold for the connections to
-// them: TLS, interceptors, stats handlers. Without transport credentials among them connections are not encrypted.
+// New reads the configuration file and starts to follow the endpoint list that it configures. The options, such as
+// TLS, interceptors and stats handlers, apply to the connections to endpoints. Without transport credentials among
+// them, connections are not encrypted.
 func New(configFile string, opts ...grpc.DialOption) (*Conn, error) {
 	text, err := os.ReadFile(configFile)
 	if err != nil {
@@ -46,8 +48,8 @@
 	return FromText(configFile, text, opts...)
 }
 
-// FromText is New with the configuration as a value. The name stands for it in errors, and its folder for that of
-// paths in it.
+// FromText is like New but takes the text of the configuration. The name is that of a file, which need not exist:
+// errors mention it, and relative paths in the configuration are relative to its directory.
 func FromText(name string, text []byte, opts ...grpc.DialOption) (*Conn, error) {
 	config, err := daemon.ParseClient(name, text)
 	if err != nil {
@@ -88,14 +90,14 @@
 	return c
 }
 
-// Close rejects new calls, lets those in flight end for a second at most, and closes all connections.
+// Close rejects new calls, waits up to one second for those in flight, and closes all connections.
 func (c *Conn) Close() error {
 	c.closeOnce.Do(func() { c.stop <- os.Interrupt })
 	<-c.engine.Stopped()
 	return nil
 }
 
-// Counters are the plug-in's counters, by the names that the daemon has for them.
+// Counters returns the plug-in's counters under the names that they have in the daemon.
 func (c *Conn) Counters() map[string]int64 {
 	counters := map[string]int64{}
 	c.onLoop(func() {
@@ -104,13 +106,13 @@
 	return counters
 }
 
-// Server is an endpoint that the plug-in knows.
+// Server describes an endpoint that the plug-in follows.
 type Server struct {
 	ID, Address, Zone string
-	Leaving           bool
+	Leaving           bool // it drains, or the list no longer names it
 }
 
-// Servers are the endpoints of the list in force, in no order.
+// Servers returns the endpoints of the current list and those that are leaving it, in no particular order.
 func (c *Conn) Servers() (servers []Server) {
 	c.onLoop(func() {
 		for _, endpoint := range c.engine.Endpoints {
@@ -125,13 +127,13 @@
 	return servers
 }
 
-// Open is the number of calls in flight.
+// Open returns the number of calls in flight.
 func (c *Conn) Open() (n int) {
 	c.onLoop(func() { n = c.engine.InFlight })
 	return n
 }
 
-// onLoop runs a function on the engine's loop, or here once that has ended.
+// onLoop runs a function on the engine's loop, or on the calling goroutine once the loop has ended.
 func (c *Conn) onLoop(do func()) {
 	if !c.engine.RunOnLoop(do) {
 		do()
--- a/rpc/event.go
+++ b/rpc/event.go
@@ -2,30 +2,30 @@
 
 import "pepperlead/policy"
 
-// event is what a caller posts to the loop.
+// event is what a caller's goroutine posts to the loop.
 type event struct {
 	handle   func(f *front, now policy.Time, e event)
-	call     *call
-	at       policy.Time
-	sequence uint32
-	backend  *backend // of the attempt
-	outcome  policy.Outcome
-	last     bool // the caller's last event of the call
+	call     *clientCall
+	at       policy.Time    // when it was posted
+	sequence uint32         // of the attempt
+	backend  *backend       // of the attempt
+	outcome  policy.Outcome // of the attempt
+	last     bool           // the caller's last event of the call
 }
 
-// order is what the loop has a caller do.
-type order struct {
-	backend    *backend // send the call there; nil: the final answer
-	sequence   uint32
-	decidedAt  policy.Time
+// instruction is the loop's message to the caller of a call: to send an attempt, or to return the final answer.
+type instruction struct {
+	backend    *backend    // to send the attempt to; nil: this is the final answer
+	sequence   uint32      // of the attempt
+	decidedAt  policy.Time // when the loop decided on the attempt
 	answer     answer
-	retryAfter policy.Time
+	retryAfter policy.Time // for rejected calls; 0: not given
 }
 
 // answer is the loop's final answer to a call.
 type answer uint8
 
 const (
-	rejected answer = iota // the call may be sent again
-	failed                 // it may have run
+	rejected answer = iota // the caller may safely send the call again
+	failed                 // the call may have run
 )
--- a/rpc/faultyserver_test.go
+++ b/rpc/faultyserver_test.go
@@ -15,14 +15,15 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 )
 
-// faultyServer is a server that speaks HTTP/2 by itself and ends streams in all ways there are: refused, reset before
-// and after it has run, by GOAWAY with and without having looked, with lost trailers, by a lost connection.
+// faultyServer is an HTTP/2 server without gRPC that ends streams in every possible way, chosen at random: it refuses
+// or resets the stream, sends GOAWAY with or without having run the call, omits the trailers, closes the connection, or
+// answers.
 type faultyServer struct {
 	net.Listener
-	mu    sync.Mutex
-	rnd   *rand.Rand
-	ran   map[string]int
-	kinds map[string]int
+	mu   sync.Mutex
+	rnd  *rand.Rand
+	ran  map[string]int // executions by call id
+	ends map[string]int // ends of streams by kind
 }
 
 func newFaultyServer(t *testing.T, seed uint64) *faultyServer {
@@ -30,166 +31,167 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &faultyServer{Listener: l, rnd: rand.New(rand.NewPCG(seed, 1)), ran: map[string]int{}, kinds: map[string]int{}}
+	s := &faultyServer{Listener: l, rnd: rand.New(rand.NewPCG(seed, 1)), ran: map[string]int{}, ends: map[string]int{}}
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go r.serve(c)
+			go s.serve(conn)
 		}
 	}()
 	t.Cleanup(func() { l.Close() })
-	return r
+	return s
 }
 
-func (r *faultyServer) serve(c net.Conn) {
-	defer c.Close()
-	if _, err := io.ReadFull(c, make([]byte, len(http2.ClientPreface))); err != nil {
+func (s *faultyServer) serve(conn net.Conn) {
+	defer conn.Close()
+	if _, err := io.ReadFull(conn, make([]byte, len(http2.ClientPreface))); err != nil {
 		return
 	}
-	f := http2.NewFramer(c, c)
-	f.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
-	f.WriteSettings()
+	framer := http2.NewFramer(conn, conn)
+	framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
+	framer.WriteSettings()
 	ids := map[uint32]string{}
 	for {
-		in, err := f.ReadFrame()
+		frame, err := framer.ReadFrame()
 		if err != nil {
 			return
 		}
-		switch in := in.(type) {
+		switch frame := frame.(type) {
 		case *http2.SettingsFrame:
-			if !in.IsAck() {
-				f.WriteSettingsAck()
+			if !frame.IsAck() {
+				framer.WriteSettingsAck()
 			}
 		case *http2.PingFrame:
-			if !in.IsAck() {
-				f.WritePing(true, in.Data)
+			if !frame.IsAck() {
+				framer.WritePing(true, frame.Data)
 			}
 		case *http2.MetaHeadersFrame:
-			for _, h := range in.Fields {
+			for _, h := range frame.Fields {
 				if h.Name == "id" {
-					ids[in.StreamID] = h.Value
+					ids[frame.StreamID] = h.Value
 				}
 			}
 		case *http2.DataFrame:
-			if in.StreamEnded() && !r.end(f, in.StreamID, ids[in.StreamID]) {
+			if frame.StreamEnded() && !s.end(framer, frame.StreamID, ids[frame.StreamID]) {
 				return
 			}
 		}
 	}
 }
 
-// end runs a call or not, and ends its stream in some way; false: the connection goes with it.
-func (r *faultyServer) end(f *http2.Framer, stream uint32, id string) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	did := func(kind string, runs bool) {
-		r.kinds[kind]++
-		if runs {
-			r.ran[id]++
+// end runs a call, or doesn't, and ends its stream in a way chosen at random. It returns false if the connection is to
+// be closed.
+func (s *faultyServer) end(framer *http2.Framer, stream uint32, id string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	record := func(kind string, run bool) {
+		s.ends[kind]++
+		if run {
+			s.ran[id]++
 		}
 	}
-	var head bytes.Buffer
-	enc := hpack.NewEncoder(&head)
-	headers := func(end bool, fields ...string) {
-		head.Reset()
+	var block bytes.Buffer
+	encoder := hpack.NewEncoder(&block)
+	headers := func(endStream bool, fields ...string) {
+		block.Reset()
 		for i := 0; i < len(fields); i += 2 {
-			enc.WriteField(hpack.HeaderField{Name: fields[i], Value: fields[i+1]})
+			encoder.WriteField(hpack.HeaderField{Name: fields[i], Value: fields[i+1]})
 		}
-		f.WriteHeaders(http2.HeadersFrameParam{StreamID: stream, BlockFragment: head.Bytes(), EndHeaders: true, EndStream: end})
+		framer.WriteHeaders(http2.HeadersFrameParam{StreamID: stream, BlockFragment: block.Bytes(), EndHeaders: true, EndStream: endStream})
 	}
 	body, _ := proto.Marshal(wrapperspb.String("ok"))
 	message := append([]byte{0, 0, 0, 0, byte(len(body))}, body...)
-	switch r.rnd.IntN(9) {
+	switch s.rnd.IntN(9) {
 	case 0:
-		did("refused", false)
-		f.WriteRSTStream(stream, http2.ErrCodeRefusedStream)
+		record("refused", false)
+		framer.WriteRSTStream(stream, http2.ErrCodeRefusedStream)
 	case 1:
-		did("reset, run", true)
-		f.WriteRSTStream(stream, http2.ErrCodeInternal)
+		record("reset, run", true)
+		framer.WriteRSTStream(stream, http2.ErrCodeInternal)
 	case 2:
-		did("reset, not run", false)
-		f.WriteRSTStream(stream, http2.ErrCodeCancel)
+		record("reset, not run", false)
+		framer.WriteRSTStream(stream, http2.ErrCodeCancel)
 	case 3:
-		did("GOAWAY, not looked at", false)
-		f.WriteGoAway(stream-2+stream%2-1, http2.ErrCodeNo, nil)
+		record("GOAWAY, not run", false)
+		framer.WriteGoAway(stream-2+stream%2-1, http2.ErrCodeNo, nil)
 		return false
 	case 4:
-		did("GOAWAY, run", true)
-		f.WriteGoAway(stream, http2.ErrCodeNo, nil)
+		record("GOAWAY, run", true)
+		framer.WriteGoAway(stream, http2.ErrCodeNo, nil)
 		return false
 	case 5:
-		did("lost, run", true)
+		record("connection lost, run", true)
 		return false
 	case 6:
-		did("no trailers, run", true)
+		record("no trailers, run", true)
 		headers(false, ":status", "200", "content-type", "application/grpc")
-		f.WriteData(stream, true, message)
+		framer.WriteData(stream, true, message)
 	case 7:
-		did("no answer, run", true)
+		record("headers only, run", true)
 		headers(true, ":status", "200", "content-type", "application/grpc")
 	default:
-		did("answered", true)
+		record("answered", true)
 		headers(false, ":status", "200", "content-type", "application/grpc")
-		f.WriteData(stream, false, message)
+		framer.WriteData(stream, false, message)
 		headers(true, "grpc-status", "0")
 	}
 	return true
 }
 
-// A thousand at-most-once calls to such servers run at most once each; what succeeded has run, and what was rejected
-// has not.
-func TestAtMostOnceAgainstRoughServers(t *testing.T) {
-	var all []member
+// Each of 1000 non-idempotent calls to faulty servers runs at most once. A call that succeeded has run once, and one
+// that was rejected has not run.
+func TestNonIdempotentCallsToFaultyServers(t *testing.T) {
+	var members []member
 	var servers []*faultyServer
 	for i := range 4 {
-		r := newFaultyServer(t, uint64(i))
-		servers = append(servers, r)
-		all = append(all, member{id: fmt.Sprint("r", i), addr: r.Addr().String()})
+		s := newFaultyServer(t, uint64(i))
+		servers = append(servers, s)
+		members = append(members, member{id: fmt.Sprint("r", i), addr: s.Addr().String()})
 	}
-	c, _ := dial(t, 1, all...)
+	c, _ := dial(t, 1, members...)
 	ran := func(id string) (n int) {
-		for _, r := range servers {
-			r.mu.Lock()
-			n += r.ran[id]
-			r.mu.Unlock()
+		for _, s := range servers {
+			s.mu.Lock()
+			n += s.ran[id]
+			s.mu.Unlock()
 		}
 		return n
 	}
-	ends := map[string]int{}
+	results := map[string]int{}
 	for n := range 1000 {
 		id := fmt.Sprint("call-", n)
 		got, err := invoke(c, withID(id), "Once", id)
-		times := ran(id)
-		how := "failed"
+		runs := ran(id)
+		result := "failed"
 		switch {
 		case err == nil:
-			how = "succeeded"
-			if times != 1 || got != "ok" {
-				t.Errorf("%s: succeeded with %q, ran %d times", id, got, times)
+			result = "succeeded"
+			if runs != 1 || got != "ok" {
+				t.Errorf("%s: succeeded with %q, ran %d times", id, got, runs)
 			}
-		case bytes.Contains([]byte(err.Error()), []byte("turned back")):
-			how = "rejected"
-			if times != 0 {
-				t.Errorf("%s: rejected, ran %d times: %v", id, times, err)
+		case bytes.Contains([]byte(err.Error()), []byte("rejected, may be retried")):
+			result = "rejected"
+			if runs != 0 {
+				t.Errorf("%s: rejected, ran %d times: %v", id, runs, err)
 			}
 		}
-		ends[how]++
-		if times > 1 {
-			t.Errorf("%s: ran %d times: %v", id, times, err)
+		results[result]++
+		if runs > 1 {
+			t.Errorf("%s: ran %d times: %v", id, runs, err)
 		}
 	}
-	kinds := map[string]int{}
-	for _, r := range servers {
-		for k, n := range r.kinds {
-			kinds[k] += n
+	ends := map[string]int{}
+	for _, s := range servers {
+		for kind, n := range s.ends {
+			ends[kind] += n
 		}
 	}
-	if len(kinds) != 9 || ends["succeeded"] < 50 || ends["failed"] < 100 {
-		t.Errorf("too little was provoked: %v, ends %v", kinds, ends)
+	if len(ends) != 9 || results["succeeded"] < 50 || results["failed"] < 100 {
+		t.Errorf("too few kinds of ends or results: %v, results %v", ends, results)
 	}
 	waitUntilNoneOpen(t, c)
-	t.Logf("%v, ends %v", kinds, ends)
+	t.Logf("ends %v, results %v", ends, results)
 }
--- a/rpc/front.go
+++ b/rpc/front.go
@@ -9,32 +9,32 @@
 	"pepperlead/policy"
 )
 
-// Answers as engine.Latency counts them.
+// Kinds of final answers, as engine.Latency counts them.
 const (
 	answeredSuccessfully = 0
 	answeredRejected     = 2
 	answeredFailed       = 3
 )
 
-// front is the engine's side of the plug-in. Callers' goroutines post events; the loop answers each by orders on the
-// call's own channel.
+// front connects callers to the engine. Callers' goroutines post events, which the loop handles. The loop sends
+// instructions on the channel of the call.
 type front struct {
 	engine      *engine.Engine
-	number      int // of the front at the engine
+	index       int // in Endpoint.FrontData
 	dialOptions []grpc.DialOption
 	calls       sync.Pool
 
 	mu     sync.Mutex // guards posted
 	posted []event
-	spare  []event
+	spare  []event // swapped with posted by Gather
 }
 
 var _ engine.Front = (*front)(nil)
 
 func newFront(e *engine.Engine, dialOptions []grpc.DialOption) *front {
 	f := &front{engine: e, dialOptions: dialOptions}
-	f.calls.New = newCall
-	f.number = e.Add(f)
+	f.calls.New = newClientCall
+	f.index = e.Add(f)
 	return f
 }
 
@@ -60,45 +60,46 @@
 	clear(events)
 }
 
-// More reports no: each event signals the loop.
+// More returns false: post signals the loop for each event.
 func (f *front) More() bool { return false }
 
-// callStarted admits a new call.
+// callStarted admits a new call, or rejects it during the shutdown.
 func (f *front) callStarted(now policy.Time, e event) {
-	k := e.call
+	call := e.call
 	if _, shuttingDown := f.engine.ShuttingDown(); shuttingDown {
-		k.abandoned = true
-		k.orders <- order{answer: rejected}
+		call.abandoned = true
+		call.instructions <- instruction{answer: rejected}
 		return
 	}
-	k.request = f.engine.NewRequest(f.number)
-	k.request.FrontData = k
-	f.engine.Admit(now, e.at, k.request, k.class, k.tenant, k.key, false, k.timeLeft)
+	call.request = f.engine.NewRequest(f.index)
+	call.request.FrontData = call
+	f.engine.Admit(now, e.at, call.request, call.class, call.tenant, call.key, false, call.timeout)
 }
 
-// attemptEnded handles the end of an attempt. What the loop has cancelled meanwhile has ended for it already.
+// attemptEnded handles the end of an attempt. If the attempt is no longer current, the loop has ended it already, by
+// cancellation or timeout.
 func (f *front) attemptEnded(now policy.Time, e event) {
-	k := e.call
-	current := k.isCurrent(e.sequence)
-	if e.last && k.request != nil && (!current || k.stream && !isFinal(e.outcome)) {
-		// The caller has an answer that nothing can change any more.
-		f.engine.ClientLeft(now, k.request)
+	call := e.call
+	current := call.isCurrent(e.sequence)
+	if e.last && call.request != nil && (!current || call.stream && !isFinal(e.outcome)) {
+		// The caller has its answer already, and no further attempt is of use.
+		f.engine.ClientLeft(now, call.request)
 	}
 	if current {
-		f.engine.AttemptEnded(e.at, k.request, e.outcome)
+		f.engine.AttemptEnded(e.at, call.request, e.outcome)
 	}
 	e.backend.release()
 	if e.last {
-		f.closeCall(k)
+		f.closeCall(call)
 	}
 }
 
-// isCurrent reports whether the attempt of the sequence number is in flight.
-func (k *call) isCurrent(sequence uint32) bool {
-	return k.request != nil && k.request.InFlight && k.sequence == sequence
+// isCurrent reports whether the attempt with this sequence number is in flight.
+func (c *clientCall) isCurrent(sequence uint32) bool {
+	return c.request != nil && c.request.InFlight && c.sequence == sequence
 }
 
-// streamOpened lifts the deadline of a stream that is open.
+// streamOpened removes the deadline of a stream that has been opened.
 func (f *front) streamOpened(_ policy.Time, e event) {
 	if e.call.isCurrent(e.sequence) {
 		f.engine.Timers.Stop(&e.call.request.AttemptTimer)
@@ -106,14 +107,14 @@
 	}
 }
 
-// streamAnswered handles the endpoint's first message on a stream: the attempt succeeded. The stream goes on.
+// streamAnswered handles the endpoint's first message on a stream: the attempt has succeeded. The stream continues.
 func (f *front) streamAnswered(_ policy.Time, e event) {
 	if e.call.isCurrent(e.sequence) {
 		f.engine.AttemptEnded(e.at, e.call.request, policy.Succeeded)
 	}
 }
 
-// callerLeft handles a caller that waits no longer, or has its final answer, with no attempt of its own in flight.
+// callerLeft handles a caller that has stopped waiting or has its final answer, and is not executing an attempt.
 func (f *front) callerLeft(now policy.Time, e event) {
 	if e.call.request != nil {
 		f.engine.ClientLeft(now, e.call.request)
@@ -121,117 +122,117 @@
 	f.closeCall(e.call)
 }
 
-// closeCall takes back the orders that a caller who has left did not read.
-func (f *front) closeCall(k *call) {
-	k.abandoned = true
-	k.closed = true
+// closeCall marks the call as closed and releases the connections of instructions that its caller has not read.
+func (f *front) closeCall(call *clientCall) {
+	call.abandoned = true
+	call.closed = true
 	for {
 		select {
-		case o := <-k.orders:
-			if o.backend != nil {
-				o.backend.release()
+		case unread := <-call.instructions:
+			if unread.backend != nil {
+				unread.backend.release()
 			}
 		default:
-			f.recycle(k)
+			f.recycle(call)
 			return
 		}
 	}
 }
 
-// recycle puts a call back into the pool once neither side refers to it any more.
-func (f *front) recycle(k *call) {
-	if k.closed && k.request == nil {
-		k.reset()
-		f.calls.Put(k)
+// recycle returns the call to the pool once neither its caller nor the engine refers to it.
+func (f *front) recycle(call *clientCall) {
+	if call.closed && call.request == nil {
+		call.reset()
+		f.calls.Put(call)
 	}
 }
 
-// Send has the caller send its call to the endpoint.
+// Send instructs the caller to send its call to the endpoint.
 func (f *front) Send(now policy.Time, request *engine.Request, to *engine.Endpoint) {
-	k := request.FrontData.(*call)
+	call := request.FrontData.(*clientCall)
 	b, err := f.backend(to)
-	if err != nil || k.abandoned {
+	if err != nil || call.abandoned {
 		f.engine.AttemptEnded(now, request, policy.NotSent)
 		return
 	}
-	k.sequence++
+	call.sequence++
 	b.uses++
-	// The round's time: the process may have stood still within it.
-	k.orders <- order{backend: b, sequence: k.sequence, decidedAt: now}
+	// now is the start of the round. Reading the clock here would hide a suspension of the process since then.
+	call.instructions <- instruction{backend: b, sequence: call.sequence, decidedAt: now}
 }
 
-// backend returns the endpoint's connection, a new one where there is none.
+// backend returns the connection to the endpoint. If there is none, or it is retired, it creates one.
 func (f *front) backend(to *engine.Endpoint) (*backend, error) {
-	if b, ok := to.FrontData[f.number].(*backend); ok && !b.retired {
+	if b, ok := to.FrontData[f.index].(*backend); ok && !b.retired {
 		return b, nil
 	}
 	b, err := newBackend(to.Addr, f.engine.Clock, f.dialOptions)
 	if err != nil {
 		return nil, err
 	}
-	to.FrontData[f.number] = b
+	to.FrontData[f.index] = b
 	return b, nil
 }
 
-// TimedOut cancels an attempt whose time is up.
+// TimedOut cancels the attempt in flight, which has timed out.
 func (f *front) TimedOut(now policy.Time, request *engine.Request) {
-	k := request.FrontData.(*call)
+	call := request.FrontData.(*clientCall)
 	outcome := policy.TimedOut
-	if k.streamCount.Load() == 0 {
-		outcome = policy.NotConnected // no stream was ever begun
+	if call.streamCount.Load() == 0 {
+		outcome = policy.NotConnected // gRPC has not begun a stream
 	}
-	k.cancelAttempt()
+	call.cancelAttempt()
 	f.engine.AttemptEnded(now, request, outcome)
 }
 
 // CancelAttempt cancels the attempt in flight.
 func (f *front) CancelAttempt(now policy.Time, request *engine.Request) {
-	request.FrontData.(*call).cancelAttempt()
+	request.FrontData.(*clientCall).cancelAttempt()
 	f.engine.AttemptEnded(now, request, policy.Cancelled)
 }
 
-// Succeed ends a call whose caller has the reply already.
+// Succeed records the success of a call. Its caller has the reply already.
 func (f *front) Succeed(now policy.Time, request *engine.Request) {
 	f.engine.Counters.Succeeded++
 	f.engine.Answered(now, request, answeredSuccessfully)
 }
 
-// Reject has the caller answer that the call may be sent again.
+// Reject instructs the caller to return an error that says that the call may safely be sent again.
 func (f *front) Reject(now policy.Time, request *engine.Request, retryAfter policy.Time) {
 	f.engine.Counters.Rejected++
-	request.FrontData.(*call).answer(order{answer: rejected, retryAfter: retryAfter})
+	request.FrontData.(*clientCall).sendAnswer(instruction{answer: rejected, retryAfter: retryAfter})
 	f.engine.Answered(now, request, answeredRejected)
 }
 
-// Fail has the caller answer that the call may have run.
+// Fail instructs the caller to return an error that says that the call may have run.
 func (f *front) Fail(now policy.Time, request *engine.Request) {
 	f.engine.Counters.Failed++
-	request.FrontData.(*call).answer(order{answer: failed})
+	request.FrontData.(*clientCall).sendAnswer(instruction{answer: failed})
 	f.engine.Answered(now, request, answeredFailed)
 }
 
-// answer gives the caller its final order, if it still reads orders.
-func (k *call) answer(final order) {
-	if !k.abandoned {
-		k.abandoned = true
-		k.orders <- final
+// sendAnswer sends the caller its final instruction, if it still reads instructions.
+func (c *clientCall) sendAnswer(final instruction) {
+	if !c.abandoned {
+		c.abandoned = true
+		c.instructions <- final
 	}
 }
 
-// DiscardResponse does nothing: responses are the callers'.
+// DiscardResponse does nothing: only callers handle responses.
 func (f *front) DiscardResponse(*engine.Request) {}
 
-// Released recycles the request's call, once its caller is done with it too.
+// Released recycles the request's call if its caller has finished with it too.
 func (f *front) Released(request *engine.Request) {
-	k := request.FrontData.(*call)
+	call := request.FrontData.(*clientCall)
 	request.FrontData = nil
-	k.request = nil
-	f.recycle(k)
+	call.request = nil
+	f.recycle(call)
 }
 
-// CloseIdle retires the endpoint's connection, which must not come up again by itself when nothing uses it.
+// CloseIdle retires the endpoint's connection: kept open, it could reconnect by itself while nothing uses it.
 func (f *front) CloseIdle(endpoint *engine.Endpoint) {
-	if b, ok := endpoint.FrontData[f.number].(*backend); ok && !b.retired {
+	if b, ok := endpoint.FrontData[f.index].(*backend); ok && !b.retired {
 		b.retire()
 	}
 }
@@ -242,14 +243,14 @@
 // BeginShutdown does nothing: callStarted rejects new calls.
 func (f *front) BeginShutdown(policy.Time) {}
 
-// Drained reports yes: there is nothing that new calls come from.
+// Drained returns true: callStarted admits no calls during the shutdown.
 func (f *front) Drained(policy.Time) bool { return true }
 
 // Close closes the connections that are still open.
 func (f *front) Close() {
 	for _, endpoint := range f.engine.Endpoints {
-		if b, ok := endpoint.FrontData[f.number].(*backend); ok {
-			_ = b.conn.Close() // fails only where it is closed already
+		if b, ok := endpoint.FrontData[f.index].(*backend); ok {
+			_ = b.conn.Close() // fails only if it is already closed
 		}
 	}
 }
--- a/rpc/guardedconn.go
+++ b/rpc/guardedconn.go
@@ -8,40 +8,41 @@
 	"pepperlead/internal/daemon"
 )
 
-// HTTP/2 as a client begins and frames it: RFC 9113, 3.4 and 4.1.
+// clientPreface is what an HTTP/2 client sends first: RFC 9113, 3.4.
 var clientPreface = []byte("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n")
 
+// Layout of an HTTP/2 frame header: RFC 9113, 4.1.
 const (
 	frameHeaderLength = 9
 	frameTypeOffset   = 3
 	headersFrameType  = 1
 )
 
-var errStale = errors.New("pepperlead: the process stood still between a call and its sending")
+var errStale = errors.New("pepperlead: stream not sent: too late after the decision on its attempt")
 
-// guardedConn doesn't let a stream begin on the wire long after it was decided on: a process that is stopped in
-// between would send, as it goes on, to an endpoint that has drained meanwhile. It reads the frames that are written;
-// below TLS it cannot, and lets all pass.
+// guardedConn prevents a stream from being begun on the wire more than daemon.StallAfter after the decision on its
+// attempt. A process that is suspended in between would otherwise, once resumed, send to an endpoint that has drained
+// meanwhile. It parses the frames that are written; if the connection uses TLS it cannot, and lets all bytes pass.
 type guardedConn struct {
 	net.Conn
 	pending *pendingStreams
 
-	unreadable  bool // what is written is not HTTP/2
+	unreadable  bool // the bytes written are not plain HTTP/2
 	prefaceSeen bool
-	frameHeader []byte // as far as it is written
-	payloadLeft int    // bytes of the frame that is being written
+	frameHeader []byte // bytes of it that are written so far
+	payloadLeft int    // bytes of the current frame still to be written
 }
 
 // Write writes to the connection, or closes it if a stream would begin too late.
 func (g *guardedConn) Write(b []byte) (int, error) {
 	if !g.unreadable && !g.mayWrite(b) {
-		_ = g.Close() // the error that counts is errStale
+		_ = g.Close() // errStale is the error to report
 		return 0, errStale
 	}
 	return g.Conn.Write(b)
 }
 
-// mayWrite reads the frames in the bytes and reports whether none of them begins a stream too late.
+// mayWrite parses the frames in the bytes and reports whether none of them begins a stream too late.
 func (g *guardedConn) mayWrite(b []byte) bool {
 	if !g.prefaceSeen {
 		if !bytes.HasPrefix(b, clientPreface) {
@@ -68,7 +69,7 @@
 	return true
 }
 
-// frameAllowed reads a complete frame header and reports whether its frame may be written.
+// frameAllowed parses a complete frame header and reports whether its frame may be written.
 func (g *guardedConn) frameAllowed() bool {
 	header := g.frameHeader
 	g.payloadLeft = int(header[0])<<16 | int(header[1])<<8 | int(header[2])
--- a/rpc/invoke.go
+++ b/rpc/invoke.go
@@ -14,32 +14,32 @@
 	"pepperlead/policy"
 )
 
-// deadlineTolerance is how long before a call's deadline its failure counts as one of time.
+// deadlineTolerance is how close to its deadline a failed call is reported as DEADLINE_EXCEEDED.
 const deadlineTolerance = 50 * time.Millisecond
 
-// errClosed ends calls on a connection that is closed.
+// errClosed is the error of calls on a Conn that is closed.
 var errClosed = status.Error(codes.Canceled, "pepperlead: the connection is closed")
 
 // Invoke makes a unary call.
 func (c *Conn) Invoke(ctx context.Context, method string, args, reply any, opts ...grpc.CallOption) error {
-	k, deadline, err := c.newCall(ctx, method, args)
+	call, deadline, err := c.newCall(ctx, method, args)
 	if err != nil {
 		return err
 	}
-	options := k.withOptions(opts)
-	c.front.post(event{handle: (*front).callStarted, call: k})
+	options := call.withOptions(opts)
+	c.front.post(event{handle: (*front).callStarted, call: call})
 	var lastErr error
 	for {
-		o, err := c.nextAttempt(ctx, k, deadline, lastErr)
+		attempt, err := c.nextAttempt(ctx, call, deadline, lastErr)
 		if err != nil {
 			return err
 		}
-		attemptCtx, cancel := k.startAttempt(ctx, o.sequence, deadline)
-		err = o.backend.conn.Invoke(attemptCtx, method, args, reply, options...)
+		attemptCtx, cancel := call.startAttempt(ctx, attempt.sequence, deadline)
+		err = attempt.backend.conn.Invoke(attemptCtx, method, args, reply, options...)
 		cancel()
-		k.forgetPending()
-		ended := event{handle: (*front).attemptEnded, call: k, sequence: o.sequence, backend: o.backend}
-		ended.outcome = k.finishAttempt(err)
+		call.forgetPending()
+		ended := event{handle: (*front).attemptEnded, call: call, sequence: attempt.sequence, backend: attempt.backend}
+		ended.outcome = call.finishAttempt(err)
 		ended.last = isFinal(ended.outcome)
 		if !ended.last && ctx.Err() != nil {
 			ended.last = true
@@ -48,7 +48,7 @@
 				ended.outcome = policy.Cancelled
 			}
 		}
-		c.front.post(ended) // from here on the call is the loop's if this was its last event
+		c.front.post(ended) // after its last event the call belongs to the loop
 		if ended.last {
 			return err
 		}
@@ -56,14 +56,17 @@
 	}
 }
 
-// isFinal reports whether an attempt's answer is the caller's.
-func isFinal(o policy.Outcome) bool { return o == policy.Succeeded || o == policy.Declined }
+// isFinal reports whether the result of an attempt that ended so is returned to the caller.
+func isFinal(outcome policy.Outcome) bool {
+	return outcome == policy.Succeeded || outcome == policy.Declined
+}
 
-// newCall takes a call from the pool and sets what the loop has to know of it, and its deadline.
-func (c *Conn) newCall(ctx context.Context, method string, request any) (*call, time.Time, error) {
+// newCall takes a call from the pool, sets the fields that its admission needs, and returns it with its deadline.
+func (c *Conn) newCall(ctx context.Context, method string, request any) (*clientCall, time.Time, error) {
 	class, bound := c.methods.lookup(method)
 	if !bound {
-		return nil, time.Time{}, status.Errorf(codes.Unimplemented, "pepperlead: %s is bound to no offering", method)
+		return nil, time.Time{}, status.Errorf(codes.Unimplemented,
+			"pepperlead: no offering in the configuration includes method %s", method)
 	}
 	if err := ctx.Err(); err != nil {
 		return nil, time.Time{}, status.FromContextError(err).Err()
@@ -73,78 +76,83 @@
 	if callerDeadline, ok := ctx.Deadline(); ok && callerDeadline.Before(deadline) {
 		deadline = callerDeadline
 	}
-	k := c.front.calls.Get().(*call)
-	k.class = class
-	k.key = c.key(ctx, request)
-	k.timeLeft = policy.Time(deadline.Sub(now))
-	k.tenant = c.tenant(ctx)
-	return k, deadline, nil
+	call := c.front.calls.Get().(*clientCall)
+	call.class = class
+	call.key = c.key(ctx, request)
+	call.timeout = policy.Time(deadline.Sub(now))
+	call.tenant = c.tenant(ctx)
+	return call, deadline, nil
 }
 
-// nextAttempt waits until the loop has the call sent. The error is the caller's final answer.
-func (c *Conn) nextAttempt(ctx context.Context, k *call, deadline time.Time, lastErr error) (order, error) {
+// nextAttempt waits for the loop's instruction to send an attempt. An error is the final result of the call.
+func (c *Conn) nextAttempt(
+	ctx context.Context, call *clientCall, deadline time.Time, lastErr error,
+) (instruction, error) {
 	for {
-		o, err := c.nextOrder(ctx, k)
+		next, err := c.nextInstruction(ctx, call)
 		if err != nil {
-			return order{}, err
+			return instruction{}, err
 		}
-		if o.backend == nil {
-			return order{}, c.finish(k, o, deadline, lastErr)
+		if next.backend == nil {
+			return instruction{}, c.finish(call, next, deadline, lastErr)
 		}
-		if !c.isStale(o) {
-			k.backend = o.backend
-			k.decidedAt = o.decidedAt
-			return o, nil
+		if !c.isStale(next) {
+			call.backend = next.backend
+			call.decidedAt = next.decidedAt
+			return next, nil
 		}
 		c.front.post(event{
 			handle:   (*front).attemptEnded,
-			call:     k,
-			sequence: o.sequence,
-			backend:  o.backend,
+			call:     call,
+			sequence: next.sequence,
+			backend:  next.backend,
 			outcome:  policy.NotSent,
 		})
 	}
 }
 
-// nextOrder waits for the loop's next order. With an error the caller waits no longer, and so does the loop.
-func (c *Conn) nextOrder(ctx context.Context, k *call) (order, error) {
+// nextInstruction waits for the loop's next instruction. If it returns an error, it has notified the loop that the
+// caller left.
+func (c *Conn) nextInstruction(ctx context.Context, call *clientCall) (instruction, error) {
 	var err error
 	select {
-	case o := <-k.orders:
-		return o, nil
+	case next := <-call.instructions:
+		return next, nil
 	case <-ctx.Done():
 		err = status.FromContextError(ctx.Err()).Err()
 	case <-c.engine.Stopped():
 		err = errClosed
 	}
-	c.front.post(event{handle: (*front).callerLeft, call: k, last: true})
-	return order{}, err
+	c.front.post(event{handle: (*front).callerLeft, call: call, last: true})
+	return instruction{}, err
 }
 
-// isStale reports whether an order was decided so long ago that the process must have stood still since: the list may
-// have changed.
-func (c *Conn) isStale(o order) bool { return c.engine.Clock.Now()-o.decidedAt > daemon.StallAfter }
+// isStale reports whether an attempt was decided on so long ago that the process must have been suspended since. The
+// endpoint list may have changed in between.
+func (c *Conn) isStale(attempt instruction) bool {
+	return c.engine.Clock.Now()-attempt.decidedAt > daemon.StallAfter
+}
 
-// finish returns the caller's status for a final order; lastErr is that of the last attempt, nil without one.
-func (c *Conn) finish(k *call, o order, deadline time.Time, lastErr error) error {
-	c.front.post(event{handle: (*front).callerLeft, call: k, last: true})
-	cause := "no server had room"
+// finish returns the caller's error for a final instruction. lastErr is the error of the last attempt; nil: none.
+func (c *Conn) finish(call *clientCall, final instruction, deadline time.Time, lastErr error) error {
+	c.front.post(event{handle: (*front).callerLeft, call: call, last: true})
+	cause := "no attempt was sent"
 	if lastErr != nil {
 		cause = status.Convert(lastErr).Message()
 	}
-	if o.answer == rejected {
-		return rejectedError(cause, o.retryAfter)
+	if final.answer == rejected {
+		return rejectedError(cause, final.retryAfter)
 	}
 	code := codes.Unknown
 	if !time.Now().Before(deadline.Add(-deadlineTolerance)) {
 		code = codes.DeadlineExceeded
 	}
-	return status.Errorf(code, "pepperlead: given up, it may have run: %s", cause)
+	return status.Errorf(code, "pepperlead: failed, may have run: %s", cause)
 }
 
-// rejectedError is the status of a rejected call, with RetryInfo where clients may be told when to retry.
+// rejectedError returns the error of a rejected call, with RetryInfo if retryAfter is set.
 func rejectedError(cause string, retryAfter policy.Time) error {
-	st := status.Newf(codes.Unavailable, "pepperlead: turned back: %s", cause)
+	st := status.Newf(codes.Unavailable, "pepperlead: rejected, may be retried: %s", cause)
 	if retryAfter > 0 {
 		retryInfo := &errdetails.RetryInfo{RetryDelay: durationpb.New(time.Duration(retryAfter))}
 		if detailed, err := st.WithDetails(retryInfo); err == nil {
--- a/rpc/methods.go
+++ b/rpc/methods.go
@@ -6,11 +6,11 @@
 	"pepperlead/policy"
 )
 
-// methodClasses binds methods to classes: by the full name, by the service, or all others.
+// methodClasses binds methods to classes: by the full name, else by the service, else by the fallback.
 type methodClasses struct {
 	byMethod  map[string]policy.ClassID
 	byService map[string]policy.ClassID
-	fallback  policy.ClassID
+	fallback  policy.ClassID // NoClass: none
 }
 
 // newMethodClasses reads the patterns of each class: "/pkg.Service/Method", "/pkg.Service/*" or "*".
@@ -20,8 +20,8 @@
 		byService: map[string]policy.ClassID{},
 		fallback:  policy.NoClass,
 	}
-	for i, ofClass := range patterns {
-		for _, pattern := range ofClass {
+	for i, classPatterns := range patterns {
+		for _, pattern := range classPatterns {
 			m.bind(pattern, policy.ClassID(i))
 		}
 	}
@@ -40,7 +40,7 @@
 	}
 }
 
-// lookup finds the class of a method.
+// lookup returns the class of a method, and whether the method is bound to one.
 func (m *methodClasses) lookup(method string) (class policy.ClassID, bound bool) {
 	if class, bound = m.byMethod[method]; bound {
 		return class, true
--- a/rpc/outcome.go
+++ b/rpc/outcome.go
@@ -7,8 +7,8 @@
 	"pepperlead/policy"
 )
 
-// NotProcessed is the key of trailing metadata by which an endpoint says, with the value 1, that it rejected a call
-// unprocessed. The platform's endpoints say the same by a header of this name.
+// NotProcessed is the key of trailing metadata with which an endpoint marks a call that it rejected unprocessed. The
+// value is 1. The platform's endpoints use a header of the same name for this.
 const NotProcessed = "x-not-processed"
 
 // isNotProcessed reports whether the trailer says that the call was rejected unprocessed.
@@ -17,14 +17,15 @@
 	return len(values) > 0 && values[0] == "1"
 }
 
-// outcome maps the end of an attempt: by how many streams gRPC began for it, the status that it gave, and whether the
-// endpoint said in its trailer that it rejected the call unprocessed. docs/rpc.md has it as a table.
+// outcome returns the outcome of an attempt that has ended, from the number of streams that gRPC began for it, the
+// status code that gRPC returned, and whether the trailer says that the endpoint rejected the call unprocessed.
+// docs/rpc.md has the mapping as a table.
 //
-// gRPC begins a second stream only where it knows that the first was not processed: it had no connection left, or the
-// endpoint refused the stream, or said by GOAWAY that it would not process it (RFC 9113, 6.8 and 8.7; gRFC A6,
-// transparent retries). The plug-in refuses it, and that it was asked for shows that nothing has run. What ends
-// without a status of the endpoint after one stream may have run; gRPC gives such ends UNAVAILABLE or INTERNAL, as
-// endpoints may give them too.
+// gRPC begins a second stream only if it knows that the first was not processed: it had no connection left, or the
+// endpoint refused the stream, or excluded it by GOAWAY (RFC 9113, 6.8 and 8.7; gRFC A6, transparent retries).
+// singleStream refuses the second stream, and the attempt to begin it shows that the call has not run. An attempt that
+// ends after one stream without a status from the endpoint may have run. gRPC then returns UNAVAILABLE or INTERNAL,
+// which endpoints may also send.
 func outcome(streams int, code codes.Code, notProcessed bool) policy.Outcome {
 	switch {
 	case streams != 1:
@@ -41,7 +42,7 @@
 	return policy.Errored
 }
 
-// isClientError reports whether the code says that no endpoint could process the call.
+// isClientError reports whether the code means that the call itself is at fault, so that no endpoint could process it.
 func isClientError(code codes.Code) bool {
 	switch code {
 	case codes.InvalidArgument, codes.NotFound, codes.AlreadyExists, codes.PermissionDenied,
--- a/rpc/pendingstreams.go
+++ b/rpc/pendingstreams.go
@@ -10,7 +10,8 @@
 	"pepperlead/policy"
 )
 
-// pendingStreams holds when the streams were decided on whose first frame is not written yet, in their order.
+// pendingStreams holds the streams of a connection whose HEADERS frame is not written yet, in the order in which they
+// began.
 type pendingStreams struct {
 	clock clock.Clock
 
@@ -21,7 +22,7 @@
 
 type pendingStream struct {
 	id        uint64
-	decidedAt policy.Time
+	decidedAt policy.Time // when the loop decided on its attempt
 }
 
 // add adds a stream and returns its id.
@@ -33,7 +34,7 @@
 	return p.lastID
 }
 
-// remove takes out a stream that was never written, as it is over.
+// remove removes a stream that has ended, if it is still pending.
 func (p *pendingStreams) remove(id uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -43,7 +44,7 @@
 	}
 }
 
-// takeOldest takes out the oldest stream and returns when it was decided on; 0 if there is none.
+// takeOldest removes the oldest stream and returns when its attempt was decided on; 0 if there is no stream.
 func (p *pendingStreams) takeOldest() policy.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -68,6 +69,6 @@
 	if err != nil {
 		return nil, err
 	}
-	p.clear() // what was begun on an earlier connection is not sent on this one
+	p.clear() // streams begun on an earlier connection are not sent on this one
 	return &guardedConn{Conn: conn, pending: p}, nil
 }
--- a/rpc/race_test.go
+++ b/rpc/race_test.go
@@ -2,7 +2,7 @@
 
 package rpc
 
-// Under the race detector a call takes so long that ten thousand keys outlast the 30 s for which a server that has
-// left keeps its slots; daemon and plug-in end that each by its own clock, and choose apart for as long as lies
-// between them.
+// keyCount is lower under the race detector: calls are so slow there that 10,000 keys take longer than the 30 s for
+// which an endpoint that has left keeps its slots. The daemon and the plug-in measure the 30 s by their own clocks, and
+// choose different endpoints in the time between the two expiries.
 const keyCount = 2000
--- a/rpc/rpc_test.go
+++ b/rpc/rpc_test.go
@@ -33,93 +33,95 @@
 	"pepperlead/internal/httpproxy"
 )
 
-// TestMain is also the host process that is stopped: see TestAPauseInADrain.
+// TestMain also runs the child processes of the tests: the caller of TestSuspendedCallerObeysDrain, and the servers of
+// BenchmarkCall.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("RPC_HOST"); dir != "" {
 		runCaller(dir)
 		return
 	}
 	if n, err := strconv.Atoi(os.Getenv("RPC_SERVERS")); err == nil {
-		serveChildren(n)
+		runServers(n)
 	}
 	os.Exit(m.Run())
 }
 
-// Ten thousand keys through a daemon and the plug-in, on three lists, one after joins and leaves: the same servers.
-func TestDaemonAndPluginChooseAlike(t *testing.T) {
-	var grpcs []member
-	var https []member
+// The daemon and the plug-in choose the same endpoint for each key, on a first list and after each of two changes in which
+// endpoints join and leave.
+func TestDaemonAndPluginChooseSameEndpoints(t *testing.T) {
+	var grpcMembers []member
+	var httpMembers []member
 	var servers []*server
 	for i := range 9 {
 		name := fmt.Sprintf("s-%d", i)
 		s := newServer(t, name)
-		h, err := fakebackend.Start("127.0.0.1:0", fakebackend.Traits{Name: name, Cores: 8, Queue: 100})
+		httpBackend, err := fakebackend.Start("127.0.0.1:0", fakebackend.Traits{Name: name, Cores: 8, Queue: 100})
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { h.Close() })
+		t.Cleanup(func() { httpBackend.Close() })
 		servers = append(servers, s)
-		grpcs, https = append(grpcs, s.member()), append(https, member{id: name, addr: h.Addr()})
+		grpcMembers, httpMembers = append(grpcMembers, s.member()), append(httpMembers, member{id: name, addr: httpBackend.Addr()})
 	}
-	c, rpcDir := dial(t, 1, grpcs[:5]...)
-	dir := t.TempDir()
-	writeList(t, dir, listText(1, https[:5]...))
+	c, pluginDir := dial(t, 1, grpcMembers[:5]...)
+	daemonDir := t.TempDir()
+	writeList(t, daemonDir, listText(1, httpMembers[:5]...))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.Close()
-	path := filepath.Join(dir, "pepperlead.toml")
+	path := filepath.Join(daemonDir, "pepperlead.toml")
 	os.WriteFile(path, []byte(fmt.Sprintf("[front.http]\nlisten = %q\n", l.Addr())+configuration), 0o600)
-	o, err := daemon.Read(path, os.Getenv)
+	options, err := daemon.Read(path, os.Getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	side := httpproxy.New(o.Config, log)
+	proxy := httpproxy.New(options.Config, log)
 	stop, ended := make(chan os.Signal, 1), make(chan error, 1)
-	go func() { ended <- side.Run(stop, nil) }()
+	go func() { ended <- proxy.Run(stop, nil) }()
 	defer func() { stop <- syscall.SIGTERM; <-ended }()
-	web := &http.Client{}
-	for i, in := range [][]int{{0, 5}, {1, 9}, {3, 8}} {
+	client := &http.Client{}
+	for i, span := range [][]int{{0, 5}, {1, 9}, {3, 8}} {
 		if i > 0 {
-			writeList(t, rpcDir, listText(i+1, grpcs[in[0]:in[1]]...))
-			writeList(t, dir, listText(i+1, https[in[0]:in[1]]...))
+			writeList(t, pluginDir, listText(i+1, grpcMembers[span[0]:span[1]]...))
+			writeList(t, daemonDir, listText(i+1, httpMembers[span[0]:span[1]]...))
 		}
-		for n := in[1] - in[0]; ; time.Sleep(2 * time.Millisecond) {
-			there := 0
+		for n := span[1] - span[0]; ; time.Sleep(2 * time.Millisecond) {
+			ready := 0
 			for _, s := range c.Servers() {
 				if !s.Leaving {
-					there++
+					ready++
 				}
 			}
-			if there == n && strings.Count(side.ServersReport(), " ready,") == n {
+			if ready == n && strings.Count(proxy.ServersReport(), " ready,") == n {
 				break
 			}
 		}
-		differ := 0
+		different := 0
 		for k := range keyCount {
 			key := fmt.Sprintf("key-%d", k)
-			ours, err := invoke(c, WithKey(context.Background(), key), "Step", "x")
+			chosen, err := invoke(c, WithKey(context.Background(), key), "Step", "x")
 			if err != nil {
 				t.Fatal(err)
 			}
 			r, _ := http.NewRequest(http.MethodGet, "http://"+l.Addr().String()+"/step", nil)
 			r.Header.Set("X-Route-Key", key)
-			answer, err := web.Do(r)
+			response, err := client.Do(r)
 			if err != nil {
 				t.Fatal(err)
 			}
-			answer.Body.Close()
-			if theirs := answer.Header.Get("X-Made-By"); ours != theirs {
-				if differ++; differ < 4 {
-					t.Errorf("list %d, %s: the plug-in chose %s, the daemon %s", i, key, ours, theirs)
+			response.Body.Close()
+			if byDaemon := response.Header.Get("X-Made-By"); chosen != byDaemon {
+				if different++; different < 4 {
+					t.Errorf("list %d, %s: the plug-in chose %s, the daemon %s", i, key, chosen, byDaemon)
 				}
 			}
 		}
-		if differ > 0 {
-			t.Errorf("list %d: %d keys of %d differ", i, differ, keyCount)
+		if different > 0 {
+			t.Errorf("list %d: the choices differ for %d keys of %d", i, different, keyCount)
 		}
 	}
 	for _, s := range servers {
@@ -129,7 +131,7 @@
 	}
 }
 
-// runCaller calls without end and writes down nothing; what the servers see counts.
+// runCaller makes calls without end, as the child process of TestSuspendedCallerObeysDrain. The servers record them.
 func runCaller(dir string) {
 	c, err := New(filepath.Join(dir, "pepperlead.toml"))
 	if err != nil {
@@ -142,9 +144,9 @@
 	}
 }
 
-// The host process stands still for two seconds while its list says that a server drains: when it goes on, that comes
-// before any attempt.
-func TestAPauseInADrain(t *testing.T) {
+// The calling process is suspended for two seconds, in which its list changes to say that a server drains. Once resumed,
+// it must read the list before it sends any attempt.
+func TestSuspendedCallerObeysDrain(t *testing.T) {
 	a, b := newServer(t, "a"), newServer(t, "b")
 	dir := t.TempDir()
 	writeList(t, dir, listText(1, a.member(), b.member()))
@@ -160,7 +162,7 @@
 	servers := []*server{a, b}
 	for i := 0; a.calls() < 20 || b.calls() < 20; i++ {
 		if i > 5000 {
-			t.Fatal("the host does not call")
+			t.Fatal("the child process makes no calls")
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -169,9 +171,9 @@
 		p.Process.Signal(syscall.SIGSTOP)
 		time.Sleep(20 * time.Millisecond)
 		issue++
-		m := []member{a.member(), b.member()}
-		m[drained].drains = true
-		writeList(t, dir, listText(issue, m...))
+		members := []member{a.member(), b.member()}
+		members[drained].drains = true
+		writeList(t, dir, listText(issue, members...))
 		listedAt := time.Now()
 		time.Sleep(2 * time.Second)
 		p.Process.Signal(syscall.SIGCONT)
@@ -179,35 +181,35 @@
 		for i, s := range servers {
 			s.mu.Lock()
 			late := 0
-			for _, at := range s.at {
+			for _, at := range s.times {
 				if at.Sub(listedAt) > time.Second {
 					late++
 				}
 			}
 			s.mu.Unlock()
-			// Between the guard's look and the kernel's taking the bytes a process can be stopped too, and no process
-			// can see that: one call in all rounds is let pass for it, as the rounds before the guard had one in
-			// three.
+			// The process can also be suspended after guardedConn has allowed a write and before the kernel takes the
+			// bytes, which it cannot detect. One late call in all rounds is tolerated for that; without guardedConn there
+			// was one in three rounds.
 			if i == drained {
 				if lateTotal += late; lateTotal > 1 || late > 1 {
-					t.Errorf("round %d: %d calls at servers that drain, over a second after the list said so", round, lateTotal)
+					t.Errorf("round %d: %d calls to draining servers in all rounds, over a second after the list changed", round, lateTotal)
 				}
 			}
 			if i != drained && late < 20 {
-				t.Errorf("round %d: %d calls at the other", round, late)
+				t.Errorf("round %d: %d calls to the server that does not drain, want at least 20", round, late)
 			}
 		}
 	}
 }
 
-// Two in one process with lists of different ages: each obeys its own.
-func TestTwoListAges(t *testing.T) {
+// Two Conns in one process, one with an older list than the other, each obey their own list.
+func TestConnsWithListsOfDifferentAge(t *testing.T) {
 	a, b := newServer(t, "a"), newServer(t, "b")
-	old, _ := dial(t, 1, a.member(), b.member())
-	new, _ := dial(t, 2, member{id: "a", addr: a.addr, drains: true}, b.member())
+	older, _ := dial(t, 1, a.member(), b.member())
+	newer, _ := dial(t, 2, member{id: "a", addr: a.addr, drains: true}, b.member())
 	seen := map[string]int{}
 	for n := range 100 {
-		for name, c := range map[string]*Conn{"old": old, "new": new} {
+		for name, c := range map[string]*Conn{"older": older, "newer": newer} {
 			got, err := invoke(c, context.Background(), "Step", fmt.Sprint("k", n))
 			if err != nil {
 				t.Fatal(err)
@@ -215,37 +217,37 @@
 			seen[name+" "+got]++
 		}
 	}
-	if seen["new a"] > 0 || seen["new b"] != 100 || seen["old a"] < 20 || seen["old b"] < 20 {
-		t.Errorf("%v", seen)
+	if seen["newer a"] > 0 || seen["newer b"] != 100 || seen["older a"] < 20 || seen["older b"] < 20 {
+		t.Errorf("calls by Conn and server: %v", seen)
 	}
 }
 
-// Every code, unary and as a stream, said by a server that has begun, or that says it has not looked: what the caller
-// gets, and how often the call ran.
-func TestEveryCode(t *testing.T) {
+// For each status code, of unary calls and streams: the error that the caller gets and the number of times that the call
+// ran. Also for calls that servers reject unprocessed, and for a server that does not listen.
+func TestStatusCodes(t *testing.T) {
 	final := map[codes.Code]bool{codes.OK: true, codes.InvalidArgument: true, codes.NotFound: true, codes.AlreadyExists: true,
 		codes.PermissionDenied: true, codes.FailedPrecondition: true, codes.OutOfRange: true, codes.Unimplemented: true,
 		codes.Unauthenticated: true}
 	a, b, d := newServer(t, "a"), newServer(t, "b"), newServer(t, "d")
 	ran := func(id string) int { return a.count(id) + b.count(id) + d.count(id) }
 	for code := codes.OK; code <= codes.Unauthenticated; code++ {
-		// New for each code, as servers that fail again and again are ejected.
+		// A new Conn for each code, as servers that keep failing are ejected.
 		c, _ := dial(t, 1, a.member(), b.member(), d.member())
-		for method, again := range map[string]bool{"Step": true, "Once": false} {
+		for method, idempotent := range map[string]bool{"Step": true, "Once": false} {
 			id := fmt.Sprint(method, code)
 			_, err := invoke(c, withID(id), method, fmt.Sprintf("code %d", code))
-			is, n := status.Code(err), ran(id)
+			got, n := status.Code(err), ran(id)
 			switch {
 			case final[code]:
-				if is != code || n != 1 {
+				if got != code || n != 1 {
 					t.Errorf("%s %v: %v, ran %d times", method, code, err, n)
 				}
-			case again: // up to three attempts, then rejected
-				if is != codes.Unavailable || n < 2 || n > 3 {
+			case idempotent: // up to three attempts, then rejected
+				if got != codes.Unavailable || n < 2 || n > 3 {
 					t.Errorf("%s %v: %v, ran %d times", method, code, err, n)
 				}
 			default:
-				if is != codes.Unknown || n != 1 || !strings.Contains(err.Error(), "it may have run") {
+				if got != codes.Unknown || n != 1 || !strings.Contains(err.Error(), "failed, may have run") {
 					t.Errorf("%s %v: %v, ran %d times", method, code, err, n)
 				}
 			}
@@ -267,24 +269,24 @@
 	}
 	c, _ := dial(t, 1, a.member(), b.member(), d.member())
 	for _, method := range []string{"Step", "Once"} {
-		_, err := invoke(c, withID("away "+method), method, "away")
-		if status.Code(err) != codes.Unavailable || ran("away "+method) != 0 {
+		_, err := invoke(c, withID("reject "+method), method, "reject")
+		if status.Code(err) != codes.Unavailable || ran("reject "+method) != 0 {
 			t.Errorf("%s rejected: %v", method, err)
 		}
-		var wait time.Duration
+		var retryAfter time.Duration
 		for _, detail := range status.Convert(err).Details() {
-			if r, is := detail.(*errdetails.RetryInfo); is {
-				wait = r.RetryDelay.AsDuration()
+			if r, ok := detail.(*errdetails.RetryInfo); ok {
+				retryAfter = r.RetryDelay.AsDuration()
 			}
 		}
-		if wait != 500*time.Millisecond { // the target latency, which is less than the longest Retry-After
-			t.Errorf("%s rejected: retry after %v", method, wait)
+		if retryAfter != 500*time.Millisecond { // the target latency, which is less than the longest Retry-After
+			t.Errorf("%s rejected: retry after %v", method, retryAfter)
 		}
 	}
-	// Before anything is sent: nobody listens at one server of two.
-	gone := newServer(t, "gone")
-	gone.grpc.Stop()
-	c, _ = dial(t, 1, a.member(), gone.member())
+	// One server of two does not listen: calls to it fail before they are sent, and are sent to the other.
+	stopped := newServer(t, "gone")
+	stopped.grpc.Stop()
+	c, _ = dial(t, 1, a.member(), stopped.member())
 	for n := range 40 {
 		for _, method := range []string{"Once", "Step"} {
 			if got, err := invoke(c, withID(fmt.Sprint("gone", method, n)), method, fmt.Sprint("x", n)); err != nil || got != "a" || ran(fmt.Sprint("gone", method, n)) != 1 {
@@ -302,15 +304,15 @@
 		}
 	}
 	if n := c.Counters(); n["pushes_not_connected"] == 0 {
-		t.Error("no attempt went to the server that has stopped")
+		t.Error("no attempt was made to connect to the stopped server")
 	}
 }
 
-// Streams that are open go on while their server drains; none is opened there anew; none stays open in the end.
-func TestStreamsInADrain(t *testing.T) {
+// Open streams continue while their server drains, and no new stream is opened there. In the end no call is in flight.
+func TestStreamsDuringDrain(t *testing.T) {
 	a, b := newServer(t, "a"), newServer(t, "b")
 	c, dir := dial(t, 1, a.member())
-	both := &grpc.StreamDesc{ServerStreams: true, ClientStreams: true}
+	bidirectional := &grpc.StreamDesc{ServerStreams: true, ClientStreams: true}
 	echo := func(s grpc.ClientStream) string {
 		var m wrapperspb.StringValue
 		if err := s.SendMsg(wrapperspb.String("x")); err != nil {
@@ -323,7 +325,7 @@
 	}
 	var open []grpc.ClientStream
 	for range 20 {
-		s, err := c.NewStream(context.Background(), both, "/test.S/Once")
+		s, err := c.NewStream(context.Background(), bidirectional, "/test.S/Once")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -334,7 +336,7 @@
 	}
 	writeList(t, dir, listText(2, member{id: "a", addr: a.addr, drains: true}, b.member()))
 	for i := 0; ; i++ {
-		s, err := c.NewStream(context.Background(), both, "/test.S/Once")
+		s, err := c.NewStream(context.Background(), bidirectional, "/test.S/Once")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -345,25 +347,25 @@
 			break
 		}
 		if i > 500 {
-			t.Fatal("the drain was not heard")
+			t.Fatal("the drain had no effect")
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 	before := a.calls()
 	for range 50 {
-		s, err := c.NewStream(context.Background(), both, "/test.S/Once")
+		s, err := c.NewStream(context.Background(), bidirectional, "/test.S/Once")
 		if err != nil {
 			t.Fatal(err)
 		}
 		if got := echo(s); got != "b" {
-			t.Fatalf("opened at %s", got)
+			t.Fatalf("stream opened at %s", got)
 		}
 		s.CloseSend()
 		s.RecvMsg(&wrapperspb.StringValue{})
 	}
 	for _, s := range open {
 		if got := echo(s); got != "a" {
-			t.Errorf("an open stream: %s", got)
+			t.Errorf("open stream: %s", got)
 		}
 		s.CloseSend()
 		if err := s.RecvMsg(&wrapperspb.StringValue{}); err != io.EOF {
@@ -371,25 +373,26 @@
 		}
 	}
 	if a.calls() != before {
-		t.Error("a stream was opened at a server that drains")
+		t.Error("a stream was opened at a draining server")
 	}
 	waitUntilNoneOpen(t, c)
 }
 
+// waitUntilNoneOpen waits until no call is in flight.
 func waitUntilNoneOpen(t *testing.T, c *Conn) {
 	t.Helper()
 	for i := 0; c.Open() > 0; i++ {
 		if i > 1000 {
-			t.Fatalf("%d calls are still open", c.Open())
+			t.Fatalf("%d calls are still in flight", c.Open())
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-func TestCallersThatCancelOrHaveNoDeadline(t *testing.T) {
+func TestCancellationAndDeadlines(t *testing.T) {
 	a := newServer(t, "a")
 	c, _ := dial(t, 1, a.member())
-	// Two places at a new server: further calls wait, and are cancelled while they do.
+	// A new server takes two calls at once. Further calls wait in the queue, where they are cancelled.
 	ctx, cancel := context.WithCancel(context.Background())
 	var wait sync.WaitGroup
 	var cancelled atomic.Int32
@@ -404,30 +407,30 @@
 	cancel()
 	wait.Wait()
 	if cancelled.Load() < 2 || a.calls() > 19 {
-		t.Errorf("%d cancelled, %d calls came", cancelled.Load(), a.calls())
+		t.Errorf("%d calls were cancelled, %d arrived", cancelled.Load(), a.calls())
 	}
 	waitUntilNoneOpen(t, c)
-	// Without a deadline that of its class ends it.
-	at := time.Now()
-	if _, err := invoke(c, context.Background(), "Once", "hang"); status.Code(err) != codes.DeadlineExceeded || time.Since(at) > 3500*time.Millisecond {
-		t.Errorf("%v after %v", err, time.Since(at))
+	// A call without a deadline ends at that of its class.
+	start := time.Now()
+	if _, err := invoke(c, context.Background(), "Once", "hang"); status.Code(err) != codes.DeadlineExceeded || time.Since(start) > 3500*time.Millisecond {
+		t.Errorf("%v after %v", err, time.Since(start))
 	}
-	short, end := context.WithTimeout(context.Background(), 200*time.Millisecond)
-	defer end()
-	at = time.Now()
-	if _, err := invoke(c, short, "Once", "hang"); status.Code(err) != codes.DeadlineExceeded || time.Since(at) > 400*time.Millisecond {
-		t.Errorf("%v after %v", err, time.Since(at))
+	shortCtx, endShort := context.WithTimeout(context.Background(), 200*time.Millisecond)
+	defer endShort()
+	start = time.Now()
+	if _, err := invoke(c, shortCtx, "Once", "hang"); status.Code(err) != codes.DeadlineExceeded || time.Since(start) > 400*time.Millisecond {
+		t.Errorf("%v after %v", err, time.Since(start))
 	}
 	if _, err := invoke(c, context.Background(), "../Other", "x"); status.Code(err) != codes.OK && status.Code(err) != codes.Unimplemented {
 		t.Error(err)
 	}
 	if err := c.Invoke(context.Background(), "/other.S/X", wrapperspb.String("x"), &wrapperspb.StringValue{}); status.Code(err) != codes.Unimplemented {
-		t.Errorf("a method bound to nothing: %v", err)
+		t.Errorf("method without a class: %v", err)
 	}
 	waitUntilNoneOpen(t, c)
 }
 
-func TestTenThousandCallers(t *testing.T) {
+func TestTenThousandConcurrentCalls(t *testing.T) {
 	var all []member
 	for i := range 4 {
 		all = append(all, newServer(t, fmt.Sprint("s", i)).member())
@@ -457,49 +460,51 @@
 	t.Logf("%d succeeded, %d rejected", succeeded.Load(), rejected.Load())
 }
 
-// Close lets what is under way end, rejects new calls, and answers whatever is left.
-func TestCloseWithCallsOpen(t *testing.T) {
+// Close lets calls in flight end in time, rejects new calls, and fails the calls that remain at the end.
+func TestCloseWithCallsInFlight(t *testing.T) {
 	a := newServer(t, "a")
 	c, _ := dial(t, 1, a.member())
 	slow, hang := make(chan error, 1), make(chan error, 1)
 	go func() { _, err := invoke(c, context.Background(), "Step", "slow"); slow <- err }()
 	go func() { _, err := invoke(c, context.Background(), "Once", "hang"); hang <- err }()
 	time.Sleep(50 * time.Millisecond)
-	at := time.Now()
+	start := time.Now()
 	go c.Close()
 	if err := <-slow; err != nil {
 		t.Errorf("slow: %v", err)
 	}
 	time.Sleep(20 * time.Millisecond)
 	if _, err := invoke(c, context.Background(), "Step", "x"); status.Code(err) != codes.Unavailable && status.Code(err) != codes.Canceled {
-		t.Errorf("while closing: %v", err)
+		t.Errorf("call while closing: %v", err)
 	}
 	if err := <-hang; err == nil {
 		t.Error("hang: succeeded")
 	}
 	c.Close()
-	if took := time.Since(at); took > 2*time.Second {
-		t.Errorf("closed after %v", took)
+	if took := time.Since(start); took > 2*time.Second {
+		t.Errorf("closing took %v", took)
 	}
 	if _, err := invoke(c, context.Background(), "Step", "x"); status.Code(err) != codes.Canceled {
-		t.Errorf("once closed: %v", err)
+		t.Errorf("call after closing: %v", err)
 	}
 }
 
-type token struct{ asked atomic.Int32 }
+// token counts how often gRPC requests these credentials.
+type token struct{ requests atomic.Int32 }
 
-func (k *token) GetRequestMetadata(context.Context, ...string) (map[string]string, error) {
-	k.asked.Add(1)
+func (c *token) GetRequestMetadata(context.Context, ...string) (map[string]string, error) {
+	c.requests.Add(1)
 	return map[string]string{"id": "by-token"}, nil
 }
-func (k *token) RequireTransportSecurity() bool { return false }
+func (c *token) RequireTransportSecurity() bool { return false }
 
 var _ credentials.PerRPCCredentials = (*token)(nil)
 
-type counting struct{ begun, ended atomic.Int32 }
+// counter counts the calls that begin and end.
+type counter struct{ begun, ended atomic.Int32 }
 
-func (h *counting) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
-func (h *counting) HandleRPC(_ context.Context, s stats.RPCStats) {
+func (h *counter) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
+func (h *counter) HandleRPC(_ context.Context, s stats.RPCStats) {
 	switch s.(type) {
 	case *stats.Begin:
 		h.begun.Add(1)
@@ -507,16 +512,16 @@
 		h.ended.Add(1)
 	}
 }
-func (h *counting) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
-func (h *counting) HandleConn(context.Context, stats.ConnStats)                       {}
+func (h *counter) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
+func (h *counter) HandleConn(context.Context, stats.ConnStats)                       {}
 
-// What a caller has of its own still works: interceptors, stats handlers, credentials, trailers.
-func TestCallersOptionsStillWork(t *testing.T) {
+// Interceptors, stats handlers, credentials and trailers of the caller work through the plug-in.
+func TestCallerOptions(t *testing.T) {
 	a := newServer(t, "a")
 	dir := t.TempDir()
 	writeList(t, dir, listText(1, a.member()))
-	h, intercepted := &counting{}, 0
-	c := open(t, dir, grpc.WithStatsHandler(h), grpc.WithUnaryInterceptor(func(ctx context.Context, method string, req, reply any,
+	statsHandler, intercepted := &counter{}, 0
+	c := open(t, dir, grpc.WithStatsHandler(statsHandler), grpc.WithUnaryInterceptor(func(ctx context.Context, method string, req, reply any,
 		cc *grpc.ClientConn, invoker grpc.UnaryInvoker, opts ...grpc.CallOption) error {
 		intercepted++
 		err := invoker(ctx, method, req, reply, cc, opts...)
@@ -525,16 +530,16 @@
 		}
 		return err
 	}))
-	k, trailer := &token{}, metadata.MD{}
-	if got, err := invoke(c, context.Background(), "Step", "x", grpc.PerRPCCredentials(k)); err != nil || got != "a" || k.asked.Load() != 1 ||
-		a.count("by-token") != 1 || h.begun.Load() != 1 || intercepted != 1 {
-		t.Errorf("%q %v, credentials asked %d times, begun %d, intercepted %d", got, err, k.asked.Load(), h.begun.Load(), intercepted)
+	creds, trailer := &token{}, metadata.MD{}
+	if got, err := invoke(c, context.Background(), "Step", "x", grpc.PerRPCCredentials(creds)); err != nil || got != "a" || creds.requests.Load() != 1 ||
+		a.count("by-token") != 1 || statsHandler.begun.Load() != 1 || intercepted != 1 {
+		t.Errorf("%q %v, credentials requested %d times, %d calls begun, %d intercepted", got, err, creds.requests.Load(), statsHandler.begun.Load(), intercepted)
 	}
-	invoke(c, context.Background(), "Step", "away", grpc.Trailer(&trailer))
+	invoke(c, context.Background(), "Step", "reject", grpc.Trailer(&trailer))
 	if v := trailer.Get(NotProcessed); len(v) != 1 {
 		t.Errorf("the caller's trailer: %v", trailer)
 	}
-	// An interceptor that sends again by itself does not get past.
+	// A second invocation by an interceptor is not sent.
 	twice := open(t, dir, grpc.WithUnaryInterceptor(func(ctx context.Context, method string, req, reply any, cc *grpc.ClientConn,
 		invoker grpc.UnaryInvoker, opts ...grpc.CallOption) error {
 		if err := invoker(ctx, method, req, reply, cc, opts...); err == nil {
@@ -544,9 +549,9 @@
 	}))
 	invoke(twice, withID("twice"), "Once", "code 13")
 	if n := a.count("twice"); n != 1 {
-		t.Errorf("sent %d times", n)
+		t.Errorf("call sent %d times", n)
 	}
-	// The key may stand in metadata, in the request, or in the context, the last going before.
+	// The key comes from the context, else from the metadata, else from the request.
 	if got := c.key(metadata.AppendToOutgoingContext(context.Background(), "about", "m"), wrapperspb.String("r")); got != "m" {
 		t.Error(got)
 	}
--- a/rpc/stream.go
+++ b/rpc/stream.go
@@ -15,40 +15,46 @@
 	"pepperlead/policy"
 )
 
-// NewStream opens a stream. Its endpoint is chosen now; what could not be opened, as nothing has run, is opened
-// elsewhere, what may have run never. Once open it has the context's deadline and no other, and goes on where its
-// endpoint drains.
+// NewStream opens a stream, whose endpoint is chosen at this point. If opening fails and the call cannot have run, the
+// stream is opened on another endpoint; if it may have run, it is not. Once open, the stream has no deadline but the
+// context's, and it continues while its endpoint drains.
 func (c *Conn) NewStream(
 	ctx context.Context, desc *grpc.StreamDesc, method string, opts ...grpc.CallOption,
 ) (grpc.ClientStream, error) {
-	k, deadline, err := c.newCall(ctx, method, nil)
+	call, deadline, err := c.newCall(ctx, method, nil)
 	if err != nil {
 		return nil, err
 	}
-	k.stream = true
-	options := k.withOptions(opts)
-	c.front.post(event{handle: (*front).callStarted, call: k})
+	call.stream = true
+	options := call.withOptions(opts)
+	c.front.post(event{handle: (*front).callStarted, call: call})
 	var lastErr error
 	for {
-		o, err := c.nextAttempt(ctx, k, deadline, lastErr)
+		attempt, err := c.nextAttempt(ctx, call, deadline, lastErr)
 		if err != nil {
 			return nil, err
 		}
-		attemptCtx, cancel := k.startAttempt(ctx, o.sequence, time.Time{})
-		grpcStream, err := o.backend.conn.NewStream(attemptCtx, desc, method, options...)
+		attemptCtx, cancel := call.startAttempt(ctx, attempt.sequence, time.Time{})
+		grpcStream, err := attempt.backend.conn.NewStream(attemptCtx, desc, method, options...)
 		if err == nil {
-			state := &streamState{front: c.front, call: k, sequence: o.sequence, backend: o.backend, cancel: cancel}
+			state := &streamState{
+				front:    c.front,
+				call:     call,
+				sequence: attempt.sequence,
+				backend:  attempt.backend,
+				cancel:   cancel,
+			}
 			return openedStream(ctx, grpcStream, desc.ServerStreams, state), nil
 		}
 		cancel()
-		k.forgetPending()
-		ended := event{handle: (*front).attemptEnded, call: k, sequence: o.sequence, backend: o.backend}
-		ended.outcome = k.finishAttempt(err)
+		call.forgetPending()
+		ended := event{handle: (*front).attemptEnded, call: call, sequence: attempt.sequence, backend: attempt.backend}
+		ended.outcome = call.finishAttempt(err)
 		if ctx.Err() != nil {
 			ended.last = true
 			err = status.FromContextError(ctx.Err()).Err()
 		}
-		// With an error no stream is open, but gRPC may have begun one: then it is not begun again.
+		// gRPC may have begun a stream although it returned an error. The call may then have run and is not sent again.
 		ended.last = ended.last || ended.outcome.MayHaveRun()
 		c.front.post(ended)
 		if ended.last {
@@ -58,38 +64,39 @@
 	}
 }
 
-// openedStream returns a stream that gRPC has opened, and notifies the loop.
+// openedStream wraps a stream that gRPC has opened, and notifies the loop.
 func openedStream(ctx context.Context, in grpc.ClientStream, serverStreams bool, state *streamState) *stream {
 	state.front.post(event{handle: (*front).streamOpened, call: state.call, sequence: state.sequence})
 	s := &stream{ClientStream: in, serverStreams: serverStreams, state: state}
-	// A caller that drops a stream without reading it to its end, or cancelling its context, must not take up the
+	// A stream that its caller drops without reading it to its end or cancelling its context must not occupy the
 	// endpoint's capacity.
 	runtime.AddCleanup(s, (*streamState).cancelled, state)
 	context.AfterFunc(ctx, func() { s.state.cancelled() })
 	return s
 }
 
-// stream notifies the loop once how its opening ended: with the endpoint's first message, or the end.
+// stream notifies the loop once of how its opening ended: when the endpoint's first message arrives, or at the end of
+// the stream.
 type stream struct {
 	grpc.ClientStream
 	serverStreams bool
 	state         *streamState
 }
 
-// streamState is what the loop has to be notified of; it outlives a stream that its caller drops.
+// streamState notifies the loop of a stream's first message and end. It outlives a stream that its caller drops.
 type streamState struct {
 	front    *front
-	call     *call
+	call     *clientCall
 	sequence uint32
 	backend  *backend
 	cancel   context.CancelFunc
 
 	mu       sync.Mutex // guards the fields below
-	answered bool       // the loop knows that the opening succeeded
-	over     bool
+	answered bool       // the outcome of the opening has been posted to the loop
+	ended    bool
 }
 
-// firstMessage notifies the loop of the endpoint's first message, after which nothing counts against the endpoint.
+// firstMessage notifies the loop of the endpoint's first message. Later failures do not count against the endpoint.
 func (s *streamState) firstMessage() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,14 +112,14 @@
 	})
 }
 
-// end notifies the loop of the stream's end, once, and gives the connection back.
+// end notifies the loop once of the stream's end, which releases the connection.
 func (s *streamState) end(outcome policy.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.over {
+	if s.ended {
 		return
 	}
-	s.over = true
+	s.ended = true
 	s.cancel()
 	s.backend.pending.remove(s.call.pendingID.Load())
 	if s.answered {
@@ -131,7 +138,7 @@
 
 func (s *streamState) cancelled() { s.end(policy.Cancelled) }
 
-// RecvMsg receives a message.
+// RecvMsg receives a message, and notifies the loop of the first one and of the end of the stream.
 func (s *stream) RecvMsg(m any) error {
 	err := s.ClientStream.RecvMsg(m)
 	switch {
@@ -145,7 +152,7 @@
 	return err
 }
 
-// Header returns the endpoint's header metadata.
+// Header returns the endpoint's header metadata. It notifies the loop if the stream has failed.
 func (s *stream) Header() (metadata.MD, error) {
 	md, err := s.ClientStream.Header()
 	if err != nil {
--- a/rpc/testserver_test.go
+++ b/rpc/testserver_test.go
@@ -23,17 +23,17 @@
 	"pepperlead/internal/endpointfiles"
 )
 
-// server is a stand-in for a gRPC server: any method, with texts for messages. What a message says is done: "code N"
-// ends with that code, "away" without having looked at it, "slow" after a while, "hang" not before its caller has
-// gone; all else is answered with the server's name.
+// server is a test server that accepts any method with text messages. The text selects the behaviour: "code N" ends the
+// call with that status code (0: it answers), "reject" rejects it unprocessed, "slow" answers after 100 ms, "hang" ends
+// the call once its caller has gone. Any other text is answered with the server's name.
 type server struct {
 	name   string
 	addr   string
 	grpc   *grpc.Server
 	mu     sync.Mutex
-	ran    map[string]int // by id in the metadata
-	at     []time.Time    // of every call
-	silent atomic.Bool    // it answers nothing
+	ran    map[string]int // calls processed, by id in the metadata
+	times  []time.Time    // of the processed calls, up to 100000
+	silent atomic.Bool    // it answers no calls
 }
 
 func newServer(t testing.TB, name string) *server {
@@ -54,31 +54,31 @@
 	return s
 }
 
-func (s *server) serve(_ any, in grpc.ServerStream) error {
+func (s *server) serve(_ any, stream grpc.ServerStream) error {
 	at := time.Now()
-	md, _ := metadata.FromIncomingContext(in.Context())
+	md, _ := metadata.FromIncomingContext(stream.Context())
 	first := true
 	for {
 		var m wrapperspb.StringValue
-		if err := in.RecvMsg(&m); err != nil {
+		if err := stream.RecvMsg(&m); err != nil {
 			if err == io.EOF {
 				return nil
 			}
 			return err
 		}
-		what, arg, _ := strings.Cut(m.Value, " ")
+		action, arg, _ := strings.Cut(m.Value, " ")
 		if s.silent.Load() {
-			<-in.Context().Done()
+			<-stream.Context().Done()
 			return nil
 		}
-		if what == "away" {
-			in.SetTrailer(metadata.Pairs(NotProcessed, "1"))
+		if action == "reject" {
+			stream.SetTrailer(metadata.Pairs(NotProcessed, "1"))
 			return status.Error(codes.Unavailable, "full")
 		}
 		if first {
 			s.mu.Lock()
-			if len(s.at) < 100000 {
-				s.at = append(s.at, at)
+			if len(s.times) < 100000 {
+				s.times = append(s.times, at)
 			}
 			for _, id := range md.Get("id") {
 				s.ran[id]++
@@ -86,19 +86,19 @@
 			s.mu.Unlock()
 			first = false
 		}
-		switch what {
+		switch action {
 		case "code":
 			n, _ := strconv.Atoi(arg)
 			if n > 0 {
-				return status.Error(codes.Code(n), "as asked")
+				return status.Error(codes.Code(n), "requested code")
 			}
 		case "slow":
 			time.Sleep(100 * time.Millisecond)
 		case "hang":
-			<-in.Context().Done()
+			<-stream.Context().Done()
 			return nil
 		}
-		if err := in.SendMsg(wrapperspb.String(s.name)); err != nil {
+		if err := stream.SendMsg(wrapperspb.String(s.name)); err != nil {
 			return err
 		}
 	}
@@ -113,19 +113,19 @@
 func (s *server) calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.at)
+	return len(s.times)
 }
 
-// member is a server as a list has it.
+// member is the entry of a server in an endpoint list.
 type member struct {
 	id, addr string
 	drains   bool
 	pod      int
 }
 
-func listText(issue int, all ...member) []byte {
+func listText(issue int, members ...member) []byte {
 	var b strings.Builder
-	for _, m := range all {
+	for _, m := range members {
 		fmt.Fprintf(&b, "[[server]]\nid = %q\naddress = %q\npod = %d\n", m.id, m.addr, m.pod)
 		if m.drains {
 			b.WriteString("state = \"draining\"\n")
@@ -173,7 +173,7 @@
 level = "error"
 `
 
-// writeList replaces a list whole.
+// writeList replaces the list file atomically.
 func writeList(t testing.TB, dir string, text []byte) {
 	t.Helper()
 	path := filepath.Join(dir, "servers.toml")
@@ -185,14 +185,15 @@
 	}
 }
 
-// dial makes a connection to the members, by a list in a folder of its own.
-func dial(t testing.TB, issue int, all ...member) (*Conn, string) {
+// dial creates a Conn to the members, whose list is in a directory of its own, and returns that directory.
+func dial(t testing.TB, issue int, members ...member) (*Conn, string) {
 	t.Helper()
 	dir := t.TempDir()
-	writeList(t, dir, listText(issue, all...))
+	writeList(t, dir, listText(issue, members...))
 	return open(t, dir), dir
 }
 
+// open creates a Conn whose list is in the directory, and waits until it has the list.
 func open(t testing.TB, dir string, opts ...grpc.DialOption) *Conn {
 	t.Helper()
 	path := filepath.Join(dir, "pepperlead.toml")
@@ -206,7 +207,7 @@
 	t.Cleanup(func() { c.Close() })
 	for i := 0; len(c.Servers()) == 0; i++ {
 		if i > 1000 {
-			t.Fatal("no list")
+			t.Fatal("the Conn has no endpoint list")
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
@@ -215,7 +216,7 @@
 
 func (s *server) member() member { return member{id: s.name, addr: s.addr} }
 
-// invoke calls a method and gives the server's answer.
+// invoke calls a method and returns the server's answer.
 func invoke(c grpc.ClientConnInterface, ctx context.Context, method, text string, opts ...grpc.CallOption) (string, error) {
 	var out wrapperspb.StringValue
 	err := c.Invoke(ctx, "/test.S/"+method, wrapperspb.String(text), &out, opts...)
