--- a/examples/rpc/main.go
+++ b/examples/rpc/main.go
@@ -1,5 +1,5 @@
-// Command rpc shows the plug-in: three servers of the standard health service, a list of them in a file, and a client
-// whose stub is the generated one.
+// Command rpc shows how to use the gRPC plug-in. It starts three servers of the standard health service, lists them in
+// a file, and calls them through the plug-in with the generated client stub.
 package main
 
 import (
@@ -65,18 +65,18 @@
 	}
 	defer func() { _ = conn.Close() }()
 	for len(conn.Servers()) == 0 {
-		time.Sleep(10 * time.Millisecond) // a list without a digest has to hold still for a moment
+		time.Sleep(10 * time.Millisecond) // a list without a digest is accepted once it has not changed for a moment
 	}
 	if err := call(conn, 100); err != nil {
 		return err
 	}
 	counters := conn.Counters()
-	fmt.Printf("%d calls, %d honoured by %d pushes to %d servers\n",
+	fmt.Printf("%d calls, %d succeeded, %d attempts, %d servers\n",
 		counters["tickets"], counters["honoured"], counters["pushes"], len(conn.Servers()))
 	return nil
 }
 
-// startServers starts health servers and returns their endpoint list. Stop stops them.
+// startServers starts health servers and returns their endpoint list and a function that stops them.
 func startServers(count int) (list string, stop func(), err error) {
 	var servers []*grpc.Server
 	stop = func() {
@@ -94,14 +94,14 @@
 		server := grpc.NewServer()
 		servers = append(servers, server)
 		pb.RegisterHealthServer(server, health.NewServer())
-		go func() { _ = server.Serve(listener) }() // it ends with Stop
+		go func() { _ = server.Serve(listener) }() // it returns after Stop
 		fmt.Fprintf(&text, "[[server]]\nid = \"s-%d\"\naddress = %q\n", i, listener.Addr())
 	}
 	fmt.Fprintf(&text, "[whole]\nservers = %d\n", count)
 	return text.String(), stop, nil
 }
 
-// call sends health checks with the keys of ten callers in turn.
+// call makes count health checks, with the keys of ten callers in turn.
 func call(conn *rpc.Conn, count int) error {
 	client := pb.NewHealthClient(conn)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
