--- a/rpc/outcome.go
+++ b/rpc/outcome.go
@@ -23,9 +23,9 @@
 //
 // gRPC begins a second stream only if it knows that the first was not processed: it had no connection left, or the
 // endpoint refused the stream, or excluded it by GOAWAY (RFC 9113, 6.8 and 8.7; gRFC A6, transparent retries).
-// singleStream refuses the second stream, and the attempt to begin it shows that the call has not run. An attempt that
-// ends after one stream without a status from the endpoint may have run. gRPC then returns UNAVAILABLE or INTERNAL,
-// which endpoints may also send.
+// singleStream refuses the second stream. That gRPC asked for it shows that the call has not run. A call that ends
+// after one stream without a status from the endpoint may have run. gRPC then returns UNAVAILABLE or INTERNAL, which
+// endpoints may also send.
 func outcome(streams int, code codes.Code, notProcessed bool) policy.Outcome {
 	switch {
 	case streams != 1:
