--- a/internal/httpproxy/proxy_test.go
+++ b/internal/httpproxy/proxy_test.go
@@ -247,7 +247,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Apply(1, &discovery.List{Kind: policy.ListSaved, Entries: entries})
+	s.ApplyList(1, &discovery.List{Kind: policy.ListSaved, Entries: entries})
 	return s, func(side connstate.Side) (*connstate.Conn, *recordingSocket) {
 		c := &connstate.Conn{Side: side, Connected: true, Timer: engine.Timer{Run: func(policy.Time) {}}}
 		k := &recordingSocket{conn: c}
@@ -360,18 +360,18 @@
 				if full {
 					kind = policy.ListFull
 				}
-				s.Apply(now, &discovery.List{Kind: kind, Entries: entries})
+				s.ApplyList(now, &discovery.List{Kind: kind, Entries: entries})
 			}
 			c := []*connstate.Conn{client, server}[rnd.Intn(2)]
 			buf := s.buffers.Get(len(in))
 			buf.B = append(buf.B, in...)
 			s.handleEvent(now, event{kind: eventData, conn: c, buf: buf, at: now})
-			s.RunSteps(now)
+			s.ReportEndedAttempts(now)
 			s.Round(now)
 		}
 		for _, c := range []*connstate.Conn{client, server} {
 			s.handleEvent(now, event{kind: eventClosed, conn: c, at: now})
-			s.RunSteps(now)
+			s.ReportEndedAttempts(now)
 			s.Round(now)
 		}
 		now += 2 * policy.Second
@@ -381,7 +381,7 @@
 				time.Sleep(100 * time.Microsecond)
 			}
 		}
-		return s.InFlight == 0 && s.buffers.Lent() == 0 && len(s.conns.Open) == 0
+		return s.InFlight == 0 && s.buffers.InUse() == 0 && len(s.conns.Open) == 0
 	}
 	if err := quick.Check(feed, &quick.Config{MaxCount: 5000, Rand: rand.New(rand.NewSource(9))}); err != nil {
 		t.Error(err, s.report())
--- a/rpc/front.go
+++ b/rpc/front.go
@@ -34,7 +34,7 @@
 func newFront(e *engine.Engine, dialOptions []grpc.DialOption) *front {
 	f := &front{engine: e, dialOptions: dialOptions}
 	f.calls.New = newClientCall
-	f.index = e.Add(f)
+	f.index = e.AddFront(f)
 	return f
 }
 
@@ -55,13 +55,13 @@
 	f.mu.Unlock()
 	for _, e := range events {
 		e.handle(f, now, e)
-		f.engine.RunSteps(now)
+		f.engine.ReportEndedAttempts(now)
 	}
 	clear(events)
 }
 
-// More returns false: post signals the loop for each event.
-func (f *front) More() bool { return false }
+// HasPending returns false: post signals the loop for each event.
+func (f *front) HasPending() bool { return false }
 
 // callStarted admits a new call, or rejects it during the shutdown.
 func (f *front) callStarted(now policy.Time, e event) {
