--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,19 +7,21 @@
 )
 
 const (
-	// retryValue is the part of its value that a client's repeat keeps.
+	// retryValue is the part of its value that a client's retry keeps.
 	retryValue = 0.5
-	// minOverQuotaValue keeps over-quota requests in order among themselves.
+	// minOverQuotaValue is the least part of its value that an over-quota request keeps, so that such
+	// requests are still ordered by value among themselves.
 	minOverQuotaValue = 0.01
-	// quotaTolerance is the multiple of its share at which a tenant counts as over quota.
+	// quotaTolerance is the multiple of its share of the quota above which a tenant counts as over quota.
 	quotaTolerance = 1.1
-	// quotaErrors is how many standard errors over its share a tenant must be where few of its requests are
-	// seen.
-	quotaErrors = 2
+	// quotaStandardErrors is the number of standard errors added to this threshold where each instance sees
+	// few requests of each tenant.
+	quotaStandardErrors = 2
 )
 
-// Admit takes in a request; Begin must follow. timeLeft is the time until the client's deadline; retry says
-// that the client has sent the request before.
+// Admit registers a request and returns its handle; Begin must be called next. key is empty for a request
+// without a key, retry says that the client has sent the request before, and timeLeft is the time until the
+// client's deadline.
 func (b *Balancer) Admit(
 	now Time, class ClassID, tenant TenantID, key string, retry bool, timeLeft Time,
 ) Handle {
@@ -29,7 +31,8 @@
 	r.arrivedAt = now
 	r.deadline = min(now+timeLeft, b.shutdownAt)
 	if key == "" {
-		// Drawn: in turn from one start, instances would follow each other over the same endpoints.
+		// The key is random: instances that counted up from the same number would all send to the same
+		// endpoints in the same order.
 		r.keyless = true
 		r.key = b.random.next64()
 	} else {
@@ -45,17 +48,18 @@
 	return r.handle()
 }
 
-// Begin decides the first step of a request.
+// Begin dispatches an admitted request for the first time.
 func (b *Balancer) Begin(now Time, handle Handle) {
 	r := b.requests.lookup(handle)
-	// A client may have less time than the target latency; after the queue it must be left what an answer
-	// takes.
+	// A client's deadline may be earlier than the target latency. A request must leave the queue while there
+	// is still time for an answer.
 	until := min(r.arrivedAt+b.class(r).Target, b.answerBy(r))
 	r.waitUntil = until - Time(b.meanLatency(r))
 	b.dispatch(now, r, ordinaryTry)
 }
 
-// valueRate is the value expected for each second that an endpoint works on the request.
+// valueRate returns the value expected for each second that an endpoint works on the request. It also counts
+// the request in the arrival rates.
 func (b *Balancer) valueRate(now Time, r *request, tenant TenantID, retry bool) float64 {
 	value := b.class(r).Value / b.meanLatency(r)
 	if retry {
@@ -72,15 +76,15 @@
 	return value
 }
 
-// maxTenantRate is the rate of a tenant's requests here, a second, over which it counts as over quota. Other
-// instances' traffic is unseen: this one's part of the quotas, at least an equal one, is taken for its part
-// of all.
+// maxTenantRate returns the rate of a tenant's requests at this instance, per second, above which the tenant
+// counts as over quota. The traffic of other instances is unknown, so the part of each quota that applies to
+// this instance is its arrival rate over the total quota, and at least an equal part for each instance.
 func (b *Balancer) maxTenantRate(tenant TenantID) float64 {
 	part := min(1, max(1/float64(b.settings.Instances), b.arrivals.rate/b.settings.TotalQuota))
 	rate := quotaTolerance * part * b.settings.Tenants[tenant].Quota
 	if b.settings.sharedConnections() {
-		// One of hundreds of instances counts too few of each tenant to tell a share from chance.
-		rate += quotaErrors * math.Sqrt(rate/float64(2*rateWindow/Second))
+		// One of hundreds of instances sees too few requests of each tenant to tell an excess from chance.
+		rate += quotaStandardErrors * math.Sqrt(rate/float64(2*rateWindow/Second))
 	}
 	return rate
 }
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -1,6 +1,7 @@
-// Package policy is the decision module: it chooses the endpoint of each request, limits what is in
-// flight, and retries, queues or rejects. It opens no connections and reads no clock: events are
-// reported to a Balancer with their times, and it answers through its Front within the call.
+// Package policy is the decision module: it chooses the endpoint of each request, limits the attempts in
+// flight, and retries, queues or rejects requests. It opens no connections and reads no clock. Callers report
+// each event to a Balancer together with its time, and the Balancer passes its decisions to its Front before
+// the call returns.
 //
 // docs/design.md gives the reasons for the decisions.
 package policy
@@ -12,13 +13,13 @@
 )
 
 const (
-	// answerMarginTicks is how many ticks before its deadline a request is answered at the latest.
+	// answerMarginTicks is the time before a request's deadline, in ticks, by which it must be answered.
 	answerMarginTicks Time = 3
-	// initialBaseline is the unloaded answer time, in target latencies, before any answer.
+	// initialBaseline is the baseline latency before the first answer, in target latencies.
 	initialBaseline = 0.25
-	// initialLatencyShare is the part of the target latency that an answer is taken to need before any
+	// initialLatencyDivisor divides the target latency of a class to give its mean latency before the first
 	// answer.
-	initialLatencyShare = 4
+	initialLatencyDivisor = 4
 )
 
 // Balancer is the decision module of one instance. It is not safe for concurrent use.
@@ -32,27 +33,28 @@
 	table    slotTable
 
 	classes    []classStats // by class
-	tenants    []rateMeter  // arrivals by tenant
-	arrivals   rateMeter
-	successes  rateMeter // successful attempts to warm endpoints
+	tenants    []rateMeter  // arriving requests, by tenant
+	arrivals   rateMeter    // arriving requests of all tenants
+	successes  rateMeter    // successful attempts to warm endpoints
 	recentKeys recentKeys
 
 	concurrency concurrencyLimit
-	baseline    float64 // unloaded answer time over target latency
+	baseline    float64 // baseline latency: answer time without load, in target latencies
 	reports     loadReports
 	zones       zonePreference
 	retries     retryBudget
 	warmup      warmup
-	ejected     int // endpoints ejected, as of the latest maintenance
+	ejected     int // ejected endpoints at the latest maintenance, plus ejections since
 	rejections  rejectionState
 
 	polling    listPolling
-	wakeAt     Time // earliest call asked for; 0: none
+	wakeAt     Time // earliest call of Woken requested from the front; 0: none
 	maintainAt Time // next maintenance
-	shutdownAt Time // no deadline is later
+	shutdownAt Time // latest deadline of any request; never before Shutdown is called
 }
 
-// New starts an instance. Similar seeds are fine: they are mixed first.
+// New returns the Balancer of an instance that starts at now. Similar seeds are fine, as they are hashed
+// first.
 func New(front Front, settings *Settings, seed uint64, now Time) *Balancer {
 	b := &Balancer{
 		front:       front,
@@ -78,37 +80,38 @@
 	return b
 }
 
-// classStats is what was learned of the requests of one class.
+// classStats holds statistics of the requests of one class.
 type classStats struct {
-	meanLatency   float64 // ns
+	meanLatency   float64 // moving average of the answer times of successful attempts, in ns
 	firstAttempts firstAttemptTimes
 }
 
-// initialLatency is the mean answer time of a class, in ns, before any answer.
-func initialLatency(class *Class) float64 { return float64(class.Target) / initialLatencyShare }
+// initialLatency returns the mean latency of a class, in ns, before its first answer.
+func initialLatency(class *Class) float64 { return float64(class.Target) / initialLatencyDivisor }
 
-// class is the class of a request.
+// class returns the class of a request.
 func (b *Balancer) class(r *request) *Class { return &b.settings.Classes[r.class] }
 
-// meanLatency is the mean answer time of a request's class, in ns.
+// meanLatency returns the mean latency of a request's class, in ns.
 func (b *Balancer) meanLatency(r *request) float64 { return b.classes[r.class].meanLatency }
 
-// answerBy is when the request must be answered at the latest.
+// answerBy returns the time by which the request must be answered.
 func (b *Balancer) answerBy(r *request) Time { return r.deadline - b.settings.answerMargin() }
 
-// AddClass adds a class that is new at its place in the settings. What is known of the class like, which may
-// be itself, is taken for its own at first.
-func (b *Balancer) AddClass(at, like ClassID) {
+// AddClass sets up the statistics of a class that was put into the settings under the given id, as a copy of
+// those of the class template. Where template is the id itself, the statistics found there stay, except for
+// the mean latency, which is reset to its initial value.
+func (b *Balancer) AddClass(id, template ClassID) {
 	for len(b.classes) < len(b.settings.Classes) {
 		b.classes = append(b.classes, classStats{})
 	}
-	b.classes[at] = b.classes[like]
-	if like == at {
-		b.classes[at].meanLatency = initialLatency(&b.settings.Classes[at])
+	b.classes[id] = b.classes[template]
+	if template == id {
+		b.classes[id].meanLatency = initialLatency(&b.settings.Classes[id])
 	}
 }
 
-// GrowTenants makes room for tenants that are new in the settings.
+// GrowTenants adds arrival rates for the tenants that are new in the settings.
 func (b *Balancer) GrowTenants() {
 	for len(b.tenants) < len(b.settings.Tenants) {
 		b.tenants = append(b.tenants, rateMeter{})
--- a/policy/concurrencylimit.go
+++ b/policy/concurrencylimit.go
@@ -3,46 +3,49 @@
 import "math"
 
 const (
-	// unlimited is the concurrency limit before anything is late.
+	// unlimited is the concurrency limit until answers are late for the first time.
 	unlimited = math.MaxInt32
-	// latenessBound is the mean lateness over which the limit is reduced.
+	// latenessBound is the mean lateness above which the limit is reduced.
 	latenessBound = 0.75
-	// strictLatenessBound is the same where no class leaves value to a late answer.
+	// strictLatenessBound is the same where late answers have no value in any class.
 	strictLatenessBound = 0.5
-	// limitGrowth is the part by which the limit grows in a target latency at no lateness.
+	// limitGrowth is the part by which the limit grows in one target latency while the mean lateness is 0.
 	limitGrowth = 0.5
-	// limitHeadroom is how many times the mean in flight the limit may be.
+	// limitHeadroom is the multiple of the mean attempts in flight that the limit may grow to.
 	limitHeadroom = 4
-	// limitPerEndpoint is how many attempts at each endpoint, over all instances, are always allowed.
+	// limitPerEndpoint is the number of attempts to each endpoint, summed over all instances, that the limit
+	// may always grow to.
 	limitPerEndpoint = 16
-	// minLimitCap is the least that the limit may grow to.
+	// minLimitCap is the number of attempts of this instance that the limit may always grow to.
 	minLimitCap = 2
-	// maxReduction is the part that a reduction leaves at least.
+	// maxReduction is the smallest factor of one reduction.
 	maxReduction = 0.5
 
-	// inFlightWeight is the weight of the latest attempt in the mean in flight.
+	// inFlightWeight is the weight of the latest attempt in the mean attempts in flight.
 	inFlightWeight = 0.1
 	// minLatenessWeight and maxLatenessWeight bound the weight of the latest attempt in the mean lateness.
 	minLatenessWeight = 0.1
 	maxLatenessWeight = 0.5
-	// latenessMemory is the silence, in target latencies, that an attempt's weight is relative to: at one
-	// attempt in two seconds, ten of them would outlast any jam.
+	// latenessMemory is the time in target latencies that the time since the previous attempt is divided by
+	// to give the weight of an attempt. With minLatenessWeight alone, the mean would follow only after some
+	// ten attempts: at one attempt in two seconds, that is longer than any overload.
 	latenessMemory = 4
 )
 
-// concurrencyLimit bounds the attempts in flight from this instance, over all endpoints: one from each of
-// hundreds of instances would choke every endpoint.
+// concurrencyLimit limits the attempts in flight from this instance to all endpoints together. The limits of
+// single endpoints are not enough: one attempt to each from each of hundreds of instances would overload all
+// endpoints.
 type concurrencyLimit struct {
-	limit       float64
-	inFlight    int
-	bodyPending int     // of these, such whose body is still coming
-	inUseMean   float64 // mean of the attempts in flight
+	limit        float64 // most attempts in flight, not counting those in bodyPending; below 1: see pause
+	inFlight     int     // attempts in flight
+	bodyPending  int     // of these, attempts whose request body is incomplete
+	inFlightMean float64 // moving average of the attempts in flight, without those in bodyPending
 
-	latenessMean  float64 // mean of answer time over target latency, each 1 at most
-	latenessBound float64 // mean at which the limit is reduced
-	observedAt    Time    // last change of latenessMean
-	reducedAt     Time
-	resumeAt      Time // no attempt before
+	latenessMean  float64 // moving average of answer time over target latency, each counted as 1 at most
+	latenessBound float64 // latenessMean above which the limit is reduced
+	observedAt    Time    // latest change of latenessMean
+	reducedAt     Time    // latest reduction of the limit
+	resumeAt      Time    // no attempt is sent before
 }
 
 func newConcurrencyLimit(settings *Settings) concurrencyLimit {
@@ -55,7 +58,7 @@
 	return c
 }
 
-// processing is the number of attempts that endpoints work on.
+// processing returns the number of attempts that endpoints are working on.
 func (c *concurrencyLimit) processing() int { return c.inFlight - c.bodyPending }
 
 // allows reports whether one more attempt may be sent.
@@ -63,49 +66,53 @@
 	return float64(c.processing()) < c.limit && now >= c.resumeAt
 }
 
-// observe adds an attempt's lateness, and what was in flight with it, to the means.
+// observe adds an attempt's lateness, and the number of attempts in flight with it, to the means.
 func (c *concurrencyLimit) observe(now, target Time, lateness float64) {
 	sinceLast := float64(now-c.observedAt) / float64(latenessMemory*target)
 	weight := max(minLatenessWeight, min(maxLatenessWeight, sinceLast))
 	c.latenessMean += weight * (lateness - c.latenessMean)
 	c.observedAt = now
-	c.inUseMean += inFlightWeight * (float64(c.processing()+1) - c.inUseMean)
+	c.inFlightMean += inFlightWeight * (float64(c.processing()+1) - c.inFlightMean)
 }
 
-// reduce sets the limit to a part of what is in use, within bounds.
+// reduce sets the limit to a part of itself or of the mean attempts in flight, whichever is less. The part is
+// at least maxReduction, and the limit at least minimum.
 func (c *concurrencyLimit) reduce(now Time, part, minimum float64) {
 	c.reducedAt = now
-	c.limit = max(minimum, min(c.limit, c.inUseMean)*max(maxReduction, part))
+	c.limit = max(minimum, min(c.limit, c.inFlightMean)*max(maxReduction, part))
 }
 
-// grow raises the limit by how far the mean lateness is under the bound.
+// grow raises the limit after an attempt, by more the further the mean lateness is below the bound. minimum
+// is the result of minConcurrency.
 func (c *concurrencyLimit) grow(lateness, mean, bound, minimum float64) {
 	c.limit *= 1 + limitGrowth*(1-mean/bound)*min(1, lateness/c.limit)
-	c.limit = min(c.limit, max(minLimitCap, limitHeadroom*c.inUseMean, limitPerEndpoint*minimum))
+	c.limit = min(c.limit, max(minLimitCap, limitHeadroom*c.inFlightMean, limitPerEndpoint*minimum))
 }
 
-// pause keeps a limit under one: a part of the time, no attempt is in flight.
+// pause enforces a limit below 1: after an attempt that took the time elapsed, none is sent for a part of the
+// time.
 func (c *concurrencyLimit) pause(now, elapsed Time) {
 	c.resumeAt = now + Time(float64(elapsed)*max(0, 1/c.limit-1))
 }
 
-// minConcurrency is the limit at which all instances together have one attempt in flight to each endpoint.
+// minConcurrency returns the limit at which all instances together have one attempt in flight to each
+// endpoint.
 func (b *Balancer) minConcurrency() float64 {
 	return float64(len(b.table.byID)) / float64(b.settings.Instances)
 }
 
-// observeLateness adjusts the concurrency limit after an attempt to the endpoint. Lateness is its answer time
-// in target latencies, 1 at most.
+// observeLateness adjusts the concurrency limit after an attempt to the endpoint. lateness is the answer time
+// over the target latency, and 1 at most; elapsed is the answer time, and the target latency at most.
 func (b *Balancer) observeLateness(now Time, e *endpoint, lateness float64, elapsed, target Time) {
 	b.zones.observe(b.table.isLocal(e), lateness)
-	if b.reports.available() && b.loadShare(e) < 1 {
-		return // its own trouble, and no reason to send less to the others
+	if b.reports.available() && b.boundToLoad(e) < 1 {
+		return // only this endpoint is overloaded, which is no reason to send less to the others
 	}
 	c := &b.concurrency
 	c.observe(now, target, lateness)
 	mean := c.latenessMean
 	if b.reports.fresh(now) {
-		mean = min(mean, b.reports.expectedLateness()) // a few late answers mean nothing while load is low
+		mean = min(mean, b.reports.expectedLateness()) // a few late answers do not matter while load is low
 	}
 	bound := b.effectiveLatenessBound()
 	if mean > bound && now-c.reducedAt > target/2 {
@@ -116,8 +123,9 @@
 	c.pause(now, elapsed)
 }
 
-// effectiveLatenessBound leaves answers half of the time over an unloaded one where a connection carries one
-// attempt at once: some take long by themselves.
+// effectiveLatenessBound returns the mean lateness above which the limit is reduced. Where a connection
+// carries one attempt at a time, it is at least halfway from the baseline latency to the target latency,
+// because some requests take long even without load.
 func (b *Balancer) effectiveLatenessBound() float64 {
 	if b.settings.sharedConnections() {
 		return b.concurrency.latenessBound
--- a/policy/concurrencylimit_test.go
+++ b/policy/concurrencylimit_test.go
@@ -5,164 +5,166 @@
 	"testing"
 )
 
-// Limits grown in idle times, by short answers, choked the endpoints once a burst came.
-func TestLimitsFollowAnswers(t *testing.T) {
-	for _, c := range []struct {
-		n           int
-		every, took Time
-		most        float64
+// Late answers must reduce an endpoint's limit. Quick answers of an endpoint that is nearly idle must not raise it
+// far, or the next burst overloads the endpoint.
+func TestEndpointLimitsFollowLatency(t *testing.T) {
+	for _, test := range []struct {
+		requests          int
+		interval, elapsed Time
+		maxLimit          float64
 	}{{20, Second / 10, 9 * Second / 10, 1.5}, {100, Second / 100, Second / 100, initialEndpointLimit + 1}} {
-		b, q := newTestBalancer(testMembers(1, "a"))
-		for i := range c.n {
-			sendRequest(b, q, 2*Second+Time(i)*c.every, fmt.Sprint(i), Succeeded, c.took)
+		b, front := newTestBalancer(testMembers(1, "a"))
+		for i := range test.requests {
+			sendRequest(b, front, 2*Second+Time(i)*test.interval, fmt.Sprint(i), Succeeded, test.elapsed)
 		}
-		if l := b.table.endpoints[0].limit; l > c.most {
-			t.Errorf("limit %.1f after %d answers of %dms", l, c.n, c.took/Millisecond)
+		if limit := b.table.endpoints[0].limit; limit > test.maxLimit {
+			t.Errorf("limit %.1f after %d answers of %dms", limit, test.requests, test.elapsed/Millisecond)
 		}
 	}
 }
 
-// One attempt from each to each endpoint kept all endpoints choked.
+// If each of many instances keeps one attempt in flight to each endpoint, all endpoints stay overloaded: the limit
+// must fall below 1, and recover afterwards.
 func TestConcurrencyLimitFollowsLateness(t *testing.T) {
-	b, q := newTestBalancer(testMembers(20, "a"))
+	b, front := newTestBalancer(testMembers(20, "a"))
 	b.settings.Instances = 100
 	for i := range 2060 {
-		now, took := Time(i+2)*Second, 10*Millisecond
+		now, elapsed := Time(i+2)*Second, 10*Millisecond
 		if i < 60 {
-			took = Second
+			elapsed = Second
 		}
-		sendRequest(b, q, now, fmt.Sprint(i), Succeeded, took)
+		sendRequest(b, front, now, fmt.Sprint(i), Succeeded, elapsed)
 		if i == 59 && (b.concurrency.limit >= 1 || b.concurrency.allows(now)) {
-			t.Errorf("limit %.2f, and no pause, after a minute of late answers", b.concurrency.limit)
+			t.Errorf("limit %.2f, or no pause, after a minute of late answers", b.concurrency.limit)
 		}
 	}
 	if b.concurrency.limit < 1 {
-		t.Errorf("limit %.2f after long idleness", b.concurrency.limit)
+		t.Errorf("limit %.2f after a long time of early answers", b.concurrency.limit)
 	}
 }
 
-// jhb-vouchers: where work alone takes a good part of the target latency, and late answers earn nothing, the limit
-// fell to an attempt or two though no endpoint was short of room. What an unloaded answer takes is no lateness;
-// instances with shared connections, which see more of each endpoint, stay as they were.
-func TestConcurrencyLimitLeavesLongWorkItsTime(t *testing.T) {
-	for streams, cut := range map[int]bool{1: false, 100: true} {
-		b, q := newTestBalancer(testMembers(20, "a"))
+// Where answers take a large part of the target latency even without load, and late answers have no value, the limit
+// fell to one or two attempts although no endpoint was at its limit. The baseline latency must not count as lateness.
+// Instances with shared connections see more of each endpoint, and their limit still falls.
+func TestConcurrencyLimitAllowsALongBaselineLatency(t *testing.T) {
+	for streams, reduced := range map[int]bool{1: false, 100: true} {
+		b, front := newTestBalancer(testMembers(20, "a"))
 		b.settings.Instances, b.settings.StreamsPerConnection = 100, streams
 		target := b.settings.Classes[0].Target
 		b.concurrency.latenessBound = strictLatenessBound
 		for i := range 400 {
-			sendRequest(b, q, Time(i+2)*Second, fmt.Sprint(i), Succeeded, target*Time(52+6*(i%2))/100)
+			sendRequest(b, front, Time(i+2)*Second, fmt.Sprint(i), Succeeded, target*Time(52+6*(i%2))/100)
 		}
-		if b.concurrency.latenessMean < strictLatenessBound || b.concurrency.latenessMean > 0.62 || (b.concurrency.limit < 1) != cut {
-			t.Errorf("streams %d: limit %.2f at a mean of %.2f of the target latency, unloaded %.2f", streams, b.concurrency.limit, b.concurrency.latenessMean, b.baseline)
+		if b.concurrency.latenessMean < strictLatenessBound || b.concurrency.latenessMean > 0.62 || (b.concurrency.limit < 1) != reduced {
+			t.Errorf("streams %d: limit %.2f at a mean lateness of %.2f, baseline %.2f", streams, b.concurrency.limit, b.concurrency.latenessMean, b.baseline)
 		}
 	}
 }
 
-// A lost data centre refuses a dozen connections at once, and spoilt answers come from any endpoint alike: with the
-// limit and limits cut for either, endpoints with room stood idle.
+// A lost data centre refuses a dozen connections at once, and corrupt answers come from all endpoints alike. If either
+// reduced the concurrency limit and the endpoints' limits, endpoints with room would be idle.
 func TestOnlySignsOfLoadReduceTheLimits(t *testing.T) {
-	for at, want := range map[struct {
-		o    Outcome
-		load float64
-	}]bool{{o: NotConnected}: false, {o: Errored}: false, {o: ConnectionLost}: false, {o: TimedOut}: true,
-		{o: Rejected}: false, {Rejected, 0.9}: true} {
-		b, q := newTestBalancer(testMembers(6, "a"))
-		limits, o := 0.0, at.o
+	for test, want := range map[struct {
+		outcome Outcome
+		load    float64
+	}]bool{{outcome: NotConnected}: false, {outcome: Errored}: false, {outcome: ConnectionLost}: false, {outcome: TimedOut}: true,
+		{outcome: Rejected}: false, {Rejected, 0.9}: true} {
+		b, front := newTestBalancer(testMembers(6, "a"))
+		limits, outcome := 0.0, test.outcome
 		for i := range b.table.endpoints {
-			b.table.endpoints[i].latencyRatio = b.baseline + at.load
+			b.table.endpoints[i].latencyRatio = b.baseline + test.load
 		}
 		for i := range 12 {
 			now := Second + Time(i)*Second/2
-			h := b.Admit(now, 0, NoTenant, fmt.Sprint(i), false, 4*Second)
-			b.Begin(now, h)
-			b.AttemptEnded(now+Second/3, h, 0, q.sentTo[len(q.sentTo)-1], o, Second/3, true)
+			handle := b.Admit(now, 0, NoTenant, fmt.Sprint(i), false, 4*Second)
+			b.Begin(now, handle)
+			b.AttemptEnded(now+Second/3, handle, 0, front.sentTo[len(front.sentTo)-1], outcome, Second/3, true)
 		}
-		for _, s := range b.table.endpoints {
-			limits += s.limit
+		for _, e := range b.table.endpoints {
+			limits += e.limit
 		}
 		if b.concurrency.latenessMean > 0.5 != want || limits < initialEndpointLimit*6 != want {
-			t.Errorf("outcome %v: lateness %.2f, limits %.1f in all", at, b.concurrency.latenessMean, limits)
+			t.Errorf("outcome and load %v: lateness %.2f, sum of limits %.1f", test, b.concurrency.latenessMean, limits)
 		}
 	}
 }
 
-// Connections fall silent one by one; with each counted as load, all limits fell to an attempt or two before idle
-// endpoints.
-func TestLoneTimeOutsAreNoSignOfLoad(t *testing.T) {
-	for later, want := range map[bool]bool{true: false, false: true} {
-		b, q := newTestBalancer(testMembers(1, "a"))
+// Single connections can stop answering. If each timeout counted as load, all limits would fall to one or two attempts
+// while the endpoints are idle.
+func TestLoneTimeoutsAreNoSignOfLoad(t *testing.T) {
+	for laterSuccess, want := range map[bool]bool{true: false, false: true} {
+		b, front := newTestBalancer(testMembers(1, "a"))
 		for i := range 20 {
-			sendRequest(b, q, Second+Time(i)*100*Millisecond, fmt.Sprint("calm", i), Succeeded, 10*Millisecond)
+			sendRequest(b, front, Second+Time(i)*100*Millisecond, fmt.Sprint("calm", i), Succeeded, 10*Millisecond)
 		}
 		for i := range 8 {
 			now := 4*Second + Time(i)*2*Second
-			h := b.Admit(now, 0, NoTenant, fmt.Sprint(i), false, 4*Second)
-			b.Begin(now, h)
-			id := q.sentTo[len(q.sentTo)-1]
-			if later {
-				sendRequest(b, q, now+100*Millisecond, "other", Succeeded, 10*Millisecond)
+			handle := b.Admit(now, 0, NoTenant, fmt.Sprint(i), false, 4*Second)
+			b.Begin(now, handle)
+			id := front.sentTo[len(front.sentTo)-1]
+			if laterSuccess {
+				sendRequest(b, front, now+100*Millisecond, "other", Succeeded, 10*Millisecond)
 			}
-			b.AttemptEnded(now+Second, h, 0, id, TimedOut, Second, true)
+			b.AttemptEnded(now+Second, handle, 0, id, TimedOut, Second, true)
 		}
-		if s := &b.table.endpoints[0]; b.concurrency.latenessMean > 0.5 != want || s.limit < initialEndpointLimit != want {
-			t.Errorf("later attempts successful %v: lateness %.2f, limit %.1f", later, b.concurrency.latenessMean, s.limit)
+		if e := &b.table.endpoints[0]; b.concurrency.latenessMean > 0.5 != want || e.limit < initialEndpointLimit != want {
+			t.Errorf("success of later attempts %v: lateness %.2f, limit %.1f", laterSuccess, b.concurrency.latenessMean, e.limit)
 		}
 	}
 }
 
-// Attempts on silent connections hold places until they time out; limits that grow by answers alone left idle
-// endpoints unused.
-func TestLoneTimeOutsRaiseTheLimit(t *testing.T) {
-	b, q := newTestBalancer(testMembers(1, "a"))
+// Attempts on connections that have stopped answering take up the limit until they time out. If the limit grew only by
+// answers, idle endpoints would stay unused.
+func TestLoneTimeoutsRaiseTheLimit(t *testing.T) {
+	b, front := newTestBalancer(testMembers(1, "a"))
 	b.table.endpoints[0].limit = 3.9
 	var silent []Handle
 	for i := range 3 {
 		silent = append(silent, b.Admit(4*Second, 0, NoTenant, fmt.Sprint(i), false, 4*Second))
 		b.Begin(4*Second, silent[i])
 	}
-	id := q.sentTo[len(q.sentTo)-1]
-	sendRequest(b, q, 4*Second+100*Millisecond, "other", Succeeded, Millisecond)
-	for i, h := range silent {
-		b.AttemptEnded(5*Second, h, 0, id, TimedOut, Second, true)
-		if l := b.table.endpoints[0].limit; i == 0 && (l < 3.9+loneTimeoutGrowth || l > 4+loneTimeoutGrowth) || l > 4+2*loneTimeoutGrowth {
-			t.Errorf("limit %.1f after %d lone time-outs", l, i+1)
+	id := front.sentTo[len(front.sentTo)-1]
+	sendRequest(b, front, 4*Second+100*Millisecond, "other", Succeeded, Millisecond)
+	for i, handle := range silent {
+		b.AttemptEnded(5*Second, handle, 0, id, TimedOut, Second, true)
+		if limit := b.table.endpoints[0].limit; i == 0 && (limit < 3.9+loneTimeoutGrowth || limit > 4+loneTimeoutGrowth) || limit > 4+2*loneTimeoutGrowth {
+			t.Errorf("limit %.1f after %d lone timeouts", limit, i+1)
 		}
 	}
 }
 
-// Bodies that are still coming count for no limit, and do once they are complete.
-func TestPendingBodiesCountForNoLimit(t *testing.T) {
-	b, q := newTestBalancer(testMembers(1, "a"))
+// Attempts whose request body is incomplete count against no limit until the body is complete.
+func TestPendingBodiesCountAgainstNoLimit(t *testing.T) {
+	b, front := newTestBalancer(testMembers(1, "a"))
 	now := 2 * Second
-	var slow []Handle
+	var handles []Handle
 	for range 3 * initialEndpointLimit {
-		h := b.Admit(now, 0, NoTenant, "", false, Second)
-		b.Begin(now, h)
-		b.BodyPending(h, false, 0)
-		slow = append(slow, h)
+		handle := b.Admit(now, 0, NoTenant, "", false, Second)
+		b.Begin(now, handle)
+		b.BodyPending(handle, false, 0)
+		handles = append(handles, handle)
 	}
-	if len(q.sentTo) != len(slow) || b.concurrency.inFlight != len(slow) || b.concurrency.bodyPending != len(slow) || b.table.endpoints[0].processing() != 0 {
-		t.Fatalf("%d attempted, %d in flight, %d pending", len(q.sentTo), b.concurrency.inFlight, b.concurrency.bodyPending)
+	if len(front.sentTo) != len(handles) || b.concurrency.inFlight != len(handles) || b.concurrency.bodyPending != len(handles) || b.table.endpoints[0].processing() != 0 {
+		t.Fatalf("%d attempts, %d in flight, %d with incomplete bodies", len(front.sentTo), b.concurrency.inFlight, b.concurrency.bodyPending)
 	}
-	if b.Woken(now + 10*Second); b.requests.lookup(slow[0]).answered {
+	if b.Woken(now + 10*Second); b.requests.lookup(handles[0]).answered {
 		t.Error("answered before its body was complete")
 	}
 	now += 10 * Second
-	for _, h := range slow {
-		b.BodyPending(h, true, now+Second)
-		b.BodyPending(h, true, now+Second)
+	for _, handle := range handles {
+		b.BodyPending(handle, true, now+Second)
+		b.BodyPending(handle, true, now+Second)
 	}
-	h := b.Admit(now, 0, NoTenant, "", false, Second)
-	if b.Begin(now, h); b.processingAt(0) != len(slow) || len(q.sentTo) != len(slow) {
-		t.Errorf("%d busy, %d attempted", b.processingAt(0), len(q.sentTo))
+	handle := b.Admit(now, 0, NoTenant, "", false, Second)
+	if b.Begin(now, handle); b.processingAt(0) != len(handles) || len(front.sentTo) != len(handles) {
+		t.Errorf("%d attempts that count, %d sent", b.processingAt(0), len(front.sentTo))
 	}
-	for _, h := range slow {
-		b.AttemptEnded(now+Millisecond, h, 0, 1, Succeeded, Millisecond, false)
+	for _, handle := range handles {
+		b.AttemptEnded(now+Millisecond, handle, 0, 1, Succeeded, Millisecond, false)
 	}
 	if b.concurrency.bodyPending != 0 || b.concurrency.inFlight != b.processingAt(0) || b.concurrency.inFlight > 1 {
-		t.Errorf("%d pending, %d in flight", b.concurrency.bodyPending, b.concurrency.inFlight)
+		t.Errorf("%d with incomplete bodies, %d in flight", b.concurrency.bodyPending, b.concurrency.inFlight)
 	}
 }
 
-func (b *Balancer) processingAt(p int) int { return b.table.endpoints[p].processing() }
+func (b *Balancer) processingAt(index int) int { return b.table.endpoints[index].processing() }
--- a/policy/discardfront.go
+++ b/policy/discardfront.go
@@ -1,36 +1,37 @@
 package policy
 
-// DiscardFront is a Front for a Balancer that carries no requests, as one that only assigns slots.
+// DiscardFront is a Front whose methods do nothing. It is for a Balancer that handles no requests, such as
+// one that only assigns slots.
 type DiscardFront struct{}
 
 var _ Front = DiscardFront{}
 
-// Attempt makes no attempt.
+// Attempt does nothing.
 func (DiscardFront) Attempt(Handle, EndpointID, Time) {}
 
-// Cancel cancels nothing.
+// Cancel does nothing.
 func (DiscardFront) Cancel(Handle, AttemptNo) {}
 
-// Succeed answers nobody.
+// Succeed does nothing.
 func (DiscardFront) Succeed(Handle, AttemptNo) {}
 
-// Reject answers nobody.
+// Reject does nothing.
 func (DiscardFront) Reject(Handle, Time) {}
 
-// Fail answers nobody.
+// Fail does nothing.
 func (DiscardFront) Fail(Handle) {}
 
-// Wake plans no call.
+// Wake does nothing.
 func (DiscardFront) Wake(Time) {}
 
-// FollowList follows no list.
+// FollowList does nothing.
 func (DiscardFront) FollowList(bool) {}
 
-// Release closes nothing.
+// Release does nothing.
 func (DiscardFront) Release(EndpointID) {}
 
-// Forget forgets nothing.
+// Forget does nothing.
 func (DiscardFront) Forget(EndpointID) {}
 
-// Log drops the line.
+// Log does nothing.
 func (DiscardFront) Log(string) {}
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -5,22 +5,22 @@
 	"math"
 )
 
-// never is later than any moment.
+// never is later than any point in time.
 const never Time = math.MaxInt64
 
 const (
-	// attemptTimeout is how many target latencies an attempt is given while another may follow.
-	attemptTimeout = 2.0
-	// latencyTimeout is how many mean answer times it is given at least.
-	latencyTimeout = 6
+	// earlyTimeoutTargets is the timeout, in target latencies, of an attempt that another may follow.
+	earlyTimeoutTargets = 2.0
+	// earlyTimeoutMeans is the least such timeout, in mean latencies of the request's class.
+	earlyTimeoutMeans = 6
 )
 
-// tryKind says how much room a request asks for.
+// tryKind says which endpoints a request may be sent to.
 type tryKind uint8
 
 const (
-	ordinaryTry tryKind = iota
-	lastTry             // any endpoint that isn't crowded will do; without one the request is rejected
+	ordinaryTry tryKind = iota // its home or an endpoint that it may spill to; else the request may be queued
+	lastTry                    // also any other whose load is below highLoad; else the request is rejected
 )
 
 // dispatch sends the request, queues it or rejects it.
@@ -40,40 +40,41 @@
 }
 
 // attempt sends the request to the endpoint.
-func (b *Balancer) attempt(now Time, r *request, to endpointIndex) {
-	e := &b.table.endpoints[to]
+func (b *Balancer) attempt(now Time, r *request, index endpointIndex) {
+	e := &b.table.endpoints[index]
 	timeout := b.attemptTimeout(now, r)
 	if b.warmup.isCold(now, e) {
 		e.coldBudget--
 	}
-	r.tried[r.attempts%len(r.tried)] = to
+	r.tried[r.attempts%len(r.tried)] = index
 	r.attempts++
 	r.sentAt = now
 	r.inFlight++
 	e.inFlight++
 	b.concurrency.inFlight++
-	b.countBodyPending(r, to, 1)
+	b.countBodyPending(r, index, 1)
 	r.next = (*Balancer).finishAttempt
 	b.front.Attempt(r.handle(), e.ID, timeout)
 	b.wake(now, b.answerBy(r))
 }
 
-// attemptTimeout is the time for the next attempt. A silent endpoint must not hold the request while another
-// attempt may follow; cancelling and the retry budget bound the work that this adds.
+// attemptTimeout returns the timeout of the next attempt. It is shortened where another attempt may follow
+// and endpoints stop working on cancelled attempts, so that an endpoint that does not answer cannot hold up
+// the request. Cancelling and the retry budget limit the work that this adds.
 func (b *Balancer) attemptTimeout(now Time, r *request) Time {
 	timeout := b.answerBy(r) - now
 	class := b.class(r)
 	mayRetry := r.attempts+1 < b.settings.MaxAttempts && b.retries.available() &&
 		class.Idempotency != NonIdempotent
 	if mayRetry && b.settings.MayCancel {
-		early := max(Time(attemptTimeout*float64(class.Target)), Time(latencyTimeout*b.meanLatency(r)))
+		early := max(Time(earlyTimeoutTargets*float64(class.Target)), Time(earlyTimeoutMeans*b.meanLatency(r)))
 		timeout = min(timeout, early)
 	}
 	return timeout
 }
 
-// AttemptEnded is called when an attempt has ended; elapsed is the time since it was sent. answered is true
-// when the request needs no answer any more.
+// AttemptEnded reports how an attempt ended. elapsed is the time since it was sent; answered says that the
+// request needs no answer any more.
 func (b *Balancer) AttemptEnded(
 	now Time, handle Handle, attempt AttemptNo, endpoint EndpointID,
 	outcome Outcome, elapsed Time, answered bool,
@@ -87,9 +88,9 @@
 	e := &b.table.endpoints[index]
 	r.inFlight--
 	e.inFlight--
-	e.connectedAt = now
+	e.lastUsedAt = now
 	b.concurrency.inFlight--
-	if outcome < Cancelled {
+	if outcome < Cancelled { // the others say nothing about the endpoint
 		b.recordOutcome(now, r, e, outcome, elapsed)
 	}
 	if answered {
@@ -100,7 +101,8 @@
 	b.drainQueue(now, index)
 }
 
-// finishAttempt answers the request by its latest attempt, or tries again.
+// finishAttempt has the endpoint's answer passed on if the attempt succeeded or was declined, else it retries
+// the request.
 func (b *Balancer) finishAttempt(r *request, result attemptResult) {
 	if result.outcome == Succeeded || result.outcome == Declined {
 		r.markAnswered()
@@ -115,7 +117,8 @@
 	b.retry(r, result)
 }
 
-// reject answers at once: rejected where the client may safely send the request again, else failed.
+// reject ends the request without an endpoint's answer: as rejected if the client may safely send it again,
+// else as failed.
 func (b *Balancer) reject(now Time, r *request) {
 	class := b.class(r)
 	r.markAnswered()
@@ -129,14 +132,14 @@
 	b.requests.release(r)
 }
 
-// cancel cancels the request's attempt that is in flight, if endpoints stop work that is cancelled.
+// cancel cancels the request's attempt in flight if endpoints stop working on cancelled attempts.
 func (b *Balancer) cancel(r *request) {
 	if r.inFlight > 0 && b.settings.MayCancel {
 		b.front.Cancel(r.handle(), AttemptNo(r.attempts-1))
 	}
 }
 
-// ClientLeft is called when a request is over because its client has left.
+// ClientLeft reports that a request's client has disconnected or given up, so that it needs no answer.
 func (b *Balancer) ClientLeft(_ Time, handle Handle) {
 	r := b.requests.lookup(handle)
 	if r == nil || r.answered {
@@ -148,15 +151,17 @@
 	b.requests.release(r)
 }
 
-// Until sets a request's deadline anew: none (0) once its answer has begun, the client's from then on.
+// Until replaces a request's deadline; 0 means none. An answer that has begun has no deadline here: how long
+// it may take is up to the client.
 func (b *Balancer) Until(handle Handle, deadline Time) {
 	if r := b.requests.lookup(handle); r != nil {
 		r.deadline = cmp.Or(deadline, never)
 	}
 }
 
-// BodyPending is called when it shows that a request's body is still coming, and again when it is complete.
-// Until then its attempt does not count against any limit and the request has no deadline.
+// BodyPending reports that a request's body is incomplete (complete is false), and later that it is complete,
+// with the deadline from then on. In between, its attempt counts against no limit and the request has no
+// deadline.
 func (b *Balancer) BodyPending(handle Handle, complete bool, deadline Time) {
 	r := b.requests.lookup(handle)
 	if r == nil || r.answered || r.bodyPending != complete {
@@ -172,7 +177,7 @@
 	b.countBodyPending(r, index, r.inFlight)
 }
 
-// countBodyPending counts attempts to the endpoint if the request's body is still coming.
+// countBodyPending adds to the counts of attempts with incomplete bodies if the request's body is incomplete.
 func (b *Balancer) countBodyPending(r *request, index endpointIndex, attempts int) {
 	if r.bodyPending {
 		b.concurrency.bodyPending += attempts
@@ -180,8 +185,9 @@
 	}
 }
 
-// AttemptAllowed reports whether the request's latest attempt, decided on and not yet written, is still
-// allowed: the settings may have changed since. Where it is not, the attempt's outcome is NotSent.
+// AttemptAllowed reports whether the request's latest attempt is still allowed. It is for attempts that have
+// been decided on and not yet written: time has passed and the settings may have changed since. An attempt
+// that is no longer allowed must be reported as NotSent.
 func (b *Balancer) AttemptAllowed(now Time, handle Handle) bool {
 	r := b.requests.lookup(handle)
 	if r == nil || r.attempts == 0 {
@@ -195,7 +201,7 @@
 	return allowed
 }
 
-// Shutdown brings all deadlines, also those still to come, forward to the instance's own end.
+// Shutdown limits the deadlines of all requests, including those admitted later, to the end of the instance.
 func (b *Balancer) Shutdown(now, by Time) {
 	b.shutdownAt = by
 	answerBy := by - b.settings.answerMargin()
--- a/policy/ejection.go
+++ b/policy/ejection.go
@@ -3,26 +3,31 @@
 import "fmt"
 
 const (
-	// minEjectionTime is the time of a first ejection; it doubles on each relapse.
+	// minEjectionTime is the length of a first ejection. It doubles with each ejection until an attempt
+	// succeeds.
 	minEjectionTime Time = 2 * Second
-	// maxEjectionTime bounds the doubling.
+	// maxEjectionTime is the length up to which it doubles.
 	maxEjectionTime Time = 16 * Second
 	// ejectAfter is the number of consecutive failures that eject an endpoint.
 	ejectAfter = 3
-	// ejectionJitter spreads the time of an ejection, so that instances don't return in one moment.
+	// ejectionJitter is the spread of the length of an ejection, as a part of it, so that instances do not
+	// return to the endpoint all at once.
 	ejectionJitter = 0.5
-	// maxEjectedPart is the part of the endpoints, as a divisor, that failures other than of connections
-	// eject.
-	maxEjectedPart = 2
-	// minSuccessRate keeps the time between an endpoint's answers finite, in successes a second.
+	// maxEjectedDivisor divides the number of endpoints to give the most that can be ejected for failures
+	// other than failed connections.
+	maxEjectedDivisor = 2
+	// minSuccessRate is the least rate of an endpoint's successes, per second, that the time between them is
+	// derived from. It keeps that time finite.
 	minSuccessRate = 0.01
-	// reliableLateness is the mean lateness under which few failures are enough where few answers are seen.
+	// reliableLateness is the mean lateness below which fewer than ejectAfter failures are enough where an
+	// instance sees few answers.
 	reliableLateness = 0.5
 )
 
 // countFailure counts a failure against the endpoint and ejects it after too many in a row.
 func (b *Balancer) countFailure(now Time, r *request, e *endpoint, outcome Outcome) {
-	// A request that fails at any endpoint, under one key or on a retry, says little of this one.
+	// A retry, or a request with the key of the previous failure, may fail on any endpoint and says little
+	// about this one.
 	repeated := r.attempts > 1 || e.failures > 0 && r.key == e.failureKey
 	if outcome != NotConnected && outcome != Rejected && repeated {
 		return
@@ -33,33 +38,36 @@
 	if e.failures < needed && e.slowStart == 0 || now < e.ejectedUntil {
 		return
 	}
-	// When most endpoints look bad at once the cause is shared, and moving their work makes it worse.
-	if outcome != NotConnected && maxEjectedPart*(b.ejected+1) > len(b.table.byID) {
+	// When most endpoints fail at the same time, they have a common cause, and moving their load makes it
+	// worse.
+	if outcome != NotConnected && maxEjectedDivisor*(b.ejected+1) > len(b.table.byID) {
 		return
 	}
 	b.eject(now, e, ejectionTime, outcome)
 }
 
-// ejectionThreshold is how many consecutive failures eject the endpoint, and for how long at first. Where an
-// instance sees few answers of each endpoint, three failures in a row, or two seconds, mean nothing.
+// ejectionThreshold returns the number of consecutive failures that eject the endpoint and the length of its
+// first ejection. Where an instance sees few answers of each endpoint, ejectAfter failures in a row hardly
+// ever occur and minEjectionTime may pass without an attempt, so fewer failures and a longer ejection apply.
 func (b *Balancer) ejectionThreshold(
 	now Time, e *endpoint, outcome Outcome,
 ) (failures int, ejectionTime Time) {
 	failures = ejectAfter
 	ejectionTime = minEjectionTime
-	successRate := b.successes.now(now) / float64(len(b.table.byID)) // of each endpoint
+	successRate := b.successes.current(now) / float64(len(b.table.byID)) // of one endpoint
 	enoughSeen := b.concurrency.latenessMean < reliableLateness && b.recentKeys.count > frequencyPrior
 	if enoughSeen || e.reportedLoad > b.reports.mean {
 		failures = 1 + int((ejectAfter-1)*min(1, successRate))
 		ejectionTime = max(ejectionTime, Time(float64(Second)/max(successRate, minSuccessRate)))
 	}
 	if outcome == NotConnected && b.settings.sharedConnections() {
-		failures = 1 // where connections last, one that fails says more than an attempt
+		failures = 1 // with long-lived connections, a failed connection says more than a failed attempt
 	}
 	return failures, ejectionTime
 }
 
-// eject takes the endpoint out of use for a time; on its return it is in slow start.
+// eject takes the endpoint out of use; afterwards it is in slow start. minimum is the length of a first
+// ejection.
 func (b *Balancer) eject(now Time, e *endpoint, minimum Time, outcome Outcome) {
 	e.ejectionTime = min(max(2*e.ejectionTime, minimum), maxEjectionTime)
 	jitter := 1 - ejectionJitter/2 + ejectionJitter*b.random.fraction()
--- a/policy/ejection_test.go
+++ b/policy/ejection_test.go
@@ -5,87 +5,88 @@
 	"testing"
 )
 
-// A request that fails wherever it goes ejected one endpoint after another; and when all endpoints fail, setting
-// most only crowds the rest.
-func TestFailuresOfOneKeyOrOfAllEjectFew(t *testing.T) {
-	for most, keys := range map[int]int{0: 1, 3: 300} {
-		b, q := newTestBalancer(testMembers(6, "a"))
+// A request that fails on every endpoint must not eject one endpoint after another. When all endpoints fail, ejecting
+// most of them would only overload the others.
+func TestFailuresOfOneKeyOrOfAllEndpointsEjectFew(t *testing.T) {
+	for maxEjected, keys := range map[int]int{0: 1, 3: 300} {
+		b, front := newTestBalancer(testMembers(6, "a"))
 		for i := range 300 {
-			sendRequest(b, q, 2*Second+Time(i)*Millisecond, fmt.Sprint(i%keys), Errored, Millisecond)
+			sendRequest(b, front, 2*Second+Time(i)*Millisecond, fmt.Sprint(i%keys), Errored, Millisecond)
 		}
-		if n := b.ejected; n > most || most > 0 && n == 0 {
-			t.Errorf("%d of 6 endpoints ejected for failures of %d keys", n, keys)
+		if ejected := b.ejected; ejected > maxEjected || maxEjected > 0 && ejected == 0 {
+			t.Errorf("%d of 6 endpoints ejected for failures of %d keys", ejected, keys)
 		}
 	}
 }
 
-// An endpoint back from being ejected is in slow start: what may be in flight to it doubles.
+// After its ejection an endpoint is in slow start, with one attempt in flight at first.
 func TestSlowStartAfterEjection(t *testing.T) {
-	b, q := newTestBalancer(testMembers(2, "a"))
+	b, front := newTestBalancer(testMembers(2, "a"))
 	b.table.endpoints[0].slowStart = 1
 	for i := range 8 {
 		b.Begin(2*Second, b.Admit(2*Second, 0, NoTenant, fmt.Sprint(i), false, Second))
 	}
 	if b.table.endpoints[0].inFlight != 1 {
-		t.Errorf("%d of %d attempts in flight to an endpoint that just returned", b.table.endpoints[0].inFlight, len(q.sentTo))
+		t.Errorf("%d of %d attempts in flight to an endpoint at the start of its slow start", b.table.endpoints[0].inFlight, len(front.sentTo))
 	}
 }
 
-// At full size an instance that hears of an endpoint once in a minute judged it by three failures.
+// In a large fleet an instance may see an endpoint's answer only once in a minute, so waiting for three failures takes
+// too long.
 func TestSingleFailureEjectsWhereAnswersAreRare(t *testing.T) {
-	b, q := balancerAfter(200, 200)
-	h := b.Admit(60*Second, 0, NoTenant, "one", false, 2*Second)
-	b.Begin(60*Second, h)
-	id := q.sentTo[len(q.sentTo)-1]
-	b.AttemptEnded(61*Second, h, 0, id, TimedOut, Second, false)
-	if till := b.table.endpoints[b.table.indexes[id]].ejectedUntil; till < 70*Second {
-		t.Errorf("ejected until %d after the one failure seen in a minute", till)
+	b, front := balancerAfter(200, 200)
+	handle := b.Admit(60*Second, 0, NoTenant, "one", false, 2*Second)
+	b.Begin(60*Second, handle)
+	id := front.sentTo[len(front.sentTo)-1]
+	b.AttemptEnded(61*Second, handle, 0, id, TimedOut, Second, false)
+	if until := b.table.endpoints[b.table.indexes[id]].ejectedUntil; until < 70*Second {
+		t.Errorf("ejected until %d after the only failure seen in a minute", until)
 	}
 }
 
-// A release takes endpoints out seconds before the list says so: each rejected all it was sent, and every instance,
-// again and again.
-func TestEndpointsThatLeaveBeforeTheListKnows(t *testing.T) {
+// Endpoints that shut down may reject everything for seconds before the list shows it. They must be ejected, or every
+// instance keeps sending them attempts; endpoints that reject because of load must not.
+func TestEndpointsThatRejectBeforeTheyAreUnlistedAreEjected(t *testing.T) {
 	for load, want := range map[float64]int{0: 1, 0.9: 0} {
-		b, q := newTestBalancer(testMembers(4, "a"))
+		b, front := newTestBalancer(testMembers(4, "a"))
 		for i := range 40 {
-			sendRequest(b, q, 2*Second+Time(i)*Millisecond, fmt.Sprint(i), Succeeded, 100*Millisecond)
+			sendRequest(b, front, 2*Second+Time(i)*Millisecond, fmt.Sprint(i), Succeeded, 100*Millisecond)
 		}
 		b.table.endpoints[0].latencyRatio = b.baseline + load
-		away := 0
+		rejected := 0
 		for i := range 200 {
 			now := 3*Second + Time(i)*5*Millisecond
-			h := b.Admit(now, 0, NoTenant, fmt.Sprint(i), false, 4*Second)
-			b.Begin(now, h)
-			for n := 0; b.requests.lookup(h) != nil && n < 3; n++ {
-				o, to := Succeeded, q.sentTo[len(q.sentTo)-1]
-				if to == b.table.endpoints[0].ID {
-					o, away = Rejected, away+1
+			handle := b.Admit(now, 0, NoTenant, fmt.Sprint(i), false, 4*Second)
+			b.Begin(now, handle)
+			for number := 0; b.requests.lookup(handle) != nil && number < 3; number++ {
+				outcome, id := Succeeded, front.sentTo[len(front.sentTo)-1]
+				if id == b.table.endpoints[0].ID {
+					outcome, rejected = Rejected, rejected+1
 				}
-				b.AttemptEnded(now, h, AttemptNo(n), to, o, 100*Millisecond, o == Succeeded)
+				b.AttemptEnded(now, handle, AttemptNo(number), id, outcome, 100*Millisecond, outcome == Succeeded)
 			}
 		}
-		if b.maintain(4 * Second); b.ejected != want || want > 0 && (away > ejectAfter || b.concurrency.latenessMean > 0.5) {
-			t.Errorf("load %.1f: %d ejected, %d rejected, lateness %.2f", load, b.ejected, away, b.concurrency.latenessMean)
+		if b.maintain(4 * Second); b.ejected != want || want > 0 && (rejected > ejectAfter || b.concurrency.latenessMean > 0.5) {
+			t.Errorf("load %.1f: %d ejected, %d rejected, lateness %.2f", load, b.ejected, rejected, b.concurrency.latenessMean)
 		}
 	}
 }
 
-// Full fleet, join+mass: 2,182 attempts left with 84 ms of their clients' 100, timed out, and healthy endpoints were
-// ejected by them.
-func TestShortDeadlinesAreNoSignOfTheEndpoint(t *testing.T) {
-	b, q := newTestBalancer(testMembers(1, "a"))
+// An attempt may time out because its client's deadline is shorter than answers take: in one run 2,182 attempts were
+// sent with 84 ms left of their clients' 100 ms, timed out, and ejected healthy endpoints.
+func TestTimeoutsFromShortDeadlinesDoNotCount(t *testing.T) {
+	b, front := newTestBalancer(testMembers(1, "a"))
 	for i := range 20 {
-		sendRequest(b, q, Second+Time(i)*500*Millisecond, fmt.Sprint("usual", i), Succeeded, 300*Millisecond)
+		sendRequest(b, front, Second+Time(i)*500*Millisecond, fmt.Sprint("usual", i), Succeeded, 300*Millisecond)
 	}
-	was := b.concurrency.latenessMean
+	before := b.concurrency.latenessMean
 	for i := range 4 {
 		now := 12*Second + Time(i)*Second
-		h := b.Admit(now, 0, NoTenant, fmt.Sprint(i), false, 100*Millisecond)
-		b.Begin(now, h)
-		b.AttemptEnded(now+84*Millisecond, h, 0, q.sentTo[len(q.sentTo)-1], TimedOut, 84*Millisecond, true)
+		handle := b.Admit(now, 0, NoTenant, fmt.Sprint(i), false, 100*Millisecond)
+		b.Begin(now, handle)
+		b.AttemptEnded(now+84*Millisecond, handle, 0, front.sentTo[len(front.sentTo)-1], TimedOut, 84*Millisecond, true)
 	}
-	if s := &b.table.endpoints[0]; s.ejectedUntil > 0 || s.limit < initialEndpointLimit || b.concurrency.latenessMean > was {
-		t.Errorf("ejected until %d, limit %.1f, lateness %.2f after %.2f", s.ejectedUntil, s.limit, b.concurrency.latenessMean, was)
+	if e := &b.table.endpoints[0]; e.ejectedUntil > 0 || e.limit < initialEndpointLimit || b.concurrency.latenessMean > before {
+		t.Errorf("ejected until %d, limit %.1f, lateness %.2f, before %.2f", e.ejectedUntil, e.limit, b.concurrency.latenessMean, before)
 	}
 }
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -3,68 +3,71 @@
 // endpointIndex is the index of an endpoint in slotTable.endpoints.
 type endpointIndex int32
 
-// noEndpoint is the index of no endpoint.
+// noEndpoint is the endpointIndex that means that there is no endpoint.
 const noEndpoint endpointIndex = -1
 
-// initialEndpointLimit is the number of attempts that may be in flight to a new endpoint.
+// initialEndpointLimit is the limit of attempts in flight to a new or restarted endpoint.
 const initialEndpointLimit = 2
 
-// Weights of an answer in an endpoint's mean latency. After a silence an answer counts for more.
+// The weight of the latest answer in an endpoint's mean latency grows with the time since the previous
+// answer.
 const (
+	// minAnswerWeight is the weight of an answer that follows the previous one closely.
 	minAnswerWeight = 0.2
-	// answerMemory is the silence, in target latencies, after which the mean starts anew.
+	// answerMemory is the time since the previous answer, in target latencies, after which the latest answer
+	// replaces the mean.
 	answerMemory = 4
 )
 
-// endpoint is an endpoint of the list and what this instance knows of it.
+// endpoint is an endpoint of the list with the state that this instance keeps for it.
 type endpoint struct {
 	Member
-	inTable  bool    // else its place is free for another
-	ranks    []int32 // its slots, by their rank in the seeded order
-	target   int     // slots that its share comes to
-	listedAt Time    // when it was last listed
-	mark     uint32  // walk or list in which it was last met
+	inTable     bool    // whether it is in the slot table; if not, another endpoint may reuse this entry
+	ranks       []int32 // ranks of its slots in slotTable.order
+	targetSlots int     // number of slots that its weight entitles it to
+	listedAt    Time    // latest maintenance at which it was listed, or its addition
+	mark        uint32  // slotTable.mark of the latest walk or list that has visited it
 
-	inFlight     int
-	bodyPending  int // attempts in flight whose request body is still coming: no work is done on them yet
-	connectedAt  Time
-	reportedLoad float64 // requests held for each core, as the list last showed
+	inFlight     int     // attempts in flight
+	bodyPending  int     // of these, attempts whose request body is incomplete: no work is done on them yet
+	lastUsedAt   Time    // end of the latest attempt; 0: none since its idle connections were released
+	reportedLoad float64 // requests that it holds for each core, according to the latest list
 
-	limit     float64 // attempts that may be in flight
-	reducedAt Time    // last reduction of the limit
+	limit     float64 // most attempts in flight, not counting those in bodyPending
+	reducedAt Time    // latest reduction of the limit
 
-	latencyRatio float64 // mean of answer time over target latency
-	observedAt   Time    // last change of latencyRatio by an answer
+	latencyRatio float64 // moving average of answer time over target latency
+	observedAt   Time    // latest change of latencyRatio by an answer
 	healthyAt    Time    // when the latest successful attempt was sent
 
 	failures     int    // consecutive failures
-	failureKey   uint64 // key of the last of them
+	failureKey   uint64 // hash of the request key of the latest of them
 	ejectedUntil Time
-	ejectionTime Time
-	slowStart    int // attempts allowed in flight after an ejection; 0 when in full use
+	ejectionTime Time // length of the latest ejection, without jitter; 0 after a success
+	slowStart    int  // attempts allowed in flight during slow start; 0: not in slow start
 
-	successes       rateMeter
-	coldBudget      float64 // attempts saved up while cold
-	budgetUpdatedAt Time
+	successes       rateMeter // successful attempts
+	coldBudget      float64   // attempts that may be sent to it now while it is cold
+	budgetUpdatedAt Time      // latest growth or reset of coldBudget
 }
 
-// processing is the number of attempts that the endpoint works on.
+// processing returns the number of attempts that the endpoint is working on.
 func (e *endpoint) processing() int { return e.inFlight - e.bodyPending }
 
 // hasRoom reports whether one more attempt may be in flight.
 func (e *endpoint) hasRoom() bool { return float64(e.processing()) < e.limit }
 
-// nearLimit reports whether the limit is in full use, or nearly so.
+// nearLimit reports whether two more attempts would reach the limit.
 func (e *endpoint) nearLimit() bool { return float64(e.processing()+2) >= e.limit }
 
-// observeLatency adds an answer's time, in target latencies, to the mean.
+// observeLatency adds an answer to the mean latency. ratio is its answer time over the target latency.
 func (e *endpoint) observeLatency(now, target Time, ratio float64) {
 	sinceLast := float64(now-e.observedAt) / float64(answerMemory*target)
 	e.latencyRatio += max(minAnswerWeight, min(1, sinceLast)) * (ratio - e.latencyRatio)
 	e.observedAt = now
 }
 
-// restart voids what was learned before the endpoint started anew.
+// restart resets the state learned before the endpoint restarted, and sets its cold budget.
 func (e *endpoint) restart(now Time, coldBudget float64) {
 	e.limit = initialEndpointLimit
 	e.latencyRatio = 0
--- a/policy/endpointlist.go
+++ b/policy/endpointlist.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// resizeThreshold is the growth of a learned size that moves slots.
+// resizeThreshold is the factor by which a listed weight must exceed the learned size of an endpoint to
+// replace it and move slots.
 const resizeThreshold = 1.1
 
 // UpdateEndpoints applies an endpoint list.
@@ -15,7 +16,7 @@
 	}
 	b.maintain(now)
 	b.reports.receivedAt = now
-	first := len(b.table.byID) == 0
+	firstList := len(b.table.byID) == 0
 	b.table.mark++
 	if b.applyMembers(now, members) {
 		b.table.rebalance()
@@ -24,14 +25,14 @@
 		b.markUnlisted()
 	}
 	b.updateReports(now)
-	if first && len(b.table.byID) > 0 {
+	if firstList && len(b.table.byID) > 0 {
 		b.capLocalShare()
 	}
 	b.drainQueue(now, noEndpoint)
 }
 
-// applyMembers applies the entries of a list in id order, and reports whether weights of known endpoints
-// changed: those of one list are rebalanced together, so that each slot moves once.
+// applyMembers applies the entries of a list in the order of their ids and reports whether the weight of a
+// known endpoint changed. The caller rebalances once for the whole list, so that each slot moves only once.
 func (b *Balancer) applyMembers(now Time, members []Member) (reweighted bool) {
 	byID := func(x, y Member) int { return cmp.Compare(x.ID, y.ID) }
 	for _, member := range slices.SortedFunc(slices.Values(members), byID) {
@@ -51,8 +52,8 @@
 	return reweighted
 }
 
-// addMember brings a new endpoint into the table. Its budget starts at random: from zero, hundreds of
-// instances would send a cold endpoint nothing for long, then all at once.
+// addMember adds a new endpoint to the table. Its cold budget starts at a random value: if it started at
+// zero, hundreds of instances would send a cold endpoint nothing for a long time, then all at once.
 func (b *Balancer) addMember(now Time, member Member) {
 	b.table.add(endpoint{
 		Member:          member,
@@ -68,8 +69,8 @@
 func (b *Balancer) updateMember(now Time, e *endpoint, member Member) (reweighted bool) {
 	e.mark = b.table.mark
 	if !b.settings.FixedWeights {
-		// The weight falls with load, so the most that was seen is the size; slots move only for a clear
-		// change.
+		// Listed weights fall with load, so the largest weight seen is the endpoint's size. Only a clear
+		// increase moves slots.
 		e.reportedLoad = max(0, e.Weight/member.Weight-1)
 		if member.Weight < e.Weight*resizeThreshold {
 			member.Weight = e.Weight
@@ -83,7 +84,7 @@
 	return reweighted
 }
 
-// markUnlisted marks the endpoints that a full list does not name.
+// markUnlisted marks the endpoints that a full list does not contain as removed.
 func (b *Balancer) markUnlisted() {
 	for i := range b.table.endpoints {
 		if e := &b.table.endpoints[i]; e.mark != b.table.mark {
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -7,8 +7,8 @@
 	"pepperlead/internal/golden"
 )
 
-// filledLearnedState has a distinct value in every field, so that a key that is lost, renamed or swapped with another
-// changes the encoding.
+// filledLearnedState returns a state with a distinct value in every field, so that a key that is lost, renamed or
+// swapped with another changes the encoding.
 func filledLearnedState() LearnedState {
 	return LearnedState{
 		Baseline: 1.5, LatencyPerReported: 2.5, Limit: 3.5, InUse: 4.5, Lateness: 5.5, RetryBudget: 6.5, NearShare: 7.5,
@@ -25,7 +25,7 @@
 	}
 }
 
-// Processes of other builds pass on what was learned in these bytes.
+// Processes of other builds pass on their learned state in this encoding.
 func TestLearnedStateKeepsItsKeys(t *testing.T) {
 	golden.RoundTrip(t, "knowledge.json", filledLearnedState(), &LearnedState{}, json.Marshal, json.Unmarshal)
 }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// modelAttempt is one attempt as the plain model records it.
+// modelAttempt is an attempt as the reference model records it.
 type modelAttempt struct {
 	endpoint   EndpointID
 	sentAt     Time
 	inFlight   bool
-	mayHaveRun bool // may have run
+	mayHaveRun bool // whether the endpoint may have run the request
 }
 
-// modelRequest is one request as the plain model records it.
+// modelRequest is a request as the reference model records it.
 type modelRequest struct {
 	class    Class
 	deadline Time
@@ -23,362 +23,364 @@
 	attempts []modelAttempt
 }
 
-// event is something still to happen.
+// event is a scheduled event of the simulation.
 type event struct {
 	at Time
 	do func()
 }
 
-// simulation is the surroundings of one instance and the slow, plain model of the four rules: every action is
-// checked against the whole history, with nothing recorded but what happened.
+// simulation is the environment of one instance and a slow reference model of four rules: requests are answered before
+// their deadlines (1), requests that may have run are not repeated or rejected where that is unsafe (2), endpoints
+// that leave get no new attempts (3), and cold endpoints get no more attempts than allowed (4). It checks each action
+// of the balancer against the complete history.
 type simulation struct {
 	*rand.Rand
 	now           Time
 	settings      *Settings
 	balancer      *Balancer
-	incarnation   int // counts restarts; events of an earlier incarnation are void
+	incarnation   int // counts starts of the instance; events of an earlier incarnation are dropped
 	requests      map[Handle]*modelRequest
 	members       map[EndpointID]Member
-	leavingSince  map[EndpointID]Time // when this incarnation was notified that an endpoint leaves
-	coldAttempts  map[EndpointID][]Time
-	successes     []Time
-	coldSuccesses map[EndpointID][]Time // successful by a cold endpoint since it started
-	fewestWarm    int                   // fewest warm endpoints so far
+	leavingSince  map[EndpointID]Time   // when a list first told this incarnation that an endpoint leaves
+	coldAttempts  map[EndpointID][]Time // attempts while the endpoint was cold
+	successes     []Time                // ends of successful attempts
+	coldSuccesses map[EndpointID][]Time // ends of successful attempts since the endpoint started
+	fewestWarm    int                   // smallest number of warm endpoints so far
 	events        []event
 	trace         strings.Builder
-	violation     string
-	shutdownBy    Time // end of this incarnation; 0: none
+	violation     string // first violation of a rule; empty: none
+	shutdownBy    Time   // end of this incarnation; 0: none
 	eventCounts   map[string]int
 }
 
-func (w *simulation) fail(format string, a ...any) {
-	if w.violation == "" {
-		w.violation = fmt.Sprintf("at %d: ", w.now) + fmt.Sprintf(format, a...)
+func (s *simulation) fail(format string, args ...any) {
+	if s.violation == "" {
+		s.violation = fmt.Sprintf("at %d: ", s.now) + fmt.Sprintf(format, args...)
 	}
 }
 
-func (w *simulation) schedule(d Time, do func()) {
-	incarnation := w.incarnation
-	w.events = append(w.events, event{w.now + d, func() {
-		if incarnation == w.incarnation {
+func (s *simulation) schedule(delay Time, do func()) {
+	incarnation := s.incarnation
+	s.events = append(s.events, event{s.now + delay, func() {
+		if incarnation == s.incarnation {
 			do()
 		}
 	}})
 }
 
-func (w *simulation) openRequest(h Handle) *modelRequest {
-	r := w.requests[h]
-	if r == nil || r.answered {
-		w.fail("rule 1: action for a request that is not open")
+func (s *simulation) openRequest(handle Handle) *modelRequest {
+	request := s.requests[handle]
+	if request == nil || request.answered {
+		s.fail("rule 1: action for a request that is unknown or answered")
 		return &modelRequest{}
 	}
-	return r
+	return request
 }
 
-func (w *simulation) Attempt(h Handle, id EndpointID, wait Time) {
-	fmt.Fprintf(&w.trace, "attempt %d %d %d\n", h, id, wait)
-	r, s := w.openRequest(h), w.members[id]
-	if len(r.attempts) >= w.settings.MaxAttempts {
-		w.fail("more attempts than allowed")
+func (s *simulation) Attempt(handle Handle, id EndpointID, timeout Time) {
+	fmt.Fprintf(&s.trace, "attempt %d %d %d\n", handle, id, timeout)
+	request, member := s.openRequest(handle), s.members[id]
+	if len(request.attempts) >= s.settings.MaxAttempts {
+		s.fail("more attempts than allowed")
 	}
-	for _, p := range r.attempts {
-		if p.inFlight {
-			w.fail("two attempts in flight at once")
+	for _, earlier := range request.attempts {
+		if earlier.inFlight {
+			s.fail("two attempts in flight at once")
 		}
 	}
-	if first := slices.IndexFunc(r.attempts, func(p modelAttempt) bool { return p.mayHaveRun }); first >= 0 {
-		p, o := r.attempts[first], r.class
-		was := w.members[p.endpoint]
-		within := o.Group == GroupAll || o.Group == GroupZone && was.Zone == s.Zone ||
-			o.Group == GroupCell && was.Cell == s.Cell
-		if o.Idempotency == NonIdempotent || o.Idempotency == Keyed && (!within || w.now > p.sentAt+o.Window) {
-			w.fail("rule 2: attempted again outside its group or window")
+	if first := slices.IndexFunc(request.attempts, func(earlier modelAttempt) bool { return earlier.mayHaveRun }); first >= 0 {
+		earlier, class := request.attempts[first], request.class
+		ranOn := s.members[earlier.endpoint]
+		within := class.Group == GroupAll || class.Group == GroupZone && ranOn.Zone == member.Zone ||
+			class.Group == GroupCell && ranOn.Cell == member.Cell
+		if class.Idempotency == NonIdempotent || class.Idempotency == Keyed && (!within || s.now > earlier.sentAt+class.Window) {
+			s.fail("rule 2: attempted again outside its deduplication group or window")
 		}
 	}
-	if at, leaving := w.leavingSince[id]; leaving && w.now > at+Second {
-		w.fail("rule 3: attempted to a leaving endpoint")
+	if at, leaving := s.leavingSince[id]; leaving && s.now > at+Second {
+		s.fail("rule 3: attempt to a leaving endpoint")
 	}
-	if s.Started > 0 && w.now < s.Started+w.settings.ColdTime {
-		w.countColdAttempt(id, s)
+	if member.Started > 0 && s.now < member.Started+s.settings.ColdTime {
+		s.countColdAttempt(id, member)
 	}
-	if wait <= 0 || w.now+wait > r.deadline {
-		w.fail("rule 1: a wait of %d with %d left", wait, r.deadline-w.now)
+	if timeout <= 0 || s.now+timeout > request.deadline {
+		s.fail("rule 1: a timeout of %d with %d left", timeout, request.deadline-s.now)
 	}
-	r.attempts = append(r.attempts, modelAttempt{endpoint: id, sentAt: w.now, inFlight: true})
-	w.scheduleOutcome(h, r, len(r.attempts)-1, wait)
+	request.attempts = append(request.attempts, modelAttempt{endpoint: id, sentAt: s.now, inFlight: true})
+	s.scheduleOutcome(handle, request, len(request.attempts)-1, timeout)
 }
 
-// maxPerSecond is how many of them fall into one second at most.
-func maxPerSecond(all []Time) (most int) {
-	for i, at := range all {
-		n := 1
-		for _, other := range all[:i] {
+// maxPerSecond returns the largest number of the times that fall into one second.
+func maxPerSecond(times []Time) (most int) {
+	for i, at := range times {
+		count := 1
+		for _, other := range times[:i] {
 			if other > at-Second {
-				n++
+				count++
 			}
 		}
-		most = max(most, n)
+		most = max(most, count)
 	}
 	return most
 }
 
-// countColdAttempt counts attempts to a cold endpoint against what a warm one, or it itself, was at most seen to
-// serve.
-func (w *simulation) countColdAttempt(id EndpointID, s Member) {
-	w.coldAttempts[id] = append(w.coldAttempts[id], w.now)
-	c := w.settings
-	share := c.ColdCapacity + (1-c.ColdCapacity)*float64(w.now-s.Started)/float64(c.ColdTime)
-	rate := max(share*0.25*float64(maxPerSecond(w.successes))/float64(max(1, w.fewestWarm)), 0.8*float64(maxPerSecond(w.coldSuccesses[id])))
-	// A rate that forgets over three seconds is at most 1.2 times its busiest second.
-	most := 1 + 1/float64(c.Instances) + c.OverloadMultiple*1.2*rate
-	n := 0
-	for _, at := range w.coldAttempts[id] {
-		if at > w.now-Second {
-			n++
+// countColdAttempt records an attempt to a cold endpoint and checks rule 4: the attempts of the last second must not
+// exceed a multiple of the highest rate of successes seen from a warm endpoint or from this one.
+func (s *simulation) countColdAttempt(id EndpointID, member Member) {
+	s.coldAttempts[id] = append(s.coldAttempts[id], s.now)
+	settings := s.settings
+	share := settings.ColdCapacity + (1-settings.ColdCapacity)*float64(s.now-member.Started)/float64(settings.ColdTime)
+	rate := max(share*0.25*float64(maxPerSecond(s.successes))/float64(max(1, s.fewestWarm)), 0.8*float64(maxPerSecond(s.coldSuccesses[id])))
+	// A rate that decays with a time constant of three seconds is at most 1.2 times its busiest second.
+	allowed := 1 + 1/float64(settings.Instances) + settings.OverloadMultiple*1.2*rate
+	count := 0
+	for _, at := range s.coldAttempts[id] {
+		if at > s.now-Second {
+			count++
 		}
 	}
-	if float64(n) > most {
-		w.fail("rule 4: %d attempts to a cold endpoint, %.1f allowed", n, most)
+	if float64(count) > allowed {
+		s.fail("rule 4: %d attempts to a cold endpoint, %.1f allowed", count, allowed)
 	}
 }
 
 // scheduleOutcome draws how an attempt ends, and when.
-func (w *simulation) scheduleOutcome(h Handle, r *modelRequest, n int, wait Time) {
-	o := Outcome(w.Intn(int(NotSent)))
-	if w.Intn(3) > 0 {
-		o = Succeeded
+func (s *simulation) scheduleOutcome(handle Handle, request *modelRequest, number int, timeout Time) {
+	outcome := Outcome(s.Intn(int(NotSent)))
+	if s.Intn(3) > 0 {
+		outcome = Succeeded
 	}
-	d := Time(w.Int63n(int64(300 * Millisecond)))
-	if o == TimedOut || d > wait {
-		o, d = TimedOut, wait
+	delay := Time(s.Int63n(int64(300 * Millisecond)))
+	if outcome == TimedOut || delay > timeout {
+		outcome, delay = TimedOut, timeout
 	}
-	if o == TimedOut && w.Intn(4) == 0 {
-		d += 10 * Second // a time-out that is lost until long after the deadline
+	if outcome == TimedOut && s.Intn(4) == 0 {
+		delay += 10 * Second // the timeout is reported only long after the deadline
 	}
-	w.schedule(d, func() {
-		p := &r.attempts[n]
-		p.inFlight = false
-		switch o {
+	s.schedule(delay, func() {
+		attempt := &request.attempts[number]
+		attempt.inFlight = false
+		switch outcome {
 		case Errored, TimedOut, ConnectionLost, Cancelled:
-			p.mayHaveRun = true
+			attempt.mayHaveRun = true
 		case Succeeded:
-			w.successes = append(w.successes, w.now)
-			w.coldSuccesses[p.endpoint] = append(w.coldSuccesses[p.endpoint], w.now)
-			r.answered = true
+			s.successes = append(s.successes, s.now)
+			s.coldSuccesses[attempt.endpoint] = append(s.coldSuccesses[attempt.endpoint], s.now)
+			request.answered = true
 		}
-		w.eventCounts[fmt.Sprint("outcome ", o)]++
-		w.balancer.AttemptEnded(w.now, h, AttemptNo(n), p.endpoint, o, w.now-p.sentAt, r.answered)
+		s.eventCounts[fmt.Sprint("outcome ", outcome)]++
+		s.balancer.AttemptEnded(s.now, handle, AttemptNo(number), attempt.endpoint, outcome, s.now-attempt.sentAt, request.answered)
 	})
-	for i := range r.attempts {
-		// An attempt that is in flight may already be running.
-		r.attempts[i].mayHaveRun = r.attempts[i].mayHaveRun || r.attempts[i].inFlight && i < n
+	for i := range request.attempts {
+		// An earlier attempt that is still in flight may already be running.
+		request.attempts[i].mayHaveRun = request.attempts[i].mayHaveRun || request.attempts[i].inFlight && i < number
 	}
 }
 
-func (w *simulation) Reject(h Handle, _ Time) {
-	fmt.Fprintf(&w.trace, "reject %d\n", h)
-	w.eventCounts["rejected"]++
-	r := w.openRequest(h)
-	again := r.class.Idempotency == Idempotent || r.class.Idempotency == Keyed && r.class.Group == GroupAll
-	for _, p := range r.attempts {
-		if (p.mayHaveRun || p.inFlight) && !again {
-			w.fail("rule 2: rejected though it may have run")
+func (s *simulation) Reject(handle Handle, _ Time) {
+	fmt.Fprintf(&s.trace, "reject %d\n", handle)
+	s.eventCounts["rejected"]++
+	request := s.openRequest(handle)
+	repeatable := request.class.Idempotency == Idempotent || request.class.Idempotency == Keyed && request.class.Group == GroupAll
+	for _, attempt := range request.attempts {
+		if (attempt.mayHaveRun || attempt.inFlight) && !repeatable {
+			s.fail("rule 2: rejected although it may have run")
 		}
 	}
-	r.answered = true
+	request.answered = true
 }
 
-func (w *simulation) Fail(h Handle) {
-	fmt.Fprintf(&w.trace, "fail %d\n", h)
-	w.eventCounts["failed"]++
-	w.openRequest(h).answered = true
+func (s *simulation) Fail(handle Handle) {
+	fmt.Fprintf(&s.trace, "fail %d\n", handle)
+	s.eventCounts["failed"]++
+	s.openRequest(handle).answered = true
 }
 
-func (w *simulation) Cancel(Handle, AttemptNo)  {}
-func (w *simulation) Succeed(Handle, AttemptNo) {}
-func (w *simulation) Log(string)                {}
-func (w *simulation) Forget(EndpointID)         { w.eventCounts["forgotten"]++ }
-func (w *simulation) Wake(in Time)              { w.schedule(in, func() { w.balancer.Woken(w.now) }) }
+func (s *simulation) Cancel(Handle, AttemptNo)  {}
+func (s *simulation) Succeed(Handle, AttemptNo) {}
+func (s *simulation) Log(string)                {}
+func (s *simulation) Forget(EndpointID)         { s.eventCounts["forgotten"]++ }
+func (s *simulation) Wake(after Time)           { s.schedule(after, func() { s.balancer.Woken(s.now) }) }
 
-// Release must leave alone what carries something.
-func (w *simulation) Release(id EndpointID) {
-	w.eventCounts["released"]++
-	for _, r := range w.requests {
-		for _, p := range r.attempts {
-			if p.inFlight && p.endpoint == id || w.settings.StreamsPerConnection <= 1 {
-				w.fail("connections to endpoint %d released: an attempt is in flight, or they carry one request each", id)
+// Release checks that connections are shared and have no attempt in flight.
+func (s *simulation) Release(id EndpointID) {
+	s.eventCounts["released"]++
+	for _, request := range s.requests {
+		for _, attempt := range request.attempts {
+			if attempt.inFlight && attempt.endpoint == id || s.settings.StreamsPerConnection <= 1 {
+				s.fail("connections to endpoint %d released: an attempt is in flight, or connections are not shared", id)
 			}
 		}
 	}
 }
 
-func (w *simulation) FollowList(bool) {
-	w.schedule(100*Millisecond, func() {
-		if w.Intn(3) == 0 {
-			w.balancer.ListFailed(w.now)
+func (s *simulation) FollowList(bool) {
+	s.schedule(100*Millisecond, func() {
+		if s.Intn(3) == 0 {
+			s.balancer.ListFailed(s.now)
 		} else {
-			w.updateList(ListFull)
+			s.updateList(ListFull)
 		}
 	})
 }
 
-// drawWeight is a weight: 1, or where it falls with load what an endpoint holding up to nine requests a core has
-// left.
-func (w *simulation) drawWeight() float64 {
-	if w.settings.FixedWeights {
+// drawWeight returns a weight: 1, or if weights fall with load, that of an endpoint that holds up to nine requests for
+// each core.
+func (s *simulation) drawWeight() float64 {
+	if s.settings.FixedWeights {
 		return 1
 	}
-	return 1 / float64(1+w.Intn(10))
+	return 1 / float64(1+s.Intn(10))
 }
 
-// updateList changes the fleet a little and notifies the instance.
-func (w *simulation) updateList(kind ListKind) {
-	var all []Member
+// updateList changes some endpoints at random and passes the list to the instance.
+func (s *simulation) updateList(kind ListKind) {
+	var members []Member
 	for id := EndpointID(1); id <= 8; id++ {
-		m := w.members[id]
-		switch w.Intn(12) {
+		member := s.members[id]
+		switch s.Intn(12) {
 		case 0:
-			m.Status = Draining
+			member.Status = Draining
 		case 1:
-			m.Status = Removed
+			member.Status = Removed
 		case 2:
-			m.Status, m.Started = Ready, w.now
-			delete(w.coldSuccesses, id)
+			member.Status, member.Started = Ready, s.now
+			delete(s.coldSuccesses, id)
 		case 3:
-			m.Status = Ready
+			member.Status = Ready
 		}
-		m.ID, m.Weight, m.Zone, m.Cell = id, w.drawWeight(), Zone([]string{"a", "b"}[id%2]), Cell(id%4)
-		w.members[id] = m
-		all = append(all, m)
+		member.ID, member.Weight, member.Zone, member.Cell = id, s.drawWeight(), Zone([]string{"a", "b"}[id%2]), Cell(id%4)
+		s.members[id] = member
+		members = append(members, member)
 	}
-	if w.Intn(20) == 0 && kind == ListFull {
-		all = nil
+	if s.Intn(20) == 0 && kind == ListFull {
+		members = nil
 	}
-	w.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+	s.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 	listed := map[EndpointID]bool{}
 	warm := 0
-	for _, m := range all {
-		listed[m.ID] = m.Status == Ready
-		if m.Status == Ready && (m.Started == 0 || w.now >= m.Started+w.settings.ColdTime) {
+	for _, member := range members {
+		listed[member.ID] = member.Status == Ready
+		if member.Status == Ready && (member.Started == 0 || s.now >= member.Started+s.settings.ColdTime) {
 			warm++
 		}
 	}
-	w.fewestWarm = min(w.fewestWarm, warm)
-	for id := range w.members {
-		if _, was := w.leavingSince[id]; listed[id] {
-			delete(w.leavingSince, id)
+	s.fewestWarm = min(s.fewestWarm, warm)
+	for id := range s.members {
+		if _, was := s.leavingSince[id]; listed[id] {
+			delete(s.leavingSince, id)
 		} else if !was {
-			w.leavingSince[id] = w.now
+			s.leavingSince[id] = s.now
 		}
 	}
-	w.balancer.UpdateEndpoints(w.now, kind, all)
+	s.balancer.UpdateEndpoints(s.now, kind, members)
 }
 
-// start starts an incarnation of the instance; requests of an earlier one are the clients' to retry.
-func (w *simulation) start() {
-	w.incarnation++
-	w.shutdownBy = 0
-	w.requests = map[Handle]*modelRequest{}
-	w.leavingSince = map[EndpointID]Time{}
-	w.balancer = New(w, w.settings, uint64(w.Int63()), w.now)
-	if w.Intn(4) > 0 {
-		w.updateList(ListSaved)
+// start starts a new incarnation of the instance. The requests of the earlier one are dropped.
+func (s *simulation) start() {
+	s.incarnation++
+	s.shutdownBy = 0
+	s.requests = map[Handle]*modelRequest{}
+	s.leavingSince = map[EndpointID]Time{}
+	s.balancer = New(s, s.settings, uint64(s.Int63()), s.now)
+	if s.Intn(4) > 0 {
+		s.updateList(ListSaved)
 	}
 }
 
-// shutDown lets the instance end a little later: whatever is open must be answered by then.
-func (w *simulation) shutDown() {
-	by := w.now + 300*Millisecond
-	w.balancer.Shutdown(w.now, by)
-	for _, r := range w.requests {
+// shutDown announces the end of the instance, by which all open requests must be answered.
+func (s *simulation) shutDown() {
+	by := s.now + 300*Millisecond
+	s.balancer.Shutdown(s.now, by)
+	for _, r := range s.requests {
 		r.deadline = min(r.deadline, by)
 	}
-	w.shutdownBy = by
+	s.shutdownBy = by
 }
 
-func (w *simulation) admit() {
-	o := ClassID(w.Intn(len(w.settings.Classes)))
+func (s *simulation) admit() {
+	class := ClassID(s.Intn(len(s.settings.Classes)))
 	key := ""
-	if w.Intn(5) > 0 {
-		key = fmt.Sprint("key", w.Intn(20))
+	if s.Intn(5) > 0 {
+		key = fmt.Sprint("key", s.Intn(20))
 	}
-	left := Time(w.Int63n(int64(2 * Second)))
-	if w.Intn(20) == 0 {
-		left = Millisecond
+	timeLeft := Time(s.Int63n(int64(2 * Second)))
+	if s.Intn(20) == 0 {
+		timeLeft = Millisecond
 	}
-	h := w.balancer.Admit(w.now, o, TenantID(w.Intn(2)), key, w.Intn(5) == 0, left)
-	w.requests[h] = &modelRequest{class: w.settings.Classes[o], deadline: w.now + left}
-	if w.shutdownBy > 0 {
-		w.requests[h].deadline = min(w.now+left, w.shutdownBy)
+	handle := s.balancer.Admit(s.now, class, TenantID(s.Intn(2)), key, s.Intn(5) == 0, timeLeft)
+	s.requests[handle] = &modelRequest{class: s.settings.Classes[class], deadline: s.now + timeLeft}
+	if s.shutdownBy > 0 {
+		s.requests[handle].deadline = min(s.now+timeLeft, s.shutdownBy)
 	}
-	w.balancer.Begin(w.now, h)
-	if w.Intn(30) == 0 {
-		w.schedule(left/2, func() {
-			if r := w.requests[h]; !r.answered {
+	s.balancer.Begin(s.now, handle)
+	if s.Intn(30) == 0 {
+		s.schedule(timeLeft/2, func() {
+			if r := s.requests[handle]; !r.answered {
 				r.answered = true
-				w.balancer.ClientLeft(w.now, h)
+				s.balancer.ClientLeft(s.now, handle)
 			}
 		})
 	}
 }
 
-// simulate runs a drawn history to its end and returns what was done, and the first rule broken.
+// simulate runs a random history of 20 s, or until a rule is violated, and returns the simulation.
 func simulate(seed int64) *simulation {
-	r := rand.New(rand.NewSource(seed))
-	w := &simulation{Rand: r, now: 100 * Second, members: map[EndpointID]Member{}, coldAttempts: map[EndpointID][]Time{}, coldSuccesses: map[EndpointID][]Time{},
+	random := rand.New(rand.NewSource(seed))
+	s := &simulation{Rand: random, now: 100 * Second, members: map[EndpointID]Member{}, coldAttempts: map[EndpointID][]Time{}, coldSuccesses: map[EndpointID][]Time{},
 		eventCounts: map[string]int{}, fewestWarm: 8, settings: &Settings{
-			Instances: 1 + r.Intn(4), Zone: "a", Tenants: []Tenant{{"x", 20}, {"y", 20}}, OverQuotaValue: 0.05,
+			Instances: 1 + random.Intn(4), Zone: "a", Tenants: []Tenant{{"x", 20}, {"y", 20}}, OverQuotaValue: 0.05,
 			TotalQuota: 40, Zones: 2,
-			PollList: r.Intn(2) == 0, PollWithin: 10 * Second, MayCancel: true, MaxAttempts: 3, MaxRetryAfter: Second,
-			FixedWeights: r.Intn(2) == 0, StreamsPerConnection: 1 + 99*r.Intn(2),
-			CrossZonePrice: 0.1 * float64(r.Intn(2)), Tick: 5 * Millisecond, ColdCapacity: 0.1 + r.Float64()/4,
+			PollList: random.Intn(2) == 0, PollWithin: 10 * Second, MayCancel: true, MaxAttempts: 3, MaxRetryAfter: Second,
+			FixedWeights: random.Intn(2) == 0, StreamsPerConnection: 1 + 99*random.Intn(2),
+			CrossZonePrice: 0.1 * float64(random.Intn(2)), Tick: 5 * Millisecond, ColdCapacity: 0.1 + random.Float64()/4,
 			ColdTime: 20 * Second, OverloadMultiple: 3, Classes: []Class{
 				{Name: "r", Value: 5, Target: Second / 2, Deadline: 2 * Second},
 				{Name: "n", LateValue: 0.2, Target: Second / 2, Idempotency: Keyed, Window: Second / 2},
 				{Name: "z", LateValue: 0.2, Target: Second / 2, Idempotency: Keyed, Group: GroupZone, Window: Second / 2},
 				{Name: "c", LateValue: 0.2, Target: Second / 2, Idempotency: Keyed, Group: GroupCell, Window: Second},
 				{Name: "o", LateValue: 0.2, Target: Second / 2, Idempotency: NonIdempotent}}}}
-	w.start()
-	for end := w.now + 20*Second; w.now < end && w.violation == ""; {
-		next := w.now + Time(w.Int63n(int64(20*Millisecond)))
+	s.start()
+	for end := s.now + 20*Second; s.now < end && s.violation == ""; {
+		next := s.now + Time(s.Int63n(int64(20*Millisecond)))
 		for {
 			due := -1
-			for i, e := range w.events {
-				if e.at <= next && (due < 0 || e.at < w.events[due].at) {
+			for i, e := range s.events {
+				if e.at <= next && (due < 0 || e.at < s.events[due].at) {
 					due = i
 				}
 			}
 			if due < 0 {
 				break
 			}
-			e := w.events[due]
-			w.events = slices.Delete(w.events, due, due+1)
-			w.now = max(w.now, e.at)
+			e := s.events[due]
+			s.events = slices.Delete(s.events, due, due+1)
+			s.now = max(s.now, e.at)
 			e.do()
 		}
-		w.now = next
-		for _, r := range w.requests {
-			if !r.answered && w.now > r.deadline+20*Millisecond {
-				w.fail("rule 1: no answer before the deadline")
+		s.now = next
+		for _, r := range s.requests {
+			if !r.answered && s.now > r.deadline+20*Millisecond {
+				s.fail("rule 1: no answer before the deadline")
 			}
 		}
-		switch k := w.Intn(200); {
-		case k == 0 && w.Intn(2) == 0:
-			// A new version follows, and goes on from what this one has learned.
-			old := w.balancer.ExportState(w.now)
-			w.start()
-			w.updateList(ListFull)
-			w.balancer.ImportState(w.now, old)
-			w.eventCounts["successor"]++
-		case k == 0:
-			w.start()
-		case k == 1 && w.now > end-Second:
-			w.shutDown()
-		case k < 4:
-			w.updateList([]ListKind{ListFull, ListChanges}[w.Intn(2)])
-		case k < 150:
-			w.admit()
+		switch draw := s.Intn(200); {
+		case draw == 0 && s.Intn(2) == 0:
+			// A successor process takes over with the learned state.
+			old := s.balancer.ExportState(s.now)
+			s.start()
+			s.updateList(ListFull)
+			s.balancer.ImportState(s.now, old)
+			s.eventCounts["successor"]++
+		case draw == 0:
+			s.start()
+		case draw == 1 && s.now > end-Second:
+			s.shutDown()
+		case draw < 4:
+			s.updateList([]ListKind{ListFull, ListChanges}[s.Intn(2)])
+		case draw < 150:
+			s.admit()
 		}
 	}
-	return w
+	return s
 }
--- a/policy/learnedstate.go
+++ b/policy/learnedstate.go
@@ -1,62 +1,63 @@
 package policy
 
-// LearnedState is what an instance has learned, for one that goes on in its place. It is passed on as JSON:
-// the names and the order of its fields are part of the format.
+// LearnedState is the state that an instance has learned and passes on to its successor. It is encoded as
+// JSON: the keys and the order of its fields are part of the format.
 type LearnedState struct {
-	Baseline           float64             `json:"Calm"`
-	LatencyPerReported float64             `json:"PerHeld"`
-	Limit              float64             `json:"Pace"`
-	InUse              float64             `json:"InUse"`
-	Lateness           float64             `json:"Late"`
-	RetryBudget        float64             `json:"Pushes"`
-	NearShare          float64             `json:"NearPart"`
-	ZoneLatency        [2]float64          `json:"Sides"`
-	MeanLatency        []float64           `json:"Usual"`    // by class
+	Baseline           float64             `json:"Calm"`     // baseline latency, in target latencies
+	LatencyPerReported float64             `json:"PerHeld"`  // see loadReports.latencyPerLoad
+	Limit              float64             `json:"Pace"`     // concurrency limit
+	InUse              float64             `json:"InUse"`    // mean attempts in flight
+	Lateness           float64             `json:"Late"`     // mean of answer time over target latency
+	RetryBudget        float64             `json:"Pushes"`   // retries that may be made now
+	NearShare          float64             `json:"NearPart"` // part of the keys that prefer local endpoints
+	ZoneLatency        [2]float64          `json:"Sides"`    // see zonePreference.lateness
+	MeanLatency        []float64           `json:"Usual"`    // by class, in ns
 	FirstAttempts      []FirstAttemptTimes `json:"Patience"` // by class
-	TenantRates        []float64           `json:"Use"`      // by tenant
-	ArrivalRate        float64             `json:"Arrivals"`
-	SuccessRate        float64             `json:"Done"`
-	WarmRate           float64             `json:"Borne"`
-	RecentKeys         []uint64            `json:"Recent"` // the latest first
+	TenantRates        []float64           `json:"Use"`      // by tenant: requests per second
+	ArrivalRate        float64             `json:"Arrivals"` // requests per second
+	SuccessRate        float64             `json:"Done"`     // successful attempts per second to warm endpoints
+	WarmRate           float64             `json:"Borne"`    // see warmup.rate
+	RecentKeys         []uint64            `json:"Recent"`   // hashes, the latest first
 	Endpoints          []LearnedEndpoint   `json:"Servers"`
 }
 
-// FirstAttemptTimes is the time that clients' first attempts of a class come with, and the part that came
-// with less.
+// FirstAttemptTimes describes the time left until the deadline with which the requests of a class arrive, not
+// counting clients' retries.
 type FirstAttemptTimes struct {
 	Longest      Time    `json:"Most"`
-	ShorterShare float64 `json:"Odd"`
+	ShorterShare float64 `json:"Odd"` // part that came with clearly less than Longest
 }
 
-// LearnedEndpoint is what was learned of one endpoint.
+// LearnedEndpoint is the state learned for one endpoint.
 type LearnedEndpoint struct {
 	ID           EndpointID `json:"ID"`
 	Started      Time       `json:"Started"`
 	Weight       float64    `json:"Weight"`
-	Limit        float64    `json:"Limit"`
-	Ratio        float64    `json:"Ratio"`
-	Served       float64    `json:"Served"`
-	Failures     int        `json:"Row"`
-	SlowStart    int        `json:"Trickle"`
+	Limit        float64    `json:"Limit"`   // most attempts in flight
+	Ratio        float64    `json:"Ratio"`   // mean of answer time over target latency
+	Served       float64    `json:"Served"`  // successful attempts per second
+	Failures     int        `json:"Row"`     // consecutive failures
+	SlowStart    int        `json:"Trickle"` // attempts allowed in flight in slow start; 0: not in it
 	EjectedUntil Time       `json:"AsideTill"`
-	Ejection     Time       `json:"Skip"`
-	Budget       float64    `json:"Budget"`
+	Ejection     Time       `json:"Skip"`   // length of the latest ejection
+	Budget       float64    `json:"Budget"` // attempts that may be sent to it now while it is cold
 }
 
-// ExportState returns what was learned. The budgets of cold endpoints, and the rates by which they grow, pass
-// over to the successor; this instance begins anew, so that both together stay within what one had.
+// ExportState returns the learned state for a successor. It hands over the budgets of cold endpoints and the
+// rates at which they grow: in this instance they are reset, so that both instances together stay within the
+// budget of one.
 func (b *Balancer) ExportState(now Time) LearnedState {
 	state := LearnedState{
 		Baseline:           b.baseline,
 		LatencyPerReported: b.reports.latencyPerLoad,
 		Limit:              b.concurrency.limit,
-		InUse:              b.concurrency.inUseMean,
+		InUse:              b.concurrency.inFlightMean,
 		Lateness:           b.concurrency.latenessMean,
 		RetryBudget:        b.retries.tokens,
 		NearShare:          b.zones.localShare,
 		ZoneLatency:        b.zones.lateness,
-		ArrivalRate:        b.arrivals.now(now),
-		SuccessRate:        b.successes.now(now),
+		ArrivalRate:        b.arrivals.current(now),
+		SuccessRate:        b.successes.current(now),
 		WarmRate:           b.warmup.rate,
 		RecentKeys:         b.recentKeys.latestFirst(),
 	}
@@ -69,7 +70,7 @@
 		})
 	}
 	for i := range b.tenants {
-		state.TenantRates = append(state.TenantRates, b.tenants[i].now(now))
+		state.TenantRates = append(state.TenantRates, b.tenants[i].current(now))
 	}
 	b.successes.rate = 0
 	b.warmup.rate = 0
@@ -91,7 +92,7 @@
 		Weight:       e.Weight,
 		Limit:        e.limit,
 		Ratio:        e.latencyRatio,
-		Served:       e.successes.now(now),
+		Served:       e.successes.current(now),
 		Failures:     e.failures,
 		SlowStart:    e.slowStart,
 		EjectedUntil: e.ejectedUntil,
@@ -100,8 +101,8 @@
 	}
 }
 
-// ImportState goes on from what another instance has learned, of the endpoints in the list that have not
-// started anew since. A state of other classes or tenants is ignored.
+// ImportState takes over the state that another instance has learned. Endpoints that are not in the list or
+// have restarted since are left out. A state with another number of classes or tenants is ignored.
 func (b *Balancer) ImportState(now Time, state LearnedState) {
 	if !b.matches(&state) {
 		return
@@ -109,7 +110,7 @@
 	b.baseline = state.Baseline
 	b.reports.latencyPerLoad = state.LatencyPerReported
 	b.concurrency.limit = state.Limit
-	b.concurrency.inUseMean = state.InUse
+	b.concurrency.inFlightMean = state.InUse
 	b.concurrency.latenessMean = state.Lateness
 	b.concurrency.observedAt = now
 	b.retries.tokens = state.RetryBudget
--- a/policy/listpolling.go
+++ b/policy/listpolling.go
@@ -3,41 +3,43 @@
 import "fmt"
 
 const (
-	// pollSpread is, for each instance, the time over which the instances' requests for the list are spread.
-	pollSpread Time = 10 * Millisecond
-	// minPollDelay is the least delay after a failure.
+	// pollSpreadPerInstance is the time, for each instance of the fleet, over which the instances spread
+	// their first requests for the endpoint list.
+	pollSpreadPerInstance Time = 10 * Millisecond
+	// minPollDelay is the minimum backoff after a failure, before jitter.
 	minPollDelay Time = Second / 4
-	// maxPollPart is the part of Settings.PollWithin, as a divisor, that the delay grows to.
-	maxPollPart = 4
+	// maxPollDelayDivisor divides Settings.PollWithin to give the maximum backoff, before jitter.
+	maxPollDelayDivisor = 4
 )
 
-// listPolling decides when to ask for the endpoint list where it doesn't come by itself.
+// listPolling schedules requests for the endpoint list where it is not pushed.
 type listPolling struct {
-	nextAt Time // 0: following the list
-	delay  Time
+	nextAt Time // next request for the list; 0: none, the list is being followed
+	delay  Time // latest backoff, before jitter
 }
 
-// startPolling asks for the list at a random moment: in step, hundreds of instances would swamp its service.
+// startPolling schedules the first request for the list at a random time, so that hundreds of instances that
+// start together do not overload the service that provides it.
 func (b *Balancer) startPolling(now Time) {
 	b.polling.delay = min(b.pollSpread(), b.maxPollDelay())
 	b.polling.nextAt = now + Time(b.random.fraction()*float64(b.polling.delay)) + 1
 	b.wake(now, b.polling.nextAt)
 }
 
-// ListFailed is called when asking for the list failed or following it broke.
+// ListFailed reports that a request for the endpoint list failed or that following the list was interrupted.
 func (b *Balancer) ListFailed(now Time) {
 	p := &b.polling
 	p.delay = min(max(2*p.delay, b.pollSpread(), minPollDelay), b.maxPollDelay())
 	p.nextAt = now + Time(float64(p.delay)*(0.5+b.random.fraction()))
-	b.front.Log(fmt.Sprintf("endpoint list: request failed, next in %dms", (p.nextAt-now)/Millisecond))
+	b.front.Log(fmt.Sprintf("endpoint list: request failed, retrying in %dms", (p.nextAt-now)/Millisecond))
 	b.wake(now, p.nextAt)
 }
 
-func (b *Balancer) pollSpread() Time { return Time(b.settings.Instances) * pollSpread }
+func (b *Balancer) pollSpread() Time { return Time(b.settings.Instances) * pollSpreadPerInstance }
 
-func (b *Balancer) maxPollDelay() Time { return b.settings.PollWithin / maxPollPart }
+func (b *Balancer) maxPollDelay() Time { return b.settings.PollWithin / maxPollDelayDivisor }
 
-// pollIfDue asks for the list when it is time.
+// pollIfDue requests the list if it is time to do so.
 func (b *Balancer) pollIfDue(now Time) {
 	switch {
 	case b.polling.nextAt <= 0:
--- a/policy/loadreports.go
+++ b/policy/loadreports.go
@@ -2,24 +2,26 @@
 
 const (
 	// initialLatencyPerLoad is the answer time expected for each request held, in target latencies, before
-	// any report.
+	// the first list.
 	initialLatencyPerLoad = 0.15
-	// reportFreshness is how long the load that a list shows counts.
+	// reportFreshness is the time after which the load that a list shows is stale.
 	reportFreshness Time = 2 * Second
-	// reportReductionInterval is the least time between two reductions of the limit by reported load.
+	// reportReductionInterval is the minimum time between a reduction of the concurrency limit and one by
+	// reported load.
 	reportReductionInterval Time = Second / 4
-	// learningRate is the weight of a list in latencyPerLoad; overload teaches little, but what was learned
-	// wrongly must not last.
-	learningRate         = 0.05
+	// learningRate is the weight of the latest list in latencyPerLoad.
+	learningRate = 0.05
+	// overloadLearningRate is the same while answers are expected to be late. Latencies under overload say
+	// little about it, but a wrong value must not last.
 	overloadLearningRate = 0.01
 )
 
-// loadReports is the load that the endpoint list shows, where weights fall with load.
+// loadReports is the load that the endpoint list shows, where listed weights fall with load.
 type loadReports struct {
-	mean           float64 // requests held for each core, over the fleet
-	localMean      float64 // the same over this instance's zone
-	latencyPerLoad float64 // mean of answer time over target latency, for each request held
-	receivedAt     Time    // latest list
+	mean           float64 // mean number of requests that an endpoint holds for each core, over the fleet
+	localMean      float64 // the same over the endpoints in this instance's zone
+	latencyPerLoad float64 // learned answer time for each request held, in target latencies
+	receivedAt     Time    // when the latest list came
 }
 
 func newLoadReports() loadReports { return loadReports{latencyPerLoad: initialLatencyPerLoad} }
@@ -27,15 +29,15 @@
 // available reports whether the list shows any load.
 func (l *loadReports) available() bool { return l.mean != 0 }
 
-// fresh reports whether the list shows load and is recent.
+// fresh reports whether the list shows load and is not stale.
 func (l *loadReports) fresh(now Time) bool {
 	return l.mean > 0 && now-l.receivedAt < reportFreshness
 }
 
-// expectedLateness is the lateness that the reported load lets expect.
+// expectedLateness returns the mean lateness to expect at the reported load.
 func (l *loadReports) expectedLateness() float64 { return l.latencyPerLoad * (1 + l.mean) }
 
-// weightedMean is a mean in the making.
+// weightedMean accumulates a weighted mean.
 type weightedMean struct{ weight, sum float64 }
 
 func (m *weightedMean) add(value, weight float64) {
@@ -45,7 +47,7 @@
 
 func (m *weightedMean) value() float64 { return m.sum / max(m.weight, 1) }
 
-// updateReports takes the mean loads from the endpoints that are ready and not ejected.
+// updateReports updates the mean loads, over the endpoints that are ready and not ejected, after a new list.
 func (b *Balancer) updateReports(now Time) {
 	var fleet, local weightedMean
 	for _, index := range b.table.byID {
@@ -63,8 +65,8 @@
 	b.limitByReports(now)
 }
 
-// limitByReports reduces the concurrency limit when the reported load, by what answers took, is answered
-// late.
+// limitByReports reduces the concurrency limit if answers are expected to be late at the reported load, and
+// updates latencyPerLoad.
 func (b *Balancer) limitByReports(now Time) {
 	if !b.reports.available() {
 		return
--- a/policy/maintenance.go
+++ b/policy/maintenance.go
@@ -3,26 +3,29 @@
 import "slices"
 
 const (
-	// maintenanceInterval is the time between looks at all endpoints.
+	// maintenanceInterval is the minimum time between two checks of all endpoints.
 	maintenanceInterval Time = Second / 4
-	// slotHoldTime is how long an endpoint listed as gone keeps its slots.
+	// slotHoldTime is how long an endpoint keeps its slots after it was last listed.
 	slotHoldTime Time = 30 * Second
-	// idleConnectionTime is how long one endpoint's idle connections are kept, summed over all instances.
-	idleConnectionTime Time = 10 * Second
-	// minExpectedLateness keeps the time that idle connections are kept finite.
+	// fleetIdleTime is how long idle connections to one endpoint are kept, summed over all instances, when
+	// the expected lateness is 1.
+	fleetIdleTime Time = 10 * Second
+	// minExpectedLateness is the least expected lateness that idleConnectionTime assumes, so that its result
+	// is finite.
 	minExpectedLateness = 0.2
-	// latencyFade is the part by which an endpoint's mean latency returns to the baseline in each interval.
+	// latencyFade is the part of the difference by which an endpoint's mean latency returns to the baseline
+	// latency in each interval.
 	latencyFade = 0.01
 )
 
-// maintain looks at all endpoints once in each interval.
+// maintain checks all endpoints, once in each maintenanceInterval.
 func (b *Balancer) maintain(now Time) {
 	if now < b.maintainAt {
 		return
 	}
 	b.maintainAt = now + maintenanceInterval
 	b.ejected = 0
-	// An empty list is more likely a fault of the list than the end of the fleet, and moves nothing.
+	// An empty list is more likely a fault of the list than the end of the fleet, so no endpoint is removed.
 	empty := !slices.ContainsFunc(b.table.endpoints, func(e endpoint) bool { return e.Status != Removed })
 	idleTime := b.idleConnectionTime()
 	warmWeight := 0.0
@@ -42,29 +45,29 @@
 			b.removeDeparted(now, endpointIndex(i))
 		}
 	}
-	b.warmup.rate = b.successes.now(now) / max(warmWeight, 1)
+	b.warmup.rate = b.successes.current(now) / max(warmWeight, 1)
 	b.adjustLocalShare(now)
 	b.noteRecovery(now)
 }
 
-// idleConnectionTime is how long this instance keeps idle connections: a connection kept costs most where
-// endpoints are busy.
+// idleConnectionTime returns how long this instance keeps idle connections. It is shorter where endpoints
+// are busier, because a connection that is kept costs most there.
 func (b *Balancer) idleConnectionTime() Time {
 	expected := max(minExpectedLateness, b.reports.expectedLateness())
-	return Time(float64(idleConnectionTime) / float64(b.settings.Instances) / (expected * expected))
+	return Time(float64(fleetIdleTime) / float64(b.settings.Instances) / (expected * expected))
 }
 
-// releaseIdle gives back shared connections to the endpoint that have been idle for the time.
+// releaseIdle releases shared connections to the endpoint that have been idle for idleTime.
 func (b *Balancer) releaseIdle(now Time, e *endpoint, idleTime Time) {
-	idle := e.connectedAt > 0 && e.inFlight == 0 && now-e.connectedAt >= idleTime
+	idle := e.lastUsedAt > 0 && e.inFlight == 0 && now-e.lastUsedAt >= idleTime
 	if b.settings.sharedConnections() && idle {
-		e.connectedAt = 0
+		e.lastUsedAt = 0
 		b.front.Release(e.ID)
 	}
 }
 
-// removeDeparted removes an endpoint that has been gone for the hold time and that no request depends on. Its
-// place is reused: endpoints that come under ever new ids must not fill the memory.
+// removeDeparted removes an endpoint that has not been listed for slotHoldTime and that no request depends
+// on. Its entry is reused, so that endpoints that restart under new ids do not fill the memory.
 func (b *Balancer) removeDeparted(now Time, index endpointIndex) {
 	e := &b.table.endpoints[index]
 	if !e.inTable || now-e.listedAt < slotHoldTime || e.inFlight > 0 || b.requests.mayHaveRunOn(index) {
@@ -74,7 +77,7 @@
 	b.front.Forget(e.ID)
 }
 
-// wake asks for a call at the given time, unless an earlier one is asked for.
+// wake has the front call Woken at the given time, unless an earlier call is pending.
 func (b *Balancer) wake(now, at Time) {
 	if b.wakeAt == 0 || at < b.wakeAt {
 		b.wakeAt = at
@@ -82,10 +85,11 @@
 	}
 }
 
-// Woken answers the requests whose time is up, sends queued ones and asks for the endpoint list.
+// Woken is called by the front at the time requested by Front.Wake. It rejects the requests whose time is up,
+// sends queued ones, and does the maintenance and the requests for the endpoint list that are due.
 func (b *Balancer) Woken(now Time) {
 	if now+Millisecond < b.wakeAt {
-		return // an earlier call has replaced this one
+		return // superseded: an earlier call was requested after this one and has already come
 	}
 	b.wakeAt = 0
 	b.pollIfDue(now)
@@ -101,8 +105,8 @@
 	}
 }
 
-// rejectIfDue rejects a request whose time is up: a time-out that never came must not leave its client
-// unanswered.
+// rejectIfDue rejects a request whose time is up. Its client is thus answered even if the timeout of an
+// attempt is never reported.
 func (b *Balancer) rejectIfDue(now Time, r *request) {
 	due := b.answerBy(r)
 	if r.queued {
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -3,29 +3,30 @@
 import "fmt"
 
 const (
-	// meanLatencyWeight is the weight of the latest answer in a class's mean answer time.
+	// meanLatencyWeight is the weight of the latest answer in a class's mean latency.
 	meanLatencyWeight = 0.05
-	// baselineRise and baselineFall are the weights of an answer in the baseline. It is followed from below,
-	// so that a long overload is not taken for it.
+	// baselineRise and baselineFall are the weights of an answer in the baseline latency, where the
+	// endpoint's mean latency is above or below it. It rises slowly, so that a long overload is not taken for
+	// the baseline.
 	baselineRise = 0.0005
 	baselineFall = 0.05
 
-	// endpointReductionInterval is the least time between two reductions of an endpoint's limit.
+	// endpointReductionInterval is the minimum time between two reductions of an endpoint's limit.
 	endpointReductionInterval Time = 200 * Millisecond
-	// overloadReduction is the part of an endpoint's limit left after a rejection or time-out that shows
-	// overload.
+	// overloadReduction is the factor by which a rejection or timeout that shows overload reduces an
+	// endpoint's limit.
 	overloadReduction = 0.7
-	// maxEndpointReduction is the part that late answers leave of it at least.
+	// maxEndpointReduction is the smallest factor by which a late answer reduces it.
 	maxEndpointReduction = 0.5
-	// loneTimeoutGrowth is added to the limit for a time-out that shows no overload: the attempt held a place
-	// that others needed.
+	// loneTimeoutGrowth is added to the limit for a timeout that shows no overload, because the attempt took
+	// up part of the limit that other attempts needed.
 	loneTimeoutGrowth = 0.5
 )
 
-// recordOutcome learns from an attempt that was not cancelled.
+// recordOutcome updates the statistics after an attempt that was not cancelled.
 func (b *Balancer) recordOutcome(now Time, r *request, e *endpoint, outcome Outcome, elapsed Time) {
 	if outcome == TimedOut && elapsed < Time(b.meanLatency(r)) {
-		return // its client left less time than answers take, which is no sign of the endpoint
+		return // the client allowed less time than answers take, which says nothing about the endpoint
 	}
 	if outcome == Succeeded {
 		b.recordSuccess(now, r, e, elapsed)
@@ -55,15 +56,16 @@
 	b.adjustEndpointLimit(now, e, ratio)
 }
 
-// recordFailure tells overload from other failures. What rejects, yet answers in time, is about to leave;
-// other errors are no sign of load, nor is a time-out while later attempts succeed.
+// recordFailure distinguishes overload from other failures. An endpoint that rejects attempts although it
+// answers in time is about to shut down. Other errors are no sign of load, and neither is a timeout while
+// attempts that were sent later succeed.
 func (b *Balancer) recordFailure(now Time, r *request, e *endpoint, outcome Outcome, elapsed Time) {
-	full := outcome == Rejected && (b.load(e) > highLoad || e.reportedLoad > b.reports.mean)
-	if !full {
+	overloaded := outcome == Rejected && (b.load(e) > highLoad || e.reportedLoad > b.reports.mean)
+	if !overloaded {
 		b.countFailure(now, r, e, outcome)
 	}
-	timedOutLate := outcome == TimedOut && (now-elapsed >= e.healthyAt || b.load(e) > lowLoad)
-	if full || timedOutLate {
+	overloadTimeout := outcome == TimedOut && (now-elapsed >= e.healthyAt || b.load(e) > lowLoad)
+	if overloaded || overloadTimeout {
 		target := b.class(r).Target
 		ratio := float64(elapsed) / float64(target)
 		b.observeLateness(now, e, 1, min(elapsed, target), target)
@@ -74,7 +76,8 @@
 	}
 }
 
-// advanceSlowStart doubles what may be in flight to an endpoint after its ejection.
+// advanceSlowStart doubles the attempts that may be in flight to an endpoint in slow start, and ends the slow
+// start once they reach the endpoint's limit.
 func (b *Balancer) advanceSlowStart(e *endpoint) {
 	e.slowStart *= 2
 	if e.slowStart > 0 && float64(e.slowStart) >= e.limit {
@@ -83,22 +86,24 @@
 	}
 }
 
-// adjustEndpointLimit follows the endpoint's load after an answer.
+// adjustEndpointLimit adapts the endpoint's limit to its load after an answer. ratio is the answer time over
+// the target latency.
 func (b *Balancer) adjustEndpointLimit(now Time, e *endpoint, ratio float64) {
 	load := b.load(e)
 	switch {
 	case load > highLoad:
 		e.reduceLimit(now, max(maxEndpointReduction, highLoad/load))
 	case load < lowLoad && e.nearLimit():
-		// One more in two target latencies of full use, however short the answers.
+		// The limit grows by one in two target latencies of full use, however short the answers are.
 		e.limit += ratio / e.limit / 2
 	}
 }
 
-// reduceLimit leaves a part of the endpoint's limit, unless it was reduced a moment ago.
-func (e *endpoint) reduceLimit(now Time, part float64) {
+// reduceLimit multiplies the endpoint's limit by a factor below 1, unless it was reduced within the last
+// endpointReductionInterval.
+func (e *endpoint) reduceLimit(now Time, factor float64) {
 	if now-e.reducedAt >= endpointReductionInterval {
 		e.reducedAt = now
-		e.limit = max(1, e.limit*part)
+		e.limit = max(1, e.limit*factor)
 	}
 }
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -6,42 +6,45 @@
 )
 
 const (
-	// queuePart is the part of the answers expected in the time to wait that may be queued for.
+	// queuePart is the greatest queue length, as a part of the answers expected during the time that a
+	// request can wait.
 	queuePart = 0.5
-	// minQueueLength may wait for an endpoint however little it answers.
+	// minQueueLength is the number of requests that may always wait for an endpoint, however slowly it
+	// answers.
 	minQueueLength = 2
-	// queuePollTicks is the number of ticks between looks at the queue.
+	// queuePollTicks is the number of ticks between two checks of the queue.
 	queuePollTicks Time = 10
 )
 
-// requestQueue holds the indexes of waiting requests by value, then age.
+// requestQueue holds the pool indexes of waiting requests, highest value first, then oldest first.
 type requestQueue struct {
 	waiting []uint32
 }
 
 func (q *requestQueue) len() int { return len(q.waiting) }
 
-// insert puts a request behind those of at least its value.
+// insert adds a request behind all requests of the same or a higher value.
 func (q *requestQueue) insert(pool *requestPool, r *request) {
 	at := sort.Search(len(q.waiting), func(i int) bool { return pool.entries[q.waiting[i]].value < r.value })
 	q.waiting = slices.Insert(q.waiting, at, r.index)
 	r.queued = true
 }
 
-// remove takes out the request at a position of the queue.
+// remove removes the request at a position of the queue.
 func (q *requestQueue) remove(pool *requestPool, position int) {
 	pool.entries[q.waiting[position]].queued = false
 	q.waiting = slices.Delete(q.waiting, position, position+1)
 }
 
-// removeRequest takes out a request if it is in the queue.
+// removeRequest removes a request if it is in the queue.
 func (q *requestQueue) removeRequest(pool *requestPool, r *request) {
 	if position := slices.Index(q.waiting, r.index); position >= 0 {
 		q.remove(pool, position)
 	}
 }
 
-// lengthFor counts the requests that wait for an endpoint, and finds the position of the least valued.
+// lengthFor returns the number of requests that wait for an endpoint and the position of the last of them,
+// which has the least value; the position is -1 if there are none.
 func (q *requestQueue) lengthFor(pool *requestPool, home endpointIndex) (count, leastValued int) {
 	leastValued = -1
 	for position, index := range q.waiting {
@@ -53,8 +56,8 @@
 	return count, leastValued
 }
 
-// enqueue lets the request wait unless too many do already for the same endpoint: then the least valued of
-// them gets its last try.
+// enqueue queues the request. If too many requests wait for the same endpoint already, the one with the least
+// value, which may be this one, does not wait any longer: it gets its last try.
 func (b *Balancer) enqueue(now Time, r *request) {
 	count, leastValued := b.queue.lengthFor(&b.requests, r.home)
 	if float64(count) >= b.maxQueueLength(now, r) {
@@ -71,28 +74,29 @@
 	b.wake(now, min(r.waitUntil, now+queuePollTicks*b.settings.Tick))
 }
 
-// maxQueueLength is how many requests may wait for what this one waits for, so that its wait ends in an
-// answer.
+// maxQueueLength returns how many requests may wait for the endpoint that this one waits for. It is limited
+// so that this request can expect an answer before its time in the queue ends.
 func (b *Balancer) maxQueueLength(now Time, r *request) float64 {
-	rate := b.successes.now(now)
+	rate := b.successes.current(now)
 	if r.home >= 0 {
 		home := &b.table.endpoints[r.home]
-		rate = max(home.successes.now(now), home.limit*float64(Second)/b.meanLatency(r))
+		rate = max(home.successes.current(now), home.limit*float64(Second)/b.meanLatency(r))
 	}
 	return max(minQueueLength, rate*float64(r.waitUntil-now)/float64(Second)*queuePart)
 }
 
-// leaveQueue sends a request for which there is room now.
+// leaveQueue sends a queued request to the endpoint chosen for it.
 func (b *Balancer) leaveQueue(r *request, result attemptResult) {
 	b.attempt(result.now, r, result.endpoint)
 }
 
-// drainQueue sends waiting requests for which there is room now. Where an attempt to the freed endpoint has
-// ended, only those that it can serve are looked at; noEndpoint looks at all.
+// drainQueue sends the waiting requests that an endpoint has room for now. freed is the endpoint whose
+// attempt has just ended: only requests that it may serve are considered. If freed is noEndpoint, all
+// requests are.
 func (b *Balancer) drainQueue(now Time, freed endpointIndex) {
 	for position := 0; position < b.queue.len() && b.concurrency.allows(now); {
 		if freed >= 0 && !b.table.endpoints[freed].hasRoom() {
-			return // the one place that was freed is taken: a long queue is not walked to its end
+			return // the freed capacity is used up: do not scan the rest of a long queue
 		}
 		r := &b.requests.entries[b.queue.waiting[position]]
 		if !b.mayServe(r, freed) {
@@ -109,7 +113,7 @@
 	}
 }
 
-// mayServe reports whether a queued request may go to the freed endpoint.
+// mayServe reports whether a queued request may be sent to the freed endpoint; with noEndpoint, to any.
 func (b *Balancer) mayServe(r *request, freed endpointIndex) bool {
 	return freed < 0 || r.home < 0 || r.home == freed || b.maySpill(r.home, &b.table.endpoints[freed])
 }
--- a/policy/random.go
+++ b/policy/random.go
@@ -1,14 +1,17 @@
 package policy
 
-// randomSource is a multiply-with-carry generator: small, seeded, and the same on every machine.
+// randomSource is a multiply-with-carry generator of random numbers. It is small, and the same seed gives the
+// same numbers on every machine.
 type randomSource struct{ state, carry uint32 }
 
+// Parameters of the generator.
 const (
 	multiplier = 4294957665
 	maxCarry   = multiplier - 1
 )
 
-// newRandomSource starts a generator. Similar seeds give similar first draws: mix them before.
+// newRandomSource returns a generator. Similar seeds give similar first numbers, so the caller should hash
+// them.
 func newRandomSource(seed uint64) randomSource {
 	return randomSource{
 		state: uint32(seed) | 1,
@@ -16,7 +19,7 @@
 	}
 }
 
-// next draws 32 bits.
+// next returns 32 random bits.
 func (r *randomSource) next() uint32 {
 	product := uint64(r.state)*multiplier + uint64(r.carry)
 	r.state = uint32(product)
@@ -24,10 +27,10 @@
 	return r.state
 }
 
-// fraction draws a number of at least 0 and under 1.
+// fraction returns a random number in [0, 1).
 func (r *randomSource) fraction() float64 { return float64(r.next()) / (1 << 32) }
 
-// next64 draws 64 bits.
+// next64 returns 64 random bits.
 func (r *randomSource) next64() uint64 {
 	high := uint64(r.next()) << 32
 	return high | uint64(r.next())
--- a/policy/recentkeys.go
+++ b/policy/recentkeys.go
@@ -1,22 +1,23 @@
 package policy
 
 const (
-	// recentKeyCount is how many of the latest keys are remembered.
+	// recentKeyCount is the number of latest keys that are remembered.
 	recentKeyCount = 256
-	// frequencyPrior is the number of requests under other keys that are assumed before any.
+	// frequencyPrior is the number of requests with other keys that are assumed to precede the first request.
 	frequencyPrior = 64
-	// burstLength is how many of the latest requests show a key that has just become hot.
+	// burstLength is the number of latest requests that are checked for a key that has just become hot.
 	burstLength = 32
 )
 
 // recentKeys is a ring of the latest requests' keys.
 type recentKeys struct {
 	keys  [recentKeyCount]uint64
-	count int // of all keys so far
+	count int // keys added so far
 }
 
-// observe adds a key and returns its part of the recent requests, or of the latest burst, whichever is more.
-// It counts this request in neither, and one more than it in the burst.
+// observe adds a key and returns its frequency: its part of the recent requests, or half of its part of the
+// latest burstLength requests if that is more. The request that is added counts in neither, and in the burst
+// one more request with the key is left out.
 func (k *recentKeys) observe(key uint64) (frequency float64) {
 	k.add(key)
 	occurrences := -1.0
@@ -40,7 +41,7 @@
 
 func (k *recentKeys) len() int { return min(k.count, len(k.keys)) }
 
-// latestFirst lists the keys, the latest first.
+// latestFirst returns the keys, the latest first.
 func (k *recentKeys) latestFirst() (keys []uint64) {
 	for i := range k.len() {
 		keys = append(keys, k.keys[(k.count-1-i)%len(k.keys)])
@@ -48,7 +49,8 @@
 	return keys
 }
 
-// restore replaces the keys by others, the latest first. More than fit are ignored, all of them.
+// restore replaces the keys by others, given with the latest first. If there are too many, it takes none of
+// them.
 func (k *recentKeys) restore(latestFirst []uint64) {
 	k.count = 0
 	if len(latestFirst) > len(k.keys) {
--- a/policy/rejection.go
+++ b/policy/rejection.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// rejectionLogInterval is the time without a rejection after which the overload counts as over.
-const rejectionLogInterval Time = Second
+// overloadEndDelay is the time without a rejection after which an overload has ended.
+const overloadEndDelay Time = Second
 
-// rejectionState keeps the log to one line at the start and one at the end of an overload.
+// rejectionState limits the log to one line at the start and one at the end of an overload.
 type rejectionState struct {
-	active bool
-	lastAt Time
+	active bool // whether an overload was logged and has not ended
+	lastAt Time // latest rejection
 }
 
 // noteRejection logs the first rejection of an overload.
@@ -23,8 +23,8 @@
 
 // noteRecovery logs the end of an overload.
 func (b *Balancer) noteRecovery(now Time) {
-	if b.rejections.active && now-b.rejections.lastAt > rejectionLogInterval {
+	if b.rejections.active && now-b.rejections.lastAt > overloadEndDelay {
 		b.rejections.active = false
-		b.front.Log("overload over: no request rejected for a second")
+		b.front.Log("overload ended: no request rejected for one second")
 	}
 }
--- a/policy/report.go
+++ b/policy/report.go
@@ -6,17 +6,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Gauges are an instance's figures for reports.
+// Gauges are current figures of an instance, for reports and metrics.
 type Gauges struct {
-	TotalLimit float64 // attempts that may be in flight in all
-	Limit      float64 // attempts that may be in flight to one endpoint, as the mean over the table
-	Lateness   float64 // mean of answer time over target latency
-	InFlight   int     // attempts
-	Waiting    int     // requests
-	Ejected    int     // endpoints
+	TotalLimit float64 // concurrency limit: most attempts in flight to all endpoints together
+	Limit      float64 // mean over the endpoints of the most attempts in flight to one of them
+	Lateness   float64 // moving average of answer time over target latency, where each counts as 1 at most
+	InFlight   int     // attempts in flight
+	Waiting    int     // requests in the queue
+	Ejected    int     // ejected endpoints
 }
 
-// Gauges returns the figures as they stand.
+// Gauges returns the current figures.
 func (b *Balancer) Gauges() Gauges {
 	gauges := Gauges{
 		TotalLimit: b.concurrency.limit,
@@ -31,7 +31,8 @@
 	return gauges
 }
 
-// TableDigest is a digest of the owners of all slots: the same in all instances with the same table.
+// TableDigest returns a digest of the owners of all slots. It is the same in all instances with the same
+// table.
 func (b *Balancer) TableDigest() uint64 {
 	digest := xxhash.New()
 	var encoded [8]byte
--- a/policy/request.go
+++ b/policy/request.go
@@ -1,9 +1,9 @@
 package policy
 
-// maxTriedEndpoints is how many endpoints of a request's attempts are remembered.
+// maxTriedEndpoints is the number of latest attempts of a request whose endpoints are remembered.
 const maxTriedEndpoints = 8
 
-// attemptResult is the end of an attempt, or the endpoint found for a queued request.
+// attemptResult is the result of an attempt, or the endpoint chosen for a queued request.
 type attemptResult struct {
 	now      Time
 	outcome  Outcome
@@ -11,65 +11,65 @@
 	attempt  AttemptNo
 }
 
-// continuation is the next step of a request.
+// continuation is the next step of a request, after its attempt has ended or an endpoint for it was chosen.
 type continuation func(*Balancer, *request, attemptResult)
 
-// request is a request from its admission to its release.
+// request is the state of a request from its admission to its release.
 type request struct {
-	generation uint32
-	index      uint32 // in the pool
-	inUse      bool
-	answered   bool
+	generation uint32 // of the pool entry
+	index      uint32 // of the pool entry
+	inUse      bool   // whether the pool entry holds a request
+	answered   bool   // whether no answer is needed any more
 	queued     bool
-	mayHaveRun bool
+	mayHaveRun bool // whether an attempt may have run on an endpoint
 	class      ClassID
 
-	keyless      bool
-	key          uint64  // hash of its key, or drawn at random
-	keyFrequency float64 // its key's part of the traffic
-	value        float64 // value a second of an endpoint's work
+	keyless      bool    // whether it came without a key
+	key          uint64  // hash of its key; random if it is keyless
+	keyFrequency float64 // part of the recent requests that have its key
+	value        float64 // expected value for each second that an endpoint works on it
 
 	home      endpointIndex // endpoint that it waits for; noEndpoint: any
-	arrivedAt Time
+	arrivedAt Time          // a client's retry may count as arrived earlier; see backdateRetry
 	deadline  Time
-	waitUntil Time // queued no longer than that
-
-	attempts    int
-	inFlight    int
-	sentAt      Time
-	ranAt       Time // sending of the first attempt that may have run
-	ranOn       endpointIndex
-	tried       [maxTriedEndpoints]endpointIndex
-	bodyPending bool // its body is still coming
+	waitUntil Time // end of its time in the queue
+
+	attempts    int                              // attempts so far
+	inFlight    int                              // attempts in flight
+	sentAt      Time                             // when the latest attempt was sent
+	ranAt       Time                             // when the first attempt that may have run was sent
+	ranOn       endpointIndex                    // endpoint of that attempt
+	tried       [maxTriedEndpoints]endpointIndex // ring of the endpoints of the latest attempts
+	bodyPending bool                             // whether its body is incomplete
 	next        continuation
 }
 
-// handle is the handle by which the front knows the request.
+// handle returns the handle that identifies the request to the front.
 func (r *request) handle() Handle { return newHandle(r.generation, r.index) }
 
-// markAnswered ends the request: what its attempts still report has no effect.
+// markAnswered ends the request: outcomes of its attempts that are still in flight have no effect on it.
 func (r *request) markAnswered() {
 	r.answered = true
 	r.next = func(*Balancer, *request, attemptResult) {}
 }
 
-// lastTried is the endpoint of the latest attempt.
+// lastTried returns the endpoint of the latest attempt.
 func (r *request) lastTried() endpointIndex {
 	return r.tried[max(0, r.attempts-1)%len(r.tried)]
 }
 
-// triedEndpoints are the endpoints of the attempts so far.
+// triedEndpoints returns the endpoints of the latest attempts, maxTriedEndpoints at most, in no fixed order.
 func (r *request) triedEndpoints() []endpointIndex {
 	return r.tried[:min(r.attempts, len(r.tried))]
 }
 
-// requestPool holds the requests in flight and reuses their places.
+// requestPool holds the requests in flight and reuses their entries.
 type requestPool struct {
 	entries []request
 	free    []uint32
 }
 
-// add takes a free place. The caller fills it, and keeps its generation and index.
+// add returns an entry for a new request. The caller sets its fields, except for generation, index and inUse.
 func (p *requestPool) add() *request {
 	if len(p.free) == 0 {
 		p.entries = append(p.entries, request{})
@@ -87,7 +87,7 @@
 	return r
 }
 
-// lookup returns the request of a handle, nil where it has been released.
+// lookup returns the request of a handle, or nil if it has been released.
 func (p *requestPool) lookup(handle Handle) *request {
 	if handle.Index() >= len(p.entries) {
 		return nil
@@ -99,7 +99,7 @@
 	return r
 }
 
-// release frees the request's place once it is answered and none of its attempts is in flight.
+// release frees the request's entry if it is answered, not queued, and has no attempt in flight.
 func (p *requestPool) release(r *request) {
 	if r.inUse && r.answered && r.inFlight == 0 && !r.queued {
 		r.inUse = false
@@ -107,7 +107,7 @@
 	}
 }
 
-// mayHaveRunOn reports whether a request in use may have run first on the endpoint.
+// mayHaveRunOn reports whether the first attempt that may have run of any request was sent to the endpoint.
 func (p *requestPool) mayHaveRunOn(index endpointIndex) bool {
 	for i := range p.entries {
 		if p.entries[i].inUse && p.entries[i].ranOn == index {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -3,38 +3,39 @@
 import "slices"
 
 const (
-	// retryEarned is what each successful attempt adds to the retry budget.
+	// retryEarned is the number of retries that each successful attempt adds to the retry budget.
 	retryEarned = 0.1
-	// maxRetryBudget is the most retries that are saved up.
+	// maxRetryBudget is the largest number of retries that the budget holds.
 	maxRetryBudget = 20
 )
 
-// retryBudget is earned by successes, so that failures cannot feed an overload.
+// retryBudget limits retries to a part of the successful attempts, so that failures cannot feed an overload.
 type retryBudget struct {
-	tokens float64
+	tokens float64 // retries that may be made now
 }
 
 func newRetryBudget() retryBudget { return retryBudget{tokens: maxRetryBudget / 2} }
 
-// available reports whether a retry can be spent.
+// available reports whether the budget allows a retry.
 func (r *retryBudget) available() bool { return r.tokens >= 1 }
 
 func (r *retryBudget) spend() { r.tokens-- }
 
 func (r *retryBudget) earn() { r.tokens = min(maxRetryBudget, r.tokens+retryEarned) }
 
-// retry dispatches a request anew after a failed attempt, or rejects it where it could only wait for nothing.
+// retry dispatches the request again after a failed attempt. It rejects the request if no further attempt is
+// possible or covered by the retry budget, or if an answer would come too late to have any value.
 func (b *Balancer) retry(r *request, result attemptResult) {
 	now := result.now
 	class := b.class(r)
-	spends := r.mayHaveRun || result.outcome == Rejected && b.concurrency.latenessMean > highLoad
-	worthless := class.LateValue == 0 && now > r.arrivedAt+class.Target
+	needsBudget := r.mayHaveRun || result.outcome == Rejected && b.concurrency.latenessMean > highLoad
+	tooLate := class.LateValue == 0 && now > r.arrivedAt+class.Target
 	exhausted := result.outcome == NotSent || r.attempts >= b.settings.MaxAttempts
-	if exhausted || worthless || !b.hasAllowedEndpoint(now, r) || spends && !b.retries.available() {
+	if exhausted || tooLate || !b.hasAllowedEndpoint(now, r) || needsBudget && !b.retries.available() {
 		b.reject(now, r)
 		return
 	}
-	if spends {
+	if needsBudget {
 		b.retries.spend()
 	}
 	b.dispatch(now, r, ordinaryTry)
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -3,33 +3,36 @@
 import "slices"
 
 const (
-	// hotKeySpread is how many times an endpoint's share a hot key's part of the traffic is spread over.
+	// hotKeySpread is the number of endpoints that share a hot key, as a multiple of the number of endpoints
+	// that the key's traffic would occupy at an average load.
 	hotKeySpread = 6
-	// loadBound is the multiple of the mean load over which an endpoint is passed over by part of the
-	// requests.
+	// loadBound is the multiple of the mean load above which part of the requests pass over an endpoint.
 	loadBound = 1.5
-	// spillMargin is the number of free places, or of attempts fewer than home's, that a spill needs.
+	// spillMargin is the number of attempts by which an endpoint must be below its limit, or below the home
+	// endpoint's attempts, to take spilled requests.
 	spillMargin = 2
-	// lowLoad is the load under which more may be in flight to an endpoint, in target latencies.
+	// lowLoad is the load, in target latencies, below which an endpoint's limit may grow and it may take
+	// spilled requests.
 	lowLoad = 0.15
-	// highLoad is the load over which less may be.
+	// highLoad is the load, in target latencies, above which an endpoint's limit is reduced.
 	highLoad = 0.45
 )
 
 // walk is the state of a request's walk over the slot table.
 type walk struct {
-	home    endpointIndex // first usable endpoint
-	spare   endpointIndex // taken if there is no usable one
-	visited int
-
-	// A hot key is assigned to the less loaded of two endpoints, drawn from those that share it.
-	rival     endpointIndex // the first of the two
-	skipRival int           // usable endpoints before it
-	skipOther int           // usable endpoints before the second
+	home     endpointIndex // first usable endpoint, if it has no room
+	fallback endpointIndex // taken if the walk finds no usable endpoint
+	visited  int           // endpoints visited
+
+	// A hot key is assigned to the less loaded of two endpoints drawn from those that share it.
+	candidate  endpointIndex // the one reached first; noEndpoint until then, or if it is cold
+	skipFirst  int           // usable endpoints to skip before that of the first draw
+	skipSecond int           // usable endpoints to skip before that of the second draw
 }
 
-// choose walks the table to the first usable endpoint, home, or where home is full to one that the request
-// may spill to. It returns noEndpoint where the request has to wait.
+// choose returns the endpoint for the request's next attempt: the first usable one in the request's walk, its
+// home, or if that has no room, one that the request may spill to. If the request has to wait, it returns
+// noEndpoint and sets the endpoint that the request waits for.
 func (b *Balancer) choose(now Time, r *request, kind tryKind) endpointIndex {
 	b.table.mark++
 	localFirst := b.zones.prefersLocal(r.key)
@@ -38,7 +41,7 @@
 			return index
 		}
 	}
-	w := walk{home: noEndpoint, spare: noEndpoint}
+	w := walk{home: noEndpoint, fallback: noEndpoint}
 	if localFirst {
 		if index := b.walkTable(now, r, kind, true, &w); index >= 0 {
 			return index
@@ -48,14 +51,15 @@
 		return index
 	}
 	// With every endpoint ejected, an attempt is better than certain failure.
-	if w.home < 0 && w.spare >= 0 && b.table.endpoints[w.spare].hasRoom() {
-		return w.spare
+	if w.home < 0 && w.fallback >= 0 && b.table.endpoints[w.fallback].hasRoom() {
+		return w.fallback
 	}
 	r.home = w.home
 	return noEndpoint
 }
 
-// walkTable visits each endpoint not yet visited, in table order from the request's slot on.
+// walkTable visits the endpoints not yet visited, in the order of the slots from the request's own on, until
+// one is chosen. localOnly restricts it to endpoints in this instance's zone.
 func (b *Balancer) walkTable(now Time, r *request, kind tryKind, localOnly bool, w *walk) endpointIndex {
 	count := len(b.table.byID)
 	if localOnly {
@@ -77,32 +81,34 @@
 	return noEndpoint
 }
 
-// drawHotKeyPair draws two of the endpoints that share a hot key; for any other key both are the first.
+// drawHotKeyPair draws two of the endpoints that share a hot key. For any other key, both draws are the first
+// usable endpoint.
 func (b *Balancer) drawHotKeyPair(r *request, count int, w *walk) {
 	sharedBy := max(1, r.keyFrequency*hotKeySpread*float64(count))
-	w.rival = noEndpoint
-	w.skipRival = int(b.random.fraction() * sharedBy)
-	w.skipOther = int(b.random.fraction() * sharedBy)
+	w.candidate = noEndpoint
+	w.skipFirst = int(b.random.fraction() * sharedBy)
+	w.skipSecond = int(b.random.fraction() * sharedBy)
 }
 
-// visit looks at one endpoint of the walk, and returns the endpoint chosen, or noEndpoint to go on.
+// visit considers one endpoint of the walk. It returns the endpoint chosen, or noEndpoint if the walk goes
+// on.
 func (b *Balancer) visit(now Time, r *request, kind tryKind, index endpointIndex, w *walk) endpointIndex {
 	e := &b.table.endpoints[index]
 	switch {
 	case !b.isAllowed(now, r, index):
-	case !b.isUsable(now, e) || b.isOverloaded(e):
-		if w.spare < 0 && !b.warmup.isCold(now, e) {
-			w.spare = index
+	case !b.isUsable(now, e) || b.passesOver(e):
+		if w.fallback < 0 && !b.warmup.isCold(now, e) {
+			w.fallback = index
 		}
-	case w.home < 0 && max(w.skipRival, w.skipOther) > 0:
-		if min(w.skipRival, w.skipOther) == 0 && !b.warmup.isCold(now, e) {
-			w.rival = index
+	case w.home < 0 && max(w.skipFirst, w.skipSecond) > 0:
+		if min(w.skipFirst, w.skipSecond) == 0 && !b.warmup.isCold(now, e) {
+			w.candidate = index
 		}
-		w.skipRival--
-		w.skipOther--
-		w.spare = index
-	case w.home < 0 && b.rivalWins(w.rival, e):
-		return w.rival
+		w.skipFirst--
+		w.skipSecond--
+		w.fallback = index
+	case w.home < 0 && b.prefersCandidate(w.candidate, e):
+		return w.candidate
 	case e.hasRoom() && (w.home < 0 || kind == lastTry && b.load(e) < highLoad || b.maySpill(w.home, e)):
 		return index
 	case w.home < 0:
@@ -111,25 +117,27 @@
 	return noEndpoint
 }
 
-// rivalWins reports whether the first endpoint drawn for a hot key is less loaded than the second.
-func (b *Balancer) rivalWins(rival endpointIndex, other *endpoint) bool {
-	if rival < 0 {
+// prefersCandidate reports whether the candidate for a hot key has room and is less loaded than the other
+// endpoint drawn.
+func (b *Balancer) prefersCandidate(candidate endpointIndex, other *endpoint) bool {
+	if candidate < 0 {
 		return false
 	}
-	e := &b.table.endpoints[rival]
+	e := &b.table.endpoints[candidate]
 	return e.latencyRatio < other.latencyRatio && e.hasRoom()
 }
 
-// maySpill reports whether a request may leave its home, which is at its limit. The other endpoint, which
-// doesn't have the key cached, must be lightly loaded and hold less.
+// maySpill reports whether a request whose home endpoint is at its limit may be sent to another endpoint. As
+// that endpoint does not have the key cached, it must be lightly loaded and have clearly fewer attempts or
+// clear room.
 func (b *Balancer) maySpill(home endpointIndex, e *endpoint) bool {
-	fewer := b.table.endpoints[home].processing()-e.processing() >= spillMargin ||
+	clearlyFree := b.table.endpoints[home].processing()-e.processing() >= spillMargin ||
 		float64(e.processing()+spillMargin) <= e.limit
-	return fewer && b.load(e) < lowLoad
+	return clearlyFree && b.load(e) < lowLoad
 }
 
-// isAllowed reports whether the request may be sent to the endpoint at all: it is ready, was not tried, and
-// where the request may have run, recognises a repeat.
+// isAllowed reports whether the request may be sent to the endpoint at all: the endpoint must be ready and
+// not yet tried, and if the request may have run, it must be safe to repeat on the endpoint.
 func (b *Balancer) isAllowed(now Time, r *request, index endpointIndex) bool {
 	e := &b.table.endpoints[index]
 	if e.Status != Ready {
@@ -141,7 +149,7 @@
 	return !slices.Contains(r.triedEndpoints(), index)
 }
 
-// mayRepeatOn reports whether a request that may have run can be sent to the endpoint.
+// mayRepeatOn reports whether a request that may have run can safely be sent to the endpoint.
 func (b *Balancer) mayRepeatOn(now Time, r *request, e *endpoint) bool {
 	class := b.class(r)
 	switch class.Idempotency {
@@ -163,7 +171,7 @@
 	return true
 }
 
-// isUsable reports whether the endpoint's ejection, slow start and cold budget leave room for an attempt.
+// isUsable reports whether the endpoint's ejection, slow start and cold budget allow an attempt now.
 func (b *Balancer) isUsable(now Time, e *endpoint) bool {
 	if now < e.ejectedUntil || e.slowStart > 0 && e.inFlight >= e.slowStart {
 		return false
@@ -171,16 +179,16 @@
 	return !b.warmup.isCold(now, e) || b.warmup.growBudget(now, e) >= 1
 }
 
-// isOverloaded decides whether the request passes over an endpoint whose load is over its bound. Only a part
-// of the requests does: hundreds of instances must not leave it at once.
-func (b *Balancer) isOverloaded(e *endpoint) bool {
-	share := b.loadShare(e)
-	return share < 1 && b.random.fraction() > share*share
+// passesOver decides whether the request passes over an endpoint because its load is above the bound. Only a
+// random part of the requests does, so that hundreds of instances do not leave the endpoint at once.
+func (b *Balancer) passesOver(e *endpoint) bool {
+	ratio := b.boundToLoad(e)
+	return ratio < 1 && b.random.fraction() > ratio*ratio
 }
 
-// loadShare is the bound on the endpoint's load, over that load. Where the list shows no load, what answers
-// take stands in for it.
-func (b *Balancer) loadShare(e *endpoint) float64 {
+// boundToLoad returns the ratio of the bound on the endpoint's load to that load. Where the list shows no
+// load, it compares answer times instead.
+func (b *Balancer) boundToLoad(e *endpoint) float64 {
 	if !b.reports.available() {
 		mean := max(b.concurrency.latenessMean, b.baseline+lowLoad)
 		return loadBound * mean / max(e.latencyRatio, b.baseline)
@@ -188,5 +196,5 @@
 	return loadBound * (1 + b.reports.mean) / (1 + e.reportedLoad)
 }
 
-// load is by how much an endpoint's answers exceed the unloaded ones, in target latencies.
+// load returns by how much an endpoint's mean latency exceeds the baseline latency, in target latencies.
 func (b *Balancer) load(e *endpoint) float64 { return e.latencyRatio - b.baseline }
--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -11,12 +11,14 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// noDecisions are the files of types, state and encodings; every other one is named in deploy/balancer.toml.
+// noDecisions are the files that hold only types, state and encodings. All others must be listed in
+// deploy/balancer.toml.
 var noDecisions = []string{
 	"discardfront.go", "front.go", "learnedstate.go", "random.go", "ratemeter.go", "report.go", "request.go", "settings.go", "tablecodec.go", "types.go",
 }
 
-// The files that hold decisions stay readable: each has at most 400 lines that are not blank, none wider than 110.
+// The files that hold decisions must have at most 400 lines that are not blank, and no line of more than 110
+// characters.
 func TestDecisionFilesStayReadable(t *testing.T) {
 	const maxLines, maxWidth = 400, 110
 	text, err := os.ReadFile("../deploy/balancer.toml")
@@ -50,9 +52,9 @@
 		t.Fatal(err)
 	}
 	for _, name := range shipped {
-		named := slices.Contains(deployed.Policy, "policy/"+name) || slices.Contains(noDecisions, name)
-		if !named && !strings.HasSuffix(name, "_test.go") {
-			t.Errorf("%s is not named in deploy/balancer.toml", name)
+		listed := slices.Contains(deployed.Policy, "policy/"+name) || slices.Contains(noDecisions, name)
+		if !listed && !strings.HasSuffix(name, "_test.go") {
+			t.Errorf("%s is not listed in deploy/balancer.toml", name)
 		}
 	}
 }
--- a/policy/slottable.go
+++ b/policy/slottable.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	// slotCount is one size for every fleet, so that instances started at any fleet size agree.
+	// slotCount is the number of slots. It is the same for every fleet size, so that instances agree whatever
+	// size the fleet had when they started.
 	slotCount = 1 << 14
-	// slotOrderSeed is fixed: every instance lays out the same table.
+	// slotOrderSeed is the seed of the slots' order. It is fixed, so that every instance has the same table.
 	slotOrderSeed uint64 = 0x70657070
 )
 
-// slotTable assigns hash slots to endpoints, weighted by their shares.
+// slotTable assigns hash slots to endpoints. The share of each endpoint is in proportion to its weight.
 type slotTable struct {
 	settings   *Settings
-	endpoints  []endpoint
-	indexes    map[EndpointID]endpointIndex
-	owners     []endpointIndex // by slot
-	order      []int32         // seeded order of the slots
-	byID       []endpointIndex // endpoints in the table, in id order
-	localCount int             // of these, in this instance's zone
-	mark       uint32          // of the latest walk or list
+	endpoints  []endpoint                   // entries that are not in the table are free for reuse
+	indexes    map[EndpointID]endpointIndex // indexes in endpoints
+	owners     []endpointIndex              // by slot
+	order      []int32                      // the slots in seeded order; a slot's rank is its index here
+	byID       []endpointIndex              // endpoints in the table, in the order of their ids
+	localCount int                          // endpoints of byID in this instance's zone
+	mark       uint32                       // number of the latest walk or list; see endpoint.mark
 }
 
 func newSlotTable(settings *Settings) slotTable {
@@ -32,7 +33,7 @@
 // isLocal reports whether the endpoint is in this instance's zone.
 func (t *slotTable) isLocal(e *endpoint) bool { return e.Zone == t.settings.Zone }
 
-// add brings a new endpoint into the table, at a free place.
+// add adds a new endpoint to the table, in a free entry if there is one.
 func (t *slotTable) add(e endpoint) {
 	index := endpointIndex(slices.IndexFunc(t.endpoints, func(e endpoint) bool { return !e.inTable }))
 	if index < 0 {
@@ -44,7 +45,7 @@
 	t.join(index)
 }
 
-// join gives an endpoint its share of the slots.
+// join puts an endpoint into the table and gives it its share of the slots.
 func (t *slotTable) join(index endpointIndex) {
 	var unowned []int32
 	if t.owners == nil {
@@ -58,7 +59,7 @@
 	t.assign(unowned, []endpointIndex{index})
 }
 
-// layOut makes an empty table and its seeded order, and returns the ranks of all slots.
+// layOut creates the slots, without owners, and their seeded order. It returns the ranks of all slots.
 func (t *slotTable) layOut() []int32 {
 	t.owners = make([]endpointIndex, slotCount)
 	t.order = make([]int32, slotCount)
@@ -76,7 +77,7 @@
 	return ranks
 }
 
-// leave gives an endpoint's slots to the others.
+// leave takes an endpoint out of the table and gives its slots to the others.
 func (t *slotTable) leave(index endpointIndex) {
 	e := &t.endpoints[index]
 	e.inTable = false
@@ -86,11 +87,12 @@
 	e.ranks = nil
 }
 
-// rebalance moves the slots that endpoints hold above their shares.
+// rebalance moves the slots that endpoints hold above their shares to others.
 func (t *slotTable) rebalance() { t.assign(nil, t.byID) }
 
-// assign gives the unowned slots, in the order given, or where there are none those above their owners'
-// shares, in seeded order, to the receivers. Each goes to the one furthest below its share, ties by id.
+// assign gives slots to the receivers: the unowned slots, in the order given, or if unowned is nil, the slots
+// that endpoints hold above their shares, in seeded order. Each slot goes to the receiver furthest below its
+// share, and in a tie to the one with the lowest id. Slots are given by their ranks.
 func (t *slotTable) assign(unowned []int32, receivers []endpointIndex) {
 	surplus := t.setTargets()
 	if unowned == nil {
@@ -113,8 +115,8 @@
 	}
 }
 
-// setTargets sets how many slots each endpoint's share comes to, and returns the ranks of those held above
-// that.
+// setTargets sets the number of slots that each endpoint's weight entitles it to, and returns the ranks of
+// the slots that endpoints hold above that number. It also counts the local endpoints.
 func (t *slotTable) setTargets() (surplus []int32) {
 	total := 0.0
 	for _, index := range t.byID {
@@ -126,9 +128,9 @@
 	for _, index := range t.byID {
 		e := &t.endpoints[index]
 		sum += e.Weight
-		e.target = int(math.Round(sum/total*slotCount)) - assigned
-		assigned += e.target
-		surplus = append(surplus, e.ranks[:max(0, len(e.ranks)-e.target)]...)
+		e.targetSlots = int(math.Round(sum/total*slotCount)) - assigned
+		assigned += e.targetSlots
+		surplus = append(surplus, e.ranks[:max(0, len(e.ranks)-e.targetSlots)]...)
 		if t.isLocal(e) {
 			t.localCount++
 		}
@@ -136,17 +138,17 @@
 	return surplus
 }
 
-// excess is the number of slots that an endpoint holds above its share.
+// excess returns the number of slots that an endpoint holds above its share; it is negative below the share.
 func (t *slotTable) excess(index endpointIndex) int {
 	e := &t.endpoints[index]
-	return len(e.ranks) - e.target
+	return len(e.ranks) - e.targetSlots
 }
 
-// move gives the slot of the rank to the receiver.
+// move gives the slot with the given rank to the receiver.
 func (t *slotTable) move(rank int32, receiver endpointIndex) {
 	slot := t.order[rank]
 	if owner := t.owners[slot]; owner >= 0 && t.endpoints[owner].inTable {
-		// Surplus comes in seeded order, so the owner's first is the one.
+		// Surplus slots are moved in seeded order, so this slot is the first of its owner's.
 		t.endpoints[owner].ranks = t.endpoints[owner].ranks[1:]
 	}
 	e := &t.endpoints[receiver]
@@ -154,13 +156,13 @@
 	t.owners[slot] = receiver
 }
 
-// remove takes an endpoint out of the table and frees its place.
+// remove takes an endpoint out of the table and frees its entry.
 func (t *slotTable) remove(index endpointIndex) {
 	t.leave(index)
 	delete(t.indexes, t.endpoints[index].ID)
 }
 
-// ownerIDs are the owners of all slots.
+// ownerIDs returns the owner of each slot.
 func (t *slotTable) ownerIDs() (ids []EndpointID) {
 	for _, index := range t.owners {
 		ids = append(ids, t.endpoints[index].ID)
--- a/policy/slottable_test.go
+++ b/policy/slottable_test.go
@@ -8,38 +8,40 @@
 	"testing/quick"
 )
 
+// slotOwners returns the owner of each slot.
 func slotOwners(b *Balancer) []EndpointID {
 	var ids []EndpointID
-	for _, p := range b.table.owners {
-		ids = append(ids, b.table.endpoints[p].ID)
+	for _, index := range b.table.owners {
+		ids = append(ids, b.table.endpoints[index].ID)
 	}
 	return ids
 }
 
+// checkShares checks that each endpoint has the number of slots that its weight entitles it to, give or take one.
 func checkShares(t *testing.T, b *Balancer) {
 	t.Helper()
 	total := 0.0
-	for _, s := range b.table.endpoints {
-		if s.inTable {
-			total += s.Weight
+	for _, e := range b.table.endpoints {
+		if e.inTable {
+			total += e.Weight
 		}
 	}
-	for _, s := range b.table.endpoints {
-		want := float64(len(b.table.owners)) * s.Weight / total
-		if s.inTable && (float64(len(s.ranks)) < want-1 || float64(len(s.ranks)) > want+1) {
-			t.Errorf("endpoint %d has %d slots, want about %.1f", s.ID, len(s.ranks), want)
+	for _, e := range b.table.endpoints {
+		want := float64(len(b.table.owners)) * e.Weight / total
+		if e.inTable && (float64(len(e.ranks)) < want-1 || float64(len(e.ranks)) > want+1) {
+			t.Errorf("endpoint %d has %d slots, want about %.1f", e.ID, len(e.ranks), want)
 		}
 	}
 }
 
-func TestTableIsTheSameFromShuffledLists(t *testing.T) {
+func TestTableDoesNotDependOnTheOrderOfTheList(t *testing.T) {
 	same := func(seed int64, n uint8) bool {
-		all := testMembers(1+int(n%40), "a")
-		b, _ := newTestBalancer(all)
+		members := testMembers(1+int(n%40), "a")
+		b, _ := newTestBalancer(members)
 		checkShares(t, b)
 		want := slotOwners(b)
-		rand.New(rand.NewSource(seed)).Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-		b, _ = newTestBalancer(all)
+		rand.New(rand.NewSource(seed)).Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
+		b, _ = newTestBalancer(members)
 		return slices.Equal(want, slotOwners(b))
 	}
 	if err := quick.Check(same, &quick.Config{MaxCount: 40, Rand: rand.New(rand.NewSource(3))}); err != nil {
@@ -47,11 +49,11 @@
 	}
 }
 
-func TestOnlySurplusMoves(t *testing.T) {
-	all := testMembers(9, "a")
-	b, _ := newTestBalancer(all[:8])
+func TestOnlySurplusSlotsMove(t *testing.T) {
+	members := testMembers(9, "a")
+	b, _ := newTestBalancer(members[:8])
 	before := slotOwners(b)
-	b.UpdateEndpoints(Second, ListChanges, all[8:])
+	b.UpdateEndpoints(Second, ListChanges, members[8:])
 	checkShares(t, b)
 	joined := slotOwners(b)
 	for i := range before {
@@ -59,11 +61,11 @@
 			t.Fatalf("slot %d went from %d to %d when 9 joined", i, before[i], joined[i])
 		}
 	}
-	gone := all[3]
-	gone.Status = Removed
-	b.UpdateEndpoints(Second, ListChanges, []Member{gone})
+	removed := members[3]
+	removed.Status = Removed
+	b.UpdateEndpoints(Second, ListChanges, []Member{removed})
 	if !slices.Equal(slotOwners(b), joined) {
-		t.Fatal("an endpoint listed gone lost slots before the hold time")
+		t.Fatal("an endpoint listed as removed lost slots before the hold time")
 	}
 	b.Woken(Second + slotHoldTime)
 	checkShares(t, b)
@@ -80,28 +82,29 @@
 	}
 }
 
-func TestRestartKeepsSlotsAndStartsWithoutBudget(t *testing.T) {
-	all := testMembers(4, "a")
-	b, q := newTestBalancer(all)
+func TestRestartKeepsSlotsAndLimitsAttempts(t *testing.T) {
+	members := testMembers(4, "a")
+	b, front := newTestBalancer(members)
 	before := slotOwners(b)
-	all[0].Started = 2 * Second
-	b.UpdateEndpoints(2*Second, ListChanges, all[:1])
+	members[0].Started = 2 * Second
+	b.UpdateEndpoints(2*Second, ListChanges, members[:1])
 	if !slices.Equal(before, slotOwners(b)) {
 		t.Error("a restart moved slots")
 	}
 	for i := range 50 {
 		b.Begin(2*Second, b.Admit(2*Second, 0, NoTenant, fmt.Sprint(i), false, Second))
 	}
-	if slices.Contains(q.sentTo, 1) {
-		t.Error("an endpoint was attempted to in the moment of its start")
+	if slices.Contains(front.sentTo, 1) {
+		t.Error("an endpoint was sent an attempt at the moment of its start")
 	}
 }
 
-func TestGrownFleetHasOneTable(t *testing.T) {
-	all := testMembers(300, "a")
-	b, _ := newTestBalancer(all[:60])
-	b.UpdateEndpoints(2*Second, ListChanges, all[60:])
-	if atOnce, _ := newTestBalancer(all); !slices.Equal(slotOwners(b), slotOwners(atOnce)) {
-		t.Error("instances started before and after the growth lay different tables")
+// Instances that started before and after the fleet has grown must have the same table.
+func TestTableDoesNotDependOnFleetGrowth(t *testing.T) {
+	members := testMembers(300, "a")
+	b, _ := newTestBalancer(members[:60])
+	b.UpdateEndpoints(2*Second, ListChanges, members[60:])
+	if atOnce, _ := newTestBalancer(members); !slices.Equal(slotOwners(b), slotOwners(atOnce)) {
+		t.Error("instances that started before and after the growth have different tables")
 	}
 }
--- a/policy/tablecodec.go
+++ b/policy/tablecodec.go
@@ -5,16 +5,17 @@
 	"slices"
 )
 
-// AssignSlots returns the owner of each slot after one list has followed another, by joins, leaves and moves
-// of surplus slots alone: all who assign the same lists in the same order have the same table. The table and
-// the previous list are nil at the first list. It returns nil where no endpoint is left.
+// AssignSlots returns the owner of each slot after the list current has followed the list previous, to which
+// table belongs. Slots change owners only because endpoints join, leave, or hold more than their shares, so
+// all processes that apply the same lists in the same order get the same table. For the first list, table and
+// previous are nil. AssignSlots returns nil if no endpoint is left.
 func AssignSlots(table []EndpointID, previous, current []Member) []EndpointID {
 	settings := &Settings{Instances: 1, FixedWeights: true}
 	b := New(DiscardFront{}, settings, 0, 0)
 	if len(table) == slotCount {
 		b.UpdateEndpoints(0, ListFull, listedMembers(previous))
 		if !b.AdoptTable(table) {
-			// The table of another list: assigned as the first.
+			// The table belongs to another list: assign all slots as for a first list.
 			b = New(DiscardFront{}, settings, 0, 0)
 		}
 	}
@@ -28,7 +29,8 @@
 	for _, index := range departed {
 		b.table.leave(index)
 	}
-	// Leaves assign only unowned slots; this keeps surplus from a later change.
+	// leave assigns only the slots of the endpoint that leaves. Moving surplus slots now keeps them from
+	// moving at a later change.
 	b.table.rebalance()
 	return b.table.ownerIDs()
 }
@@ -42,8 +44,8 @@
 	return present
 }
 
-// AdoptTable takes over the owners of all slots. It changes nothing and returns false where one of them is
-// not in the list.
+// AdoptTable sets the owners of all slots. It changes nothing and returns false if one of them is not in the
+// table or the number of slots differs.
 func (b *Balancer) AdoptTable(owners []EndpointID) (adopted bool) { return b.table.adopt(owners) }
 
 func (t *slotTable) adopt(owners []EndpointID) (adopted bool) {
@@ -55,7 +57,8 @@
 		return false
 	}
 	for _, index := range t.byID {
-		// Not nil: when the endpoint leaves, nothing is to be assigned for it.
+		// Empty and not nil: if the endpoint leaves without slots, assign must not move surplus slots
+		// instead.
 		t.endpoints[index].ranks = []int32{}
 	}
 	for rank, slot := range t.order {
@@ -69,8 +72,8 @@
 // maxEncodedIndex is the largest index that fits into the two bytes of an encoded slot.
 const maxEncodedIndex = 1<<16 - 1
 
-// EncodeTable writes each slot's owner as its index among the sorted ids of the list, in two bytes. It
-// returns nil where an owner is not in the list.
+// EncodeTable encodes each slot's owner as its index among the sorted ids of the list, in two bytes, high
+// byte first. It returns nil if an owner is not in the list or its index does not fit.
 func EncodeTable(table []EndpointID, list []Member) (encoded []byte) {
 	ids := sortedIDs(list)
 	for _, id := range table {
@@ -83,8 +86,8 @@
 	return encoded
 }
 
-// DecodeTable reads what EncodeTable wrote for the same list. It returns nil where it is not a table of that
-// list.
+// DecodeTable decodes a table encoded by EncodeTable with the same list. It returns nil if the encoding does
+// not fit the list.
 func DecodeTable(encoded []byte, list []Member) (table []EndpointID) {
 	ids := sortedIDs(list)
 	if len(encoded) != 2*slotCount {
--- a/policy/tablecodec_test.go
+++ b/policy/tablecodec_test.go
@@ -6,75 +6,75 @@
 	"testing"
 )
 
-// All that assign the same lists have the same table; a change moves no more slots than the shares ask for; and one
-// that lives through the lists and adopts each table stays with it while endpoints that went away leave it after
-// their time.
-func TestAssignedTablesAreTheSameForAll(t *testing.T) {
-	chance := rand.New(rand.NewPCG(7, 0))
-	list := func() (all []Member) {
+// All processes that assign slots for the same lists get the same table, and a change moves no more slots than the
+// shares require. An instance that applies the lists and adopts each table keeps that table when it removes departed
+// endpoints after slotHoldTime.
+func TestAssignedTablesAreTheSameEverywhere(t *testing.T) {
+	random := rand.New(rand.NewPCG(7, 0))
+	list := func() (members []Member) {
 		for id := range 40 {
-			if chance.IntN(3) > 0 {
-				all = append(all, Member{ID: EndpointID(1000 + id*id), Weight: float64(1 + id%3)})
+			if random.IntN(3) > 0 {
+				members = append(members, Member{ID: EndpointID(1000 + id*id), Weight: float64(1 + id%3)})
 			}
 		}
-		return all
+		return members
 	}
 	var table []EndpointID
-	var was []Member
-	live := New(DiscardFront{}, &Settings{Instances: 3, FixedWeights: true, Classes: []Class{{Target: Second, Deadline: Second}}}, 9, 0)
+	var previous []Member
+	instance := New(DiscardFront{}, &Settings{Instances: 3, FixedWeights: true, Classes: []Class{{Target: Second, Deadline: Second}}}, 9, 0)
 	now := Time(0)
 	for range 20 {
-		next := list()
-		if chance.IntN(4) == 0 && was != nil && was[len(was)-1].ID != 5 {
-			next = append(slices.Clone(was), Member{ID: 5, Weight: 2})
+		current := list()
+		if random.IntN(4) == 0 && previous != nil && previous[len(previous)-1].ID != 5 {
+			current = append(slices.Clone(previous), Member{ID: 5, Weight: 2})
 		}
-		assigned := AssignSlots(table, was, next)
-		if again := AssignSlots(DecodeTable(EncodeTable(table, was), was), was, slices.Clone(next)); !slices.Equal(assigned, again) {
-			t.Fatal("two assigned the same lists and have two tables")
+		assigned := AssignSlots(table, previous, current)
+		if again := AssignSlots(DecodeTable(EncodeTable(table, previous), previous), previous, slices.Clone(current)); !slices.Equal(assigned, again) {
+			t.Fatal("the same lists gave two different tables")
 		}
-		total, share := 0.0, map[EndpointID]float64{}
-		for _, m := range next {
-			total += m.Weight
+		total, slots := 0.0, map[EndpointID]float64{}
+		for _, member := range current {
+			total += member.Weight
 		}
 		for _, id := range assigned {
-			share[id]++
+			slots[id]++
 		}
 		moved, needed := 0, 0.0
-		before := map[EndpointID]float64{}
+		slotsBefore := map[EndpointID]float64{}
 		for i, id := range table {
-			before[id]++
+			slotsBefore[id]++
 			if assigned[i] != id {
 				moved++
 			}
 		}
-		for _, m := range next {
-			if want := m.Weight / total * slotCount; share[m.ID] < want-1 || share[m.ID] > want+1 {
-				t.Errorf("endpoint %d has %v slots, wants %v", m.ID, share[m.ID], want)
+		for _, member := range current {
+			if want := member.Weight / total * slotCount; slots[member.ID] < want-1 || slots[member.ID] > want+1 {
+				t.Errorf("endpoint %d has %v slots, want %v", member.ID, slots[member.ID], want)
 			}
-			needed += max(0, share[m.ID]-before[m.ID])
+			needed += max(0, slots[member.ID]-slotsBefore[member.ID])
 		}
-		// A join assigns before the leaves do, so a slot may move twice in one change.
-		if table != nil && float64(moved) > 1.5*needed+float64(len(next)) {
-			t.Errorf("%d slots moved, %v had to", moved, needed)
+		// Endpoints join before others leave, so a slot may move twice in one change.
+		if table != nil && float64(moved) > 1.5*needed+float64(len(current)) {
+			t.Errorf("%d slots moved, %v had to move", moved, needed)
 		}
-		live.UpdateEndpoints(now, ListFull, next)
-		if !live.AdoptTable(assigned) {
-			t.Fatal("the table of its own list is not taken")
+		instance.UpdateEndpoints(now, ListFull, current)
+		if !instance.AdoptTable(assigned) {
+			t.Fatal("the table of the current list was not adopted")
 		}
 		for range 200 { // past slotHoldTime
 			now += Second / 4
-			live.UpdateEndpoints(now, ListFull, next)
-			live.Woken(now)
+			instance.UpdateEndpoints(now, ListFull, current)
+			instance.Woken(now)
 		}
-		if !slices.Equal(live.table.ownerIDs(), assigned) {
-			t.Error("it has left the table that it took")
+		if !slices.Equal(instance.table.ownerIDs(), assigned) {
+			t.Error("the adopted table changed")
 		}
-		if live.AdoptTable(append([]EndpointID{1}, assigned[1:]...)) || !slices.Equal(live.table.ownerIDs(), assigned) {
-			t.Error("a table with a stranger in it is taken")
+		if instance.AdoptTable(append([]EndpointID{1}, assigned[1:]...)) || !slices.Equal(instance.table.ownerIDs(), assigned) {
+			t.Error("a table with an unlisted endpoint was adopted")
 		}
-		table, was = assigned, next
+		table, previous = assigned, current
 	}
-	if AssignSlots(table, was, nil) != nil || AssignSlots(nil, nil, nil) != nil {
-		t.Error("slots are assigned without an endpoint")
+	if AssignSlots(table, previous, nil) != nil || AssignSlots(nil, nil, nil) != nil {
+		t.Error("slots were assigned without an endpoint")
 	}
 }
--- a/policy/types.go
+++ b/policy/types.go
@@ -1,15 +1,15 @@
 package policy
 
-// Time is a moment or a span in whole nanoseconds; moments count from an arbitrary start.
+// Time is a point in time or a duration, in nanoseconds. Points in time count from an arbitrary origin.
 type Time int64
 
-// Spans of time.
+// Durations.
 const (
 	Millisecond Time = 1e6
 	Second      Time = 1e9
 )
 
-// EndpointID names an endpoint; it is the same at every instance and over the endpoint's restarts.
+// EndpointID identifies an endpoint. It is the same at every instance and survives restarts of the endpoint.
 type EndpointID uint64
 
 // Zone names a data centre.
@@ -24,20 +24,21 @@
 // TenantID is the index of a tenant in Settings.Tenants.
 type TenantID int32
 
-// AttemptNo is the number of an attempt of one request, from 0.
+// AttemptNo is the number of an attempt of one request, counted from 0.
 type AttemptNo int32
 
 const (
-	// NoTenant stands for an unknown tenant.
+	// NoTenant is the ID of an unknown tenant.
 	NoTenant TenantID = -1
-	// NoClass stands for an unknown class.
+	// NoClass is the ID of an unknown class.
 	NoClass ClassID = -1
 )
 
-// Handle names a request in flight: its generation in the upper half, its place in the pool in the lower.
+// Handle identifies a request in flight. The lower 32 bits are the index of its entry in the request pool,
+// the upper 32 bits are the generation of that entry.
 type Handle uint64
 
-// Index is the request's index in the pool; it is reused once the request is released.
+// Index returns the index of the request's pool entry. It is reused once the request is released.
 func (h Handle) Index() int { return int(uint32(h)) }
 
 func (h Handle) generation() uint32 { return uint32(h >> 32) }
@@ -52,52 +53,53 @@
 // Outcomes of an attempt.
 const (
 	Succeeded      Outcome = iota
-	Errored                // error answer; may have run
-	Rejected               // rejected unprocessed; never ran
-	TimedOut               // may have run, or still be running
-	NotConnected           // never ran
-	ConnectionLost         // may have run
-	Cancelled              // cancelled by this instance; may have run
-	NotSent                // never ran
-	Declined               // a client error: no sign of the endpoint's state
+	Errored                // the endpoint answered with an error; it may have run the request
+	Rejected               // the endpoint rejected the request without running it
+	TimedOut               // no answer in time; the endpoint may have run the request or still be running it
+	NotConnected           // no connection was established; the request never ran
+	ConnectionLost         // the connection broke; the endpoint may have run the request
+	Cancelled              // cancelled by this instance; the endpoint may have run the request
+	NotSent                // the attempt was not written to a connection; the request never ran
+	Declined               // the endpoint answered with a client error, which says nothing about its state
 )
 
-// MayHaveRun reports whether the endpoint may have processed an attempt that ended so.
+// MayHaveRun reports whether the endpoint may have run the request of an attempt with this outcome.
 func (o Outcome) MayHaveRun() bool {
 	return o != Rejected && o != NotConnected && o != NotSent
 }
 
-// Idempotency says whether a request that may have run can be sent again.
+// Idempotency says whether a request can be sent again after an attempt that may have run.
 type Idempotency uint8
 
 // Kinds of idempotency.
 const (
-	Idempotent    Idempotency = iota
-	Keyed                     // endpoints of the class's group recognise a repeat by its idempotency key
-	NonIdempotent             // never sent again once it may have run
+	Idempotent    Idempotency = iota // can always be sent again
+	Keyed                            // can be sent again to endpoints that recognise its idempotency key
+	NonIdempotent                    // is never sent again once it may have run
 )
 
-// Group is the set of endpoints that recognise repeats of a keyed request.
+// Group is the deduplication group of a keyed request: the endpoints that recognise its idempotency key after
+// it has run on one of them.
 type Group uint8
 
-// Groups of endpoints.
+// Deduplication groups.
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	GroupAll  Group = iota // all endpoints
+	GroupZone              // the endpoints in the same zone
+	GroupCell              // the endpoints in the same cell
 )
 
-// EndpointStatus is what the endpoint list says of an endpoint.
+// EndpointStatus is the status of an endpoint in the endpoint list.
 type EndpointStatus uint8
 
 // Statuses of an endpoint.
 const (
-	Ready EndpointStatus = iota
-	Draining
-	Removed
+	Ready    EndpointStatus = iota // takes attempts
+	Draining                       // is sent no new attempts and keeps its slots
+	Removed                        // is no longer listed; loses its slots after slotHoldTime
 )
 
-// ListKind says how the entries of an endpoint list apply.
+// ListKind says what the entries of an endpoint list cover.
 type ListKind uint8
 
 // Kinds of endpoint lists.
@@ -107,12 +109,12 @@
 	ListSaved                   // a full list kept from an earlier run
 )
 
-// Member is an endpoint as the list names it.
+// Member is an entry of the endpoint list.
 type Member struct {
 	ID      EndpointID
-	Weight  float64
+	Weight  float64 // size; falls with the endpoint's load unless Settings.FixedWeights is set
 	Cell    Cell
 	Zone    Zone
 	Status  EndpointStatus
-	Started Time // 0: long ago
+	Started Time // start of the endpoint's process; 0: long ago
 }
--- a/policy/zonepreference.go
+++ b/policy/zonepreference.go
@@ -3,24 +3,26 @@
 import "fmt"
 
 const (
-	// crossingLoad is the load of local endpoints, in prices of a crossing, at which crossings pay.
+	// crossingLoad is the load of local endpoints, as a multiple of Settings.CrossZonePrice, above which
+	// requests to other zones are worth their price.
 	crossingLoad = 5
-	// excessLoadFall is how far local load exceeds remote load when fewer keys stay local.
+	// excessLoadFall is the excess of local over remote load above which the local share falls.
 	excessLoadFall = 0.15
-	// excessLoadRise is how far it may exceed it while more keys do.
+	// excessLoadRise is the excess below which the local share rises.
 	excessLoadRise = 0.05
 
 	// Changes of the local share in one maintenance interval.
 	localShareFall    = 0.05
 	localShareRise    = 0.01
 	maxLocalShareRise = 0.03
-	// idleRisePart is the part of a crossing's price, as a divisor, that the local share rises by while local
-	// endpoints are nearly idle.
-	idleRisePart = 4
+	// idleRiseDivisor divides Settings.CrossZonePrice to give the rise of the local share in one maintenance
+	// interval while the load of local endpoints is low.
+	idleRiseDivisor = 4
 
 	// zoneLatenessWeight is the weight of the latest attempt in a zone's mean lateness.
 	zoneLatenessWeight = 0.05
-	// hashFractionBits are the upper bits of a key's hash that decide whether it prefers local endpoints.
+	// hashFractionBits is the number of upper bits of a key's hash that decide whether it prefers local
+	// endpoints.
 	hashFractionBits = 20
 )
 
@@ -31,22 +33,24 @@
 	zoneKinds
 )
 
-// zonePreference decides which keys prefer endpoints of this instance's zone, where crossings have a price.
+// zonePreference decides which keys prefer endpoints in this instance's zone, where requests to other zones
+// have a price.
 type zonePreference struct {
-	localShare float64            // part of the keys
-	lateness   [zoneKinds]float64 // means of attempts to remote and to local endpoints
+	localShare float64            // part of the keys that prefer local endpoints
+	lateness   [zoneKinds]float64 // mean lateness of attempts to remote and to local endpoints
 }
 
 func newZonePreference(settings *Settings) zonePreference {
 	return zonePreference{localShare: min(1, 2*crossingLoad*settings.CrossZonePrice)}
 }
 
-// prefersLocal reports whether a key is among those. It goes by key, so that each stays where it is.
+// prefersLocal reports whether a key prefers local endpoints. It depends on the key alone for a given share,
+// so that a key stays with its endpoint.
 func (z *zonePreference) prefersLocal(key uint64) bool {
 	return float64(key>>(64-hashFractionBits))/(1<<hashFractionBits) < z.localShare
 }
 
-// observe adds an attempt's lateness to its zone's mean.
+// observe adds the lateness of an attempt to the mean of local or remote endpoints.
 func (z *zonePreference) observe(local bool, lateness float64) {
 	mean := &z.lateness[remoteZones]
 	if local {
@@ -55,14 +59,15 @@
 	*mean += zoneLatenessWeight * (lateness - *mean)
 }
 
-// capLocalShare bounds the local share before anything is learned: all traffic may come to one zone, and what
-// prefers local endpoints must not overload them.
+// capLocalShare limits the local share to the local endpoints' part of the fleet while no load is known: all
+// traffic may arrive in one zone, and the requests that prefer local endpoints must not overload them.
 func (b *Balancer) capLocalShare() {
 	localPart := float64(b.table.localCount) / float64(len(b.table.byID))
 	b.zones.localShare = min(b.zones.localShare, localPart)
 }
 
-// zoneLoads are the loads of local and remote endpoints, and by how much the local share may rise.
+// zoneLoads returns the loads of local and remote endpoints, and by how much the local share may rise. The
+// reported load of remote endpoints is that of the whole fleet.
 func (b *Balancer) zoneLoads() (local, remote, rise float64) {
 	if b.reports.mean > 0 {
 		local = b.reports.localMean / (1 + b.reports.mean)
@@ -73,12 +78,13 @@
 	remote = b.zones.lateness[remoteZones] - b.baseline
 	rise = localShareRise
 	if local < lowLoad {
-		rise = max(rise, min(maxLocalShareRise, b.settings.CrossZonePrice/idleRisePart))
+		rise = max(rise, min(maxLocalShareRise, b.settings.CrossZonePrice/idleRiseDivisor))
 	}
 	return local, remote, rise
 }
 
-// adjustLocalShare sets the part of the keys that prefer local endpoints by the loads of both sides.
+// adjustLocalShare adjusts the part of the keys that prefer local endpoints to the loads of local and remote
+// endpoints.
 func (b *Balancer) adjustLocalShare(now Time) {
 	z := &b.zones
 	local, remote, rise := b.zoneLoads()
@@ -95,7 +101,8 @@
 		z.localShare = min(1, z.localShare+rise)
 	}
 	if (before > 0) != (z.localShare > 0) {
-		b.front.Log(fmt.Sprintf("zone preference: %.2f of the keys local, load local %.2f, remote %.2f",
+		b.front.Log(fmt.Sprintf(
+			"zone preference: %.2f of the keys prefer local endpoints, local load %.2f, remote load %.2f",
 			z.localShare, local, remote))
 	}
 }
--- a/policy/zonepreference_test.go
+++ b/policy/zonepreference_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// Near endpoints were flooded by their own zone's instances while far ones idled.
+// Local endpoints must not be overloaded by their own zone's instances while remote ones are idle.
 func TestLoadedLocalEndpointsLoseKeys(t *testing.T) {
-	q := &recordingFront{}
-	c := testSettings()
-	c.CrossZonePrice = 0.1
-	b := New(q, c, 7, Second)
+	front := &recordingFront{}
+	settings := testSettings()
+	settings.CrossZonePrice = 0.1
+	b := New(front, settings, 7, Second)
 	b.UpdateEndpoints(Second, ListFull, testMembers(6, "a", "b"))
-	near := sendRequest(b, q, 2*Second, "k", Succeeded, Millisecond)
-	if b.table.endpoints[b.table.indexes[near]].Zone != "a" {
-		t.Error("an unloaded near side was passed over")
+	first := sendRequest(b, front, 2*Second, "k", Succeeded, Millisecond)
+	if b.table.endpoints[b.table.indexes[first]].Zone != "a" {
+		t.Error("unloaded local endpoints were passed over")
 	}
 	for i := range b.table.endpoints {
 		if b.table.endpoints[i].Zone == "a" {
@@ -25,57 +25,57 @@
 		b.Woken(3*Second + Time(i)*maintenanceInterval)
 	}
 	if b.zones.localShare > 0 {
-		t.Errorf("%.2f of the keys still look near first", b.zones.localShare)
+		t.Errorf("%.2f of the keys still prefer local endpoints", b.zones.localShare)
 	}
 }
 
-// Before anything is learned no more keys look near first than the near endpoints' part of all: all traffic may come
-// to their zone.
+// While no load is known, the part of the keys that prefer local endpoints is at most the local endpoints' part of the
+// fleet, because all traffic may arrive in their zone.
 func TestLocalShareStartsAtTheLocalEndpointsPart(t *testing.T) {
 	for _, zones := range []int{2, 5} {
-		c := testSettings()
-		c.CrossZonePrice, c.Zones = 0.2, zones
-		b := New(&recordingFront{}, c, 7, Second)
+		settings := testSettings()
+		settings.CrossZonePrice, settings.Zones = 0.2, zones
+		b := New(&recordingFront{}, settings, 7, Second)
 		b.UpdateEndpoints(Second, ListFull, testMembers(10, "a", "b", "b", "b", "b"))
 		if b.zones.localShare < 0.19 || b.zones.localShare > 0.21 {
-			t.Errorf("near part %.2f with a fifth of the endpoints in one of %d zones", b.zones.localShare, zones)
+			t.Errorf("local share %.2f with a fifth of the endpoints in one of %d zones", b.zones.localShare, zones)
 		}
 	}
 }
 
-// Where a part of the keys looks near first, the same part of the requests without a key does.
-func TestLocalShareHoldsForRequestsWithoutKey(t *testing.T) {
-	b, w := newTestBalancer(testMembers(100, "a", "b"))
+// The same part of the keyless requests as of the keys must prefer local endpoints.
+func TestLocalShareAppliesToKeylessRequests(t *testing.T) {
+	b, front := newTestBalancer(testMembers(100, "a", "b"))
 	b.zones.localShare = 0.5
-	near := 0
+	local := 0
 	for range 1000 {
-		h := w.admit(b, 2*Second, "", false, 2*Second)
-		id := w.sentTo[len(w.sentTo)-1]
-		b.AttemptEnded(2*Second, h, 0, id, Cancelled, 0, true)
+		handle := front.admit(b, 2*Second, "", false, 2*Second)
+		id := front.sentTo[len(front.sentTo)-1]
+		b.AttemptEnded(2*Second, handle, 0, id, Cancelled, 0, true)
 		if b.table.endpoints[b.table.indexes[id]].Zone == b.settings.Zone {
-			near++
+			local++
 		}
 	}
-	// Half of them near, and of the others, half as they fall.
-	if near < 680 || near > 820 {
-		t.Errorf("%d of 1000 near", near)
+	// Half of the requests prefer local endpoints; half of the others reach one by their slots.
+	if local < 680 || local > 820 {
+		t.Errorf("%d of 1000 requests went to local endpoints", local)
 	}
 }
 
-// While the near endpoints answer as if idle, the near part rises by a quarter of what a crossing costs, within
-// bounds; once they are loaded it rises slowly, and where both sides are alike it goes on to do so.
-func TestLocalShareRisesByThePriceOfACrossing(t *testing.T) {
-	for _, c := range []struct{ price, load, want float64 }{
+// While local endpoints answer as if idle, the local share rises by a quarter of CrossZonePrice, within bounds. Once
+// they are loaded it rises slowly, as long as remote endpoints are loaded as much.
+func TestLocalShareRisesWithTheCrossZonePrice(t *testing.T) {
+	for _, test := range []struct{ price, load, want float64 }{
 		{0.01, 0, 0.01}, {0.08, 0, 0.02}, {0.12, 0, 0.03}, {0.5, 0, 0.03}, {0.12, 0.2, 0.01}, {0, 0, 0},
 	} {
-		s := testSettings()
-		s.CrossZonePrice = c.price
-		b := New(&recordingFront{}, s, 7, Second)
+		settings := testSettings()
+		settings.CrossZonePrice = test.price
+		b := New(&recordingFront{}, settings, 7, Second)
 		b.UpdateEndpoints(Second, ListFull, testMembers(10, "a", "b"))
 		b.zones.localShare = 0.25
-		b.zones.lateness = [2]float64{b.baseline + c.load, b.baseline + c.load}
-		if b.adjustLocalShare(2 * Second); math.Abs(b.zones.localShare-0.25-c.want) > 1e-9 {
-			t.Errorf("price %g, load %g: rose by %g, want %g", c.price, c.load, b.zones.localShare-0.25, c.want)
+		b.zones.lateness = [2]float64{b.baseline + test.load, b.baseline + test.load}
+		if b.adjustLocalShare(2 * Second); math.Abs(b.zones.localShare-0.25-test.want) > 1e-9 {
+			t.Errorf("price %g, load %g: rose by %g, want %g", test.price, test.load, b.zones.localShare-0.25, test.want)
 		}
 	}
 }
