--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -133,7 +133,7 @@
 		return err
 	}
 	if h, ok := i.handles[id]; ok {
-		i.balancer.Until(h, 0)
+		i.balancer.SetDeadline(h, 0)
 	}
 	return nil
 }
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -151,9 +151,9 @@
 	b.requests.release(r)
 }
 
-// Until replaces a request's deadline; 0 means none. An answer that has begun has no deadline here: how long
+// SetDeadline replaces a request's deadline; 0 means none. An answer that has begun has no deadline here: how long
 // it may take is up to the client.
-func (b *Balancer) Until(handle Handle, deadline Time) {
+func (b *Balancer) SetDeadline(handle Handle, deadline Time) {
 	if r := b.requests.lookup(handle); r != nil {
 		r.deadline = cmp.Or(deadline, never)
 	}
--- a/rpc/front.go
+++ b/rpc/front.go
@@ -102,7 +102,7 @@
 func (f *front) streamOpened(_ policy.Time, e event) {
 	if e.call.isCurrent(e.sequence) {
 		f.engine.Timers.Stop(&e.call.request.AttemptTimer)
-		f.engine.Module.Until(e.call.request.Handle, 0)
+		f.engine.Module.SetDeadline(e.call.request.Handle, 0)
 	}
 }
 
