--- a/internal/engine/ruleclasses.go
+++ b/internal/engine/ruleclasses.go
@@ -109,6 +109,6 @@
 		return policy.TenantID(i)
 	}
 	e.Settings.Tenants = append(e.Settings.Tenants, policy.Tenant{Name: name})
-	e.Module.GrowTenants()
+	e.Module.AddTenants()
 	return policy.TenantID(len(e.Settings.Tenants) - 1)
 }
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// GrowTenants adds arrival rates for the tenants that are new in the settings.
-func (b *Balancer) GrowTenants() {
+// AddTenants adds arrival rates for the tenants that are new in the settings.
+func (b *Balancer) AddTenants() {
 	for len(b.tenants) < len(b.settings.Tenants) {
 		b.tenants = append(b.tenants, rateMeter{})
 	}
