--- a/internal/emulator/front.go
+++ b/internal/emulator/front.go
@@ -169,8 +169,8 @@
 	}
 }
 
-// Release does nothing: idle connections end by their timeout.
-func (s *instance) Release(policy.EndpointID) {}
+// ReleaseConnections does nothing: idle connections end by their timeout.
+func (s *instance) ReleaseConnections(policy.EndpointID) {}
 
 // Forget does nothing.
 func (s *instance) Forget(policy.EndpointID) {}
--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -62,8 +62,8 @@
 // Log implements policy.Front.
 func (e *Engine) Log(line string) { e.Logger.Info(line) }
 
-// Release implements policy.Front: it closes the idle connections to an endpoint that stays listed.
-func (e *Engine) Release(id policy.EndpointID) {
+// ReleaseConnections implements policy.Front: it closes the idle connections to an endpoint that stays listed.
+func (e *Engine) ReleaseConnections(id policy.EndpointID) {
 	if s := e.Endpoints[id]; s != nil {
 		e.closeIdle(s)
 	}
--- a/internal/simprotocol/actions.go
+++ b/internal/simprotocol/actions.go
@@ -61,8 +61,8 @@
 // Succeed writes nothing: the simulator forwards an endpoint's response by itself.
 func (i *instance) Succeed(policy.Handle, policy.AttemptNo) {}
 
-// Release closes idle connections to an endpoint.
-func (i *instance) Release(endpoint policy.EndpointID) {
+// ReleaseConnections closes idle connections to an endpoint.
+func (i *instance) ReleaseConnections(endpoint policy.EndpointID) {
 	i.beginLine("release")
 	i.writeNumber("endpoint", uint64(endpoint))
 	i.endLine()
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -22,7 +22,7 @@
 func (f *recordingFront) Fail(Handle)                             { f.answered++ }
 func (f *recordingFront) Wake(Time)                               {}
 func (f *recordingFront) FollowList(bool)                         {}
-func (f *recordingFront) Release(EndpointID)                      { f.released++ }
+func (f *recordingFront) ReleaseConnections(EndpointID)           { f.released++ }
 func (f *recordingFront) Forget(EndpointID)                       { f.forgotten++ }
 
 func TestRulesAgainstReferenceModel(t *testing.T) {
--- a/policy/discardfront.go
+++ b/policy/discardfront.go
@@ -27,8 +27,8 @@
 // FollowList does nothing.
 func (DiscardFront) FollowList(bool) {}
 
-// Release does nothing.
-func (DiscardFront) Release(EndpointID) {}
+// ReleaseConnections does nothing.
+func (DiscardFront) ReleaseConnections(EndpointID) {}
 
 // Forget does nothing.
 func (DiscardFront) Forget(EndpointID) {}
--- a/policy/front.go
+++ b/policy/front.go
@@ -16,8 +16,8 @@
 	Wake(after Time)
 	// FollowList starts or stops following the endpoint list.
 	FollowList(follow bool)
-	// Release allows the idle connections to the endpoint to be closed.
-	Release(endpoint EndpointID)
+	// ReleaseConnections allows the idle connections to the endpoint to be closed.
+	ReleaseConnections(endpoint EndpointID)
 	// Forget drops the state of an endpoint that was removed. If its id is listed again, it is a new
 	// endpoint.
 	Forget(endpoint EndpointID)
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -202,8 +202,8 @@
 func (s *simulation) Forget(EndpointID)         { s.eventCounts["forgotten"]++ }
 func (s *simulation) Wake(after Time)           { s.schedule(after, func() { s.balancer.Woken(s.now) }) }
 
-// Release checks that connections are shared and have no attempt in flight.
-func (s *simulation) Release(id EndpointID) {
+// ReleaseConnections checks that connections are shared and have no attempt in flight.
+func (s *simulation) ReleaseConnections(id EndpointID) {
 	s.eventCounts["released"]++
 	for _, request := range s.requests {
 		for _, attempt := range request.attempts {
--- a/policy/maintenance.go
+++ b/policy/maintenance.go
@@ -62,7 +62,7 @@
 	idle := e.lastUsedAt > 0 && e.inFlight == 0 && now-e.lastUsedAt >= idleTime
 	if b.settings.sharedConnections() && idle {
 		e.lastUsedAt = 0
-		b.front.Release(e.ID)
+		b.front.ReleaseConnections(e.ID)
 	}
 }
 
