--- a/internal/emulator/samples.go
+++ b/internal/emulator/samples.go
@@ -78,8 +78,8 @@
 		if source, has := c.decider.(gaugeSource); has && c.alive {
 			g := source.Gauges()
 			n++
-			s.TotalLimit += min(g.TotalLimit, 1e4)
-			s.Limit += g.Limit
+			s.TotalLimit += min(g.ConcurrencyLimit, 1e4)
+			s.Limit += g.MeanEndpointLimit
 			s.Ejected += float64(g.Ejected)
 		}
 	}
--- a/internal/httpproxy/races_test.go
+++ b/internal/httpproxy/races_test.go
@@ -347,7 +347,7 @@
 				c := r.client()
 				c.send("step/slow", "b", "")
 			}
-			r.waitUntil("full", func() bool { return r.Module.Gauges().Waiting > 1 })
+			r.waitUntil("full", func() bool { return r.Module.Gauges().Queued > 1 })
 		}, "step/x", 10 * time.Millisecond, 0},
 		"waits for a connection to rest": {2 * policy.Second, func(r *runningProxy) {
 			c := r.client()
--- a/internal/httpproxy/reports.go
+++ b/internal/httpproxy/reports.go
@@ -35,10 +35,10 @@
 		{"servers_known", int64(len(p.Endpoints))},
 		{"list_refused", refused},
 		{"pushes_out", int64(module.InFlight)},
-		{"tickets_waiting", int64(module.Waiting)},
+		{"tickets_waiting", int64(module.Queued)},
 		{"servers_aside", int64(module.Ejected)},
-		{"pace", int64(module.TotalLimit)},
-		{"limit_of_a_server", int64(module.Limit)},
+		{"pace", int64(module.ConcurrencyLimit)},
+		{"limit_of_a_server", int64(module.MeanEndpointLimit)},
 		{"lateness_percent", int64(100 * module.Lateness)},
 	}
 	for _, gauge := range gauges {
--- a/policy/report.go
+++ b/policy/report.go
@@ -8,25 +8,25 @@
 
 // Gauges are current figures of an instance, for reports and metrics.
 type Gauges struct {
-	TotalLimit float64 // concurrency limit: most attempts in flight to all endpoints together
-	Limit      float64 // mean over the endpoints of the most attempts in flight to one of them
-	Lateness   float64 // moving average of answer time over target latency, where each counts as 1 at most
-	InFlight   int     // attempts in flight
-	Waiting    int     // requests in the queue
-	Ejected    int     // ejected endpoints
+	ConcurrencyLimit  float64 // concurrency limit: most attempts in flight to all endpoints together
+	MeanEndpointLimit float64 // mean over the endpoints of the most attempts in flight to one of them
+	Lateness          float64 // moving average of answer time over target latency, where each counts as 1 at most
+	InFlight          int     // attempts in flight
+	Queued            int     // requests in the queue
+	Ejected           int     // ejected endpoints
 }
 
 // Gauges returns the current figures.
 func (b *Balancer) Gauges() Gauges {
 	gauges := Gauges{
-		TotalLimit: b.concurrency.limit,
-		Lateness:   b.concurrency.latenessMean,
-		InFlight:   b.concurrency.inFlight,
-		Waiting:    b.queue.len(),
-		Ejected:    b.ejected,
+		ConcurrencyLimit: b.concurrency.limit,
+		Lateness:         b.concurrency.latenessMean,
+		InFlight:         b.concurrency.inFlight,
+		Queued:           b.queue.len(),
+		Ejected:          b.ejected,
 	}
 	for _, index := range b.table.byID {
-		gauges.Limit += b.table.endpoints[index].limit / float64(len(b.table.byID))
+		gauges.MeanEndpointLimit += b.table.endpoints[index].limit / float64(len(b.table.byID))
 	}
 	return gauges
 }
