--- a/policy/learnedstate.go
+++ b/policy/learnedstate.go
@@ -3,22 +3,22 @@
 // LearnedState is the state that an instance has learned and passes on to its successor. It is encoded as
 // JSON: the keys and the order of its fields are part of the format.
 type LearnedState struct {
-	Baseline           float64             `json:"Calm"`     // baseline latency, in target latencies
-	LatencyPerReported float64             `json:"PerHeld"`  // see loadReports.latencyPerLoad
-	Limit              float64             `json:"Pace"`     // concurrency limit
-	InUse              float64             `json:"InUse"`    // mean attempts in flight
-	Lateness           float64             `json:"Late"`     // mean of answer time over target latency
-	RetryBudget        float64             `json:"Pushes"`   // retries that may be made now
-	NearShare          float64             `json:"NearPart"` // part of the keys that prefer local endpoints
-	ZoneLatency        [2]float64          `json:"Sides"`    // see zonePreference.lateness
-	MeanLatency        []float64           `json:"Usual"`    // by class, in ns
-	FirstAttempts      []FirstAttemptTimes `json:"Patience"` // by class
-	TenantRates        []float64           `json:"Use"`      // by tenant: requests per second
-	ArrivalRate        float64             `json:"Arrivals"` // requests per second
-	SuccessRate        float64             `json:"Done"`     // successful attempts per second to warm endpoints
-	WarmRate           float64             `json:"Borne"`    // see warmup.rate
-	RecentKeys         []uint64            `json:"Recent"`   // hashes, the latest first
-	Endpoints          []LearnedEndpoint   `json:"Servers"`
+	Baseline       float64             `json:"Calm"`     // baseline latency, in target latencies
+	LatencyPerLoad float64             `json:"PerHeld"`  // see loadReports.latencyPerLoad
+	Limit          float64             `json:"Pace"`     // concurrency limit
+	InFlightMean   float64             `json:"InUse"`    // mean attempts in flight
+	Lateness       float64             `json:"Late"`     // mean of answer time over target latency
+	RetryBudget    float64             `json:"Pushes"`   // retries that may be made now
+	LocalShare     float64             `json:"NearPart"` // part of the keys that prefer local endpoints
+	ZoneLateness   [2]float64          `json:"Sides"`    // see zonePreference.lateness
+	MeanLatency    []float64           `json:"Usual"`    // by class, in ns
+	FirstAttempts  []FirstAttemptTimes `json:"Patience"` // by class
+	TenantRates    []float64           `json:"Use"`      // by tenant: requests per second
+	ArrivalRate    float64             `json:"Arrivals"` // requests per second
+	SuccessRate    float64             `json:"Done"`     // successful attempts per second to warm endpoints
+	WarmRate       float64             `json:"Borne"`    // see warmup.rate
+	RecentKeys     []uint64            `json:"Recent"`   // hashes, the latest first
+	Endpoints      []LearnedEndpoint   `json:"Servers"`
 }
 
 // FirstAttemptTimes describes the time left until the deadline with which the requests of a class arrive, not
@@ -34,13 +34,13 @@
 	Started      Time       `json:"Started"`
 	Weight       float64    `json:"Weight"`
 	Limit        float64    `json:"Limit"`   // most attempts in flight
-	Ratio        float64    `json:"Ratio"`   // mean of answer time over target latency
-	Served       float64    `json:"Served"`  // successful attempts per second
+	LatencyRatio float64    `json:"Ratio"`   // mean of answer time over target latency
+	SuccessRate  float64    `json:"Served"`  // successful attempts per second
 	Failures     int        `json:"Row"`     // consecutive failures
 	SlowStart    int        `json:"Trickle"` // attempts allowed in flight in slow start; 0: not in it
 	EjectedUntil Time       `json:"AsideTill"`
-	Ejection     Time       `json:"Skip"`   // length of the latest ejection
-	Budget       float64    `json:"Budget"` // attempts that may be sent to it now while it is cold
+	EjectionTime Time       `json:"Skip"`   // length of the latest ejection
+	ColdBudget   float64    `json:"Budget"` // attempts that may be sent to it now while it is cold
 }
 
 // ExportState returns the learned state for a successor. It hands over the budgets of cold endpoints and the
@@ -48,18 +48,18 @@
 // budget of one.
 func (b *Balancer) ExportState(now Time) LearnedState {
 	state := LearnedState{
-		Baseline:           b.baseline,
-		LatencyPerReported: b.reports.latencyPerLoad,
-		Limit:              b.concurrency.limit,
-		InUse:              b.concurrency.inFlightMean,
-		Lateness:           b.concurrency.latenessMean,
-		RetryBudget:        b.retries.tokens,
-		NearShare:          b.zones.localShare,
-		ZoneLatency:        b.zones.lateness,
-		ArrivalRate:        b.arrivals.current(now),
-		SuccessRate:        b.successes.current(now),
-		WarmRate:           b.warmup.rate,
-		RecentKeys:         b.recentKeys.latestFirst(),
+		Baseline:       b.baseline,
+		LatencyPerLoad: b.reports.latencyPerLoad,
+		Limit:          b.concurrency.limit,
+		InFlightMean:   b.concurrency.inFlightMean,
+		Lateness:       b.concurrency.latenessMean,
+		RetryBudget:    b.retries.tokens,
+		LocalShare:     b.zones.localShare,
+		ZoneLateness:   b.zones.lateness,
+		ArrivalRate:    b.arrivals.current(now),
+		SuccessRate:    b.successes.current(now),
+		WarmRate:       b.warmup.rate,
+		RecentKeys:     b.recentKeys.latestFirst(),
 	}
 	for i := range b.classes {
 		class := &b.classes[i]
@@ -91,13 +91,13 @@
 		Started:      e.Started,
 		Weight:       e.Weight,
 		Limit:        e.limit,
-		Ratio:        e.latencyRatio,
-		Served:       e.successes.current(now),
+		LatencyRatio: e.latencyRatio,
+		SuccessRate:  e.successes.current(now),
 		Failures:     e.failures,
 		SlowStart:    e.slowStart,
 		EjectedUntil: e.ejectedUntil,
-		Ejection:     e.ejectionTime,
-		Budget:       e.coldBudget,
+		EjectionTime: e.ejectionTime,
+		ColdBudget:   e.coldBudget,
 	}
 }
 
@@ -108,14 +108,14 @@
 		return
 	}
 	b.baseline = state.Baseline
-	b.reports.latencyPerLoad = state.LatencyPerReported
+	b.reports.latencyPerLoad = state.LatencyPerLoad
 	b.concurrency.limit = state.Limit
-	b.concurrency.inFlightMean = state.InUse
+	b.concurrency.inFlightMean = state.InFlightMean
 	b.concurrency.latenessMean = state.Lateness
 	b.concurrency.observedAt = now
 	b.retries.tokens = state.RetryBudget
-	b.zones.localShare = state.NearShare
-	b.zones.lateness = state.ZoneLatency
+	b.zones.localShare = state.LocalShare
+	b.zones.lateness = state.ZoneLateness
 	for i := range b.classes {
 		b.classes[i] = classStats{
 			meanLatency: state.MeanLatency[i],
@@ -164,12 +164,12 @@
 
 func (e *endpoint) restore(now Time, learned *LearnedEndpoint) {
 	e.limit = learned.Limit
-	e.latencyRatio = learned.Ratio
-	e.successes = rateMeter{rate: learned.Served, updatedAt: now}
+	e.latencyRatio = learned.LatencyRatio
+	e.successes = rateMeter{rate: learned.SuccessRate, updatedAt: now}
 	e.failures = learned.Failures
 	e.slowStart = learned.SlowStart
 	e.ejectedUntil = learned.EjectedUntil
-	e.ejectionTime = learned.Ejection
-	e.coldBudget = learned.Budget
+	e.ejectionTime = learned.EjectionTime
+	e.coldBudget = learned.ColdBudget
 	e.budgetUpdatedAt = now
 }
