--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -151,8 +151,8 @@
 	b.requests.release(r)
 }
 
-// SetDeadline replaces a request's deadline; 0 means none. An answer that has begun has no deadline here: how long
-// it may take is up to the client.
+// SetDeadline replaces a request's deadline; 0 means none. An answer that has begun has no deadline here: how
+// long it may take is up to the client.
 func (b *Balancer) SetDeadline(handle Handle, deadline Time) {
 	if r := b.requests.lookup(handle); r != nil {
 		r.deadline = cmp.Or(deadline, never)
--- a/policy/report.go
+++ b/policy/report.go
@@ -8,7 +8,7 @@
 
 // Gauges are current figures of an instance, for reports and metrics.
 type Gauges struct {
-	ConcurrencyLimit  float64 // concurrency limit: most attempts in flight to all endpoints together
+	ConcurrencyLimit  float64 // most attempts in flight to all endpoints together
 	MeanEndpointLimit float64 // mean over the endpoints of the most attempts in flight to one of them
 	Lateness          float64 // moving average of answer time over target latency, where each counts as 1 at most
 	InFlight          int     // attempts in flight
