--- a/policy/selection.go
+++ b/policy/selection.go
@@ -41,40 +41,40 @@
 			return index
 		}
 	}
-	w := walk{home: noEndpoint, fallback: noEndpoint}
+	state := walk{home: noEndpoint, fallback: noEndpoint}
 	if localFirst {
-		if index := b.walkTable(now, r, kind, true, &w); index >= 0 {
+		if index := b.walkTable(now, r, kind, true, &state); index >= 0 {
 			return index
 		}
 	}
-	if index := b.walkTable(now, r, kind, false, &w); index >= 0 {
+	if index := b.walkTable(now, r, kind, false, &state); index >= 0 {
 		return index
 	}
 	// With every endpoint ejected, an attempt is better than certain failure.
-	if w.home < 0 && w.fallback >= 0 && b.table.endpoints[w.fallback].hasRoom() {
-		return w.fallback
+	if state.home < 0 && state.fallback >= 0 && b.table.endpoints[state.fallback].hasRoom() {
+		return state.fallback
 	}
-	r.home = w.home
+	r.home = state.home
 	return noEndpoint
 }
 
 // walkTable visits the endpoints not yet visited, in the order of the slots from the request's own on, until
 // one is chosen. localOnly restricts it to endpoints in this instance's zone.
-func (b *Balancer) walkTable(now Time, r *request, kind tryKind, localOnly bool, w *walk) endpointIndex {
+func (b *Balancer) walkTable(now Time, r *request, kind tryKind, localOnly bool, state *walk) endpointIndex {
 	count := len(b.table.byID)
 	if localOnly {
 		count = b.table.localCount
 	}
-	b.drawHotKeyPair(r, count, w)
-	for i := 0; i < len(b.table.owners) && w.visited < count; i++ {
+	b.drawHotKeyPair(r, count, state)
+	for i := 0; i < len(b.table.owners) && state.visited < count; i++ {
 		index := b.table.owners[(int(r.key%slotCount)+i)%slotCount]
 		e := &b.table.endpoints[index]
 		if e.mark == b.table.mark || localOnly && !b.table.isLocal(e) {
 			continue
 		}
 		e.mark = b.table.mark
-		w.visited++
-		if chosen := b.visit(now, r, kind, index, w); chosen >= 0 {
+		state.visited++
+		if chosen := b.visit(now, r, kind, index, state); chosen >= 0 {
 			return chosen
 		}
 	}
@@ -83,36 +83,36 @@
 
 // drawHotKeyPair draws two of the endpoints that share a hot key. For any other key, both draws are the first
 // usable endpoint.
-func (b *Balancer) drawHotKeyPair(r *request, count int, w *walk) {
+func (b *Balancer) drawHotKeyPair(r *request, count int, state *walk) {
 	sharedBy := max(1, r.keyFrequency*hotKeySpread*float64(count))
-	w.candidate = noEndpoint
-	w.skipFirst = int(b.random.fraction() * sharedBy)
-	w.skipSecond = int(b.random.fraction() * sharedBy)
+	state.candidate = noEndpoint
+	state.skipFirst = int(b.random.fraction() * sharedBy)
+	state.skipSecond = int(b.random.fraction() * sharedBy)
 }
 
 // visit considers one endpoint of the walk. It returns the endpoint chosen, or noEndpoint if the walk goes
 // on.
-func (b *Balancer) visit(now Time, r *request, kind tryKind, index endpointIndex, w *walk) endpointIndex {
+func (b *Balancer) visit(now Time, r *request, kind tryKind, index endpointIndex, state *walk) endpointIndex {
 	e := &b.table.endpoints[index]
 	switch {
 	case !b.isAllowed(now, r, index):
 	case !b.isUsable(now, e) || b.passesOver(e):
-		if w.fallback < 0 && !b.warmup.isCold(now, e) {
-			w.fallback = index
+		if state.fallback < 0 && !b.warmup.isCold(now, e) {
+			state.fallback = index
 		}
-	case w.home < 0 && max(w.skipFirst, w.skipSecond) > 0:
-		if min(w.skipFirst, w.skipSecond) == 0 && !b.warmup.isCold(now, e) {
-			w.candidate = index
+	case state.home < 0 && max(state.skipFirst, state.skipSecond) > 0:
+		if min(state.skipFirst, state.skipSecond) == 0 && !b.warmup.isCold(now, e) {
+			state.candidate = index
 		}
-		w.skipFirst--
-		w.skipSecond--
-		w.fallback = index
-	case w.home < 0 && b.prefersCandidate(w.candidate, e):
-		return w.candidate
-	case e.hasRoom() && (w.home < 0 || kind == lastTry && b.load(e) < highLoad || b.maySpill(w.home, e)):
+		state.skipFirst--
+		state.skipSecond--
+		state.fallback = index
+	case state.home < 0 && b.prefersCandidate(state.candidate, e):
+		return state.candidate
+	case e.hasRoom() && (state.home < 0 || kind == lastTry && b.load(e) < highLoad || b.maySpill(state.home, e)):
 		return index
-	case w.home < 0:
-		w.home = index
+	case state.home < 0:
+		state.home = index
 	}
 	return noEndpoint
 }
