--- a/policy/concurrencylimit_test.go
+++ b/policy/concurrencylimit_test.go
@@ -118,14 +118,14 @@
 func TestLoneTimeoutsRaiseTheLimit(t *testing.T) {
 	b, front := newTestBalancer(testMembers(1, "a"))
 	b.table.endpoints[0].limit = 3.9
-	var silent []Handle
+	var handles []Handle
 	for i := range 3 {
-		silent = append(silent, b.Admit(4*Second, 0, NoTenant, fmt.Sprint(i), false, 4*Second))
-		b.Begin(4*Second, silent[i])
+		handles = append(handles, b.Admit(4*Second, 0, NoTenant, fmt.Sprint(i), false, 4*Second))
+		b.Begin(4*Second, handles[i])
 	}
 	id := front.sentTo[len(front.sentTo)-1]
 	sendRequest(b, front, 4*Second+100*Millisecond, "other", Succeeded, Millisecond)
-	for i, handle := range silent {
+	for i, handle := range handles {
 		b.AttemptEnded(5*Second, handle, 0, id, TimedOut, Second, true)
 		if limit := b.table.endpoints[0].limit; i == 0 && (limit < 3.9+loneTimeoutGrowth || limit > 4+loneTimeoutGrowth) || limit > 4+2*loneTimeoutGrowth {
 			t.Errorf("limit %.1f after %d lone timeouts", limit, i+1)
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -41,7 +41,7 @@
 	incarnation   int // counts starts of the instance; events of an earlier incarnation are dropped
 	requests      map[Handle]*modelRequest
 	members       map[EndpointID]Member
-	leavingSince  map[EndpointID]Time   // when a list first told this incarnation that an endpoint leaves
+	leavingSince  map[EndpointID]Time   // when a list first showed this incarnation that an endpoint leaves
 	coldAttempts  map[EndpointID][]Time // attempts while the endpoint was cold
 	successes     []Time                // ends of successful attempts
 	coldSuccesses map[EndpointID][]Time // ends of successful attempts since the endpoint started
