--- a/policy/listpolling.go
+++ b/policy/listpolling.go
@@ -31,7 +31,7 @@
 	p := &b.polling
 	p.delay = min(max(2*p.delay, b.pollSpread(), minPollDelay), b.maxPollDelay())
 	p.nextAt = now + Time(float64(p.delay)*(0.5+b.random.fraction()))
-	b.front.Log(fmt.Sprintf("endpoint list: request failed, retrying in %dms", (p.nextAt-now)/Millisecond))
+	b.front.Log(fmt.Sprintf("endpoint list: request failed, next in %dms", (p.nextAt-now)/Millisecond))
 	b.wake(now, p.nextAt)
 }
 
--- a/policy/rejection.go
+++ b/policy/rejection.go
@@ -25,6 +25,6 @@
 func (b *Balancer) noteRecovery(now Time) {
 	if b.rejections.active && now-b.rejections.lastAt > overloadEndDelay {
 		b.rejections.active = false
-		b.front.Log("overload ended: no request rejected for one second")
+		b.front.Log("overload over: no request rejected for a second")
 	}
 }
--- a/policy/zonepreference.go
+++ b/policy/zonepreference.go
@@ -101,8 +101,7 @@
 		z.localShare = min(1, z.localShare+rise)
 	}
 	if (before > 0) != (z.localShare > 0) {
-		b.front.Log(fmt.Sprintf(
-			"zone preference: %.2f of the keys prefer local endpoints, local load %.2f, remote load %.2f",
+		b.front.Log(fmt.Sprintf("zone preference: %.2f of the keys local, load local %.2f, remote %.2f",
 			z.localShare, local, remote))
 	}
 }
