--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -62,8 +62,8 @@
 // Log implements policy.Front.
 func (e *Engine) Log(line string) { e.Logger.Info(line) }
 
-// Release implements policy.Front. It closes the idle connections to an endpoint that is still listed.
-func (e *Engine) Release(id policy.EndpointID) {
+// ReleaseConnections implements policy.Front. It closes the idle connections to an endpoint that is still listed.
+func (e *Engine) ReleaseConnections(id policy.EndpointID) {
 	if endpoint := e.Endpoints[id]; endpoint != nil {
 		e.closeIdle(endpoint)
 	}
