--- a/cmd/pepperlead-sim/sweep.go
+++ b/cmd/pepperlead-sim/sweep.go
@@ -97,7 +97,7 @@
 
 func checkPolicies(names []string) error {
 	for _, name := range names {
-		if _, err := baseline.Maker(name); err != nil {
+		if _, err := baseline.Factory(name); err != nil {
 			return err
 		}
 	}
--- a/internal/emulator/baseline/baseline.go
+++ b/internal/emulator/baseline/baseline.go
@@ -32,10 +32,10 @@
 // seedStream keeps the draws of a baseline apart from those of other users of the same seed.
 const seedStream = 0x62617365
 
-// Maker returns the maker of the policy of that name.
-func Maker(name string) (emulator.Maker, error) {
+// Factory returns the factory of the policy of that name.
+func Factory(name string) (emulator.DeciderFactory, error) {
 	if name == "module" {
-		return emulator.Module, nil
+		return emulator.NewModule, nil
 	}
 	choose, known := choosers[name]
 	if !known {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -29,11 +29,11 @@
 
 func play(t testing.TB, sc *emulator.Scenario, seed uint64, name string) *judge.Verdict {
 	t.Helper()
-	maker, err := baseline.Maker(name)
+	factory, err := baseline.Factory(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return emulator.New(sc, seed, maker, nil).Run()
+	return emulator.New(sc, seed, factory, nil).Run()
 }
 
 // Every scenario that ships is played by the module in a short form, and no rule is broken.
@@ -104,17 +104,17 @@
 		"[network]\nnear = \"1ms\"\nhandshakes = 0\nclient = \"0s\"\n[[offering]]\nname = \"o\"\nquoted_time = \"27ms\"\ncut_off = \"27ms\"\nwork = \"10ms\"\n")
 	sc.Arrivals = []emulator.Arrival{{At: policy.Second / 2, Tenant: policy.NoTenant, TimeLeft: 27 * policy.Millisecond, WorkFactor: 1, IOFactor: 1}}
 	var ended []policy.Outcome
-	maker := func(front policy.Front, _ *policy.Settings, _ uint64, _ policy.Time, _ emulator.View) emulator.Decider {
+	factory := func(front policy.Front, _ *policy.Settings, _ uint64, _ policy.Time, _ emulator.View) emulator.Decider {
 		return &script{front: front, wait: 12 * policy.Millisecond, ended: &ended}
 	}
-	if v := emulator.New(sc, 1, maker, nil).Run(); v.Succeeded != 1 || !v.NoViolations() || ended[0] != policy.Succeeded {
+	if v := emulator.New(sc, 1, factory, nil).Run(); v.Succeeded != 1 || !v.NoViolations() || ended[0] != policy.Succeeded {
 		t.Errorf("%+v, %v", v, ended)
 	}
 	ended = nil
-	maker = func(front policy.Front, _ *policy.Settings, _ uint64, _ policy.Time, _ emulator.View) emulator.Decider {
+	factory = func(front policy.Front, _ *policy.Settings, _ uint64, _ policy.Time, _ emulator.View) emulator.Decider {
 		return &script{front: front, wait: 12*policy.Millisecond - 1, ended: &ended}
 	}
-	if v := emulator.New(sc, 1, maker, nil).Run(); v.Failed != 1 || ended[0] != policy.TimedOut {
+	if v := emulator.New(sc, 1, factory, nil).Run(); v.Failed != 1 || ended[0] != policy.TimedOut {
 		t.Errorf("%+v, %v", v, ended)
 	}
 }
@@ -197,7 +197,7 @@
 		}
 		sc.Length = policy.Second
 		sc.Load.Rate = 50
-		v := emulator.New(sc, 1, emulator.Module, nil).Run()
+		v := emulator.New(sc, 1, emulator.NewModule, nil).Run()
 		if _, err := json.Marshal(v); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/emulator/instance.go
+++ b/internal/emulator/instance.go
@@ -54,7 +54,7 @@
 	world           *World
 	number          judge.InstanceID
 	zone            policy.Zone
-	make            Maker
+	newDecider      DeciderFactory
 	decider         Decider
 	alive           bool
 	incarnation     int
@@ -83,12 +83,12 @@
 	started policy.Time
 }
 
-func (w *World) newInstance(no int, maker Maker) *instance {
+func (w *World) newInstance(no int, factory DeciderFactory) *instance {
 	s := &instance{
 		world:        w,
 		number:       judge.InstanceID(no),
 		zone:         w.scenario.Zones[no%len(w.scenario.Zones)],
-		make:         maker,
+		newDecider:   factory,
 		list:         map[*endpoint]notifiedStatus{},
 		gustDraws:    stream(w.seed, "gusts", no),
 		arrivalDraws: stream(w.seed, "arrivals", no),
@@ -134,7 +134,7 @@
 	s.following = !s.world.scenario.Discovery.Polled
 	s.idleConnections = make([][]policy.Time, len(s.world.endpoints))
 	s.tries = s.tries[:0]
-	s.decider = s.make(s, s.settings, s.seedDraws.Uint64(), s.world.now, s.world)
+	s.decider = s.newDecider(s, s.settings, s.seedDraws.Uint64(), s.world.now, s.world)
 	if kind == policy.ListSaved {
 		var all []policy.Member
 		for _, v := range s.world.endpoints {
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -39,11 +39,11 @@
 	Woken(now policy.Time)
 }
 
-// Maker makes the decider of one instance. view is the true state of the fleet, which no instance can see.
-type Maker func(front policy.Front, c *policy.Settings, seed uint64, now policy.Time, view View) Decider
+// DeciderFactory creates the decider of one instance. view is the true state of the fleet, which no instance can see.
+type DeciderFactory func(front policy.Front, c *policy.Settings, seed uint64, now policy.Time, view View) Decider
 
-// Module makes the decision module.
-func Module(front policy.Front, c *policy.Settings, seed uint64, now policy.Time, _ View) Decider {
+// NewModule makes the decision module.
+func NewModule(front policy.Front, c *policy.Settings, seed uint64, now policy.Time, _ View) Decider {
 	return policy.New(front, c, seed, now)
 }
 
@@ -108,7 +108,7 @@
 }
 
 // New prepares a day.
-func New(scenario *Scenario, seed uint64, maker Maker, sampler Sampler) *World {
+func New(scenario *Scenario, seed uint64, factory DeciderFactory, sampler Sampler) *World {
 	w := &World{
 		scenario:    scenario,
 		seed:        seed,
@@ -139,14 +139,14 @@
 	cumulate(w.tenantShares)
 	w.keys = newZipf(scenario.Load.Keys, scenario.Load.Zipf)
 	w.judge = judge.New(w.facts, w.tenantNames)
-	w.startInstances(maker)
+	w.startInstances(factory)
 	w.planDay()
 	return w
 }
 
-func (w *World) startInstances(maker Maker) {
+func (w *World) startInstances(factory DeciderFactory) {
 	for i := range w.scenario.Instances {
-		w.instances = append(w.instances, w.newInstance(i, maker))
+		w.instances = append(w.instances, w.newInstance(i, factory))
 	}
 	w.shareLoad()
 	for _, s := range w.instances {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -63,7 +63,7 @@
 
 // Play plays one day. The series is nil unless it is wanted.
 func Play(scenario *emulator.Scenario, seed uint64, policyName string, wantSeries bool) (*Result, *Series, error) {
-	maker, err := baseline.Maker(policyName)
+	maker, err := baseline.Factory(policyName)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/livetest/livetest.go
+++ b/internal/livetest/livetest.go
@@ -57,7 +57,7 @@
 	defer func() {
 		_ = os.RemoveAll(dir) // at worst files stay in the temporary directory
 	}()
-	world := emulator.New(scenario, options.Seed, emulator.Module, nil) // only for its layout, rate and settings
+	world := emulator.New(scenario, options.Seed, emulator.NewModule, nil) // only for its layout, rate and settings
 	r := newLiveRun(options, dir, world)
 	defer r.client.CloseIdleConnections()
 	if err := r.startEndpoints(world); err != nil {
