--- a/cmd/pepperlead-sim/run.go
+++ b/cmd/pepperlead-sim/run.go
@@ -70,7 +70,7 @@
 
 // loadScenario loads a scenario with settings that replace its own, each as path=value.
 func loadScenario(path string, settings []string) (*emulator.Scenario, error) {
-	var sets []emulator.Set
+	var sets []emulator.Override
 	for _, setting := range settings {
 		sets = append(sets, experiment.Sets(setting)...)
 	}
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -176,11 +176,11 @@
 	if _, err := emulator.Read("x.toml", []byte("base = \"none.toml\""), load); err == nil || !strings.Contains(err.Error(), "x.toml:1: base") {
 		t.Error(err)
 	}
-	if _, err := emulator.Read("x.toml", []byte(overlay), load, emulator.Set{Path: "load.part", Value: -1.0}); err == nil ||
+	if _, err := emulator.Read("x.toml", []byte(overlay), load, emulator.Override{Path: "load.part", Value: -1.0}); err == nil ||
 		!strings.Contains(err.Error(), "load.part: found -1") {
 		t.Error(err)
 	}
-	if _, err := emulator.Read("x.toml", []byte(overlay), load, emulator.Set{Path: "nothing.part", Value: 1.0}); err == nil {
+	if _, err := emulator.Read("x.toml", []byte(overlay), load, emulator.Override{Path: "nothing.part", Value: 1.0}); err == nil {
 		t.Error("set where there is nothing")
 	}
 }
--- a/internal/emulator/largefleet_test.go
+++ b/internal/emulator/largefleet_test.go
@@ -35,8 +35,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sc, err := emulator.Read(shape, text, load, emulator.Set{Path: "fleet.sidecars", Value: int64(size.instances)},
-		emulator.Set{Path: "fleet.servers", Value: int64(size.servers)})
+	sc, err := emulator.Read(shape, text, load, emulator.Override{Path: "fleet.sidecars", Value: int64(size.instances)},
+		emulator.Override{Path: "fleet.servers", Value: int64(size.servers)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/emulator/read.go
+++ b/internal/emulator/read.go
@@ -18,15 +18,15 @@
 	day          = 24 * 3600 * policy.Second
 )
 
-// Set replaces a value of the file: its path, as in load.part, and the value.
-type Set struct {
+// Override replaces a value of the file: its path, as in load.part, and the value.
+type Override struct {
 	Path  string
 	Value any
 }
 
 // Read reads a scenario. One that names a base has only what differs from it; load reads the base by that name. The
 // error has a line for each fault of the file.
-func Read(file string, text []byte, load func(name string) ([]byte, error), sets ...Set) (*Scenario, error) {
+func Read(file string, text []byte, load func(name string) ([]byte, error), overrides ...Override) (*Scenario, error) {
 	doc, root := tomlfile.Parse(file, text, MaxScenarioSize)
 	if name := root.String("base", ""); doc.Err() == nil && name != "" {
 		of, err := load(name)
@@ -43,9 +43,9 @@
 		}
 		root.Overlay(base)
 	}
-	for _, set := range sets {
+	for _, override := range overrides {
 		if doc.Err() == nil {
-			if err := root.Set(set.Path, set.Value); err != nil {
+			if err := root.Set(override.Path, override.Value); err != nil {
 				return nil, fmt.Errorf("%s: %w", file, err)
 			}
 		}
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -15,12 +15,12 @@
 const Scale = "scale"
 
 // Load reads a scenario and its base, which is a file in the same directory.
-func Load(path string, sets ...emulator.Set) (*emulator.Scenario, error) {
+func Load(path string, sets ...emulator.Override) (*emulator.Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	isScale := func(s emulator.Set) bool { return s.Path == Scale }
+	isScale := func(s emulator.Override) bool { return s.Path == Scale }
 	if i := slices.IndexFunc(sets, isScale); i >= 0 {
 		if sets, err = expandScale(path, sets, i); err != nil {
 			return nil, err
@@ -32,7 +32,7 @@
 }
 
 // expandScale replaces the set that is a scale by those that it stands for.
-func expandScale(path string, sets []emulator.Set, at int) ([]emulator.Set, error) {
+func expandScale(path string, sets []emulator.Override, at int) ([]emulator.Override, error) {
 	unscaled, err := Load(path, slices.Delete(slices.Clone(sets), at, at+1)...)
 	if err != nil {
 		return nil, err
@@ -46,12 +46,12 @@
 	keys := int64(math.Round(float64(unscaled.Load.Keys) * factor))
 	expanded := slices.Clone(sets[:at])
 	expanded = append(expanded,
-		emulator.Set{Path: "fleet.sidecars", Value: int64(instances)},
-		emulator.Set{Path: "fleet.servers", Value: int64(endpoints)},
-		emulator.Set{Path: "load.keys", Value: keys})
+		emulator.Override{Path: "fleet.sidecars", Value: int64(instances)},
+		emulator.Override{Path: "fleet.servers", Value: int64(endpoints)},
+		emulator.Override{Path: "load.keys", Value: keys})
 	expanded = append(expanded, sets[at+1:]...)
 	if unscaled.Load.Rate > 0 {
-		expanded = append(expanded, emulator.Set{Path: "load.rate", Value: unscaled.Load.Rate * factor})
+		expanded = append(expanded, emulator.Override{Path: "load.rate", Value: unscaled.Load.Rate * factor})
 	}
 	return expanded, nil
 }
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -151,7 +151,7 @@
 }
 
 // Sets reads path=value, "" being none. A value that is a whole number stays one.
-func Sets(text string) []emulator.Set {
+func Sets(text string) []emulator.Override {
 	path, value, ok := strings.Cut(text, "=")
 	if !ok {
 		return nil
@@ -164,7 +164,7 @@
 	} else if b, err := strconv.ParseBool(value); err == nil {
 		v = b
 	}
-	return []emulator.Set{{Path: path, Value: v}}
+	return []emulator.Override{{Path: path, Value: v}}
 }
 
 // Range reads values as a list, 1,2,4, or as from:to:step.
