--- a/internal/emulator/judge/attempts.go
+++ b/internal/emulator/judge/attempts.go
@@ -34,7 +34,7 @@
 	r := &j.requests[id]
 	number := len(r.attempts)
 	j.attempts++
-	if at < j.facts.Length {
+	if at < j.config.Length {
 		j.spread.countAttempt(at, to, r.key, r.number)
 	}
 	if crossesZone {
@@ -43,8 +43,8 @@
 	if r.answered || r.abandoned {
 		j.violate(1, at, r.number, "pushed after its final answer")
 	}
-	if number >= j.facts.MaxAttempts {
-		j.violate(2, at, r.number, "push %d of %d allowed", number+1, j.facts.MaxAttempts)
+	if number >= j.config.MaxAttempts {
+		j.violate(2, at, r.number, "push %d of %d allowed", number+1, j.config.MaxAttempts)
 	}
 	if r.inFlight > 0 {
 		j.violate(2, at, r.number, "two pushes out at once")
@@ -52,7 +52,7 @@
 	next := attempt{endpoint: to, zone: zone, cell: cell, at: at, inFlight: true}
 	j.checkRepeat(r, next)
 	notified, known := j.notifications[r.instance][to]
-	if known && notified.drainingSince > 0 && at > notified.drainingSince+j.facts.Grace {
+	if known && notified.drainingSince > 0 && at > notified.drainingSince+j.config.Grace {
 		j.violate(3, at, r.number, "pushed to server %d, %v after its sidecar was told that it leaves", to,
 			seconds(at-notified.drainingSince))
 	}
@@ -63,7 +63,7 @@
 
 // checkRepeat holds an attempt to rule 2 where an earlier one may have run.
 func (j *Judge) checkRepeat(r *request, next attempt) {
-	class := &j.facts.Classes[r.class]
+	class := &j.config.Classes[r.class]
 	keyed := class.Idempotency == policy.Keyed
 	for _, earlier := range r.attempts {
 		if !earlier.mayHaveRun && !earlier.inFlight {
@@ -127,12 +127,12 @@
 // what it can do in a ns. Only work from instances that were notified of its start counts: others cannot know.
 func (j *Judge) ColdWorkArrived(at policy.Time, instance InstanceID, to EndpointID, startedAt policy.Time,
 	work, capacity float64) {
-	if j.notifications[instance][to].startedAt < startedAt || j.facts.OverloadMultiple == 0 {
+	if j.notifications[instance][to].startedAt < startedAt || j.config.OverloadMultiple == 0 {
 		return
 	}
 	recent := append(j.coldWork[to], arrivedWork{at, work})
 	first := 0
-	for recent[first].at <= at-j.facts.OverloadWindow {
+	for recent[first].at <= at-j.config.OverloadWindow {
 		first++
 	}
 	recent = slices.Delete(recent, 0, first)
@@ -141,10 +141,10 @@
 	for _, arrived := range recent {
 		sum += arrived.work
 	}
-	allowed := j.facts.OverloadMultiple * capacity * float64(j.facts.OverloadWindow)
+	allowed := j.config.OverloadMultiple * capacity * float64(j.config.OverloadWindow)
 	if sum > allowed && j.overloaded[to] != startedAt {
 		j.overloaded[to] = startedAt
 		j.violate(4, at, 0, "server %d, cold, was sent %.1f times what it can do within %v, allowed %.1f", to,
-			sum/(capacity*float64(j.facts.OverloadWindow)), seconds(j.facts.OverloadWindow), j.facts.OverloadMultiple)
+			sum/(capacity*float64(j.config.OverloadWindow)), seconds(j.config.OverloadWindow), j.config.OverloadMultiple)
 	}
 }
--- a/internal/emulator/judge/judge.go
+++ b/internal/emulator/judge/judge.go
@@ -35,8 +35,8 @@
 // ruleCount is the number of rules, which are numbered from 1.
 const ruleCount = 4
 
-// Facts are what the judge must know of the fleet beforehand.
-type Facts struct {
+// Config is what the judge must know of the fleet beforehand.
+type Config struct {
 	Classes          []policy.Class
 	Instances        int
 	MaxAttempts      int
@@ -64,7 +64,7 @@
 
 // Judge watches one day.
 type Judge struct {
-	facts Facts
+	config Config
 
 	requests     []request
 	freeRequests []RequestID
@@ -92,16 +92,16 @@
 }
 
 // New makes a judge for a day with these tenants.
-func New(facts Facts, tenants []string) *Judge {
+func New(config Config, tenants []string) *Judge {
 	j := &Judge{
-		facts:      facts,
+		config:     config,
 		coldWork:   map[EndpointID][]arrivedWork{},
 		overloaded: map[EndpointID]policy.Time{},
 	}
-	for range facts.Instances {
+	for range config.Instances {
 		j.notifications = append(j.notifications, map[EndpointID]notification{})
 	}
-	for _, class := range facts.Classes {
+	for _, class := range config.Classes {
 		j.byClass = append(j.byClass, Share{Name: class.Name})
 	}
 	for _, name := range tenants {
--- a/internal/emulator/judge/judge_test.go
+++ b/internal/emulator/judge/judge_test.go
@@ -14,7 +14,7 @@
 	o := func(name string, r policy.Idempotency, g policy.Group) policy.Class {
 		return policy.Class{Name: name, Value: 1, LateValue: 0.5, Target: sec, Idempotency: r, Group: g, Window: 2 * sec}
 	}
-	return New(Facts{Classes: []policy.Class{o("reissuable", policy.Idempotent, 0), o("all", policy.Keyed, policy.GroupAll),
+	return New(Config{Classes: []policy.Class{o("reissuable", policy.Idempotent, 0), o("all", policy.Keyed, policy.GroupAll),
 		o("zone", policy.Keyed, policy.GroupZone), o("pod", policy.Keyed, policy.GroupCell), o("once", policy.NonIdempotent, 0)},
 		Instances: 2, MaxAttempts: 3, Grace: sec, OverloadMultiple: 3, OverloadWindow: sec, Length: 60 * sec}, []string{"north"})
 }
--- a/internal/emulator/judge/requests.go
+++ b/internal/emulator/judge/requests.go
@@ -56,7 +56,7 @@
 	if !wanted.ended || wanted.openRequests > 0 {
 		return
 	}
-	if wanted.begunAt < j.facts.Length {
+	if wanted.begunAt < j.config.Length {
 		j.addValue(wanted)
 	}
 	j.freeClientRequests = append(j.freeClientRequests, id)
@@ -115,7 +115,7 @@
 	case at > r.deadline:
 		j.violate(1, at, r.number, "answered %v after its cut-off", seconds(at-r.deadline))
 	}
-	class := &j.facts.Classes[r.class]
+	class := &j.config.Classes[r.class]
 	if answer == Rejected {
 		j.checkRejection(at, r, class)
 	}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -57,7 +57,7 @@
 	now               policy.Time
 	queue             queue
 	judge             *judge.Judge
-	facts             judge.Facts
+	judgeConfig       judge.Config
 	tenantNames       []string
 	settings          policy.Settings // but for the zone
 	endpoints         []*endpoint
@@ -123,8 +123,8 @@
 	w.draws.retries = stream(seed, "retries", 0)
 	w.draws.errors = stream(seed, "errors", 0)
 	w.settings = scenario.settings()
-	w.facts = scenario.facts()
-	w.settings.Classes = w.facts.Classes
+	w.judgeConfig = scenario.judgeConfig()
+	w.settings.Classes = w.judgeConfig.Classes
 	for _, class := range scenario.Classes {
 		w.classShares = append(w.classShares, class.Share)
 	}
@@ -138,7 +138,7 @@
 	cumulate(w.classShares)
 	cumulate(w.tenantShares)
 	w.keys = newZipf(scenario.Load.Keys, scenario.Load.Zipf)
-	w.judge = judge.New(w.facts, w.tenantNames)
+	w.judge = judge.New(w.judgeConfig, w.tenantNames)
 	w.startInstances(factory)
 	w.planDay()
 	return w
@@ -218,22 +218,22 @@
 	return settings
 }
 
-// facts are what the judge knows of the fleet.
-func (sc *Scenario) facts() judge.Facts {
-	facts := judge.Facts{
+// judgeConfig returns what the judge knows of the fleet.
+func (sc *Scenario) judgeConfig() judge.Config {
+	config := judge.Config{
 		Instances:   sc.Instances,
 		MaxAttempts: sc.Limits.MaxAttempts,
 		Grace:       sc.Limits.Grace,
 		Length:      sc.Length,
 	}
 	if weakest := sc.weakestKind(); weakest != nil {
-		facts.OverloadMultiple = weakest.OverloadMultiple
-		facts.OverloadWindow = weakest.OverloadWindow
+		config.OverloadMultiple = weakest.OverloadMultiple
+		config.OverloadWindow = weakest.OverloadWindow
 	}
 	for _, class := range sc.Classes {
-		facts.Classes = append(facts.Classes, class.Class)
+		config.Classes = append(config.Classes, class.Class)
 	}
-	return facts
+	return config
 }
 
 // weakestKind returns the kind of endpoint that is overloaded first while cold, nil if none is.
@@ -367,10 +367,10 @@
 	return all
 }
 
-// Facts are what a judge of the same day must know; slack is added to what is allowed, for judges that hear of things
+// JudgeConfig returns what a judge of the same day must know; slack is added to what is allowed, for judges that hear of things
 // late.
-func (w *World) Facts(slack policy.Time) judge.Facts {
-	f := w.facts
+func (w *World) JudgeConfig(slack policy.Time) judge.Config {
+	f := w.judgeConfig
 	f.Grace += slack
 	return f
 }
--- a/internal/livetest/run.go
+++ b/internal/livetest/run.go
@@ -57,7 +57,7 @@
 			DisableCompression:  true,
 			DialContext:         dialer.DialContext,
 		},
-		judge:       judge.New(world.Facts(tolerance), world.TenantNames()),
+		judge:       judge.New(world.JudgeConfig(tolerance), world.TenantNames()),
 		pending:     map[string]*pendingRequest{},
 		values:      emulator.NewValueMeter(options.Scenario, world.Rate()),
 		listRandom:  rand.New(rand.NewPCG(options.Seed, listStream)),
