--- a/internal/emulator/judge/judge.go
+++ b/internal/emulator/judge/judge.go
@@ -82,8 +82,8 @@
 	violationCounts [ruleCount]int
 
 	seconds   []secondValue
-	byClass   []Share
-	byTenant  []Share
+	byClass   []ServedValue
+	byTenant  []ServedValue
 	answers   [answerKinds]int
 	late      int
 	attempts  int
@@ -102,10 +102,10 @@
 		j.notifications = append(j.notifications, map[EndpointID]notification{})
 	}
 	for _, class := range config.Classes {
-		j.byClass = append(j.byClass, Share{Name: class.Name})
+		j.byClass = append(j.byClass, ServedValue{Name: class.Name})
 	}
 	for _, name := range tenants {
-		j.byTenant = append(j.byTenant, Share{Name: name})
+		j.byTenant = append(j.byTenant, ServedValue{Name: name})
 	}
 	return j
 }
--- a/internal/emulator/judge/verdict.go
+++ b/internal/emulator/judge/verdict.go
@@ -7,22 +7,22 @@
 	"pepperlead/policy"
 )
 
-// Share is value offered by clients and value earned by responses in time.
-type Share struct {
+// ServedValue is value offered by clients and value earned by responses in time.
+type ServedValue struct {
 	Name      string  `json:"name"`
 	Requested float64 `json:"asked"`
 	Earned    float64 `json:"got"`
 }
 
 // Fraction is the part of the offered value that was earned; 1 where nothing was offered.
-func (s Share) Fraction() float64 {
+func (s ServedValue) Fraction() float64 {
 	if s.Requested <= 0 {
 		return 1
 	}
 	return s.Earned / s.Requested
 }
 
-func (s *Share) add(client *clientRequest) {
+func (s *ServedValue) add(client *clientRequest) {
 	s.Requested += client.value
 	s.Earned += client.earned
 }
@@ -35,9 +35,9 @@
 	s.earned += other.earned
 }
 
-// fraction is as Share's.
+// fraction is as ServedValue's.
 func (s secondValue) fraction() float64 {
-	return Share{Requested: s.requested, Earned: s.earned}.Fraction()
+	return ServedValue{Requested: s.requested, Earned: s.earned}.Fraction()
 }
 
 // Verdict is the result of a day.
@@ -46,8 +46,8 @@
 	Violations      []Violation    `json:"breaks,omitempty"`
 	Service         float64        `json:"service"` // value in time over value offered
 	Worst10         float64        `json:"worst_10s"`
-	Classes         []Share        `json:"offerings"`
-	Tenants         []Share        `json:"franchises,omitempty"`
+	Classes         []ServedValue  `json:"offerings"`
+	Tenants         []ServedValue  `json:"franchises,omitempty"`
 	ClientRequests  int            `json:"requests"`
 	Requests        uint64         `json:"tickets"`
 	Attempts        int            `json:"pushes"`
@@ -57,7 +57,7 @@
 	Late            int            `json:"late"`
 	CrossZone       float64        `json:"crossed"` // part of the attempts that went to another zone
 	Spread          Spread         `json:"even"`
-	Seconds         []Share        `json:"seconds"`
+	Seconds         []ServedValue  `json:"seconds"`
 }
 
 // NoViolations reports whether no rule was broken.
@@ -102,7 +102,7 @@
 	for i, second := range j.seconds {
 		day.add(second)
 		window.add(second)
-		verdict.Seconds = append(verdict.Seconds, Share{Requested: second.requested, Earned: second.earned})
+		verdict.Seconds = append(verdict.Seconds, ServedValue{Requested: second.requested, Earned: second.earned})
 		if i >= windowSeconds {
 			window.requested -= j.seconds[i-windowSeconds].requested
 			window.earned -= j.seconds[i-windowSeconds].earned
