--- a/internal/emulator/front.go
+++ b/internal/emulator/front.go
@@ -116,8 +116,8 @@
 	t.retryIn = retryIn
 	r := t.request
 	w.judge.RequestAnswered(w.sinceStart(w.now), t.judged, w.requests[r].judged, a)
-	if w.sampler != nil {
-		w.sampler.Answer(w.requests[r].class, a, w.now-t.arrivedAt)
+	if w.observer != nil {
+		w.observer.Answer(w.requests[r].class, a, w.now-t.arrivedAt)
 	}
 	w.queue.add(
 		event{
--- a/internal/emulator/samples.go
+++ b/internal/emulator/samples.go
@@ -5,8 +5,8 @@
 	"pepperlead/policy"
 )
 
-// Sampler receives the answers of a day, for a report.
-type Sampler interface {
+// AnswerObserver receives the answers of a day, for a report.
+type AnswerObserver interface {
 	Answer(o policy.ClassID, a judge.Answer, spent policy.Time)
 }
 
@@ -23,7 +23,7 @@
 
 // takeSample adds a sample, once a second.
 func (w *World) takeSample(*event) {
-	if w.sampler != nil {
+	if w.observer != nil {
 		s := Sample{At: w.sinceStart(w.now)}
 		all, busy := 0.0, 0.0
 		for _, v := range w.endpoints {
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -83,7 +83,7 @@
 	totalWork         float64 // ns
 	values            *ValueMeter
 	faults            []fault
-	sampler           Sampler
+	observer          AnswerObserver
 	noise             *rand.Rand // of the network
 	draws             struct{ faults, retries, errors *rand.Rand }
 	members           []policy.Member
@@ -108,7 +108,7 @@
 }
 
 // New prepares a day.
-func New(scenario *Scenario, seed uint64, factory DeciderFactory, sampler Sampler) *World {
+func New(scenario *Scenario, seed uint64, factory DeciderFactory, observer AnswerObserver) *World {
 	w := &World{
 		scenario:    scenario,
 		seed:        seed,
@@ -116,7 +116,7 @@
 		byID:        map[policy.EndpointID]*endpoint{},
 		lostZones:   map[policy.Zone]int{},
 		burstFactor: 1,
-		sampler:     sampler,
+		observer:    observer,
 		noise:       stream(seed, "network", 0),
 	}
 	w.draws.faults = stream(seed, "faults", 0)
--- a/internal/experiment/latency.go
+++ b/internal/experiment/latency.go
@@ -19,7 +19,7 @@
 // curvePercentiles are the percentiles of a latency curve.
 var curvePercentiles = []float64{1, 5, 10, 20, 30, 40, 50, 60, 70, 80, 90, 95, 98, 99, 99.5, 99.9, 100}
 
-// latencyRecorder is an emulator.Sampler that records the latency of succeeded requests by class.
+// latencyRecorder is an emulator.AnswerObserver that records the latency of succeeded requests by class.
 type latencyRecorder struct{ byClass []*hdrhistogram.Histogram }
 
 func newLatencyRecorder(scenario *emulator.Scenario) *latencyRecorder {
