--- a/internal/emulator/attempt.go
+++ b/internal/emulator/attempt.go
@@ -75,7 +75,7 @@
 		w.sendResult(e.a, t, policy.Rejected)
 		return
 	}
-	job, in := v.machine.Arrive(
+	job, in := v.machine.Submit(
 		w.now,
 		uint64(e.a)<<32|e.c&math.MaxUint32,
 		q.key,
@@ -135,7 +135,7 @@
 }
 
 // jobDone handles a job that an endpoint has finished.
-func (w *World) jobDone(v *endpoint, d machine.Done) {
+func (w *World) jobDone(v *endpoint, d machine.FinishedJob) {
 	i := int32(d.Owner >> 32)
 	t := &w.tries[i]
 	q := &w.requests[t.request]
--- a/internal/emulator/machine/jobs.go
+++ b/internal/emulator/machine/jobs.go
@@ -2,9 +2,9 @@
 
 import "pepperlead/policy"
 
-// Arrive takes a job, or rejects it if the queue is full. work is what it takes with no key cached; newConnection
+// Submit takes a job, or rejects it if the queue is full. work is what it takes with no key cached; newConnection
 // adds the work of a handshake. Run must have been called for this time.
-func (m *Machine) Arrive(now policy.Time, owner, key uint64, work, io policy.Time,
+func (m *Machine) Submit(now policy.Time, owner, key uint64, work, io policy.Time,
 	newConnection bool) (id JobID, accepted bool) {
 	m.advance(now)
 	m.countColdWork(now, work)
--- a/internal/emulator/machine/machine.go
+++ b/internal/emulator/machine/machine.go
@@ -58,8 +58,8 @@
 	ahead     JobID
 }
 
-// Done is a job that is finished.
-type Done struct {
+// FinishedJob is a job that is finished.
+type FinishedJob struct {
 	Job   JobID
 	Owner uint64
 }
@@ -213,7 +213,7 @@
 }
 
 // Run brings the machine to the time and appends the jobs that are finished.
-func (m *Machine) Run(now policy.Time, done []Done) []Done {
+func (m *Machine) Run(now policy.Time, done []FinishedJob) []FinishedJob {
 	m.advance(now)
 	for len(m.inIO.ids) > 0 && policy.Time(m.jobs[m.inIO.ids[0]].due) <= now {
 		id := m.inIO.ids[0]
@@ -236,8 +236,8 @@
 	return done
 }
 
-func (m *Machine) finishJob(id JobID) Done {
-	d := Done{id, m.jobs[id].owner}
+func (m *Machine) finishJob(id JobID) FinishedJob {
+	d := FinishedJob{id, m.jobs[id].owner}
 	m.freeJob(id)
 	return d
 }
--- a/internal/emulator/machine/machine_test.go
+++ b/internal/emulator/machine/machine_test.go
@@ -53,7 +53,7 @@
 			continue
 		}
 		if i < len(puts) && puts[i].at == now {
-			m.Arrive(now, uint64(i), puts[i].key, puts[i].work, puts[i].io, false)
+			m.Submit(now, uint64(i), puts[i].key, puts[i].work, puts[i].io, false)
 			i++
 		}
 	}
@@ -151,7 +151,7 @@
 		}
 		if i < n && next == now {
 			at[i] = now
-			m.Arrive(now, uint64(i), 0, policy.Time(rnd.ExpFloat64()*float64(work)), 0, false)
+			m.Submit(now, uint64(i), 0, policy.Time(rnd.ExpFloat64()*float64(work)), 0, false)
 			i++
 			next += policy.Time(rnd.ExpFloat64() / rate * 1e9)
 		}
@@ -201,7 +201,7 @@
 		m := New(traits, 1)
 		for at := policy.Time(1); at < 3000*ms && !m.Overloaded(); at += every {
 			m.Run(at, nil)
-			m.Arrive(at, 0, 0, 10*ms, 0, false)
+			m.Submit(at, 0, 0, 10*ms, 0, false)
 		}
 		return m.Overloaded()
 	}
@@ -215,7 +215,7 @@
 	m := New(traits, 1)
 	m.Run(20000*ms, nil)
 	for i := range 500 {
-		m.Arrive(20000*ms, uint64(i), 0, 10*ms, 0, false)
+		m.Submit(20000*ms, uint64(i), 0, 10*ms, 0, false)
 	}
 	if m.Overloaded() {
 		t.Error("fell over though it is warm")
@@ -224,9 +224,9 @@
 
 func TestCancelledWorkEnds(t *testing.T) {
 	m := New(Traits{Cores: 1, Speed: 1, Workers: 1, QueueSize: 9}, 0)
-	first, _ := m.Arrive(0, 0, 0, 100*ms, 0, false)
-	second, _ := m.Arrive(0, 1, 0, 100*ms, 0, false)
-	m.Arrive(0, 2, 0, 100*ms, 0, false)
+	first, _ := m.Submit(0, 0, 0, 100*ms, 0, false)
+	second, _ := m.Submit(0, 1, 0, 100*ms, 0, false)
+	m.Submit(0, 2, 0, 100*ms, 0, false)
 	if m.Cancel(10*ms, first, true) || !m.Cancel(10*ms, second, true) || !m.Cancel(50*ms, first, false) {
 		t.Error("cancelled the wrong ones")
 	}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -77,7 +77,7 @@
 	lostZones         map[policy.Zone]int
 	listsDelayedUntil policy.Time
 	version           int64
-	doneJobs          []machine.Done
+	doneJobs          []machine.FinishedJob
 	eventCount        uint64
 	wastedWork        float64 // for attempts that nobody waited for, ns
 	totalWork         float64 // ns
--- a/internal/fakebackend/modelserver.go
+++ b/internal/fakebackend/modelserver.go
@@ -329,7 +329,7 @@
 	s.lastNumber++
 	job = modelJob{id: machine.NoJob, number: s.lastNumber, generation: s.generation}
 	if !s.draining {
-		job.id, admitted = s.machine.Arrive(now, job.number, request.key, request.work, request.io, false)
+		job.id, admitted = s.machine.Submit(now, job.number, request.key, request.work, request.io, false)
 	}
 	if admitted {
 		done := make(chan bool, 1)
