--- a/cmd/pepperlead-sim/output.go
+++ b/cmd/pepperlead-sim/output.go
@@ -29,7 +29,7 @@
 	printf(out, "pushes scatter over servers %.2f times as chance in 1 s, %.2f in 5 s (keys alone would force "+
 		"%.2f, %.2f); "+
 		"busiest server %.2f times its share in 5 s, %.1f at the most;\n",
-		s.Scatter[0], s.Scatter[1], s.Forced[0], s.Forced[1], s.Busiest, s.BusiestMax)
+		s.Scatter[0], s.Scatter[1], s.KeyScatter[0], s.KeyScatter[1], s.Busiest, s.BusiestMax)
 	printf(out, "%.1f server seconds idle while others queued; herd of %.1f in 50 ms\n", s.IdleSeconds, s.Herd)
 }
 
--- a/internal/emulator/judge/judge_test.go
+++ b/internal/emulator/judge/judge_test.go
@@ -248,7 +248,7 @@
 		for at := policy.Time(0); at < 58*sec; at += sec / 4 {
 			push(at, []EndpointID{0, 1, 2, 2}[at/(sec/4)%4], 0)
 		}
-	}); e.Scatter != [2]float64{} || e.Forced != [2]float64{1, 1} || e.Busiest != 1 || e.BusiestMax != 1 || e.IdleSeconds != 0 || e.Herd != 0.75 {
+	}); e.Scatter != [2]float64{} || e.KeyScatter != [2]float64{1, 1} || e.Busiest != 1 || e.BusiestMax != 1 || e.IdleSeconds != 0 || e.Herd != 0.75 {
 		t.Errorf("%+v", e)
 	}
 	// All to one of size 1, about one key: 20 in 5 s where 5 is its share, 4 in a second, 2 within 50 ms.
@@ -259,7 +259,7 @@
 		}
 		j.IdleObserved(2, true, sec)
 		j.IdleObserved(2, false, sec)
-	}); math.Abs(e.Scatter[1]-math.Sqrt(15*15/5./2+5/2.+10/2.)) > 1e-9 || e.Forced != [2]float64{2, math.Sqrt(20)} || e.Busiest != 4 || e.IdleSeconds != 2 || e.Herd != 1.5 {
+	}); math.Abs(e.Scatter[1]-math.Sqrt(15*15/5./2+5/2.+10/2.)) > 1e-9 || e.KeyScatter != [2]float64{2, math.Sqrt(20)} || e.Busiest != 4 || e.IdleSeconds != 2 || e.Herd != 1.5 {
 		t.Errorf("%+v", e)
 	}
 }
--- a/internal/emulator/judge/spread.go
+++ b/internal/emulator/judge/spread.go
@@ -11,8 +11,8 @@
 type Spread struct {
 	// Scatter is that of attempts per endpoint over that of chance alone, in windows of 1 s and of 5 s.
 	Scatter [2]float64 `json:"scatter"`
-	// Forced is what Scatter would be if every key had one endpoint, drawn by chance.
-	Forced      [2]float64 `json:"forced"`
+	// KeyScatter is what Scatter would be if every key had one endpoint, drawn by chance.
+	KeyScatter  [2]float64 `json:"forced"`
 	Busiest     float64    `json:"busiest"`      // attempts there over its share, mean of windows of 5 s
 	BusiestMax  float64    `json:"busiest_most"` // the maximum of these
 	IdleSeconds float64    `json:"idle_s"`       // endpoint seconds in which one was idle while others queued
@@ -35,14 +35,14 @@
 
 // window counts the attempts of the window under way.
 type window struct {
-	start        policy.Time
-	changed      bool      // endpoints came or went in it
-	attempts     []float64 // by endpoint
-	total        float64
-	byKey        map[uint64]float64
-	scatterSum   float64 // over the windows that have ended
-	forcedSum    float64
-	windowsEnded float64
+	start         policy.Time
+	changed       bool      // endpoints came or went in it
+	attempts      []float64 // by endpoint
+	total         float64
+	byKey         map[uint64]float64
+	scatterSum    float64 // over the windows that have ended
+	keyScatterSum float64
+	windowsEnded  float64
 }
 
 // spreadCounter counts attempts by endpoint.
@@ -156,7 +156,7 @@
 		squares += attempts * attempts
 	}
 	w.scatterSum += math.Sqrt(chiSquare / max(1, inService-1))
-	w.forcedSum += math.Sqrt(squares / w.total)
+	w.keyScatterSum += math.Sqrt(squares / w.total)
 	w.windowsEnded++
 }
 
@@ -166,7 +166,7 @@
 		w := &s.windows[i]
 		if w.windowsEnded > 0 {
 			s.result.Scatter[i] = w.scatterSum / w.windowsEnded
-			s.result.Forced[i] = w.forcedSum / w.windowsEnded
+			s.result.KeyScatter[i] = w.keyScatterSum / w.windowsEnded
 		}
 	}
 	if ended := s.windows[longWindow].windowsEnded; ended > 0 {
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -261,7 +261,7 @@
 	r.Crossed /= days
 	for i := range r.Scatter {
 		r.Scatter[i] /= days
-		r.Forced[i] /= days
+		r.KeyScatter[i] /= days
 	}
 	r.Busiest /= days
 	r.IdleSeconds /= days
@@ -271,7 +271,7 @@
 func (r *Row) add(e *judge.Spread) {
 	for i := range e.Scatter {
 		r.Scatter[i] += e.Scatter[i]
-		r.Forced[i] += e.Forced[i]
+		r.KeyScatter[i] += e.KeyScatter[i]
 	}
 	r.Busiest += e.Busiest
 	r.IdleSeconds += e.IdleSeconds
