--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -16,9 +16,9 @@
 	if w.scenario.Load.Swing > 0 {
 		r *= 1 + w.scenario.Load.Swing*math.Sin(2*math.Pi*float64(w.now-dayStart)/float64(w.scenario.Load.Period))
 	}
-	if w.scenario.Load.Bursts > 0 {
+	if w.scenario.Load.RateVariation > 0 {
 		if w.now >= s.gustUntil {
-			s.gust, s.gustUntil = logNormal(s.gustDraws, w.scenario.Load.Bursts), w.now+policy.Second
+			s.gust, s.gustUntil = logNormal(s.gustDraws, w.scenario.Load.RateVariation), w.now+policy.Second
 		}
 		r *= s.gust
 	}
@@ -33,7 +33,7 @@
 		return
 	}
 	maxRate := w.rate * s.loadShare * max(1, w.burstFactor) * (1 + w.scenario.Load.Swing)
-	if w.scenario.Load.Bursts > 0 {
+	if w.scenario.Load.RateVariation > 0 {
 		maxRate *= 4
 	}
 	gap := s.arrivalDraws.ExpFloat64() / max(maxRate, 1e-9)
--- a/internal/emulator/read.go
+++ b/internal/emulator/read.go
@@ -145,7 +145,7 @@
 		CapacityShare: t.Float("part", 0, 0, 20),
 		Swing:         t.Float("swing", 0, 0, 1),
 		Period:        t.Duration("period", 60*policy.Second, policy.Second, day),
-		Bursts:        t.Float("bursts", 0, 0, 5),
+		RateVariation: t.Float("bursts", 0, 0, 5),
 		ZoneSkew:      t.Float("zone_skew", 0, 0, 0.99),
 		Keys:          int(t.Count("keys", 1000, 1, 1e8)),
 		Zipf:          t.Float("zipf", 0.9, 0, 5),
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -58,7 +58,7 @@
 	CapacityShare float64 // if Rate is 0: part of what the fleet can do with no key cached
 	Swing         float64 // of a wave, as a share of the rate
 	Period        policy.Time
-	Bursts        float64 // coefficient of variation of the rate from second to second, by instance
+	RateVariation float64 // coefficient of variation of the rate from second to second, by instance
 	ZoneSkew      float64 // how much more the first zone gets than the last
 	Keys          int
 	Zipf          float64 // exponent of the popularity of keys, over 0
--- a/internal/engine/record.go
+++ b/internal/engine/record.go
@@ -68,7 +68,7 @@
 		return
 	}
 	r.Put(trace.Record{
-		Kind: trace.Listed,
+		Kind: trace.ListEntry,
 		At:   now,
 		No:   uint64(r.EndpointNumber(now, entry.Member, entry.UID)),
 		A:    int64(entry.Status),
--- a/internal/experiment/outages.go
+++ b/internal/experiment/outages.go
@@ -72,7 +72,7 @@
 		switch record.Kind {
 		case trace.Endpoint:
 			uids[int64(record.No)] = record.UID
-		case trace.Listed:
+		case trace.ListEntry:
 			number := int64(record.No)
 			start := policy.Time(record.B)
 			if before, known := started[number]; known && start > before {
--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -16,7 +16,7 @@
 	golden.Fill(&header)
 	header.Format, header.Version = format, version
 	var records []Record
-	for _, kind := range []Kind{Endpoint, Listed, Request, Attempt, AttemptEnd, RequestEnd} {
+	for _, kind := range []Kind{Endpoint, ListEntry, Request, Attempt, AttemptEnd, RequestEnd} {
 		var record Record
 		golden.Fill(&record)
 		record.Kind = kind
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -33,8 +33,8 @@
 const (
 	// Endpoint introduces an endpoint. No: its number; UID, Zone; A: its pod; B: its weight in millionths.
 	Endpoint Kind = iota + 1
-	// Listed is an endpoint as a list has it. No: of the endpoint; A: its status; B: its start in Unix time.
-	Listed
+	// ListEntry is an endpoint as a list has it. No: of the endpoint; A: its status; B: its start in Unix time.
+	ListEntry
 	// Request is a request that has arrived. No: its number; A: class; B: tenant; C: time until its deadline; Key: hash
 	// of its idempotency key, or 0; D: 1 for a retry by the client, else 0.
 	Request
