--- a/internal/emulator/attempt.go
+++ b/internal/emulator/attempt.go
@@ -7,234 +7,239 @@
 	"pepperlead/policy"
 )
 
-// currentAttempt returns the try of an event if the event belongs to the attempt that is in flight.
+// currentAttempt returns the try that an event refers to, or nil if the event is about an attempt that has ended.
 func (w *World) currentAttempt(e *event) *clientTry {
-	t := &w.tries[e.a]
-	if !t.inUse || !t.inFlight || t.attemptID != e.c {
+	try := &w.tries[e.a]
+	if !try.inUse || !try.inFlight || try.attemptID != e.c {
 		return nil
 	}
-	return t
+	return try
 }
 
 // attemptArrived runs when the last byte of an attempt reaches the endpoint.
 func (w *World) attemptArrived(e *event) {
-	t := w.currentAttempt(e)
-	if t == nil {
-		return // ended on its way: it never arrives complete
+	try := w.currentAttempt(e)
+	if try == nil {
+		return // the attempt ended before it was received completely
 	}
-	v := t.endpoint
+	ep := try.endpoint
 	newConnection := e.b == 1
-	if newConnection && !v.unreachable() && !v.down {
-		if !v.machine.AcceptsConnection() {
-			w.notifyInstance(e.a, t, (*World).connectFailed)
+	if newConnection && !ep.unreachable() && !ep.down {
+		if !ep.machine.AcceptsConnection() {
+			w.notifyInstance(e.a, try, (*World).connectFailed)
 			return
 		}
-		v.machine.AddConnections(w.now, 1)
+		ep.machine.AddConnections(w.now, 1)
 	}
-	if !t.written {
-		if v.unreachable() {
+	if !try.written {
+		if ep.unreachable() {
 			return // the connection never came up; the timeout ends the attempt
 		}
-		t.written = true
-		w.judge.AttemptWritten(t.judged, t.judgedAttempt)
+		try.written = true
+		w.judge.AttemptWritten(try.judged, try.judgedAttempt)
 	}
 	switch {
-	case v.unreachable():
-		return // nothing answers
-	case v.down:
-		w.notifyInstance(e.a, t, (*World).connectionReset)
+	case ep.unreachable():
+		return // no response; the timeout ends the attempt
+	case ep.down:
+		w.notifyInstance(e.a, try, (*World).connectionReset)
 		return
 	}
-	w.beginJob(e, t, newConnection)
+	w.beginJob(e, try, newConnection)
 }
 
-// notifyInstance plans what the instance sees of attempt i after the transit from the endpoint.
-func (w *World) notifyInstance(i int32, t *clientTry, do func(w *World, e *event)) {
-	at := w.now + w.transit(t.endpoint.zone, t.instance.zone)
-	w.queue.add(event{at: at, rank: rankAttemptEnd, do: do, a: i, c: t.attemptID})
+// notifyInstance schedules do, which ends the try's attempt, for when a message from the endpoint reaches the instance.
+func (w *World) notifyInstance(tryIndex int32, try *clientTry, do func(w *World, e *event)) {
+	at := w.now + w.transit(try.endpoint.zone, try.instance.zone)
+	w.queue.add(event{at: at, rank: rankAttemptEnd, do: do, a: tryIndex, c: try.attemptID})
 }
 
-// beginJob hands the work of an attempt to its endpoint.
-func (w *World) beginJob(e *event, t *clientTry, newConnection bool) {
-	v := t.endpoint
-	q := &w.requests[t.request]
-	o := &w.scenario.Classes[q.class]
-	work := policy.Time(float64(o.Work) * q.workFactor)
-	v.advance()
-	if v.machine.Cold(w.now) && v.traits.OverloadMultiple > 0 {
+// beginJob submits the work of an attempt to its endpoint.
+func (w *World) beginJob(e *event, try *clientTry, newConnection bool) {
+	ep := try.endpoint
+	req := &w.requests[try.request]
+	class := &w.scenario.Classes[req.class]
+	work := policy.Time(float64(class.Work) * req.workFactor)
+	ep.advance()
+	if ep.machine.Cold(w.now) && ep.traits.OverloadMultiple > 0 {
 		w.judge.ColdWorkArrived(
 			w.sinceStart(w.now),
-			t.instance.number,
-			v.number,
-			v.started,
+			try.instance.number,
+			ep.number,
+			ep.started,
 			float64(work),
-			v.traits.Cores*v.traits.Speed*v.machine.Warmth(w.now),
+			ep.traits.Cores*ep.traits.Speed*ep.machine.Warmth(w.now),
 		)
 	}
-	if v.status != policy.Ready {
-		w.sendResult(e.a, t, policy.Rejected)
+	if ep.status != policy.Ready {
+		w.sendResult(e.a, try, policy.Rejected)
 		return
 	}
-	job, in := v.machine.Submit(
+	job, accepted := ep.machine.Submit(
 		w.now,
 		uint64(e.a)<<32|e.c&math.MaxUint32,
-		q.key,
+		req.key,
 		work,
-		policy.Time(float64(o.IO)*q.ioFactor),
+		policy.Time(float64(class.IO)*req.ioFactor),
 		newConnection,
 	)
-	if v.machine.Overloaded() {
-		v.overload()
+	if ep.machine.Overloaded() {
+		ep.overload()
 		return
 	}
-	if !in {
-		w.sendResult(e.a, t, policy.Rejected)
+	if !accepted {
+		w.sendResult(e.a, try, policy.Rejected)
 		return
 	}
-	t.job, t.endpointIncarnation = job, v.incarnation
-	v.advance()
+	try.job, try.endpointIncarnation = job, ep.incarnation
+	ep.advance()
 }
 
-// restartTime is how long an endpoint that was overloaded stays down.
+// restartTime is how long an endpoint stays down after an overload.
 const restartTime = 20 * policy.Second
 
-// overload takes a cold endpoint down that was sent too much. It comes back cold after restartTime.
-func (s *endpoint) overload() {
-	s.stop()
-	s.world.statusChanged(s, policy.Removed, false)
-	s.world.queue.add(
+// overload stops a cold endpoint that received too much work. It restarts, cold again, after restartTime.
+func (ep *endpoint) overload() {
+	ep.stop()
+	ep.world.statusChanged(ep, policy.Removed, false)
+	ep.world.queue.add(
 		event{
-			at:   s.world.now + restartTime,
+			at:   ep.world.now + restartTime,
 			rank: rankWorld,
 			do:   (*World).revive,
-			a:    int32(s.number),
-			c:    uint64(s.incarnation),
+			a:    int32(ep.number),
+			c:    uint64(ep.incarnation),
 		},
 	)
 }
 
+// revive restarts an endpoint that was stopped by an overload, unless it has been started or removed since.
 func (w *World) revive(e *event) {
-	if v := w.endpoints[e.a]; v.down && uint64(v.incarnation) == e.c && v.status != policy.Removed {
-		v.start()
-		w.statusChanged(v, policy.Ready, true)
+	if ep := w.endpoints[e.a]; ep.down && uint64(ep.incarnation) == e.c && ep.status != policy.Removed {
+		ep.start()
+		w.statusChanged(ep, policy.Ready, true)
 	}
 }
 
-// sendResult sends an endpoint's response on its way.
-func (w *World) sendResult(i int32, t *clientTry, o policy.Outcome) {
+// sendResult schedules the arrival of an endpoint's response at the instance.
+func (w *World) sendResult(tryIndex int32, try *clientTry, outcome policy.Outcome) {
 	w.queue.add(
 		event{
-			at:   w.now + w.transit(t.endpoint.zone, t.instance.zone),
+			at:   w.now + w.transit(try.endpoint.zone, try.instance.zone),
 			rank: rankAttemptEnd,
 			do:   (*World).resultArrived,
-			a:    i,
-			b:    int32(o),
-			c:    t.attemptID,
+			a:    tryIndex,
+			b:    int32(outcome),
+			c:    try.attemptID,
 		},
 	)
 }
 
-// jobDone handles a job that an endpoint has finished.
-func (w *World) jobDone(v *endpoint, d machine.FinishedJob) {
-	i := int32(d.Owner >> 32)
-	t := &w.tries[i]
-	q := &w.requests[t.request]
-	work := float64(w.scenario.Classes[q.class].Work)
+// jobFinished sends the response to a job that an endpoint has finished. If the job's attempt has ended meanwhile, its
+// work counts as wasted.
+func (w *World) jobFinished(ep *endpoint, job machine.FinishedJob) {
+	tryIndex := int32(job.Owner >> 32)
+	try := &w.tries[tryIndex]
+	req := &w.requests[try.request]
+	work := float64(w.scenario.Classes[req.class].Work)
 	w.totalWork += work
-	if !t.inUse || !t.inFlight || t.attemptID&math.MaxUint32 != d.Owner&math.MaxUint32 || t.endpoint != v {
+	if !try.inUse || !try.inFlight || try.attemptID&math.MaxUint32 != job.Owner&math.MaxUint32 || try.endpoint != ep {
 		w.wastedWork += work
 		return
 	}
-	t.job = machine.NoJob
-	o := policy.Succeeded
-	if p := max(v.errorRate, v.kind.ErrorRate); p > 0 && w.draws.errors.Float64() < p {
-		o = policy.Errored
+	try.job = machine.NoJob
+	outcome := policy.Succeeded
+	if p := max(ep.errorRate, ep.kind.ErrorRate); p > 0 && w.draws.errors.Float64() < p {
+		outcome = policy.Errored
 	}
-	w.sendResult(i, t, o)
+	w.sendResult(tryIndex, try, outcome)
 }
 
 // resultArrived runs when an endpoint's response reaches the instance.
 func (w *World) resultArrived(e *event) {
-	if t := w.currentAttempt(e); t != nil {
-		if t.endpoint.unreachable() {
-			return // lost on the way
+	if try := w.currentAttempt(e); try != nil {
+		if try.endpoint.unreachable() {
+			return // the response is lost
 		}
-		t.instance.idleConnections[t.endpoint.number] = append(t.instance.idleTo(t.endpoint), w.now)
+		try.instance.idleConnections[try.endpoint.number] = append(try.instance.idleTo(try.endpoint), w.now)
 		w.queue.add(
 			event{
 				at:   w.now + w.scenario.Network.IdleTimeout,
 				rank: rankWorld,
 				do:   (*World).idleTimeout,
-				a:    int32(t.instance.number),
-				b:    int32(t.endpoint.number),
+				a:    int32(try.instance.number),
+				b:    int32(try.endpoint.number),
 			},
 		)
-		w.endAttempt(e.a, t, policy.Outcome(e.b))
+		w.endAttempt(e.a, try, policy.Outcome(e.b))
 	}
 }
 
 // connectionReset ends an attempt whose connection was reset.
 func (w *World) connectionReset(e *event) {
-	if t := w.currentAttempt(e); t != nil {
-		if t.written {
-			w.endAttempt(e.a, t, policy.ConnectionLost)
+	if try := w.currentAttempt(e); try != nil {
+		if try.written {
+			w.endAttempt(e.a, try, policy.ConnectionLost)
 		} else {
-			w.endAttempt(e.a, t, policy.NotConnected)
+			w.endAttempt(e.a, try, policy.NotConnected)
 		}
 	}
 }
 
+// connectFailed ends an attempt whose connection was not established.
 func (w *World) connectFailed(e *event) {
-	if t := w.currentAttempt(e); t != nil {
-		w.endAttempt(e.a, t, policy.NotConnected)
+	if try := w.currentAttempt(e); try != nil {
+		w.endAttempt(e.a, try, policy.NotConnected)
 	}
 }
 
+// attemptTimedOut ends an attempt at its timeout.
 func (w *World) attemptTimedOut(e *event) {
-	if t := w.currentAttempt(e); t != nil {
-		w.closeAttempt(t)
-		if t.written {
-			w.endAttempt(e.a, t, policy.TimedOut)
+	if try := w.currentAttempt(e); try != nil {
+		w.closeAttempt(try)
+		if try.written {
+			w.endAttempt(e.a, try, policy.TimedOut)
 		} else {
-			w.endAttempt(e.a, t, policy.NotConnected)
+			w.endAttempt(e.a, try, policy.NotConnected)
 		}
 	}
 }
 
+// attemptCancelled ends an attempt that the decider has cancelled.
 func (w *World) attemptCancelled(e *event) {
-	if t := w.currentAttempt(e); t != nil {
-		w.closeAttempt(t)
-		w.endAttempt(e.a, t, policy.Cancelled)
+	if try := w.currentAttempt(e); try != nil {
+		w.closeAttempt(try)
+		w.endAttempt(e.a, try, policy.Cancelled)
 	}
 }
 
-// closeAttempt closes an attempt's connection; the endpoint drops the work if its kind does.
-func (w *World) closeAttempt(t *clientTry) {
-	v := t.endpoint
-	if t.written && !v.unreachable() && !v.down {
-		v.machine.AddConnections(w.now, -1)
+// closeAttempt closes an attempt's connection. The endpoint then drops the work, as far as its kind does so.
+func (w *World) closeAttempt(try *clientTry) {
+	ep := try.endpoint
+	if try.written && !ep.unreachable() && !ep.down {
+		ep.machine.AddConnections(w.now, -1)
 	}
-	if t.job == machine.NoJob || t.endpointIncarnation != v.incarnation || v.unreachable() ||
-		v.kind.Cancel == CancelNothing {
+	if try.job == machine.NoJob || try.endpointIncarnation != ep.incarnation || ep.unreachable() ||
+		ep.kind.Cancel == CancelNothing {
 		return
 	}
-	v.advance()
-	if t.job != machine.NoJob {
-		v.machine.Cancel(w.now, t.job, v.kind.Cancel == CancelWaiting)
-		t.job = machine.NoJob
-		v.advance()
+	ep.advance()
+	if try.job != machine.NoJob {
+		ep.machine.Cancel(w.now, try.job, ep.kind.Cancel == CancelWaiting)
+		try.job = machine.NoJob
+		ep.advance()
 	}
 }
 
-// endAttempt reports the end of an attempt to the decider.
-func (w *World) endAttempt(i int32, t *clientTry, o policy.Outcome) {
-	never := o == policy.Rejected || o == policy.NotConnected || o == policy.NotSent
-	t.inFlight = false
-	t.endpoint.inFlight--
-	w.judge.AttemptEnded(t.judged, t.judgedAttempt, never)
-	s := t.instance
-	n, id := policy.AttemptNo(t.attempts-1), t.endpoint.id
-	over := !t.clientWaiting
-	s.decider.AttemptEnded(w.now, t.handle, n, id, o, w.now-t.sentAt, over)
-	w.releaseTry(i)
+// endAttempt reports the end of an attempt to the judge and to the decider.
+func (w *World) endAttempt(tryIndex int32, try *clientTry, outcome policy.Outcome) {
+	neverRan := outcome == policy.Rejected || outcome == policy.NotConnected || outcome == policy.NotSent
+	try.inFlight = false
+	try.endpoint.inFlight--
+	w.judge.AttemptEnded(try.judged, try.judgedAttempt, neverRan)
+	inst := try.instance
+	number, id := policy.AttemptNo(try.attempts-1), try.endpoint.id
+	answered := !try.clientWaiting
+	inst.decider.AttemptEnded(w.now, try.handle, number, id, outcome, w.now-try.sentAt, answered)
+	w.releaseTry(tryIndex)
 }
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -9,104 +9,107 @@
 	"pepperlead/policy"
 )
 
-// rateNow is the rate at which requests come to the instance, a second.
-func (s *instance) rateNow() float64 {
-	w := s.world
-	r := w.rate * s.loadShare * w.burstFactor
+// rateNow returns the current rate of requests to the instance, per second.
+func (inst *instance) rateNow() float64 {
+	w := inst.world
+	rate := w.rate * inst.loadShare * w.burstFactor
 	if w.scenario.Load.Swing > 0 {
-		r *= 1 + w.scenario.Load.Swing*math.Sin(2*math.Pi*float64(w.now-dayStart)/float64(w.scenario.Load.Period))
+		rate *= 1 + w.scenario.Load.Swing*math.Sin(2*math.Pi*float64(w.now-startTime)/float64(w.scenario.Load.Period))
 	}
 	if w.scenario.Load.RateVariation > 0 {
-		if w.now >= s.gustUntil {
-			s.gust, s.gustUntil = logNormal(s.gustDraws, w.scenario.Load.RateVariation), w.now+policy.Second
+		if w.now >= inst.rateFactorUntil {
+			inst.rateFactor, inst.rateFactorUntil = logNormal(inst.rateDraws, w.scenario.Load.RateVariation),
+				w.now+policy.Second
 		}
-		r *= s.gust
+		rate *= inst.rateFactor
 	}
-	return r
+	return rate
 }
 
-// planArrival draws the time of the next request by thinning: arrivals are drawn at the highest possible rate, and
-// some are dropped.
-func (s *instance) planArrival() {
-	w := s.world
-	if w.now >= dayStart+w.scenario.Length {
+// scheduleArrival draws the time of the next request. The rate varies, so it draws by thinning: arrivals are drawn at
+// the highest possible rate, and arrival drops some of them.
+func (inst *instance) scheduleArrival() {
+	w := inst.world
+	if w.now >= startTime+w.scenario.Length {
 		return
 	}
-	maxRate := w.rate * s.loadShare * max(1, w.burstFactor) * (1 + w.scenario.Load.Swing)
+	maxRate := w.rate * inst.loadShare * max(1, w.burstFactor) * (1 + w.scenario.Load.Swing)
 	if w.scenario.Load.RateVariation > 0 {
 		maxRate *= 4
 	}
-	gap := s.arrivalDraws.ExpFloat64() / max(maxRate, 1e-9)
+	gap := inst.arrivalDraws.ExpFloat64() / max(maxRate, 1e-9)
 	if gap > 3600 {
 		gap = 3600
 	}
-	// A burst that begins in between would be noticed late where requests are rare, so no gap is longer than a second.
-	counts := int32(1)
+	// Gaps are limited to a second, so that a rise of the rate, as by a burst, takes effect soon even if requests are
+	// rare. At the end of a limited gap no request arrives.
+	isRequest := int32(1)
 	if gap > 1 {
-		gap, counts = 1, 0
+		gap, isRequest = 1, 0
 	}
 	w.queue.add(
 		event{
 			at:   w.now + policy.Time(gap*float64(policy.Second)),
 			rank: rankArrive,
 			do:   (*World).arrival,
-			a:    int32(s.number),
-			b:    counts,
+			a:    int32(inst.number),
+			b:    isRequest,
 			c:    math.Float64bits(maxRate),
 		},
 	)
 }
 
+// arrival begins a request, unless thinning drops it, and schedules the next arrival at the instance.
 func (w *World) arrival(e *event) {
-	s := w.instances[e.a]
+	inst := w.instances[e.a]
 	maxRate := math.Float64frombits(e.c)
-	if e.b == 1 && s.arrivalDraws.Float64()*maxRate < s.rateNow() && w.now < dayStart+w.scenario.Length {
-		r := w.newRequest()
-		q := &w.requests[r]
-		q.instance = e.a
-		q.class = policy.ClassID(pickBy(w.classShares, s.classDraws.Float64()))
-		q.tenant = policy.NoTenant
+	if e.b == 1 && inst.arrivalDraws.Float64()*maxRate < inst.rateNow() && w.now < startTime+w.scenario.Length {
+		requestIndex := w.newRequest()
+		req := &w.requests[requestIndex]
+		req.instance = e.a
+		req.class = policy.ClassID(pickIndex(w.classShares, inst.classDraws.Float64()))
+		req.tenant = policy.NoTenant
 		if len(w.tenantShares) > 0 {
-			q.tenant = policy.TenantID(pickBy(w.tenantShares, s.classDraws.Float64()))
+			req.tenant = policy.TenantID(pickIndex(w.tenantShares, inst.classDraws.Float64()))
 		}
-		if s.keyDraws.Float64() >= w.scenario.Load.Keyless {
-			q.key = w.keys.draw(s.keyDraws)
+		if inst.keyDraws.Float64() >= w.scenario.Load.Keyless {
+			req.key = w.keys.draw(inst.keyDraws)
 		}
-		if w.hotKeyShare > 0 && s.keyDraws.Float64() < w.hotKeyShare {
-			q.key = 1 << 40
+		if w.hotKeyShare > 0 && inst.keyDraws.Float64() < w.hotKeyShare {
+			req.key = 1 << 40 // the hot key, which is never drawn otherwise
 		}
-		w.drawSizes(q, s.sizeDraws)
-		q.deadline = w.now + w.scenario.Classes[q.class].Deadline
-		w.beginRequest(r)
+		w.drawSizes(req, inst.sizeDraws)
+		req.deadline = w.now + w.scenario.Classes[req.class].Deadline
+		w.beginRequest(requestIndex)
 	}
-	s.planArrival()
+	inst.scheduleArrival()
 }
 
-// drawSizes draws what a request costs.
-func (w *World) drawSizes(q *request, r *rand.Rand) {
-	o := &w.scenario.Classes[q.class]
-	q.workFactor, q.ioFactor = logNormal(r, o.Spread), logNormal(r, o.Spread)
+// drawSizes draws the work and I/O time of a request.
+func (w *World) drawSizes(req *request, r *rand.Rand) {
+	class := &w.scenario.Classes[req.class]
+	req.workFactor, req.ioFactor = logNormal(r, class.Spread), logNormal(r, class.Spread)
 }
 
-// recordedArrival plays a request of a recorded day and plans the next.
+// recordedArrival begins a request of Scenario.Arrivals and schedules the next one.
 func (w *World) recordedArrival(e *event) {
 	a := &w.scenario.Arrivals[e.a]
-	r := w.newRequest()
-	q := &w.requests[r]
-	q.instance = int32(a.Instance % len(w.instances))
-	q.class = a.Class
-	q.tenant = a.Tenant
-	q.key = a.Key
-	q.markedRetry = a.Retry
-	if q.workFactor, q.ioFactor = a.WorkFactor, a.IOFactor; a.WorkFactor == 0 {
-		w.drawSizes(q, w.instances[q.instance].sizeDraws)
+	requestIndex := w.newRequest()
+	req := &w.requests[requestIndex]
+	req.instance = int32(a.Instance % len(w.instances))
+	req.class = a.Class
+	req.tenant = a.Tenant
+	req.key = a.Key
+	req.markedRetry = a.Retry
+	if req.workFactor, req.ioFactor = a.WorkFactor, a.IOFactor; a.WorkFactor == 0 {
+		w.drawSizes(req, w.instances[req.instance].sizeDraws)
 	}
-	q.deadline = w.now + a.TimeLeft
-	w.beginRequest(r)
+	req.deadline = w.now + a.TimeLeft
+	w.beginRequest(requestIndex)
 	if next := int(e.a) + 1; next < len(w.scenario.Arrivals) {
 		w.queue.add(
 			event{
-				at:   max(w.now, dayStart+w.scenario.Arrivals[next].At),
+				at:   max(w.now, startTime+w.scenario.Arrivals[next].At),
 				rank: rankArrive,
 				do:   (*World).recordedArrival,
 				a:    int32(next),
@@ -115,158 +118,167 @@
 	}
 }
 
+// newRequest returns the index of a new request.
 func (w *World) newRequest() int32 {
 	if n := len(w.freeRequests); n > 0 {
-		r := w.freeRequests[n-1]
+		requestIndex := w.freeRequests[n-1]
 		w.freeRequests = w.freeRequests[:n-1]
-		w.requests[r] = request{inUse: true, at: w.now}
-		return r
+		w.requests[requestIndex] = request{inUse: true, at: w.now}
+		return requestIndex
 	}
 	w.requests = append(w.requests, request{inUse: true, at: w.now})
 	return int32(len(w.requests) - 1)
 }
 
-// beginRequest reports a new request to the judge and sends its first try.
-func (w *World) beginRequest(r int32) {
-	q := &w.requests[r]
+// beginRequest reports a new request to the judge and sends its first try. A run that is only planned records the
+// request instead.
+func (w *World) beginRequest(requestIndex int32) {
+	req := &w.requests[requestIndex]
 	if w.plan != nil {
 		*w.plan = append(
 			*w.plan,
-			Arrival{At: w.sinceStart(w.now), Instance: int(q.instance), Class: q.class, Tenant: q.tenant,
-				Key: q.key, TimeLeft: q.deadline - w.now, WorkFactor: q.workFactor, IOFactor: q.ioFactor},
+			Arrival{At: w.sinceStart(w.now), Instance: int(req.instance), Class: req.class, Tenant: req.tenant,
+				Key: req.key, TimeLeft: req.deadline - w.now, WorkFactor: req.workFactor, IOFactor: req.ioFactor},
 		)
-		q.inUse = false
-		w.freeRequests = append(w.freeRequests, r)
+		req.inUse = false
+		w.freeRequests = append(w.freeRequests, requestIndex)
 		return
 	}
-	q.judged = w.judge.ClientRequestBegun(
+	req.judged = w.judge.ClientRequestBegun(
 		w.sinceStart(w.now),
-		q.class,
-		q.tenant,
-		w.values.Value(w.now, q.class, q.tenant),
+		req.class,
+		req.tenant,
+		w.values.Value(w.now, req.class, req.tenant),
 	)
-	w.sendTry(r)
+	w.sendTry(requestIndex)
 }
 
-// sendTry sends a try to the request's instance.
-func (w *World) sendTry(r int32) {
-	q := &w.requests[r]
-	q.tries++
-	w.queue.add(event{at: w.now + w.scenario.Network.Client, rank: rankArrive, do: (*World).tryArrived, a: r})
+// sendTry has the client send the request to its instance.
+func (w *World) sendTry(requestIndex int32) {
+	req := &w.requests[requestIndex]
+	req.tries++
+	w.queue.add(event{at: w.now + w.scenario.Network.Client, rank: rankArrive, do: (*World).tryArrived,
+		a: requestIndex})
 }
 
-// tryArrived runs when a try has reached its instance.
+// tryArrived runs when a try reaches its instance: the instance admits the request and begins to process it.
 func (w *World) tryArrived(e *event) {
-	q := &w.requests[e.a]
-	s := w.instances[q.instance]
-	if w.now >= q.deadline {
-		w.endRequest(e.a) // its client has stopped waiting meanwhile
+	req := &w.requests[e.a]
+	inst := w.instances[req.instance]
+	if w.now >= req.deadline {
+		w.endRequest(e.a) // the client has stopped waiting meanwhile
 		return
 	}
-	if !s.alive {
+	if !inst.alive {
 		w.retryLater(e.a, true, 0)
 		return
 	}
-	i := w.newTry()
-	id := w.tries[i].attemptID
-	w.tries[i] = clientTry{
+	tryIndex := w.newTry()
+	id := w.tries[tryIndex].attemptID
+	w.tries[tryIndex] = clientTry{
 		inUse:               true,
 		clientWaiting:       true,
 		request:             e.a,
-		instance:            s,
-		instanceIncarnation: s.incarnation,
-		deadline:            q.deadline,
+		instance:            inst,
+		instanceIncarnation: inst.incarnation,
+		deadline:            req.deadline,
 		arrivedAt:           w.now,
 		attemptID:           id,
 		job:                 machine.NoJob,
 	}
-	t := &w.tries[i]
-	t.judged = w.judge.RequestAccepted(w.sinceStart(w.now), q.judged, s.number, q.class, w.sinceStart(q.deadline))
-	w.queue.add(event{at: q.deadline, rank: rankDeadline, do: (*World).deadlinePassed, a: i})
-	w.judge.SetKey(t.judged, q.key)
+	try := &w.tries[tryIndex]
+	try.judged = w.judge.RequestAccepted(w.sinceStart(w.now), req.judged, inst.number, req.class,
+		w.sinceStart(req.deadline))
+	w.queue.add(event{at: req.deadline, rank: rankDeadline, do: (*World).deadlinePassed, a: tryIndex})
+	w.judge.SetKey(try.judged, req.key)
 	key := ""
-	if q.key != 0 {
-		key = keyText(q.key)
+	if req.key != 0 {
+		key = keyText(req.key)
 	}
-	repeat := w.scenario.Clients.MarkRetries && q.tries > 1 || q.markedRetry
-	t.handle = s.decider.Admit(w.now, q.class, q.tenant, key, repeat, q.deadline-w.now)
-	for len(s.tries) <= t.handle.Index() {
-		s.tries = append(s.tries, -1)
+	retry := w.scenario.Clients.MarkRetries && req.tries > 1 || req.markedRetry
+	try.handle = inst.decider.Admit(w.now, req.class, req.tenant, key, retry, req.deadline-w.now)
+	for len(inst.tries) <= try.handle.Index() {
+		inst.tries = append(inst.tries, -1)
 	}
-	s.tries[t.handle.Index()] = i
-	s.decider.Begin(w.now, t.handle)
+	inst.tries[try.handle.Index()] = tryIndex
+	inst.decider.Begin(w.now, try.handle)
 }
 
-// newTry returns the index of an unused try.
+// newTry returns the index of an unused entry of tries.
 func (w *World) newTry() int32 {
-	if n := len(w.freeTry); n > 0 {
-		i := w.freeTry[n-1]
-		w.freeTry = w.freeTry[:n-1]
-		return i
+	if n := len(w.freeTries); n > 0 {
+		tryIndex := w.freeTries[n-1]
+		w.freeTries = w.freeTries[:n-1]
+		return tryIndex
 	}
 	w.tries = append(w.tries, clientTry{})
 	return int32(len(w.tries) - 1)
 }
 
+// keyText returns the routing key of a request as text, as the decider gets it.
 func keyText(key uint64) string { return "k" + strconv.FormatUint(key, 36) }
 
+// parseKey is the inverse of keyText.
 func parseKey(text string) uint64 {
 	n, _ := strconv.ParseUint(text[1:], 36, 64)
 	return n
 }
 
-// deadlinePassed runs when a client stops waiting.
+// deadlinePassed runs at a request's deadline, when its client stops waiting.
 func (w *World) deadlinePassed(e *event) {
-	t := &w.tries[e.a]
-	r := t.request
-	w.judge.DeadlinePassed(w.sinceStart(w.now), t.judged, w.requests[r].judged)
-	t.deadlinePassed = true
-	if t.clientWaiting {
-		t.clientWaiting = false
-		if t.instance.alive && t.instance.incarnation == t.instanceIncarnation {
-			t.instance.decider.ClientLeft(w.now, t.handle)
+	try := &w.tries[e.a]
+	requestIndex := try.request
+	w.judge.DeadlinePassed(w.sinceStart(w.now), try.judged, w.requests[requestIndex].judged)
+	try.deadlinePassed = true
+	if try.clientWaiting {
+		try.clientWaiting = false
+		if try.instance.alive && try.instance.incarnation == try.instanceIncarnation {
+			try.instance.decider.ClientLeft(w.now, try.handle)
 		}
-		w.endRequest(r)
+		w.endRequest(requestIndex)
 	}
 	w.releaseTry(e.a)
 }
 
-// releaseTry makes the place of a try free once nothing more can happen to it.
-func (w *World) releaseTry(i int32) {
-	t := &w.tries[i]
-	if t.inUse && t.deadlinePassed && !t.inFlight && !t.clientWaiting {
-		t.inUse = false
-		w.freeTry = append(w.freeTry, i)
+// releaseTry frees a try for reuse once no further event can concern it.
+func (w *World) releaseTry(tryIndex int32) {
+	try := &w.tries[tryIndex]
+	if try.inUse && try.deadlinePassed && !try.inFlight && !try.clientWaiting {
+		try.inUse = false
+		w.freeTries = append(w.freeTries, tryIndex)
 	}
 }
 
-// endRequest ends a request for its client.
-func (w *World) endRequest(r int32) {
-	q := &w.requests[r]
-	if q.inUse {
-		q.inUse = false
-		w.judge.ClientRequestEnded(q.judged)
-		w.freeRequests = append(w.freeRequests, r)
+// endRequest ends a request: its client sends no further try.
+func (w *World) endRequest(requestIndex int32) {
+	req := &w.requests[requestIndex]
+	if req.inUse {
+		req.inUse = false
+		w.judge.ClientRequestEnded(req.judged)
+		w.freeRequests = append(w.freeRequests, requestIndex)
 	}
 }
 
-// retryLater has a client retry, if it does: after Retry-After or after a backoff that doubles, with jitter.
-func (w *World) retryLater(r int32, harmless bool, advice policy.Time) {
-	q := &w.requests[r]
-	o := &w.scenario.Classes[q.class]
-	if q.tries > w.scenario.Clients.Retries || !harmless && o.Idempotency == policy.NonIdempotent {
-		w.endRequest(r)
+// retryLater schedules the client's next try after a backoff with jitter, which doubles with each try, or after
+// Retry-After if that is longer and the client follows it. It ends the request if the client has no retry or no time
+// left, or if the request must not be repeated. safe says that clients repeat a request of any class, as after a
+// rejection or the loss of their instance. If it is false, they do not repeat non-idempotent requests.
+func (w *World) retryLater(requestIndex int32, safe bool, retryAfter policy.Time) {
+	req := &w.requests[requestIndex]
+	class := &w.scenario.Classes[req.class]
+	if req.tries > w.scenario.Clients.Retries || !safe && class.Idempotency == policy.NonIdempotent {
+		w.endRequest(requestIndex)
 		return
 	}
-	pause := policy.Time(float64(w.scenario.Clients.Backoff<<(q.tries-1)) * (0.5 + w.draws.retries.Float64()))
+	delay := policy.Time(float64(w.scenario.Clients.Backoff<<(req.tries-1)) * (0.5 + w.draws.retries.Float64()))
 	if w.draws.retries.Float64() < w.scenario.Clients.HonourRetryAfter {
-		pause = max(pause, advice)
+		delay = max(delay, retryAfter)
 	}
-	if w.now+pause >= q.deadline {
-		w.endRequest(r)
+	if w.now+delay >= req.deadline {
+		w.endRequest(requestIndex)
 		return
 	}
-	w.queue.add(event{at: w.now + pause, rank: rankArrive, do: (*World).retry, a: r})
+	w.queue.add(event{at: w.now + delay, rank: rankArrive, do: (*World).retry, a: requestIndex})
 }
 
 func (w *World) retry(e *event) { w.sendTry(e.a) }
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -4,126 +4,134 @@
 	"pepperlead/policy"
 )
 
-func (w *World) member(v *endpoint) policy.Member {
-	return policy.Member{ID: v.id, Weight: v.weight, Cell: v.cell, Zone: v.zone, Status: v.status, Started: v.started}
+// member returns the list entry of an endpoint in its true state.
+func (w *World) member(ep *endpoint) policy.Member {
+	return policy.Member{ID: ep.id, Weight: ep.weight, Cell: ep.cell, Zone: ep.zone, Status: ep.status,
+		Started: ep.started}
 }
 
-// statusChanged has discovery learn the status of an endpoint: announced by the endpoint, or detected by its silence.
-func (w *World) statusChanged(v *endpoint, status policy.EndpointStatus, own bool) {
+// statusChanged schedules when discovery learns the new status of an endpoint: after the announce delay if the endpoint
+// announces it, else after the delay that detecting a loss takes.
+func (w *World) statusChanged(ep *endpoint, status policy.EndpointStatus, announced bool) {
 	d := w.scenario.Discovery.DetectDelay
-	if own {
+	if announced {
 		d = w.scenario.Discovery.AnnounceDelay
 	}
-	r := stream(w.seed, "notice", int(v.number)*1000+v.incarnation)
+	r := stream(w.seed, "notice", int(ep.number)*1000+ep.incarnation)
 	at := w.now + d[0] + policy.Time(r.Float64()*float64(d[1]-d[0]))
 	w.queue.add(
 		event{
 			at:   at,
 			rank: rankWorld,
 			do:   (*World).discoveryLearned,
-			a:    int32(v.number),
+			a:    int32(ep.number),
 			b:    int32(status),
-			c:    uint64(v.incarnation),
+			c:    uint64(ep.incarnation),
 		},
 	)
 }
 
-// discoveryLearned runs when discovery knows of a change. A change that is out of date is dropped.
+// discoveryLearned runs when discovery learns of a change, and schedules the notification of each instance. It ignores
+// a change that is out of date.
 func (w *World) discoveryLearned(e *event) {
-	v := w.endpoints[e.a]
+	ep := w.endpoints[e.a]
 	status := policy.EndpointStatus(e.b)
-	if uint64(v.incarnation) != e.c || v.knownStatus == status && v.knownStart == v.started {
+	if uint64(ep.incarnation) != e.c || ep.knownStatus == status && ep.knownStart == ep.started {
 		return
 	}
-	if status == policy.Removed && v.status != policy.Removed && !v.unreachable() && !v.down {
+	if status == policy.Removed && ep.status != policy.Removed && !ep.unreachable() && !ep.down {
 		return // it came back before its loss was detected
 	}
-	v.knownStatus, v.knownStart = status, v.started
+	ep.knownStatus, ep.knownStart = status, ep.started
 	w.version++
-	v.knownVersion = w.version
-	for _, s := range w.instances {
+	ep.knownVersion = w.version
+	for _, inst := range w.instances {
 		w.queue.add(
 			event{
-				at:   w.nextNotification(s),
+				at:   w.nextNotification(inst),
 				rank: rankWorld,
 				do:   (*World).changeArrived,
-				a:    int32(s.number),
+				a:    int32(inst.number),
 				b:    e.a,
-				c:    uint64(v.knownVersion),
+				c:    uint64(ep.knownVersion),
 			},
 		)
 	}
 }
 
-// nextNotification is when an instance is next notified: lists go out at intervals, to each instance at its own phase.
-func (w *World) nextNotification(s *instance) policy.Time {
+// nextNotification returns when an instance is next notified. If changes are sent at intervals, each instance has its
+// own phase.
+func (w *World) nextNotification(inst *instance) policy.Time {
 	at := w.now + w.scenario.Network.Near
 	if step := w.scenario.Discovery.Interval; step > 0 {
-		phase := policy.Time(uint64(step) * uint64(s.number) / uint64(len(w.instances)))
+		phase := policy.Time(uint64(step) * uint64(inst.number) / uint64(len(w.instances)))
 		at = w.now + step - (w.now+phase)%step
 	}
 	return at
 }
 
-// changeArrived runs when a change reaches an instance.
+// changeArrived runs when a change of an endpoint reaches an instance.
 func (w *World) changeArrived(e *event) {
-	s, v := w.instances[e.a], w.endpoints[e.b]
+	inst, ep := w.instances[e.a], w.endpoints[e.b]
 	if w.now < w.listsDelayedUntil {
 		w.queue.add(
 			event{at: w.listsDelayedUntil, rank: rankWorld, do: (*World).changeArrived, a: e.a, b: e.b, c: e.c},
 		)
 		return
 	}
-	if !s.alive || !s.following || uint64(v.knownVersion) != e.c ||
-		s.version >= v.knownVersion && s.list[v] == (notifiedStatus{v.knownStatus, v.knownStart}) {
-		return // a later change of the same endpoint is on its way
+	if !inst.alive || !inst.following || uint64(ep.knownVersion) != e.c ||
+		inst.version >= ep.knownVersion && inst.list[ep] == (notifiedStatus{ep.knownStatus, ep.knownStart}) {
+		return // the instance has the change already, or a later change of the same endpoint follows
 	}
-	s.notify(policy.ListChanges, []*endpoint{v})
+	inst.notify(policy.ListChanges, []*endpoint{ep})
 }
 
-// notify gives an instance what discovery knows of the endpoints.
-func (s *instance) notify(kind policy.ListKind, of []*endpoint) {
-	w := s.world
+// notify sends an instance a list of the endpoints with the status that discovery knows. Full lists leave out removed
+// endpoints.
+func (inst *instance) notify(kind policy.ListKind, endpoints []*endpoint) {
+	w := inst.world
 	w.members = w.members[:0]
-	for _, v := range of {
-		if v.knownStatus == policy.Removed && kind == policy.ListFull {
-			if is, had := s.list[v]; had && is.status != policy.Removed {
-				s.list[v] = notifiedStatus{policy.Removed, v.knownStart}
-				w.judge.EndpointNotified(w.sinceStart(w.now), s.number, v.number, policy.Removed, v.knownStart)
+	for _, ep := range endpoints {
+		if ep.knownStatus == policy.Removed && kind == policy.ListFull {
+			if notified, known := inst.list[ep]; known && notified.status != policy.Removed {
+				inst.list[ep] = notifiedStatus{policy.Removed, ep.knownStart}
+				w.judge.EndpointNotified(w.sinceStart(w.now), inst.number, ep.number, policy.Removed, ep.knownStart)
 			}
 			continue
 		}
-		m := w.member(v)
-		m.Status, m.Started = v.knownStatus, v.knownStart
-		w.members = append(w.members, m)
-		s.list[v] = notifiedStatus{v.knownStatus, v.knownStart}
-		w.judge.EndpointNotified(w.sinceStart(w.now), s.number, v.number, v.knownStatus, v.knownStart)
+		member := w.member(ep)
+		member.Status, member.Started = ep.knownStatus, ep.knownStart
+		w.members = append(w.members, member)
+		inst.list[ep] = notifiedStatus{ep.knownStatus, ep.knownStart}
+		w.judge.EndpointNotified(w.sinceStart(w.now), inst.number, ep.number, ep.knownStatus, ep.knownStart)
 	}
-	s.version = w.version
-	s.decider.UpdateEndpoints(w.now, kind, w.members)
+	inst.version = w.version
+	inst.decider.UpdateEndpoints(w.now, kind, w.members)
 }
 
-// requestList sends an instance the complete list after the announce delay.
-func (w *World) requestList(s *instance) {
-	if s.pollPending {
+// requestList schedules the arrival of the complete list at an instance, after the minimum announce delay.
+func (w *World) requestList(inst *instance) {
+	if inst.pollPending {
 		return
 	}
-	s.pollPending = true
-	d := w.scenario.Discovery.AnnounceDelay[0]
+	inst.pollPending = true
+	delay := w.scenario.Discovery.AnnounceDelay[0]
 	w.queue.add(
-		event{at: w.now + d, rank: rankWorld, do: (*World).listArrived, a: int32(s.number), b: int32(s.incarnation)},
+		event{at: w.now + delay, rank: rankWorld, do: (*World).listArrived, a: int32(inst.number),
+			b: int32(inst.incarnation)},
 	)
 }
 
+// listArrived runs when the complete list reaches an instance. A list-behind fault delays it.
 func (w *World) listArrived(e *event) {
-	s := w.instances[e.a]
-	if !s.alive || s.incarnation != int(e.b) {
+	inst := w.instances[e.a]
+	if !inst.alive || inst.incarnation != int(e.b) {
 		return
 	}
 	if w.now < w.listsDelayedUntil {
 		w.queue.add(event{at: w.listsDelayedUntil, rank: rankWorld, do: (*World).listArrived, a: e.a, b: e.b})
 		return
 	}
-	s.pollPending, s.following = false, true
-	s.notify(policy.ListFull, w.endpoints)
+	inst.pollPending, inst.following = false, true
+	inst.notify(policy.ListFull, w.endpoints)
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -167,7 +167,7 @@
 		t.Fatal("read")
 	}
 	for _, want := range []string{"x.toml:3: length: found \"10ms\"", "x.toml:5: fleet.servers: found 0, allowed a whole number from 1",
-		"x.toml:7: load.rate: found rate 5 and part 1.2, allowed one of them over 0", "x.toml:8: load.keis: found an unknown key",
+		"x.toml:7: load.rate: found rate 5 and part 1.2, allowed exactly one of them over 0", "x.toml:8: load.keis: found an unknown key",
 		"x.toml:12: fault[0].zone: found \"c\", allowed one of [a b]", "x.toml:9: fault[0].for: found nothing", "x.toml:14: fault[1].kind: found \"odd\""} {
 		if !strings.Contains(err.Error(), want) {
 			t.Errorf("not told: %s\n%v", want, err)
--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -12,186 +12,189 @@
 
 // endpoint is the state of one endpoint of the fleet.
 type endpoint struct {
-	world        *World
-	number       judge.EndpointID
-	id           policy.EndpointID
-	uid          string
-	kind         *EndpointKind
-	traits       machine.Traits
-	zone         policy.Zone
-	cell         policy.Cell
-	weight       float64
-	machine      *machine.Machine
-	started      policy.Time
-	status       policy.EndpointStatus
-	down         bool // its process has ended
-	silentFaults int  // number of faults that make it silent
-	lost         bool // its process ended while it was unreachable
-	slowFactors  []float64
-	errorRate    float64
-	incarnation  int // counts starts
-	plannedAt    policy.Time
-	plannedEvent uint32 // number of its latest planned event; earlier ones are void
-	pod          *pod
-	inFlight     int                   // attempts
-	knownStatus  policy.EndpointStatus // what discovery knows
-	knownStart   policy.Time
-	knownVersion int64
-	noise        *rand.Rand
+	world          *World
+	number         judge.EndpointID
+	id             policy.EndpointID
+	uid            string
+	kind           *EndpointKind
+	traits         machine.Traits
+	zone           policy.Zone
+	cell           policy.Cell
+	weight         float64 // in lists
+	machine        *machine.Machine
+	started        policy.Time
+	status         policy.EndpointStatus
+	down           bool      // its process has ended
+	silentFaults   int       // number of active faults that make it unreachable by itself
+	lost           bool      // its process ended while it was unreachable
+	slowFactors    []float64 // of active faults; each divides its speed
+	errorRate      float64
+	incarnation    int         // counts starts and stops
+	scheduledAt    policy.Time // of its next event; 0: none is scheduled
+	scheduledEvent uint32      // number of its latest scheduled event; earlier ones are ignored
+	pod            *pod
+	inFlight       int                   // attempts in flight
+	knownStatus    policy.EndpointStatus // as discovery knows it
+	knownStart     policy.Time           // as discovery knows it
+	knownVersion   int64                 // of the list in which discovery last changed it
+	noise          *rand.Rand
 }
 
-// pod is a group of endpoints that share cores.
+// pod is a group of endpoints with a common limit on cores.
 type pod struct {
 	endpoints   []*endpoint
 	limit       float64 // cores; 0: none
-	limitFactor float64 // part of the limit that faults leave
+	limitFactor float64 // part of the limit that is left during a fault
 }
 
-func (w *World) newEndpoint(k *EndpointKind, started policy.Time) *endpoint {
-	no := len(w.endpoints)
-	s := &endpoint{
-		world:        w,
-		number:       judge.EndpointID(no),
-		kind:         k,
-		traits:       k.Traits,
-		zone:         w.scenario.Zones[no%len(w.scenario.Zones)],
-		started:      started,
-		weight:       1,
-		plannedEvent: 0,
-		noise:        stream(w.seed, "work", no),
-	}
-	s.uid = "s-" + paddedNumber(no)
-	s.id = endpointfiles.EndpointID(s.uid)
+func (w *World) newEndpoint(kind *EndpointKind, started policy.Time) *endpoint {
+	number := len(w.endpoints)
+	ep := &endpoint{
+		world:          w,
+		number:         judge.EndpointID(number),
+		kind:           kind,
+		traits:         kind.Traits,
+		zone:           w.scenario.Zones[number%len(w.scenario.Zones)],
+		started:        started,
+		weight:         1,
+		scheduledEvent: 0,
+		noise:          stream(w.seed, "work", number),
+	}
+	ep.uid = "s-" + paddedNumber(number)
+	ep.id = endpointfiles.EndpointID(ep.uid)
 	// Each pod is in one zone: the endpoints of a zone fill its pods one after another.
-	s.cell = policy.Cell(no/len(w.scenario.Zones)/w.scenario.PodSize*len(w.scenario.Zones) + no%len(w.scenario.Zones))
-	s.traits.Speed *= logNormal(stream(w.seed, "speed", no), k.SpeedSpread)
-	if k.Weighted {
-		s.weight = s.traits.Cores * s.traits.Speed
-	}
-	s.machine = machine.New(s.traits, started)
-	for len(w.pods) <= int(s.cell) {
+	ep.cell = policy.Cell(number/len(w.scenario.Zones)/w.scenario.PodSize*len(w.scenario.Zones) +
+		number%len(w.scenario.Zones))
+	ep.traits.Speed *= logNormal(stream(w.seed, "speed", number), kind.SpeedSpread)
+	if kind.Weighted {
+		ep.weight = ep.traits.Cores * ep.traits.Speed
+	}
+	ep.machine = machine.New(ep.traits, started)
+	for len(w.pods) <= int(ep.cell) {
 		w.pods = append(w.pods, &pod{limitFactor: 1})
 	}
-	s.pod = w.pods[s.cell]
-	s.pod.endpoints = append(s.pod.endpoints, s)
+	ep.pod = w.pods[ep.cell]
+	ep.pod.endpoints = append(ep.pod.endpoints, ep)
 	if w.scenario.PodLimit > 0 {
-		s.pod.limit += w.scenario.PodLimit * s.traits.Cores
+		ep.pod.limit += w.scenario.PodLimit * ep.traits.Cores
 	}
-	w.endpoints = append(w.endpoints, s)
-	w.byID[s.id] = s
-	return s
+	w.endpoints = append(w.endpoints, ep)
+	w.byID[ep.id] = ep
+	return ep
 }
 
-// paddedNumber is a number with leading zeros, which sorts as text as it does as a number.
-func paddedNumber(no int) string {
+// paddedNumber formats a number with leading zeros, so that the order of texts is that of the numbers.
+func paddedNumber(number int) string {
 	b := []byte("00000")
-	for i := len(b) - 1; no > 0 && i >= 0; i-- {
-		b[i] = byte('0' + no%10)
-		no /= 10
+	for i := len(b) - 1; number > 0 && i >= 0; i-- {
+		b[i] = byte('0' + number%10)
+		number /= 10
 	}
 	return string(b)
 }
 
-// advance runs the endpoint up to now, handles the jobs that it has finished, and plans its next event.
-func (s *endpoint) advance() {
-	w := s.world
-	w.doneJobs = s.machine.Run(w.now, w.doneJobs[:0])
-	for _, d := range w.doneJobs {
-		w.jobDone(s, d)
-	}
-	s.pod.shareCores(w.now)
-	s.planNext()
+// advance runs the endpoint's machine up to now, handles the jobs that have finished, and schedules the next event.
+func (ep *endpoint) advance() {
+	w := ep.world
+	w.finishedJobs = ep.machine.Run(w.now, w.finishedJobs[:0])
+	for _, job := range w.finishedJobs {
+		w.jobFinished(ep, job)
+	}
+	ep.pod.shareCores(w.now)
+	ep.scheduleNext()
 }
 
-// planNext plans the endpoint's next event in place of the earlier one.
-func (s *endpoint) planNext() {
-	at, pending := s.machine.Next()
-	if !pending || s.down {
-		s.plannedAt = 0
+// scheduleNext schedules the endpoint's next event, which replaces the one scheduled before.
+func (ep *endpoint) scheduleNext() {
+	at, pending := ep.machine.Next()
+	if !pending || ep.down {
+		ep.scheduledAt = 0
 		return
 	}
-	at = max(at, s.world.now)
-	if at == s.plannedAt {
+	at = max(at, ep.world.now)
+	if at == ep.scheduledAt {
 		return
 	}
-	s.plannedAt = at
-	s.plannedEvent++
-	s.world.queue.add(
-		event{at: at, rank: rankWorld, do: (*World).endpointDue, a: int32(s.number), c: uint64(s.plannedEvent)},
+	ep.scheduledAt = at
+	ep.scheduledEvent++
+	ep.world.queue.add(
+		event{at: at, rank: rankWorld, do: (*World).endpointDue, a: int32(ep.number), c: uint64(ep.scheduledEvent)},
 	)
 }
 
+// endpointDue runs when the next event of an endpoint is due.
 func (w *World) endpointDue(e *event) {
-	if s := w.endpoints[e.a]; uint64(s.plannedEvent) == e.c && s.plannedAt == w.now {
-		s.plannedAt = 0
-		s.advance()
+	if ep := w.endpoints[e.a]; uint64(ep.scheduledEvent) == e.c && ep.scheduledAt == w.now {
+		ep.scheduledAt = 0
+		ep.advance()
 	}
 }
 
-// shareCores gives each endpoint of a pod the same part of its speed, as the pod's limit allows.
-func (p *pod) shareCores(now policy.Time) {
-	if p.limit == 0 || len(p.endpoints) == 0 {
+// shareCores sets the speed of a pod's endpoints so that they use no more cores than its limit. All get the same part
+// of their speed. Changes of less than 0.01 are left out, unless the limit begins or ceases to apply.
+func (pod *pod) shareCores(now policy.Time) {
+	if pod.limit == 0 || len(pod.endpoints) == 0 {
 		return
 	}
-	want := 0.0
-	for _, s := range p.endpoints {
-		want += s.machine.Busy()
+	busy := 0.0
+	for _, ep := range pod.endpoints {
+		busy += ep.machine.Busy()
 	}
-	part := min(1, p.limit*p.limitFactor/max(want, 1e-9))
-	if math.Abs(part-p.endpoints[0].podSpeed()) < 0.01 && (part < 1) == (p.endpoints[0].podSpeed() < 1) {
+	part := min(1, pod.limit*pod.limitFactor/max(busy, 1e-9))
+	if math.Abs(part-pod.endpoints[0].podSpeed()) < 0.01 && (part < 1) == (pod.endpoints[0].podSpeed() < 1) {
 		return
 	}
-	for _, s := range p.endpoints {
-		s.machine.SetPodSpeed(now, part)
-		s.plannedAt = 0
-		s.planNext()
+	for _, ep := range pod.endpoints {
+		ep.machine.SetPodSpeed(now, part)
+		ep.scheduledAt = 0
+		ep.scheduleNext()
 	}
 }
 
-func (s *endpoint) podSpeed() float64 { return s.machine.PodSpeed() }
+func (ep *endpoint) podSpeed() float64 { return ep.machine.PodSpeed() }
 
-// applySlowFactors sets the speed that faults leave.
-func (s *endpoint) applySlowFactors() {
+// applySlowFactors sets the speed that is left by the active slow faults.
+func (ep *endpoint) applySlowFactors() {
 	part := 1.0
-	for _, f := range s.slowFactors {
-		part /= f
+	for _, factor := range ep.slowFactors {
+		part /= factor
 	}
-	s.machine.SetFaultSpeed(s.world.now, part)
-	s.plannedAt = 0
-	s.advance()
+	ep.machine.SetFaultSpeed(ep.world.now, part)
+	ep.scheduledAt = 0
+	ep.advance()
 }
 
-// unreachable reports whether a fault cuts the endpoint off.
-func (s *endpoint) unreachable() bool { return s.silentFaults > 0 || s.world.lostZones[s.zone] > 0 }
+// unreachable reports whether a fault cuts the endpoint off from the network.
+func (ep *endpoint) unreachable() bool { return ep.silentFaults > 0 || ep.world.lostZones[ep.zone] > 0 }
 
-// stop ends its process: its jobs are lost and its connections reset.
-func (s *endpoint) stop() {
-	s.incarnation++
-	s.down = true
-	s.plannedAt = 0
-	s.plannedEvent++
-	w := s.world
+// stop ends the endpoint's process. Its jobs are lost and its connections are reset.
+func (ep *endpoint) stop() {
+	ep.incarnation++
+	ep.down = true
+	ep.scheduledAt = 0
+	ep.scheduledEvent++
+	w := ep.world
 	for i := range w.tries {
-		t := &w.tries[i]
-		if !t.inUse || !t.inFlight || t.endpoint != s {
+		try := &w.tries[i]
+		if !try.inUse || !try.inFlight || try.endpoint != ep {
 			continue
 		}
-		t.job = machine.NoJob
-		if !s.unreachable() {
-			w.notifyInstance(int32(i), t, (*World).connectionReset)
+		try.job = machine.NoJob
+		if !ep.unreachable() {
+			w.notifyInstance(int32(i), try, (*World).connectionReset)
 		}
 	}
-	for _, sc := range w.instances {
-		sc.idleConnections[s.number] = sc.idleTo(s)[:0]
+	for _, inst := range w.instances {
+		inst.idleConnections[ep.number] = inst.idleTo(ep)[:0]
 	}
-	s.machine.Restart(w.now)
+	ep.machine.Restart(w.now)
 }
 
-// start starts its process, cold.
-func (s *endpoint) start() {
-	s.incarnation++
-	s.down = false
-	s.started = s.world.now
-	s.machine.Restart(s.world.now)
-	s.status = policy.Ready
+// start starts the endpoint's process, cold.
+func (ep *endpoint) start() {
+	ep.incarnation++
+	ep.down = false
+	ep.started = ep.world.now
+	ep.machine.Restart(ep.world.now)
+	ep.status = policy.Ready
 }
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -7,37 +7,37 @@
 	"pepperlead/policy"
 )
 
-// fault is a fault of the scenario and what it affects.
+// fault is a fault of the scenario with the endpoints and instances that it affects.
 type fault struct {
 	Fault
 	endpoints []*endpoint
 	instances []*instance
-	next      int // rolling, pauses: index of the endpoint that is next
+	next      int // rolling, shrink, pauses: index of the next endpoint
 }
 
-// planFaults plans the begin of each fault.
-func (w *World) planFaults() {
+// scheduleFaults schedules the start of each fault.
+func (w *World) scheduleFaults() {
 	for i := range w.scenario.Faults {
 		w.queue.add(
-			event{at: dayStart + w.scenario.Faults[i].At, rank: rankWorld, do: (*World).faultBegins, a: int32(i)},
+			event{at: startTime + w.scenario.Faults[i].At, rank: rankWorld, do: (*World).faultBegins, a: int32(i)},
 		)
 		w.faults = append(w.faults, fault{Fault: w.scenario.Faults[i]})
 	}
 }
 
-// chooseAffected draws those that a fault affects: named ones, those of a pod or zone, and of these a share or a count.
-func chooseAffected[T any](f *Fault, r *rand.Rand, all []T, affects func(T) bool) []T {
-	var some []T
-	for _, one := range all {
-		if affects(one) {
-			some = append(some, one)
+// drawAffected draws the elements that a fault affects: by the fault's share or count, from those that affects accepts.
+func drawAffected[T any](f *Fault, r *rand.Rand, all []T, affects func(T) bool) []T {
+	var candidates []T
+	for _, x := range all {
+		if affects(x) {
+			candidates = append(candidates, x)
 		}
 	}
-	r.Shuffle(len(some), func(i, j int) { some[i], some[j] = some[j], some[i] })
-	return some[:f.Affected(len(some))]
+	r.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+	return candidates[:f.Affected(len(candidates))]
 }
 
-// Affected returns how many of so many the fault affects.
+// Affected returns how many of n candidates the fault affects.
 func (f *Fault) Affected(n int) int {
 	switch {
 	case f.Count > 0:
@@ -48,17 +48,19 @@
 	return n
 }
 
-func (f *fault) affects(v *endpoint) bool {
-	return v.status == policy.Ready && !v.down && (f.Zone == "" || f.Zone == v.zone) &&
-		(f.Pod < 0 || f.Pod == int(v.cell)) &&
-		(len(f.Endpoints) == 0 || slices.Contains(f.Endpoints, int(v.number)))
+// affects reports whether the endpoint is a candidate: it is ready and in the zone, the pod and the list of the fault.
+func (f *fault) affects(ep *endpoint) bool {
+	return ep.status == policy.Ready && !ep.down && (f.Zone == "" || f.Zone == ep.zone) &&
+		(f.Pod < 0 || f.Pod == int(ep.cell)) &&
+		(len(f.Endpoints) == 0 || slices.Contains(f.Endpoints, int(ep.number)))
 }
 
+// faultBegins starts a fault and schedules its end.
 func (w *World) faultBegins(e *event) {
 	f := &w.faults[e.a]
-	w.chooseVictims(f, stream(w.seed, "fault", int(e.a)))
-	for _, s := range f.instances {
-		s.stop()
+	w.chooseTargets(f, stream(w.seed, "fault", int(e.a)))
+	for _, inst := range f.instances {
+		inst.stop()
 	}
 	switch f.Kind {
 	case ListBehind:
@@ -82,90 +84,92 @@
 	}
 }
 
-// chooseVictims chooses the endpoints and instances that a fault affects.
-func (w *World) chooseVictims(f *fault, r *rand.Rand) {
+// chooseTargets chooses the endpoints and instances that a fault affects.
+func (w *World) chooseTargets(f *fault, r *rand.Rand) {
 	switch f.Kind {
 	case ZoneLost:
 		w.chooseZone(f)
 	case SidecarRestart:
-		f.instances = chooseAffected(&f.Fault, r, w.instances, func(s *instance) bool {
-			return s.alive && (f.Zone == "" || f.Zone == s.zone)
+		f.instances = drawAffected(&f.Fault, r, w.instances, func(inst *instance) bool {
+			return inst.alive && (f.Zone == "" || f.Zone == inst.zone)
 		})
 	case Grow, ListBehind, Burst, HotKey:
 	case AllSlow:
 		f.endpoints = slices.Clone(w.endpoints)
 	default:
-		f.endpoints = chooseAffected(&f.Fault, r, w.endpoints, f.affects)
+		f.endpoints = drawAffected(&f.Fault, r, w.endpoints, f.affects)
 	}
 	if f.Kind == Rolling {
 		slices.SortFunc(f.endpoints, func(a, b *endpoint) int { return int(a.number - b.number) })
 	}
 }
 
+// chooseZone chooses the endpoints of a lost zone and, if the fault includes them, its instances.
 func (w *World) chooseZone(f *fault) {
-	for _, v := range w.endpoints {
-		if v.zone == f.Zone && v.status != policy.Removed {
-			f.endpoints = append(f.endpoints, v)
+	for _, ep := range w.endpoints {
+		if ep.zone == f.Zone && ep.status != policy.Removed {
+			f.endpoints = append(f.endpoints, ep)
 		}
 	}
-	for _, s := range w.instances {
-		if f.IncludeInstances && s.zone == f.Zone && s.alive {
-			f.instances = append(f.instances, s)
+	for _, inst := range w.instances {
+		if f.IncludeInstances && inst.zone == f.Zone && inst.alive {
+			f.instances = append(f.instances, inst)
 		}
 	}
 }
 
-// breakEndpoints begins a fault at the endpoints that it affects.
+// breakEndpoints starts a fault at the endpoints that it affects.
 func (w *World) breakEndpoints(f *fault) {
 	if f.Kind == ZoneLost {
 		w.lostZones[f.Zone]++
 	}
-	for _, v := range f.endpoints {
+	for _, ep := range f.endpoints {
 		switch f.Kind {
 		case ZoneLost:
-			v.becomeUnreachable(f.Cold)
+			ep.becomeUnreachable(f.Cold)
 		case Silent:
-			v.silentFaults++
-			v.becomeUnreachable(f.Cold)
+			ep.silentFaults++
+			ep.becomeUnreachable(f.Cold)
 		case Crash:
-			v.stop()
-			w.statusChanged(v, policy.Removed, true)
+			ep.stop()
+			w.statusChanged(ep, policy.Removed, true)
 		case Slow, AllSlow:
-			v.slowFactors = append(v.slowFactors, f.Size)
-			v.applySlowFactors()
+			ep.slowFactors = append(ep.slowFactors, f.Size)
+			ep.applySlowFactors()
 		case Errors:
-			v.errorRate = f.Size
+			ep.errorRate = f.Size
 		case PodThrottled:
-			v.throttlePod(f.Size)
+			ep.throttlePod(f.Size)
 		}
 	}
 }
 
-// growFleet adds endpoints that discovery learns of later.
+// growFleet adds endpoints, of which discovery learns after the announce delay.
 func (w *World) growFleet(count int) {
 	for range count {
-		v := w.newEndpoint(&w.scenario.Kinds[len(w.endpoints)%len(w.scenario.Kinds)], w.now)
-		v.knownStatus = policy.Removed
-		w.statusChanged(v, policy.Ready, true)
+		ep := w.newEndpoint(&w.scenario.Kinds[len(w.endpoints)%len(w.scenario.Kinds)], w.now)
+		ep.knownStatus = policy.Removed
+		w.statusChanged(ep, policy.Ready, true)
 	}
 }
 
-// throttlePod leaves a part of its pod's cores, once for the pod. A pod without a limit has one of all its cores from
-// then on.
-func (s *endpoint) throttlePod(part float64) {
-	p := s.pod
-	if p.limitFactor != 1 {
+// throttlePod reduces the limit of the endpoint's pod to a part of it. It has no effect on a pod that is throttled
+// already. A pod without a limit gets one of all its cores, which remains after the fault.
+func (ep *endpoint) throttlePod(part float64) {
+	pod := ep.pod
+	if pod.limitFactor != 1 {
 		return
 	}
-	if p.limit == 0 {
-		for _, v := range p.endpoints {
-			p.limit += v.traits.Cores
+	if pod.limit == 0 {
+		for _, member := range pod.endpoints {
+			pod.limit += member.traits.Cores
 		}
 	}
-	p.limitFactor = part
-	s.advance()
+	pod.limitFactor = part
+	ep.advance()
 }
 
+// faultEnds ends a fault. Instances that it stopped start again.
 func (w *World) faultEnds(e *event) {
 	f := &w.faults[e.a]
 	switch f.Kind {
@@ -176,8 +180,8 @@
 	default:
 		w.repairEndpoints(f)
 	}
-	for _, s := range f.instances {
-		s.start(policy.ListSaved)
+	for _, inst := range f.instances {
+		inst.start(policy.ListSaved)
 	}
 }
 
@@ -186,121 +190,123 @@
 	if f.Kind == ZoneLost {
 		w.lostZones[f.Zone]--
 	}
-	for _, v := range f.endpoints {
+	for _, ep := range f.endpoints {
 		switch f.Kind {
 		case ZoneLost:
-			v.becomeReachable()
+			ep.becomeReachable()
 		case Silent:
-			v.silentFaults--
-			v.becomeReachable()
+			ep.silentFaults--
+			ep.becomeReachable()
 		case Crash:
-			if v.down {
-				v.start()
-				w.statusChanged(v, policy.Ready, true)
+			if ep.down {
+				ep.start()
+				w.statusChanged(ep, policy.Ready, true)
 			}
 		case Slow, AllSlow:
-			v.endSlowFactor(f.Size)
+			ep.endSlowFactor(f.Size)
 		case Errors:
-			v.errorRate = 0
+			ep.errorRate = 0
 		case PodThrottled:
-			v.pod.limitFactor = 1
-			v.advance()
+			ep.pod.limitFactor = 1
+			ep.advance()
 		}
 	}
 }
 
-func (s *endpoint) endSlowFactor(factor float64) {
-	if i := slices.Index(s.slowFactors, factor); i >= 0 {
-		s.slowFactors = slices.Delete(s.slowFactors, i, i+1)
+// endSlowFactor removes the factor of a slow fault that has ended.
+func (ep *endpoint) endSlowFactor(factor float64) {
+	if i := slices.Index(ep.slowFactors, factor); i >= 0 {
+		ep.slowFactors = slices.Delete(ep.slowFactors, i, i+1)
 	}
-	s.applySlowFactors()
+	ep.applySlowFactors()
 }
 
-// becomeUnreachable cuts the endpoint off. With dies, the work in it is lost.
-func (s *endpoint) becomeUnreachable(dies bool) {
-	if dies {
-		s.stop()
-		s.lost = true
+// becomeUnreachable cuts the endpoint off from the network. With cold, its process ends too, and its work is lost.
+func (ep *endpoint) becomeUnreachable(cold bool) {
+	if cold {
+		ep.stop()
+		ep.lost = true
 	}
-	s.world.statusChanged(s, policy.Removed, false)
+	ep.world.statusChanged(ep, policy.Removed, false)
 }
 
-func (s *endpoint) becomeReachable() {
-	if s.unreachable() || s.status == policy.Removed {
+// becomeReachable connects the endpoint to the network again, and starts its process if that has ended.
+func (ep *endpoint) becomeReachable() {
+	if ep.unreachable() || ep.status == policy.Removed {
 		return // still affected by another fault
 	}
-	if s.lost {
-		s.lost = false
-		s.start()
+	if ep.lost {
+		ep.lost = false
+		ep.start()
 	}
-	// What was written to it on earlier connections is answered by a reset, now that it is reachable.
-	w := s.world
+	// Attempts that were written while it was unreachable have no job. Their connections are reset now.
+	w := ep.world
 	for i := range w.tries {
-		if t := &w.tries[i]; t.inUse && t.inFlight && t.endpoint == s && t.job == -1 && t.written {
-			w.notifyInstance(int32(i), t, (*World).connectionReset)
+		if try := &w.tries[i]; try.inUse && try.inFlight && try.endpoint == ep && try.job == -1 && try.written {
+			w.notifyInstance(int32(i), try, (*World).connectionReset)
 		}
 	}
-	w.statusChanged(s, policy.Ready, true)
+	w.statusChanged(ep, policy.Ready, true)
 }
 
-// pause pauses the endpoints that a fault affects in turn, again and again.
+// pause pauses the next endpoint that a fault affects, in rotation, until the fault ends.
 func (w *World) pause(e *event) {
 	f := &w.faults[e.a]
-	if w.now >= dayStart+f.At+f.Duration || len(f.endpoints) == 0 {
+	if w.now >= startTime+f.At+f.Duration || len(f.endpoints) == 0 {
 		return
 	}
-	v := f.endpoints[f.next%len(f.endpoints)]
+	ep := f.endpoints[f.next%len(f.endpoints)]
 	f.next++
-	v.advance()
-	v.machine.PauseUntil(w.now, w.now+policy.Time(f.Size*float64(policy.Second)))
-	v.plannedAt = 0
-	v.advance()
+	ep.advance()
+	ep.machine.PauseUntil(w.now, w.now+policy.Time(f.Size*float64(policy.Second)))
+	ep.scheduledAt = 0
+	ep.advance()
 	w.queue.add(
 		event{at: w.now + f.Every/policy.Time(len(f.endpoints)) + 1, rank: rankWorld, do: (*World).pause, a: e.a},
 	)
 }
 
-// drainNext drains the next endpoint of a deployment, or all of a shrinking fleet.
+// drainNext drains the next endpoint of a rolling deployment or of a shrinking fleet, and schedules the one after it.
 func (w *World) drainNext(e *event) {
 	f := &w.faults[e.a]
 	if f.next >= len(f.endpoints) {
 		return
 	}
-	v := f.endpoints[f.next]
+	ep := f.endpoints[f.next]
 	f.next++
-	if !v.down && v.status == policy.Ready {
-		v.status = policy.Draining
-		w.statusChanged(v, policy.Draining, true)
-		after := f.Duration
-		if after == 0 {
-			after = 10 * policy.Second
+	if !ep.down && ep.status == policy.Ready {
+		ep.status = policy.Draining
+		w.statusChanged(ep, policy.Draining, true)
+		drainTime := f.Duration
+		if drainTime == 0 {
+			drainTime = 10 * policy.Second
 		}
 		w.queue.add(
 			event{
-				at:   w.now + after,
+				at:   w.now + drainTime,
 				rank: rankWorld,
 				do:   (*World).drained,
 				a:    e.a,
-				b:    int32(v.number),
-				c:    uint64(v.incarnation),
+				b:    int32(ep.number),
+				c:    uint64(ep.incarnation),
 			},
 		)
 	}
 	w.queue.add(event{at: w.now + f.Every, rank: rankWorld, do: (*World).drainNext, a: e.a})
 }
 
-// drained stops an endpoint whose drain time is over, and starts it again unless the fleet shrinks.
+// drained stops an endpoint whose drain time is over, and restarts it unless the fleet shrinks.
 func (w *World) drained(e *event) {
-	f, v := &w.faults[e.a], w.endpoints[e.b]
-	if uint64(v.incarnation) != e.c || v.down {
+	f, ep := &w.faults[e.a], w.endpoints[e.b]
+	if uint64(ep.incarnation) != e.c || ep.down {
 		return
 	}
-	v.stop()
+	ep.stop()
 	if f.Kind == Shrink {
-		v.status = policy.Removed
-		w.statusChanged(v, policy.Removed, true)
+		ep.status = policy.Removed
+		w.statusChanged(ep, policy.Removed, true)
 		return
 	}
-	v.start()
-	w.statusChanged(v, policy.Ready, true)
+	ep.start()
+	w.statusChanged(ep, policy.Ready, true)
 }
--- a/internal/emulator/front.go
+++ b/internal/emulator/front.go
@@ -6,130 +6,139 @@
 	"pepperlead/policy"
 )
 
-func (s *instance) lookup(h policy.Handle) (int32, *clientTry) {
-	i := s.tries[h.Index()]
-	return i, &s.world.tries[i]
+// lookup returns the try of a handle and its index.
+func (inst *instance) lookup(handle policy.Handle) (int32, *clientTry) {
+	tryIndex := inst.tries[handle.Index()]
+	return tryIndex, &inst.world.tries[tryIndex]
 }
 
-// Attempt sends an attempt on an idle connection or on a new one.
-func (s *instance) Attempt(h policy.Handle, id policy.EndpointID, wait policy.Time) {
-	w := s.world
-	i, t := s.lookup(h)
-	v := w.byID[id]
-	t.inFlight = true
-	t.endpoint = v
-	t.sentAt = w.now
-	t.written = false
-	t.job = machine.NoJob
-	t.attempts++
-	t.attemptID++
-	v.inFlight++
-	t.judgedAttempt = w.judge.AttemptStarted(
+// Attempt sends an attempt on an idle connection, or on a new one if none is idle.
+func (inst *instance) Attempt(handle policy.Handle, id policy.EndpointID, timeout policy.Time) {
+	w := inst.world
+	tryIndex, try := inst.lookup(handle)
+	ep := w.byID[id]
+	try.inFlight = true
+	try.endpoint = ep
+	try.sentAt = w.now
+	try.written = false
+	try.job = machine.NoJob
+	try.attempts++
+	try.attemptID++
+	ep.inFlight++
+	try.judgedAttempt = w.judge.AttemptStarted(
 		w.sinceStart(w.now),
-		t.judged,
-		v.number,
-		v.zone,
-		v.cell,
-		v.zone != s.zone,
+		try.judged,
+		ep.number,
+		ep.zone,
+		ep.cell,
+		ep.zone != inst.zone,
 	)
-	w.queue.add(event{at: w.now + wait, rank: rankTimeout, do: (*World).attemptTimedOut, a: i, c: t.attemptID})
-	transit := w.transit(s.zone, v.zone)
-	s.closeIdle(v)
-	if idle := s.idleTo(v); len(idle) > 0 {
-		s.idleConnections[v.number] = idle[:len(idle)-1]
-		w.queue.add(event{at: w.now + transit, rank: rankArrive, do: (*World).attemptArrived, a: i, c: t.attemptID})
-		t.written = true // by the kernel's buffer
-		w.judge.AttemptWritten(t.judged, t.judgedAttempt)
+	w.queue.add(event{at: w.now + timeout, rank: rankTimeout, do: (*World).attemptTimedOut, a: tryIndex,
+		c: try.attemptID})
+	transit := w.transit(inst.zone, ep.zone)
+	inst.closeIdle(ep)
+	if idle := inst.idleTo(ep); len(idle) > 0 {
+		inst.idleConnections[ep.number] = idle[:len(idle)-1]
+		w.queue.add(event{at: w.now + transit, rank: rankArrive, do: (*World).attemptArrived, a: tryIndex,
+			c: try.attemptID})
+		try.written = true // the kernel's send buffer takes it at once
+		w.judge.AttemptWritten(try.judged, try.judgedAttempt)
 		return
 	}
-	s.connect(i, t, transit)
+	inst.connect(tryIndex, try, transit)
 }
 
 // connect sends an attempt on a new connection.
-func (s *instance) connect(i int32, t *clientTry, transit policy.Time) {
-	w := s.world
-	failed := event{rank: rankAttemptEnd, do: (*World).connectFailed, a: i, c: t.attemptID}
+func (inst *instance) connect(tryIndex int32, try *clientTry, transit policy.Time) {
+	w := inst.world
+	failed := event{rank: rankAttemptEnd, do: (*World).connectFailed, a: tryIndex, c: try.attemptID}
 	switch {
-	case t.endpoint.unreachable():
+	case try.endpoint.unreachable():
 		failed.at = w.now + w.scenario.Network.ConnectTimeout
 		w.queue.add(failed)
-	case t.endpoint.down:
+	case try.endpoint.down:
 		failed.at = w.now + 2*transit
 		w.queue.add(failed)
 	default:
 		handshakes := 2 * transit * policy.Time(w.scenario.Network.Handshakes)
 		at := w.now + transit + handshakes
-		w.queue.add(event{at: at, rank: rankArrive, do: (*World).attemptArrived, a: i, b: 1, c: t.attemptID})
+		w.queue.add(event{at: at, rank: rankArrive, do: (*World).attemptArrived, a: tryIndex, b: 1, c: try.attemptID})
 	}
 }
 
-func (s *instance) idleTo(v *endpoint) []policy.Time {
-	for len(s.idleConnections) <= int(v.number) {
-		s.idleConnections = append(s.idleConnections, nil)
+// idleTo returns when the idle connections to an endpoint were last used, the earliest first.
+func (inst *instance) idleTo(ep *endpoint) []policy.Time {
+	for len(inst.idleConnections) <= int(ep.number) {
+		inst.idleConnections = append(inst.idleConnections, nil)
 	}
-	return s.idleConnections[v.number]
+	return inst.idleConnections[ep.number]
 }
 
-// closeIdle closes the connections to an endpoint that were idle for too long. The endpoint closes them by itself.
-func (s *instance) closeIdle(v *endpoint) {
-	idle := s.idleTo(v)
-	for len(idle) > 0 && s.world.now-idle[0] >= s.world.scenario.Network.IdleTimeout {
+// closeIdle closes the connections to an endpoint whose idle timeout has passed.
+func (inst *instance) closeIdle(ep *endpoint) {
+	idle := inst.idleTo(ep)
+	for len(idle) > 0 && inst.world.now-idle[0] >= inst.world.scenario.Network.IdleTimeout {
 		idle = idle[1:]
-		v.machine.AddConnections(s.world.now, -1)
+		ep.machine.AddConnections(inst.world.now, -1)
 	}
-	s.idleConnections[v.number] = idle
+	inst.idleConnections[ep.number] = idle
 }
 
+// idleTimeout runs when the idle timeout of a connection may have passed.
 func (w *World) idleTimeout(e *event) { w.instances[e.a].closeIdle(w.endpoints[e.b]) }
 
-// Cancel cancels an attempt.
-func (s *instance) Cancel(h policy.Handle, n policy.AttemptNo) {
-	i, t := s.lookup(h)
-	if t.inFlight && int(n) == t.attempts-1 {
-		s.world.queue.add(
-			event{at: s.world.now, rank: rankAttemptEnd, do: (*World).attemptCancelled, a: i, c: t.attemptID},
+// Cancel cancels an attempt, unless it has ended.
+func (inst *instance) Cancel(handle policy.Handle, number policy.AttemptNo) {
+	tryIndex, try := inst.lookup(handle)
+	if try.inFlight && int(number) == try.attempts-1 {
+		inst.world.queue.add(
+			event{at: inst.world.now, rank: rankAttemptEnd, do: (*World).attemptCancelled, a: tryIndex,
+				c: try.attemptID},
 		)
 	}
 }
 
 // Succeed passes the endpoint's response on.
-func (s *instance) Succeed(h policy.Handle, _ policy.AttemptNo) { s.answer(h, judge.Succeeded, 0) }
+func (inst *instance) Succeed(handle policy.Handle, _ policy.AttemptNo) {
+	inst.answer(handle, judge.Succeeded, 0)
+}
 
 // Reject rejects the request.
-func (s *instance) Reject(h policy.Handle, retryIn policy.Time) {
-	s.answer(h, judge.Rejected, retryIn)
+func (inst *instance) Reject(handle policy.Handle, retryAfter policy.Time) {
+	inst.answer(handle, judge.Rejected, retryAfter)
 }
 
 // Fail answers that the request failed.
-func (s *instance) Fail(h policy.Handle) { s.answer(h, judge.Failed, 0) }
-
-func (s *instance) answer(h policy.Handle, a judge.Answer, retryIn policy.Time) {
-	w := s.world
-	i, t := s.lookup(h)
-	if !t.clientWaiting {
-		// Reported to the judge all the same: a second answer breaks a rule.
-		w.judge.RequestAnswered(w.sinceStart(w.now), t.judged, w.requests[t.request].judged, a)
+func (inst *instance) Fail(handle policy.Handle) { inst.answer(handle, judge.Failed, 0) }
+
+// answer sends the final answer to the client.
+func (inst *instance) answer(handle policy.Handle, answer judge.Answer, retryAfter policy.Time) {
+	w := inst.world
+	tryIndex, try := inst.lookup(handle)
+	if !try.clientWaiting {
+		// The client is gone or has its answer. The judge checks this answer too, as a second one breaks a rule.
+		w.judge.RequestAnswered(w.sinceStart(w.now), try.judged, w.requests[try.request].judged, answer)
 		return
 	}
-	t.clientWaiting = false
-	t.answer = a
-	t.retryIn = retryIn
-	r := t.request
-	w.judge.RequestAnswered(w.sinceStart(w.now), t.judged, w.requests[r].judged, a)
+	try.clientWaiting = false
+	try.answer = answer
+	try.retryAfter = retryAfter
+	requestIndex := try.request
+	w.judge.RequestAnswered(w.sinceStart(w.now), try.judged, w.requests[requestIndex].judged, answer)
 	if w.observer != nil {
-		w.observer.Answer(w.requests[r].class, a, w.now-t.arrivedAt)
+		w.observer.Answer(w.requests[requestIndex].class, answer, w.now-try.arrivedAt)
 	}
 	w.queue.add(
 		event{
 			at:   w.now + w.scenario.Network.Client,
 			rank: rankAnswer,
 			do:   (*World).answerArrived,
-			a:    r,
-			b:    int32(a),
-			c:    uint64(retryIn),
+			a:    requestIndex,
+			b:    int32(answer),
+			c:    uint64(retryAfter),
 		},
 	)
-	w.releaseTry(i)
+	w.releaseTry(tryIndex)
 }
 
 // answerArrived runs when a final answer reaches the client.
@@ -144,36 +153,38 @@
 	}
 }
 
-// Wake plans a call of the decider.
-func (s *instance) Wake(in policy.Time) {
-	at := s.world.now + max(in, 1)
-	if s.wakeAt != 0 && s.wakeAt <= at {
+// Wake schedules a call of Woken, unless one is scheduled for the same time or earlier.
+func (inst *instance) Wake(after policy.Time) {
+	at := inst.world.now + max(after, 1)
+	if inst.wakeAt != 0 && inst.wakeAt <= at {
 		return
 	}
-	s.wakeAt = at
-	s.world.queue.add(event{at: at, rank: rankWake, do: (*World).wake, a: int32(s.number), b: int32(s.incarnation)})
+	inst.wakeAt = at
+	inst.world.queue.add(event{at: at, rank: rankWake, do: (*World).wake, a: int32(inst.number),
+		b: int32(inst.incarnation)})
 }
 
+// wake calls Woken, unless an earlier call was scheduled since or the instance was restarted.
 func (w *World) wake(e *event) {
-	s := w.instances[e.a]
-	if s.alive && s.incarnation == int(e.b) && s.wakeAt == w.now {
-		s.wakeAt = 0
-		s.decider.Woken(w.now)
+	inst := w.instances[e.a]
+	if inst.alive && inst.incarnation == int(e.b) && inst.wakeAt == w.now {
+		inst.wakeAt = 0
+		inst.decider.Woken(w.now)
 	}
 }
 
-// FollowList begins or ends to follow the list.
-func (s *instance) FollowList(on bool) {
-	if s.following = on; on {
-		s.world.requestList(s)
+// FollowList starts or stops following the endpoint list.
+func (inst *instance) FollowList(follow bool) {
+	if inst.following = follow; follow {
+		inst.world.requestList(inst)
 	}
 }
 
-// Release does nothing: idle connections end by their timeout.
-func (s *instance) Release(policy.EndpointID) {}
+// Release does nothing: idle connections are closed by their timeout.
+func (inst *instance) Release(policy.EndpointID) {}
 
-// Forget does nothing.
-func (s *instance) Forget(policy.EndpointID) {}
+// Forget does nothing: the emulator keeps all endpoints of a run.
+func (inst *instance) Forget(policy.EndpointID) {}
 
-// Log drops the line.
-func (s *instance) Log(string) {}
+// Log discards the line.
+func (inst *instance) Log(string) {}
--- a/internal/emulator/instance.go
+++ b/internal/emulator/instance.go
@@ -8,7 +8,7 @@
 	"pepperlead/policy"
 )
 
-// request is what a client wants, over all its tries.
+// request is a client's request, over all its tries.
 type request struct {
 	inUse       bool
 	judged      judge.ClientRequestID
@@ -19,37 +19,37 @@
 	workFactor  float64 // its work over the mean of its class
 	ioFactor    float64
 	tries       int
-	at          policy.Time
+	at          policy.Time // when it began
 	deadline    policy.Time
-	markedRetry bool // of a recorded day: it was marked as a retry
+	markedRetry bool // its recorded arrival was marked as a retry
 }
 
-// clientTry is one try of a request: it is sent to one instance, once.
+// clientTry is one transmission of a request from its client to an instance.
 type clientTry struct {
 	inUse               bool
-	clientWaiting       bool // for a final answer
-	inFlight            bool // an attempt of it is
+	clientWaiting       bool // the client waits for a final answer
+	inFlight            bool // an attempt is in flight
 	deadlinePassed      bool
 	judged              judge.RequestID
-	request             int32
+	request             int32 // index in World.requests
 	instance            *instance
-	instanceIncarnation int // when the try reached it
+	instanceIncarnation int // of the instance when the try reached it
 	handle              policy.Handle
 	deadline            policy.Time
-	arrivedAt           policy.Time // at the instance
+	arrivedAt           policy.Time // time at which it reached the instance
 	attempts            int
-	attemptID           uint64 // counts attempts, so that events of an earlier one are known
-	judgedAttempt       int    // the judge's number of the attempt in flight
+	attemptID           uint64 // counts attempts, so that events of earlier attempts can be told apart
+	judgedAttempt       int    // number that the judge has given to the current attempt
 	endpoint            *endpoint
-	endpointIncarnation int // when the attempt reached it
+	endpointIncarnation int // of the endpoint when the attempt reached it
 	job                 machine.JobID
-	written             bool
+	written             bool // the attempt is sent completely and may run
 	sentAt              policy.Time
 	answer              judge.Answer
-	retryIn             policy.Time
+	retryAfter          policy.Time
 }
 
-// instance is one instance of the fleet: a decider and its front.
+// instance is one instance of the fleet. It implements policy.Front for its decider.
 type instance struct {
 	world           *World
 	number          judge.InstanceID
@@ -57,139 +57,140 @@
 	newDecider      DeciderFactory
 	decider         Decider
 	alive           bool
-	incarnation     int
-	tries           []int32         // tries by the place of their handles
-	idleConnections [][]policy.Time // by endpoint: when each idle connection was last used
-	wakeAt          policy.Time
-	version         int64 // of the list it has
-	pollPending     bool
-	following       bool
+	incarnation     int             // counts restarts
+	tries           []int32         // indexes in World.tries, by the index of the handle
+	idleConnections [][]policy.Time // by endpoint number: when each idle connection was last used
+	wakeAt          policy.Time     // of the next call of Woken; 0: none is scheduled
+	version         int64           // of its endpoint list
+	pollPending     bool            // it has requested the list
+	following       bool            // it receives changes of the list
 	list            map[*endpoint]notifiedStatus
-	loadShare       float64 // of all requests
-	gustDraws       *rand.Rand
+	loadShare       float64 // part of all requests that its clients send
+	rateDraws       *rand.Rand
 	arrivalDraws    *rand.Rand
 	classDraws      *rand.Rand
 	keyDraws        *rand.Rand
 	sizeDraws       *rand.Rand
-	gust            float64 // this second's factor
-	gustUntil       policy.Time
+	rateFactor      float64 // random factor on its rate
+	rateFactorUntil policy.Time
 	seedDraws       *rand.Rand
 	settings        *policy.Settings
 }
 
-// notifiedStatus is what an instance was last notified of an endpoint.
+// notifiedStatus is the state of an endpoint in the list that an instance has.
 type notifiedStatus struct {
 	status  policy.EndpointStatus
 	started policy.Time
 }
 
-func (w *World) newInstance(no int, factory DeciderFactory) *instance {
-	s := &instance{
+func (w *World) newInstance(number int, factory DeciderFactory) *instance {
+	inst := &instance{
 		world:        w,
-		number:       judge.InstanceID(no),
-		zone:         w.scenario.Zones[no%len(w.scenario.Zones)],
+		number:       judge.InstanceID(number),
+		zone:         w.scenario.Zones[number%len(w.scenario.Zones)],
 		newDecider:   factory,
 		list:         map[*endpoint]notifiedStatus{},
-		gustDraws:    stream(w.seed, "gusts", no),
-		arrivalDraws: stream(w.seed, "arrivals", no),
-		classDraws:   stream(w.seed, "mix", no),
-		keyDraws:     stream(w.seed, "keys", no),
-		sizeDraws:    stream(w.seed, "sizes", no),
-		seedDraws:    stream(w.seed, "lives", no),
-		gust:         1,
+		rateDraws:    stream(w.seed, "gusts", number),
+		arrivalDraws: stream(w.seed, "arrivals", number),
+		classDraws:   stream(w.seed, "mix", number),
+		keyDraws:     stream(w.seed, "keys", number),
+		sizeDraws:    stream(w.seed, "sizes", number),
+		seedDraws:    stream(w.seed, "lives", number),
+		rateFactor:   1,
 	}
-	c := w.settings
-	c.Zone = s.zone
-	s.settings = &c
-	return s
+	settings := w.settings
+	settings.Zone = inst.zone
+	inst.settings = &settings
+	return inst
 }
 
-// shareLoad sets the share of all requests that each instance gets: by the skew, more in the first zones.
+// shareLoad sets the part of all requests that each instance gets. With Load.ZoneSkew, it falls from the first zone to
+// the last.
 func (w *World) shareLoad() {
 	sum := 0.0
 	last := float64(max(1, len(w.scenario.Zones)-1))
-	for _, s := range w.instances {
-		z := 0
+	for _, inst := range w.instances {
+		zoneIndex := 0
 		for i, name := range w.scenario.Zones {
-			if name == s.zone {
-				z = i
+			if name == inst.zone {
+				zoneIndex = i
 			}
 		}
-		s.loadShare = 1 + w.scenario.Load.ZoneSkew*(1-2*float64(z)/last)
+		inst.loadShare = 1 + w.scenario.Load.ZoneSkew*(1-2*float64(zoneIndex)/last)
 		if len(w.scenario.Zones) == 1 {
-			s.loadShare = 1
+			inst.loadShare = 1
 		}
-		sum += s.loadShare
+		sum += inst.loadShare
 	}
-	for _, s := range w.instances {
-		s.loadShare /= sum
+	for _, inst := range w.instances {
+		inst.loadShare /= sum
 	}
 }
 
-// start starts an instance, with a saved list or with the complete one.
-func (s *instance) start(kind policy.ListKind) {
-	s.alive = true
-	s.wakeAt = 0
-	s.pollPending = false
-	s.following = !s.world.scenario.Discovery.Polled
-	s.idleConnections = make([][]policy.Time, len(s.world.endpoints))
-	s.tries = s.tries[:0]
-	s.decider = s.newDecider(s, s.settings, s.seedDraws.Uint64(), s.world.now, s.world)
+// start starts an instance with the list that it has saved, or with the complete list.
+func (inst *instance) start(kind policy.ListKind) {
+	inst.alive = true
+	inst.wakeAt = 0
+	inst.pollPending = false
+	inst.following = !inst.world.scenario.Discovery.Polled
+	inst.idleConnections = make([][]policy.Time, len(inst.world.endpoints))
+	inst.tries = inst.tries[:0]
+	inst.decider = inst.newDecider(inst, inst.settings, inst.seedDraws.Uint64(), inst.world.now, inst.world)
 	if kind == policy.ListSaved {
 		var all []policy.Member
-		for _, v := range s.world.endpoints {
-			if is, known := s.list[v]; known {
-				m := s.world.member(v)
-				m.Status, m.Started = is.status, is.started
-				all = append(all, m)
+		for _, ep := range inst.world.endpoints {
+			if notified, known := inst.list[ep]; known {
+				member := inst.world.member(ep)
+				member.Status, member.Started = notified.status, notified.started
+				all = append(all, member)
 			}
 		}
 		if len(all) > 0 {
-			s.decider.UpdateEndpoints(s.world.now, policy.ListSaved, all)
-			for v, is := range s.list {
-				s.world.judge.EndpointNotified(
-					s.world.sinceStart(s.world.now),
-					s.number,
-					v.number,
-					is.status,
-					is.started,
+			inst.decider.UpdateEndpoints(inst.world.now, policy.ListSaved, all)
+			for ep, notified := range inst.list {
+				inst.world.judge.EndpointNotified(
+					inst.world.sinceStart(inst.world.now),
+					inst.number,
+					ep.number,
+					notified.status,
+					notified.started,
 				)
 			}
 		}
-		s.world.requestList(s)
+		inst.world.requestList(inst)
 		return
 	}
-	s.notify(policy.ListFull, s.world.endpoints)
+	inst.notify(policy.ListFull, inst.world.endpoints)
 }
 
-// stop kills an instance: its clients' connections break, and its attempts go on at the endpoints.
-func (s *instance) stop() {
-	s.alive = false
-	s.incarnation++
-	s.world.judge.InstanceDied(s.number)
-	for i := range s.world.tries {
-		t := &s.world.tries[i]
-		if !t.inUse || t.instance != s {
+// stop kills an instance. The connections of its clients and to its endpoints break.
+func (inst *instance) stop() {
+	inst.alive = false
+	inst.incarnation++
+	inst.world.judge.InstanceDied(inst.number)
+	for i := range inst.world.tries {
+		try := &inst.world.tries[i]
+		if !try.inUse || try.instance != inst {
 			continue
 		}
-		if t.inFlight {
-			s.world.closeAttempt(t)
-			t.inFlight = false
-			t.endpoint.inFlight--
-			s.world.judge.AttemptEnded(t.judged, t.judgedAttempt, false)
+		if try.inFlight {
+			inst.world.closeAttempt(try)
+			try.inFlight = false
+			try.endpoint.inFlight--
+			inst.world.judge.AttemptEnded(try.judged, try.judgedAttempt, false)
 		}
-		if t.clientWaiting {
-			t.clientWaiting = false
-			r := &s.world.requests[t.request]
-			s.world.judge.ClientLeft(t.judged, r.judged)
-			s.world.retryLater(t.request, true, 0)
+		if try.clientWaiting {
+			try.clientWaiting = false
+			req := &inst.world.requests[try.request]
+			inst.world.judge.ClientLeft(try.judged, req.judged)
+			inst.world.retryLater(try.request, true, 0)
 		}
-		s.world.releaseTry(int32(i))
+		inst.world.releaseTry(int32(i))
 	}
-	for no, idle := range s.idleConnections {
-		if v := s.world.endpoints[no]; len(idle) > 0 && !v.down {
-			v.machine.AddConnections(s.world.now, -len(idle))
+	for number, idle := range inst.idleConnections {
+		if ep := inst.world.endpoints[number]; len(idle) > 0 && !ep.down {
+			ep.machine.AddConnections(inst.world.now, -len(idle))
 		}
 	}
-	clear(s.idleConnections)
+	clear(inst.idleConnections)
 }
--- a/internal/emulator/judge/attempts.go
+++ b/internal/emulator/judge/attempts.go
@@ -145,6 +145,7 @@
 	if sum > allowed && j.overloaded[to] != startedAt {
 		j.overloaded[to] = startedAt
 		j.violate(4, at, 0, "server %d, cold, was sent %.1f times what it can do within %v, allowed %.1f", to,
-			sum/(capacity*float64(j.config.OverloadWindow)), seconds(j.config.OverloadWindow), j.config.OverloadMultiple)
+			sum/(capacity*float64(j.config.OverloadWindow)), seconds(j.config.OverloadWindow),
+			j.config.OverloadMultiple)
 	}
 }
--- a/internal/emulator/keys.go
+++ b/internal/emulator/keys.go
@@ -5,9 +5,10 @@
 	"math/rand/v2"
 )
 
-// zipf draws keys by popularity: key k with a weight of 1/k^s.
+// zipf draws keys from 1 on with Zipf's distribution: key k has a weight of 1/k^s.
 type zipf struct{ cumulative []float64 }
 
+// newZipf returns a zipf of the exponent s. Beyond 1<<20 keys, the rest are never drawn, which limits its memory.
 func newZipf(n int, s float64) *zipf {
 	z := &zipf{cumulative: make([]float64, min(n, 1<<20))}
 	for i := range z.cumulative {
@@ -18,12 +19,12 @@
 }
 
 func (z *zipf) draw(r *rand.Rand) uint64 {
-	at := r.Float64()
+	point := r.Float64()
 	low := 0
 	high := len(z.cumulative) - 1
 	for low < high {
 		mid := (low + high) / 2
-		if at < z.cumulative[mid] {
+		if point < z.cumulative[mid] {
 			high = mid
 		} else {
 			low = mid + 1
--- a/internal/emulator/plan.go
+++ b/internal/emulator/plan.go
@@ -2,7 +2,7 @@
 
 import "pepperlead/policy"
 
-// noDecisions is a Decider for a day that is only planned: no request reaches it.
+// noDecisions is the Decider of a run that is only planned, in which no request reaches an instance.
 type noDecisions struct{}
 
 // UpdateEndpoints does nothing.
@@ -30,7 +30,7 @@
 // Woken does nothing.
 func (noDecisions) Woken(policy.Time) {}
 
-// Plan returns the requests of a day, the same that a World of that seed plays.
+// Plan returns the requests that a run of the scenario with this seed has.
 func Plan(sc *Scenario, seed uint64) []Arrival {
 	var all []Arrival
 	w := New(
@@ -44,34 +44,34 @@
 	return all
 }
 
-// quotaTolerance is the multiple of a quota up to which requests keep their value.
+// quotaTolerance is the multiple of its quota up to which a tenant's requests keep their value.
 const quotaTolerance = 1.1
 
-// ValueMeter returns the value of each request, less where its tenant is over its quota.
+// ValueMeter computes the value of each request, which is reduced while the tenant is over its quota.
 type ValueMeter struct {
 	sc       *Scenario
-	arrivals []meter
-	quotas   []float64
+	arrivals []meter   // rate of requests by tenant
+	quotas   []float64 // by tenant, in requests per second
 }
 
-// NewValueMeter makes a meter for a day; rate is the requests a second that quotas given as shares refer to.
+// NewValueMeter returns a meter for a run. Quotas that are shares refer to rate, in requests per second.
 func NewValueMeter(sc *Scenario, rate float64) *ValueMeter {
-	c := &ValueMeter{sc: sc, arrivals: make([]meter, len(sc.Tenants))}
-	for _, f := range sc.Tenants {
-		quota := f.Quota
+	m := &ValueMeter{sc: sc, arrivals: make([]meter, len(sc.Tenants))}
+	for _, tenant := range sc.Tenants {
+		quota := tenant.Quota
 		if quota == 0 {
-			quota = f.QuotaShare * rate
+			quota = tenant.QuotaShare * rate
 		}
-		c.quotas = append(c.quotas, quota)
+		m.quotas = append(m.quotas, quota)
 	}
-	return c
+	return m
 }
 
 // Value counts a request and returns its value.
-func (c *ValueMeter) Value(now policy.Time, o policy.ClassID, f policy.TenantID) float64 {
-	credit := c.sc.Classes[o].Value
-	if f >= 0 && c.arrivals[f].count(now) > quotaTolerance*c.quotas[f] {
-		credit *= c.sc.OverQuotaValue
+func (m *ValueMeter) Value(now policy.Time, class policy.ClassID, tenant policy.TenantID) float64 {
+	value := m.sc.Classes[class].Value
+	if tenant >= 0 && m.arrivals[tenant].count(now) > quotaTolerance*m.quotas[tenant] {
+		value *= m.sc.OverQuotaValue
 	}
-	return credit
+	return value
 }
--- a/internal/emulator/queue.go
+++ b/internal/emulator/queue.go
@@ -2,43 +2,46 @@
 
 import "pepperlead/policy"
 
-// rank orders events of one instant: faults first, then responses before the timeouts and deadlines that they meet.
+// rank orders events of the same time: faults first, and responses before timeouts and deadlines, so that a response
+// that arrives exactly at its timeout or deadline is in time.
 type rank uint8
 
 const (
 	rankWorld      rank = iota // faults, endpoints, lists
-	rankAttemptEnd             // results of attempts as they come to an instance
-	rankAnswer                 // final answers as they come to a client
+	rankAttemptEnd             // results of attempts that reach an instance
+	rankAnswer                 // final answers that reach a client
 	rankTimeout                // timeouts of attempts
-	rankArrive                 // requests, and attempts at endpoints
-	rankWake                   // the module's
-	rankDeadline
+	rankArrive                 // requests that reach an instance, attempts that reach an endpoint
+	rankWake                   // calls of Decider.Woken
+	rankDeadline               // deadlines of requests
 )
 
-// event is something planned. The meaning of a, b and c depends on the function.
+// event is a scheduled call of do. The meaning of a, b and c depends on the function.
 type event struct {
 	at   policy.Time
 	rank rank
-	seq  uint64
+	seq  uint64 // orders events of the same time and rank as they were scheduled
 	do   func(w *World, e *event)
 	a, b int32
 	c    uint64
 }
 
-// queue holds events, the next one first: a heap of four branches, which is shallower than one of two.
+// queue holds the scheduled events in a heap, the next event first. Each node has four children: such a heap is
+// shallower than a binary one.
 type queue struct {
 	all []event
 	seq uint64
 }
 
-func before(x, y *event) bool {
-	if x.at != y.at {
-		return x.at < y.at
+// before reports whether event a is due before event b.
+func before(a, b *event) bool {
+	if a.at != b.at {
+		return a.at < b.at
 	}
-	if x.rank != y.rank {
-		return x.rank < y.rank
+	if a.rank != b.rank {
+		return a.rank < b.rank
 	}
-	return x.seq < y.seq
+	return a.seq < b.seq
 }
 
 func (q *queue) add(e event) {
@@ -47,16 +50,17 @@
 	q.all = append(q.all, e)
 	i := len(q.all) - 1
 	for i > 0 {
-		up := (i - 1) / 4
-		if !before(&e, &q.all[up]) {
+		parent := (i - 1) / 4
+		if !before(&e, &q.all[parent]) {
 			break
 		}
-		q.all[i] = q.all[up]
-		i = up
+		q.all[i] = q.all[parent]
+		i = parent
 	}
 	q.all[i] = e
 }
 
+// take removes and returns the next event. The queue must not be empty.
 func (q *queue) take() event {
 	first := q.all[0]
 	last := q.all[len(q.all)-1]
@@ -68,21 +72,21 @@
 	}
 	i := 0
 	for {
-		child := 4*i + 1
-		if child >= n {
+		firstChild := 4*i + 1
+		if firstChild >= n {
 			break
 		}
-		least := child
-		for k := child + 1; k < min(child+4, n); k++ {
-			if before(&q.all[k], &q.all[least]) {
-				least = k
+		next := firstChild
+		for child := firstChild + 1; child < min(firstChild+4, n); child++ {
+			if before(&q.all[child], &q.all[next]) {
+				next = child
 			}
 		}
-		if !before(&q.all[least], &last) {
+		if !before(&q.all[next], &last) {
 			break
 		}
-		q.all[i] = q.all[least]
-		i = least
+		q.all[i] = q.all[next]
+		i = next
 	}
 	q.all[i] = last
 	return first
--- a/internal/emulator/read.go
+++ b/internal/emulator/read.go
@@ -18,27 +18,27 @@
 	day          = 24 * 3600 * policy.Second
 )
 
-// Override replaces a value of the file: its path, as in load.part, and the value.
+// Override replaces a value of a scenario file. Path is its path in the file, as load.part.
 type Override struct {
 	Path  string
 	Value any
 }
 
-// Read reads a scenario. One that names a base has only what differs from it; load reads the base by that name. The
-// error has a line for each fault of the file.
+// Read parses a scenario and applies the overrides to it. A scenario that names a base needs to contain only what
+// differs from it; load returns the text of the base. The error has a line for each invalid value of the file.
 func Read(file string, text []byte, load func(name string) ([]byte, error), overrides ...Override) (*Scenario, error) {
 	doc, root := tomlfile.Parse(file, text, MaxScenarioSize)
 	if name := root.String("base", ""); doc.Err() == nil && name != "" {
-		of, err := load(name)
+		baseText, err := load(name)
 		if err != nil {
-			root.Fault("base", root.Found("base"), "a scenario: "+err.Error())
+			root.Fault("base", root.Found("base"), "a readable scenario: "+err.Error())
 			return nil, doc.Err()
 		}
-		below, base := tomlfile.Parse(name, of, MaxScenarioSize)
+		baseDoc, base := tomlfile.Parse(name, baseText, MaxScenarioSize)
 		if base.Has("base") {
-			base.Fault("base", base.Found("base"), "nothing: a base has none")
+			base.Fault("base", base.Found("base"), "no base, as a base cannot have another")
 		}
-		if err := below.Err(); err != nil {
+		if err := baseDoc.Err(); err != nil {
 			return nil, err
 		}
 		root.Overlay(base)
@@ -99,7 +99,7 @@
 func (sc *Scenario) readKinds(root *tomlfile.Table) {
 	for _, t := range root.Tables("kind") {
 		t.Require("name", "cores")
-		k := EndpointKind{
+		kind := EndpointKind{
 			Name:        t.String("name", ""),
 			Share:       t.Float("share", 1, 0.0001, 1),
 			SpeedSpread: t.Float("spread", 0, 0, 2),
@@ -107,12 +107,12 @@
 			ErrorRate:   t.Float("errors", 0, 0, 1),
 			Cancel:      Cancel(t.OneOf("cancel", int(CancelWaiting), "nothing", "waiting", "all")),
 		}
-		k.Traits = readTraits(t)
-		if k.Workers == 0 && k.QueueSize == 0 {
+		kind.Traits = readTraits(t)
+		if kind.Workers == 0 && kind.QueueSize == 0 {
 			t.Fault("queue", "0", "1 or more where cores are shared")
 		}
 		t.RejectUnknown()
-		sc.Kinds = append(sc.Kinds, k)
+		sc.Kinds = append(sc.Kinds, kind)
 	}
 }
 
@@ -152,7 +152,7 @@
 		Keyless:       t.Float("keyless", 0, 0, 1),
 	}
 	if (sc.Load.Rate == 0) == (sc.Load.CapacityShare == 0) {
-		t.Fault("rate", "rate "+t.Found("rate")+" and part "+t.Found("part"), "one of them over 0")
+		t.Fault("rate", "rate "+t.Found("rate")+" and part "+t.Found("part"), "exactly one of them over 0")
 	}
 	t.RejectUnknown()
 }
@@ -194,17 +194,17 @@
 	t.RejectUnknown()
 }
 
-// readRange reads the two ends of a random delay, which are from and to where they are not set.
+// readRange reads the minimum and maximum of a random delay. from and to are the defaults.
 func readRange(t *tomlfile.Table, from, to policy.Time) [2]policy.Time {
-	ends := [2]policy.Time{
+	limits := [2]policy.Time{
 		t.Duration("from", from, 0, 600*policy.Second),
 		t.Duration("to", to, 0, 600*policy.Second),
 	}
-	if ends[0] > ends[1] {
-		t.Fault("from", t.Found("from"), "at most what to says, "+t.Found("to"))
+	if limits[0] > limits[1] {
+		t.Fault("from", t.Found("from"), "at most the value of to, "+t.Found("to"))
 	}
 	t.RejectUnknown()
-	return ends
+	return limits
 }
 
 func (sc *Scenario) readLimits(root *tomlfile.Table) {
@@ -222,13 +222,13 @@
 func (sc *Scenario) readClasses(root *tomlfile.Table) {
 	for _, t := range root.Tables("offering") {
 		t.Require("name", "quoted_time", "cut_off", "work")
-		o := Class{
+		class := Class{
 			Share:  t.Float("share", 1, 1e-6, 1e6),
 			Work:   t.Duration("work", policy.Millisecond, 1000, 600*policy.Second),
 			IO:     t.Duration("io", 0, 0, 600*policy.Second),
 			Spread: t.Float("spread", 0, 0, 5),
 		}
-		o.Class = policy.Class{
+		class.Class = policy.Class{
 			Name:        t.String("name", ""),
 			Value:       t.Float("credit", 1, 1e-6, 1e9),
 			LateValue:   t.Float("late_credit", 0, 0, 1),
@@ -237,17 +237,18 @@
 			Group:       policy.Group(t.OneOf("group", 0, "all", "zone", "pod")),
 			Window:      t.Duration("window", 0, 0, day),
 		}
-		if o.Deadline = t.Duration("cut_off", o.Target, policy.Millisecond, day); o.Deadline < o.Target {
-			t.Fault("cut_off", t.Found("cut_off"), "at least the quoted time")
+		if class.Deadline = t.Duration("cut_off", class.Target, policy.Millisecond,
+			day); class.Deadline < class.Target {
+			t.Fault("cut_off", t.Found("cut_off"), "at least quoted_time")
 		}
-		if o.Idempotency == policy.Keyed {
+		if class.Idempotency == policy.Keyed {
 			t.Require("window")
 		}
 		t.RejectUnknown()
-		sc.Classes = append(sc.Classes, o)
+		sc.Classes = append(sc.Classes, class)
 	}
 	if len(sc.Classes) == 0 && root.Has("offering") {
-		root.Fault("offering", "none", "one offering at least")
+		root.Fault("offering", "none", "at least one offering")
 	}
 }
 
@@ -257,17 +258,18 @@
 	t.RejectUnknown()
 	for _, t := range root.Tables("franchise") {
 		t.Require("name")
-		f := Tenant{
+		tenant := Tenant{
 			Name:       t.String("name", ""),
 			Share:      t.Float("share", 1, 1e-6, 1e6),
 			Quota:      t.Float("quota", 0, 0, maxRate),
 			QuotaShare: t.Float("quota_part", 0, 0, 20),
 		}
-		if (f.Quota == 0) == (f.QuotaShare == 0) {
-			t.Fault("quota", "quota "+t.Found("quota")+" and quota_part "+t.Found("quota_part"), "one of them over 0")
+		if (tenant.Quota == 0) == (tenant.QuotaShare == 0) {
+			t.Fault("quota", "quota "+t.Found("quota")+" and quota_part "+t.Found("quota_part"),
+				"exactly one of them over 0")
 		}
 		t.RejectUnknown()
-		sc.Tenants = append(sc.Tenants, f)
+		sc.Tenants = append(sc.Tenants, tenant)
 	}
 }
 
@@ -298,7 +300,7 @@
 // checkFault checks a fault against the scenario's length and fleet.
 func (sc *Scenario) checkFault(t *tomlfile.Table, f *Fault) {
 	if f.At > sc.Length {
-		t.Fault("at", t.Found("at"), "within the day")
+		t.Fault("at", t.Found("at"), "at most the length of the scenario")
 	}
 	if f.Zone != "" && !contains(sc.Zones, f.Zone) {
 		t.Fault("zone", t.Found("zone"), fmt.Sprintf("one of %v", sc.Zones))
@@ -308,7 +310,7 @@
 	}
 }
 
-// checkKind checks that the file has what a fault of this kind needs.
+// checkKind checks that the file sets the values that a fault of this kind needs.
 func (f *Fault) checkKind(t *tomlfile.Table) {
 	switch f.Kind {
 	case ZoneLost:
--- a/internal/emulator/samples.go
+++ b/internal/emulator/samples.go
@@ -5,40 +5,40 @@
 	"pepperlead/policy"
 )
 
-// AnswerObserver receives the answers of a day, for a report.
+// AnswerObserver is called for each final answer of a run. elapsed is the time since the request reached its instance.
 type AnswerObserver interface {
-	Answer(o policy.ClassID, a judge.Answer, spent policy.Time)
+	Answer(class policy.ClassID, answer judge.Answer, elapsed policy.Time)
 }
 
-// Sample is the state of the fleet at one time.
+// Sample is the state of the fleet at a point in time.
 type Sample struct {
 	At         policy.Time `json:"at_ns"`
-	Attempts   []int       `json:"pushes"` // in flight, by endpoint
-	Waiting    int         `json:"waiting"`
-	Busy       float64     `json:"busy"`  // part of all cores
-	TotalLimit float64     `json:"pace"`  // mean over the instances; 0 where the policy has none
-	Limit      float64     `json:"limit"` // the same
-	Ejected    float64     `json:"aside"` // the same
+	Attempts   []int       `json:"pushes"`  // in flight, by endpoint
+	Waiting    int         `json:"waiting"` // jobs beyond the cores of their endpoints
+	Busy       float64     `json:"busy"`    // part of the cores that are in use
+	TotalLimit float64     `json:"pace"`    // mean over the instances; 0 if the policy has no such gauge
+	Limit      float64     `json:"limit"`   // mean, as TotalLimit
+	Ejected    float64     `json:"aside"`   // mean, as TotalLimit
 }
 
-// takeSample adds a sample, once a second.
+// takeSample adds a sample to Series if the run has an observer. It runs once a second.
 func (w *World) takeSample(*event) {
 	if w.observer != nil {
 		s := Sample{At: w.sinceStart(w.now)}
-		all, busy := 0.0, 0.0
-		for _, v := range w.endpoints {
-			s.Attempts = append(s.Attempts, v.inFlight)
-			s.Waiting += max(0, v.machine.Jobs()-int(v.traits.Cores))
-			if v.status != policy.Removed {
-				all += v.traits.Cores
+		cores, busy := 0.0, 0.0
+		for _, ep := range w.endpoints {
+			s.Attempts = append(s.Attempts, ep.inFlight)
+			s.Waiting += max(0, ep.machine.Jobs()-int(ep.traits.Cores))
+			if ep.status != policy.Removed {
+				cores += ep.traits.Cores
 			}
-			busy += v.machine.Busy()
+			busy += ep.machine.Busy()
 		}
-		s.Busy = busy / max(all, 1)
+		s.Busy = busy / max(cores, 1)
 		w.addGauges(&s)
 		w.Series = append(w.Series, s)
 	}
-	if w.now < dayStart+w.scenario.Length {
+	if w.now < startTime+w.scenario.Length {
 		w.queue.add(event{at: w.now + policy.Second, rank: rankWorld, do: (*World).takeSample})
 	}
 }
@@ -46,46 +46,47 @@
 // observeInterval is how often the judge observes the endpoints.
 const observeInterval = policy.Second / 4
 
-// observeEndpoints reports to the judge which endpoints take new work, and how many are idle while others queue.
+// observeEndpoints reports to the judge the capacity of each endpoint, 0 for one that takes no new work, and how many
+// are idle while others have queues.
 func (w *World) observeEndpoints(*event) {
 	idle := 0
-	queues := false
-	for _, v := range w.endpoints {
-		size := v.traits.Cores * v.traits.Speed
-		if v.status != policy.Ready || v.down || v.unreachable() {
-			size = 0
+	othersQueue := false
+	for _, ep := range w.endpoints {
+		capacity := ep.traits.Cores * ep.traits.Speed
+		if ep.status != policy.Ready || ep.down || ep.unreachable() {
+			capacity = 0
 		}
-		w.judge.CapacityChanged(w.sinceStart(w.now), v.number, size)
-		if in := v.machine.Jobs(); size > 0 && in == 0 {
+		w.judge.CapacityChanged(w.sinceStart(w.now), ep.number, capacity)
+		if jobs := ep.machine.Jobs(); capacity > 0 && jobs == 0 {
 			idle++
-		} else if v.machine.Queued() > 0 {
-			queues = true
+		} else if ep.machine.Queued() > 0 {
+			othersQueue = true
 		}
 	}
-	w.judge.IdleObserved(idle, queues, observeInterval)
-	if w.now < dayStart+w.scenario.Length {
+	w.judge.IdleObserved(idle, othersQueue, observeInterval)
+	if w.now < startTime+w.scenario.Length {
 		w.queue.add(event{at: w.now + observeInterval, rank: rankWorld, do: (*World).observeEndpoints})
 	}
 }
 
-// gaugeSource is a decider that has gauges.
+// gaugeSource is implemented by deciders that have gauges.
 type gaugeSource interface{ Gauges() policy.Gauges }
 
-// addGauges adds the gauges of the instances whose decider has them.
+// addGauges sets the means of the gauges of all running instances whose decider has gauges.
 func (w *World) addGauges(s *Sample) {
-	n := 0.0
-	for _, c := range w.instances {
-		if source, has := c.decider.(gaugeSource); has && c.alive {
-			g := source.Gauges()
-			n++
-			s.TotalLimit += min(g.TotalLimit, 1e4)
-			s.Limit += g.Limit
-			s.Ejected += float64(g.Ejected)
+	count := 0.0
+	for _, inst := range w.instances {
+		if source, has := inst.decider.(gaugeSource); has && inst.alive {
+			gauges := source.Gauges()
+			count++
+			s.TotalLimit += min(gauges.TotalLimit, 1e4)
+			s.Limit += gauges.Limit
+			s.Ejected += float64(gauges.Ejected)
 		}
 	}
-	if n > 0 {
-		s.TotalLimit /= n
-		s.Limit /= n
-		s.Ejected /= n
+	if count > 0 {
+		s.TotalLimit /= count
+		s.Limit /= count
+		s.Ejected /= count
 	}
 }
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -5,19 +5,19 @@
 	"pepperlead/policy"
 )
 
-// Scenario describes a day: a fleet, its load, and its faults.
+// Scenario describes a simulation run: a fleet, its load and its faults.
 type Scenario struct {
 	Name        string
 	Description string
-	Length      policy.Time // no request begins later
-	Tick        policy.Time
+	Length      policy.Time // no request begins later than this after the start
+	Tick        policy.Time // resolution of the instances' timers
 
 	Endpoints int
 	Instances int
 	Zones     []policy.Zone
-	PodSize   int
+	PodSize   int // endpoints of a pod
 	Kinds     []EndpointKind
-	PodLimit  float64 // cores that a pod's endpoints may use together, as a part of all they have; 0: no limit
+	PodLimit  float64 // cores that a pod's endpoints may use together, as a part of the sum of their cores; 0: no limit
 
 	Load           Load
 	Clients        Clients
@@ -26,95 +26,95 @@
 	Limits         Limits
 	Classes        []Class
 	Tenants        []Tenant
-	OverQuotaValue float64 // part of the value left beyond a quota
+	OverQuotaValue float64 // part of its value that a request beyond its tenant's quota has
 	Faults         []Fault
-	Arrivals       []Arrival // if any, these in place of those that Load describes
+	Arrivals       []Arrival // requests of a trace; if there are any, none are generated from Load
 }
 
-// EndpointKind is a kind of endpoint.
+// EndpointKind describes the endpoints of one kind. Each has the same traits except for its speed.
 type EndpointKind struct {
 	machine.Traits
 	Name        string
-	Share       float64 // of the endpoints
-	SpeedSpread float64 // of speeds, a coefficient of variation
-	Weighted    bool    // lists show its real capacity; else all have weight 1
-	ErrorRate   float64 // part of the attempts that end in an error once the work is done
+	Share       float64 // part of the endpoints that are of this kind, relative to the other kinds
+	SpeedSpread float64 // coefficient of variation of the speed between endpoints
+	Weighted    bool    // if true, lists show the real capacity as weight; else the weight is 1
+	ErrorRate   float64 // part of the attempts that end in an error after their work is done
 	Cancel      Cancel
 }
 
-// Cancel is what an endpoint does with the work of a cancelled attempt.
+// Cancel tells what an endpoint does with the work of a cancelled attempt.
 type Cancel uint8
 
 // What endpoints do with cancelled work.
 const (
-	CancelNothing Cancel = iota // finishes it
-	CancelWaiting               // drops it if it has not begun
-	CancelAll                   // drops it
+	CancelNothing Cancel = iota // finishes the work
+	CancelWaiting               // drops the work if it has not begun
+	CancelAll                   // drops the work, begun or not
 )
 
-// Load describes the requests.
+// Load describes the requests that are generated.
 type Load struct {
-	Rate          float64 // requests a second, over all instances
-	CapacityShare float64 // if Rate is 0: part of what the fleet can do with no key cached
-	Swing         float64 // of a wave, as a share of the rate
-	Period        policy.Time
-	RateVariation float64 // coefficient of variation of the rate from second to second, by instance
-	ZoneSkew      float64 // how much more the first zone gets than the last
-	Keys          int
-	Zipf          float64 // exponent of the popularity of keys, over 0
-	Keyless       float64 // part of the requests without a key
+	Rate          float64     // requests per second, over all instances
+	CapacityShare float64     // if Rate is 0: the rate as a part of the fleet's capacity with no key cached
+	Swing         float64     // amplitude of a sine wave of the rate, as a part of the rate
+	Period        policy.Time // of that wave
+	RateVariation float64     // coefficient of variation of each instance's rate from second to second
+	ZoneSkew      float64     // relative surplus of the first zone's load, and deficit of the last zone's
+	Keys          int         // number of different keys
+	Zipf          float64     // exponent of the popularity of keys; 0: all are equally popular
+	Keyless       float64     // part of the requests without a key
 }
 
-// Clients describes what clients do with answers.
+// Clients describes how clients retry.
 type Clients struct {
-	Retries          int
-	HonourRetryAfter float64 // share of the clients that heed Retry-After
-	Backoff          policy.Time
-	MarkRetries      bool // retries are marked as such
+	Retries          int         // maximum for each request
+	HonourRetryAfter float64     // part of the retries that wait for Retry-After
+	Backoff          policy.Time // mean before the first retry; doubles with each further one
+	MarkRetries      bool        // whether retries are marked as such
 }
 
 // Network describes the links between clients, instances and endpoints.
 type Network struct {
-	Near, Far      policy.Time // one way
-	Client         policy.Time // the same between a client and its instance
-	Jitter         float64     // coefficient of variation
-	Handshakes     int         // round trips before a new connection carries anything
+	Near, Far      policy.Time // one-way delay within a zone and between zones
+	Client         policy.Time // one-way delay between a client and its instance
+	Jitter         float64     // coefficient of variation of the delays between instances and endpoints
+	Handshakes     int         // round trips before a new connection carries a request
 	ConnectTimeout policy.Time
-	IdleTimeout    policy.Time
+	IdleTimeout    policy.Time // after which an idle connection is closed
 }
 
 // Discovery describes how instances learn of endpoints.
 type Discovery struct {
-	AnnounceDelay [2]policy.Time // from, to: of changes that endpoints announce
-	DetectDelay   [2]policy.Time // from, to: of losses that must be detected
-	Interval      policy.Time    // lists are sent at multiples of it
-	Polled        bool           // the list must be polled
+	AnnounceDelay [2]policy.Time // minimum and maximum delay of changes that endpoints announce
+	DetectDelay   [2]policy.Time // minimum and maximum delay of losses that discovery must detect
+	Interval      policy.Time    // between two updates of an instance; 0: changes are sent at once
+	Polled        bool           // instances must poll the list; else they receive it without a request
 }
 
-// Limits describes what instances may do.
+// Limits describes what the rules allow instances to do.
 type Limits struct {
-	MaxAttempts    int
-	MayCancel      bool
-	MaxRetryAfter  policy.Time
-	CrossZonePrice float64
-	Grace          policy.Time
+	MaxAttempts    int         // for each request
+	MayCancel      bool        // whether instances may cancel attempts
+	MaxRetryAfter  policy.Time // maximum of the Retry-After of a rejection
+	CrossZonePrice float64     // of an attempt to another zone, as a part of the target latency
+	Grace          policy.Time // after an instance is notified of a drain, while it may still send attempts
 }
 
-// Class is a class of requests and what they cost.
+// Class describes the requests of one class and the work that they cause at endpoints.
 type Class struct {
 	policy.Class
-	Share  float64     // of the requests
-	Work   policy.Time // mean, of a core at speed 1
-	IO     policy.Time // mean
-	Spread float64     // coefficient of variation of either, log-normal; 0: always the same
+	Share  float64     // part of the requests, relative to the other classes
+	Work   policy.Time // mean time of a core at speed 1
+	IO     policy.Time // mean time of waiting for I/O
+	Spread float64     // coefficient of variation of Work and of IO, log-normal; 0: both are constant
 }
 
-// Tenant is a tenant and its share of the requests.
+// Tenant describes a tenant, its share of the requests and its quota.
 type Tenant struct {
 	Name       string
-	Share      float64 // of the requests
-	Quota      float64 // requests a second; beyond it the value falls
-	QuotaShare float64 // if Quota is 0: share of the whole rate
+	Share      float64 // part of the requests, relative to the other tenants
+	Quota      float64 // requests per second; beyond it, requests have less value
+	QuotaShare float64 // if Quota is 0: the quota as a part of the total rate
 }
 
 // FaultKind is a kind of fault.
@@ -146,54 +146,54 @@
 // String returns the name that scenarios use.
 func (k FaultKind) String() string { return faultNames[k] }
 
-// Fault is one fault. Faults may overlap.
+// Fault describes one fault. Faults may overlap.
 type Fault struct {
 	Kind             FaultKind
 	At, Duration     policy.Time
-	Share            float64 // share of those that it may affect, drawn by the seed
-	Count            int     // number of those that it affects, in place of a share
-	Zone             policy.Zone
-	Pod              int // -1: not by pod
-	Size             float64
-	Every            policy.Time // pauses, rolling: between one and the next
-	Cold             bool        // zone-lost: its endpoints come back cold
-	IncludeInstances bool        // zone-lost: its instances are lost too
-	Endpoints        []int       // numbers of those that it affects, if it names some
+	Share            float64     // part of the candidates that are affected, drawn at random; 0: all
+	Count            int         // number of candidates that are affected; over 0, it replaces Share
+	Zone             policy.Zone // only candidates of this zone; empty: of all zones
+	Pod              int         // only endpoints of this pod; -1: of all pods
+	Size             float64     // its unit depends on the kind
+	Every            policy.Time // pauses: between two pauses of an endpoint; rolling, shrink: between two drains
+	Cold             bool        // zone-lost, silent: the endpoints lose their work and come back cold
+	IncludeInstances bool        // zone-lost: the zone's instances fail too
+	Endpoints        []int       // numbers of the only candidates; empty: all endpoints
 }
 
-// Arrival is a request of a recorded day.
+// Arrival is one request of a planned or recorded run.
 type Arrival struct {
-	At         policy.Time
+	At         policy.Time // since the start of the run
 	Instance   int
 	Class      policy.ClassID
 	Tenant     policy.TenantID
-	Key        uint64 // 0: none
-	TimeLeft   policy.Time
-	Retry      bool
-	WorkFactor float64 // its work over the mean of its class; 0: to be drawn
-	IOFactor   float64
+	Key        uint64      // 0: none
+	TimeLeft   policy.Time // until its deadline
+	Retry      bool        // marked as a retry by the client
+	WorkFactor float64     // work over the mean work of its class; 0: both factors are drawn
+	IOFactor   float64     // I/O time over the mean I/O time of its class
 }
 
-func contains[T comparable](all []T, one T) bool {
+func contains[T comparable](all []T, wanted T) bool {
 	for _, x := range all {
-		if x == one {
+		if x == wanted {
 			return true
 		}
 	}
 	return false
 }
 
-// capacity is the requests a second that the endpoints can do with no key cached and no time lost.
+// capacity returns the requests per second that so many cores can serve, without cached keys and fully used.
 func (sc *Scenario) capacity(cores float64) float64 {
 	share, work := 0.0, 0.0
-	for _, o := range sc.Classes {
-		share += o.Share
-		work += o.Share * float64(o.Work)
+	for _, class := range sc.Classes {
+		share += class.Share
+		work += class.Share * float64(class.Work)
 	}
 	return cores / (work / share / float64(policy.Second))
 }
 
-// DropLoadFaults removes faults that the requests of a recorded day already show.
+// DropLoadFaults removes the faults that change the load, for a replay: the recorded requests already contain them.
 func (sc *Scenario) DropLoadFaults() {
 	var remaining []Fault
 	for _, f := range sc.Faults {
--- a/internal/emulator/trueview.go
+++ b/internal/emulator/trueview.go
@@ -6,49 +6,52 @@
 	"pepperlead/policy"
 )
 
-// View is the true state of the fleet, which no instance can see. Only a policy that serves as an upper bound uses it.
+// View gives access to the true state of the fleet, which a real instance cannot see. Only the baseline that serves
+// as an upper bound uses it.
 type View interface {
-	// Best returns the allowed endpoint where the work would be done first, and when; false if there is none.
+	// Best returns the allowed endpoint where a request would finish first and how long it would take there; false if
+	// there is none.
 	Best(
 		now policy.Time,
 		zone policy.Zone,
-		o policy.ClassID,
+		class policy.ClassID,
 		key string,
 		allowed func(policy.EndpointID) bool,
-	) (policy.EndpointID, policy.Time, bool)
+	) (id policy.EndpointID, expected policy.Time, found bool)
 }
 
-// Best compares the true state of every endpoint.
-func (w *World) Best(now policy.Time, zone policy.Zone, o policy.ClassID, key string,
+// Best compares the expected times at all endpoints in their true state. The price of crossing zones counts as time.
+func (w *World) Best(now policy.Time, zone policy.Zone, class policy.ClassID, key string,
 	allowed func(policy.EndpointID) bool) (policy.EndpointID, policy.Time, bool) {
 	best, least := (*endpoint)(nil), policy.Time(math.MaxInt64)
-	k := uint64(0)
+	keyNumber := uint64(0)
 	if key != "" {
-		k = parseKey(key)
+		keyNumber = parseKey(key)
 	}
-	of := &w.scenario.Classes[o]
-	for _, v := range w.endpoints {
-		if v.status != policy.Ready || v.down || v.unreachable() || !allowed(v.id) {
+	costs := &w.scenario.Classes[class]
+	for _, ep := range w.endpoints {
+		if ep.status != policy.Ready || ep.down || ep.unreachable() || !allowed(ep.id) {
 			continue
 		}
-		if v.errorRate > 0.05 {
+		if ep.errorRate > 0.05 {
 			continue
 		}
-		// Attempts on their way count as if they had arrived.
-		coming := max(0, v.inFlight-v.machine.Jobs())
-		left := v.machine.EstimateTime(now, k, of.Work, of.IO)
-		left += policy.Time(
-			float64(coming) / v.traits.Cores * float64(of.Work) / (v.traits.Speed * max(0.05, v.machine.Warmth(now))),
+		// Attempts that have not reached the endpoint yet count as if they had.
+		underway := max(0, ep.inFlight-ep.machine.Jobs())
+		expected := ep.machine.EstimateTime(now, keyNumber, costs.Work, costs.IO)
+		expected += policy.Time(
+			float64(underway) / ep.traits.Cores * float64(costs.Work) /
+				(ep.traits.Speed * max(0.05, ep.machine.Warmth(now))),
 		)
-		if v.zone != zone {
-			left += 2*w.scenario.Network.Far + policy.Time(w.scenario.Limits.CrossZonePrice*float64(of.Target))
+		if ep.zone != zone {
+			expected += 2*w.scenario.Network.Far + policy.Time(w.scenario.Limits.CrossZonePrice*float64(costs.Target))
 		}
-		if v.machine.Cold(now) && v.traits.OverloadMultiple > 0 &&
-			!v.machine.CanTake(now, of.Work*policy.Time(2*coming+1)) {
+		if ep.machine.Cold(now) && ep.traits.OverloadMultiple > 0 &&
+			!ep.machine.CanTake(now, costs.Work*policy.Time(2*underway+1)) {
 			continue
 		}
-		if left < least {
-			best, least = v, left
+		if expected < least {
+			best, least = ep, expected
 		}
 	}
 	if best == nil {
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -1,7 +1,8 @@
-// Package emulator plays a day of a fleet in virtual time: the decision module, one for each instance, against
-// models of endpoints, network, discovery and clients, with a script of faults. One seed names a day; all chance
-// comes from streams by purpose, so that one more draw for one purpose moves nothing else. docs/emulator.md says what
-// is modelled and what is not.
+// Package emulator simulates a fleet in virtual time. Each instance runs its own copy of the decision module, or of a
+// baseline policy, against models of endpoints, network, discovery and clients, and a scenario injects faults. A
+// scenario and a seed determine a run completely. Random numbers come from separate streams for separate purposes, so
+// that an additional draw for one purpose does not change the others. docs/emulator.md lists what is modelled and what
+// is not.
 package emulator
 
 import (
@@ -13,44 +14,47 @@
 	"pepperlead/policy"
 )
 
-// Decider is what decides for an instance: the module, or a baseline.
+// Decider makes the decisions of one instance. It is the decision module or a baseline policy. The methods are those
+// of policy.Balancer that the emulator calls.
 type Decider interface {
 	UpdateEndpoints(now policy.Time, kind policy.ListKind, members []policy.Member)
 	ListFailed(now policy.Time)
 	Admit(
 		now policy.Time,
-		o policy.ClassID,
-		f policy.TenantID,
+		class policy.ClassID,
+		tenant policy.TenantID,
 		key string,
-		repeat bool,
-		left policy.Time,
+		retry bool,
+		timeLeft policy.Time,
 	) policy.Handle
-	Begin(now policy.Time, h policy.Handle)
+	Begin(now policy.Time, handle policy.Handle)
 	AttemptEnded(
 		now policy.Time,
-		h policy.Handle,
-		n policy.AttemptNo,
+		handle policy.Handle,
+		number policy.AttemptNo,
 		id policy.EndpointID,
-		o policy.Outcome,
-		spent policy.Time,
-		over bool,
+		outcome policy.Outcome,
+		elapsed policy.Time,
+		answered bool,
 	)
-	ClientLeft(now policy.Time, h policy.Handle)
+	ClientLeft(now policy.Time, handle policy.Handle)
 	Woken(now policy.Time)
 }
 
-// DeciderFactory creates the decider of one instance. view is the true state of the fleet, which no instance can see.
-type DeciderFactory func(front policy.Front, c *policy.Settings, seed uint64, now policy.Time, view View) Decider
+// DeciderFactory creates the decider of one instance. view gives access to the true state of the fleet, which a real
+// instance cannot see.
+type DeciderFactory func(front policy.Front, settings *policy.Settings, seed uint64, now policy.Time, view View) Decider
 
-// NewModule makes the decision module.
-func NewModule(front policy.Front, c *policy.Settings, seed uint64, now policy.Time, _ View) Decider {
-	return policy.New(front, c, seed, now)
+// NewModule creates the decision module.
+func NewModule(front policy.Front, settings *policy.Settings, seed uint64, now policy.Time, _ View) Decider {
+	return policy.New(front, settings, seed, now)
 }
 
-// dayStart is the time at which a day begins. It is over 0, which means long ago in lists.
-const dayStart = 1000 * policy.Second
+// startTime is the virtual time at which a run begins. It is above 0 because a start time of 0 in an endpoint list
+// means that the endpoint started long ago.
+const startTime = 1000 * policy.Second
 
-// World is the state of one day.
+// World is the state of one simulation run.
 type World struct {
 	scenario          *Scenario
 	seed              uint64
@@ -59,7 +63,7 @@
 	judge             *judge.Judge
 	judgeConfig       judge.Config
 	tenantNames       []string
-	settings          policy.Settings // but for the zone
+	settings          policy.Settings // the zone is set for each instance
 	endpoints         []*endpoint
 	pods              []*pod
 	byID              map[policy.EndpointID]*endpoint
@@ -67,52 +71,53 @@
 	requests          []request
 	freeRequests      []int32
 	tries             []clientTry
-	freeTry           []int32
+	freeTries         []int32
 	classShares       []float64 // cumulative
-	tenantShares      []float64
-	rate              float64 // requests a second
+	tenantShares      []float64 // cumulative
+	rate              float64   // requests a second
 	keys              *zipf
-	hotKeyShare       float64 // share of the requests that have one key
+	hotKeyShare       float64 // part of the requests that use the hot key
 	burstFactor       float64 // factor on the rate
 	lostZones         map[policy.Zone]int
 	listsDelayedUntil policy.Time
 	version           int64
-	doneJobs          []machine.FinishedJob
+	finishedJobs      []machine.FinishedJob // buffer of endpoint.advance
 	eventCount        uint64
-	wastedWork        float64 // for attempts that nobody waited for, ns
-	totalWork         float64 // ns
+	wastedWork        float64 // part of totalWork done for attempts that had already ended at their instance
+	totalWork         float64 // of all finished jobs, each counted as the mean work of its class, in ns
 	values            *ValueMeter
 	faults            []fault
 	observer          AnswerObserver
-	noise             *rand.Rand // of the network
+	noise             *rand.Rand // draws network delays
 	draws             struct{ faults, retries, errors *rand.Rand }
-	members           []policy.Member
-	plan              *[]Arrival // where the day is only planned: its requests
+	members           []policy.Member // buffer of instance.notify
+	plan              *[]Arrival      // if not nil, requests are added to it and not sent
 	Series            []Sample
 }
 
-// meterMemory is the time over which a meter forgets.
-const meterMemory = 3 * policy.Second
+// meterDecayTime is the time constant of a meter: after it, an event's weight has fallen to 1/e.
+const meterDecayTime = 3 * policy.Second
 
-// meter is a rate of events, a second.
+// meter measures a rate of events per second as an exponentially decaying average.
 type meter struct {
 	rate float64
 	at   policy.Time
 }
 
+// count adds an event and returns the rate.
 func (m *meter) count(now policy.Time) float64 {
-	m.rate *= math.Exp(-float64(now-m.at) / float64(meterMemory))
+	m.rate *= math.Exp(-float64(now-m.at) / float64(meterDecayTime))
 	m.at = now
-	m.rate += float64(policy.Second) / float64(meterMemory)
+	m.rate += float64(policy.Second) / float64(meterDecayTime)
 	return m.rate
 }
 
-// New prepares a day.
+// New prepares a run. observer may be nil.
 func New(scenario *Scenario, seed uint64, factory DeciderFactory, observer AnswerObserver) *World {
 	w := &World{
 		scenario:    scenario,
 		seed:        seed,
-		now:         dayStart,
+		now:         startTime,
 		byID:        map[policy.EndpointID]*endpoint{},
 		lostZones:   map[policy.Zone]int{},
 		burstFactor: 1,
@@ -128,7 +133,7 @@
 	for _, class := range scenario.Classes {
 		w.classShares = append(w.classShares, class.Share)
 	}
-	cores := w.fleet()
+	cores := w.addEndpoints()
 	w.rate = scenario.Load.Rate
 	if w.rate == 0 {
 		w.rate = scenario.Load.CapacityShare * scenario.capacity(cores)
@@ -140,7 +145,7 @@
 	w.keys = newZipf(scenario.Load.Keys, scenario.Load.Zipf)
 	w.judge = judge.New(w.judgeConfig, w.tenantNames)
 	w.startInstances(factory)
-	w.planDay()
+	w.scheduleInitialEvents()
 	return w
 }
 
@@ -149,23 +154,23 @@
 		w.instances = append(w.instances, w.newInstance(i, factory))
 	}
 	w.shareLoad()
-	for _, s := range w.instances {
-		s.start(policy.ListFull)
+	for _, inst := range w.instances {
+		inst.start(policy.ListFull)
 	}
 }
 
-// planDay plans the first events.
-func (w *World) planDay() {
-	w.planFaults()
-	w.queue.add(event{at: dayStart + policy.Second, rank: rankWorld, do: (*World).takeSample})
+// scheduleInitialEvents plans the faults, the first sample and the first request.
+func (w *World) scheduleInitialEvents() {
+	w.scheduleFaults()
+	w.queue.add(event{at: startTime + policy.Second, rank: rankWorld, do: (*World).takeSample})
 	w.observeEndpoints(nil)
 	if len(w.scenario.Arrivals) > 0 {
-		first := dayStart + w.scenario.Arrivals[0].At
+		first := startTime + w.scenario.Arrivals[0].At
 		w.queue.add(event{at: first, rank: rankArrive, do: (*World).recordedArrival})
 		return
 	}
-	for _, s := range w.instances {
-		s.planArrival()
+	for _, inst := range w.instances {
+		inst.scheduleArrival()
 	}
 }
 
@@ -183,13 +188,13 @@
 }
 
 const (
-	// pollWithin is the time within which instances must have polled the list, where it is polled.
+	// pollWithin is the time within which an instance must have polled the list, where the list is polled.
 	pollWithin = 10 * policy.Second
-	// defaultOverloadMultiple is what instances are told where no kind of endpoint can be overloaded.
+	// defaultOverloadMultiple is the setting of instances if no kind of endpoint can be overloaded.
 	defaultOverloadMultiple = 3
 )
 
-// settings are what instances are told, but for their zone, the classes and the tenants.
+// settings returns the settings of all instances, without zone, classes and tenants.
 func (sc *Scenario) settings() policy.Settings {
 	settings := policy.Settings{
 		Instances:        sc.Instances,
@@ -218,7 +223,7 @@
 	return settings
 }
 
-// judgeConfig returns what the judge knows of the fleet.
+// judgeConfig returns the configuration of the judge.
 func (sc *Scenario) judgeConfig() judge.Config {
 	config := judge.Config{
 		Instances:   sc.Instances,
@@ -236,7 +241,8 @@
 	return config
 }
 
-// weakestKind returns the kind of endpoint that is overloaded first while cold, nil if none is.
+// weakestKind returns the kind of endpoint with the lowest overload multiple while cold, or nil if none can be
+// overloaded.
 func (sc *Scenario) weakestKind() *EndpointKind {
 	var weakest *EndpointKind
 	for i := range sc.Kinds {
@@ -248,58 +254,61 @@
 	return weakest
 }
 
-func cumulate(all []float64) {
+// cumulate replaces shares by their cumulative sums, scaled to a total of 1.
+func cumulate(shares []float64) {
 	sum := 0.0
-	for i, v := range all {
-		sum += v
-		all[i] = sum
+	for i, share := range shares {
+		sum += share
+		shares[i] = sum
 	}
-	for i := range all {
-		all[i] /= sum
+	for i := range shares {
+		shares[i] /= sum
 	}
 }
 
-func pickBy(cum []float64, at float64) int {
-	for i, c := range cum {
-		if at < c {
+// pickIndex returns the index of the share that contains the point, which is from 0 to 1.
+func pickIndex(cumulative []float64, point float64) int {
+	for i, upTo := range cumulative {
+		if point < upTo {
 			return i
 		}
 	}
-	return len(cum) - 1
+	return len(cumulative) - 1
 }
 
+// weighted reports whether lists show the capacity of any kind of endpoint.
 func (sc *Scenario) weighted() bool {
-	for _, k := range sc.Kinds {
-		if k.Weighted {
+	for _, kind := range sc.Kinds {
+		if kind.Weighted {
 			return true
 		}
 	}
 	return false
 }
 
-// fleet makes the endpoints and gives the cores they have together, at speed 1.
-func (w *World) fleet() (cores float64) {
-	var cum []float64
-	for _, k := range w.scenario.Kinds {
-		cum = append(cum, k.Share)
+// addEndpoints creates the endpoints and returns their total capacity, in cores at speed 1.
+func (w *World) addEndpoints() (cores float64) {
+	var shares []float64
+	for _, kind := range w.scenario.Kinds {
+		shares = append(shares, kind.Share)
 	}
-	cumulate(cum)
+	cumulate(shares)
 	for i := range w.scenario.Endpoints {
-		// Kinds are spread evenly over the fleet by their shares, whatever the seed.
-		at := math.Mod(float64(i)*0.6180339887498949+0.3, 1)
-		s := w.newEndpoint(&w.scenario.Kinds[pickBy(cum, at)], 0)
-		cores += s.traits.Cores * s.traits.Speed
+		// Steps of the golden ratio spread the kinds evenly over the fleet by their shares, independently of the seed.
+		point := math.Mod(float64(i)*0.6180339887498949+0.3, 1)
+		ep := w.newEndpoint(&w.scenario.Kinds[pickIndex(shares, point)], 0)
+		cores += ep.traits.Cores * ep.traits.Speed
 	}
 	return cores
 }
 
-// Run plays the day to its end and beyond, until every request has ended.
+// Run runs the simulation until every request has ended, which may be later than the scenario's length.
 func (w *World) Run() *judge.Verdict {
 	longest := policy.Time(0)
-	for _, o := range w.scenario.Classes {
-		longest = max(longest, o.Deadline)
+	for _, class := range w.scenario.Classes {
+		longest = max(longest, class.Deadline)
 	}
-	end := dayStart + w.scenario.Length + longest*policy.Time(1+w.scenario.Clients.Retries) + 2*policy.Second
+	end := startTime + w.scenario.Length + longest*policy.Time(1+w.scenario.Clients.Retries) + 2*policy.Second
 	for len(w.queue.all) > 0 && w.queue.all[0].at <= end {
 		e := w.queue.take()
 		w.now = e.at
@@ -307,23 +316,23 @@
 		e.do(w, &e)
 	}
 	for i := range w.requests {
-		if r := &w.requests[i]; r.inUse {
-			w.judge.ClientRequestEnded(r.judged)
+		if req := &w.requests[i]; req.inUse {
+			w.judge.ClientRequestEnded(req.judged)
 		}
 	}
 	return w.judge.Finish(w.sinceStart(w.now))
 }
 
-// Rate returns the requests a second of the day.
+// Rate returns the mean rate of generated requests, per second.
 func (w *World) Rate() float64 { return w.rate }
 
-// Settings returns what instances are told at their start, but for their zone.
+// Settings returns the settings of instances at their start, without the zone.
 func (w *World) Settings() policy.Settings { return w.settings }
 
-// Events returns how many events were played.
+// Events returns the number of events that were processed.
 func (w *World) Events() uint64 { return w.eventCount }
 
-// Wasted returns the part of all work that was done for attempts that nobody waited for any more.
+// Wasted returns the part of the finished work that was done for attempts which had already ended at their instance.
 func (w *World) Wasted() float64 {
 	if w.totalWork == 0 {
 		return 0
@@ -331,26 +340,27 @@
 	return w.wastedWork / w.totalWork
 }
 
-// sinceStart is a time of the judge, from the day's beginning.
-func (w *World) sinceStart(at policy.Time) policy.Time { return at - dayStart }
+// sinceStart converts a virtual time to a time since the start of the run, as the judge has it.
+func (w *World) sinceStart(at policy.Time) policy.Time { return at - startTime }
 
-func (w *World) transit(a, b policy.Zone) policy.Time {
-	d := w.scenario.Network.Near
-	if a != b {
-		d = w.scenario.Network.Far
+// transit draws the one-way delay between two zones.
+func (w *World) transit(from, to policy.Zone) policy.Time {
+	delay := w.scenario.Network.Near
+	if from != to {
+		delay = w.scenario.Network.Far
 	}
-	return policy.Time(float64(d) * logNormal(w.noise, w.scenario.Network.Jitter))
+	return policy.Time(float64(delay) * logNormal(w.noise, w.scenario.Network.Jitter))
 }
 
-// EndpointNames returns the names of all endpoints of the day, by number.
+// EndpointNames returns the UIDs of all endpoints of the run, by number.
 func (w *World) EndpointNames() (all []string) {
-	for _, v := range w.endpoints {
-		all = append(all, v.uid)
+	for _, ep := range w.endpoints {
+		all = append(all, ep.uid)
 	}
 	return all
 }
 
-// PlacedEndpoint is an endpoint of a day at its beginning.
+// PlacedEndpoint describes an endpoint at the start of a run.
 type PlacedEndpoint struct {
 	UID    string
 	Zone   policy.Zone
@@ -359,21 +369,21 @@
 	Traits machine.Traits
 }
 
-// Layout returns the fleet at the day's beginning.
+// Layout returns the endpoints at the start of the run.
 func (w *World) Layout() (all []PlacedEndpoint) {
-	for _, v := range w.endpoints {
-		all = append(all, PlacedEndpoint{v.uid, v.zone, v.cell, v.weight, v.traits})
+	for _, ep := range w.endpoints {
+		all = append(all, PlacedEndpoint{ep.uid, ep.zone, ep.cell, ep.weight, ep.traits})
 	}
 	return all
 }
 
-// JudgeConfig returns what a judge of the same day must know; slack is added to what is allowed, for judges that hear of things
-// late.
+// JudgeConfig returns the configuration of another judge of the same run. slack is added to the grace period, for
+// judges that observe events with a delay.
 func (w *World) JudgeConfig(slack policy.Time) judge.Config {
-	f := w.judgeConfig
-	f.Grace += slack
-	return f
+	config := w.judgeConfig
+	config.Grace += slack
+	return config
 }
 
-// TenantNames are the names of the tenants.
+// TenantNames returns the names of the tenants, by their IDs.
 func (w *World) TenantNames() []string { return w.tenantNames }
