--- a/internal/emulator/machine/jobheap.go
+++ b/internal/emulator/machine/jobheap.go
@@ -1,20 +1,20 @@
 package machine
 
-// jobHeap holds jobs, the one that is due first on top, ties in order of arrival.
+// jobHeap is a binary heap of jobs, ordered by due and, for equal values, by arrival.
 type jobHeap struct {
 	machine *Machine
 	ids     []JobID
 }
 
-func (h *jobHeap) less(a, b int) bool {
-	x, y := &h.machine.jobs[h.ids[a]], &h.machine.jobs[h.ids[b]]
-	return x.due < y.due || x.due == y.due && x.order < y.order
+func (h *jobHeap) less(i, j int) bool {
+	a, b := &h.machine.jobs[h.ids[i]], &h.machine.jobs[h.ids[j]]
+	return a.due < b.due || a.due == b.due && a.order < b.order
 }
 
-func (h *jobHeap) swap(a, b int) {
-	h.ids[a], h.ids[b] = h.ids[b], h.ids[a]
-	h.machine.jobs[h.ids[a]].heapIndex = a
-	h.machine.jobs[h.ids[b]].heapIndex = b
+func (h *jobHeap) swap(i, j int) {
+	h.ids[i], h.ids[j] = h.ids[j], h.ids[i]
+	h.machine.jobs[h.ids[i]].heapIndex = i
+	h.machine.jobs[h.ids[j]].heapIndex = j
 }
 
 func (h *jobHeap) add(id JobID) {
@@ -23,7 +23,7 @@
 	h.up(len(h.ids) - 1)
 }
 
-// up moves a job towards the top and reports whether it moved.
+// up moves the job at index i towards the top and reports whether it moved.
 func (h *jobHeap) up(i int) (moved bool) {
 	for i > 0 && h.less(i, (i-1)/2) {
 		h.swap(i, (i-1)/2)
@@ -33,6 +33,7 @@
 	return moved
 }
 
+// remove removes the job at index i.
 func (h *jobHeap) remove(i int) {
 	last := len(h.ids) - 1
 	if i != last {
--- a/internal/emulator/machine/jobs.go
+++ b/internal/emulator/machine/jobs.go
@@ -2,8 +2,8 @@
 
 import "pepperlead/policy"
 
-// Submit takes a job, or rejects it if the queue is full. work is what it takes with no key cached; newConnection
-// adds the work of a handshake. Run must have been called for this time.
+// Submit adds a job, or rejects it if the queue is full. owner identifies the job when it has finished. work is the
+// work without a cached key; newConnection adds ConnectWork to it. Run must have been called for this time.
 func (m *Machine) Submit(now policy.Time, owner, key uint64, work, io policy.Time,
 	newConnection bool) (id JobID, accepted bool) {
 	m.advance(now)
@@ -37,7 +37,7 @@
 	return id, true
 }
 
-// full reports whether a job that arrives now is rejected.
+// full reports whether the machine rejects a job that arrives now.
 func (m *Machine) full() bool {
 	if m.Workers > 0 {
 		return m.queued >= m.QueueSize && m.inWork() >= m.Workers
@@ -45,6 +45,7 @@
 	return m.Jobs() >= m.QueueSize
 }
 
+// newJob returns the ID of an unused entry of jobs.
 func (m *Machine) newJob() JobID {
 	if n := len(m.free); n > 0 {
 		id := m.free[n-1]
@@ -55,14 +56,16 @@
 	return JobID(len(m.jobs) - 1)
 }
 
-// CanTake reports whether it can be sent that much more while it is cold without an overload, with a tenth to spare.
+// CanTake reports whether a cold machine can receive so much more work without an overload. It keeps a tenth of the
+// allowed work in reserve.
 func (m *Machine) CanTake(now, work policy.Time) bool {
-	const spare = 0.9
+	const usablePart = 0.9
 	return m.recentWork.add(now, 0)+float64(work) <
-		spare*m.OverloadMultiple*m.Cores*m.Speed*m.Warmth(now)*float64(m.OverloadWindow)
+		usablePart*m.OverloadMultiple*m.Cores*m.Speed*m.Warmth(now)*float64(m.OverloadWindow)
 }
 
-// countColdWork counts work that arrives while the machine is cold, also what is rejected.
+// countColdWork counts work that arrives while the machine is cold, including work that is then rejected, and detects
+// an overload.
 func (m *Machine) countColdWork(now policy.Time, work policy.Time) {
 	if m.OverloadMultiple == 0 || !m.Cold(now) {
 		return
@@ -73,7 +76,7 @@
 	}
 }
 
-// Cancel removes a job, with onlyQueued only one that has not begun, and reports whether it did.
+// Cancel removes a job and reports whether it did. With onlyQueued, it removes only a job that has not begun.
 func (m *Machine) Cancel(now policy.Time, id JobID, onlyQueued bool) bool {
 	m.advance(now)
 	j := &m.jobs[id]
--- a/internal/emulator/machine/keycache.go
+++ b/internal/emulator/machine/keycache.go
@@ -1,17 +1,18 @@
 package machine
 
-// noEntry is the index of no cache entry.
+// noEntry is the index that stands for no cache entry.
 const noEntry = -1
 
-// keyCache holds the keys used last.
+// keyCache is an LRU cache of keys.
 type keyCache struct {
 	capacity int
-	index    map[uint64]int32
+	index    map[uint64]int32 // index in entries, by key
 	entries  []cacheEntry
 	newest   int32
 	oldest   int32
 }
 
+// cacheEntry is a key in the list of keys by their last use.
 type cacheEntry struct {
 	key          uint64
 	newer, older int32
@@ -33,7 +34,8 @@
 	return cached
 }
 
-// touch makes the key the newest and reports whether it was cached.
+// touch makes the key the newest one and reports whether it was cached. It replaces the oldest key if the cache is
+// full.
 func (k *keyCache) touch(key uint64) (cached bool) {
 	i, cached := k.index[key]
 	switch {
@@ -58,16 +60,17 @@
 	return cached
 }
 
+// unlink takes an entry out of the list.
 func (k *keyCache) unlink(i int32) {
-	n := k.entries[i]
-	if n.newer >= 0 {
-		k.entries[n.newer].older = n.older
+	removed := k.entries[i]
+	if removed.newer >= 0 {
+		k.entries[removed.newer].older = removed.older
 	} else {
-		k.newest = n.older
+		k.newest = removed.older
 	}
-	if n.older >= 0 {
-		k.entries[n.older].newer = n.newer
+	if removed.older >= 0 {
+		k.entries[removed.older].newer = removed.newer
 	} else {
-		k.oldest = n.newer
+		k.oldest = removed.newer
 	}
 }
--- a/internal/emulator/machine/machine.go
+++ b/internal/emulator/machine/machine.go
@@ -1,6 +1,6 @@
 // Package machine models one endpoint: shared cores or workers with a queue, I/O waits, warm-up, a cache of keys,
-// congestion, pauses, overload, the cost of connections. It knows no clock and no sockets: its caller, in virtual
-// time or in real time, passes the time and asks when the next event is due.
+// congestion, pauses, overload and the cost of connections. It has no clock and no sockets: the caller, in virtual or
+// real time, passes the current time and asks when the next event is due.
 package machine
 
 import (
@@ -9,56 +9,57 @@
 	"pepperlead/policy"
 )
 
-// Traits describe an endpoint. Times are those of one core at speed 1.
+// Traits describes an endpoint. Amounts of work are times of one core at speed 1.
 type Traits struct {
 	Cores            float64
-	Speed            float64     // of a core
-	Workers          int         // requests in work at once, also during their I/O wait; 0: all share the cores
-	QueueSize        int         // requests that may wait for a worker or, where cores are shared, be in work
-	ColdSpeed        float64     // part of the speed just after a start, rising evenly
-	WarmUpTime       policy.Time // until the speed is reached
-	CacheSize        int         // keys cached, the latest ones; 0: none
+	Speed            float64     // of each core
+	Workers          int         // jobs processed at once, including those that wait for I/O; 0: all share the cores
+	QueueSize        int         // jobs that may wait for a worker; without workers, jobs that may be in the machine
+	ColdSpeed        float64     // part of the speed just after a start; rises linearly to 1
+	WarmUpTime       policy.Time // until the full speed is reached
+	CacheSize        int         // most recently used keys that are cached; 0: none
 	CacheDiscount    float64     // part of the work that a cached key saves
-	CacheColdTime    policy.Time // after a start no cached key counts for so long
-	CongestAt        int         // requests in the endpoint from which on it is congested; 0: never
-	CongestedSpeed   float64     // part of the speed then, until half of them are left
-	OverloadMultiple float64     // times its capacity that, for OverloadWindow, overload it while cold; 0: never
-	OverloadWindow   policy.Time
+	CacheColdTime    policy.Time // time after a start during which the cache is not used
+	CongestAt        int         // number of jobs at which the machine becomes congested; 0: never
+	CongestedSpeed   float64     // part of the speed while congested, until fewer than half of those jobs are left
+	OverloadMultiple float64     // while cold, more work than this multiple of the capacity overloads it; 0: never
+	OverloadWindow   policy.Time // over which that work is added up
 	ConnectWork      policy.Time // work of a new connection
-	FreeConnections  int         // connections that cost nothing; 0: all
-	MaxConnections   int         // connections that may be open; 0: any number
-	ConnectionCost   float64     // part of the speed lost when twice the free connections are open, and so on
+	FreeConnections  int         // open connections that do not cost speed; 0: all
+	MaxConnections   int         // connections that may be open; 0: no limit
+	ConnectionCost   float64     // slowdown with twice FreeConnections open: the speed is divided by 1 plus this
 }
 
-// JobID names a job in the machine; ids are used again.
+// JobID identifies a job in the machine. IDs of jobs that have ended are used again.
 type JobID int32
 
-// NoJob is no job.
+// NoJob is the JobID that stands for no job.
 const NoJob JobID = -1
 
+// phase is the state of an entry of Machine.jobs.
 type phase uint8
 
 const (
-	unused phase = iota
-	waiting
-	working
-	inIO
+	unused  phase = iota // the entry is free
+	waiting              // in the queue
+	working              // uses the cores
+	inIO                 // waits for I/O
 )
 
 type job struct {
 	phase     phase
-	owner     uint64
-	key       uint64
+	owner     uint64  // the caller's identification of the job
+	key       uint64  // 0: none
 	work      float64 // ns of a core at speed 1
 	io        policy.Time
-	order     uint64
-	due       float64 // working: the work per job at which it is done; in I/O: the time
+	order     uint64  // number of its arrival
+	due       float64 // working: value of workPerJob at which its work is done; in I/O: time at which it ends
 	heapIndex int
-	behind    JobID // in the queue
-	ahead     JobID
+	behind    JobID // next job in the queue
+	ahead     JobID // previous job in the queue
 }
 
-// FinishedJob is a job that is finished.
+// FinishedJob identifies a job that has finished. Owner is the value that was passed to Submit.
 type FinishedJob struct {
 	Job   JobID
 	Owner uint64
@@ -67,29 +68,29 @@
 // Machine is the state of one endpoint.
 type Machine struct {
 	Traits
-	started     policy.Time // 0: long ago
+	started     policy.Time // time of the last start; 0: long ago, so the machine is warm
 	now         policy.Time
 	jobs        []job
 	free        []JobID
-	order       uint64
+	order       uint64 // number of jobs that have arrived
 	queueHead   JobID
 	queueTail   JobID
 	queued      int
-	working     jobHeap // by the work per job at which they are done
-	inIO        jobHeap // by time
-	workPerJob  float64 // done so far for each job in work, in ns of a core at speed 1
-	faultSpeed  float64 // part of the speed that a fault leaves
-	podSpeed    float64 // part of the speed that the pod leaves
+	working     jobHeap // by the value of workPerJob at which they are done
+	inIO        jobHeap // by the time at which they end
+	workPerJob  float64 // sum of the work done for each working job, in ns of a core at speed 1
+	faultSpeed  float64 // part of the speed that is left by faults
+	podSpeed    float64 // part of the speed that is left by the limit of the pod
 	pausedUntil policy.Time
 	congested   bool
 	connections int
 	cache       keyCache
-	recentWork  slidingSum
+	recentWork  slidingSum // work that arrived while cold
 	overloaded  bool
-	workDone    float64 // in ns of a core at speed 1
+	workDone    float64 // for all jobs, in ns of a core at speed 1
 }
 
-// New makes a machine that started at the time given; 0: long ago.
+// New returns a machine that started at the given time. 0 means long ago: the machine is warm.
 func New(t Traits, started policy.Time) *Machine {
 	m := &Machine{Traits: t, faultSpeed: 1, podSpeed: 1}
 	m.working.machine = m
@@ -98,7 +99,7 @@
 	return m
 }
 
-// Restart empties the machine: all jobs and cached keys are lost.
+// Restart starts the machine anew: all jobs, connections and cached keys are lost.
 func (m *Machine) Restart(started policy.Time) {
 	m.started = started
 	m.now = max(m.now, started)
@@ -120,25 +121,25 @@
 // Jobs returns how many jobs are in the machine.
 func (m *Machine) Jobs() int { return m.queued + m.inWork() }
 
-// inWork returns how many jobs have a worker.
+// inWork returns how many jobs are working or wait for I/O.
 func (m *Machine) inWork() int { return len(m.working.ids) + len(m.inIO.ids) }
 
-// Queued returns how many jobs want a core, or a worker, beyond those that have one.
+// Queued returns how many jobs wait for a worker, plus the working jobs beyond the number of cores.
 func (m *Machine) Queued() int { return m.queued + max(0, len(m.working.ids)-int(math.Ceil(m.Cores))) }
 
-// Busy returns how many cores its jobs could use at once, at most its own.
+// Busy returns how many cores the working jobs use.
 func (m *Machine) Busy() float64 { return min(float64(len(m.working.ids)), m.Cores) }
 
-// Overloaded reports whether it was sent too much while cold.
+// Overloaded reports whether the machine received too much work while it was cold.
 func (m *Machine) Overloaded() bool { return m.overloaded }
 
-// WorkDone returns the work done so far, in ns of a core at speed 1.
+// WorkDone returns the work done so far for all jobs, in ns of a core at speed 1.
 func (m *Machine) WorkDone() float64 { return m.workDone }
 
-// Cold reports whether it is still warming up.
+// Cold reports whether the machine is still warming up.
 func (m *Machine) Cold(now policy.Time) bool { return m.started > 0 && now < m.started+m.WarmUpTime }
 
-// Warmth returns the part of its speed that it has reached.
+// Warmth returns the part of the full speed that the machine has reached while warming up, 1 when it is warm.
 func (m *Machine) Warmth(now policy.Time) float64 {
 	if !m.Cold(now) {
 		return 1
@@ -146,7 +147,7 @@
 	return m.ColdSpeed + (1-m.ColdSpeed)*float64(now-m.started)/float64(m.WarmUpTime)
 }
 
-// speed is that of a core now, with all that slows it down.
+// speed returns the current speed of a core, 0 during a pause.
 func (m *Machine) speed() float64 {
 	if m.now < m.pausedUntil {
 		return 0
@@ -161,7 +162,7 @@
 	return s
 }
 
-// rate is the work done for each job in work in a ns.
+// rate returns the work that is done for each working job per ns.
 func (m *Machine) rate() float64 {
 	n := float64(len(m.working.ids))
 	if n == 0 {
@@ -170,10 +171,11 @@
 	return m.speed() * min(1, m.Cores/n)
 }
 
-// warmUpStep is how long the speed is taken as constant while warming up.
+// warmUpStep is the interval in which the speed is computed anew while warming up.
 const warmUpStep = 50 * policy.Millisecond
 
-// advance brings the work up to the time. Between two calls nothing changes but the warmth.
+// advance accounts for the work done until now. Between two calls, only the warm-up and the end of a pause change the
+// speed.
 func (m *Machine) advance(now policy.Time) {
 	for m.now < now {
 		to := now
@@ -200,9 +202,9 @@
 		if m.now < m.pausedUntil {
 			at = min(at, m.pausedUntil)
 		} else if r := m.rate(); r > 0 {
-			left := math.Ceil(max(0, m.jobs[m.working.ids[0]].due-m.workPerJob) / r)
-			if left < 1e18 {
-				at = min(at, m.now+policy.Time(left))
+			wait := math.Ceil(max(0, m.jobs[m.working.ids[0]].due-m.workPerJob) / r)
+			if wait < 1e18 {
+				at = min(at, m.now+policy.Time(wait))
 			}
 		}
 		if m.Cold(m.now) {
@@ -212,7 +214,7 @@
 	return at, at < math.MaxInt64
 }
 
-// Run brings the machine to the time and appends the jobs that are finished.
+// Run advances the machine to now and appends the jobs that have finished to done.
 func (m *Machine) Run(now policy.Time, done []FinishedJob) []FinishedJob {
 	m.advance(now)
 	for len(m.inIO.ids) > 0 && policy.Time(m.jobs[m.inIO.ids[0]].due) <= now {
@@ -220,7 +222,7 @@
 		m.inIO.remove(0)
 		done = append(done, m.finishJob(id))
 	}
-	// Half a ns of work may be missing, as times are rounded up.
+	// Times are rounded to whole ns, so a job counts as done when at most half a ns of its work is missing.
 	for len(m.working.ids) > 0 && m.jobs[m.working.ids[0]].due <= m.workPerJob+0.5 {
 		id := m.working.ids[0]
 		m.working.remove(0)
@@ -237,9 +239,9 @@
 }
 
 func (m *Machine) finishJob(id JobID) FinishedJob {
-	d := FinishedJob{id, m.jobs[id].owner}
+	finished := FinishedJob{id, m.jobs[id].owner}
 	m.freeJob(id)
-	return d
+	return finished
 }
 
 func (m *Machine) freeJob(id JobID) {
@@ -247,7 +249,7 @@
 	m.free = append(m.free, id)
 }
 
-// admit starts queued jobs where workers are free, and updates whether the machine is congested.
+// admit starts queued jobs while workers are free, and updates whether the machine is congested.
 func (m *Machine) admit() {
 	for m.queueHead != NoJob && (m.Workers == 0 || m.inWork() < m.Workers) {
 		id := m.queueHead
@@ -263,6 +265,7 @@
 	}
 }
 
+// begin starts the work of a job, which is less if its key is cached.
 func (m *Machine) begin(id JobID) {
 	j := &m.jobs[id]
 	cacheUsed := j.key != 0 && m.CacheSize > 0 && (m.started == 0 || m.now >= m.started+m.CacheColdTime)
@@ -274,31 +277,31 @@
 	m.working.add(id)
 }
 
-// SetFaultSpeed sets the part of its speed that a fault leaves.
+// SetFaultSpeed sets the part of the speed that is left by faults.
 func (m *Machine) SetFaultSpeed(now policy.Time, part float64) {
 	m.advance(now)
 	m.faultSpeed = part
 }
 
-// PodSpeed returns the part of its speed that its pod leaves.
+// PodSpeed returns the part of the speed that is left by the limit of the pod.
 func (m *Machine) PodSpeed() float64 { return m.podSpeed }
 
-// SetPodSpeed sets the part of its speed that its pod leaves.
+// SetPodSpeed sets the part of the speed that is left by the limit of the pod.
 func (m *Machine) SetPodSpeed(now policy.Time, part float64) {
 	m.advance(now)
 	m.podSpeed = part
 }
 
-// PauseUntil stops all work until the time given.
+// PauseUntil pauses all work until the given time. Waits for I/O go on.
 func (m *Machine) PauseUntil(now, until policy.Time) {
 	m.advance(now)
 	m.pausedUntil = max(m.pausedUntil, until)
 }
 
-// AddConnections counts connections that were opened or, below 0, closed.
-func (m *Machine) AddConnections(now policy.Time, more int) {
+// AddConnections adds to the number of open connections; a negative change stands for closed ones.
+func (m *Machine) AddConnections(now policy.Time, change int) {
 	m.advance(now)
-	m.connections += more
+	m.connections += change
 }
 
 // AcceptsConnection reports whether one more connection may be opened.
@@ -306,10 +309,10 @@
 	return m.MaxConnections == 0 || m.connections < m.MaxConnections
 }
 
-// Connections returns how many are open.
+// Connections returns the number of open connections.
 func (m *Machine) Connections() int { return m.connections }
 
-// EstimateTime estimates how long a job of that work would stay if it arrived now and nothing came after it.
+// EstimateTime estimates how long a job would stay in the machine if it arrived now and no other job followed.
 func (m *Machine) EstimateTime(now policy.Time, key uint64, work, io policy.Time) policy.Time {
 	if m.CacheSize > 0 && key != 0 && m.cache.has(key) {
 		work = policy.Time(float64(work) * (1 - m.CacheDiscount))
@@ -324,11 +327,11 @@
 	n := float64(len(m.working.ids) + 1)
 	span := float64(work) / (s * min(1, m.Cores/n))
 	if m.Workers > 0 {
-		// Those ahead of it are taken to need as long as it does.
-		if over := float64(m.Jobs()+1) - float64(m.Workers); over > 0 {
-			span += over / float64(m.Workers) * (float64(work)/(s*min(1, m.Cores/float64(m.Workers))) + float64(io))
+		// The jobs ahead of it are assumed to take as long as it does.
+		if ahead := float64(m.Jobs()+1) - float64(m.Workers); ahead > 0 {
+			span += ahead / float64(m.Workers) * (float64(work)/(s*min(1, m.Cores/float64(m.Workers))) + float64(io))
 		}
 	}
-	stop := max(0, m.pausedUntil-now)
-	return stop + policy.Time(span) + io
+	pause := max(0, m.pausedUntil-now)
+	return pause + policy.Time(span) + io
 }
--- a/internal/emulator/machine/slidingsum.go
+++ b/internal/emulator/machine/slidingsum.go
@@ -2,33 +2,33 @@
 
 import "pepperlead/policy"
 
-// slidingSumParts is how many parts of its span a slidingSum forgets one at a time.
+// slidingSumParts is the number of parts of a slidingSum's span. Values leave the sum one part at a time.
 const slidingSumParts = 16
 
-// slidingSum adds up values of the last span.
+// slidingSum is the sum of the values that were added within the last span.
 type slidingSum struct {
-	span policy.Time
-	sums [slidingSumParts]float64
-	at   int64
-	sum  float64
+	span   policy.Time
+	sums   [slidingSumParts]float64 // by part, in a ring
+	latest int64                    // number of the latest part
+	sum    float64
 }
 
-func (w *slidingSum) reset(span policy.Time) { *w = slidingSum{span: max(span, slidingSumParts)} }
+func (s *slidingSum) reset(span policy.Time) { *s = slidingSum{span: max(span, slidingSumParts)} }
 
 // add adds a value and returns the sum.
-func (w *slidingSum) add(now policy.Time, v float64) float64 {
-	at := int64(now / (w.span / slidingSumParts))
-	if at-w.at >= slidingSumParts {
-		w.sums = [slidingSumParts]float64{}
-		w.sum = 0
-		w.at = at
+func (s *slidingSum) add(now policy.Time, value float64) float64 {
+	part := int64(now / (s.span / slidingSumParts))
+	if part-s.latest >= slidingSumParts {
+		s.sums = [slidingSumParts]float64{}
+		s.sum = 0
+		s.latest = part
 	}
-	for ; w.at < at; w.at++ {
-		i := (w.at + 1) % slidingSumParts
-		w.sum -= w.sums[i]
-		w.sums[i] = 0
+	for ; s.latest < part; s.latest++ {
+		i := (s.latest + 1) % slidingSumParts
+		s.sum -= s.sums[i]
+		s.sums[i] = 0
 	}
-	w.sums[at%slidingSumParts] += v
-	w.sum += v
-	return w.sum
+	s.sums[part%slidingSumParts] += value
+	s.sum += value
+	return s.sum
 }
