--- a/internal/emulator/judge/attempts.go
+++ b/internal/emulator/judge/attempts.go
@@ -13,22 +13,23 @@
 	cell       policy.Cell
 	at         policy.Time
 	inFlight   bool
-	mayHaveRun bool
+	mayHaveRun bool // the endpoint may have run the request
 }
 
-// notification is what an instance has been notified of an endpoint.
+// notification is the state of an endpoint as its instance was last notified of it.
 type notification struct {
-	drainingSince policy.Time // or gone since; 0: it is ready
-	startedAt     policy.Time
+	drainingSince policy.Time // time of the notification that it drains or is removed; 0: it is ready
+	startedAt     policy.Time // latest start of the endpoint that was notified
 }
 
-// arrivedWork is work that has reached a cold endpoint.
+// arrivedWork is work that has reached a cold endpoint, in ns of a core at speed 1.
 type arrivedWork struct {
 	at   policy.Time
 	work float64
 }
 
-// AttemptStarted records an attempt when its first byte is sent, and returns its number within the request.
+// AttemptStarted records an attempt when its first byte is sent, and returns its number within the request. It checks
+// the rules on attempts.
 func (j *Judge) AttemptStarted(at policy.Time, id RequestID, to EndpointID, zone policy.Zone, cell policy.Cell,
 	crossesZone bool) int {
 	r := &j.requests[id]
@@ -61,7 +62,7 @@
 	return number
 }
 
-// checkRepeat holds an attempt to rule 2 where an earlier one may have run.
+// checkRepeat checks by rule 2 whether an attempt may follow earlier ones that may have run.
 func (j *Judge) checkRepeat(r *request, next attempt) {
 	class := &j.config.Classes[r.class]
 	keyed := class.Idempotency == policy.Keyed
@@ -89,12 +90,13 @@
 	}
 }
 
-// AttemptWritten records that the last byte of an attempt has left its instance: from now on it may run.
+// AttemptWritten records that the instance has sent the last byte of an attempt, which may run from now on.
 func (j *Judge) AttemptWritten(id RequestID, number int) {
 	j.requests[id].attempts[number].mayHaveRun = true
 }
 
-// AttemptEnded records the end of an attempt at its instance. neverRan: the wire shows that it has not run.
+// AttemptEnded records the end of an attempt at its instance. neverRan says that its outcome proves that it has not
+// run.
 func (j *Judge) AttemptEnded(id RequestID, number int, neverRan bool) {
 	r := &j.requests[id]
 	ended := &r.attempts[number]
@@ -107,7 +109,8 @@
 	j.releaseRequest(id)
 }
 
-// EndpointNotified records that a list has reached an instance that names, or no longer names, an endpoint.
+// EndpointNotified records the status of an endpoint in a list that has reached an instance. An endpoint that is no
+// longer in the list has the status Removed.
 func (j *Judge) EndpointNotified(at policy.Time, instance InstanceID, endpoint EndpointID, status policy.EndpointStatus,
 	startedAt policy.Time) {
 	notified := j.notifications[instance][endpoint]
@@ -120,11 +123,12 @@
 	j.notifications[instance][endpoint] = notified
 }
 
-// InstanceDied records that an instance has lost all that it knew.
+// InstanceDied records that an instance has died, and with it its endpoint list.
 func (j *Judge) InstanceDied(instance InstanceID) { clear(j.notifications[instance]) }
 
-// ColdWorkArrived records work, in ns of a core at speed 1, that reaches an endpoint while it is cold; capacity is
-// what it can do in a ns. Only work from instances that were notified of its start counts: others cannot know.
+// ColdWorkArrived records work that reaches an endpoint while it is cold, and checks rule 4. work is in ns of a core at
+// speed 1; capacity is the work that the endpoint can do per ns. Work counts only if its instance was notified of the
+// endpoint's start: other instances cannot know that it is cold.
 func (j *Judge) ColdWorkArrived(at policy.Time, instance InstanceID, to EndpointID, startedAt policy.Time,
 	work, capacity float64) {
 	if j.notifications[instance][to].startedAt < startedAt || j.config.OverloadMultiple == 0 {
--- a/internal/emulator/judge/judge.go
+++ b/internal/emulator/judge/judge.go
@@ -1,6 +1,14 @@
-// Package judge watches what crosses the wire on a simulated day and reports whether the four rules held and how much
-// value was served. It knows nothing of the module's state, only what clients, endpoints, discovery and the network
-// saw, and does no I/O.
+// Package judge observes the traffic of a run and reports whether the four rules were kept and how much value was
+// served. It does not use the state of the decision module, only what clients, endpoints, discovery and the network
+// observe, and does no I/O.
+//
+// The rules, as the judge checks them:
+//
+//  1. Each request gets one final answer before its deadline, and no attempt follows the answer.
+//  2. Attempts and rejections respect the class's idempotency. A request has at most one attempt in flight and at most
+//     MaxAttempts in all.
+//  3. After a grace period, no attempt goes to an endpoint that the instance was notified is draining or removed.
+//  4. No cold endpoint is sent more work than it can bear.
 package judge
 
 import (
@@ -10,18 +18,18 @@
 )
 
 type (
-	// RequestID identifies a request that an instance accepted. Ids are used again once the request's deadline has
+	// RequestID identifies a request that an instance has accepted. IDs are used again after the request's deadline has
 	// passed and no attempt is in flight.
 	RequestID int32
-	// ClientRequestID identifies what a client wants, over all its retries.
+	// ClientRequestID identifies a client's request, which has one RequestID for each try of the client.
 	ClientRequestID int32
-	// InstanceID identifies an instance by its place in the fleet.
+	// InstanceID identifies an instance by its number in the fleet.
 	InstanceID int32
-	// EndpointID identifies an endpoint by its place in the fleet.
+	// EndpointID identifies an endpoint by its number in the fleet.
 	EndpointID int32
 )
 
-// Answer is a final answer.
+// Answer is the kind of a final answer to a client.
 type Answer uint8
 
 // The final answers.
@@ -35,22 +43,22 @@
 // ruleCount is the number of rules, which are numbered from 1.
 const ruleCount = 4
 
-// Config is what the judge must know of the fleet beforehand.
+// Config has the limits that the rules apply, and the properties of the run that the judge cannot observe.
 type Config struct {
 	Classes          []policy.Class
 	Instances        int
 	MaxAttempts      int
-	Grace            policy.Time // for attempts after an instance was notified that an endpoint drains or is gone
-	OverloadMultiple float64     // times its capacity that overload a cold endpoint; 0: nothing does
-	OverloadWindow   policy.Time // over which the work sent to a cold endpoint counts
-	Length           policy.Time // of the day: requests begun later do not count
+	Grace            policy.Time // after an instance is notified that an endpoint drains or is removed
+	OverloadMultiple float64     // multiple of its capacity that overloads a cold endpoint; 0: no overloads
+	OverloadWindow   policy.Time // over which the work sent to a cold endpoint is added up
+	Length           policy.Time // of the run: requests that begin later are not counted
 }
 
-// Violation is one case in which a rule was broken.
+// Violation is one case in which a rule was broken. Its texts are part of stored results.
 type Violation struct {
 	Rule    int         `json:"rule"`
 	At      policy.Time `json:"at_ns"`
-	Request uint64      `json:"ticket,omitempty"` // its number, from 1 in the order of arrival
+	Request uint64      `json:"ticket,omitempty"` // number of the request, from 1 in the order of arrival; 0: none
 	What    string      `json:"what"`
 }
 
@@ -59,16 +67,16 @@
 	return fmt.Sprintf("rule %d at %.6fs, ticket %d: %s", v.Rule, float64(v.At)/1e9, v.Request, v.What)
 }
 
-// maxViolations is how many violations are kept with their texts; all are counted.
+// maxViolations is the number of violations that are kept with their texts. Further ones are only counted.
 const maxViolations = 50
 
-// Judge watches one day.
+// Judge observes one run.
 type Judge struct {
 	config Config
 
 	requests     []request
 	freeRequests []RequestID
-	lastNumber   uint64
+	lastNumber   uint64 // of requests, in the order of arrival
 
 	clientRequests     []clientRequest
 	freeClientRequests []ClientRequestID
@@ -76,22 +84,22 @@
 
 	notifications []map[EndpointID]notification // by instance
 	coldWork      map[EndpointID][]arrivedWork
-	overloaded    map[EndpointID]policy.Time // start of the endpoint for which its overload was reported
+	overloaded    map[EndpointID]policy.Time // start time of the endpoint when its last overload was reported
 
 	violations      []Violation
 	violationCounts [ruleCount]int
 
-	seconds   []secondValue
+	seconds   []secondValue // by the second in which requests began
 	byClass   []ServedValue
 	byTenant  []ServedValue
 	answers   [answerKinds]int
-	late      int
+	late      int // succeeded answers after the target latency
 	attempts  int
 	crossZone int
 	spread    spreadCounter
 }
 
-// New makes a judge for a day with these tenants.
+// New returns a judge for a run with the given tenants.
 func New(config Config, tenants []string) *Judge {
 	j := &Judge{
 		config:     config,
@@ -118,8 +126,8 @@
 	}
 }
 
-// seconds is a span that prints in seconds.
+// seconds is a duration that is printed in seconds.
 type seconds policy.Time
 
-// String prints the span in seconds.
+// String formats the duration in seconds.
 func (s seconds) String() string { return fmt.Sprintf("%.3fs", float64(s)/1e9) }
--- a/internal/emulator/judge/requests.go
+++ b/internal/emulator/judge/requests.go
@@ -2,10 +2,10 @@
 
 import "pepperlead/policy"
 
-// request is a request that an instance accepted.
+// request is a request that an instance has accepted: one try of a client's request.
 type request struct {
 	inUse          bool
-	abandoned      bool // its instance died, or its client left: no answer is due
+	abandoned      bool // its instance died or its client left: no answer is expected
 	answered       bool
 	deadlinePassed bool
 	number         uint64
@@ -17,18 +17,19 @@
 	key            uint64
 }
 
-// clientRequest is what a client wants, over all its retries.
+// clientRequest is a request of a client, over all its tries.
 type clientRequest struct {
 	begunAt      policy.Time
 	class        policy.ClassID
 	tenant       policy.TenantID
 	value        float64
 	earned       float64
-	openRequests int
-	ended        bool
+	openRequests int  // its requests without a final answer
+	ended        bool // the client sends no further try
 }
 
-// ClientRequestBegun records a client's request when it is first sent. value is what a response in time is worth.
+// ClientRequestBegun records a client's request when it is first sent. value is earned by a response within the target
+// latency.
 func (j *Judge) ClientRequestBegun(at policy.Time, class policy.ClassID, tenant policy.TenantID,
 	value float64) ClientRequestID {
 	var id ClientRequestID
@@ -44,38 +45,40 @@
 	return id
 }
 
-// ClientRequestEnded records that the client sends no further retry.
+// ClientRequestEnded records that the client sends no further try.
 func (j *Judge) ClientRequestEnded(id ClientRequestID) {
 	j.clientRequests[id].ended = true
 	j.closeClientRequest(id)
 }
 
-// closeClientRequest adds a client's request to the sums once it has ended and none of its requests is open.
+// closeClientRequest adds a client's request to the sums and frees its ID, once the request has ended and no try is
+// open.
 func (j *Judge) closeClientRequest(id ClientRequestID) {
-	wanted := &j.clientRequests[id]
-	if !wanted.ended || wanted.openRequests > 0 {
+	client := &j.clientRequests[id]
+	if !client.ended || client.openRequests > 0 {
 		return
 	}
-	if wanted.begunAt < j.config.Length {
-		j.addValue(wanted)
+	if client.begunAt < j.config.Length {
+		j.addValue(client)
 	}
 	j.freeClientRequests = append(j.freeClientRequests, id)
 }
 
-func (j *Judge) addValue(wanted *clientRequest) {
-	i := int(wanted.begunAt / policy.Second)
+// addValue adds the value of a client's request to its second, class and tenant.
+func (j *Judge) addValue(client *clientRequest) {
+	i := int(client.begunAt / policy.Second)
 	for len(j.seconds) <= i {
 		j.seconds = append(j.seconds, secondValue{})
 	}
-	j.seconds[i].requested += wanted.value
-	j.seconds[i].earned += wanted.earned
-	j.byClass[wanted.class].add(wanted)
-	if wanted.tenant >= 0 {
-		j.byTenant[wanted.tenant].add(wanted)
+	j.seconds[i].requested += client.value
+	j.seconds[i].earned += client.earned
+	j.byClass[client.class].add(client)
+	if client.tenant >= 0 {
+		j.byTenant[client.tenant].add(client)
 	}
 }
 
-// RequestAccepted records a request that an instance has accepted. A final answer is due before the deadline.
+// RequestAccepted records a request that an instance has accepted, and that needs a final answer before its deadline.
 func (j *Judge) RequestAccepted(_ policy.Time, client ClientRequestID, instance InstanceID, class policy.ClassID,
 	deadline policy.Time) RequestID {
 	var id RequestID
@@ -103,12 +106,13 @@
 // SetKey records the key of a request; 0: none.
 func (j *Judge) SetKey(id RequestID, key uint64) { j.requests[id].key = key }
 
-// RequestAnswered records a final answer.
+// RequestAnswered records a final answer and checks the rules on it. The first successful answer earns the value of the
+// client's request.
 func (j *Judge) RequestAnswered(at policy.Time, id RequestID, client ClientRequestID, answer Answer) {
 	r := &j.requests[id]
 	switch {
 	case r.abandoned:
-		return // nobody reads it
+		return // its client no longer waits
 	case r.answered:
 		j.violate(1, at, r.number, "a second final answer")
 		return
@@ -121,22 +125,22 @@
 	}
 	r.answered = true
 	j.answers[answer]++
-	wanted := &j.clientRequests[client]
-	if answer == Succeeded && wanted.earned == 0 {
-		if at <= wanted.begunAt+class.Target {
-			wanted.earned = wanted.value
+	answered := &j.clientRequests[client]
+	if answer == Succeeded && answered.earned == 0 {
+		if at <= answered.begunAt+class.Target {
+			answered.earned = answered.value
 		} else {
 			j.late++
-			wanted.earned = wanted.value * class.LateValue
+			answered.earned = answered.value * class.LateValue
 		}
 	}
-	wanted.openRequests--
+	answered.openRequests--
 	j.closeClientRequest(client)
 	j.releaseRequest(id)
 }
 
-// checkRejection holds a rejection to rule 2: the client retries with a request that no endpoint can tell from
-// another, so it must be safe to repeat anywhere or must not have run.
+// checkRejection checks a rejection by rule 2. The client's retry is a new request, which no endpoint can recognize as
+// a repetition, and which may go to any endpoint. So the request must be repeatable anywhere, or must not have run.
 func (j *Judge) checkRejection(at policy.Time, r *request, class *policy.Class) {
 	repeatable := class.Idempotency == policy.Idempotent ||
 		class.Idempotency == policy.Keyed && class.Group == policy.GroupAll
@@ -151,8 +155,8 @@
 	}
 }
 
-// DeadlinePassed records for every request that its deadline has passed, whatever became of it: its client waits no
-// longer.
+// DeadlinePassed records that the deadline of a request has passed, so that its client no longer waits. It must be
+// called for every request, answered or not.
 func (j *Judge) DeadlinePassed(at policy.Time, id RequestID, client ClientRequestID) {
 	r := &j.requests[id]
 	if !r.answered && !r.abandoned {
@@ -163,7 +167,7 @@
 	j.releaseRequest(id)
 }
 
-// ClientLeft records that a request's client or instance is gone: no answer is due any more.
+// ClientLeft records that the client or the instance of a request is gone, so that no answer is expected any more.
 func (j *Judge) ClientLeft(id RequestID, client ClientRequestID) {
 	r := &j.requests[id]
 	if r.abandoned || r.answered {
@@ -175,7 +179,7 @@
 	j.releaseRequest(id)
 }
 
-// releaseRequest makes the id free once nothing more can happen to the request.
+// releaseRequest frees the ID of a request for reuse once no further event can concern it.
 func (j *Judge) releaseRequest(id RequestID) {
 	r := &j.requests[id]
 	if r.inUse && (r.answered || r.abandoned) && r.deadlinePassed && r.inFlight == 0 {
--- a/internal/emulator/judge/spread.go
+++ b/internal/emulator/judge/spread.go
@@ -6,17 +6,18 @@
 	"pepperlead/policy"
 )
 
-// Spread is how evenly attempts lay over the endpoints in service, each by its capacity, in windows in which none
-// came or went.
+// Spread measures how evenly attempts were distributed over the endpoints in service, relative to their capacity.
+// Windows in which the capacity of any endpoint changed are not counted.
 type Spread struct {
-	// Scatter is that of attempts per endpoint over that of chance alone, in windows of 1 s and of 5 s.
+	// Scatter is the scatter of attempts per endpoint relative to that of a random distribution, the mean over windows
+	// of 1 s and of 5 s.
 	Scatter [2]float64 `json:"scatter"`
-	// KeyScatter is what Scatter would be if every key had one endpoint, drawn by chance.
+	// KeyScatter is what Scatter would be if each key had one random endpoint.
 	KeyScatter  [2]float64 `json:"forced"`
-	Busiest     float64    `json:"busiest"`      // attempts there over its share, mean of windows of 5 s
-	BusiestMax  float64    `json:"busiest_most"` // the maximum of these
-	IdleSeconds float64    `json:"idle_s"`       // endpoint seconds in which one was idle while others queued
-	Herd        float64    `json:"herd"`         // most attempts one endpoint got within 50 ms beyond its share
+	Busiest     float64    `json:"busiest"`      // attempts at the busiest endpoint over its share, mean of 5 s windows
+	BusiestMax  float64    `json:"busiest_most"` // the same, maximum of these windows
+	IdleSeconds float64    `json:"idle_s"`       // seconds that endpoints were idle while others had queues, summed
+	Herd        float64    `json:"herd"`         // maximum attempts at an endpoint beyond its share within 50 ms
 }
 
 // Windows over which attempts are counted.
@@ -25,27 +26,27 @@
 	longWindow
 	herdWindow
 	windowCount
-	keyWindowCount = herdWindow // those in which keys are counted too
+	keyWindowCount = herdWindow // the number of windows in which keys are counted too
 )
 
 var windowLengths = [windowCount]policy.Time{policy.Second, 5 * policy.Second, 50 * policy.Millisecond}
 
-// ownKey marks a key that stands for one request without a key.
-const ownKey = 1 << 63
+// requestKey marks keys that are made from the number of a request without a key.
+const requestKey = 1 << 63
 
-// window counts the attempts of the window under way.
+// window counts the attempts of the current window and adds up the results of earlier ones.
 type window struct {
 	start         policy.Time
-	changed       bool      // endpoints came or went in it
+	changed       bool      // the capacity of an endpoint changed during the window
 	attempts      []float64 // by endpoint
 	total         float64
 	byKey         map[uint64]float64
-	scatterSum    float64 // over the windows that have ended
+	scatterSum    float64 // over the earlier windows that count
 	keyScatterSum float64
 	windowsEnded  float64
 }
 
-// spreadCounter counts attempts by endpoint.
+// spreadCounter computes the Spread of a run.
 type spreadCounter struct {
 	capacity      []float64 // of endpoints; 0: not in service
 	totalCapacity float64
@@ -54,7 +55,8 @@
 	result        Spread
 }
 
-// CapacityChanged records what an endpoint can do in a time, 0 when it takes no new work.
+// CapacityChanged records the capacity of an endpoint, in cores at speed 1. It is 0 while the endpoint takes no new
+// work.
 func (j *Judge) CapacityChanged(at policy.Time, endpoint EndpointID, capacity float64) {
 	s := &j.spread
 	for len(s.capacity) <= int(endpoint) {
@@ -71,18 +73,19 @@
 	}
 }
 
-// IdleObserved records how many endpoints were idle for the span, and whether others had more than they can work on
-// at once.
+// IdleObserved records how many endpoints were idle during a span, and whether others had more jobs than they can
+// process at once.
 func (j *Judge) IdleObserved(idle int, othersQueue bool, span policy.Time) {
 	if othersQueue {
 		j.spread.result.IdleSeconds += float64(idle) * float64(span) / float64(policy.Second)
 	}
 }
 
+// countAttempt counts an attempt at an endpoint in service.
 func (s *spreadCounter) countAttempt(at policy.Time, endpoint EndpointID, key, number uint64) {
 	s.endWindows(at)
 	if key == 0 {
-		key = number | ownKey
+		key = number | requestKey
 	}
 	for i := range s.windows {
 		w := &s.windows[i]
@@ -104,7 +107,7 @@
 	}
 }
 
-// endWindows ends the windows that are over by then.
+// endWindows ends the windows that lie before the given time, and begins new ones.
 func (s *spreadCounter) endWindows(at policy.Time) {
 	for i, length := range windowLengths {
 		w := &s.windows[i]
@@ -122,7 +125,7 @@
 	}
 }
 
-// countWindow adds a window that has ended to the result.
+// countWindow adds a window that has ended to the sums.
 func (s *spreadCounter) countWindow(i int) {
 	w := &s.windows[i]
 	chiSquare := 0.0
@@ -160,7 +163,7 @@
 	w.windowsEnded++
 }
 
-// finish returns the result; windows that have not ended do not count.
+// finish returns the result. Windows that have not ended are not counted.
 func (s *spreadCounter) finish() Spread {
 	for i := range keyWindowCount {
 		w := &s.windows[i]
--- a/internal/emulator/judge/verdict.go
+++ b/internal/emulator/judge/verdict.go
@@ -7,14 +7,15 @@
 	"pepperlead/policy"
 )
 
-// ServedValue is value offered by clients and value earned by responses in time.
+// ServedValue is the value of the requests of clients and the part of it that responses have earned. A response after
+// the target latency earns only a part of the value.
 type ServedValue struct {
 	Name      string  `json:"name"`
 	Requested float64 `json:"asked"`
 	Earned    float64 `json:"got"`
 }
 
-// Fraction is the part of the offered value that was earned; 1 where nothing was offered.
+// Fraction returns the part of the requested value that was earned, or 1 if no value was requested.
 func (s ServedValue) Fraction() float64 {
 	if s.Requested <= 0 {
 		return 1
@@ -27,7 +28,7 @@
 	s.Earned += client.earned
 }
 
-// secondValue is the value of the requests begun in one second.
+// secondValue is the value of the requests that began in one second.
 type secondValue struct{ requested, earned float64 }
 
 func (s *secondValue) add(other secondValue) {
@@ -35,17 +36,17 @@
 	s.earned += other.earned
 }
 
-// fraction is as ServedValue's.
+// fraction returns the same as ServedValue.Fraction.
 func (s secondValue) fraction() float64 {
 	return ServedValue{Requested: s.requested, Earned: s.earned}.Fraction()
 }
 
-// Verdict is the result of a day.
+// Verdict is the result of a run.
 type Verdict struct {
 	ViolationCounts [ruleCount]int `json:"broken"` // by rule
 	Violations      []Violation    `json:"breaks,omitempty"`
-	Service         float64        `json:"service"` // value in time over value offered
-	Worst10         float64        `json:"worst_10s"`
+	Service         float64        `json:"service"`   // earned value over requested value
+	Worst10         float64        `json:"worst_10s"` // the same, minimum over windows of 10 s
 	Classes         []ServedValue  `json:"offerings"`
 	Tenants         []ServedValue  `json:"franchises,omitempty"`
 	ClientRequests  int            `json:"requests"`
@@ -63,7 +64,7 @@
 // NoViolations reports whether no rule was broken.
 func (v *Verdict) NoViolations() bool { return v.ViolationCounts == [ruleCount]int{} }
 
-// Finish ends the day: what is still open counts as it is.
+// Finish ends the run and returns the result. Requests that are still open count as they are.
 func (j *Judge) Finish(at policy.Time) *Verdict {
 	for i := range j.requests {
 		r := &j.requests[i]
@@ -94,13 +95,13 @@
 	return verdict
 }
 
-// addSeconds adds the service of the day, of its seconds, and of its worst ten seconds.
+// addSeconds adds the service of the run, of each second, and of the worst ten seconds.
 func (j *Judge) addSeconds(verdict *Verdict) {
 	const windowSeconds = 10
-	var day, window secondValue
+	var total, window secondValue
 	verdict.Worst10 = 1
 	for i, second := range j.seconds {
-		day.add(second)
+		total.add(second)
 		window.add(second)
 		verdict.Seconds = append(verdict.Seconds, ServedValue{Requested: second.requested, Earned: second.earned})
 		if i >= windowSeconds {
@@ -108,9 +109,9 @@
 			window.earned -= j.seconds[i-windowSeconds].earned
 		}
 		if i >= windowSeconds-1 && window.requested > 0 {
-			// Sums of floats may fall a little under 0.
+			// Rounding errors may bring the sum slightly below 0.
 			verdict.Worst10 = min(verdict.Worst10, max(0, window.earned/window.requested))
 		}
 	}
-	verdict.Service = day.fraction()
+	verdict.Service = total.fraction()
 }
