--- a/internal/emulator/baseline/balancer.go
+++ b/internal/emulator/baseline/balancer.go
@@ -11,34 +11,37 @@
 	"pepperlead/policy"
 )
 
+// endpoint is an endpoint of the list.
 type endpoint struct {
 	policy.Member
-	inFlight int
+	inFlight int // attempts of this instance in flight
 }
 
+// request is the state of one request. Its place in balancer.requests is used again after its release.
 type request struct {
 	inUse      bool
-	index      uint32
-	generation uint32
+	index      uint32 // in balancer.requests
+	generation uint32 // counts uses of this place, so that old handles can be told apart
 	class      policy.ClassID
 	key        string
-	hash       uint64
+	hash       uint64 // of the key, random if there is none
 	deadline   policy.Time
 	answered   bool
 	inFlight   bool
 	attempts   int
 	tried      []policy.EndpointID
-	mayHaveRun bool
-	ranAt      policy.Time
-	ranOn      policy.Member
-	sentAt     policy.Time
+	mayHaveRun bool          // an attempt has ended that may have run
+	ranAt      policy.Time   // start of the first such attempt
+	ranOn      policy.Member // endpoint of the first such attempt
+	sentAt     policy.Time   // start of the latest attempt
 }
 
 func (r *request) handle() policy.Handle {
 	return policy.Handle(uint64(r.generation)<<32 | uint64(r.index))
 }
 
-// balancer is what all baselines have in common: requests, deadlines and the rules.
+// balancer is the common part of all baselines. It handles requests and deadlines and keeps the rules; choose selects
+// the endpoints.
 type balancer struct {
 	front      policy.Front
 	settings   *policy.Settings
@@ -46,17 +49,17 @@
 	random     *rand.Rand
 	choose     chooser
 	endpoints  map[policy.EndpointID]*endpoint
-	ready      []policy.EndpointID // by id
-	nextInRing int
+	ready      []policy.EndpointID // ready endpoints, sorted
+	nextInRing int                 // counter of the round robin
 	now        policy.Time
 	requests   []*request
-	free       []uint32
-	wakeAt     policy.Time
+	free       []uint32    // indexes of unused requests
+	wakeAt     policy.Time // of the next call of Woken; 0: none is scheduled
 	usesSlots  bool
 	slots      *SlotTable
 }
 
-// noEndpoint is the id of no endpoint.
+// noEndpoint is the EndpointID that stands for no endpoint.
 const noEndpoint policy.EndpointID = 0
 
 // UpdateEndpoints applies a list.
@@ -86,6 +89,7 @@
 	}
 }
 
+// removeUnlisted marks the endpoints that a full list does not contain as removed.
 func (b *balancer) removeUnlisted(members []policy.Member) {
 	for id, e := range b.endpoints {
 		if !slices.ContainsFunc(members, func(m policy.Member) bool { return m.ID == id }) {
@@ -94,11 +98,12 @@
 	}
 }
 
+// joinSlots adds the endpoints of a list to the slot table, in the order of their IDs.
 func (b *balancer) joinSlots(members []policy.Member) {
 	if b.slots == nil {
 		b.slots = NewSlotTable(slotCount)
 	}
-	byID := func(x, y policy.Member) int { return cmp.Compare(x.ID, y.ID) }
+	byID := func(a, b policy.Member) int { return cmp.Compare(a.ID, b.ID) }
 	for _, m := range slices.SortedFunc(slices.Values(members), byID) {
 		if m.Status != policy.Removed {
 			b.slots.Join(m.ID, m.Weight)
@@ -106,12 +111,12 @@
 	}
 }
 
-// ListFailed polls again.
+// ListFailed polls the list again.
 func (b *balancer) ListFailed(policy.Time) { b.front.FollowList(true) }
 
-// Admit takes a request in.
+// Admit takes in a request.
 func (b *balancer) Admit(now policy.Time, class policy.ClassID, _ policy.TenantID, key string, _ bool,
-	left policy.Time) policy.Handle {
+	timeLeft policy.Time) policy.Handle {
 	if len(b.free) == 0 {
 		b.requests = append(b.requests, &request{index: uint32(len(b.requests))})
 		b.free = append(b.free, uint32(len(b.requests)-1))
@@ -125,7 +130,7 @@
 		generation: r.generation + 1,
 		class:      class,
 		key:        key,
-		deadline:   now + left,
+		deadline:   now + timeLeft,
 		tried:      r.tried[:0],
 	}
 	if key != "" {
@@ -136,7 +141,7 @@
 	return r.handle()
 }
 
-// lookup returns the request behind a handle, nil where it has been released.
+// lookup returns the request of a handle, or nil if it has been released.
 func (b *balancer) lookup(h policy.Handle) *request {
 	if h.Index() >= len(b.requests) {
 		return nil
@@ -151,12 +156,12 @@
 // Begin makes the first attempt of a request.
 func (b *balancer) Begin(now policy.Time, h policy.Handle) { b.dispatch(now, b.lookup(h)) }
 
-// marginTicks are the ticks before a deadline by which a request is answered.
+// marginTicks is the number of ticks before its deadline at which a request is answered at the latest.
 const marginTicks = 3
 
 func (b *balancer) margin() policy.Time { return marginTicks * b.settings.Tick }
 
-// dispatch makes an attempt, or answers the request where none can be made.
+// dispatch makes an attempt, or answers the request if no attempt can be made.
 func (b *balancer) dispatch(now policy.Time, r *request) {
 	b.now = now
 	timeout := r.deadline - b.margin() - now
@@ -175,7 +180,8 @@
 	b.reject(r)
 }
 
-// reject answers that the request was not served: as a rejection where the client's retry can do no harm.
+// reject answers that the request was not served. The answer is a rejection if it is safe that the client retries, and
+// a failure otherwise.
 func (b *balancer) reject(r *request) {
 	class := &b.settings.Classes[r.class]
 	r.answered = true
@@ -190,7 +196,7 @@
 	b.release(r)
 }
 
-// release makes the request's place free once it is answered and no attempt is in flight.
+// release frees the request's place for reuse once it is answered and no attempt is in flight.
 func (b *balancer) release(r *request) {
 	if r.inUse && r.answered && !r.inFlight {
 		r.inUse = false
@@ -200,7 +206,7 @@
 
 // AttemptEnded answers the request or makes a further attempt.
 func (b *balancer) AttemptEnded(now policy.Time, h policy.Handle, number policy.AttemptNo, id policy.EndpointID,
-	outcome policy.Outcome, _ policy.Time, over bool) {
+	outcome policy.Outcome, _ policy.Time, answered bool) {
 	r := b.lookup(h)
 	if r == nil {
 		return
@@ -208,7 +214,7 @@
 	r.inFlight = false
 	used := b.endpoints[id]
 	used.inFlight--
-	r.answered = r.answered || over
+	r.answered = r.answered || answered
 	if r.answered {
 		b.release(r)
 		return
@@ -228,7 +234,7 @@
 	b.dispatch(now, r)
 }
 
-// ClientLeft ends a request whose client is gone.
+// ClientLeft ends a request whose client no longer waits.
 func (b *balancer) ClientLeft(_ policy.Time, h policy.Handle) {
 	if r := b.lookup(h); r != nil && !r.answered {
 		r.answered = true
@@ -237,12 +243,14 @@
 	}
 }
 
+// cancel cancels the attempt in flight, if there is one and endpoints stop cancelled work.
 func (b *balancer) cancel(r *request) {
 	if r.inFlight && b.settings.MayCancel {
 		b.front.Cancel(r.handle(), policy.AttemptNo(r.attempts-1))
 	}
 }
 
+// wake schedules a call of Woken, unless one is scheduled for the same time or earlier.
 func (b *balancer) wake(now, at policy.Time) {
 	if b.wakeAt == 0 || at < b.wakeAt {
 		b.wakeAt = at
@@ -250,7 +258,7 @@
 	}
 }
 
-// Woken answers the requests whose time is up.
+// Woken answers the requests whose deadline is within the margin.
 func (b *balancer) Woken(now policy.Time) {
 	if now < b.wakeAt {
 		return
@@ -269,7 +277,8 @@
 	}
 }
 
-// allowed keeps the rules on drains and retries, and makes no two attempts of a request at one endpoint.
+// allowed reports whether a request may be sent to an endpoint: by the rules on drains and retries, and only if no
+// attempt of the request was sent there before.
 func (b *balancer) allowed(r *request, id policy.EndpointID) bool {
 	e := b.endpoints[id]
 	if e == nil || e.Status != policy.Ready || slices.Contains(r.tried, id) {
--- a/internal/emulator/baseline/baseline.go
+++ b/internal/emulator/baseline/baseline.go
@@ -1,7 +1,7 @@
-// Package baseline has policies to compare the decision module with: random, ring in turn, fewest attempts in flight,
-// the better of two, the bare slot table, and one that sees the true state of the fleet, as an upper mark. They keep
-// the rules on answers, retries and drains; those that know nothing of cold endpoints use them like others. Nothing
-// that is deployed imports this package.
+// Package baseline has policies to compare the decision module with: random choice, round robin, fewest attempts in
+// flight, the better of two random choices, a plain slot table, and, as an upper bound, a policy that sees the true
+// state of the fleet. They keep the rules on answers, retries and drains. Except for the last one, they do not know
+// which endpoints are cold and use them like others. Nothing that is deployed imports this package.
 package baseline
 
 import (
@@ -14,10 +14,10 @@
 	"pepperlead/policy"
 )
 
-// Names are those of all policies, the module's first.
+// Names has the names of all policies, beginning with the decision module.
 var Names = []string{"module", "random", "ring", "fewest", "two", "table", "seeing"}
 
-// chooser picks an endpoint for an attempt, or noEndpoint.
+// chooser returns the endpoint for an attempt, or noEndpoint if there is none.
 type chooser func(b *balancer, r *request) policy.EndpointID
 
 var choosers = map[string]chooser{
@@ -29,10 +29,10 @@
 	"seeing": (*balancer).chooseBest,
 }
 
-// seedStream keeps the draws of a baseline apart from those of other users of the same seed.
+// seedStream makes the random numbers of baselines independent of other uses of the same seed.
 const seedStream = 0x62617365
 
-// Factory returns the factory of the policy of that name.
+// Factory returns the factory of the policy with the given name.
 func Factory(name string) (emulator.DeciderFactory, error) {
 	if name == "module" {
 		return emulator.NewModule, nil
@@ -50,7 +50,7 @@
 			view:       view,
 			random:     random,
 			choose:     choose,
-			nextInRing: random.IntN(math.MaxInt32), // from one start for all, instances would go round in step
+			nextInRing: random.IntN(math.MaxInt32), // so that instances do not all use the same endpoint at a time
 			endpoints:  map[policy.EndpointID]*endpoint{},
 			usesSlots:  name == "table",
 		}
--- a/internal/emulator/baseline/slottable.go
+++ b/internal/emulator/baseline/slottable.go
@@ -10,20 +10,20 @@
 // slotCount is the number of slots that the table policy uses.
 const slotCount = 1 << 14
 
-// leastWeight stands in place of a weight of zero.
-const leastWeight = 1e-9
+// minWeight replaces a weight of zero.
+const minWeight = 1e-9
 
-// SlotTable is the design's slot table with nothing around it, assigned in the plainest way: endpoints join in id
-// order, and each takes in seeded order slots that others hold above their new share.
+// SlotTable is a plain slot table without anything that adapts to load. Slots are assigned when endpoints join: each
+// takes slots, in a fixed random order, that are free or whose owners have more than their new share.
 type SlotTable struct {
-	table  []policy.EndpointID
-	order  []int
-	ids    []policy.EndpointID
+	table  []policy.EndpointID // owner of each slot
+	order  []int               // order in which slots are taken
+	ids    []policy.EndpointID // sorted
 	weight map[policy.EndpointID]float64
-	owned  map[policy.EndpointID]int
+	owned  map[policy.EndpointID]int // number of slots
 }
 
-// NewSlotTable makes an empty table.
+// NewSlotTable returns an empty table.
 func NewSlotTable(size int) *SlotTable {
 	return &SlotTable{
 		table:  make([]policy.EndpointID, size),
@@ -33,12 +33,12 @@
 	}
 }
 
-// Join adds an endpoint, or does nothing if it has joined.
+// Join adds an endpoint. It does nothing if the endpoint has joined before.
 func (s *SlotTable) Join(id policy.EndpointID, weight float64) {
 	if _, joined := s.weight[id]; joined {
 		return
 	}
-	s.weight[id] = max(weight, leastWeight)
+	s.weight[id] = max(weight, minWeight)
 	s.ids = append(s.ids, id)
 	slices.Sort(s.ids)
 	shares := s.shares()
@@ -54,7 +54,7 @@
 	}
 }
 
-// shares returns how many slots each endpoint should own, exact to one slot.
+// shares returns how many slots each endpoint should own by its weight, rounded so that they add up to all slots.
 func (s *SlotTable) shares() map[policy.EndpointID]int {
 	total := 0.0
 	for _, weight := range s.weight {
@@ -72,7 +72,7 @@
 	return shares
 }
 
-// Lookup returns the first endpoint from the hash's slot on that is allowed.
+// Lookup returns the first allowed owner of a slot, from the hash's slot on, or noEndpoint if no owner is allowed.
 func (s *SlotTable) Lookup(hash uint64, allowed func(policy.EndpointID) bool) policy.EndpointID {
 	seen := map[policy.EndpointID]bool{}
 	for i := range s.table {
