--- a/internal/trace/reader.go
+++ b/internal/trace/reader.go
@@ -10,11 +10,12 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Bounds on what is decoded, against damaged files.
+// Limits of the decoder, which protect against damaged files.
 const (
 	maxNesting       = 4
 	maxArrayElements = 1 << 16
-	// maxLastRecord is how many bytes the record that exceeds MaxSize may add, with what was buffered.
+	// maxLastRecord is how many bytes a trace may have beyond MaxSize: those of the record that exceeds the size, and
+	// of the recorder's buffer.
 	maxLastRecord = 1 << 20
 )
 
@@ -22,7 +23,7 @@
 type Trace struct {
 	Header
 	Records   []Record
-	Truncated bool // it ends within a record
+	Truncated bool // the file ends within a record
 }
 
 // Read reads a trace up to its last complete record.
@@ -33,7 +34,7 @@
 	}
 	t := &Trace{}
 	if err := decoder.Decode(&t.Header); err != nil {
-		return nil, fmt.Errorf("trace: its head cannot be read: %w", err)
+		return nil, fmt.Errorf("trace: header cannot be decoded: %w", err)
 	}
 	if t.Format != format || t.Version != version {
 		return nil, fmt.Errorf("trace: found %.40q of version %d, allowed %q of version %d",
@@ -51,12 +52,12 @@
 			t.Truncated = true
 			return t, nil
 		default:
-			return t, fmt.Errorf("trace: record %d cannot be read: %w", len(t.Records)+1, err)
+			return t, fmt.Errorf("trace: record %d cannot be decoded: %w", len(t.Records)+1, err)
 		}
 	}
 }
 
-// newDecoder returns a decoder of the items of a trace.
+// newDecoder returns a decoder for the items of a trace.
 func newDecoder(from io.Reader) (*cbor.Decoder, error) {
 	mode, err := cbor.DecOptions{MaxNestedLevels: maxNesting, MaxArrayElements: maxArrayElements}.DecMode()
 	if err != nil {
@@ -66,13 +67,13 @@
 	return mode.NewDecoder(bufio.NewReader(limited)), nil
 }
 
-// ReadFile reads the trace in a file. With an error it may return the records before it.
+// ReadFile reads a trace from a file. It may return the records before an error together with the error.
 func ReadFile(path string) (*Trace, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // the file was only read
 	t, err := Read(file)
 	if err != nil {
 		return t, fmt.Errorf("%s: %w", path, err)
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	// queueLength is how many records may wait to be written.
+	// queueLength is the number of records that may wait to be written.
 	queueLength = 1 << 13
-	// bufferSize is how many bytes are written at once, except for flushes.
+	// bufferSize is the number of bytes that are written to the file at once. Flushes may write fewer.
 	bufferSize = 64 << 10
-	// flushInterval is how long a written record may stay in the buffer.
+	// flushInterval is the longest time that a record stays in the buffer.
 	flushInterval = 100 * time.Millisecond
-	// traceFileMode is the mode of a trace: it names requests and is for its owner alone.
+	// traceFileMode is the mode of trace files. They contain data about requests, so only the owner has access.
 	traceFileMode = 0o600
-	// weightScale is how many units a record has for a weight of 1.
+	// weightScale is the number in a record that stands for a weight of 1.
 	weightScale = 1e6
 )
 
-// Recorder takes records from the event loop and writes them in a goroutine of its own. It never blocks the loop:
-// records that come faster than the disk takes them are dropped and counted. Its methods are for the loop's goroutine,
-// but for Dropped.
+// Recorder receives records from the event loop and writes them in a separate goroutine. It never blocks the loop:
+// records are dropped and counted if they arrive faster than they can be written. Except for Dropped, its methods must
+// be called from the loop's goroutine.
 type Recorder struct {
 	header    Header
 	records   chan Record
-	result    chan error // of the writer, once it has ended
+	result    chan error // result of write, sent when it returns
 	dropped   atomic.Int64
-	endpoints map[policy.EndpointID]int64 // the numbers of endpoints in this trace
+	endpoints map[policy.EndpointID]int64 // numbers of the endpoints in this trace
 }
 
-// Create starts a trace in a file, in place of what the file has.
+// Create starts a trace in a file. It replaces the content of an existing file.
 func Create(path string, header Header) (*Recorder, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, traceFileMode)
 	if err != nil {
@@ -58,8 +58,8 @@
 	return r, nil
 }
 
-// write writes the header and all records until the recorder is closed. After an error it goes on to take records, and
-// counts them as dropped.
+// write writes the header and all records until the recorder is closed. After an error, it continues to receive records
+// and counts them as dropped.
 func (r *Recorder) write(to io.Writer) error {
 	written := &countingWriter{to: to}
 	buffer := bufio.NewWriterSize(written, bufferSize)
@@ -86,20 +86,20 @@
 	}
 }
 
-// countingWriter counts the bytes that it passes on.
+// countingWriter counts the bytes that are written to the underlying writer.
 type countingWriter struct {
 	to    io.Writer
 	bytes int64
 }
 
-// Write passes bytes on.
+// Write writes to the underlying writer.
 func (w *countingWriter) Write(b []byte) (int, error) {
 	n, err := w.to.Write(b)
 	w.bytes += int64(n)
 	return n, err
 }
 
-// Put records a record. Its time is a Unix time here, and is written relative to the start of the trace.
+// Put adds a record to the trace. record.At must be a Unix time; the trace has it relative to its start.
 func (r *Recorder) Put(record Record) {
 	record.At -= r.header.Start
 	select {
@@ -109,7 +109,8 @@
 	}
 }
 
-// EndpointNumber returns the number of an endpoint in this trace. It introduces the endpoint the first time.
+// EndpointNumber returns the number of an endpoint in this trace. The first call for an endpoint assigns the number and
+// adds a record of it.
 func (r *Recorder) EndpointNumber(now policy.Time, member policy.Member, uid string) int64 {
 	if number, known := r.endpoints[member.ID]; known {
 		return number
@@ -128,7 +129,7 @@
 	return number
 }
 
-// KnownEndpoint returns the number of an endpoint, or -1 if it was not introduced.
+// KnownEndpoint returns the number of an endpoint, or -1 if none is assigned.
 func (r *Recorder) KnownEndpoint(id policy.EndpointID) int64 {
 	if number, known := r.endpoints[id]; known {
 		return number
@@ -136,10 +137,10 @@
 	return -1
 }
 
-// Dropped returns how many records could not be written.
+// Dropped returns the number of records that were not written.
 func (r *Recorder) Dropped() int64 { return r.dropped.Load() }
 
-// Close writes the remaining records. Put must not be called afterwards.
+// Close writes the remaining records and closes the file. Put must not be called afterwards.
 func (r *Recorder) Close() error {
 	close(r.records)
 	return <-r.result
