--- a/internal/emulator/golden_test.go
+++ b/internal/emulator/golden_test.go
@@ -8,9 +8,9 @@
 	"pepperlead/internal/golden"
 )
 
-// TestScenariosAreReadAsBefore holds the values that each scenario of the repository, and one with each key, is read as to those
-// that it was read as before. The values stand in the order of their fields, without names.
-func TestScenariosAreReadAsBefore(t *testing.T) {
+// TestScenarioValuesMatchGoldenFiles compares the values that are read from each scenario of the repository, and from one that sets
+// every key, with golden files. These have the values in the order of the fields, without names.
+func TestScenarioValuesMatchGoldenFiles(t *testing.T) {
 	paths, err := filepath.Glob("../../scenarios/*.toml")
 	if err != nil || len(paths) == 0 {
 		t.Fatal(err, len(paths))
@@ -32,7 +32,7 @@
 	}
 }
 
-// TestFaultsHaveTheirNames holds the names of faults, by which scenarios and reports call them, to what they were before.
-func TestFaultsHaveTheirNames(t *testing.T) {
+// TestFaultNamesMatchGoldenFile guards the names of faults, which scenarios and reports use.
+func TestFaultNamesMatchGoldenFile(t *testing.T) {
 	golden.Compare(t, "faults.values", golden.Values(faultNames))
 }
--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -10,7 +10,7 @@
 	"pepperlead/internal/golden"
 )
 
-// goldenTrace is a trace that has each kind of record once, with a value of its own in each field.
+// goldenTrace returns the header and the records of a trace with one record of each kind. Each field has a different value.
 func goldenTrace() (Header, []Record) {
 	var header Header
 	golden.Fill(&header)
@@ -28,8 +28,8 @@
 	return header, records
 }
 
-// TestTraceIsWrittenAsBefore writes a trace and holds its bytes to those that were written before.
-func TestTraceIsWrittenAsBefore(t *testing.T) {
+// TestWrittenTraceMatchesGoldenFile writes a trace and compares its bytes with the golden file.
+func TestWrittenTraceMatchesGoldenFile(t *testing.T) {
 	header, records := goldenTrace()
 	path := filepath.Join(t.TempDir(), "trace")
 	recorder, err := Create(path, header)
@@ -50,8 +50,8 @@
 	golden.Compare(t, "trace.cbor", written)
 }
 
-// TestTraceOfBeforeIsRead reads the trace that was written before.
-func TestTraceOfBeforeIsRead(t *testing.T) {
+// TestReadGoldenTrace reads the trace in the golden file, so that traces of earlier versions stay readable.
+func TestReadGoldenTrace(t *testing.T) {
 	header, records := goldenTrace()
 	read, err := Read(bytes.NewReader(golden.Read(t, "trace.cbor")))
 	if err != nil {
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -10,33 +10,35 @@
 	"pepperlead/policy"
 )
 
+// write writes a trace and returns its bytes and the records that it must contain.
 func write(t testing.TB) ([]byte, []Record) {
 	path := filepath.Join(t.TempDir(), "t")
-	r, err := Create(path, Header{Start: 1000, Name: "n", Zone: "a", Classes: []string{"step"}})
+	recorder, err := Create(path, Header{Start: 1000, Name: "n", Zone: "a", Classes: []string{"step"}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var want []Record
-	number := r.EndpointNumber(1001, policy.Member{ID: 7, Cell: 3, Weight: 1.5, Zone: "a"}, "s-1")
+	number := recorder.EndpointNumber(1001, policy.Member{ID: 7, Cell: 3, Weight: 1.5, Zone: "a"}, "s-1")
 	want = append(want, Record{Kind: Endpoint, At: 1, A: 3, B: 1500000, UID: "s-1", Zone: "a"})
 	for i := range policy.Time(50) {
 		record := Record{Kind: Request, At: 1002 + i, No: uint64(i), C: policy.Second, Key: 1 << 63}
-		r.Put(record)
+		recorder.Put(record)
 		record.At -= 1000
 		want = append(want, record)
 	}
-	if again := r.EndpointNumber(2000, policy.Member{ID: 7}, "s-1"); again != number || r.KnownEndpoint(7) != number || r.KnownEndpoint(8) != -1 {
-		t.Error("an endpoint has two numbers")
+	if again := recorder.EndpointNumber(2000, policy.Member{ID: 7}, "s-1"); again != number || recorder.KnownEndpoint(7) != number ||
+		recorder.KnownEndpoint(8) != -1 {
+		t.Error("the number of an endpoint changed, or an unknown endpoint has one")
 	}
-	if err := r.Close(); err != nil || r.Dropped() != 0 {
-		t.Fatal(err, r.Dropped())
+	if err := recorder.Close(); err != nil || recorder.Dropped() != 0 {
+		t.Fatal(err, recorder.Dropped())
 	}
-	b, _ := os.ReadFile(path)
-	return b, want
+	written, _ := os.ReadFile(path)
+	return written, want
 }
 
-// A trace truncated anywhere, as by a kill, has all of its complete records, and says that it is truncated.
-func TestTruncatedTracesAreReadToTheLastCompleteRecord(t *testing.T) {
+// A trace that is truncated at any byte, as when its process is killed, is read up to its last complete record and marked as truncated.
+func TestReadTruncatedTraces(t *testing.T) {
 	complete, want := write(t)
 	last := -1
 	for i := range len(complete) + 1 {
@@ -51,7 +53,7 @@
 			t.Fatalf("truncated at %d: %d records after %d", i, n, last)
 		}
 		if n := len(got.Records); n == last && !got.Truncated {
-			t.Fatalf("truncated at %d: not reported", i)
+			t.Fatalf("truncated at %d: not marked as truncated", i)
 		}
 		last = len(got.Records)
 	}
