--- a/internal/emulator/baseline/balancer.go
+++ b/internal/emulator/baseline/balancer.go
@@ -59,7 +59,7 @@
 	slots      *SlotTable
 }
 
-// noEndpoint is the EndpointID that stands for no endpoint.
+// noEndpoint is an EndpointID that no endpoint has.
 const noEndpoint policy.EndpointID = 0
 
 // UpdateEndpoints applies a list.
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// A retry that reaches its instance after the client's deadline needs no answer. With seed 19, this scenario has two such retries,
-// which the judge once reported as violations.
+// A retry that reaches its instance after the client's deadline needs no answer. With seed 19, this scenario has two
+// such retries, which the judge once reported as violations.
 func TestRetriesAfterTheDeadlineNeedNoAnswer(t *testing.T) {
 	text, _ := load("monday-without-b.toml")
 	if v := simulate(t, read(t, string(text)), 19, "module"); !v.NoViolations() {
@@ -84,8 +84,8 @@
 	}
 }
 
-// The plain slot table does not know which endpoints are cold. In a rolling deployment it breaks rule 4, which shows that the scenario
-// provokes this and that the judge detects it.
+// The plain slot table does not know which endpoints are cold. In a rolling deployment it breaks rule 4, which shows
+// that the scenario provokes this and that the judge detects it.
 func TestSlotTableOverloadsColdEndpoints(t *testing.T) {
 	text, _ := load("rolling.toml")
 	sc := read(t, string(text))
@@ -98,10 +98,11 @@
 	}
 }
 
-// A response that arrives exactly at the timeout of its attempt counts as received, and a final answer exactly at the deadline is in
-// time.
+// A response that arrives exactly at the timeout of its attempt counts as received, and a final answer exactly at the
+// deadline is in time.
 func TestResponseAtTimeoutAndAnswerAtDeadline(t *testing.T) {
-	// One endpoint, no jitter: 1 ms to the endpoint, 10 ms of work, 1 ms back. The timeout is equal to their sum, 12 ms.
+	// One endpoint, no jitter: 1 ms to the endpoint, 10 ms of work, 1 ms back. The timeout is equal to their sum, 12
+	// ms.
 	sc := read(t, "name = \"x\"\nlength = \"1s\"\n[fleet]\nservers = 1\nsidecars = 1\n[[kind]]\nname = \"k\"\ncores = 1000\n[load]\nrate = 1.0\n"+
 		"[network]\nnear = \"1ms\"\nhandshakes = 0\nclient = \"0s\"\n[[offering]]\nname = \"o\"\nquoted_time = \"27ms\"\ncut_off = \"27ms\"\nwork = \"10ms\"\n")
 	sc.Arrivals = []emulator.Arrival{{At: policy.Second / 2, Tenant: policy.NoTenant, TimeLeft: 27 * policy.Millisecond, WorkFactor: 1, IOFactor: 1}}
--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -132,19 +132,19 @@
 
 // shareCores sets the speed of a pod's endpoints so that they use no more cores than its limit. All get the same part
 // of their speed. Changes of less than 0.01 are left out, unless the limit begins or ceases to apply.
-func (pod *pod) shareCores(now policy.Time) {
-	if pod.limit == 0 || len(pod.endpoints) == 0 {
+func (p *pod) shareCores(now policy.Time) {
+	if p.limit == 0 || len(p.endpoints) == 0 {
 		return
 	}
 	busy := 0.0
-	for _, ep := range pod.endpoints {
+	for _, ep := range p.endpoints {
 		busy += ep.machine.Busy()
 	}
-	part := min(1, pod.limit*pod.limitFactor/max(busy, 1e-9))
-	if math.Abs(part-pod.endpoints[0].podSpeed()) < 0.01 && (part < 1) == (pod.endpoints[0].podSpeed() < 1) {
+	part := min(1, p.limit*p.limitFactor/max(busy, 1e-9))
+	if math.Abs(part-p.endpoints[0].podSpeed()) < 0.01 && (part < 1) == (p.endpoints[0].podSpeed() < 1) {
 		return
 	}
-	for _, ep := range pod.endpoints {
+	for _, ep := range p.endpoints {
 		ep.machine.SetPodSpeed(now, part)
 		ep.scheduledAt = 0
 		ep.scheduleNext()
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -221,7 +221,8 @@
 	ep.applySlowFactors()
 }
 
-// becomeUnreachable cuts the endpoint off from the network. With cold, its process ends too, and its work is lost.
+// becomeUnreachable handles the start of a fault that makes the endpoint unreachable, which discovery detects later.
+// With cold, the endpoint's process ends too, and its work is lost.
 func (ep *endpoint) becomeUnreachable(cold bool) {
 	if cold {
 		ep.stop()
@@ -230,7 +231,8 @@
 	ep.world.statusChanged(ep, policy.Removed, false)
 }
 
-// becomeReachable connects the endpoint to the network again, and starts its process if that has ended.
+// becomeReachable handles the end of such a fault. Unless another one is active, the process starts again if it has
+// ended, and discovery learns that the endpoint is ready.
 func (ep *endpoint) becomeReachable() {
 	if ep.unreachable() || ep.status == policy.Removed {
 		return // still affected by another fault
--- a/internal/emulator/golden_test.go
+++ b/internal/emulator/golden_test.go
@@ -8,8 +8,8 @@
 	"pepperlead/internal/golden"
 )
 
-// TestScenarioValuesMatchGoldenFiles compares the values that are read from each scenario of the repository, and from one that sets
-// every key, with golden files. These have the values in the order of the fields, without names.
+// TestScenarioValuesMatchGoldenFiles compares the values that are read from each scenario of the repository, and from
+// one that sets every key, with golden files. These have the values in the order of the fields, without names.
 func TestScenarioValuesMatchGoldenFiles(t *testing.T) {
 	paths, err := filepath.Glob("../../scenarios/*.toml")
 	if err != nil || len(paths) == 0 {
--- a/internal/emulator/judge/judge_test.go
+++ b/internal/emulator/judge/judge_test.go
@@ -211,8 +211,8 @@
 	}
 }
 
-// The service is the earned part of the requested value: all of it for a response within the target latency, LateValue of it for a later
-// one.
+// The service is the earned part of the requested value: all of it for a response within the target latency, LateValue
+// of it for a later one.
 func TestServiceIsEarnedValue(t *testing.T) {
 	j := newJudge()
 	request := func(at, latency policy.Time, value float64, answer Answer) {
@@ -273,8 +273,8 @@
 		s.Busiest != 1 || s.BusiestMax != 1 || s.IdleSeconds != 0 || s.Herd != 0.75 {
 		t.Errorf("%+v", s)
 	}
-	// All attempts have the same key and go to one endpoint of capacity 1: 4 in each second; 20 in 5 s, of which 5 are its share; 2 within
-	// 50 ms.
+	// All attempts have the same key and go to one endpoint of capacity 1: 4 in each second; 20 in 5 s, of which 5 are
+	// its share; 2 within 50 ms.
 	if s := spreadOf(func(j *Judge, attempt func(policy.Time, EndpointID, uint64)) {
 		for at := policy.Time(0); at < 50*sec; at += sec / 2 {
 			attempt(at, 0, 7)
--- a/internal/emulator/largefleet_test.go
+++ b/internal/emulator/largefleet_test.go
@@ -13,9 +13,9 @@
 
 var fleetSizes = []fleetSize{{4, 8}, {60, 24}, {350, 120}}
 
-// Each instance sees little of a large fleet. Together they must serve at least as much value as random choice does in the same run,
-// and at least half of what a policy serves that sees the true state of the fleet. The latter holds for the whole run, for each third
-// of it, and for each class with a twentieth of the requests or of the value.
+// Each instance sees little of a large fleet. Together they must serve at least as much value as random choice does in
+// the same run, and at least half of what a policy serves that sees the true state of the fleet. The latter holds for
+// the whole run, for each third of it, and for each class with a twentieth of the requests or of the value.
 func TestValueServedByLargeFleets(t *testing.T) {
 	for _, scenario := range []string{"short-queues.toml", "short-deadlines.toml", "many-tenants.toml", "one-class.toml",
 		"release.toml", "zone-returns.toml", "restarts.toml"} {
--- a/internal/emulator/machine/keycache.go
+++ b/internal/emulator/machine/keycache.go
@@ -1,6 +1,6 @@
 package machine
 
-// noEntry is the index that stands for no cache entry.
+// noEntry is the index of a missing cache entry.
 const noEntry = -1
 
 // keyCache is an LRU cache of keys.
--- a/internal/emulator/machine/machine.go
+++ b/internal/emulator/machine/machine.go
@@ -33,7 +33,7 @@
 // JobID identifies a job in the machine. IDs of jobs that have ended are used again.
 type JobID int32
 
-// NoJob is the JobID that stands for no job.
+// NoJob is a JobID that no job has.
 const NoJob JobID = -1
 
 // phase is the state of an entry of Machine.jobs.
@@ -298,7 +298,7 @@
 	m.pausedUntil = max(m.pausedUntil, until)
 }
 
-// AddConnections adds to the number of open connections; a negative change stands for closed ones.
+// AddConnections adds to the number of open connections; change is negative for closed ones.
 func (m *Machine) AddConnections(now policy.Time, change int) {
 	m.advance(now)
 	m.connections += change
--- a/internal/emulator/machine/machine_test.go
+++ b/internal/emulator/machine/machine_test.go
@@ -19,7 +19,8 @@
 	io   policy.Time
 }
 
-// simulate submits jobs at their times and calls actions at theirs. It returns when each job has finished, 0 for a rejected one.
+// simulate submits jobs at their times and calls actions at theirs. It returns when each job has finished, 0 for a
+// rejected one.
 func simulate(m *Machine, submissions []submission, actions map[policy.Time]func()) []policy.Time {
 	finishedAt := make([]policy.Time, len(submissions))
 	now := policy.Time(0)
@@ -132,8 +133,8 @@
 	}
 }
 
-// meanTime submits n jobs with exponentially distributed gaps and work. It returns the mean time of the jobs in the machine, and half
-// the width of a confidence interval: 3.5 standard errors, from 20 batches.
+// meanTime submits n jobs with exponentially distributed gaps and work. It returns the mean time of the jobs in the
+// machine, and half the width of a confidence interval: 3.5 standard errors, from 20 batches.
 func meanTime(m *Machine, rate float64, work policy.Time, n int) (mean, half float64) {
 	random := rand.New(rand.NewPCG(5, 6))
 	arrivedAt := make([]policy.Time, n)
@@ -168,8 +169,8 @@
 	return mean, 3.5 * math.Sqrt(squares/float64(len(batches)-1)/float64(len(batches)))
 }
 
-// Workers with a queue are an M/M/c system, for which the Erlang C formula gives the mean time in the system. A shared core is an M/M/1
-// system with processor sharing, with a mean time of work/(1-load).
+// Workers with a queue are an M/M/c system, for which the Erlang C formula gives the mean time in the system. A shared
+// core is an M/M/1 system with processor sharing, with a mean time of work/(1-load).
 func TestMeanTimesMatchQueueingTheory(t *testing.T) {
 	const work = 10 * ms
 	for _, test := range []struct {
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -122,21 +122,21 @@
 
 // The kinds of faults.
 const (
-	ZoneLost FaultKind = iota
-	Slow
-	AllSlow
-	Errors
-	Silent
-	Pauses
-	PodThrottled
-	SidecarRestart
-	ListBehind
-	Burst
-	HotKey
-	Shrink
-	Grow
-	Rolling
-	Crash
+	ZoneLost       FaultKind = iota // a zone's endpoints, and optionally its instances, are lost
+	Slow                            // endpoints are slower
+	AllSlow                         // all endpoints are slower
+	Errors                          // endpoints answer with errors
+	Silent                          // endpoints are unreachable
+	Pauses                          // endpoints pause in turn
+	PodThrottled                    // pods of the endpoints have fewer cores
+	SidecarRestart                  // instances are down, and start again with their saved list
+	ListBehind                      // endpoint lists are delayed
+	Burst                           // the rate of requests is higher or lower
+	HotKey                          // a part of the requests has the same key
+	Shrink                          // endpoints drain and leave
+	Grow                            // endpoints are added
+	Rolling                         // endpoints drain and restart one after another
+	Crash                           // the processes of endpoints end
 	faultKinds
 )
 
@@ -148,13 +148,15 @@
 
 // Fault describes one fault. Faults may overlap.
 type Fault struct {
-	Kind             FaultKind
-	At, Duration     policy.Time
-	Share            float64     // part of the candidates that are affected, drawn at random; 0: all
-	Count            int         // number of candidates that are affected; over 0, it replaces Share
-	Zone             policy.Zone // only candidates of this zone; empty: of all zones
-	Pod              int         // only endpoints of this pod; -1: of all pods
-	Size             float64     // its unit depends on the kind
+	Kind         FaultKind
+	At, Duration policy.Time
+	Share        float64     // part of the candidates that are affected, drawn at random; 0: all
+	Count        int         // number of candidates that are affected; over 0, it replaces Share
+	Zone         policy.Zone // only candidates of this zone; empty: of all zones
+	Pod          int         // only endpoints of this pod; -1: of all pods
+	// Size is the divisor of the speed (slow, all-slow), the factor on the rate (burst), the part of the requests
+	// (errors, hot-key), the part of the cores that is left (pod-throttled), or the seconds of a pause (pauses).
+	Size             float64
 	Every            policy.Time // pauses: between two pauses of an endpoint; rolling, shrink: between two drains
 	Cold             bool        // zone-lost, silent: the endpoints lose their work and come back cold
 	IncludeInstances bool        // zone-lost: the zone's instances fail too
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -74,13 +74,13 @@
 	freeTries         []int32
 	classShares       []float64 // cumulative
 	tenantShares      []float64 // cumulative
-	rate              float64   // requests a second
+	rate              float64   // requests per second
 	keys              *zipf
-	hotKeyShare       float64 // part of the requests that use the hot key
-	burstFactor       float64 // factor on the rate
-	lostZones         map[policy.Zone]int
-	listsDelayedUntil policy.Time
-	version           int64
+	hotKeyShare       float64               // part of the requests that use the hot key
+	burstFactor       float64               // factor on the rate
+	lostZones         map[policy.Zone]int   // number of active zone-lost faults by zone
+	listsDelayedUntil policy.Time           // end of list-behind faults
+	version           int64                 // of the endpoint list that discovery has
 	finishedJobs      []machine.FinishedJob // buffer of endpoint.advance
 	eventCount        uint64
 	wastedWork        float64 // part of totalWork done for attempts that had already ended at their instance
@@ -159,7 +159,7 @@
 	}
 }
 
-// scheduleInitialEvents plans the faults, the first sample and the first request.
+// scheduleInitialEvents schedules the faults, the first sample and the first request.
 func (w *World) scheduleInitialEvents() {
 	w.scheduleFaults()
 	w.queue.add(event{at: startTime + policy.Second, rank: rankWorld, do: (*World).takeSample})
@@ -302,7 +302,7 @@
 	return cores
 }
 
-// Run runs the simulation until every request has ended, which may be later than the scenario's length.
+// Run runs the simulation for the scenario's length, and on until all requests have ended.
 func (w *World) Run() *judge.Verdict {
 	longest := policy.Time(0)
 	for _, class := range w.scenario.Classes {
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -22,7 +22,7 @@
 	flushInterval = 100 * time.Millisecond
 	// traceFileMode is the mode of trace files. They contain data about requests, so only the owner has access.
 	traceFileMode = 0o600
-	// weightScale is the number in a record that stands for a weight of 1.
+	// weightScale is the value in a record for a weight of 1.
 	weightScale = 1e6
 )
 
