--- a/internal/emulator/attempt.go
+++ b/internal/emulator/attempt.go
@@ -36,7 +36,7 @@
 			return // the connection never came up; the timeout ends the attempt
 		}
 		try.written = true
-		w.judge.AttemptWritten(try.judged, try.judgedAttempt)
+		w.judge.AttemptWritten(try.judgeID, try.judgeAttempt)
 	}
 	switch {
 	case ep.unreachable():
@@ -236,7 +236,7 @@
 	neverRan := outcome == policy.Rejected || outcome == policy.NotConnected || outcome == policy.NotSent
 	try.inFlight = false
 	try.endpoint.inFlight--
-	w.judge.AttemptEnded(try.judged, try.judgedAttempt, neverRan)
+	w.judge.AttemptEnded(try.judgeID, try.judgeAttempt, neverRan)
 	inst := try.instance
 	number, id := policy.AttemptNo(try.attempts-1), try.endpoint.id
 	answered := !try.clientWaiting
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -144,7 +144,7 @@
 		w.freeRequests = append(w.freeRequests, requestIndex)
 		return
 	}
-	req.judged = w.judge.ClientRequestBegun(
+	req.judgeID = w.judge.ClientRequestBegun(
 		w.sinceStart(w.now),
 		req.class,
 		req.tenant,
@@ -187,10 +187,10 @@
 		job:                 machine.NoJob,
 	}
 	try := &w.tries[tryIndex]
-	try.judged = w.judge.RequestAccepted(w.sinceStart(w.now), req.judged, inst.number, req.class,
+	try.judgeID = w.judge.RequestAccepted(w.sinceStart(w.now), req.judgeID, inst.number, req.class,
 		w.sinceStart(req.deadline))
 	w.queue.add(event{at: req.deadline, rank: rankDeadline, do: (*World).deadlinePassed, a: tryIndex})
-	w.judge.SetKey(try.judged, req.key)
+	w.judge.SetKey(try.judgeID, req.key)
 	key := ""
 	if req.key != 0 {
 		key = keyText(req.key)
@@ -228,7 +228,7 @@
 func (w *World) deadlinePassed(e *event) {
 	try := &w.tries[e.a]
 	requestIndex := try.request
-	w.judge.DeadlinePassed(w.sinceStart(w.now), try.judged, w.requests[requestIndex].judged)
+	w.judge.DeadlinePassed(w.sinceStart(w.now), try.judgeID, w.requests[requestIndex].judgeID)
 	try.deadlinePassed = true
 	if try.clientWaiting {
 		try.clientWaiting = false
@@ -254,7 +254,7 @@
 	req := &w.requests[requestIndex]
 	if req.inUse {
 		req.inUse = false
-		w.judge.ClientRequestEnded(req.judged)
+		w.judge.ClientRequestEnded(req.judgeID)
 		w.freeRequests = append(w.freeRequests, requestIndex)
 	}
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -101,8 +101,7 @@
 // A response that arrives exactly at the timeout of its attempt counts as received, and a final answer exactly at the
 // deadline is in time.
 func TestResponseAtTimeoutAndAnswerAtDeadline(t *testing.T) {
-	// One endpoint, no jitter: 1 ms to the endpoint, 10 ms of work, 1 ms back. The timeout is equal to their sum, 12
-	// ms.
+	// One endpoint, no jitter: 1 ms to the endpoint, 10 ms of work, 1 ms back. The timeout equals their sum of 12 ms.
 	sc := read(t, "name = \"x\"\nlength = \"1s\"\n[fleet]\nservers = 1\nsidecars = 1\n[[kind]]\nname = \"k\"\ncores = 1000\n[load]\nrate = 1.0\n"+
 		"[network]\nnear = \"1ms\"\nhandshakes = 0\nclient = \"0s\"\n[[offering]]\nname = \"o\"\nquoted_time = \"27ms\"\ncut_off = \"27ms\"\nwork = \"10ms\"\n")
 	sc.Arrivals = []emulator.Arrival{{At: policy.Second / 2, Tenant: policy.NoTenant, TimeLeft: 27 * policy.Millisecond, WorkFactor: 1, IOFactor: 1}}
--- a/internal/emulator/front.go
+++ b/internal/emulator/front.go
@@ -25,9 +25,9 @@
 	try.attempts++
 	try.attemptID++
 	ep.inFlight++
-	try.judgedAttempt = w.judge.AttemptStarted(
+	try.judgeAttempt = w.judge.AttemptStarted(
 		w.sinceStart(w.now),
-		try.judged,
+		try.judgeID,
 		ep.number,
 		ep.zone,
 		ep.cell,
@@ -42,7 +42,7 @@
 		w.queue.add(event{at: w.now + transit, rank: rankArrive, do: (*World).attemptArrived, a: tryIndex,
 			c: try.attemptID})
 		try.written = true // the kernel's send buffer takes it at once
-		w.judge.AttemptWritten(try.judged, try.judgedAttempt)
+		w.judge.AttemptWritten(try.judgeID, try.judgeAttempt)
 		return
 	}
 	inst.connect(tryIndex, try, transit)
@@ -117,14 +117,14 @@
 	tryIndex, try := inst.lookup(handle)
 	if !try.clientWaiting {
 		// The client is gone or has its answer. The judge checks this answer too, as a second one breaks a rule.
-		w.judge.RequestAnswered(w.sinceStart(w.now), try.judged, w.requests[try.request].judged, answer)
+		w.judge.RequestAnswered(w.sinceStart(w.now), try.judgeID, w.requests[try.request].judgeID, answer)
 		return
 	}
 	try.clientWaiting = false
 	try.answer = answer
 	try.retryAfter = retryAfter
 	requestIndex := try.request
-	w.judge.RequestAnswered(w.sinceStart(w.now), try.judged, w.requests[requestIndex].judged, answer)
+	w.judge.RequestAnswered(w.sinceStart(w.now), try.judgeID, w.requests[requestIndex].judgeID, answer)
 	if w.observer != nil {
 		w.observer.Answer(w.requests[requestIndex].class, answer, w.now-try.arrivedAt)
 	}
--- a/internal/emulator/instance.go
+++ b/internal/emulator/instance.go
@@ -11,7 +11,7 @@
 // request is a client's request, over all its tries.
 type request struct {
 	inUse       bool
-	judged      judge.ClientRequestID
+	judgeID     judge.ClientRequestID
 	class       policy.ClassID
 	tenant      policy.TenantID
 	instance    int32
@@ -30,7 +30,7 @@
 	clientWaiting       bool // the client waits for a final answer
 	inFlight            bool // an attempt is in flight
 	deadlinePassed      bool
-	judged              judge.RequestID
+	judgeID             judge.RequestID
 	request             int32 // index in World.requests
 	instance            *instance
 	instanceIncarnation int // of the instance when the try reached it
@@ -39,7 +39,7 @@
 	arrivedAt           policy.Time // time at which it reached the instance
 	attempts            int
 	attemptID           uint64 // counts attempts, so that events of earlier attempts can be told apart
-	judgedAttempt       int    // number that the judge has given to the current attempt
+	judgeAttempt        int    // number that the judge has given to the current attempt
 	endpoint            *endpoint
 	endpointIncarnation int // of the endpoint when the attempt reached it
 	job                 machine.JobID
@@ -177,12 +177,12 @@
 			inst.world.closeAttempt(try)
 			try.inFlight = false
 			try.endpoint.inFlight--
-			inst.world.judge.AttemptEnded(try.judged, try.judgedAttempt, false)
+			inst.world.judge.AttemptEnded(try.judgeID, try.judgeAttempt, false)
 		}
 		if try.clientWaiting {
 			try.clientWaiting = false
 			req := &inst.world.requests[try.request]
-			inst.world.judge.ClientLeft(try.judged, req.judged)
+			inst.world.judge.ClientLeft(try.judgeID, req.judgeID)
 			inst.world.retryLater(try.request, true, 0)
 		}
 		inst.world.releaseTry(int32(i))
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -317,7 +317,7 @@
 	}
 	for i := range w.requests {
 		if req := &w.requests[i]; req.inUse {
-			w.judge.ClientRequestEnded(req.judged)
+			w.judge.ClientRequestEnded(req.judgeID)
 		}
 	}
 	return w.judge.Finish(w.sinceStart(w.now))
