--- a/internal/daemon/adminoperations.go
+++ b/internal/daemon/adminoperations.go
@@ -26,7 +26,7 @@
 		return err
 	}
 	o.Engine.SetDrained(o.Clock.Now(), uids)
-	o.group.Serve(o.applyDrained, o.exportState, o.Share)
+	o.group.Serve(o.applyDrained, o.exportState, o.ShareLimits)
 	return nil
 }
 
@@ -38,7 +38,7 @@
 // SetDrained drains an endpoint or puts it back into use, for all processes of the instance.
 func (o *adminOperations) SetDrained(uid string, drained bool) error {
 	listed := false
-	if !o.RunOnLoopWithin(loopTimeout, func() { listed = o.Listed(uid) }) {
+	if !o.RunOnLoopWithin(loopTimeout, func() { listed = o.WasListed(uid) }) {
 		return errLoopTimeout
 	}
 	if !listed {
--- a/internal/emulator/front.go
+++ b/internal/emulator/front.go
@@ -180,8 +180,8 @@
 	}
 }
 
-// Release does nothing: idle connections are closed by their timeout.
-func (inst *instance) Release(policy.EndpointID) {}
+// ReleaseConnections does nothing: idle connections are closed by their timeout.
+func (inst *instance) ReleaseConnections(policy.EndpointID) {}
 
 // Forget does nothing: the emulator keeps all endpoints of a run.
 func (inst *instance) Forget(policy.EndpointID) {}
--- a/internal/emulator/samples.go
+++ b/internal/emulator/samples.go
@@ -79,8 +79,8 @@
 		if source, has := inst.decider.(gaugeSource); has && inst.alive {
 			gauges := source.Gauges()
 			count++
-			s.TotalLimit += min(gauges.TotalLimit, 1e4)
-			s.Limit += gauges.Limit
+			s.TotalLimit += min(gauges.ConcurrencyLimit, 1e4)
+			s.Limit += gauges.MeanEndpointLimit
 			s.Ejected += float64(gauges.Ejected)
 		}
 	}
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -10,32 +10,33 @@
 	"pepperlead/policy"
 )
 
-// TestCountersHaveTheirNames holds the names of all counters, their order and which field each shows to what they were before.
-func TestCountersHaveTheirNames(t *testing.T) {
+// TestCountersMatchGoldenFile compares the names of all counters, their order and the field that each shows with the golden file.
+func TestCountersMatchGoldenFile(t *testing.T) {
 	var counters Counters
 	golden.Fill(&counters)
 	golden.Compare(t, "counters.txt", []byte(counters.String()))
 }
 
-// TestFiguresOfOperatorsHaveTheirNames holds the figures that operators see to what they were before.
-func TestFiguresOfOperatorsHaveTheirNames(t *testing.T) {
+// TestMetricsMatchGoldenFile compares the names, labels and values of the metrics that operators see with the golden file.
+func TestMetricsMatchGoldenFile(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	engine := New(Config{Settings: &policy.Settings{Instances: 1, Classes: []policy.Class{{Name: "step"}, {Name: "a\"b\\c\n,d"}}}}, log)
-	for class := range engine.Tally.Answered {
-		for result := range engine.Tally.Answered[class] {
-			engine.Tally.Answered[class][result].Store(int64(100 + 10*class + result))
+	for class := range engine.Metrics.Answered {
+		for result := range engine.Metrics.Answered[class] {
+			engine.Metrics.Answered[class][result].Store(int64(100 + 10*class + result))
 		}
 	}
-	engine.Tally.Written.Store(1)
-	engine.Tally.Pending.Store(2)
-	engine.Tally.Endpoints.Store(3)
-	engine.Tally.Unavailable.Store(4)
+	engine.Metrics.Written.Store(1)
+	engine.Metrics.Pending.Store(2)
+	engine.Metrics.Endpoints.Store(3)
+	engine.Metrics.Unavailable.Store(4)
 	golden.Compare(t, "figures.txt", engine.AppendFigures(nil))
 }
 
-// TestResultsOfAnswersAreShownAsBefore counts one request of each end, and holds the figures to what they were before.
-func TestResultsOfAnswersAreShownAsBefore(t *testing.T) {
+// TestResultsMatchGoldenFile counts a different number of requests for each kind of answer, and compares the metrics by result with the
+// golden file.
+func TestResultsMatchGoldenFile(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	engine := New(Config{Settings: &policy.Settings{Instances: 1, Classes: []policy.Class{{Name: "step"}}}}, log)
--- a/rpc/front.go
+++ b/rpc/front.go
@@ -34,7 +34,7 @@
 func newFront(e *engine.Engine, dialOptions []grpc.DialOption) *front {
 	f := &front{engine: e, dialOptions: dialOptions}
 	f.calls.New = newCall
-	f.number = e.Add(f)
+	f.number = e.AddFront(f)
 	return f
 }
 
@@ -55,13 +55,13 @@
 	f.mu.Unlock()
 	for _, e := range events {
 		e.handle(f, now, e)
-		f.engine.RunSteps(now)
+		f.engine.ReportEndedAttempts(now)
 	}
 	clear(events)
 }
 
-// More reports no: each event signals the loop.
-func (f *front) More() bool { return false }
+// HasPending reports no: each event signals the loop.
+func (f *front) HasPending() bool { return false }
 
 // callStarted admits a new call.
 func (f *front) callStarted(now policy.Time, e event) {
@@ -102,7 +102,7 @@
 func (f *front) streamOpened(_ policy.Time, e event) {
 	if e.call.isCurrent(e.sequence) {
 		f.engine.Timers.Stop(&e.call.request.AttemptTimer)
-		f.engine.Module.Until(e.call.request.Handle, 0)
+		f.engine.Module.SetDeadline(e.call.request.Handle, 0)
 	}
 }
 
