--- a/cmd/pepperlead-sim/sweep.go
+++ b/cmd/pepperlead-sim/sweep.go
@@ -97,7 +97,7 @@
 
 func checkPolicies(names []string) error {
 	for _, name := range names {
-		if _, err := baseline.Maker(name); err != nil {
+		if _, err := baseline.Factory(name); err != nil {
 			return err
 		}
 	}
@@ -139,8 +139,8 @@
 			r.Crossed,
 			r.Scatter[0],
 			r.Scatter[1],
-			r.Forced[0],
-			r.Forced[1],
+			r.KeyScatter[0],
+			r.KeyScatter[1],
 			r.Busiest,
 			r.BusiestMax,
 			r.IdleSeconds,
