--- a/internal/ruleset/classtable.go
+++ b/internal/ruleset/classtable.go
@@ -2,9 +2,10 @@
 
 import "pepperlead/policy"
 
-// ClassTable assigns each class a slot, whose rule binds the requests of the slot, across changes of the revision. A
-// request is bound by the rule it was admitted under or a stricter one, so a class moves to a new slot if its rule is
-// relaxed while requests are in flight.
+// ClassTable assigns each class a slot, which is identified by a policy.ClassID and has nothing to do with the slot
+// table of the endpoints. All requests of a slot follow the rule of the slot. When the revision changes, requests in
+// flight must go on following the rule they were admitted under or a stricter one. So a class whose rule is relaxed
+// while it has requests in flight admits new requests to another slot.
 type ClassTable struct {
 	slots    []classSlot               // by policy.ClassID
 	current  map[string]policy.ClassID // by class name: the slot that admits new requests
@@ -27,9 +28,9 @@
 // admits new requests.
 type ClassTableSetter func(id policy.ClassID, name string, rule ClassRule, admits bool)
 
-// Update puts rules in force and calls set for every slot in use. Without a lease the table itself stays unchanged:
-// until the next update, the rules passed to set allow no retries, and their deadlines are no longer than those of
-// rules.
+// Update puts rules in force and calls set for every slot in use. If leased is false, the table itself stays unchanged,
+// and the rules passed to set apply only until the next update: they allow no retries, and their deadlines don't exceed
+// those in rules.
 func (t *ClassTable) Update(rules *Rules, leased bool, set ClassTableSetter) {
 	if t.current == nil {
 		t.current = map[string]policy.ClassID{}
@@ -55,8 +56,8 @@
 	}
 }
 
-// restrict binds the requests in flight of a slot by the new rules too. If these lack the class of the slot, the slot
-// admits no more requests.
+// restrict makes the requests in flight of a slot follow the new rules in addition to the slot's rule. If the new rules
+// lack the class of the slot, the slot admits no more requests.
 func (t *ClassTable) restrict(slot *classSlot, rules *Rules) {
 	rule, known := rules.Class(slot.name)
 	if !known {
@@ -71,12 +72,13 @@
 	}
 	slot.rule = strictestClassRule(slot.rule, rule)
 	if slot.rule.NeedsKey() && !slot.keyed {
-		slot.rule = ClassRule{Deadline: slot.rule.Deadline} // endpoints can't deduplicate requests without a key
+		// The requests in flight carry no key by which endpoints could deduplicate retries, so retries are forbidden.
+		slot.rule = ClassRule{Deadline: slot.rule.Deadline}
 	}
 }
 
-// ruleWithoutLease returns the rule of a slot while there is no lease: no retries, and the shorter one of the deadlines
-// of the slot and of rules.
+// ruleWithoutLease returns the rule of a slot while there is no lease: no retries, and the shorter of two deadlines,
+// that of the slot and that of its class in rules.
 func ruleWithoutLease(slot *classSlot, rules *Rules) ClassRule {
 	rule := ClassRule{Deadline: slot.rule.Deadline}
 	if current, known := rules.Class(slot.name); known {
--- a/internal/ruleset/explore_test.go
+++ b/internal/ruleset/explore_test.go
@@ -14,8 +14,8 @@
 const (
 	leaseDuration = 1 // ticks
 	lastTick      = 4 // time at which the exploration ends
-	// clockDrift is for a clock that loses one tick in three: policy.Time(1*(1+0.5))+1, the longest life of a lease,
-	// covers the tick of the lease and the lost one.
+	// clockDrift allows for a clock that loses one tick in three: the maximum lifetime of a lease, which is
+	// policy.Time(1*(1+0.5))+1 = 2 ticks, covers the tick of the lease and the lost one.
 	clockDrift = 0.5
 )
 
@@ -252,7 +252,8 @@
 	return len(seen), len(queue) == 0, false
 }
 
-// No order of events lets two instances follow contradicting revisions, and each planted fault does.
+// No order of events lets two instances follow contradicting revisions. With each planted fault some order does, which
+// shows that the exploration can find contradictions.
 func TestNoEventOrderLetsInstancesContradict(t *testing.T) {
 	const maxStates = 2_000_000
 	if raceDetector {
--- a/internal/ruleset/leaseclient.go
+++ b/internal/ruleset/leaseclient.go
@@ -33,9 +33,9 @@
 	return &LeaseClient{lastRequestID: uint64(generation) << generationShift}
 }
 
-// Add stores a rule set and reports whether it is stored. It rejects a rule set if another one has the same number, if
-// it is older than the leased revisions, or if the client is full and can't drop its oldest rule set: that one may be
-// in force, or the new one is older still.
+// Add stores a rule set and reports whether it is stored. It rejects a rule set whose number is stored with another
+// digest, and one that is older than the leased revisions. If the client is full, the new rule set replaces the oldest
+// one, unless the oldest one may be in force or the new one is older still: then the new one is rejected.
 func (c *LeaseClient) Add(ruleSet RuleSet) bool {
 	i, known := c.find(ruleSet.Number)
 	if known {
@@ -60,7 +60,7 @@
 	return true
 }
 
-// find returns the index of the rule set with a number and true, or the index at which to insert it and false.
+// find returns the index of the rule set with the given number and true, or the index at which to insert it and false.
 func (c *LeaseClient) find(number RevisionNumber) (int, bool) {
 	return slices.BinarySearchFunc(c.ruleSets, number, func(ruleSet RuleSet, number RevisionNumber) int {
 		return cmp.Compare(ruleSet.Number, number)
@@ -78,9 +78,10 @@
 	return c.lastRequestID, known
 }
 
-// Accept installs a lease and reports whether it is valid. Only a lease that answers the latest request is valid: one
-// for an earlier request names what was in force before the latest request. A lease is also invalid if its term or its
-// first revision is older than that of the last accepted lease, or if the client lacks one of its revisions.
+// Accept installs a lease and reports whether it is valid. Only a lease that answers the latest request is valid: a
+// lease that answers an earlier request may name revisions that were no longer in force when the latest request was
+// sent. A lease is also invalid if its term or its first revision is older than that of the last accepted lease, or if
+// the client lacks one of its revisions.
 func (c *LeaseClient) Accept(lease Lease) bool {
 	if lease.RequestID != c.lastRequestID || lease.Term < c.term || len(lease.Revisions) == 0 {
 		return false
@@ -135,7 +136,7 @@
 // Changes returns how often the rules behind Active were updated. Expiries of leases are not counted.
 func (c *LeaseClient) Changes() uint64 { return c.changes }
 
-// Knows reports whether a rule set with the number is stored. It doesn't compare digests.
+// Knows reports whether a rule set with the given number is stored. It doesn't compare digests.
 func (c *LeaseClient) Knows(number RevisionNumber) bool {
 	_, known := c.find(number)
 	return known
--- a/internal/ruleset/random_test.go
+++ b/internal/ruleset/random_test.go
@@ -29,13 +29,14 @@
 	return rules
 }
 
-// Across random changes of the rules, a request never does what the revision that admitted it forbids, nor what a later
-// revision in force forbids. New requests follow exactly the rules in force, and without a lease nothing is retried.
+// Across random changes of the rules, a request is never allowed anything that is forbidden by the revision it was
+// admitted under or by a revision that came into force later. New requests follow exactly the rules in force, and
+// without a lease nothing is retried.
 func TestRequestsFollowTheirOwnRevisionOrAStricterOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type admittedRequest struct {
 			slot  policy.ClassID
-			bound []ClassRule // by the revisions in force since it was admitted
+			bound []ClassRule // the rules of its class in the revisions in force since it was admitted
 			keyed bool
 		}
 		table := ClassTable{Capacity: rapid.IntRange(2, 8).Draw(t, "slots")}
--- a/internal/ruleset/revisionlog.go
+++ b/internal/ruleset/revisionlog.go
@@ -11,7 +11,7 @@
 // maxRevisions is the maximum number of revisions that a log keeps.
 const maxRevisions = 32
 
-// Outcomes of a revision; empty while it is in force or may come into force.
+// Outcomes of a revision. A revision that is in force or may come into force has none.
 const (
 	outcomeFollowed  = "followed" // replaced by a later revision
 	outcomeWithdrawn = "withdrawn"
@@ -47,15 +47,15 @@
 	LastNumber RevisionNumber `cbor:"Last"` // the highest number assigned so far
 }
 
-// Propose begins a change to a revision. last is the latest revision that its author knew, so of two concurrent
-// proposals only the first succeeds. base is the active revision from whose slot assignment that of the proposal was
-// derived.
+// Propose begins a change to a revision. last is the latest revision that the author of the proposal knew, so of two
+// concurrent proposals only the first succeeds. base is the revision that was active when the slot assignment of the
+// proposal was derived from that of the active revision; the proposal fails if another one is active by now.
 func (l *RevisionLog) Propose(revision Revision, last, base RevisionNumber) error {
 	if l.Active != l.Next {
 		return ErrChangeInProgress
 	}
 	if last != l.LastNumber || base != l.Active {
-		return fmt.Errorf("proposal is out of date: the latest revision is %d, its author knew %d", l.LastNumber, last)
+		return fmt.Errorf("proposal is out of date: the latest revision is %d, the author knew %d", l.LastNumber, last)
 	}
 	if active := l.find(l.Active); active != nil && bytes.Equal(active.Text, revision.Text) {
 		return fmt.Errorf("proposal has the same text as revision %d, which is in force", l.Active)
@@ -115,8 +115,8 @@
 	return true
 }
 
-// InForce returns the revisions that an instance must know to be issued a lease: the active one and, during a change,
-// the next one. Number 0 has no entry in the log and is left out.
+// InForce returns the revisions that an instance must know before it is issued a lease: the active one and, during a
+// change, the next one. Number 0 has no entry in the log and is left out.
 func (l *RevisionLog) InForce() []Revision {
 	var revisions []Revision
 	for _, number := range slices.Compact([]RevisionNumber{l.Active, l.Next}) {
@@ -127,7 +127,7 @@
 	return revisions
 }
 
-// find returns the revision with a number, or nil if it isn't in the log.
+// find returns the revision with the given number, or nil if it isn't in the log.
 func (l *RevisionLog) find(number RevisionNumber) *Revision {
 	i := slices.IndexFunc(l.Revisions, func(revision Revision) bool { return revision.Number == number })
 	if i < 0 {
--- a/internal/ruleset/rules.go
+++ b/internal/ruleset/rules.go
@@ -14,7 +14,7 @@
 	SameZone   bool        // retries stay in the zone of the endpoint that may have run the request first
 	SameCell   bool        // retries stay in the cell of that endpoint
 	Window     policy.Time // how long after the first attempt a request may be retried
-	Deadline   policy.Time // longest deadline of a request; 0: none is stated
+	Deadline   policy.Time // longest deadline of a request; 0: the rule sets none
 }
 
 // NamedClassRule is the name of a class with its rule.
@@ -26,7 +26,7 @@
 // Endpoint is an endpoint that requests may be sent to.
 type Endpoint struct {
 	ID      policy.EndpointID
-	Started policy.Time
+	Started policy.Time // when it started, from which ColdTime counts; 0: long ago
 }
 
 // TenantQuota is a tenant's quota in requests per second over all instances.
@@ -41,8 +41,8 @@
 	Tenants          []TenantQuota
 	Endpoints        []Endpoint          // the ready endpoints; unused with AnyEndpoint
 	AnyEndpoint      bool                // the revision names no endpoints
-	Drained          []policy.EndpointID // administratively drained, whichever list contains them
-	Instances        int                 // number of instances among which budgets are split
+	Drained          []policy.EndpointID // administratively drained; they need not be in Endpoints
+	Instances        int                 // number of instances among which quotas and other budgets are split
 	ColdCapacity     float64             // capacity of a cold endpoint, as a fraction of its full one
 	ColdTime         policy.Time         // how long an endpoint is cold
 	OverloadMultiple float64             // multiple of its capacity at which a cold endpoint fails; 0: it gets no load
@@ -132,7 +132,7 @@
 	}
 }
 
-// Class returns the rule of the class with a name, and whether there is one.
+// Class returns the rule of the class with the given name, and whether there is such a class.
 func (r *Rules) Class(name string) (ClassRule, bool) {
 	i, known := slices.BinarySearchFunc(r.Classes, name, func(class NamedClassRule, name string) int {
 		return cmp.Compare(class.Name, name)
--- a/internal/ruleset/rules_test.go
+++ b/internal/ruleset/rules_test.go
@@ -119,7 +119,8 @@
 	}
 }
 
-// Rule sets of later revisions never push out the leased one: without it, the client would not know what it forbids.
+// Rule sets of later revisions never push out that of the leased revision: without it, the client would not know what
+// the leased revision forbids.
 func TestLaterRuleSetsKeepTheLeasedOne(t *testing.T) {
 	client := NewLeaseClient(1)
 	client.Add(testRuleSet(1))
--- a/internal/ruleset/ruleset.go
+++ b/internal/ruleset/ruleset.go
@@ -1,6 +1,6 @@
 // Package ruleset implements the rules that all instances agree on: the binding rules of one revision of the settings,
-// the strictest combination of several revisions, leases on revisions, and the protocol by which a new revision
-// replaces the one in force.
+// which limit what an instance may do, the strictest combination of several revisions, leases on revisions, and the
+// protocol by which a new revision replaces the one in force.
 //
 // The package does no I/O, starts no goroutine and reads no clock: callers pass the time in. The protocol and its proof
 // are described in docs/agreement.md.
@@ -8,11 +8,12 @@
 
 import "pepperlead/policy"
 
-// RevisionNumber is the position of a revision in the agreed order, from 1. Number 0 denotes the rules of an
-// instance's own settings file.
+// RevisionNumber is the position of a revision in the order that the coordinators agree on, from 1. Number 0 denotes
+// the rules of an instance's own settings file.
 type RevisionNumber uint64
 
-// Term is the election term of a lease issuer. Leases of an older term than the last accepted one are rejected.
+// Term is the election term of a lease issuer. Instances reject a lease of an older term than that of the last lease
+// they accepted.
 type Term uint64
 
 // RuleSet holds the binding rules of one revision.
--- a/internal/ruleset/strictest.go
+++ b/internal/ruleset/strictest.go
@@ -6,8 +6,8 @@
 	"pepperlead/policy"
 )
 
-// Floor returns what is allowed under every possible revision: no retry of a request that may have run, and no load for
-// cold endpoints. It applies to an instance that can't know which revision is in force.
+// Floor returns the rules restricted to what every possible revision allows: no retry of a request that may have run,
+// and no load for cold endpoints. It applies to an instance that can't know which revision is in force.
 func (r Rules) Floor() Rules {
 	floor := r
 	floor.OverloadMultiple = 0
@@ -79,6 +79,8 @@
 	return TenantQuota{a.Name, min(a.Quota, b.Quota)}, true
 }
 
+// strictestEndpoints returns the endpoints that both a and b allow. Rules with AnyEndpoint name no endpoints and allow
+// those that the other rules name.
 func strictestEndpoints(a, b *Rules) []Endpoint {
 	return mergeSorted(a.Endpoints, b.Endpoints, compareEndpoints, func(x, y *Endpoint) (Endpoint, bool) {
 		if x == nil {
