--- a/internal/coordinator/admin.go
+++ b/internal/coordinator/admin.go
@@ -26,8 +26,8 @@
 	digestPrefixBytes = 8 // how much of a digest the report shows
 )
 
-// LeaderHeader is the header that holds the leader's admin address in a response with status 421 (Misdirected Request,
-// RFC 9110), which a coordinator that isn't the leader sends.
+// LeaderHeader is the header with the leader's admin address. A coordinator that isn't the leader sets it when it
+// refuses a change with status 421 (Misdirected Request, RFC 9110).
 const LeaderHeader = "Leader"
 
 // AdminServer serves a coordinator's admin interface over HTTP:
@@ -155,8 +155,9 @@
 	return ruleset.RevisionNumber(number), nil
 }
 
-// writeResult writes the success text, or the text of the error with a status that tells clients whether to go to the
-// leader, to retry or to check the outcome.
+// writeResult writes the success text, or the text of the error. The status of an error tells the client whether to
+// repeat the request at the leader (421), to check the outcome (504) or to retry later (503). Status 409 means that the
+// request was rejected.
 func (c *Coordinator) writeResult(w http.ResponseWriter, err error, success string) {
 	leader, leaderErr := c.Leader()
 	switch {
--- a/internal/coordinator/command.go
+++ b/internal/coordinator/command.go
@@ -33,7 +33,8 @@
 	apply(m *stateMachine, now policy.Time) error
 }
 
-// applyCommand begins a change to a new revision.
+// applyCommand begins a change to a new revision. Its fields are those of ruleset.Revision, and the arguments last and
+// base of RevisionLog.Propose.
 type applyCommand struct {
 	_          struct{} `cbor:",toarray"`
 	Name       commandName
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -98,8 +98,8 @@
 	revisionsSentAt map[string]time.Time // by the instance's address
 	changeBegan     policy.Time          // when the change in progress began
 
-	requestsPending chan struct{} // holds a signal while pendingRequests may not be empty
-	revisionSends   chan struct{} // semaphore of concurrent transfers
+	requestsPending chan struct{} // holds a signal while pendingRequests may hold requests
+	revisionSends   chan struct{} // semaphore of concurrent transfers of revisions
 	metrics         metrics
 }
 
@@ -135,8 +135,9 @@
 	return c, nil
 }
 
-// startRaft joins the group. A coordinator with a fresh store bootstraps it, unless the store is fresh because the
-// previous one was damaged. After an error the stream is closed.
+// startRaft joins the group. A coordinator with a fresh store bootstraps the group, unless the store is fresh because
+// the previous one was damaged: its contents then come from the other coordinators. After an error the coordinator's
+// stream is closed.
 func (c *Coordinator) startRaft(logger hclog.Logger) error {
 	raftConfig := raft.DefaultConfig()
 	raftConfig.LocalID = raft.ServerID(c.config.Name)
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -88,7 +88,7 @@
 	return number
 }
 
-// inForceAlone returns the condition that only a revision is in force, with no change in progress.
+// inForceAlone returns a condition that holds while the given revision is in force and no change is in progress.
 func inForceAlone(c *Coordinator, number ruleset.RevisionNumber) func() bool {
 	return func() bool {
 		log := c.RevisionLog()
@@ -118,7 +118,7 @@
 			t.Error("a proposal on top of an unknown revision is accepted")
 		}
 	}
-	// The admin interface of a follower.
+	// A follower's admin interface redirects proposals to the leader, and serves the texts of revisions itself.
 	for _, c := range coordinators {
 		if leader, err := c.Leader(); err != nil || leader.Name == c.config.Name {
 			continue
--- a/internal/coordinator/golden_test.go
+++ b/internal/coordinator/golden_test.go
@@ -26,7 +26,7 @@
 	return log
 }
 
-// goldenCommands are the commands of the golden log in order. Each is stored in the file of that name.
+// goldenCommands are the names of the golden files that hold the commands of a log, in the order of the log.
 var goldenCommands = []string{"command-1-apply", "command-2-drop", "command-3-apply", "command-4-withdraw",
 	"command-5-apply",
 	"command-6-withdraw", "command-7-apply-back"}
@@ -34,8 +34,9 @@
 // goldenTime is the proposal time of all commands in golden files, in Unix nanoseconds.
 const goldenTime = 1_700_000_000_000_000_007
 
-// replaceTime returns a command with goldenTime in place of its time, the last field. Commands without a time are
-// returned unchanged. The test fails if the time isn't encoded as a CBOR integer of eight bytes.
+// replaceTime returns a command with goldenTime in place of its proposal time, its last field, which differs in each
+// run. Commands without a time are returned unchanged. The test fails if the time isn't encoded as a CBOR integer of
+// eight bytes.
 func replaceTime(t *testing.T, command []byte) []byte {
 	t.Helper()
 	var fields []cbor.RawMessage
@@ -135,7 +136,8 @@
 	withdraw(2)
 	propose("third text", 0, 2, "third author")
 	withdraw(3)
-	// A rollback to revision 2, with 3 as the latest and 1 as the active one: three different numbers.
+	// A rollback to revision 2, with 3 as the latest revision and 1 as the active one. The three numbers differ, so
+	// that swapped fields would change the encoding.
 	propose("", 2, 3, "fourth author")
 
 	commands := storedCommands(t, coordinator)
--- a/internal/coordinator/leases.go
+++ b/internal/coordinator/leases.go
@@ -12,7 +12,7 @@
 
 const (
 	maxPendingRequests  = 4096 // lease requests that wait for a quorum round
-	maxTrackedAddresses = 4096 // in revisionsSentAt
+	maxTrackedAddresses = 4096 // entries in revisionsSentAt, which is cleared when it has more
 	maxRevisionSends    = 32   // concurrent transfers of revisions
 
 	// revisionResendInterval is the shortest time between transfers of revisions to the same instance.
@@ -139,7 +139,7 @@
 		c.metrics.revisionsSent.Add(1)
 		c.metrics.revisionBytesSent.Add(uint64(len(encoded)))
 		if cluster.SendReliable(address, encoded) != nil {
-			return // the instance retries, and is sent them again
+			return // the instance requests a lease again, and the revisions are sent again
 		}
 	}
 }
--- a/internal/coordinator/proposal.go
+++ b/internal/coordinator/proposal.go
@@ -16,7 +16,7 @@
 	Author     string
 }
 
-// validatedProposal is a proposal that may replace the revision in force.
+// validatedProposal is a proposal whose text was checked against the revision in force.
 type validatedProposal struct {
 	Proposal
 	inForce *ruleset.Revision      // nil if there is none
@@ -24,7 +24,7 @@
 }
 
 // Propose commits a proposal and returns the number of its revision. The error says that this coordinator is not the
-// leader (ErrNotLeader), that there is none, why the proposal was rejected, or that its outcome is unknown.
+// leader (ErrNotLeader), that there is no leader, why the proposal was rejected, or that its outcome is unknown.
 func (c *Coordinator) Propose(proposal Proposal) (ruleset.RevisionNumber, error) {
 	if _, err := c.Leader(); err != nil {
 		return 0, err
