--- a/internal/membership/cluster.go
+++ b/internal/membership/cluster.go
@@ -22,8 +22,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Descriptors is the number of file descriptors for the sockets and for the few short-lived connections that exchange
-// full state.
+// Descriptors is the number of file descriptors that a cluster takes: its sockets, and the few short-lived connections
+// over which members exchange their full state.
 const Descriptors = 12
 
 // Settings of memberlist's failure detection that differ from its defaults for a LAN. With the defaults, a member of a
@@ -42,7 +42,8 @@
 	announceTimeout = time.Millisecond
 	// leaveTimeout is how long Close waits for the other members to learn that this one leaves.
 	leaveTimeout = 200 * time.Millisecond
-	// joinTurnRange is the range of the random position in the list of addresses to join at which a member starts.
+	// joinTurnRange is the range of the random number at which joinTurn starts. It is far larger than the number of
+	// addresses to join, so that members start with each address about equally often.
 	joinTurnRange = 1 << 16
 )
 
@@ -67,14 +68,14 @@
 	metadata   Metadata         // of this member
 	announceAt time.Time        // when changed metadata is announced; zero: nothing has changed
 	peers      map[string]*Peer // by name, former members included
-	joinTurn   int              // position in the addresses to join
+	joinTurn   int              // selects the next address to join, modulo the number of these addresses
 	joins      uint64           // number of joins of other members
 	departures uint64           // number of other members that left or were declared dead
 
 	dropped atomic.Uint64 // number of packets and connections with another key or cluster name
 }
 
-// newCluster returns a cluster without members. It starts at a random position in the addresses to join: hundreds of
+// newCluster returns a cluster without members. It begins to join at a random one of the addresses to join: hundreds of
 // members that start at once with the same list would otherwise all join through the same member.
 func newCluster(config Config, log *logrus.Logger) *Cluster {
 	return &Cluster{
@@ -139,10 +140,11 @@
 	return config, nil
 }
 
-// Announce sets the revision and the digest that this member announces. It is called periodically.
+// Announce sets the revision and the digest of the slot table that this member announces. It is called periodically.
 //
 // Each announcement is gossiped to all members, and a new revision changes the metadata of all members at once. So that
-// they don't flood the network, each delays its announcement by a random time that grows with the size of the cluster.
+// they don't flood the network, each member delays its announcement by a random time that grows with the size of the
+// cluster.
 func (c *Cluster) Announce(revision, tableDigest uint64) {
 	if c.setMetadata(revision, tableDigest) {
 		_ = c.list.UpdateNode(announceTimeout) // usually times out, and the broadcast continues in the background
--- a/internal/membership/rejoin.go
+++ b/internal/membership/rejoin.go
@@ -11,7 +11,7 @@
 const (
 	// rejoinInterval is the mean time between two attempts to join a member that isn't known to be alive.
 	rejoinInterval = 3 * time.Second
-	// forgetAfter is how long a former member is remembered, and attempts to join it again are made.
+	// forgetAfter is how long a former member is remembered. Until then, attempts to join it are repeated.
 	forgetAfter = 10 * time.Minute
 )
 
