--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// serve makes the process apply every change, and export a fixed state.
+// serve makes the process report every change as applied, and export a fixed state.
 func serve(g *ProcessGroup) {
 	g.Serve(func([]string) bool { return true }, func() []byte { return []byte(`{"learned":1}`) }, func(int) {})
 }
--- a/internal/hotrestart/processgroup.go
+++ b/internal/hotrestart/processgroup.go
@@ -1,7 +1,7 @@
 // Package hotrestart coordinates the processes of one sidecar during a hot restart: an old version and the one that
 // replaces it. The processes share a directory, which holds the endpoints that an operator has drained and a socket for
-// each process. Over the sockets they agree on the number of processes, confirm changes of the drained endpoints and
-// hand over learned state.
+// each process. Over the sockets they count the processes that share the sidecar's limits, confirm changes of the
+// drained endpoints and hand over learned state.
 package hotrestart
 
 import (
@@ -45,7 +45,7 @@
 	// alone in its group and can't save changes.
 	unavailable error
 
-	changing sync.Mutex // held during an operator's change, so that there is only one at a time
+	changing sync.Mutex // held while SetDrained makes an operator's change, so that there is only one at a time
 
 	// applying is held while drained endpoints are read and applied, so that the latest file is applied last.
 	applying sync.Mutex
@@ -55,7 +55,7 @@
 	setDrained   func(uids []string) bool
 	exportState  func() []byte
 	setProcesses func(processes int)
-	unsaved      map[string]bool // by uid: changes that could not be saved, in force in this process only
+	unsaved      map[string]bool // by uid: whether drained, for changes not saved and in force in this process only
 	peers        map[*peerProcess]struct{}
 	sequence     uint64 // number of the last change that the peers were asked to apply
 	closed       bool
@@ -119,10 +119,10 @@
 	return &ProcessGroup{unavailable: reason, log: log, unsaved: map[string]bool{}}
 }
 
-// Serve starts applying changes and answering other processes. setDrained makes the process drain exactly these
+// Serve starts applying changes and answering other processes. setDrained makes the process drain exactly the given
 // endpoints and reports whether the change is in force. exportState returns the learned state on a single line, or nil
-// if there is none now. setProcesses makes the process limit itself to its share of the limits; it must not block, but
-// the others may.
+// if there is none now. setProcesses makes the process limit itself to its share of the limits among the given number
+// of processes. setProcesses must not block, while setDrained and exportState may.
 func (g *ProcessGroup) Serve(
 	setDrained func(uids []string) bool, exportState func() []byte, setProcesses func(processes int),
 ) {
@@ -136,7 +136,7 @@
 		return
 	}
 	go func() {
-		_ = g.applyDrained() // catches up with changes since the call of Drained; logs its failures
+		_ = g.applyDrained() // applies changes made since the caller called Drained; logs its own failures
 		g.acceptPeers()
 	}()
 }
--- a/internal/hotrestart/processgroup_test.go
+++ b/internal/hotrestart/processgroup_test.go
@@ -20,7 +20,7 @@
 	drained   []string
 	applies   int  // number of calls of setDrained
 	processes int  // as last set by setProcesses
-	stuck     bool // setDrained reports that the change is not in force
+	stuck     bool // if true, setDrained reports that the change is not in force
 }
 
 // join starts a process in the group of a directory and waits until it has applied the drained endpoints.
@@ -173,14 +173,15 @@
 	}
 }
 
-// Damaged files, failed writes, a blocked lock, a silent peer and a directory open to other users lose no endpoint that
-// is drained in the process, and delay it only up to the timeouts.
+// Damaged files, failed writes, a lock that can't be taken, a silent peer and a directory open to other users neither
+// keep an operator's change from coming into force in this process, nor delay the process beyond the timeouts.
 func TestUnusableDirectoriesAndFiles(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "x")
 	p := join(t, dir)
 	if err := p.SetDrained("s-1", true); err != nil {
 		t.Fatal(err)
 	}
+	// A damaged file is moved aside, and no endpoint counts as drained.
 	path := filepath.Join(dir, drainedFile)
 	text, _ := os.ReadFile(path)
 	text[len(text)-1]++
@@ -198,7 +199,7 @@
 		t.Error(err, p.drained)
 	}
 	os.RemoveAll(path)
-	// It stays in force after the next change that can be saved, and so do the changes that another process has saved.
+	// The unsaved change stays in force when another process saves a change, which comes into force too.
 	if err := join(t, dir).SetDrained("s-5", true); err != nil || !p.hasDrained("s-5", "s-4") {
 		t.Error(err, p.drained)
 	}
