--- a/internal/snapshot/replace.go
+++ b/internal/snapshot/replace.go
@@ -38,7 +38,7 @@
 		err = files.Rename(temporary, path)
 	}
 	if err != nil {
-		_ = files.Remove(temporary) // the next replacement would overwrite it
+		_ = files.Remove(temporary) // the next replacement overwrites a file that can't be removed
 		return err
 	}
 	return files.SyncDirectory(filepath.Dir(path))
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -63,7 +63,7 @@
 	return k.osFileSystem.SyncDirectory(path)
 }
 
-// killedFile does the same for the steps on a file, one of which is in the middle of a write.
+// killedFile kills the process before a step on a file, or in the middle of a write.
 type killedFile struct{ writableFile }
 
 func (f killedFile) Write(content []byte) (int, error) {
