--- a/cmd/pepperlead-sim/compare.go
+++ b/cmd/pepperlead-sim/compare.go
@@ -33,7 +33,7 @@
 		if err != nil {
 			return err
 		}
-		comparisons, err := experiment.Compare(experiment.Only(a, *policyA), experiment.Only(b, *policyB))
+		comparisons, err := experiment.Compare(experiment.FilterByPolicy(a, *policyA), experiment.FilterByPolicy(b, *policyB))
 		if err != nil {
 			return err
 		}
--- a/cmd/pepperlead-sim/sweep.go
+++ b/cmd/pepperlead-sim/sweep.go
@@ -114,7 +114,7 @@
 		return fmt.Errorf("--vary: found %q, allowed path=values", variation)
 	}
 	grid.Vary = path
-	grid.Values, err = experiment.Range(values)
+	grid.Values, err = experiment.ParseValues(values)
 	return err
 }
 
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -43,11 +43,11 @@
 		if again, err := ReadResults(out); err != nil || len(again) != 16 || again[15].Verdict.Service != got[15].Verdict.Service {
 			t.Errorf("%d read back: %v", len(again), err)
 		}
-		self, err := Compare(Only(got, "module"), Only(got, "module"))
+		self, err := Compare(FilterByPolicy(got, "module"), FilterByPolicy(got, "module"))
 		if err != nil || len(self) != 4 || self[0].Gain != 0 || self[0].Pairs != 2 {
 			t.Errorf("%+v %v", self, err)
 		}
-		two, err := Compare(Only(got, "module"), Only(got, "two"))
+		two, err := Compare(FilterByPolicy(got, "module"), FilterByPolicy(got, "two"))
 		if err != nil || two[3].Scenario != "slow" || two[3].Gain > -0.01 || two[3].Half <= 0 {
 			t.Errorf("%+v %v", two, err)
 		}
@@ -107,7 +107,7 @@
 		t.Errorf("%v ± %v", mean, half)
 	}
 	for text, want := range map[string]string{"1,2": "1 2", "0.5:0.9:0.2": "0.5 0.7 0.9", "1:8:2": "1 3 5 7", "1:0:1": "", "a:2:1": ""} {
-		if got, err := Range(text); strings.Join(got, " ") != want || (err != nil) != (want == "") {
+		if got, err := ParseValues(text); strings.Join(got, " ") != want || (err != nil) != (want == "") {
 			t.Errorf("%s: %v %v", text, got, err)
 		}
 	}
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -167,8 +167,8 @@
 	return []emulator.Set{{Path: path, Value: v}}
 }
 
-// Range reads values as a list, 1,2,4, or as from:to:step.
-func Range(text string) ([]string, error) {
+// ParseValues reads values as a list, 1,2,4, or as from:to:step.
+func ParseValues(text string) ([]string, error) {
 	parts := strings.Split(text, ":")
 	if len(parts) != 3 {
 		return strings.Split(text, ","), nil
@@ -313,8 +313,8 @@
 	return []*Result{&one}, nil
 }
 
-// Only keeps the results of one policy; "" keeps all.
-func Only(all []*Result, policy string) []*Result {
+// FilterByPolicy keeps the results of one policy; "" keeps all.
+func FilterByPolicy(all []*Result, policy string) []*Result {
 	if policy == "" {
 		return all
 	}
