--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -10,9 +10,9 @@
 	"pepperlead/internal/emulator"
 )
 
-// Scale is the path of a set that changes a fleet's size, as 300x100: the number of instances and of endpoints, with
+// ScalePath is the path of a set that changes a fleet's size, as 300x100: the number of instances and of endpoints, with
 // load and keys in proportion to the endpoints.
-const Scale = "scale"
+const ScalePath = "scale"
 
 // Load reads a scenario and its base, which is a file in the same directory.
 func Load(path string, sets ...emulator.Set) (*emulator.Scenario, error) {
@@ -20,7 +20,7 @@
 	if err != nil {
 		return nil, err
 	}
-	isScale := func(s emulator.Set) bool { return s.Path == Scale }
+	isScale := func(s emulator.Set) bool { return s.Path == ScalePath }
 	if i := slices.IndexFunc(sets, isScale); i >= 0 {
 		if sets, err = expandScale(path, sets, i); err != nil {
 			return nil, err
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -91,7 +91,7 @@
 	var jobs []job
 	for _, path := range g.Scenarios {
 		for _, set := range sets {
-			if _, err := Load(path, Sets(set)...); err != nil {
+			if _, err := Load(path, ParseSets(set)...); err != nil {
 				return nil, err
 			}
 			for _, seed := range g.Seeds {
@@ -137,7 +137,7 @@
 
 // play plays the day, without its seconds: a sweep has thousands of days.
 func (j job) play() (*Result, error) {
-	sc, err := Load(j.path, Sets(j.set)...)
+	sc, err := Load(j.path, ParseSets(j.set)...)
 	if err != nil {
 		return nil, err
 	}
@@ -150,8 +150,8 @@
 	return r, nil
 }
 
-// Sets reads path=value, "" being none. A value that is a whole number stays one.
-func Sets(text string) []emulator.Set {
+// ParseSets reads path=value, "" being none. A value that is a whole number stays one.
+func ParseSets(text string) []emulator.Set {
 	path, value, ok := strings.Cut(text, "=")
 	if !ok {
 		return nil
