--- a/cmd/pepperlead-sim/compare.go
+++ b/cmd/pepperlead-sim/compare.go
@@ -55,7 +55,7 @@
 	printf(w, "scenario\tset\tpairs\tA\tB\tgain\t±\tnew breaks\n")
 	for _, x := range comparisons {
 		printf(w, ""+
-			"%s\t%s\t%d\t%.3f\t%.3f\t%+.4f\t%.4f\t%d\n", x.Scenario, x.Set, x.Pairs, x.A, x.B, x.Gain, x.Half, x.Breaks)
+			"%s\t%s\t%d\t%.3f\t%.3f\t%+.4f\t%.4f\t%d\n", x.Scenario, x.Set, x.Pairs, x.A, x.B, x.Gain, x.HalfWidth, x.Breaks)
 	}
 	return w.Flush()
 }
--- a/cmd/pepperlead-sim/sweep.go
+++ b/cmd/pepperlead-sim/sweep.go
@@ -133,7 +133,7 @@
 			r.Policy,
 			r.Days,
 			r.Service,
-			r.Half,
+			r.HalfWidth,
 			r.Worst10,
 			r.Wasted,
 			r.Crossed,
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -9,14 +9,14 @@
 
 // Comparison is one scenario of two sweeps, paired by seed.
 type Comparison struct {
-	Scenario string  `json:"scenario"`
-	Set      string  `json:"set,omitempty"`
-	Pairs    int     `json:"pairs"`
-	A        float64 `json:"a"`
-	B        float64 `json:"b"`
-	Gain     float64 `json:"gain"`   // of B over A
-	Half     float64 `json:"half"`   // of its 95% interval
-	Breaks   int     `json:"breaks"` // days on which B broke a rule and A did not
+	Scenario  string  `json:"scenario"`
+	Set       string  `json:"set,omitempty"`
+	Pairs     int     `json:"pairs"`
+	A         float64 `json:"a"`
+	B         float64 `json:"b"`
+	Gain      float64 `json:"gain"`   // of B over A
+	HalfWidth float64 `json:"half"`   // of its 95% interval
+	Breaks    int     `json:"breaks"` // days on which B broke a rule and A did not
 }
 
 // dayKey identifies a day of a sweep of one policy.
@@ -59,7 +59,7 @@
 	for g, c := range comparisons {
 		c.A /= float64(c.Pairs)
 		c.B /= float64(c.Pairs)
-		c.Gain, c.Half = Interval(gains[g])
+		c.Gain, c.HalfWidth = ConfidenceInterval(gains[g])
 		all = append(all, *c)
 	}
 	slices.SortFunc(all, func(x, y Comparison) int {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -48,7 +48,7 @@
 			t.Errorf("%+v %v", self, err)
 		}
 		two, err := Compare(FilterByPolicy(got, "module"), FilterByPolicy(got, "two"))
-		if err != nil || two[3].Scenario != "slow" || two[3].Gain > -0.01 || two[3].Half <= 0 {
+		if err != nil || two[3].Scenario != "slow" || two[3].Gain > -0.01 || two[3].HalfWidth <= 0 {
 			t.Errorf("%+v %v", two, err)
 		}
 		if _, err := Compare(got, got); err == nil {
@@ -103,7 +103,7 @@
 
 func TestIntervalsAndRanges(t *testing.T) {
 	// 1, 2, 3: mean 2, standard error 1/sqrt(3), and 4.303 of them by Student's table for two degrees.
-	if mean, half := Interval([]float64{1, 2, 3}); math.Abs(mean-2) > 1e-12 || math.Abs(half-4.3027/math.Sqrt(3)) > 1e-3 {
+	if mean, half := ConfidenceInterval([]float64{1, 2, 3}); math.Abs(mean-2) > 1e-12 || math.Abs(half-4.3027/math.Sqrt(3)) > 1e-3 {
 		t.Errorf("%v ± %v", mean, half)
 	}
 	for text, want := range map[string]string{"1,2": "1 2", "0.5:0.9:0.2": "0.5 0.7 0.9", "1:8:2": "1 3 5 7", "1:0:1": "", "a:2:1": ""} {
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -68,7 +68,7 @@
 		ofPolicy := points[row.Policy]
 		x := float64(group) + policyOffset*float64(policyNumber)
 		ofPolicy.XYs = append(ofPolicy.XYs, plotter.XY{X: x, Y: row.Service})
-		ofPolicy.YErrors = append(ofPolicy.YErrors, struct{ Low, High float64 }{row.Half, row.Half})
+		ofPolicy.YErrors = append(ofPolicy.YErrors, struct{ Low, High float64 }{row.HalfWidth, row.HalfWidth})
 	}
 	return groups, policies, points
 }
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -203,15 +203,15 @@
 
 // Row is one line of a sweep's table.
 type Row struct {
-	Scenario string  `json:"scenario"`
-	Set      string  `json:"set,omitempty"`
-	Policy   string  `json:"policy"`
-	Days     int     `json:"days"`
-	Service  float64 `json:"service"` // mean
-	Half     float64 `json:"half"`    // of its 95% interval
-	Worst10  float64 `json:"worst_10s"`
-	Wasted   float64 `json:"wasted"`
-	Crossed  float64 `json:"crossed"`
+	Scenario  string  `json:"scenario"`
+	Set       string  `json:"set,omitempty"`
+	Policy    string  `json:"policy"`
+	Days      int     `json:"days"`
+	Service   float64 `json:"service"` // mean
+	HalfWidth float64 `json:"half"`    // of its 95% interval
+	Worst10   float64 `json:"worst_10s"`
+	Wasted    float64 `json:"wasted"`
+	Crossed   float64 `json:"crossed"`
 	judge.Spread
 	Broken [4]int `json:"broken"` // days on which the rule was broken
 }
@@ -235,7 +235,7 @@
 		services[i] = append(services[i], r.Verdict.Service)
 	}
 	for i := range rows {
-		rows[i].Service, rows[i].Half = Interval(services[i])
+		rows[i].Service, rows[i].HalfWidth = ConfidenceInterval(services[i])
 		rows[i].divide(float64(rows[i].Days))
 	}
 	return rows
@@ -279,8 +279,8 @@
 	r.Herd = max(r.Herd, e.Herd)
 }
 
-// Interval returns the mean of some values and half the width of its 95% interval, by Student's distribution.
-func Interval(all []float64) (mean, half float64) {
+// ConfidenceInterval returns the mean of some values and half the width of its 95% interval, by Student's distribution.
+func ConfidenceInterval(all []float64) (mean, half float64) {
 	n := float64(len(all))
 	for _, v := range all {
 		mean += v / n
