--- a/cmd/pepperlead-sim/replay.go
+++ b/cmd/pepperlead-sim/replay.go
@@ -71,7 +71,7 @@
 	}
 	result.Scenario += ", recorded"
 	if o.directory != "" {
-		if err := experiment.Write(o.directory, result, series); err != nil {
+		if err := experiment.WriteResult(o.directory, result, series); err != nil {
 			return err
 		}
 	}
@@ -94,7 +94,7 @@
 	return traces, nil
 }
 
-func printReplay(out io.Writer, traces int, replayed *experiment.Replayed, result *experiment.Result) {
+func printReplay(out io.Writer, traces int, replayed *experiment.ReplaySummary, result *experiment.Result) {
 	printf(out, "%d traces (%d cut off): %d requests, %d further tries left out, %d servers; "+
 		"of their tickets %.3f were honoured\n",
 		traces, replayed.Truncated, replayed.Arrivals, replayed.Retries, replayed.Endpoints, replayed.SucceededShare)
--- a/cmd/pepperlead-sim/run.go
+++ b/cmd/pepperlead-sim/run.go
@@ -57,7 +57,7 @@
 	elapsed := time.Since(start)
 	result.Set = strings.Join(o.settings, " ")
 	if o.directory != "" {
-		if err := experiment.Write(o.directory, result, series); err != nil {
+		if err := experiment.WriteResult(o.directory, result, series); err != nil {
 			return err
 		}
 	}
--- a/internal/experiment/charts.go
+++ b/internal/experiment/charts.go
@@ -56,8 +56,8 @@
 	note   string
 	yLabel string
 	yMin   float64
-	yMax   float64 // 0: that of the lines
-	faults []Span  // drawn behind the lines
+	yMax   float64     // 0: that of the lines
+	faults []FaultSpan // drawn behind the lines
 	lines  lineSet
 }
 
@@ -240,7 +240,7 @@
 }
 
 // drawFaultBands draws faults as grey bands with labels on four levels.
-func drawFaultBands(p *plot.Plot, faults []Span) {
+func drawFaultBands(p *plot.Plot, faults []FaultSpan) {
 	for i, f := range faults {
 		band, err := plotter.NewPolygon(plotter.XYs{
 			{X: f.FromS, Y: p.Y.Min},
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	out := t.TempDir()
-	if err := Write(out, r, s); err != nil {
+	if err := WriteResult(out, r, s); err != nil {
 		t.Fatal(err)
 	}
 	path, err := Report(out)
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -14,7 +14,7 @@
 // pages are the JSON documents that this package writes, by the name of their golden file.
 func pages() map[string]any {
 	return map[string]any{"result.json": &Result{}, "series.json": &Series{}, "sweep.json": &[]*Result{}, "rows.json": &[]Row{},
-		"comparisons.json": &[]Comparison{}, "replayed.json": &Replayed{}}
+		"comparisons.json": &[]Comparison{}, "replayed.json": &ReplaySummary{}}
 }
 
 // TestDocumentsHaveTheirKeys holds each document, with a value in each field, to what was written before, and reads that back.
@@ -50,7 +50,7 @@
 	golden.Fill(&result)
 	golden.Fill(&series)
 	folder := t.TempDir()
-	if err := Write(folder, &result, &series); err != nil {
+	if err := WriteResult(folder, &result, &series); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"result.json", "series.json"} {
@@ -75,7 +75,7 @@
 	result.Verdict.ViolationCounts[1] = 0 // one rule that was kept
 	series.Curves = map[string][]Point{result.Latency[0].Class: {{X: 50, Y: 1}, {X: 99, Y: 2}}}
 	folder := t.TempDir()
-	if err := Write(folder, &result, &series); err != nil {
+	if err := WriteResult(folder, &result, &series); err != nil {
 		t.Fatal(err)
 	}
 	path, err := Report(folder)
--- a/internal/experiment/outages.go
+++ b/internal/experiment/outages.go
@@ -35,7 +35,7 @@
 	scenario *emulator.Scenario,
 	traces []*trace.Trace,
 	zero policy.Time,
-	result *Replayed,
+	result *ReplaySummary,
 ) []emulator.Fault {
 	observations := map[string][]observation{}
 	for _, t := range traces {
--- a/internal/experiment/replay.go
+++ b/internal/experiment/replay.go
@@ -11,8 +11,8 @@
 	"pepperlead/policy"
 )
 
-// Replayed describes what a replay has taken from its traces.
-type Replayed struct {
+// ReplaySummary describes what a replay has taken from its traces.
+type ReplaySummary struct {
 	Arrivals       int      `json:"arrivals"`
 	Retries        int      `json:"further"` // left out, as the emulated clients make their own
 	Endpoints      int      `json:"servers"`
@@ -24,7 +24,7 @@
 // FromTraces replaces a scenario's load by the requests of traces, and its faults by those that the traces show:
 // endpoints that drained, ended, restarted or were unreachable. The fleet stays the scenario's, as no instance knows
 // how fast endpoints are. Endpoints are matched by uid; those that the scenario does not have are left out.
-func FromTraces(scenario *emulator.Scenario, traces []*trace.Trace) (*Replayed, error) {
+func FromTraces(scenario *emulator.Scenario, traces []*trace.Trace) (*ReplaySummary, error) {
 	if len(traces) == 0 {
 		return nil, errors.New("no trace")
 	}
@@ -56,7 +56,7 @@
 // replay collects the requests of traces.
 type replay struct {
 	scenario  *emulator.Scenario
-	result    *Replayed
+	result    *ReplaySummary
 	begin     policy.Time    // of the earliest trace
 	instances map[string]int // numbers by name
 	first     policy.Time    // arrival, from begin; -1: none yet
@@ -68,7 +68,7 @@
 func newReplay(scenario *emulator.Scenario, traces []*trace.Trace) *replay {
 	r := &replay{
 		scenario:  scenario,
-		result:    &Replayed{},
+		result:    &ReplaySummary{},
 		begin:     traces[0].Start,
 		instances: map[string]int{},
 		first:     -1,
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -44,7 +44,7 @@
 	Endpoints []string           `json:"servers"`
 	Samples   []emulator.Sample  `json:"samples"`
 	Curves    map[string][]Point `json:"curves"` // latency by percentile, by class
-	Faults    []Span             `json:"faults"`
+	Faults    []FaultSpan        `json:"faults"`
 }
 
 // Point is one point of a curve.
@@ -53,8 +53,8 @@
 	Y float64 `json:"y"`
 }
 
-// Span is a fault of a report.
-type Span struct {
+// FaultSpan is a fault of a report.
+type FaultSpan struct {
 	What     string      `json:"what"`
 	From, To policy.Time `json:"-"`
 	FromS    float64     `json:"from_s"`
@@ -86,12 +86,12 @@
 		Samples:   world.Series,
 		Curves:    latencies.curves(scenario),
 		Endpoints: world.EndpointNames(),
-		Faults:    Spans(scenario),
+		Faults:    FaultSpans(scenario),
 	}, nil
 }
 
-// Spans returns the faults of a scenario as spans of the day.
-func Spans(scenario *emulator.Scenario) (spans []Span) {
+// FaultSpans returns the faults of a scenario as spans of the day.
+func FaultSpans(scenario *emulator.Scenario) (spans []FaultSpan) {
 	for _, fault := range scenario.Faults {
 		to := fault.At + fault.Duration
 		if fault.Duration == 0 || fault.Kind == emulator.Rolling || fault.Kind == emulator.Shrink {
@@ -100,7 +100,7 @@
 		if fault.Kind == emulator.Rolling {
 			to = scenario.Length
 		}
-		spans = append(spans, Span{
+		spans = append(spans, FaultSpan{
 			What:  fault.Kind.String(),
 			From:  fault.At,
 			To:    to,
@@ -111,8 +111,8 @@
 	return spans
 }
 
-// Write writes a result into a directory: result.json and series.json.
-func Write(dir string, r *Result, s *Series) error {
+// WriteResult writes a result into a directory: result.json and series.json.
+func WriteResult(dir string, r *Result, s *Series) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
