--- a/cmd/pepperlead-sim/compare.go
+++ b/cmd/pepperlead-sim/compare.go
@@ -55,7 +55,7 @@
 	printf(w, "scenario\tset\tpairs\tA\tB\tgain\t±\tnew breaks\n")
 	for _, x := range comparisons {
 		printf(w, ""+
-			"%s\t%s\t%d\t%.3f\t%.3f\t%+.4f\t%.4f\t%d\n", x.Scenario, x.Set, x.Pairs, x.A, x.B, x.Gain, x.HalfWidth, x.Breaks)
+			"%s\t%s\t%d\t%.3f\t%.3f\t%+.4f\t%.4f\t%d\n", x.Scenario, x.Set, x.Pairs, x.A, x.B, x.Gain, x.HalfWidth, x.NewViolations)
 	}
 	return w.Flush()
 }
@@ -63,9 +63,9 @@
 // checkGains returns an error for the first scenario that loses more than is allowed, or on which only B broke a rule.
 func checkGains(comparisons []experiment.Comparison, allow float64) error {
 	for _, x := range comparisons {
-		if x.Gain < -allow || x.Breaks > 0 {
+		if x.Gain < -allow || x.NewViolations > 0 {
 			return fmt.Errorf("%s: a gain of %+.4f, allowed %+.4f; %d days on which only B broke a rule",
-				x.Scenario, x.Gain, -allow, x.Breaks)
+				x.Scenario, x.Gain, -allow, x.NewViolations)
 		}
 	}
 	return nil
--- a/cmd/pepperlead-sim/sweep.go
+++ b/cmd/pepperlead-sim/sweep.go
@@ -131,12 +131,12 @@
 			r.Scenario,
 			r.Set,
 			r.Policy,
-			r.Days,
+			r.Runs,
 			r.Service,
 			r.HalfWidth,
 			r.Worst10,
 			r.Wasted,
-			r.Crossed,
+			r.CrossZone,
 			r.Scatter[0],
 			r.Scatter[1],
 			r.Forced[0],
@@ -145,7 +145,7 @@
 			r.BusiestMax,
 			r.IdleSeconds,
 			r.Herd,
-			r.Broken,
+			r.ViolatingRuns,
 		)
 	}
 	return w.Flush()
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -9,14 +9,14 @@
 
 // Comparison is one scenario of two sweeps, paired by seed.
 type Comparison struct {
-	Scenario  string  `json:"scenario"`
-	Set       string  `json:"set,omitempty"`
-	Pairs     int     `json:"pairs"`
-	A         float64 `json:"a"`
-	B         float64 `json:"b"`
-	Gain      float64 `json:"gain"`   // of B over A
-	HalfWidth float64 `json:"half"`   // of its 95% interval
-	Breaks    int     `json:"breaks"` // days on which B broke a rule and A did not
+	Scenario      string  `json:"scenario"`
+	Set           string  `json:"set,omitempty"`
+	Pairs         int     `json:"pairs"`
+	A             float64 `json:"a"`
+	B             float64 `json:"b"`
+	Gain          float64 `json:"gain"`   // of B over A
+	HalfWidth     float64 `json:"half"`   // of its 95% interval
+	NewViolations int     `json:"breaks"` // days on which B broke a rule and A did not
 }
 
 // dayKey identifies a day of a sweep of one policy.
@@ -87,6 +87,6 @@
 	c.A += a.Verdict.Service
 	c.B += b.Verdict.Service
 	if !b.Verdict.NoViolations() && a.Verdict.NoViolations() {
-		c.Breaks++
+		c.NewViolations++
 	}
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -31,7 +31,7 @@
 		}
 		b, _ := os.ReadFile(filepath.Join(out, "sweep.json"))
 		all[i] = string(b)
-		if rows := Table(got); len(rows) != 8 || rows[0].Days != 2 || rows[0].Set != "load.part=0.5" || rows[1].Policy != "two" {
+		if rows := Table(got); len(rows) != 8 || rows[0].Runs != 2 || rows[0].Set != "load.part=0.5" || rows[1].Policy != "two" {
 			t.Errorf("%+v", rows)
 		}
 		if err := PlotRows(filepath.Join(out, "table.svg"), Table(got)); err != nil {
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -206,14 +206,14 @@
 	Scenario  string  `json:"scenario"`
 	Set       string  `json:"set,omitempty"`
 	Policy    string  `json:"policy"`
-	Days      int     `json:"days"`
+	Runs      int     `json:"days"`
 	Service   float64 `json:"service"` // mean
 	HalfWidth float64 `json:"half"`    // of its 95% interval
 	Worst10   float64 `json:"worst_10s"`
 	Wasted    float64 `json:"wasted"`
-	Crossed   float64 `json:"crossed"`
+	CrossZone float64 `json:"crossed"`
 	judge.Spread
-	Broken [4]int `json:"broken"` // days on which the rule was broken
+	ViolatingRuns [4]int `json:"broken"` // days on which the rule was broken
 }
 
 // Table summarizes a sweep.
@@ -236,21 +236,21 @@
 	}
 	for i := range rows {
 		rows[i].Service, rows[i].HalfWidth = ConfidenceInterval(services[i])
-		rows[i].divide(float64(rows[i].Days))
+		rows[i].divide(float64(rows[i].Runs))
 	}
 	return rows
 }
 
 // addResult adds a day to the sums and counts, of which divide makes means.
 func (r *Row) addResult(result *Result) {
-	r.Days++
+	r.Runs++
 	r.Worst10 += result.Verdict.Worst10
 	r.Wasted += result.Wasted
-	r.Crossed += result.Verdict.CrossZone
+	r.CrossZone += result.Verdict.CrossZone
 	r.add(&result.Verdict.Spread)
 	for rule, count := range result.Verdict.ViolationCounts {
 		if count > 0 {
-			r.Broken[rule]++
+			r.ViolatingRuns[rule]++
 		}
 	}
 }
@@ -258,7 +258,7 @@
 func (r *Row) divide(days float64) {
 	r.Worst10 /= days
 	r.Wasted /= days
-	r.Crossed /= days
+	r.CrossZone /= days
 	for i := range r.Scatter {
 		r.Scatter[i] /= days
 		r.Forced[i] /= days
