--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,4 +1,5 @@
-// Command simulator-adapter puts the decision module on the bench's wire: standard input to standard output.
+// Command simulator-adapter connects the decision module to the simulator: it reads the simulator's events from
+// standard input and writes the module's actions to standard output.
 package main
 
 import (
--- a/internal/simprotocol/actions.go
+++ b/internal/simprotocol/actions.go
@@ -6,16 +6,16 @@
 	"pepperlead/policy"
 )
 
-// The methods of policy.Front write what the module asks for as lines of the reply.
+// The methods that implement policy.Front write each action of the module as a line of the reply.
 
-// beginLine begins a line about the instance.
+// beginLine begins a line with a keyword and the instance's name.
 func (i *instance) beginLine(keyword string) {
 	i.reply.WriteString(keyword)
 	i.reply.WriteString(" sidecar_id=")
 	i.reply.Write(i.name)
 }
 
-// beginRequestLine begins a line about a request.
+// beginRequestLine begins a line with a keyword, the instance's name and the request's ID.
 func (i *instance) beginRequestLine(keyword string, h policy.Handle) {
 	i.beginLine(keyword)
 	i.reply.WriteString(" tid=")
@@ -32,16 +32,16 @@
 }
 
 // writeDuration writes a duration in seconds, with nine decimals.
-func (i *instance) writeDuration(name string, t policy.Time) {
-	i.writeNumber(name, uint64(t/policy.Second))
+func (i *instance) writeDuration(name string, duration policy.Time) {
+	i.writeNumber(name, uint64(duration/policy.Second))
 	i.reply.WriteByte('.')
-	fraction := t % policy.Second
+	fraction := duration % policy.Second
 	for unit := policy.Second / 10; unit > 0; unit /= 10 {
 		i.reply.WriteByte(byte('0' + fraction/unit%10))
 	}
 }
 
-// Attempt sends a request to an endpoint.
+// Attempt sends a request to an endpoint, with a limit on the attempt's duration unless timeout is 0.
 func (i *instance) Attempt(h policy.Handle, endpoint policy.EndpointID, timeout policy.Time) {
 	i.beginRequestLine("route", h)
 	i.writeNumber("endpoint", uint64(endpoint))
@@ -51,27 +51,27 @@
 	i.endLine()
 }
 
-// Cancel cancels an attempt.
+// Cancel cancels an attempt that is in flight.
 func (i *instance) Cancel(h policy.Handle, attempt policy.AttemptNo) {
 	i.beginRequestLine("undo_send", h)
 	i.writeNumber("send_no", uint64(attempt))
 	i.endLine()
 }
 
-// Succeed writes nothing: the simulator forwards an endpoint's response by itself.
+// Succeed writes nothing: the simulator itself forwards the endpoint's response to the client.
 func (i *instance) Succeed(policy.Handle, policy.AttemptNo) {}
 
-// Release closes idle connections to an endpoint.
+// Release allows the idle connections to an endpoint to be closed.
 func (i *instance) Release(endpoint policy.EndpointID) {
 	i.beginLine("release")
 	i.writeNumber("endpoint", uint64(endpoint))
 	i.endLine()
 }
 
-// Forget does nothing: endpoints have no state here.
+// Forget does nothing: the adapter keeps no state about endpoints.
 func (i *instance) Forget(policy.EndpointID) {}
 
-// Reject rejects a request, with the time after which it may be tried again.
+// Reject rejects a request; retryAfter, unless it is 0, is the delay after which the client may retry it.
 func (i *instance) Reject(h policy.Handle, retryAfter policy.Time) {
 	i.beginRequestLine("busy", h)
 	if retryAfter > 0 {
@@ -80,13 +80,13 @@
 	i.endLine()
 }
 
-// Fail fails a request.
+// Fail answers a request as failed.
 func (i *instance) Fail(h policy.Handle) {
 	i.beginRequestLine("drop_request", h)
 	i.endLine()
 }
 
-// Wake asks for a wake event after a delay.
+// Wake requests a wake event after a delay.
 func (i *instance) Wake(delay policy.Time) {
 	i.beginLine("wake_at")
 	i.writeDuration("delay_s", delay)
@@ -95,9 +95,9 @@
 }
 
 // FollowList subscribes to the list of endpoints, or ends the subscription.
-func (i *instance) FollowList(on bool) {
+func (i *instance) FollowList(follow bool) {
 	want := uint64(0)
-	if on {
+	if follow {
 		want = 1
 	}
 	i.beginLine("subscribe")
--- a/internal/simprotocol/adapter.go
+++ b/internal/simprotocol/adapter.go
@@ -1,5 +1,6 @@
-// Package simprotocol connects instances of the decision module to the simulator. It decodes the lines of a batch into
-// calls of the module, and writes what the module asks for as the lines of the reply.
+// Package simprotocol connects instances of the decision module to the simulator by a line protocol. The simulator
+// sends batches of lines. Each event becomes a call to an instance, and the actions of the instances are the lines of
+// the reply to the batch.
 package simprotocol
 
 import (
@@ -14,12 +15,12 @@
 
 // Limits of the input.
 const (
-	readBufferSize = 64 << 10
-	maxLists       = 16
+	readBufferSize = 64 << 10 // bytes; a longer line is read in parts
+	maxLists       = 16       // lists are numbered from 0
 	maxListEntries = 1 << 20
 )
 
-// Keywords of the lines that are not about one instance.
+// Keywords of lines other than the events of an instance.
 const (
 	keywordBeginBatch  = "round"
 	keywordEndBatch    = "go"
@@ -28,24 +29,25 @@
 	keywordNewInstance = "new_instance"
 )
 
-// adapter hosts the instances of one process.
+// adapter runs the instances of one process and decodes its input.
 type adapter struct {
 	in        *bufio.Reader
-	to        io.Writer
+	out       io.Writer
 	reply     bytes.Buffer // to the current batch
 	inBatch   bool
 	now       policy.Time
 	instances map[string]*instance
 	lists     [maxLists][]policy.Member
-	filling   int // number of the list whose entries follow
-	missing   int // entries of that list still to come
-	line      []byte
-	fields    []field
+	listNo    int     // number of the list that was begun last
+	remaining int     // entries of that list that are still to be read
+	line      []byte  // buffer of readLine
+	fields    []field // of the current line
 }
 
-// Run serves batches until the input ends. An error says which line could not be served and why.
+// Run serves batches until the input ends or a line cannot be handled. The error then quotes the line and gives the
+// reason.
 func Run(in io.Reader, out io.Writer) error {
-	a := &adapter{in: bufio.NewReaderSize(in, readBufferSize), to: out, instances: map[string]*instance{}}
+	a := &adapter{in: bufio.NewReaderSize(in, readBufferSize), out: out, instances: map[string]*instance{}}
 	for {
 		line, err := a.readLine()
 		if errors.Is(err, io.EOF) && len(line) == 0 {
@@ -66,7 +68,7 @@
 	}
 }
 
-// readLine returns the next line without its end. It is valid until the next call.
+// readLine returns the next line without its line ending. The slice is valid until the next call.
 func (a *adapter) readLine() ([]byte, error) {
 	a.line = a.line[:0]
 	for {
@@ -78,12 +80,12 @@
 	}
 }
 
-// handleLine serves one line. Lines with unknown keywords are ignored.
+// handleLine handles one line. Lines with unknown keywords are ignored.
 func (a *adapter) handleLine(line []byte) error {
-	keyword, rest, _ := bytes.Cut(line, []byte{' '})
-	a.splitFields(rest)
-	if a.missing > 0 && string(keyword) != keywordEndpoint {
-		return fmt.Errorf("%d endpoint lines of the roster are missing", a.missing)
+	keyword, text, _ := bytes.Cut(line, []byte{' '})
+	a.splitFields(text)
+	if a.remaining > 0 && string(keyword) != keywordEndpoint {
+		return fmt.Errorf("%d endpoint lines of the roster are missing", a.remaining)
 	}
 	if string(keyword) == keywordBeginBatch {
 		return a.beginBatch()
@@ -99,7 +101,7 @@
 	case keywordEndpoint:
 		return a.addEndpoint()
 	case keywordNewInstance:
-		return a.newInstance(rest)
+		return a.newInstance(text)
 	}
 	handle, known := events[string(keyword)]
 	if !known {
@@ -122,11 +124,11 @@
 	return nil
 }
 
-// endBatch sends the reply to the batch.
+// endBatch completes the reply to the batch and writes it.
 func (a *adapter) endBatch() error {
 	a.inBatch = false
 	a.reply.WriteString("ack\n")
-	_, err := a.to.Write(a.reply.Bytes())
+	_, err := a.out.Write(a.reply.Bytes())
 	a.reply.Reset()
 	return err
 }
--- a/internal/simprotocol/adapter_test.go
+++ b/internal/simprotocol/adapter_test.go
@@ -42,10 +42,10 @@
 	want := "wake_at sidecar_id=sidecar/0 delay_s=0.885000000 cookie=w\n"
 	got := reply(t, batches)
 	if !strings.Contains(got, "route sidecar_id=sidecar/0 "+requestField+" endpoint=5 max_wait_s=0.") || !strings.Contains(got, want) {
-		t.Errorf("unexpected replies:\n%s", got)
+		t.Errorf("unexpected reply:\n%s", got)
 	}
-	if other := reply(t, strings.Join(reversed, "")); other != got {
-		t.Errorf("other replies with the fields reversed:\n%s", other)
+	if reversedReply := reply(t, strings.Join(reversed, "")); reversedReply != got {
+		t.Errorf("the reply differs with the fields reversed:\n%s", reversedReply)
 	}
 }
 
@@ -80,7 +80,7 @@
 			t.Fatalf("%q is not in the batches", change[0])
 		}
 		if err := Run(strings.NewReader(in), &bytes.Buffer{}); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q for %q: want one plain line, got %v", change[1], change[0], err)
+			t.Errorf("%q for %q: want an error of one line, got %v", change[1], change[0], err)
 		}
 	}
 }
--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -6,14 +6,14 @@
 	"pepperlead/policy"
 )
 
-// retriedOption marks, in a request's options, one that its client has sent before.
-const retriedOption = 2
+// retryOption is the bit of a request's options that marks a retry by the client.
+const retryOption = 2
 
-// eventHandler handles an event of an instance. Events of an instance that has stopped (nil) are ignored, but their
-// fields must be readable.
+// eventHandler handles an event of an instance. An instance that has stopped is nil: its events have no effect, but
+// their fields must still be valid.
 type eventHandler func(a *adapter, i *instance) error
 
-// events are the handlers by the keyword of the line.
+// events maps the keyword of a line to the handler of the event.
 var events = map[string]eventHandler{
 	"fleet":       (*adapter).updateEndpoints,
 	"req":         (*adapter).admit,
@@ -28,7 +28,7 @@
 
 func (a *adapter) ignore(*instance) error { return nil }
 
-// admit hands a new request to the instance.
+// admit passes a new request to the instance.
 func (a *adapter) admit(i *instance) error {
 	id, err := a.requestID()
 	if err != nil {
@@ -59,13 +59,13 @@
 		}
 	}
 	key, _ := a.lookup("item")
-	h := i.balancer.Admit(a.now, class, tenant, string(key), options&retriedOption != 0, timeLeft)
-	i.setHandle(id, h)
-	i.balancer.Begin(a.now, h)
+	handle := i.balancer.Admit(a.now, class, tenant, string(key), options&retryOption != 0, timeLeft)
+	i.setHandle(id, handle)
+	i.balancer.Begin(a.now, handle)
 	return nil
 }
 
-// outcomes are the outcomes of attempts by their codes.
+// outcomes maps the protocol's codes to the outcomes of attempts.
 var outcomes = map[string]policy.Outcome{
 	"S": policy.Succeeded,
 	"E": policy.Errored,
@@ -77,7 +77,7 @@
 	"N": policy.NotSent,
 }
 
-// attemptEnded tells the instance the end of an attempt.
+// attemptEnded reports the end of an attempt to the instance.
 func (a *adapter) attemptEnded(i *instance) error {
 	id, err := a.requestID()
 	if err != nil {
@@ -93,7 +93,7 @@
 	}
 	outcome, known := outcomes[string(code)]
 	if !known {
-		return fmt.Errorf("code=%s is not known", code)
+		return fmt.Errorf("code=%s is not a known outcome", code)
 	}
 	endpoint, err := a.number("endpoint")
 	if err != nil {
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// clientLeft tells the instance that the client of a request has left.
+// clientLeft reports to the instance that the client of a request has left.
 func (a *adapter) clientLeft(i *instance) error {
 	id, err := a.requestID()
 	if err != nil || i == nil {
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// responseBegun tells the instance that the response to a request has begun to come.
+// responseBegun removes the deadline of a request whose response has begun.
 func (a *adapter) responseBegun(i *instance) error {
 	id, err := a.requestID()
 	if err != nil || i == nil {
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// wake tells the instance that the time that it asked for has come.
+// wake reports to the instance that the delay it requested by Wake has passed.
 func (a *adapter) wake(i *instance) error {
 	if _, err := a.text("cookie"); err != nil || i == nil {
 		return err
--- a/internal/simprotocol/fields.go
+++ b/internal/simprotocol/fields.go
@@ -9,15 +9,15 @@
 	"pepperlead/policy"
 )
 
-// field is a name with its value in a line.
+// field is a name=value pair of a line.
 type field struct{ name, value []byte }
 
-// splitFields reads the fields behind the keyword of a line. Parts that are not fields are ignored.
-func (a *adapter) splitFields(rest []byte) {
+// splitFields splits the text after the keyword of a line into fields. Parts without an equals sign are ignored.
+func (a *adapter) splitFields(text []byte) {
 	a.fields = a.fields[:0]
-	for len(rest) > 0 {
+	for len(text) > 0 {
 		var part []byte
-		part, rest, _ = bytes.Cut(rest, []byte{' '})
+		part, text, _ = bytes.Cut(text, []byte{' '})
 		if name, value, ok := bytes.Cut(part, []byte{'='}); ok {
 			a.fields = append(a.fields, field{name, value})
 		}
@@ -34,7 +34,7 @@
 	return nil, false
 }
 
-// text returns the value of a field that must not be missing or empty.
+// text returns the value of a required field, which must not be empty.
 func (a *adapter) text(name string) ([]byte, error) {
 	value, found := a.lookup(name)
 	if !found || len(value) == 0 {
@@ -43,7 +43,7 @@
 	return value, nil
 }
 
-// requestID returns the id of the request that the line is about.
+// requestID returns the ID of the request that the line refers to.
 func (a *adapter) requestID() (requestID, error) {
 	value, err := a.text("tid")
 	if err != nil {
--- a/internal/simprotocol/instance.go
+++ b/internal/simprotocol/instance.go
@@ -9,10 +9,11 @@
 	"pepperlead/policy"
 )
 
-// requestID is the id of a request, as the protocol writes it.
+// requestID is the ID of a request, in the protocol's text form.
 type requestID [36]byte
 
-// instance is one instance of the module with its surroundings. It is the module's front.
+// instance is one instance of the decision module, with the names and IDs that the protocol uses for the module's
+// numbers. It implements the module's front.
 type instance struct {
 	name     []byte
 	reply    *bytes.Buffer
@@ -20,13 +21,13 @@
 	classes  map[string]policy.ClassID
 	tenants  map[string]policy.TenantID
 	handles  map[requestID]policy.Handle
-	ids      []requestID // by the place of the handle
+	ids      []requestID // by the index of the handle
 }
 
 var _ policy.Front = (*instance)(nil)
 
-// newInstance starts an instance; rest is the line behind its keyword.
-func (a *adapter) newInstance(rest []byte) error {
+// newInstance starts an instance; text is the line after its keyword.
+func (a *adapter) newInstance(text []byte) error {
 	name, err := a.text("sidecar_id")
 	if err != nil {
 		return err
@@ -35,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	if !bytes.Contains(rest, []byte("offerings.count=")) {
+	if !bytes.Contains(text, []byte("offerings.count=")) {
 		return errors.New("offerings.count is missing")
 	}
 	settings, err := a.settings()
@@ -49,18 +50,18 @@
 		tenants: map[string]policy.TenantID{},
 		handles: map[requestID]policy.Handle{},
 	}
-	for n, class := range settings.Classes {
-		i.classes[class.Name] = policy.ClassID(n)
+	for number, class := range settings.Classes {
+		i.classes[class.Name] = policy.ClassID(number)
 	}
-	for n, tenant := range settings.Tenants {
-		i.tenants[tenant.Name] = policy.TenantID(n)
+	for number, tenant := range settings.Tenants {
+		i.tenants[tenant.Name] = policy.TenantID(number)
 	}
 	a.instances[string(i.name)] = i
 	i.balancer = policy.New(i, settings, seed, a.now)
 	return nil
 }
 
-// settings reads the settings in the fields of the line.
+// settings parses the module's settings from the fields of the line.
 func (a *adapter) settings() (*policy.Settings, error) {
 	values := &platformsettings.Values{Text: make(map[string]string, len(a.fields))}
 	for _, f := range a.fields {
@@ -68,12 +69,13 @@
 	}
 	settings, err := platformsettings.Read(values)
 	if err != nil {
-		return nil, errors.New(strings.ReplaceAll(err.Error(), "\n", "; ")) // errors are reported in one line
+		return nil, errors.New(strings.ReplaceAll(err.Error(), "\n", "; ")) // errors are reported on one line
 	}
 	return settings, nil
 }
 
-// setHandle notes the handle of a request. The request whose handle had the same place before has ended.
+// setHandle records the handle of a request, and removes the request whose handle had the same index before: it has
+// ended.
 func (i *instance) setHandle(id requestID, h policy.Handle) {
 	for len(i.ids) <= h.Index() {
 		i.ids = append(i.ids, requestID{})
--- a/internal/simprotocol/lists.go
+++ b/internal/simprotocol/lists.go
@@ -9,10 +9,11 @@
 	"pepperlead/policy"
 )
 
-// maxWeight is the largest weight of an endpoint, exclusive.
+// maxWeight is the exclusive upper limit of an endpoint's weight.
 const maxWeight = 1e12
 
-// beginList begins a list of endpoints, whose entries follow.
+// beginList begins a list of endpoints, which replaces an earlier one of the same number. Its entries follow, one per
+// line.
 func (a *adapter) beginList() error {
 	number, err := a.number("table")
 	if err != nil {
@@ -23,29 +24,29 @@
 		return err
 	}
 	if number >= maxLists || entries > maxListEntries {
-		return fmt.Errorf("table %d with %d entries", number, entries)
+		return fmt.Errorf("table=%d with nodes_list=%d is out of range", number, entries)
 	}
-	a.filling = int(number)
-	a.missing = int(entries)
+	a.listNo = int(number)
+	a.remaining = int(entries)
 	a.lists[number] = a.lists[number][:0]
 	return nil
 }
 
-// addEndpoint adds an entry to the list that was begun.
+// addEndpoint adds an entry to the list that was begun last.
 func (a *adapter) addEndpoint() error {
-	if a.missing == 0 {
+	if a.remaining == 0 {
 		return errors.New("an endpoint line outside a roster")
 	}
 	member, err := a.member()
 	if err != nil {
 		return err
 	}
-	a.lists[a.filling] = append(a.lists[a.filling], member)
-	a.missing--
+	a.lists[a.listNo] = append(a.lists[a.listNo], member)
+	a.remaining--
 	return nil
 }
 
-// member reads an entry of a list.
+// member parses an entry of a list.
 func (a *adapter) member() (policy.Member, error) {
 	member := policy.Member{Weight: 1}
 	id, err := a.number("endpoint")
@@ -67,7 +68,7 @@
 	if _, found := a.lookup("group"); found {
 		cell, err := a.number("group")
 		if err != nil || cell > math.MaxInt32 {
-			return member, errors.New("group cannot be read")
+			return member, errors.New("group is not a valid cell number")
 		}
 		member.Cell = policy.Cell(cell)
 	}
@@ -94,18 +95,18 @@
 	case "Gone":
 		return policy.Removed, nil
 	}
-	return 0, fmt.Errorf("readiness=%s is not known", value)
+	return 0, fmt.Errorf("readiness=%s is not a known status", value)
 }
 
 func parseWeight(value []byte) (float64, error) {
 	weight, err := strconv.ParseFloat(string(value), 64)
 	if err != nil || !(weight >= 0 && weight < maxWeight) {
-		return 0, fmt.Errorf("scale=%s is not a size", value)
+		return 0, fmt.Errorf("scale=%s is not a valid weight", value)
 	}
 	return weight, nil
 }
 
-// updateEndpoints hands a list to the instance, or tells it that the discovery service cannot be reached.
+// updateEndpoints passes a list to the instance, or reports to it that discovery failed.
 func (a *adapter) updateEndpoints(i *instance) error {
 	how, err := a.text("how")
 	if err != nil {
@@ -125,7 +126,7 @@
 	case "SAVED":
 		kind = policy.ListSaved
 	default:
-		return fmt.Errorf("how=%s is not known", how)
+		return fmt.Errorf("how=%s is not a known kind of list", how)
 	}
 	number, err := a.number("table")
 	if err != nil {
