--- a/internal/experiment/charts.go
+++ b/internal/experiment/charts.go
@@ -18,6 +18,7 @@
 	"pepperlead/internal/emulator"
 )
 
+// palette holds the colors of lines and marks, which are used in turn.
 var palette = []color.Color{
 	color.RGBA{0x1f, 0x5f, 0xa8, 0xff},
 	color.RGBA{0xc0, 0x4a, 0x1c, 0xff},
@@ -27,14 +28,14 @@
 	color.RGBA{0x44, 0x44, 0x44, 0xff},
 }
 
-// Plot is one chart of a report.
+// Plot is one drawn chart of a report.
 type Plot struct {
 	Title string
 	Note  string
 	SVG   template.HTML
 }
 
-// lineSet is the lines of a chart, in order.
+// lineSet holds the lines of a chart by name, and the names in the order in which they were added.
 type lineSet struct {
 	lines map[string]plotter.XYs
 	order []string
@@ -50,23 +51,23 @@
 	l.lines[name] = append(l.lines[name], points...)
 }
 
-// chart describes a line chart over seconds.
+// chart describes a line chart of a report.
 type chart struct {
 	title  string
 	note   string
 	yLabel string
 	yMin   float64
-	yMax   float64     // 0: that of the lines
-	faults []FaultSpan // drawn behind the lines
+	yMax   float64     // 0: the largest value of the lines
+	faults []FaultSpan // shown as grey bands
 	lines  lineSet
 }
 
 const (
-	// maxService leaves room above a service of 1.
+	// maxService is the upper end of the axis of the service, with a margin above the maximum of 1.
 	maxService = 1.02
-	// maxTotalLimit cuts off the line of instances without a limit.
+	// maxTotalLimit caps the total limit that is drawn, for instances without a limit.
 	maxTotalLimit = 200
-	// waitingScale scales waiting jobs to the scale of the share of cores.
+	// waitingScale divides the number of waiting jobs, which share an axis with the share of busy cores.
 	waitingScale = 10
 )
 
@@ -74,7 +75,7 @@
 func plots(r *Result, s *Series) ([]Plot, error) {
 	service := serviceLine(r)
 	if len(service) == 0 {
-		return nil, errors.New("the result has no seconds: only days that run has played have a report")
+		return nil, errors.New("the result has no values by second: a report needs the result of run or replay")
 	}
 	charts := []chart{{
 		title:  "Service",
@@ -99,6 +100,7 @@
 	return all, nil
 }
 
+// serviceLine returns the service by the second in which requests were first sent.
 func serviceLine(r *Result) plotter.XYs {
 	var line plotter.XYs
 	for i, second := range r.Verdict.Seconds {
@@ -109,7 +111,7 @@
 	return line
 }
 
-// sampled returns a value of each sample as a line.
+// sampled returns one value of each sample as a line over time, in seconds.
 func sampled(s *Series, value func(emulator.Sample) float64) plotter.XYs {
 	var line plotter.XYs
 	for _, sample := range s.Samples {
@@ -125,9 +127,11 @@
 		yLabel: "pushes, servers",
 		faults: s.Faults,
 	}
-	c.lines.add("pace", sampled(s, func(x emulator.Sample) float64 { return min(x.TotalLimit, maxTotalLimit) }))
-	c.lines.add("limit", sampled(s, func(x emulator.Sample) float64 { return x.Limit }))
-	c.lines.add("aside", sampled(s, func(x emulator.Sample) float64 { return x.Ejected }))
+	c.lines.add("pace", sampled(s, func(sample emulator.Sample) float64 {
+		return min(sample.TotalLimit, maxTotalLimit)
+	}))
+	c.lines.add("limit", sampled(s, func(sample emulator.Sample) float64 { return sample.Limit }))
+	c.lines.add("aside", sampled(s, func(sample emulator.Sample) float64 { return sample.Ejected }))
 	return c
 }
 
@@ -138,8 +142,10 @@
 		yLabel: "part, tens of jobs",
 		faults: s.Faults,
 	}
-	c.lines.add("busy", sampled(s, func(x emulator.Sample) float64 { return x.Busy }))
-	c.lines.add("waiting", sampled(s, func(x emulator.Sample) float64 { return float64(x.Waiting) / waitingScale }))
+	c.lines.add("busy", sampled(s, func(sample emulator.Sample) float64 { return sample.Busy }))
+	c.lines.add("waiting", sampled(s, func(sample emulator.Sample) float64 {
+		return float64(sample.Waiting) / waitingScale
+	}))
 	return c
 }
 
@@ -162,10 +168,10 @@
 	return c
 }
 
-// maxEndpointLines is how many endpoints have a line each; more are shown by quantiles.
+// maxEndpointLines is the largest number of endpoints that are drawn with a line each; quantiles are drawn for more.
 const maxEndpointLines = 16
 
-// attemptsChart draws the attempts in flight: a line for each endpoint where they are few, else quantiles over them.
+// attemptsChart shows the attempts in flight: a line for each endpoint, or quantiles over all if there are many.
 func attemptsChart(s *Series) chart {
 	c := chart{
 		title:  "Pushes out by server",
@@ -194,6 +200,7 @@
 	return c
 }
 
+// attemptQuantiles returns quantiles over the endpoints of their attempts in flight.
 func attemptQuantiles(s *Series) lineSet {
 	var quantiles lineSet
 	for _, sample := range s.Samples {
@@ -239,7 +246,8 @@
 	return Plot{c.title, c.note, svg}, err
 }
 
-// drawFaultBands draws faults as grey bands with labels on four levels.
+// drawFaultBands draws faults as grey bands. Their labels are at four heights in turn, so that those of faults close in
+// time don't overlap.
 func drawFaultBands(p *plot.Plot, faults []FaultSpan) {
 	for i, f := range faults {
 		band, err := plotter.NewPolygon(plotter.XYs{
@@ -276,7 +284,7 @@
 	}
 	svg := b.String()
 	if at := strings.Index(svg, "<svg"); at > 0 {
-		svg = svg[at:] // the XML declaration has no place inside HTML
+		svg = svg[at:] // an XML declaration is not allowed inside HTML
 	}
 	return template.HTML(svg), nil
 }
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -7,53 +7,54 @@
 	"slices"
 )
 
-// Comparison is one scenario of two sweeps, paired by seed.
+// Comparison compares the service of two sweeps, A and B, in one scenario, over runs paired by seed.
 type Comparison struct {
 	Scenario      string  `json:"scenario"`
 	Set           string  `json:"set,omitempty"`
 	Pairs         int     `json:"pairs"`
 	A             float64 `json:"a"`
 	B             float64 `json:"b"`
-	Gain          float64 `json:"gain"`   // of B over A
-	HalfWidth     float64 `json:"half"`   // of its 95% interval
-	NewViolations int     `json:"breaks"` // days on which B broke a rule and A did not
+	Gain          float64 `json:"gain"`   // mean service of B minus that of A
+	HalfWidth     float64 `json:"half"`   // half the width of the gain's 95% interval
+	NewViolations int     `json:"breaks"` // runs in which B broke a rule and A did not
 }
 
-// dayKey identifies a day of a sweep of one policy.
-type dayKey struct {
+// runKey identifies a run of a sweep of one policy.
+type runKey struct {
 	scenario string
 	set      string
 	seed     uint64
 }
 
-// Compare pairs the days of two sweeps by scenario, figure and seed. A sweep of several policies is narrowed by name.
+// Compare pairs the runs of two sweeps by scenario, setting and seed, and skips runs without a partner. Each sweep must
+// have a single policy; FilterByPolicy selects one.
 func Compare(a, b []*Result) ([]Comparison, error) {
-	first, err := indexDays(a)
+	runsOfA, err := indexRuns(a)
 	if err != nil {
 		return nil, err
 	}
-	if _, err := indexDays(b); err != nil {
+	if _, err := indexRuns(b); err != nil {
 		return nil, err
 	}
 	type group struct{ scenario, set string }
 	gains := map[group][]float64{}
 	comparisons := map[group]*Comparison{}
-	for _, r := range b {
-		with, paired := first[dayKey{r.Scenario, r.Set, r.Seed}]
+	for _, resultB := range b {
+		resultA, paired := runsOfA[runKey{resultB.Scenario, resultB.Set, resultB.Seed}]
 		if !paired {
 			continue
 		}
-		g := group{r.Scenario, r.Set}
+		g := group{resultB.Scenario, resultB.Set}
 		c := comparisons[g]
 		if c == nil {
-			c = &Comparison{Scenario: r.Scenario, Set: r.Set}
+			c = &Comparison{Scenario: resultB.Scenario, Set: resultB.Set}
 			comparisons[g] = c
 		}
-		c.addPair(with, r)
-		gains[g] = append(gains[g], r.Verdict.Service-with.Verdict.Service)
+		c.addPair(resultA, resultB)
+		gains[g] = append(gains[g], resultB.Verdict.Service-resultA.Verdict.Service)
 	}
 	if len(comparisons) == 0 {
-		return nil, errors.New("the two have no day in common")
+		return nil, errors.New("the two sweeps have no run in common")
 	}
 	var all []Comparison
 	for g, c := range comparisons {
@@ -68,20 +69,20 @@
 	return all, nil
 }
 
-// indexDays returns the results by day. No day may be there twice.
-func indexDays(results []*Result) (map[dayKey]*Result, error) {
-	days := map[dayKey]*Result{}
+// indexRuns returns the results by run. A run that occurs twice is an error.
+func indexRuns(results []*Result) (map[runKey]*Result, error) {
+	runs := map[runKey]*Result{}
 	for _, r := range results {
-		key := dayKey{r.Scenario, r.Set, r.Seed}
-		if _, twice := days[key]; twice {
-			return nil, fmt.Errorf("%s, seed %d is there twice: name one policy", r.Scenario, r.Seed)
+		key := runKey{r.Scenario, r.Set, r.Seed}
+		if _, duplicate := runs[key]; duplicate {
+			return nil, fmt.Errorf("%s, seed %d has several results: select one policy", r.Scenario, r.Seed)
 		}
-		days[key] = r
+		runs[key] = r
 	}
-	return days, nil
+	return runs, nil
 }
 
-// addPair adds the same day of both sweeps.
+// addPair adds the results of both sweeps for the same run.
 func (c *Comparison) addPair(a, b *Result) {
 	c.Pairs++
 	c.A += a.Verdict.Service
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -10,18 +10,18 @@
 	"testing"
 )
 
-const dir = "../../scenarios/"
+const scenarioDir = "../../scenarios/"
 
-func grid(workers int) Grid {
-	return Grid{Scenarios: []string{dir + "calm.toml", dir + "slow.toml"}, Seeds: []uint64{1, 2}, Vary: "load.part", Values: []string{"0.5", "1.5"},
-		Policies: []string{"module", "two"}, Workers: workers}
+func testGrid(workers int) Grid {
+	return Grid{Scenarios: []string{scenarioDir + "calm.toml", scenarioDir + "slow.toml"}, Seeds: []uint64{1, 2}, Vary: "load.part",
+		Values: []string{"0.5", "1.5"}, Policies: []string{"module", "two"}, Workers: workers}
 }
 
-// However many are played at once, what is written is the same to the byte.
-func TestWorkersChangeNothing(t *testing.T) {
-	var all [2]string
+// The number of workers must not change the results of a sweep: sweep.json is the same to the byte.
+func TestResultsDoNotDependOnWorkers(t *testing.T) {
+	var sweeps [2]string // sweep.json, by number of workers
 	for i, workers := range []int{1, 8} {
-		got, err := Sweep(context.Background(), grid(workers))
+		got, err := Sweep(context.Background(), testGrid(workers))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -30,7 +30,7 @@
 			t.Fatal(err)
 		}
 		b, _ := os.ReadFile(filepath.Join(out, "sweep.json"))
-		all[i] = string(b)
+		sweeps[i] = string(b)
 		if rows := Table(got); len(rows) != 8 || rows[0].Runs != 2 || rows[0].Set != "load.part=0.5" || rows[1].Policy != "two" {
 			t.Errorf("%+v", rows)
 		}
@@ -38,10 +38,10 @@
 			t.Error(err)
 		}
 		if svg, err := os.ReadFile(filepath.Join(out, "table.svg")); err != nil || strings.Count(string(svg), "load.part=1.5") != 2 {
-			t.Errorf("the picture lacks a group: %v", err)
+			t.Errorf("the SVG file lacks a group: %v", err)
 		}
 		if again, err := ReadResults(out); err != nil || len(again) != 16 || again[15].Verdict.Service != got[15].Verdict.Service {
-			t.Errorf("%d read back: %v", len(again), err)
+			t.Errorf("%d results were read back: %v", len(again), err)
 		}
 		self, err := Compare(FilterByPolicy(got, "module"), FilterByPolicy(got, "module"))
 		if err != nil || len(self) != 4 || self[0].Gain != 0 || self[0].Pairs != 2 {
@@ -52,30 +52,30 @@
 			t.Errorf("%+v %v", two, err)
 		}
 		if _, err := Compare(got, got); err == nil {
-			t.Error("two policies were taken for one")
+			t.Error("two policies in one sweep were accepted")
 		}
 	}
-	if all[0] != all[1] {
-		t.Error("other results with eight workers")
+	if sweeps[0] != sweeps[1] {
+		t.Error("results differ between one and eight workers")
 	}
-	bad := grid(1)
-	bad.Values = []string{"0.5", "-3"}
-	if _, err := Sweep(context.Background(), bad); err == nil || !strings.Contains(err.Error(), "load.part") {
+	invalid := testGrid(1)
+	invalid.Values = []string{"0.5", "-3"}
+	if _, err := Sweep(context.Background(), invalid); err == nil || !strings.Contains(err.Error(), "load.part") {
 		t.Error(err)
 	}
 }
 
-func TestReportHoldsAll(t *testing.T) {
-	sc, err := Load(dir + "pod-throttled.toml")
+func TestReportHasAllSections(t *testing.T) {
+	scenario, err := Load(scenarioDir + "pod-throttled.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, s, err := Play(sc, 1, "module", true)
+	result, series, err := Play(scenario, 1, "module", true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	out := t.TempDir()
-	if err := WriteResult(out, r, s); err != nil {
+	if err := WriteResult(out, result, series); err != nil {
 		t.Fatal(err)
 	}
 	path, err := Report(out)
@@ -85,26 +85,26 @@
 	page, _ := os.ReadFile(path)
 	for _, want := range []string{"pod-throttled</h1>", "pod-throttled</td>", "sidecar-restart</td>", ">kept<", "Pushes out by server", "<td>note</td>"} {
 		if !strings.Contains(string(page), want) {
-			t.Errorf("no %s", want)
+			t.Errorf("the report lacks %s", want)
 		}
 	}
 	if n := strings.Count(string(page), "<svg"); n != 5 || strings.Contains(string(page), "<?xml") || strings.Contains(string(page), "http://localhost") {
-		t.Errorf("%d pictures", n)
+		t.Errorf("%d SVG elements, want 5 without XML declarations or links to localhost", n)
 	}
 	if _, err := Report(t.TempDir()); err == nil {
-		t.Error("a report of nothing")
+		t.Error("a report of an empty directory was written")
 	}
 	var back Result
-	b, _ := json.Marshal(r)
-	if err := json.Unmarshal(b, &back); err != nil || back.Verdict.Service != r.Verdict.Service {
+	b, _ := json.Marshal(result)
+	if err := json.Unmarshal(b, &back); err != nil || back.Verdict.Service != result.Verdict.Service {
 		t.Error(err)
 	}
 }
 
 func TestIntervalsAndRanges(t *testing.T) {
-	// 1, 2, 3: mean 2, standard error 1/sqrt(3), and 4.303 of them by Student's table for two degrees.
-	if mean, half := ConfidenceInterval([]float64{1, 2, 3}); math.Abs(mean-2) > 1e-12 || math.Abs(half-4.3027/math.Sqrt(3)) > 1e-3 {
-		t.Errorf("%v ± %v", mean, half)
+	// 1, 2, 3 have the mean 2 and the standard error 1/sqrt(3); Student's t for two degrees of freedom is 4.303.
+	if mean, halfWidth := ConfidenceInterval([]float64{1, 2, 3}); math.Abs(mean-2) > 1e-12 || math.Abs(halfWidth-4.3027/math.Sqrt(3)) > 1e-3 {
+		t.Errorf("%v ± %v", mean, halfWidth)
 	}
 	for text, want := range map[string]string{"1,2": "1 2", "0.5:0.9:0.2": "0.5 0.7 0.9", "1:8:2": "1 3 5 7", "1:0:1": "", "a:2:1": ""} {
 		if got, err := ParseValues(text); strings.Join(got, " ") != want || (err != nil) != (want == "") {
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -11,15 +11,16 @@
 	"pepperlead/internal/golden"
 )
 
-// pages are the JSON documents that this package writes, by the name of their golden file.
-func pages() map[string]any {
+// documents returns the JSON documents that this package writes, by the name of their golden file.
+func documents() map[string]any {
 	return map[string]any{"result.json": &Result{}, "series.json": &Series{}, "sweep.json": &[]*Result{}, "rows.json": &[]Row{},
 		"comparisons.json": &[]Comparison{}, "replayed.json": &ReplaySummary{}}
 }
 
-// TestDocumentsHaveTheirKeys holds each document, with a value in each field, to what was written before, and reads that back.
-func TestDocumentsHaveTheirKeys(t *testing.T) {
-	for name, document := range pages() {
+// TestDocumentsMatchGoldenFiles compares each document, with all fields filled, with its golden file, and checks that the golden file
+// can be read without loss.
+func TestDocumentsMatchGoldenFiles(t *testing.T) {
+	for name, document := range documents() {
 		t.Run(name, func(t *testing.T) {
 			golden.Fill(document)
 			path := filepath.Join(t.TempDir(), name)
@@ -43,18 +44,18 @@
 	}
 }
 
-// TestResultIsWrittenUnderItsNames holds the files that a day's folder gets, and their names, to what was written before.
-func TestResultIsWrittenUnderItsNames(t *testing.T) {
+// TestResultFilesMatchGoldenFiles compares the files that are written for a run, and their names, with golden files.
+func TestResultFilesMatchGoldenFiles(t *testing.T) {
 	var result Result
 	var series Series
 	golden.Fill(&result)
 	golden.Fill(&series)
-	folder := t.TempDir()
-	if err := WriteResult(folder, &result, &series); err != nil {
+	directory := t.TempDir()
+	if err := WriteResult(directory, &result, &series); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"result.json", "series.json"} {
-		written, err := os.ReadFile(filepath.Join(folder, name))
+		written, err := os.ReadFile(filepath.Join(directory, name))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -62,23 +63,23 @@
 	}
 }
 
-// picture is a plot within a report; how it is drawn is the library's.
-var picture = regexp.MustCompile(`(?s)<svg.*?</svg>`)
+// svgElement matches a plot within a report, which depends on the plotting library.
+var svgElement = regexp.MustCompile(`(?s)<svg.*?</svg>`)
 
-// TestReportIsWrittenAsBefore holds the page about a day, whose template names fields that no compiler checks, to what was written
-// before. Its pictures are left out.
-func TestReportIsWrittenAsBefore(t *testing.T) {
+// TestReportMatchesGoldenFile compares the report of a run with a golden file, without its plots: the template refers to fields by
+// names that the compiler does not check.
+func TestReportMatchesGoldenFile(t *testing.T) {
 	var result Result
 	var series Series
 	golden.Fill(&result)
 	golden.Fill(&series)
-	result.Verdict.ViolationCounts[1] = 0 // one rule that was kept
+	result.Verdict.ViolationCounts[1] = 0 // one rule without violations
 	series.Curves = map[string][]Point{result.Latency[0].Class: {{X: 50, Y: 1}, {X: 99, Y: 2}}}
-	folder := t.TempDir()
-	if err := WriteResult(folder, &result, &series); err != nil {
+	directory := t.TempDir()
+	if err := WriteResult(directory, &result, &series); err != nil {
 		t.Fatal(err)
 	}
-	path, err := Report(folder)
+	path, err := Report(directory)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,5 +87,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Compare(t, "report.html", picture.ReplaceAll(page, []byte("PICTURE")))
+	golden.Compare(t, "report.html", svgElement.ReplaceAll(page, []byte("PICTURE")))
 }
--- a/internal/experiment/latency.go
+++ b/internal/experiment/latency.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	minLatency       = 1000 // ns; shorter ones count as this
+	minLatency       = 1000 // ns; shorter latencies are recorded as this one
 	maxLatency       = 24 * time.Hour
 	latencyPrecision = 3 // significant digits
 )
@@ -35,10 +35,11 @@
 	if answer == judge.Succeeded {
 		_ = l.byClass[class].RecordValue(
 			int64(max(elapsed, minLatency)),
-		) // fails only over maxLatency, longer than a day
+		) // fails only above maxLatency, the maximum length of a scenario
 	}
 }
 
+// latencies returns the latency by class, in the order of the scenario's classes.
 func (l *latencyRecorder) latencies(scenario *emulator.Scenario) (all []Latency) {
 	for i, histogram := range l.byClass {
 		at := func(percentile float64) time.Duration { return time.Duration(histogram.ValueAtQuantile(percentile)) }
@@ -54,7 +55,7 @@
 	return all
 }
 
-// curves returns latency over percentiles, by class.
+// curves returns the latency curves by class: seconds over percentiles.
 func (l *latencyRecorder) curves(scenario *emulator.Scenario) map[string][]Point {
 	all := map[string][]Point{}
 	for i, histogram := range l.byClass {
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -10,11 +10,11 @@
 	"pepperlead/internal/emulator"
 )
 
-// ScalePath is the path of a set that changes a fleet's size, as 300x100: the number of instances and of endpoints, with
-// load and keys in proportion to the endpoints.
+// ScalePath is the path of a setting that changes the size of a fleet. Its value, such as 300x100, is the number of
+// instances and of endpoints. The request rate and the number of keys change in proportion to the endpoints.
 const ScalePath = "scale"
 
-// Load reads a scenario and its base, which is a file in the same directory.
+// Load reads a scenario and its base, which is a file in the same directory. The sets replace settings of the scenario.
 func Load(path string, sets ...emulator.Set) (*emulator.Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -31,7 +31,7 @@
 	}, sets...)
 }
 
-// expandScale replaces the set that is a scale by those that it stands for.
+// expandScale replaces the set with the path ScalePath, at an index of sets, by the sets that change the fleet.
 func expandScale(path string, sets []emulator.Set, at int) ([]emulator.Set, error) {
 	unscaled, err := Load(path, slices.Delete(slices.Clone(sets), at, at+1)...)
 	if err != nil {
@@ -40,7 +40,7 @@
 	var instances, endpoints int
 	n, err := fmt.Sscanf(fmt.Sprint(sets[at].Value), "%dx%d", &instances, &endpoints)
 	if n != 2 || err != nil || instances < 1 || endpoints < 1 {
-		return nil, fmt.Errorf("scale: found %v, allowed sidecars x servers, as 300x100", sets[at].Value)
+		return nil, fmt.Errorf("scale: found %v, allowed INSTANCESxENDPOINTS, such as 300x100", sets[at].Value)
 	}
 	factor := float64(endpoints) / float64(unscaled.Endpoints)
 	keys := int64(math.Round(float64(unscaled.Load.Keys) * factor))
--- a/internal/experiment/outages.go
+++ b/internal/experiment/outages.go
@@ -13,28 +13,29 @@
 const (
 	// failuresInRow is how many attempts in a row, over all instances, must fail for an endpoint to count as down.
 	failuresInRow = 4
-	// silentAfter is how long a connection must have taken to fail for the endpoint to count as silent.
+	// silentAfter is the time after which a failed connection counts as unanswered rather than refused.
 	silentAfter = 50 * policy.Millisecond
-	// restartTime is how long an endpoint that restarted with no failure seen is taken to have been down.
+	// restartTime is the assumed downtime of an endpoint that restarted without an observed failure.
 	restartTime = 200 * policy.Millisecond
 )
 
-// observation is what a trace shows of one endpoint at one time.
+// observation is what a trace shows about one endpoint at one time.
 type observation struct {
 	at        policy.Time // Unix time
-	started   policy.Time // it restarted then; 0: it did not
-	failed    bool        // an attempt failed as if the endpoint were down
+	started   policy.Time // start time after a restart; 0: the observation is not a restart
+	failed    bool        // an attempt failed in a way that suggests that the endpoint is down
 	succeeded bool
-	silent    bool // it failed without an answer
+	silent    bool // the attempt failed without an answer
 }
 
-// inferFaults works out what went wrong from lists and from the ends of attempts. An endpoint that restarted was down
-// from its first failure, if there was one, else from shortly before; one that failed in a row was silent, or crashed
-// if it refused.
+// inferFaults infers faults from the endpoint lists and the outcomes of attempts in traces. An endpoint that restarted
+// was down since the first of the failures before the restart, or for restartTime if there were none. One whose
+// attempts failed several times in a row was silent, or had crashed if it refused or reset connections. Faults are
+// relative to start, a Unix time.
 func inferFaults(
 	scenario *emulator.Scenario,
 	traces []*trace.Trace,
-	zero policy.Time,
+	start policy.Time,
 	result *ReplaySummary,
 ) []emulator.Fault {
 	observations := map[string][]observation{}
@@ -51,7 +52,7 @@
 		result.Endpoints++
 		slices.SortStableFunc(ofEndpoint, func(a, b observation) int { return cmp.Compare(a.at, b.at) })
 		for _, o := range findOutages(ofEndpoint) {
-			fault := o.fault(i, zero)
+			fault := o.fault(i, start)
 			if fault.At >= scenario.Length {
 				continue
 			}
@@ -64,7 +65,7 @@
 	return faults
 }
 
-// observe adds what a trace shows of endpoints, by uid.
+// observe adds what a trace shows about endpoints to the observations by uid.
 func observe(t *trace.Trace, observations map[string][]observation) {
 	uids := map[int64]string{}
 	started := map[int64]policy.Time{}
@@ -89,7 +90,7 @@
 	}
 }
 
-// observeEnd returns what the end of an attempt conclusive of its endpoint, or false if it conclusive nothing.
+// observeEnd returns what the end of an attempt shows about its endpoint; conclusive is false if it shows nothing.
 func observeEnd(at policy.Time, record trace.Record) (o observation, conclusive bool) {
 	outcome := policy.Outcome(record.B)
 	notConnected := outcome == policy.NotConnected
@@ -101,7 +102,7 @@
 		silent:    timedOut || notConnected && record.C > silentAfter,
 	}
 	if o.failed {
-		o.at -= record.C // it was down when the attempt was sent
+		o.at -= record.C // the endpoint was already down when the attempt was sent
 	}
 	return o, o.succeeded || o.failed
 }
@@ -110,14 +111,15 @@
 type outage struct {
 	from    policy.Time
 	to      policy.Time
-	cold    bool
-	crashed bool
+	cold    bool // the endpoint is cold afterwards
+	crashed bool // it refused or reset connections; else it was silent
 }
 
-func (o outage) fault(endpoint int, zero policy.Time) emulator.Fault {
+// fault returns the outage as a fault of an endpoint, relative to start.
+func (o outage) fault(endpoint int, start policy.Time) emulator.Fault {
 	fault := emulator.Fault{
 		Kind:      emulator.Silent,
-		At:        max(0, o.from-zero),
+		At:        max(0, o.from-start),
 		Duration:  max(policy.Millisecond, o.to-o.from),
 		Pod:       -1,
 		Endpoints: []int{endpoint},
@@ -129,7 +131,7 @@
 	return fault
 }
 
-// failureRun is a run of failures in a row.
+// failureRun is a run of consecutive failures.
 type failureRun struct {
 	from   policy.Time
 	last   policy.Time
@@ -137,7 +139,7 @@
 	silent int
 }
 
-// crashed reports whether most of the failures were answered, by a refusal or a reset.
+// crashed reports whether at least half of the failures were answered, by a refusal or a reset.
 func (r *failureRun) crashed() bool { return 2*r.silent <= r.count }
 
 func (r *failureRun) add(o observation) {
@@ -154,7 +156,7 @@
 // findOutages finds the spans in which an endpoint was down.
 func findOutages(observations []observation) (outages []outage) {
 	var run failureRun
-	counted := policy.Time(0) // latest restart that was counted: every instance reports the same
+	counted := policy.Time(0) // start time of the latest restart seen: every instance reports it
 	for _, o := range observations {
 		switch {
 		case o.started > 0:
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -14,11 +14,11 @@
 	"pepperlead/internal/snapshot"
 )
 
-// PlotRows draws a sweep's table into an SVG file: the service by scenario and setting, for each policy a mark with its
-// interval.
+// PlotRows draws the table of a sweep into an SVG file: the mean service by scenario and setting, with a mark and a 95%
+// interval for each policy.
 func PlotRows(path string, rows []Row) error {
 	if len(rows) == 0 {
-		return fmt.Errorf("%s: nothing to draw", path)
+		return fmt.Errorf("%s: the table has no rows to draw", path)
 	}
 	groups, policies, points := groupRows(rows)
 	p := newServicePlot(groups)
@@ -50,9 +50,10 @@
 	return snapshot.Replace(path, out.Bytes())
 }
 
-// groupRows returns the scenarios with their settings, the policies, and the points of each policy.
+// groupRows returns the labels of the groups, which are a scenario with its setting, the policies, and the points of
+// each policy.
 func groupRows(rows []Row) (groups, policies []string, points map[string]*intervalPoints) {
-	const policyOffset = 0.08 // between the marks of a group
+	const policyOffset = 0.08 // x distance between the marks of a group
 	points = map[string]*intervalPoints{}
 	for _, row := range rows {
 		label := row.Scenario
@@ -73,7 +74,7 @@
 	return groups, policies, points
 }
 
-// indexOf returns the index of the name, which is appended if the list has not got it.
+// indexOf returns the index of the name, which is appended if the list does not contain it.
 func indexOf(list []string, name string) (extended []string, index int) {
 	if index = slices.Index(list, name); index >= 0 {
 		return list, index
@@ -98,12 +99,13 @@
 	return p
 }
 
-// intervalPoints are points with their intervals.
+// intervalPoints are points with their 95% intervals.
 type intervalPoints struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
+// shapes are the marks of policies, which are used in turn.
 var shapes = []draw.GlyphDrawer{
 	draw.CircleGlyph{},
 	draw.SquareGlyph{},
--- a/internal/experiment/replay.go
+++ b/internal/experiment/replay.go
@@ -11,22 +11,22 @@
 	"pepperlead/policy"
 )
 
-// ReplaySummary describes what a replay has taken from its traces.
+// ReplaySummary describes what a replay took from its traces.
 type ReplaySummary struct {
 	Arrivals       int      `json:"arrivals"`
-	Retries        int      `json:"further"` // left out, as the emulated clients make their own
-	Endpoints      int      `json:"servers"`
+	Retries        int      `json:"further"` // retries by clients, left out as the emulated clients retry themselves
+	Endpoints      int      `json:"servers"` // of the scenario, with observations in the traces
 	Faults         []string `json:"faults"`
-	Truncated      int      `json:"cut"`      // traces that break off
-	SucceededShare float64  `json:"honoured"` // of the recorded requests
+	Truncated      int      `json:"cut"`      // traces that end within a record
+	SucceededShare float64  `json:"honoured"` // of the recorded requests that ended
 }
 
 // FromTraces replaces a scenario's load by the requests of traces, and its faults by those that the traces show:
-// endpoints that drained, ended, restarted or were unreachable. The fleet stays the scenario's, as no instance knows
-// how fast endpoints are. Endpoints are matched by uid; those that the scenario does not have are left out.
+// endpoints that restarted or were unreachable. The fleet stays the scenario's, as no instance knows how fast
+// endpoints are. Endpoints are matched by uid; those that the scenario does not have are left out.
 func FromTraces(scenario *emulator.Scenario, traces []*trace.Trace) (*ReplaySummary, error) {
 	if len(traces) == 0 {
-		return nil, errors.New("no trace")
+		return nil, errors.New("no traces to replay")
 	}
 	r := newReplay(scenario, traces)
 	for _, t := range traces {
@@ -35,7 +35,7 @@
 		}
 	}
 	if len(scenario.Arrivals) == 0 {
-		return nil, errors.New("the traces have no ticket")
+		return nil, errors.New("the traces have no requests")
 	}
 	slices.SortStableFunc(scenario.Arrivals, func(a, b emulator.Arrival) int {
 		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Instance, b.Instance))
@@ -57,10 +57,10 @@
 type replay struct {
 	scenario  *emulator.Scenario
 	result    *ReplaySummary
-	begin     policy.Time    // of the earliest trace
+	begin     policy.Time    // start of the earliest trace, Unix time
 	instances map[string]int // numbers by name
-	first     policy.Time    // arrival, from begin; -1: none yet
-	last      policy.Time
+	first     policy.Time    // first arrival, since begin; -1: none yet
+	last      policy.Time    // last arrival, since begin
 	answers   int
 	succeeded int
 }
@@ -82,6 +82,7 @@
 	return r
 }
 
+// addTrace adds the requests of a trace, and counts the outcomes.
 func (r *replay) addTrace(t *trace.Trace) error {
 	names, err := matchNames(r.scenario, t)
 	if err != nil {
@@ -106,13 +107,14 @@
 	return nil
 }
 
+// addRequest adds a recorded request as an arrival, unless it is a retry.
 func (r *replay) addRequest(t *trace.Trace, names matchedNames, record trace.Record) error {
 	if record.D == 1 {
 		r.result.Retries++
 		return nil
 	}
 	if int(record.A) >= len(names.classes) || record.A < 0 || int(record.B) >= len(names.tenants) || record.C < 0 {
-		return fmt.Errorf("trace of %s: a ticket of offering %d, franchise %d", t.Name, record.A, record.B)
+		return fmt.Errorf("trace of %s: invalid request of class %d, tenant %d", t.Name, record.A, record.B)
 	}
 	at := t.Start - r.begin + record.At
 	arrival := emulator.Arrival{
@@ -134,7 +136,7 @@
 	return nil
 }
 
-// matchedNames are the scenario's numbers of a trace's classes and tenants.
+// matchedNames holds the scenario's IDs of a trace's classes and tenants, by their numbers in the trace.
 type matchedNames struct {
 	classes []policy.ClassID
 	tenants []policy.TenantID
@@ -143,16 +145,16 @@
 // matchNames finds a trace's classes and tenants in the scenario, by name.
 func matchNames(scenario *emulator.Scenario, t *trace.Trace) (names matchedNames, err error) {
 	for _, name := range t.Classes {
-		i := slices.IndexFunc(scenario.Classes, func(c emulator.Class) bool { return c.Name == name })
+		i := slices.IndexFunc(scenario.Classes, func(class emulator.Class) bool { return class.Name == name })
 		if i < 0 {
-			return names, fmt.Errorf("trace of %s: offering %q is not in the scenario", t.Name, name)
+			return names, fmt.Errorf("trace of %s: class %q is not in the scenario", t.Name, name)
 		}
 		names.classes = append(names.classes, policy.ClassID(i))
 	}
 	for _, name := range t.Tenants {
-		i := slices.IndexFunc(scenario.Tenants, func(f emulator.Tenant) bool { return f.Name == name })
+		i := slices.IndexFunc(scenario.Tenants, func(tenant emulator.Tenant) bool { return tenant.Name == name })
 		if i < 0 {
-			return names, fmt.Errorf("trace of %s: franchise %q is not in the scenario", t.Name, name)
+			return names, fmt.Errorf("trace of %s: tenant %q is not in the scenario", t.Name, name)
 		}
 		names.tenants = append(names.tenants, policy.TenantID(i))
 	}
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -14,8 +14,8 @@
 //go:embed report.html
 var reportTemplate string
 
-// Report writes one HTML file about a day, all in it, from what run has written into the folder. It gives the file's
-// path.
+// Report writes report.html, a self-contained page about a run, from the result.json and series.json in the directory.
+// It returns the path of the page.
 func Report(dir string) (string, error) {
 	var r Result
 	var s Series
@@ -30,19 +30,20 @@
 		return "", err
 	}
 	var out bytes.Buffer
-	shape := template.Must(template.New("report").Funcs(template.FuncMap{
+	page := template.Must(template.New("report").Funcs(template.FuncMap{
 		"percent": func(v float64) string { return fmt.Sprintf("%.1f%%", 100*v) },
 		"ms":      func(v any) string { return fmt.Sprint(v) },
 		"seconds": func(v policy.Time) string { return fmt.Sprintf("%.3f s", float64(v)/1e9) },
 		"rule":    func(i int) string { return ruleNames[i] },
 	}).Parse(reportTemplate))
-	if err := shape.Execute(&out, map[string]any{"R": r, "S": s, "Plots": plots}); err != nil {
+	if err := page.Execute(&out, map[string]any{"R": r, "S": s, "Plots": plots}); err != nil {
 		return "", err
 	}
 	path := filepath.Join(dir, "report.html")
 	return path, snapshot.Replace(path, out.Bytes())
 }
 
+// ruleNames describes the judge's rules, which are numbered from 1.
 var ruleNames = []string{
 	"one final answer before the cut-off",
 	"no effect twice",
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -1,6 +1,6 @@
-// Package experiment plays days of the emulator: one day with its report, many days over seeds and settings, two sets
-// of days compared with each other. What it writes depends on scenario, seed and policy alone, not on clocks or
-// workers.
+// Package experiment plays scenarios in the emulator: single runs with a report, sweeps over seeds, settings and
+// policies, and comparisons of two sweeps. What it writes depends only on scenario, settings, seed and policy, not on
+// clocks or the number of workers.
 package experiment
 
 import (
@@ -17,7 +17,7 @@
 	"pepperlead/policy"
 )
 
-// Latency is how long succeeded requests of a class took, from reaching the instance to its answer.
+// Latency is how long succeeded requests of a class took, from their arrival at the instance to the answer.
 type Latency struct {
 	Class string        `json:"offering"`
 	Count int64         `json:"count"`
@@ -27,23 +27,23 @@
 	Max   time.Duration `json:"max_ns"`
 }
 
-// Result is the result of a day.
+// Result is the result of one run.
 type Result struct {
 	Scenario string         `json:"scenario"`
 	Seed     uint64         `json:"seed"`
 	Policy   string         `json:"policy"`
-	Set      string         `json:"set,omitempty"` // the setting that was changed, as path=value
+	Set      string         `json:"set,omitempty"` // settings that replaced the scenario's, as path=value
 	Verdict  *judge.Verdict `json:"verdict"`
-	Wasted   float64        `json:"wasted"` // part of the endpoints' work that nobody waited for any more
+	Wasted   float64        `json:"wasted"` // share of the endpoints' work that was done for abandoned attempts
 	Latency  []Latency      `json:"latency,omitempty"`
 	Events   uint64         `json:"events"`
 }
 
-// Series is what a report shows besides the result.
+// Series holds what a report shows besides the result.
 type Series struct {
 	Endpoints []string           `json:"servers"`
 	Samples   []emulator.Sample  `json:"samples"`
-	Curves    map[string][]Point `json:"curves"` // latency by percentile, by class
+	Curves    map[string][]Point `json:"curves"` // latency curves by class
 	Faults    []FaultSpan        `json:"faults"`
 }
 
@@ -53,7 +53,7 @@
 	Y float64 `json:"y"`
 }
 
-// FaultSpan is a fault of a report.
+// FaultSpan is a fault as a span of time, for a report.
 type FaultSpan struct {
 	What     string      `json:"what"`
 	From, To policy.Time `json:"-"`
@@ -61,7 +61,7 @@
 	ToS      float64     `json:"to_s"`
 }
 
-// Play plays one day. The series is nil unless it is wanted.
+// Play plays a scenario once. The series is nil unless wantSeries is set.
 func Play(scenario *emulator.Scenario, seed uint64, policyName string, wantSeries bool) (*Result, *Series, error) {
 	maker, err := baseline.Maker(policyName)
 	if err != nil {
@@ -90,7 +90,7 @@
 	}, nil
 }
 
-// FaultSpans returns the faults of a scenario as spans of the day.
+// FaultSpans returns the faults of a scenario as spans of time since its start.
 func FaultSpans(scenario *emulator.Scenario) (spans []FaultSpan) {
 	for _, fault := range scenario.Faults {
 		to := fault.At + fault.Duration
@@ -111,7 +111,7 @@
 	return spans
 }
 
-// WriteResult writes a result into a directory: result.json and series.json.
+// WriteResult writes the result and the series of a run into a directory as result.json and series.json.
 func WriteResult(dir string, r *Result, s *Series) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -22,18 +22,18 @@
 	"pepperlead/internal/emulator/judge"
 )
 
-// Grid is a set of days: every scenario, seed, figure and policy.
+// Grid describes the runs of a sweep: one for each combination of scenario, value of a setting, seed and policy.
 type Grid struct {
 	Scenarios []string // paths
 	Seeds     []uint64
-	Vary      string   // path of a figure, or scale; "": none
-	Values    []string // of it
+	Vary      string   // path of the setting that varies, may be ScalePath; "": none
+	Values    []string // of that setting
 	Policies  []string
-	Workers   int       // 0: as many as there are cores
-	Progress  io.Writer // nil: none
+	Workers   int       // 0: GOMAXPROCS
+	Progress  io.Writer // nil: no progress bar
 }
 
-// job is one day of a grid.
+// job is one run of a grid.
 type job struct {
 	path   string
 	seed   uint64
@@ -41,7 +41,7 @@
 	policy string
 }
 
-// Sweep plays all days of a grid, several at once. The results are in the grid's order, whichever day ends first.
+// Sweep plays all runs of a grid, several at once. The results are in the grid's order, whichever run ends first.
 func Sweep(ctx context.Context, g Grid) ([]*Result, error) {
 	jobs, err := g.jobs()
 	if err != nil {
@@ -79,7 +79,7 @@
 	return results, errors.Join(errs...)
 }
 
-// jobs lists the days of the grid. A scenario that cannot be loaded is an error before any day is played.
+// jobs lists the runs of the grid. A scenario that cannot be loaded is an error before any run starts.
 func (g *Grid) jobs() ([]job, error) {
 	sets := []string{""}
 	if g.Vary != "" {
@@ -104,19 +104,19 @@
 	return jobs, nil
 }
 
-// progress shows how many days were played; its zero value shows nothing.
+// progress shows a bar of how many runs have ended; the zero value shows nothing.
 type progress struct {
 	bars *mpb.Progress
 	bar  *mpb.Bar
 }
 
-func newProgress(out io.Writer, days int) progress {
+func newProgress(out io.Writer, runs int) progress {
 	if out == nil {
 		return progress{}
 	}
 	const width = 50
 	bars := mpb.New(mpb.WithOutput(out), mpb.WithWidth(width))
-	bar := bars.AddBar(int64(days), mpb.PrependDecorators(decor.CountersNoUnit("%d of %d days ")),
+	bar := bars.AddBar(int64(runs), mpb.PrependDecorators(decor.CountersNoUnit("%d of %d runs ")),
 		mpb.AppendDecorators(decor.AverageETA(decor.ET_STYLE_GO)))
 	return progress{bars: bars, bar: bar}
 }
@@ -127,7 +127,7 @@
 	}
 }
 
-// end ends the bar, also where not all days were played.
+// end ends the bar, even if not all runs have ended.
 func (p progress) end() {
 	if p.bar != nil {
 		p.bar.Abort(false)
@@ -135,13 +135,13 @@
 	}
 }
 
-// play plays the day, without its seconds: a sweep has thousands of days.
+// play plays the run. It drops the values by second, as a sweep may have thousands of runs.
 func (j job) play() (*Result, error) {
-	sc, err := Load(j.path, ParseSets(j.set)...)
+	scenario, err := Load(j.path, ParseSets(j.set)...)
 	if err != nil {
 		return nil, err
 	}
-	r, _, err := Play(sc, j.seed, j.policy, false)
+	r, _, err := Play(scenario, j.seed, j.policy, false)
 	if err != nil {
 		return nil, err
 	}
@@ -150,7 +150,8 @@
 	return r, nil
 }
 
-// ParseSets reads path=value, "" being none. A value that is a whole number stays one.
+// ParseSets parses a set of the form path=value; text without an equals sign is no set. The value is an integer, a
+// float or a boolean if it can be parsed as one, else a string.
 func ParseSets(text string) []emulator.Set {
 	path, value, ok := strings.Cut(text, "=")
 	if !ok {
@@ -167,33 +168,33 @@
 	return []emulator.Set{{Path: path, Value: v}}
 }
 
-// ParseValues reads values as a list, 1,2,4, or as from:to:step.
+// ParseValues parses values, which are a list such as 1,2,4 or a range from:to:step.
 func ParseValues(text string) ([]string, error) {
 	parts := strings.Split(text, ":")
 	if len(parts) != 3 {
 		return strings.Split(text, ","), nil
 	}
-	var n [3]float64
-	for i, p := range parts {
+	var bounds [3]float64 // from, to, step
+	for i, part := range parts {
 		var err error
-		if n[i], err = strconv.ParseFloat(p, 64); err != nil {
-			return nil, fmt.Errorf("range: found %q, allowed from:to:step or a list with commas", text)
+		if bounds[i], err = strconv.ParseFloat(part, 64); err != nil {
+			return nil, fmt.Errorf("range: found %q, allowed from:to:step or a comma-separated list", text)
 		}
 	}
-	if n[2] <= 0 || n[1] < n[0] || (n[1]-n[0])/n[2] > 1000 {
-		return nil, fmt.Errorf("range: found %q, allowed a step over 0 and a thousand values at most", text)
+	if bounds[2] <= 0 || bounds[1] < bounds[0] || (bounds[1]-bounds[0])/bounds[2] > 1000 {
+		return nil, fmt.Errorf("range: found %q, allowed from <= to with a positive step and at most 1000 steps", text)
 	}
 	var all []string
 	for i := 0; ; i++ {
-		v := n[0] + float64(i)*n[2]
-		if v > n[1]+n[2]*1e-9 {
+		v := bounds[0] + float64(i)*bounds[2]
+		if v > bounds[1]+bounds[2]*1e-9 {
 			return all, nil
 		}
 		all = append(all, strconv.FormatFloat(math.Round(v*1e9)/1e9, 'g', -1, 64))
 	}
 }
 
-// WriteSweep puts the results of a grid into a folder.
+// WriteSweep writes the results of a sweep into a directory as sweep.json.
 func WriteSweep(dir string, all []*Result) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -201,33 +202,34 @@
 	return writeJSON(filepath.Join(dir, "sweep.json"), all)
 }
 
-// Row is one line of a sweep's table.
+// Row is a row of a sweep's table: the runs of one scenario, setting and policy. Values are means over the runs, except
+// for the maxima and counts.
 type Row struct {
 	Scenario  string  `json:"scenario"`
 	Set       string  `json:"set,omitempty"`
 	Policy    string  `json:"policy"`
 	Runs      int     `json:"days"`
-	Service   float64 `json:"service"` // mean
-	HalfWidth float64 `json:"half"`    // of its 95% interval
+	Service   float64 `json:"service"`
+	HalfWidth float64 `json:"half"` // half the width of the service's 95% interval
 	Worst10   float64 `json:"worst_10s"`
 	Wasted    float64 `json:"wasted"`
 	CrossZone float64 `json:"crossed"`
 	judge.Spread
-	ViolatingRuns [4]int `json:"broken"` // days on which the rule was broken
+	ViolatingRuns [4]int `json:"broken"` // runs in which each rule was broken
 }
 
-// Table summarizes a sweep.
+// Table summarizes a sweep by scenario, setting and policy.
 func Table(all []*Result) []Row {
 	type key struct{ scenario, set, policy string }
-	at := map[key]int{}
+	indexes := map[key]int{}
 	var rows []Row
-	var services [][]float64 // of each row, by day
+	var services [][]float64 // of the runs of each row
 	for _, r := range all {
 		k := key{r.Scenario, r.Set, r.Policy}
-		i, known := at[k]
+		i, known := indexes[k]
 		if !known {
 			i = len(rows)
-			at[k] = i
+			indexes[k] = i
 			rows = append(rows, Row{Scenario: r.Scenario, Set: r.Set, Policy: r.Policy})
 			services = append(services, nil)
 		}
@@ -241,13 +243,13 @@
 	return rows
 }
 
-// addResult adds a day to the sums and counts, of which divide makes means.
+// addResult adds a run to the sums and counts. The method divide turns the sums into means.
 func (r *Row) addResult(result *Result) {
 	r.Runs++
 	r.Worst10 += result.Verdict.Worst10
 	r.Wasted += result.Wasted
 	r.CrossZone += result.Verdict.CrossZone
-	r.add(&result.Verdict.Spread)
+	r.addSpread(&result.Verdict.Spread)
 	for rule, count := range result.Verdict.ViolationCounts {
 		if count > 0 {
 			r.ViolatingRuns[rule]++
@@ -255,48 +257,50 @@
 	}
 }
 
-func (r *Row) divide(days float64) {
-	r.Worst10 /= days
-	r.Wasted /= days
-	r.CrossZone /= days
+// divide divides the sums by the number of runs.
+func (r *Row) divide(runs float64) {
+	r.Worst10 /= runs
+	r.Wasted /= runs
+	r.CrossZone /= runs
 	for i := range r.Scatter {
-		r.Scatter[i] /= days
-		r.Forced[i] /= days
+		r.Scatter[i] /= runs
+		r.Forced[i] /= runs
 	}
-	r.Busiest /= days
-	r.IdleSeconds /= days
+	r.Busiest /= runs
+	r.IdleSeconds /= runs
 }
 
-// add adds a day: sums of the values of which the mean is shown, the maximum of the others.
-func (r *Row) add(e *judge.Spread) {
-	for i := range e.Scatter {
-		r.Scatter[i] += e.Scatter[i]
-		r.Forced[i] += e.Forced[i]
+// addSpread adds the spread of a run: it sums the values whose mean is shown, and keeps the maximum of the others.
+func (r *Row) addSpread(spread *judge.Spread) {
+	for i := range spread.Scatter {
+		r.Scatter[i] += spread.Scatter[i]
+		r.Forced[i] += spread.Forced[i]
 	}
-	r.Busiest += e.Busiest
-	r.IdleSeconds += e.IdleSeconds
-	r.BusiestMax = max(r.BusiestMax, e.BusiestMax)
-	r.Herd = max(r.Herd, e.Herd)
+	r.Busiest += spread.Busiest
+	r.IdleSeconds += spread.IdleSeconds
+	r.BusiestMax = max(r.BusiestMax, spread.BusiestMax)
+	r.Herd = max(r.Herd, spread.Herd)
 }
 
-// ConfidenceInterval returns the mean of some values and half the width of its 95% interval, by Student's distribution.
-func ConfidenceInterval(all []float64) (mean, half float64) {
-	n := float64(len(all))
-	for _, v := range all {
+// ConfidenceInterval returns the mean of values and half the width of its 95% confidence interval, by Student's
+// t-distribution.
+func ConfidenceInterval(values []float64) (mean, halfWidth float64) {
+	n := float64(len(values))
+	for _, v := range values {
 		mean += v / n
 	}
 	if n < 2 {
 		return mean, 0
 	}
 	sum := 0.0
-	for _, v := range all {
+	for _, v := range values {
 		sum += (v - mean) * (v - mean)
 	}
 	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975)
 	return mean, t * math.Sqrt(sum/(n-1)/n)
 }
 
-// ReadResults reads the results that run or sweep have written into a directory, or one such file.
+// ReadResults reads the results that run or sweep wrote into a directory, or one file of such results.
 func ReadResults(path string) ([]*Result, error) {
 	for _, name := range []string{filepath.Join(path, "sweep.json"), path} {
 		var all []*Result
