--- a/cmd/pepperlead-sim/compare.go
+++ b/cmd/pepperlead-sim/compare.go
@@ -14,15 +14,16 @@
 	c := &cobra.Command{
 		Use:   "compare A B",
 		Args:  cobra.ExactArgs(2),
-		Short: "Compare two sweeps, or two days, paired by seed",
-		Long: "Compare what run or sweep wrote into two folders, paired by scenario, figure and seed, with " +
+		Short: "Compare two sweeps, or two runs, paired by seed",
+		Long: "Compare what run or sweep wrote into two folders, paired by scenario, setting and seed, with " +
 			"the 95% interval of the gain.\n" +
-			"Exit code 1 if a scenario loses more than is allowed, or if B breaks a rule where A did not.",
+			"Exit code 1 if the service of a scenario falls by more than is allowed, or if B breaks a rule where A " +
+			"did not.",
 		Example: "  pepperlead-sim compare /tmp/before /tmp/after --allow 0.01",
 	}
-	allow := c.Flags().Float64("allow", 0.01, "the loss of service that is let pass")
-	policyA := c.Flags().String("policy-a", "", "the policy of A, where it has several")
-	policyB := c.Flags().String("policy-b", "", "the policy of B, where it has several")
+	allow := c.Flags().Float64("allow", 0.01, "the largest loss of service that is accepted")
+	policyA := c.Flags().String("policy-a", "", "the policy to compare from A, if A has several")
+	policyB := c.Flags().String("policy-b", "", "the policy to compare from B, if B has several")
 	asJSON := c.Flags().Bool("json", false, "print JSON")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		a, err := experiment.ReadResults(args[0])
@@ -33,7 +34,10 @@
 		if err != nil {
 			return err
 		}
-		comparisons, err := experiment.Compare(experiment.FilterByPolicy(a, *policyA), experiment.FilterByPolicy(b, *policyB))
+		comparisons, err := experiment.Compare(
+			experiment.FilterByPolicy(a, *policyA),
+			experiment.FilterByPolicy(b, *policyB),
+		)
 		if err != nil {
 			return err
 		}
@@ -52,19 +56,21 @@
 
 func printComparisons(out io.Writer, comparisons []experiment.Comparison) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	printf(w, "scenario\tset\tpairs\tA\tB\tgain\t±\tnew breaks\n")
+	printf(w, "scenario\tset\tpairs\tA\tB\tgain\t±\tnew violations\n")
 	for _, x := range comparisons {
 		printf(w, ""+
-			"%s\t%s\t%d\t%.3f\t%.3f\t%+.4f\t%.4f\t%d\n", x.Scenario, x.Set, x.Pairs, x.A, x.B, x.Gain, x.HalfWidth, x.NewViolations)
+			"%s\t%s\t%d\t%.3f\t%.3f\t%+.4f\t%.4f\t%d\n",
+			x.Scenario, x.Set, x.Pairs, x.A, x.B, x.Gain, x.HalfWidth, x.NewViolations)
 	}
 	return w.Flush()
 }
 
-// checkGains returns an error for the first scenario that loses more than is allowed, or on which only B broke a rule.
+// checkGains returns an error for the first scenario whose service falls by more than is allowed, or in which only B
+// broke a rule in some run.
 func checkGains(comparisons []experiment.Comparison, allow float64) error {
 	for _, x := range comparisons {
 		if x.Gain < -allow || x.NewViolations > 0 {
-			return fmt.Errorf("%s: a gain of %+.4f, allowed %+.4f; %d days on which only B broke a rule",
+			return fmt.Errorf("%s: gain %+.4f, allowed at least %+.4f; %d runs in which only B broke a rule",
 				x.Scenario, x.Gain, -allow, x.NewViolations)
 		}
 	}
--- a/cmd/pepperlead-sim/cost.go
+++ b/cmd/pepperlead-sim/cost.go
@@ -16,7 +16,7 @@
 	"pepperlead/internal/benchmark"
 )
 
-// helperCommands are the processes that benchmarks start.
+// helperCommands returns the hidden commands that benchmarks start as processes of their own.
 func helperCommands() []*cobra.Command {
 	backend := &cobra.Command{Use: "backend ADDRESS", Hidden: true, Args: cobra.ExactArgs(1)}
 	backend.RunE = func(_ *cobra.Command, args []string) error { return benchmark.Backend(args[0]) }
@@ -39,18 +39,19 @@
 	c := &cobra.Command{
 		Use:   "cost --daemon LABEL=PROGRAM...",
 		Args:  cobra.NoArgs,
-		Short: "Measure what a ticket costs daemons and a plain proxy of the standard library, side by side",
+		Short: "Measure the cost of a request in daemons and in a plain proxy of the standard library, side by side",
 		Example: "  pepperlead-sim cost --daemon now=bin/pepperlead --clients 1,16 --rounds 5 --each 3s\n" +
 			"  pepperlead-sim cost --daemon before=/path/to/an/earlier/pepperlead --daemon now=bin/pepperlead",
 	}
 	var o costOptions
 	c.Flags().StringArrayVar(&o.daemons, "daemon", []string{"now=bin/pepperlead"},
-		"a daemon's `label=program`; several are measured side by side")
+		"`label=program` of a daemon; may be repeated to measure several side by side")
 	c.Flags().StringArrayVar(&o.products, "product", nil,
-		"a `label=program=file`: by the product's configuration, with what the file adds to it, as [peers]")
-	c.Flags().IntSliceVar(&o.clients, "clients", []int{1, 16}, "clients at once")
+		"`label=program=file` of a daemon with the product's configuration, to which the text of the file is "+
+			"added, such as a [peers] table")
+	c.Flags().IntSliceVar(&o.clients, "clients", []int{1, 16}, "numbers of concurrent clients")
 	c.Flags().IntVar(&o.rounds, "rounds", 5, "rounds, in each of which every subject is measured once")
-	c.Flags().DurationVar(&o.duration, "each", 3*time.Second, "how long each is measured")
+	c.Flags().DurationVar(&o.duration, "each", 3*time.Second, "how long each subject is measured in a round")
 	c.Flags().BoolVar(&o.asJSON, "json", false, "print every round as JSON")
 	c.RunE = func(c *cobra.Command, _ []string) error { return o.run(c.OutOrStdout()) }
 	return c
@@ -90,15 +91,15 @@
 	return nil
 }
 
-// subjectStarter makes the subjects of a benchmark.
+// subjectStarter creates the subjects of a benchmark.
 type subjectStarter struct {
 	ctx       context.Context
-	directory string // for configurations
-	self      string // this program
+	directory string // for the daemons' configurations
+	self      string // path of this program
 }
 
-// all returns the plain proxy, which is the base of comparison, then daemons with the platform's configuration and
-// with the product's.
+// all returns all subjects: the plain proxy, to which the others are compared, then daemons with the platform's
+// configuration and with the product's.
 func (s *subjectStarter) all(daemons, products []string) ([]benchmark.Subject, error) {
 	subjects := []benchmark.Subject{s.plainProxy()}
 	for _, daemon := range daemons {
@@ -113,12 +114,12 @@
 		if len(parts) != 3 {
 			return nil, fmt.Errorf("--product: found %q, allowed label=program=file", product)
 		}
-		more, err := os.ReadFile(parts[2])
+		extra, err := os.ReadFile(parts[2])
 		if err != nil {
 			return nil, err
 		}
 		configuration := func(listen string, endpoints []string) []byte {
-			return benchmark.ProductTOML(listen, endpoints, string(more))
+			return benchmark.ProductTOML(listen, endpoints, string(extra))
 		}
 		subjects = append(subjects, s.daemon(parts[0], parts[1], configuration))
 	}
@@ -149,7 +150,7 @@
 	return benchmark.Subject{Label: label, Start: start}
 }
 
-// printCosts prints the medians of each subject's rounds.
+// printCosts prints the medians of each subject's rounds, and the most failures of a round.
 func printCosts(
 	out io.Writer,
 	subjects []benchmark.Subject,
@@ -175,8 +176,8 @@
 		if base == 0 {
 			base = median(cpu)
 		}
-		printf(out, "%3d clients  %-12s CPU %6.1f us (%.2f of plain)  p50 %7v  p99 %7v  %6.0f tickets/s  failed "+
-			"%d  RSS %.1f MB\n",
+		printf(out, "%3d clients  %-12s CPU %6.1f us/request (%.2f of plain)  p50 %7v  p99 %7v  %6.0f "+
+			"requests/s  failed %d  RSS %.1f MB\n",
 			clients, subject.Label, float64(median(cpu))/1e3, float64(median(cpu))/float64(max(1, base)),
 			median(p50).Round(time.Microsecond), median(p99).Round(time.Microsecond),
 			float64(median(requests))/duration.Seconds(), slices.Max(failed), float64(median(rss))/1024)
@@ -191,5 +192,5 @@
 	return sorted[len(sorted)/2]
 }
 
-// removeAll removes a temporary directory; what cannot be removed is left to the system.
+// removeAll removes a temporary directory. Errors are ignored: the system cleans up temporary directories.
 func removeAll(directory string) { _ = os.RemoveAll(directory) }
--- a/cmd/pepperlead-sim/drillpeers.go
+++ b/cmd/pepperlead-sim/drillpeers.go
@@ -9,13 +9,13 @@
 	"pepperlead/internal/faulttest"
 )
 
-// strangers is how many processes of another cluster or key run beside the measured ones.
-const strangers = 2
+// strangerCount is the number of processes with another cluster name or key that run beside the measured ones.
+const strangerCount = 2
 
 func drillCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "drill",
-		Short: "Start several processes of the program and break what lies between them",
+		Short: "Run fault-injection tests with several daemons",
 	}
 	c.AddCommand(drillPeersCommand(), drillPlayCommand())
 	return c
@@ -33,24 +33,25 @@
 	c := &cobra.Command{
 		Use:   "peers",
 		Args:  cobra.NoArgs,
-		Short: "Kills, stalls and partitions; how soon all that are left know who is there",
-		Long: "Starts sidecars that know of each other, on loopback, with links between them. Measures what " +
-			"an idle one sends and costs, then cuts a\n" +
-			"link one way, kills one, cuts the company in two, heals it, stalls one, has one leave, and " +
-			"starts the killed one again, each time\n" +
-			"until all that are left know. Exit code 1 where they do not.",
+		Short: "Measure how soon sidecars learn of killed, stalled and partitioned peers",
+		Long: "Starts sidecars of one cluster on loopback, connected through a fault proxy. Measures what an idle " +
+			"sidecar sends and costs. Then blocks a\n" +
+			"link in one direction, kills one sidecar, partitions the others, heals the partition, stalls one, has " +
+			"one leave, and starts the killed one\n" +
+			"again. After each step it waits until all running sidecars know who is alive. Exit code 1 if they do " +
+			"not in time.",
 		Example: "  pepperlead-sim drill peers --count 50",
 	}
 	var o drillPeersOptions
-	c.Flags().IntVar(&o.count, "count", 5, "sidecars, 5 at least")
-	c.Flags().Uint64Var(&o.seed, "seed", 1, "names the drill")
+	c.Flags().IntVar(&o.count, "count", 5, "number of sidecars, at least 5")
+	c.Flags().Uint64Var(&o.seed, "seed", 1, "random seed")
 	c.Flags().StringVar(&o.daemon, "daemon", "bin/pepperlead", "the daemon's `program`")
 	c.Flags().BoolVar(&o.asJSON, "json", false, "print the result as JSON")
 	c.RunE = func(c *cobra.Command, _ []string) error { return o.run(c.OutOrStdout()) }
 	return c
 }
 
-// run starts the processes, plays the faults, and prints what was measured, also after a failure.
+// run starts the processes, injects the faults, and prints what was measured, even after a failure.
 func (o *drillPeersOptions) run(out io.Writer) error {
 	ctx, stop := interruptContext()
 	defer stop()
@@ -63,7 +64,7 @@
 		Program:   o.daemon,
 		Dir:       directory,
 		Count:     o.count,
-		Strangers: strangers,
+		Strangers: strangerCount,
 		Instances: o.count,
 		Seed:      o.seed,
 	})
@@ -84,11 +85,11 @@
 
 func printPeers(out io.Writer, r faulttest.PeersResult) {
 	for _, step := range r.Steps {
-		printf(out, "%6.1f s  %s (%d know of %d)\n", step.Seconds, step.What, step.Know, step.Of)
+		printf(out, "%6.1f s  %s (%d sidecars see %d alive)\n", step.Seconds, step.What, step.Know, step.Of)
 	}
-	printf(out, "an idle one: %.1f packets and %.0f bytes a second sent, %.4f of a core; %.0f false alarms\n",
+	printf(out, "an idle sidecar: %.1f packets and %.0f bytes sent per second, %.4f of a core; "+
+		"%.0f false alarms in total\n",
 		r.Packets, r.Bytes, r.CPU, r.FalseAlarms)
-	printf(out, "the links themselves took %.1f ms (99th percentile); the clock was looked at %.0f ms late at "+
-		"the worst\n",
+	printf(out, "the fault proxy itself added %.1f ms (99th percentile); clock readings were up to %.0f ms late\n",
 		r.OwnDelay*1000, r.LatestClock*1000)
 }
--- a/cmd/pepperlead-sim/drillplay.go
+++ b/cmd/pepperlead-sim/drillplay.go
@@ -19,24 +19,24 @@
 	c := &cobra.Command{
 		Use:   "play FILE...",
 		Args:  cobra.MinimumNArgs(1),
-		Short: "Play drills of a cluster whose rules change while things break",
-		Long: "Starts sidecars, keepers of versions, servers and clients as drills/*.toml say, does to them " +
-			"what is said there, heals all, and\n" +
-			"has the judge look at what processes, servers and clients wrote down. Exit code 1 where a rule " +
-			"was broken, two acted on rules that\n" +
-			"contradict each other for longer than agree_within, or something failed; the command that " +
-			"plays a failed one again is printed.",
+		Short: "Play scripts of faults against a cluster whose rule set changes",
+		Long: "Starts the sidecars, coordinators, endpoints and clients of a script (drills/*.toml), performs its " +
+			"actions, heals all faults, and\n" +
+			"has the judge check what processes, endpoints and clients recorded. Exit code 1 if a rule was broken, " +
+			"two processes acted on contradicting\n" +
+			"rule sets for longer than agree_within, or something failed; the commands that repeat the failed runs " +
+			"are printed.",
 		Example: "  pepperlead-sim drill play drills/naps.toml --seeds 20 --report out",
 	}
 	var p drillPlayer
-	c.Flags().Uint64Var(&p.firstSeed, "seed", 1, "names the play; the first of them")
-	c.Flags().Uint64Var(&p.seeds, "seeds", 1, "plays of each drill, one after the other")
-	count := c.Flags().Int("count", 0, "sidecars (default as the drill says)")
-	rate := c.Flags().Float64("rate", 0, "requests a second at each sidecar (default as the drill says)")
+	c.Flags().Uint64Var(&p.firstSeed, "seed", 1, "random seed of the first run")
+	c.Flags().Uint64Var(&p.seeds, "seeds", 1, "runs of each script, with consecutive seeds")
+	count := c.Flags().Int("count", 0, "number of sidecars (default: as in the script)")
+	rate := c.Flags().Float64("rate", 0, "requests per second at each sidecar (default: as in the script)")
 	c.Flags().StringVar(&p.daemon, "daemon", "bin/pepperlead", "the daemon's `program`")
 	c.Flags().BoolVar(&p.asJSON, "json", false, "print each result as a line of JSON")
-	c.Flags().StringVar(&p.reports, "report", "", "`folder` for a page of HTML a play")
-	c.Flags().StringVar(&p.failedPlays, "keep", "", "`folder` in which configurations and logs of failed plays stay")
+	c.Flags().StringVar(&p.reports, "report", "", "`folder` for an HTML report of each run")
+	c.Flags().StringVar(&p.failedRuns, "keep", "", "`folder` in which configurations and logs of failed runs are kept")
 	c.RunE = func(c *cobra.Command, files []string) error {
 		ctx, stop := interruptContext()
 		defer stop()
@@ -51,7 +51,7 @@
 	return c
 }
 
-// readScripts reads drills, with a count of instances and a rate in place of their own where they are over 0.
+// readScripts reads the scripts in files. A count of instances or a rate above 0 replaces that of the scripts.
 func readScripts(files []string, count int, rate float64) ([]*faulttest.Script, error) {
 	var scripts []*faulttest.Script
 	for _, file := range files {
@@ -74,23 +74,24 @@
 	return scripts, nil
 }
 
-// drillPlayer plays drills one after another.
+// drillPlayer plays scripts one after another.
 type drillPlayer struct {
-	firstSeed   uint64
-	seeds       uint64
-	daemon      string
-	asJSON      bool
-	reports     string // directory; "": none are written
-	failedPlays string // directory; "": nothing is kept
-	out         io.Writer
-	errors      io.Writer
+	firstSeed  uint64
+	seeds      uint64
+	daemon     string
+	asJSON     bool
+	reports    string // directory; "": no reports
+	failedRuns string // directory for the files of failed runs; "": they are removed
+	out        io.Writer
+	errors     io.Writer
 }
 
+// playAll plays each script with each seed. The error names the commands that repeat the failed runs.
 func (p *drillPlayer) playAll(ctx context.Context, files []string, scripts []*faulttest.Script) error {
 	const barWidth = 40
 	bars := mpb.NewWithContext(ctx, mpb.WithOutput(os.Stderr), mpb.WithWidth(barWidth))
-	plays := int64(len(files)) * int64(p.seeds)
-	bar := bars.AddBar(plays, mpb.PrependDecorators(decor.Name("plays "), decor.CountersNoUnit("%d of %d")))
+	runs := int64(len(files)) * int64(p.seeds)
+	bar := bars.AddBar(runs, mpb.PrependDecorators(decor.Name("runs "), decor.CountersNoUnit("%d of %d")))
 	var failed []string
 	for i, script := range scripts {
 		for seed := p.firstSeed; seed < p.firstSeed+p.seeds && ctx.Err() == nil; seed++ {
@@ -106,26 +107,26 @@
 	bars.Wait()
 	if len(failed) > 0 {
 		return fmt.Errorf(
-			"%d of %d plays have failed; to see one again:\n%s",
+			"%d of %d runs failed; to repeat them:\n%s",
 			len(failed),
-			plays,
+			runs,
 			strings.Join(failed, "\n"),
 		)
 	}
 	return ctx.Err()
 }
 
-// playCommandLine is the command that plays a drill again.
+// playCommandLine returns the command that repeats a run.
 func playCommandLine(file string, seed uint64) string {
 	return fmt.Sprintf("pepperlead-sim drill play %s --seed %d", file, seed)
 }
 
-// playOne plays a drill and prints its result. The error is one of printing or of the report: a play that could not
-// be made is not good.
+// playOne plays a script once and prints the result. It returns an error only if printing or writing the report fails:
+// a script that could not be played is reported on the error output and counts as a failed run.
 func (p *drillPlayer) playOne(ctx context.Context, file string, script *faulttest.Script, seed uint64,
-	played func()) (good bool, err error) {
+	finished func()) (good bool, err error) {
 	result, err := p.play(ctx, script, seed)
-	played()
+	finished()
 	if err != nil {
 		printf(p.errors, "%s: %v\n", playCommandLine(file, seed), err)
 		return false, nil
@@ -146,14 +147,14 @@
 	return result.Good(script), nil
 }
 
-// play plays in a directory of its own, which stays if the play fails and is to be kept.
+// play plays a script in a new directory, which is removed unless the run failed and failed runs are kept.
 func (p *drillPlayer) play(ctx context.Context, script *faulttest.Script, seed uint64) (*faulttest.Result, error) {
-	directory, err := os.MkdirTemp(p.failedPlays, "drill")
+	directory, err := os.MkdirTemp(p.failedRuns, "drill")
 	if err != nil {
 		return nil, err
 	}
 	result, err := faulttest.Play(ctx, p.daemon, directory, script, seed)
-	if p.failedPlays == "" || err == nil && result.Good(script) {
+	if p.failedRuns == "" || err == nil && result.Good(script) {
 		removeAll(directory)
 	}
 	return result, err
@@ -165,24 +166,24 @@
 		verdict = "FAILED"
 	}
 	v := r.Verdict
-	printf(out, "%s, seed %d: %s; contradiction %v (allowed %v), %d broken rules, %d pushes (%d without a "+
-		"lease), %d effects twice\n",
+	printf(out, "%s, seed %d: %s; contradiction %v (allowed %v), %d rule violations, %d attempts (%d "+
+		"without a lease), %d repeated effects\n",
 		r.Drill, r.Seed, verdict, v.Contradiction, script.AgreeWithin, v.Broken, v.Attempts, v.Unleased, v.Repeats)
-	printf(out, "  clients: %d asked, %d honoured, %d turned back, %d given up, %d lost with their sidecar; "+
-		"without a lease %d of %d honoured\n",
+	printf(out, "  clients: %d requests, %d succeeded, %d rejected, %d failed, %d lost with their sidecar; "+
+		"without a lease %d of %d succeeded\n",
 		v.ClientRequests, v.Succeeded, v.Rejected, v.Failed, v.Lost, v.UnleasedRequests[1], v.UnleasedRequests[0])
 	for _, a := range r.Applied {
 		printApplied(out, a)
 	}
-	printf(out, "  agreed %.1f s after all was healed; %.1f s without a lease and %.0f times held to be gone "+
-		"over all; "+
-		"one sidecar: %.1f packets and %.0f bytes a second, %.4f of a core\n",
+	printf(out, "  same lease %.1f s after all faults were healed; in total %.1f s without a lease and %.0f times a "+
+		"sidecar was taken for gone; "+
+		"one sidecar: %.1f packets and %.0f bytes per second, %.4f of a core\n",
 		r.Converged, r.Unleased, r.FalseDeaths, r.Packets, r.Bytes, r.CPU)
-	printf(out, "  links took %.1f ms (99%%), the clock was looked at %.0f ms late at the worst; %.0f%% of the "+
+	printf(out, "  the fault proxy itself added %.1f ms (99%%); clock readings were up to %.0f ms late; %.0f%% of the "+
 		"machine was in use\n",
 		r.OwnDelay*1000, r.ClockLateness*1000, r.Busy*100)
 	if r.Tables > 0 {
-		printf(out, "  %d slot tables at the end\n", r.Tables)
+		printf(out, "  %d different slot tables at the end\n", r.Tables)
 	}
 	if v.Between != "" {
 		printf(out, "  %s\n", v.Between)
@@ -191,7 +192,7 @@
 		printf(out, "  %s\n", fault)
 	}
 	if r.Void {
-		printf(out, "  void: the machine stood still for longer than a lease\n")
+		printf(out, "  void: the machine stalled for longer than a lease\n")
 	}
 }
 
@@ -200,6 +201,6 @@
 		printf(out, "  %s at %.1f s: failed after %.1f s: %s\n", a.Version, a.At, a.Agreed, a.Failed)
 		return
 	}
-	printf(out, "  %s at %.1f s: version %d, known to sidecars within %.2f s (half), %.2f s (99%%), %.2f s (all), "+
-		"alone within %.2f s\n", a.Version, a.At, a.Number, a.P50, a.P99, a.Max, a.Alone)
+	printf(out, "  %s at %.1f s: revision %d, used by sidecars within %.2f s (50%%), %.2f s (99%%), %.2f s (all), "+
+		"used alone within %.2f s\n", a.Version, a.At, a.Number, a.P50, a.P99, a.Max, a.Alone)
 }
--- a/cmd/pepperlead-sim/golden_test.go
+++ b/cmd/pepperlead-sim/golden_test.go
@@ -7,9 +7,9 @@
 	"pepperlead/internal/golden"
 )
 
-// TestCommandsAndFlagsAreAsBefore holds the names of commands and flags, the kinds of their values and their defaults to what they
-// were before. What helps say is left out.
-func TestCommandsAndFlagsAreAsBefore(t *testing.T) {
+// TestCommandsMatchGoldenFile compares the names of commands and flags, the types of their values and their defaults with a golden
+// file. Help texts are not compared.
+func TestCommandsMatchGoldenFile(t *testing.T) {
 	var tree bytes.Buffer
 	golden.Commands(&tree, rootCommand())
 	golden.Compare(t, "commands.txt", tree.Bytes())
--- a/cmd/pepperlead-sim/lists.go
+++ b/cmd/pepperlead-sim/lists.go
@@ -20,11 +20,11 @@
 	c := &cobra.Command{
 		Use:     "lists",
 		Args:    cobra.NoArgs,
-		Short:   "Measure how long a list of servers takes to be read, checked and dealt",
+		Short:   "Measure how long it takes to parse, check and apply an endpoint list",
 		Example: "  pepperlead-sim lists --servers 300,5000",
 	}
-	sizes := c.Flags().IntSlice("servers", []int{10, 300, 5000}, "sizes of the list")
-	rounds := c.Flags().Int("rounds", 5, "rounds, of which the least is told")
+	sizes := c.Flags().IntSlice("servers", []int{10, 300, 5000}, "sizes of the list, in endpoints")
+	rounds := c.Flags().Int("rounds", 5, "rounds, of which the shortest times are printed")
 	asJSON := c.Flags().Bool("json", false, "print JSON")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		var costs []benchmark.ListCost
@@ -34,7 +34,7 @@
 			if !*asJSON {
 				printf(
 					c.OutOrStdout(),
-					"%6d servers, %8d bytes: parse %v, weigh %v, deal %v on the loop, the same again %v\n",
+					"%6d endpoints, %8d bytes: parse %v, evaluate %v, apply on the loop %v, the same list again %v\n",
 					cost.Endpoints,
 					cost.Bytes,
 					cost.Parse,
@@ -52,17 +52,18 @@
 	return c
 }
 
-// loopback is the IP address of the processes that are measured.
+// loopback is the IP address of the measured processes.
 const loopback = "127.0.0.1"
 
-// standaloneDaemon is a daemon with a list of its own.
+// standaloneDaemon is a daemon that reads its endpoints from a list file.
 type standaloneDaemon struct {
 	process   *exec.Cmd
-	listen    string
-	directory string
+	listen    string // address
+	directory string // of the configuration and the list file
 }
 
-// startStandalone starts a daemon on a list of so many endpoints, the first ones at the addresses.
+// startStandalone starts a daemon with a list of the given number of endpoints, of which the first ones have the given
+// addresses. extra is added to the configuration.
 func startStandalone(program string, endpoints int, addresses []string, extra string) (*standaloneDaemon, error) {
 	directory, err := os.MkdirTemp("", "pepperlead-sim")
 	if err != nil {
@@ -91,10 +92,10 @@
 	c := &cobra.Command{
 		Use:   "follow",
 		Args:  cobra.NoArgs,
-		Short: "Measure the time from a list file's change to the first push that follows it",
+		Short: "Measure the time from a change of a list file to the first attempt that follows it",
 	}
 	program := c.Flags().String("daemon", "bin/pepperlead", "the daemon's `program`")
-	rounds := c.Flags().Int("rounds", 40, "changes")
+	rounds := c.Flags().Int("rounds", 40, "number of changes")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		for _, sealed := range []bool{true, false} {
 			delays, err := follow(*program, *rounds, sealed)
@@ -102,7 +103,7 @@
 				return err
 			}
 			slices.Sort(delays)
-			printf(c.OutOrStdout(), "sealed %-5v: %d changes, median %v, 90%% %v, most %v\n", sealed, len(delays),
+			printf(c.OutOrStdout(), "sealed %-5v: %d changes, median %v, 90%% %v, maximum %v\n", sealed, len(delays),
 				delays[len(delays)/2], delays[len(delays)*9/10], delays[len(delays)-1])
 		}
 		return nil
@@ -110,6 +111,7 @@
 	return c
 }
 
+// follow measures how long a daemon takes to follow changes of a list file; sealed lists end with a digest.
 func follow(program string, rounds int, sealed bool) ([]time.Duration, error) {
 	daemon, err := startStandalone(program, 2, nil, "")
 	if err != nil {
@@ -119,7 +121,7 @@
 	return benchmark.Follow(daemon.listen, filepath.Join(daemon.directory, "servers.toml"), rounds, sealed)
 }
 
-// settleTime lets a daemon's memory settle before it is read.
+// settleTime is the wait before the memory of a daemon is read, so that it has settled.
 const settleTime = 2 * time.Second
 
 func memoryCommand() *cobra.Command {
@@ -129,8 +131,8 @@
 		Short: "Measure the daemon's memory with lists of several sizes",
 	}
 	program := c.Flags().String("daemon", "bin/pepperlead", "the daemon's `program`")
-	sizes := c.Flags().IntSlice("servers", []int{10, 300, 5000}, "sizes of the list")
-	admin := c.Flags().Bool("admin", false, "with an admin address, scraped once")
+	sizes := c.Flags().IntSlice("servers", []int{10, 300, 5000}, "sizes of the list, in endpoints")
+	admin := c.Flags().Bool("admin", false, "configure an admin address")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		self, err := os.Executable()
 		if err != nil {
@@ -148,17 +150,17 @@
 		for _, size := range *sizes {
 			rss, err := measureMemory(*program, size, address, *admin)
 			if err != nil {
-				return fmt.Errorf("%d servers: %w", size, err)
+				return fmt.Errorf("%d endpoints: %w", size, err)
 			}
-			printf(c.OutOrStdout(), "%6d servers: RSS %.1f MB\n", size, float64(rss)/1024)
+			printf(c.OutOrStdout(), "%6d endpoints: RSS %.1f MB\n", size, float64(rss)/1024)
 		}
 		return nil
 	}
 	return c
 }
 
-// measureMemory returns the memory, in KiB, of a daemon with a list of so many endpoints, the first one at the
-// backend's address, and with an admin address if asked for.
+// measureMemory returns the memory, in KiB, of a daemon with a list of the given number of endpoints, of which the
+// first is the backend. With admin set, the daemon has an admin address.
 func measureMemory(program string, endpoints int, backend string, admin bool) (rss int, err error) {
 	extra := ""
 	if admin {
@@ -181,16 +183,16 @@
 	return rss, errors.Join(notReady, err)
 }
 
-// loopbackAddresses returns different loopback addresses with one port.
+// loopbackAddresses returns distinct loopback addresses with the same port.
 func loopbackAddresses(count int, port string) []string {
-	const perNumber = 250 // hosts, and nets, for each number of an address
+	const perByte = 250 // values used of each byte of an address
 	addresses := make([]string, count)
 	for i := range addresses {
 		addresses[i] = fmt.Sprintf(
 			"127.%d.%d.%d:%s",
-			2+i/(perNumber*perNumber),
-			i/perNumber%perNumber,
-			1+i%perNumber,
+			2+i/(perByte*perByte),
+			i/perByte%perByte,
+			1+i%perByte,
 			port,
 		)
 	}
--- a/cmd/pepperlead-sim/main.go
+++ b/cmd/pepperlead-sim/main.go
@@ -1,4 +1,4 @@
-// Command pepperlead-sim measures and rehearses what the sidecar does. It is no part of what is deployed.
+// Command pepperlead-sim simulates, tests and benchmarks the sidecar. It is not deployed.
 package main
 
 import (
@@ -18,11 +18,11 @@
 	}
 }
 
-// rootCommand is the program's command with all commands below it.
+// rootCommand returns the program's root command with all subcommands.
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "pepperlead-sim",
-		Short:         "Measure and rehearse what pepperlead does",
+		Short:         "Simulate, test and benchmark pepperlead",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -32,7 +32,7 @@
 	return root
 }
 
-// interruptContext returns a context that ends when the program is asked to end.
+// interruptContext returns a context that is cancelled when the program is interrupted or terminated.
 func interruptContext() (ctx context.Context, stop context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
--- a/cmd/pepperlead-sim/output.go
+++ b/cmd/pepperlead-sim/output.go
@@ -8,7 +8,7 @@
 	"pepperlead/internal/emulator/judge"
 )
 
-// printf prints to the program's output. A reader that has gone is no reason to fail.
+// printf prints to the program's output. It ignores errors, so that a closed pipe does not make the program fail.
 func printf(out io.Writer, format string, arguments ...any) {
 	_, _ = fmt.Fprintf(out, format, arguments...)
 }
@@ -19,18 +19,21 @@
 	return encoder.Encode(value)
 }
 
-// printCounts prints what became of a day's requests.
+// printCounts prints the number of requests and attempts of a run, and the outcomes of the requests.
 func printCounts(out io.Writer, v *judge.Verdict) {
-	printf(out, "%d requests, %d tickets, %d pushes: %d honoured (%d late), %d turned back, %d given up\n",
+	printf(out, "%d client requests, %d requests at sidecars, %d attempts: %d succeeded (%d late), %d rejected, "+
+		"%d failed\n",
 		v.ClientRequests, v.Requests, v.Attempts, v.Succeeded, v.Late, v.Rejected, v.Failed)
 }
 
+// printSpread prints how evenly attempts were spread over endpoints.
 func printSpread(out io.Writer, s *judge.Spread) {
-	printf(out, "pushes scatter over servers %.2f times as chance in 1 s, %.2f in 5 s (keys alone would force "+
-		"%.2f, %.2f); "+
-		"busiest server %.2f times its share in 5 s, %.1f at the most;\n",
+	printf(out, "attempts scatter over endpoints %.2f times as much as by chance in 1 s, %.2f in 5 s (with one "+
+		"endpoint per key %.2f, %.2f); "+
+		"busiest endpoint %.2f times its share in 5 s, at most %.1f;\n",
 		s.Scatter[0], s.Scatter[1], s.Forced[0], s.Forced[1], s.Busiest, s.BusiestMax)
-	printf(out, "%.1f server seconds idle while others queued; herd of %.1f in 50 ms\n", s.IdleSeconds, s.Herd)
+	printf(out, "%.1f endpoint seconds idle while others queued; at most %.1f attempts beyond an endpoint's share "+
+		"in 50 ms\n", s.IdleSeconds, s.Herd)
 }
 
 func printViolations(out io.Writer, v *judge.Verdict) {
@@ -42,7 +45,7 @@
 // checkRules returns an error if a rule was broken.
 func checkRules(v *judge.Verdict) error {
 	if !v.NoViolations() {
-		return fmt.Errorf("rules were broken: %v", v.ViolationCounts)
+		return fmt.Errorf("rules were broken; violations of rules 1 to 4: %v", v.ViolationCounts)
 	}
 	return nil
 }
--- a/cmd/pepperlead-sim/replay.go
+++ b/cmd/pepperlead-sim/replay.go
@@ -25,28 +25,29 @@
 	c := &cobra.Command{
 		Use:   "replay TRACE...",
 		Args:  cobra.MinimumNArgs(1),
-		Short: "Play what daemons have recorded, in virtual time",
-		Long: "Play what daemons have recorded by serve --record, a trace from each sidecar, in virtual time: " +
+		Short: "Replay traces that daemons recorded, in virtual time",
+		Long: "Replay traces that daemons recorded by serve --record, one from each sidecar, in virtual time: " +
 			"the same requests at the same\n" +
-			"moments, and what the traces show to have gone wrong with servers. The fleet, which no sidecar " +
-			"knows, is a scenario's.",
+			"times, and the faults of endpoints that the traces show. The fleet, which no sidecar knows, is that of " +
+			"a scenario.",
 		Example: "  pepperlead-sim replay --scenario scenarios/monday.toml /tmp/monday/*.trace --out /tmp/again",
 	}
 	var o replayOptions
 	c.Flags().StringVar(&o.scenarioPath, "scenario", "",
-		"the `scenario` whose fleet, offerings and clients are played (must be given)")
+		"the `scenario` whose fleet, classes and clients are used (required)")
 	c.Flags().BoolVar(&o.scripted, "scripted", false,
-		"play the scenario's faults in place of those the traces show; those on load are in the traces")
-	c.Flags().Uint64Var(&o.seed, "seed", 1, "of what was not recorded: sizes of work, speeds")
+		"play the scenario's faults instead of those that the traces show, except for faults of the load, which "+
+			"the traces contain")
+	c.Flags().Uint64Var(&o.seed, "seed", 1, "random seed for what was not recorded: sizes of work, speeds")
 	c.Flags().StringVar(&o.policyName, "policy", "module", strings.Join(baseline.Names, ", "))
 	c.Flags().StringVar(&o.directory, "out", "",
 		"`folder` for result.json and series.json (default: nothing is written)")
-	c.Flags().BoolVar(&o.asJSON, "json", false, "print what was taken from the traces, and the result, as JSON")
+	c.Flags().BoolVar(&o.asJSON, "json", false, "print the summary of the traces and the result as JSON")
 	c.RunE = func(c *cobra.Command, args []string) error { return o.run(c.OutOrStdout(), args) }
 	return c
 }
 
-// run plays the traces and writes the result where the flags say.
+// run replays the traces, and writes and prints the result as the flags say.
 func (o *replayOptions) run(out io.Writer, paths []string) error {
 	scenario, err := experiment.Load(o.scenarioPath)
 	if err != nil {
@@ -95,14 +96,14 @@
 }
 
 func printReplay(out io.Writer, traces int, replayed *experiment.ReplaySummary, result *experiment.Result) {
-	printf(out, "%d traces (%d cut off): %d requests, %d further tries left out, %d servers; "+
-		"of their tickets %.3f were honoured\n",
+	printf(out, "%d traces (%d truncated): %d requests, %d retries left out, %d endpoints; "+
+		"%.3f of the recorded requests succeeded\n",
 		traces, replayed.Truncated, replayed.Arrivals, replayed.Retries, replayed.Endpoints, replayed.SucceededShare)
 	for _, fault := range replayed.Faults {
 		printf(out, "  %s\n", fault)
 	}
 	v := result.Verdict
-	printf(out, "%s, seed %d, %s: service %.3f, worst 10 s %.3f; %d honoured (%d late), %d turned back, %d given "+
-		"up\n",
+	printf(out, "%s, seed %d, %s: service %.3f, worst 10 s %.3f; %d succeeded (%d late), %d rejected, "+
+		"%d failed\n",
 		result.Scenario, result.Seed, result.Policy, v.Service, v.Worst10, v.Succeeded, v.Late, v.Rejected, v.Failed)
 }
--- a/cmd/pepperlead-sim/report.go
+++ b/cmd/pepperlead-sim/report.go
@@ -10,7 +10,7 @@
 	c := &cobra.Command{
 		Use:     "report FOLDER",
 		Args:    cobra.ExactArgs(1),
-		Short:   "Write report.html about a day that run has played",
+		Short:   "Write report.html from the files that run or replay wrote",
 		Example: "  pepperlead-sim report /tmp/monday",
 	}
 	asJSON := c.Flags().Bool("json", false, "print the file's path as JSON")
--- a/cmd/pepperlead-sim/run.go
+++ b/cmd/pepperlead-sim/run.go
@@ -25,25 +25,25 @@
 	c := &cobra.Command{
 		Use:   "run SCENARIO",
 		Args:  cobra.ExactArgs(1),
-		Short: "Play one day in virtual time",
-		Long: "Play one day in virtual time. " +
+		Short: "Run a scenario once in virtual time",
+		Long: "Run a scenario once in virtual time. " +
 			"The same scenario, seed and policy give the same result.json, to the byte.",
 		Example: "  pepperlead-sim run scenarios/monday.toml --seed 7 --out /tmp/monday " +
 			"&& pepperlead-sim report /tmp/monday",
 	}
 	var o runOptions
-	c.Flags().Uint64Var(&o.seed, "seed", 1, "names the day")
+	c.Flags().Uint64Var(&o.seed, "seed", 1, "random seed")
 	c.Flags().StringVar(&o.directory, "out", "",
 		"`folder` for result.json and series.json (default: nothing is written)")
 	c.Flags().StringVar(&o.policyName, "policy", "module", strings.Join(baseline.Names, ", "))
 	c.Flags().StringArrayVar(&o.settings, "set", nil,
-		"a figure that stands in place of the scenario's, as `load.part=0.8`; may be given again")
+		"a setting that replaces the scenario's, such as `load.part=0.8`; may be repeated")
 	c.Flags().BoolVar(&o.asJSON, "json", false, "print the result as JSON")
 	c.RunE = func(c *cobra.Command, args []string) error { return o.run(c.OutOrStdout(), args[0]) }
 	return c
 }
 
-// run plays the scenario and writes its result where the flags say.
+// run plays the scenario, and writes and prints the result as the flags say.
 func (o *runOptions) run(out io.Writer, path string) error {
 	scenario, err := loadScenario(path, o.settings)
 	if err != nil {
@@ -79,12 +79,12 @@
 
 func printRun(out io.Writer, scenario *emulator.Scenario, result *experiment.Result, elapsed time.Duration) {
 	v := result.Verdict
-	printf(out, "%s, seed %d, %s: service %.3f, worst 10 s %.3f, wasted %.3f, crossings %.3f\n",
+	printf(out, "%s, seed %d, %s: service %.3f, worst 10 s %.3f, wasted work %.3f, cross-zone attempts %.3f\n",
 		result.Scenario, result.Seed, result.Policy, v.Service, v.Worst10, result.Wasted, v.CrossZone)
 	printCounts(out, v)
 	printSpread(out, &v.Spread)
 	printViolations(out, v)
-	printf(out, "%.1f times real time: %d events in %v, %.0f tickets a second\n",
+	printf(out, "%.1f times real time: %d events in %v, %.0f requests per second\n",
 		float64(scenario.Length)/1e9/elapsed.Seconds(), result.Events, elapsed.Round(time.Millisecond),
 		float64(v.Requests)/elapsed.Seconds())
 }
--- a/cmd/pepperlead-sim/sockets.go
+++ b/cmd/pepperlead-sim/sockets.go
@@ -24,18 +24,19 @@
 	c := &cobra.Command{
 		Use:   "sockets SCENARIO",
 		Args:  cobra.ExactArgs(1),
-		Short: "Play a scenario on sockets in real time, with real daemons",
-		Long: "Play a scenario on sockets in real time: daemons as processes of their own, stand-in servers " +
-			"whose inside is the emulator's\n" +
-			"model, clients that ask for what the emulator's would, and the same judge. 320 daemons and " +
-			"5,000 requests a second at most.",
+		Short: "Play a scenario over sockets in real time, with real daemons",
+		Long: "Play a scenario over sockets in real time, with daemons as separate processes, fake backends that " +
+			"follow the emulator's model of\n" +
+			"endpoints, clients that send the requests that the emulator's clients would send, and the same judge. " +
+			"At most 2,048 sidecars, 2,048\n" +
+			"endpoints and 5,000 requests per second.",
 		Example: "  pepperlead-sim sockets scenarios/monday.toml --seed 1 --record /tmp/monday",
 	}
 	var o socketsOptions
-	c.Flags().Uint64Var(&o.seed, "seed", 1, "names the day")
+	c.Flags().Uint64Var(&o.seed, "seed", 1, "random seed")
 	c.Flags().StringVar(&o.daemon, "daemon", "bin/pepperlead", "the daemon's `program`")
 	c.Flags().StringVar(&o.traceDir, "record", "", "`folder` for the daemons' traces")
-	c.Flags().StringVar(&o.set, "set", "", "a figure that stands in place of the scenario's, as `length=30s`")
+	c.Flags().StringVar(&o.set, "set", "", "a setting that replaces the scenario's, such as `length=30s`")
 	c.Flags().BoolVar(&o.verbose, "log", false, "print faults and the daemons' warnings to standard error")
 	c.Flags().BoolVar(&o.asJSON, "json", false, "print the verdict as JSON")
 	c.RunE = func(c *cobra.Command, args []string) error { return o.run(c.OutOrStdout(), args[0]) }
@@ -66,7 +67,7 @@
 	if o.asJSON {
 		return printJSON(out, v)
 	}
-	printf(out, "%s, seed %d, on sockets: service %.3f, worst 10 s %.3f, crossings %.3f\n",
+	printf(out, "%s, seed %d, on sockets: service %.3f, worst 10 s %.3f, cross-zone attempts %.3f\n",
 		scenario.Name, o.seed, v.Service, v.Worst10, v.CrossZone)
 	printCounts(out, v)
 	printSpread(out, &v.Spread)
--- a/cmd/pepperlead-sim/sweep.go
+++ b/cmd/pepperlead-sim/sweep.go
@@ -30,28 +30,28 @@
 	c := &cobra.Command{
 		Use:   "sweep SCENARIO...",
 		Args:  cobra.MinimumNArgs(1),
-		Short: "Play many days: seeds, values of a figure, policies",
+		Short: "Run scenarios over many seeds, values of a setting and policies",
 		Example: "  pepperlead-sim sweep scenarios/*.toml --seeds 20 --policies module,two,seeing --out /tmp/all\n" +
 			"  pepperlead-sim sweep scenarios/burst.toml --vary load.part=0.5:1.5:0.1 --seeds 5 --out /tmp/load\n" +
 			"  pepperlead-sim sweep scenarios/slow.toml --vary scale=4x8,300x100 --seeds 5     " +
-			"# sidecars x servers, load and keys in proportion",
+			"# sidecars x endpoints, load and keys in proportion",
 	}
 	var o sweepOptions
-	c.Flags().Uint64Var(&o.seeds, "seeds", 5, "how many seeds, from --first on")
+	c.Flags().Uint64Var(&o.seeds, "seeds", 5, "number of seeds, starting with --first")
 	c.Flags().Uint64Var(&o.firstSeed, "first", 1, "the first seed")
 	c.Flags().StringVar(&o.variation, "vary", "",
-		"a figure and its `values`, as load.part=0.5,0.8 or load.part=0.5:1.5:0.1")
+		"a setting and its `values`, such as load.part=0.5,0.8 or load.part=0.5:1.5:0.1")
 	c.Flags().StringSliceVar(&o.policies, "policies", []string{"module"}, strings.Join(baseline.Names, ", "))
-	c.Flags().IntVar(&o.workers, "workers", 0, "days played at once (default: as many as there are cores)")
+	c.Flags().IntVar(&o.workers, "workers", 0, "number of concurrent runs (default: as many as there are cores)")
 	c.Flags().StringVar(&o.directory, "out", "", "`folder` for sweep.json")
 	c.Flags().BoolVar(&o.asJSON, "json", false, "print the table as JSON")
-	c.Flags().BoolVar(&o.noProgress, "quiet", false, "without a progress bar")
-	c.Flags().StringVar(&o.plotPath, "plot", "", "`file` for a picture of the table, SVG")
+	c.Flags().BoolVar(&o.noProgress, "quiet", false, "show no progress bar")
+	c.Flags().StringVar(&o.plotPath, "plot", "", "`file` for a plot of the table, as SVG")
 	c.RunE = func(c *cobra.Command, args []string) error { return o.run(c.OutOrStdout(), args) }
 	return c
 }
 
-// run plays the grid and writes its results where the flags say.
+// run plays the grid, and writes and prints the results as the flags say.
 func (o *sweepOptions) run(out io.Writer, scenarios []string) error {
 	ctx, stop := interruptContext()
 	defer stop()
@@ -80,7 +80,7 @@
 	return printTable(out, rows)
 }
 
-// grid returns the runs that the flags ask for.
+// grid returns the grid that the flags describe.
 func (o *sweepOptions) grid(scenarios []string) (experiment.Grid, error) {
 	grid := experiment.Grid{Scenarios: scenarios, Policies: o.policies, Workers: o.workers}
 	for i := range o.seeds {
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// setVariation sets what a grid varies from path=values; "" is nothing.
+// setVariation sets the setting that a grid varies, and its values, from path=values; "" changes nothing.
 func setVariation(grid *experiment.Grid, variation string) (err error) {
 	if variation == "" {
 		return nil
@@ -120,9 +120,9 @@
 
 func printTable(out io.Writer, rows []experiment.Row) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	printf(w, "scenario\tset\tpolicy\tdays\tservice\t±\tworst 10 s\twasted\tcrossed\tscatter 1 s, 5 "+
-		"s\tforced\tbusiest\tmost\t"+
-		"idle s\therd\tdays that broke rules 1 2 3 4\n")
+	printf(w, "scenario\tset\tpolicy\truns\tservice\t±\tworst 10 s\twasted\tcross-zone\tscatter 1 s, 5 "+
+		"s\tforced\tbusiest\tmaximum\t"+
+		"idle s\therd\truns that broke rules 1 2 3 4\n")
 	for _, r := range rows {
 		printf(
 			w,
