--- a/internal/experiment/outages.go
+++ b/internal/experiment/outages.go
@@ -29,9 +29,9 @@
 }
 
 // inferFaults infers faults from the endpoint lists and the outcomes of attempts in traces. An endpoint that restarted
-// was down since the first of the failures before the restart, or for restartTime if there were none. One whose
-// attempts failed several times in a row was silent, or had crashed if it refused or reset connections. Faults are
-// relative to start, a Unix time.
+// was down since the first of the failures before the restart, or for restartTime if there were none. One with
+// failuresInRow consecutive failures was silent, or had crashed if it refused or reset connections. The times of the
+// faults are relative to start, a Unix time.
 func inferFaults(
 	scenario *emulator.Scenario,
 	traces []*trace.Trace,
--- a/internal/experiment/replay.go
+++ b/internal/experiment/replay.go
@@ -14,7 +14,7 @@
 // ReplaySummary describes what a replay took from its traces.
 type ReplaySummary struct {
 	Arrivals       int      `json:"arrivals"`
-	Retries        int      `json:"further"` // retries by clients, left out as the emulated clients retry themselves
+	Retries        int      `json:"further"` // retries by clients, left out as emulated clients make their own
 	Endpoints      int      `json:"servers"` // of the scenario, with observations in the traces
 	Faults         []string `json:"faults"`
 	Truncated      int      `json:"cut"`      // traces that end within a record
--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -9,8 +9,8 @@
 // retryOption is the bit of a request's options that marks a retry by the client.
 const retryOption = 2
 
-// eventHandler handles an event of an instance. An instance that has stopped is nil: its events have no effect, but
-// their fields must still be valid.
+// eventHandler handles an event of an instance, which is nil if it is unknown or has stopped. The event has no effect
+// then, but its fields must still be valid.
 type eventHandler func(a *adapter, i *instance) error
 
 // events maps the keyword of a line to the handler of the event.
