--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo shows the daemon at work without any configuration: fake endpoints and the daemon in front of them, in
-// one process on loopback.
+// Package demo runs the daemon and fake endpoints in one process on loopback, without a configuration file, so that
+// users can try it.
 package demo
 
 import (
@@ -21,26 +21,25 @@
 	"pepperlead/policy"
 )
 
-// Scene is what a demo runs.
-type Scene struct {
-	Listen  string // of the daemon; port 0: any free one
-	Servers int
-	Seed    uint64
-	For     time.Duration // 0: until the context ends
+// Options are the options of a demo.
+type Options struct {
+	Listen   string // address of the daemon; port 0: any free port
+	Servers  int    // number of fake endpoints
+	Seed     uint64
+	Duration time.Duration // 0: until the context ends
 }
 
-// Limits of the demo.
 const (
-	maxServers    = 200
+	maxServers    = 200 // fake endpoints
 	descriptors   = 512
-	messageMemory = 32 << 20
+	messageMemory = 32 << 20         // bytes
 	startInterval = time.Millisecond // between checks whether the daemon is ready
 )
 
-// faultRate is the rate of each kind of fault at the endpoints, so that there is something to see.
+// faultRate is the rate of each kind of fault at the endpoints. There are some so that the counters show retries.
 const faultRate = 0.01
 
-// classes are the classes of the demo; deploy/standalone.toml has the same.
+// classes are the classes of the demo, the same as in deploy/standalone.toml.
 var classes = []policy.Class{
 	{
 		Name:        "step",
@@ -66,21 +65,22 @@
 	},
 }
 
-// Run runs the scene until its time or the context is over. It writes what there is to try and what was counted.
-func Run(ctx context.Context, scene Scene, log *logrus.Logger, out io.Writer) error {
-	if scene.Servers < 1 || scene.Servers > maxServers {
-		return fmt.Errorf("servers: found %d, allowed 1 to %d", scene.Servers, maxServers)
+// Run runs a demo until its duration has passed or the context ends. It prints commands to try at the start, and the
+// counters of the daemon and the endpoints at the end.
+func Run(ctx context.Context, options Options, log *logrus.Logger, out io.Writer) error {
+	if options.Servers < 1 || options.Servers > maxServers {
+		return fmt.Errorf("servers: found %d, allowed 1 to %d", options.Servers, maxServers)
 	}
-	listen, err := freeAddress(scene.Listen)
+	listen, err := freeAddress(options.Listen)
 	if err != nil {
 		return err
 	}
 	var backends endpoints
 	defer backends.close()
-	if err := backends.start(scene); err != nil {
+	if err := backends.start(options); err != nil {
 		return err
 	}
-	daemon := httpproxy.New(config(scene, listen, &backends.list), log)
+	daemon := httpproxy.New(config(options, listen, &backends.list), log)
 	stop := make(chan os.Signal, 1)
 	ended := make(chan error, 1)
 	go func() { ended <- daemon.Run(stop, nil) }()
@@ -88,9 +88,9 @@
 		return err
 	}
 	p := printer{out}
-	p.printIntroduction(scene, listen)
-	if scene.For > 0 {
-		timed, cancel := context.WithTimeout(ctx, scene.For)
+	p.printIntroduction(options, listen)
+	if options.Duration > 0 {
+		timed, cancel := context.WithTimeout(ctx, options.Duration)
 		defer cancel()
 		ctx = timed
 	}
@@ -106,7 +106,7 @@
 	return err
 }
 
-// awaitReady waits until the daemon serves. If the daemon ends before, it returns false and the error of its end.
+// awaitReady waits until the daemon serves. If the daemon ends before that, it returns false and the daemon's error.
 func awaitReady(daemon *httpproxy.Proxy, ended <-chan error) (ready bool, err error) {
 	for !daemon.Ready() {
 		select {
@@ -119,11 +119,11 @@
 }
 
 // config returns the configuration of the daemon.
-func config(scene Scene, listen string, source discovery.Source) httpproxy.Config {
+func config(options Options, listen string, source discovery.Source) httpproxy.Config {
 	return httpproxy.Config{
 		Listen:         listen,
 		Source:         source,
-		Seed:           scene.Seed,
+		Seed:           options.Seed,
 		Descriptors:    descriptors,
 		MessageMemory:  messageMemory,
 		ConnectTimeout: 200 * policy.Millisecond,
@@ -156,10 +156,10 @@
 	list    discovery.Fixed
 }
 
-// start starts the endpoints of the scene. After an error those started before are running.
-func (e *endpoints) start(scene Scene) error {
-	e.list.Label = "stand-ins of the demo"
-	for i := range scene.Servers {
+// start starts the endpoints. After an error, those started before it keep running.
+func (e *endpoints) start(options Options) error {
+	e.list.Label = "fake endpoints of the demo"
+	for i := range options.Servers {
 		traits := fakebackend.Traits{
 			Name:   fmt.Sprintf("s-%d", i+1),
 			Cores:  2,
@@ -167,7 +167,7 @@
 			Work:   20 * time.Millisecond,
 			Warm:   2 * time.Second,
 			Cold:   4,
-			Seed:   scene.Seed + uint64(i),
+			Seed:   options.Seed + uint64(i),
 			Faults: fakebackend.Faults{Errors: faultRate, Resets: faultRate, Slow: faultRate},
 		}
 		server, err := fakebackend.Start("127.0.0.1:0", traits)
@@ -190,25 +190,25 @@
 	}
 }
 
-// printer writes to the user. Errors are ignored: the demo goes on without its output.
+// printer prints to the user. Errors are ignored: the demo goes on without its output.
 type printer struct{ out io.Writer }
 
 func (p printer) printf(format string, values ...any) { _, _ = fmt.Fprintf(p.out, format, values...) }
 
-// printIntroduction prints what there is to try.
-func (p printer) printIntroduction(scene Scene, listen string) {
-	p.printf("%d stand-in servers, one daemon before them at %s. Try:\n\n    curl -i http://%s/step/hello\n"+
+// printIntroduction prints commands that the user can try.
+func (p printer) printIntroduction(options Options, listen string) {
+	p.printf("%d fake servers behind one daemon at %s. Try:\n\n    curl -i http://%s/step/hello\n"+
 		"    curl -i -H 'X-Route-Key: me' -d 'a note' -H 'Idempotency-Key: 1' http://%s/note\n"+
 		"    curl http://%s/_counters\n    curl http://%s/_servers\n\n",
-		scene.Servers, listen, listen, listen, listen, listen)
-	if scene.For <= 0 {
-		p.printf("Ctrl-C ends it.\n")
+		options.Servers, listen, listen, listen, listen, listen)
+	if options.Duration <= 0 {
+		p.printf("Press Ctrl-C to stop.\n")
 	}
 }
 
 // printCounters prints the counters of the daemon that are not zero.
 func (p printer) printCounters(daemon *httpproxy.Proxy) {
-	p.printf("The daemon counted:\n")
+	p.printf("Counters of the daemon:\n")
 	for line := range strings.Lines(daemon.Report()) {
 		if !strings.HasSuffix(line, " 0\n") {
 			p.printf("    %s", line)
@@ -216,27 +216,27 @@
 	}
 }
 
-// printEndpoints prints what the endpoints have counted.
+// printEndpoints prints the counters of the endpoints.
 func (p printer) printEndpoints(e *endpoints) {
-	p.printf("The servers counted:\n")
+	p.printf("Counters of the servers:\n")
 	for i, server := range e.servers {
 		counts := server.Counts()
-		p.printf("    %s: %d requests, %d served, %d turned away, %d faults\n",
+		p.printf("    %s: %d requests, %d served, %d rejected, %d faults\n",
 			e.list.Entries[i].UID, counts.Requests, counts.Served, counts.Rejected, counts.Faults)
 	}
 }
 
-// freeAddress picks a port where the address leaves it open. Until the daemon listens another program could take the
-// port, which is then reported as an address in use.
-func freeAddress(addr string) (string, error) {
-	_, port, err := net.SplitHostPort(addr)
+// freeAddress returns the address with a free port in place of port 0. Another program could take the port before the
+// daemon listens on it, which is then reported as an address in use.
+func freeAddress(address string) (string, error) {
+	_, port, err := net.SplitHostPort(address)
 	if err != nil || port != "0" {
-		return addr, err
+		return address, err
 	}
-	l, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = l.Close() }() // only its address is needed
-	return l.Addr().String(), nil
+	defer func() { _ = listener.Close() }() // only its address is needed
+	return listener.Addr().String(), nil
 }
--- a/internal/emulator/judge/verdict.go
+++ b/internal/emulator/judge/verdict.go
@@ -7,27 +7,28 @@
 	"pepperlead/policy"
 )
 
-// Share is value offered by clients and value earned by responses in time.
-type Share struct {
+// ServedValue is the value of the requests of clients and the part of it that responses have earned. A response after
+// the target latency earns only a part of the value.
+type ServedValue struct {
 	Name      string  `json:"name"`
 	Requested float64 `json:"asked"`
 	Earned    float64 `json:"got"`
 }
 
-// Fraction is the part of the offered value that was earned; 1 where nothing was offered.
-func (s Share) Fraction() float64 {
+// Fraction returns the part of the requested value that was earned, or 1 if no value was requested.
+func (s ServedValue) Fraction() float64 {
 	if s.Requested <= 0 {
 		return 1
 	}
 	return s.Earned / s.Requested
 }
 
-func (s *Share) add(client *clientRequest) {
+func (s *ServedValue) add(client *clientRequest) {
 	s.Requested += client.value
 	s.Earned += client.earned
 }
 
-// secondValue is the value of the requests begun in one second.
+// secondValue is the value of the requests that began in one second.
 type secondValue struct{ requested, earned float64 }
 
 func (s *secondValue) add(other secondValue) {
@@ -35,19 +36,19 @@
 	s.earned += other.earned
 }
 
-// fraction is as Share's.
+// fraction returns the same as ServedValue.Fraction.
 func (s secondValue) fraction() float64 {
-	return Share{Requested: s.requested, Earned: s.earned}.Fraction()
+	return ServedValue{Requested: s.requested, Earned: s.earned}.Fraction()
 }
 
-// Verdict is the result of a day.
+// Verdict is the result of a run.
 type Verdict struct {
 	ViolationCounts [ruleCount]int `json:"broken"` // by rule
 	Violations      []Violation    `json:"breaks,omitempty"`
-	Service         float64        `json:"service"` // value in time over value offered
-	Worst10         float64        `json:"worst_10s"`
-	Classes         []Share        `json:"offerings"`
-	Tenants         []Share        `json:"franchises,omitempty"`
+	Service         float64        `json:"service"`   // earned value over requested value
+	Worst10         float64        `json:"worst_10s"` // the same, minimum over windows of 10 s
+	Classes         []ServedValue  `json:"offerings"`
+	Tenants         []ServedValue  `json:"franchises,omitempty"`
 	ClientRequests  int            `json:"requests"`
 	Requests        uint64         `json:"tickets"`
 	Attempts        int            `json:"pushes"`
@@ -57,13 +58,13 @@
 	Late            int            `json:"late"`
 	CrossZone       float64        `json:"crossed"` // part of the attempts that went to another zone
 	Spread          Spread         `json:"even"`
-	Seconds         []Share        `json:"seconds"`
+	Seconds         []ServedValue  `json:"seconds"`
 }
 
 // NoViolations reports whether no rule was broken.
 func (v *Verdict) NoViolations() bool { return v.ViolationCounts == [ruleCount]int{} }
 
-// Finish ends the day: what is still open counts as it is.
+// Finish ends the run and returns the result. Requests that are still open count as they are.
 func (j *Judge) Finish(at policy.Time) *Verdict {
 	for i := range j.requests {
 		r := &j.requests[i]
@@ -94,23 +95,23 @@
 	return verdict
 }
 
-// addSeconds adds the service of the day, of its seconds, and of its worst ten seconds.
+// addSeconds adds the service of the run, of each second, and of the worst ten seconds.
 func (j *Judge) addSeconds(verdict *Verdict) {
 	const windowSeconds = 10
-	var day, window secondValue
+	var total, window secondValue
 	verdict.Worst10 = 1
 	for i, second := range j.seconds {
-		day.add(second)
+		total.add(second)
 		window.add(second)
-		verdict.Seconds = append(verdict.Seconds, Share{Requested: second.requested, Earned: second.earned})
+		verdict.Seconds = append(verdict.Seconds, ServedValue{Requested: second.requested, Earned: second.earned})
 		if i >= windowSeconds {
 			window.requested -= j.seconds[i-windowSeconds].requested
 			window.earned -= j.seconds[i-windowSeconds].earned
 		}
 		if i >= windowSeconds-1 && window.requested > 0 {
-			// Sums of floats may fall a little under 0.
+			// Rounding errors may bring the sum slightly below 0.
 			verdict.Worst10 = min(verdict.Worst10, max(0, window.earned/window.requested))
 		}
 	}
-	verdict.Service = day.fraction()
+	verdict.Service = total.fraction()
 }
--- a/internal/endpointfiles/file.go
+++ b/internal/endpointfiles/file.go
@@ -84,7 +84,7 @@
 	if digest == "" || document.Err() != nil {
 		return
 	}
-	if digest != sealDigest(text[:document.LastAt], count, f.Issue, f.Removes) {
+	if digest != sealDigest(text[:document.LastTableOffset], count, f.Issue, f.Removes) {
 		allowed := "only the digest of the text above it: check the changes, then seal it again"
 		closing.Fault("digest", strconv.Quote(digest), allowed)
 	}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -63,7 +63,7 @@
 
 // Play plays a scenario once. The series is nil unless wantSeries is set.
 func Play(scenario *emulator.Scenario, seed uint64, policyName string, wantSeries bool) (*Result, *Series, error) {
-	maker, err := baseline.Maker(policyName)
+	maker, err := baseline.Factory(policyName)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -152,7 +152,7 @@
 
 // ParseSets parses a set of the form path=value; text without an equals sign is no set. The value is an integer, a
 // float or a boolean if it can be parsed as one, else a string.
-func ParseSets(text string) []emulator.Set {
+func ParseSets(text string) []emulator.Override {
 	path, value, ok := strings.Cut(text, "=")
 	if !ok {
 		return nil
@@ -165,7 +165,7 @@
 	} else if b, err := strconv.ParseBool(value); err == nil {
 		v = b
 	}
-	return []emulator.Set{{Path: path, Value: v}}
+	return []emulator.Override{{Path: path, Value: v}}
 }
 
 // ParseValues parses values, which are a list such as 1,2,4 or a range from:to:step.
@@ -264,7 +264,7 @@
 	r.CrossZone /= runs
 	for i := range r.Scatter {
 		r.Scatter[i] /= runs
-		r.Forced[i] /= runs
+		r.KeyScatter[i] /= runs
 	}
 	r.Busiest /= runs
 	r.IdleSeconds /= runs
@@ -274,7 +274,7 @@
 func (r *Row) addSpread(spread *judge.Spread) {
 	for i := range spread.Scatter {
 		r.Scatter[i] += spread.Scatter[i]
-		r.Forced[i] += spread.Forced[i]
+		r.KeyScatter[i] += spread.KeyScatter[i]
 	}
 	r.Busiest += spread.Busiest
 	r.IdleSeconds += spread.IdleSeconds
--- a/internal/simprotocol/actions.go
+++ b/internal/simprotocol/actions.go
@@ -61,8 +61,8 @@
 // Succeed writes nothing: the simulator itself forwards the endpoint's response to the client.
 func (i *instance) Succeed(policy.Handle, policy.AttemptNo) {}
 
-// Release allows the idle connections to an endpoint to be closed.
-func (i *instance) Release(endpoint policy.EndpointID) {
+// ReleaseConnections allows the idle connections to an endpoint to be closed.
+func (i *instance) ReleaseConnections(endpoint policy.EndpointID) {
 	i.beginLine("release")
 	i.writeNumber("endpoint", uint64(endpoint))
 	i.endLine()
--- a/policy/report.go
+++ b/policy/report.go
@@ -6,32 +6,33 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Gauges are an instance's figures for reports.
+// Gauges are current figures of an instance, for reports and metrics.
 type Gauges struct {
-	TotalLimit float64 // attempts that may be in flight in all
-	Limit      float64 // attempts that may be in flight to one endpoint, as the mean over the table
-	Lateness   float64 // mean of answer time over target latency
-	InFlight   int     // attempts
-	Waiting    int     // requests
-	Ejected    int     // endpoints
+	ConcurrencyLimit  float64 // most attempts in flight to all endpoints together
+	MeanEndpointLimit float64 // mean over the endpoints of the most attempts in flight to one of them
+	Lateness          float64 // moving average of answer time over target latency, where each counts as 1 at most
+	InFlight          int     // attempts in flight
+	Queued            int     // requests in the queue
+	Ejected           int     // ejected endpoints
 }
 
-// Gauges returns the figures as they stand.
+// Gauges returns the current figures.
 func (b *Balancer) Gauges() Gauges {
 	gauges := Gauges{
-		TotalLimit: b.concurrency.limit,
-		Lateness:   b.concurrency.latenessMean,
-		InFlight:   b.concurrency.inFlight,
-		Waiting:    b.queue.len(),
-		Ejected:    b.ejected,
+		ConcurrencyLimit: b.concurrency.limit,
+		Lateness:         b.concurrency.latenessMean,
+		InFlight:         b.concurrency.inFlight,
+		Queued:           b.queue.len(),
+		Ejected:          b.ejected,
 	}
 	for _, index := range b.table.byID {
-		gauges.Limit += b.table.endpoints[index].limit / float64(len(b.table.byID))
+		gauges.MeanEndpointLimit += b.table.endpoints[index].limit / float64(len(b.table.byID))
 	}
 	return gauges
 }
 
-// TableDigest is a digest of the owners of all slots: the same in all instances with the same table.
+// TableDigest returns a digest of the owners of all slots. It is the same in all instances with the same
+// table.
 func (b *Balancer) TableDigest() uint64 {
 	digest := xxhash.New()
 	var encoded [8]byte
