--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -8,8 +8,8 @@
 	"pepperlead/policy"
 )
 
-// Clock is a monotonic clock of Unix time, which endpoint lists use as well. It ignores changes of the system time
-// after its start.
+// Clock is a monotonic clock of Unix time, so that its times can be compared with those in endpoint lists. It ignores
+// changes of the system time after its start.
 type Clock struct {
 	start time.Time
 }
--- a/internal/connstate/buffers.go
+++ b/internal/connstate/buffers.go
@@ -1,5 +1,5 @@
 // Package connstate holds the HTTP front's state of connections, requests and endpoints, and the buffers of their data.
-// It knows no protocol and takes no decisions. Buffers and the atomic fields of Conn may be used by several goroutines;
+// It knows no protocol and makes no decisions. Buffers and the atomic fields of Conn may be used by several goroutines;
 // everything else is used by the event loop only.
 package connstate
 
@@ -13,8 +13,8 @@
 	LargeBuffer = 96 << 10
 )
 
-// pooledBuffers is the maximum number of free buffers that are kept of either capacity.
-const pooledBuffers = 64
+// maxPooledBuffers is the maximum number of free buffers of each capacity that the pool keeps.
+const maxPooledBuffers = 64
 
 // Buffer holds bytes that were read. It has one owner at a time, which passes it on or returns it to the pool.
 type Buffer struct{ B []byte }
@@ -66,7 +66,7 @@
 	free, capacity := p.sizeClass(cap(b.B))
 	p.inUse -= capacity
 	b.B = b.B[:0]
-	if free != nil && len(*free) < pooledBuffers {
+	if free != nil && len(*free) < maxPooledBuffers {
 		*free = append(*free, b)
 	}
 }
@@ -92,16 +92,16 @@
 	return p.inUse > p.Limit
 }
 
-// Overcommitted reports whether the bytes in use exceed the limit by half, so that no more should be read from clients
-// whose earlier bytes are still unprocessed.
+// Overcommitted reports whether the bytes in use exceed one and a half times the limit, so that no more should be read
+// from clients whose earlier bytes are still unprocessed.
 func (p *Buffers) Overcommitted() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.inUse > p.Limit*3/2
 }
 
-// Join appends the bytes of a newly read buffer to those of an earlier one, and returns the buffer that is no longer
-// needed to the pool. Without an earlier buffer nothing is copied.
+// Join appends the bytes of the newly read buffer b to those of an earlier buffer, and returns a buffer that holds
+// both. It puts buffers that it no longer needs back into the pool. If earlier is nil, it returns b and copies nothing.
 func (p *Buffers) Join(earlier, b *Buffer) *Buffer {
 	if earlier == nil {
 		return b
--- a/internal/connstate/conn.go
+++ b/internal/connstate/conn.go
@@ -17,7 +17,7 @@
 	CloseIfIdle(c *Conn) bool
 	// Idle reports whether no unprocessed bytes have arrived and the peer has not closed the connection.
 	Idle(c *Conn) bool
-	// DiscardInput reads and discards further input, up to a bound.
+	// DiscardInput makes the socket discard all further input, up to a bound.
 	DiscardInput()
 	// Reset resets the connection, so that the peer does not see an orderly close.
 	Reset()
@@ -70,8 +70,8 @@
 	Needed       int          // total size of the message in Buffer; 0: unknown
 	HeadAt       policy.Time  // when the head of the message in Buffer was complete; 0: not yet
 	Unread       atomic.Int64 // bytes read that the loop has not processed yet
-	UnreadMemory atomic.Int64 // memory that these bytes take
-	Paused       atomic.Bool  // reading is paused until the receiver has taken the pending bytes
+	UnreadMemory atomic.Int64 // capacity of the buffers that hold these bytes, in bytes
+	Paused       atomic.Bool  // reading is paused until earlier bytes have been forwarded
 	PeerClosed   atomic.Bool  // the peer closed after its last bytes; the close is about to be reported to the loop
 	EOF          atomic.Bool  // the peer closed in an orderly way; otherwise the connection was reset
 }
@@ -93,12 +93,12 @@
 	At    policy.Time // when Bytes last changed; 0: unknown
 }
 
-// UploadState is the state of a request body that is too long to be read at once.
+// UploadState is the state of a long request body: one over 64 KiB, which the front does not receive as one message.
 type UploadState uint8
 
 // The states of an upload.
 const (
-	// NoUpload means that no such body is being received.
+	// NoUpload means that no long body is being received.
 	NoUpload UploadState = iota
 	// CollectingUpload means that the body is buffered until it is complete, as long as it fits into the buffer.
 	CollectingUpload
@@ -144,7 +144,8 @@
 // Flushed reports whether the kernel has accepted everything that was queued.
 func (c *Conn) Flushed() bool { return c.Output.Written.Load() >= c.Output.Queued }
 
-// Progressed reports whether the total number of transferred bytes has changed within the given time.
+// Progressed reports whether the total number of transferred bytes has changed within the given time. It compares the
+// total with that of the previous call, which Progress holds.
 func (c *Conn) Progressed(now policy.Time, total int64, within policy.Time) bool {
 	if total != c.Progress.Bytes || c.Progress.At == 0 {
 		c.Progress = Progress{Bytes: total, At: now}
--- a/internal/connstate/conns.go
+++ b/internal/connstate/conns.go
@@ -18,8 +18,8 @@
 // connections to endpoints.
 type Conns struct {
 	Open           map[*Conn]struct{}
-	Limit          [2]int // by side; above it, clients are still accepted, and idle connections are closed for them
-	AcceptLimit    int    // maximum number of open client connections
+	Limit          [2]int // by side; to stay within it, idle connections of that side are closed
+	AcceptLimit    int    // maximum number of open client connections; over Limit, clients are still accepted up to it
 	IdleClients    int    // number of idle client connections
 	MaxIdleClients int    // number of idle client connections above which they are closed
 	open           [2]int // number of open connections by side
@@ -119,9 +119,10 @@
 	c.Endpoint.Idle = append(c.Endpoint.Idle, c)
 }
 
-// TakeIdle removes and returns an idle connection to the endpoint, or nil if there is none. Only connections that have
-// been idle since idleBefore or longer, or have not carried a request yet, are taken: on others, more bytes may still
-// arrive after the last response. Of these it takes the one that was used last, so that the others age and are closed.
+// TakeIdle removes and returns an idle connection to the endpoint, or returns nil if none may be reused. A connection
+// may be reused if it has not carried a request yet, or has been idle since idleBefore or longer: on one that was used
+// more recently, more bytes may still arrive after the last response. TakeIdle takes the reusable connection that was
+// used last, so that the others stay idle and are closed.
 func (conns *Conns) TakeIdle(endpoint *Endpoint, idleBefore policy.Time) *Conn {
 	for i := len(endpoint.Idle) - 1; i >= 0; i-- {
 		c := endpoint.Idle[i]
--- a/internal/connstate/connstate_test.go
+++ b/internal/connstate/connstate_test.go
@@ -38,9 +38,9 @@
 		if b == nil {
 			return p.InUse() == 0 && !p.Full()
 		}
-		complete, lent := bytes.Equal(b.B, all), p.InUse() >= len(all) && p.Full()
+		complete, counted := bytes.Equal(b.B, all), p.InUse() >= len(all) && p.Full()
 		p.Put(b)
-		return complete && lent && p.InUse() == 0 && !p.Full()
+		return complete && counted && p.InUse() == 0 && !p.Full()
 	})
 }
 
@@ -54,7 +54,8 @@
 	}
 }
 
-// The oldest idle connection is found, but not one that was opened so recently that its first request may be about to arrive.
+// OldestIdle skips a connection that was opened so recently that its first request may be about to arrive: closing it would lose
+// that request.
 func TestOldestIdleConnection(t *testing.T) {
 	conns := NewConns(64)
 	var all []*Conn
@@ -65,13 +66,13 @@
 	}
 	all[4].Used, all[3].Input.Buffer = false, &Buffer{}
 	if got := conns.OldestIdle(ClientSide, 10, 5); got != all[2] {
-		t.Errorf("%+v", got)
+		t.Errorf("got %+v, want the used connection that is idle longest", got)
 	}
 	if got := conns.OldestIdle(ClientSide, 10, 6); got != all[4] {
-		t.Errorf("%+v", got)
+		t.Errorf("got %+v, want the unused connection", got)
 	}
 	if got := conns.OldestIdle(ClientSide, 7, 5); got != nil {
-		t.Errorf("%+v", got)
+		t.Errorf("got %+v, want no connection", got)
 	}
 	conns.MarkClosing(all[4])
 	if conns.Count(ClientSide) != 4 || !conns.Remove(all[4]) || conns.Remove(all[4]) || conns.Count(ClientSide) != 4 {
--- a/internal/discovery/cached.go
+++ b/internal/discovery/cached.go
@@ -35,9 +35,9 @@
 func (c *Cached) Name() string { return c.Source.Name() + ", cached in " + c.store.Dir }
 
 // Refresh refreshes the wrapped source, if it is a Refresher.
-func (c *Cached) Refresh(within time.Duration) bool {
+func (c *Cached) Refresh(timeout time.Duration) bool {
 	refresher, ok := c.Source.(Refresher)
-	return ok && refresher.Refresh(within)
+	return ok && refresher.Refresh(timeout)
 }
 
 // Run emits the saved list and then the events of the wrapped source.
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -40,9 +40,9 @@
 	Follow(on bool)
 }
 
-// Refresher is a source that can read its list at once.
+// Refresher is a source that can read its list on request.
 type Refresher interface {
-	// Refresh reads the list, and reports whether its events were emitted before the timeout.
+	// Refresh reads the list immediately, and reports whether its events were emitted before the timeout.
 	Refresh(timeout time.Duration) bool
 }
 
--- a/internal/discovery/files.go
+++ b/internal/discovery/files.go
@@ -60,10 +60,10 @@
 // Name returns the patterns and the limits.
 func (f *Files) Name() string { return f.name }
 
-// Follow does nothing: reading files costs no shared service anything.
+// Follow does nothing, because reading files puts no load on a shared service.
 func (f *Files) Follow(bool) {}
 
-// Refresh reads the files at once, and reports whether their events were emitted before the timeout.
+// Refresh reads the files immediately, and reports whether their events were emitted before the timeout.
 func (f *Files) Refresh(timeout time.Duration) bool {
 	expired := time.After(timeout)
 	done := make(chan struct{})
--- a/internal/discovery/files_test.go
+++ b/internal/discovery/files_test.go
@@ -127,6 +127,7 @@
 	}
 }
 
+// A file that is still being written must not be put in force, whether it has a digest or not.
 func TestFilesWrittenInPlace(t *testing.T) {
 	running := watchFiles(t, "f.toml")
 	running.want("rejected", "no list file found")
@@ -163,6 +164,7 @@
 	running.want("e", "f", "g", "h")
 }
 
+// An old copy of a list must not make a draining endpoint ready again, because the endpoint would get requests.
 func TestOldListsDoNotUndoDrains(t *testing.T) {
 	running := watchFiles(t, "f.toml")
 	running.want("rejected", "no list file found")
@@ -188,6 +190,7 @@
 	running.want("a", "b", "c")
 }
 
+// An invalid file, or one that is missing for a moment, must not remove its endpoints from the list that all files make up.
 func TestSeveralFilesMakeUpOneList(t *testing.T) {
 	running := watchFiles(t, "*.toml")
 	running.want("rejected", "no list file found")
@@ -221,6 +224,7 @@
 	running.want("rejected", "removes 1 of 1")
 }
 
+// Watches must not lose changes when a symbolic link is switched to another directory, or when a directory is removed and created again.
 func TestSymbolicLinksAndDirectories(t *testing.T) {
 	running := watchFiles(t, "live/f.toml")
 	running.want("rejected", "no list file found")
--- a/internal/discovery/gate.go
+++ b/internal/discovery/gate.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// gate blocks the calls of a source unless it is open.
+// gate blocks the calls of a source while it is closed.
 type gate struct {
 	mu      sync.Mutex
 	open    bool
--- a/internal/discovery/platform.go
+++ b/internal/discovery/platform.go
@@ -69,10 +69,10 @@
 		next := answer.revision
 		switch {
 		case next == revision:
-			// If the service answered every watch at once with nothing new, the calls would use up the CPU.
+			// If the service answered every watch immediately with nothing new, the calls would use up the CPU.
 			sleep(ctx, minCallInterval-time.Since(start))
 		case next < revision && !answer.full:
-			// The service counts its revisions anew, so the changes between the two revisions are not known.
+			// The service has restarted its count of revisions, so changes may be missing from this list.
 			next = unknownRevision
 			sleep(ctx, minCallInterval)
 		}
@@ -81,8 +81,9 @@
 }
 
 // mustRequestAll reports whether the next call after a failed one must request the whole list. After a list that can't
-// be decoded, some changes may be missing. An agent may have restarted with a lower revision, and a watch would wait
-// until that exceeds the old revision; the whole list is returned at once, and is cheap to get from the same machine.
+// be decoded, some changes may be missing. An agent may have restarted and count its revisions from the start; a watch
+// for changes since the old revision would then wait until the agent's revision exceeds the old one. A request for the
+// whole list is answered immediately, and is cheap because the agent is on the same machine.
 func (p *Platform) mustRequestAll(err error) bool {
 	return errors.Is(err, errMalformedList) || p.Grace > 0
 }
--- a/internal/discovery/platformcall.go
+++ b/internal/discovery/platformcall.go
@@ -44,7 +44,7 @@
 	}
 	defer func() { _ = response.Body.Close() }() // an error has no consequence after reading
 	p.connectionCloses = response.Close
-	timer.Reset(p.AnswerTimeout()) // the body must not take as long as a watch may
+	timer.Reset(p.AnswerTimeout()) // the body must arrive without the additional time of a watch
 	return readResponse(response)
 }
 
@@ -63,10 +63,10 @@
 	return decodePlatformList(body)
 }
 
-// withoutReconnect cancels a call to an agent if the call needs a second connection, or if a watch needs a new one. The
-// transport would repeat the watch by itself on another connection, but an agent whose connection was closed may have
-// restarted with a lower revision, or may hang: the whole list must be requested instead. An agent that announces with
-// each response that it closes the connection is watched nevertheless.
+// withoutReconnect cancels a call to an agent if the transport repeats the call on a second connection, or if the call
+// is a watch and the transport opens a new connection for it. An agent that has closed its connection may have
+// restarted with a lower revision, or may hang, so the whole list must be requested instead. An agent that announced
+// with its last response that it would close the connection may be watched on a new one.
 func (p *Platform) withoutReconnect(ctx context.Context, watch bool, cancel context.CancelCauseFunc) context.Context {
 	connections := 0
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(got httptrace.GotConnInfo) {
--- a/internal/discovery/platformtimes.go
+++ b/internal/discovery/platformtimes.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Bounds on the time for which discovery may hold a watch. A drain must take effect within 6 s after discovery learns
-// of it, even if a call fails: the watch, its response, the next call and the grace have to fit into that time.
+// Bounds on the time for which discovery may hold a watch. Agents always get the minimum, because a drain must take
+// effect within 6 s after discovery learns of it, even if a call fails: the watch, its response, the next call and the
+// grace have to fit into these 6 s.
 const (
 	minWatchTimeout = 2 * time.Second
 	maxWatchTimeout = 20 * time.Second
@@ -25,11 +26,11 @@
 // Timeout and retry delay of calls to an agent, as parts of the grace. A call without an answer, the delay after it and
 // a second call must fit into the grace.
 const (
-	graceParts         = 3 // the timeout is a third of the grace
-	minAgentTimeout    = 100 * time.Millisecond
-	maxAgentTimeout    = 500 * time.Millisecond
-	graceDelayParts    = 10 // the delay is a tenth of the grace
-	minAgentRetryDelay = 20 * time.Millisecond
+	agentTimeoutDivisor    = 3 // the timeout is a third of the grace
+	minAgentTimeout        = 100 * time.Millisecond
+	maxAgentTimeout        = 500 * time.Millisecond
+	agentRetryDelayDivisor = 10 // the delay is a tenth of the grace
+	minAgentRetryDelay     = 20 * time.Millisecond
 )
 
 // WatchTimeout returns how long a watch may be held if the given number of instances watch. It grows with the number of
@@ -46,16 +47,16 @@
 	if p.Grace == 0 {
 		return answerTimeout
 	}
-	return min(max(p.Grace/graceParts, minAgentTimeout), maxAgentTimeout)
+	return min(max(p.Grace/agentTimeoutDivisor, minAgentTimeout), maxAgentTimeout)
 }
 
 // retryDelay returns the delay before the next call after the given number of consecutive failures.
 func (p *Platform) retryDelay(failures int) time.Duration {
 	switch {
 	case failures == 1 && p.Grace > 0:
-		return 0 // an agent that resets one connection or lets one call time out answers the next
+		return 0 // an agent that has reset a connection or let a call time out usually answers the next call
 	case p.Grace > 0:
-		return min(max(p.Grace/graceDelayParts, minAgentRetryDelay), firstRetryDelay)
+		return min(max(p.Grace/agentRetryDelayDivisor, minAgentRetryDelay), firstRetryDelay)
 	default:
 		return min(firstRetryDelay<<min(failures-1, maxDoublings), maxRetryDelay)
 	}
--- a/internal/endpointfiles/checks.go
+++ b/internal/endpointfiles/checks.go
@@ -35,8 +35,8 @@
 	return v.findRemoval(files)
 }
 
-// findFileFault returns why a file can't be used, or that it is older than the one in force; empty if neither is the
-// case.
+// findFileFault returns why a file is rejected whatever the other files contain; empty if it is not. The file may be
+// invalid, lack a required digest, be older than the file in force, or have the same issue with different content.
 func (v *Validator) findFileFault(file File) string {
 	if file.Problem != "" {
 		return file.Problem
@@ -58,8 +58,8 @@
 	return ""
 }
 
-// findConflict returns which two endpoints have the same uid or the same hash, or are both ready at the same address;
-// empty if there are none.
+// findConflict returns which two endpoints have the same uid, have different uids with the same hash, or are both ready
+// at the same address; empty if there are none.
 func findConflict(files []File) string {
 	fileByUID := map[string]string{}
 	uidByID := map[policy.EndpointID]string{}
@@ -89,9 +89,9 @@
 	return ""
 }
 
-// findReturn returns which endpoint was listed as draining and is ready again without a reason; empty if there is none.
-// An old copy of the list would look like that, and a draining endpoint must not get requests. A later start of the
-// endpoint is a reason, and so is a higher issue of the file.
+// findReturn returns which endpoint was listed as draining and is ready again without a valid reason; empty if there is
+// none. Such a list is probably an old copy, and a draining endpoint must not get requests. Valid reasons are a later
+// start of the endpoint and a higher issue of the file.
 func (v *Validator) findReturn(now policy.Time, files []File) string {
 	for _, file := range files {
 		if file.Issue > v.state.Issues[file.Name] {
@@ -117,8 +117,9 @@
 	weight  float64 // total weight of the endpoints in ready
 }
 
-// findRemoval returns that a list removes more than it may, because that is more likely an error than intended; empty
-// if it doesn't.
+// findRemoval returns why a list is rejected that, without declaring it, removes a larger share of the ready weight
+// than allowed or leaves no endpoint ready; empty if the list does neither. Such a list is more likely an error than
+// intended. A list without a ready endpoint is never accepted as the first list.
 func (v *Validator) findRemoval(files []File) string {
 	noneReady := !anyReady(files)
 	if noneReady && v.digests == nil && len(v.current) == 0 {
--- a/internal/endpointfiles/validator.go
+++ b/internal/endpointfiles/validator.go
@@ -98,9 +98,9 @@
 	return Result{Verdict: Accepted, Entries: v.accept(now, files)}
 }
 
-// unsettled returns why a file may still be being written, and the earliest time at which that may have changed; an
-// empty reason if none is. While an editor writes a file in place, the file may be empty, truncated, or new at its
-// start and old at its end. While a file is replaced, it may be missing for a moment.
+// unsettled returns why the verdict must wait, and the earliest time at which the reason may no longer apply. The
+// reason is empty if there is nothing to wait for. While an editor writes a file in place, the file may be empty,
+// truncated, or new at its start and old at its end. While a file is replaced, it may be missing for a moment.
 func (v *Validator) unsettled(now policy.Time, files []File) (reason string, until policy.Time) {
 	waitUntil := func(cause string, time policy.Time) {
 		if now < time && (reason == "" || time < until) {
--- a/internal/engine/activerules.go
+++ b/internal/engine/activerules.go
@@ -16,7 +16,8 @@
 // maxClasses bounds the number of classes, including removed ones that still have requests in flight.
 const maxClasses = 512
 
-// noRulesApplied is the initial value of activeRules.leaseChanges. The lease client's count never reaches it.
+// noRulesApplied is the initial value of activeRules.leaseChanges. The lease client's count never reaches it, so the
+// first call of applyRules applies the rules.
 const noRulesApplied = 1 << 63
 
 // RuleSet is a rule set together with the settings, endpoints and endpoint table that this instance needs to apply it.
@@ -47,7 +48,7 @@
 
 // UseAgreedRules makes the engine apply rules that are agreed on with other instances. The instance's own rule set has
 // number 0. Until there is a lease, the strictest rules apply. The incarnation distinguishes this process from earlier
-// processes of the instance. It must be called before Run.
+// processes of the instance. UseAgreedRules must be called before Run.
 func (e *Engine) UseAgreedRules(own *RuleSet, incarnation uint32) {
 	active := &activeRules{
 		lease:        ruleset.NewLeaseClient(incarnation),
@@ -61,13 +62,14 @@
 	e.classRows.Store(int64(rows))
 	e.classLabels = append(e.classLabels, make([]classLabels, maxClasses-rows)...)
 	active.lease.Add(own.RuleSet)
-	active.leased = true // so that the start is not logged as an expired lease
+	active.leased = true // so that setRules does not log a lease, which the instance does not hold yet
 	e.setRules(&own.Rules, true)
 	e.applyRules()
 }
 
-// AddRuleSet adds a rule set that leases may name. It returns false if the rule set's number is known with another
-// digest or is too old, or if there is no room for it beside the rule sets that may be in force.
+// AddRuleSet adds a rule set that leases may name. It returns false if a different rule set with the same number is
+// known, if the number is older than the leased revisions, or if there is no room beside the rule sets that may be in
+// force.
 func (e *Engine) AddRuleSet(set *RuleSet) bool {
 	active := e.rules
 	if !active.lease.Add(set.RuleSet) {
@@ -196,8 +198,8 @@
 	return 0
 }
 
-// byPrecedence returns the rule sets in the order in which their settings take precedence, for settings that the agreed
-// rules don't determine: the rule sets in force come first, the newest of them at the front, then the others.
+// byPrecedence returns the rule sets in force, followed by the other rule sets, each group from the newest to the
+// oldest. Settings that the agreed rules don't determine are taken from the first rule set in this order.
 func (a *activeRules) byPrecedence() []*RuleSet {
 	var sets []*RuleSet
 	for _, set := range a.ruleSets {
@@ -215,8 +217,8 @@
 	return sets
 }
 
-// listSources returns the rule sets whose endpoints are listed. With a lease these are the leased ones; without a lease
-// they are all that are not older than the current revision, including those that are not in force yet.
+// listSources returns the rule sets whose endpoints are listed. With a lease, these are the leased rule sets. Without a
+// lease, they are the current revision and all newer ones, including those that are not in force yet.
 func (a *activeRules) listSources(sets []*RuleSet, leased bool) []*RuleSet {
 	return slices.DeleteFunc(sets, func(set *RuleSet) bool {
 		return set.Number < a.current() || leased && !slices.Contains(a.lease.LeasedRevisions(), set.Number)
--- a/internal/engine/activerules_test.go
+++ b/internal/engine/activerules_test.go
@@ -33,7 +33,7 @@
 func (f *fakeFront) SetClass(name string, id policy.ClassID, _ policy.Time) { f.classes[name] = id }
 func (f *fakeFront) SetTenant(name string, id policy.TenantID)              { f.tenants[name] = id }
 
-// newRuleSet returns a rule set with a digest that follows from its number.
+// newRuleSet returns a rule set whose digest is derived from its number.
 func newRuleSet(number ruleset.RevisionNumber, endpoints []discovery.Entry, tenants []policy.Tenant, classes ...policy.Class) *RuleSet {
 	settings := &policy.Settings{Instances: 4, FixedWeights: true, OverloadMultiple: 3, ColdCapacity: 0.5, MaxAttempts: 3, Tick: policy.Millisecond, Classes: classes, Tenants: tenants}
 	var deadlines []policy.Time
--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -21,7 +21,7 @@
 	Failed              int
 	Declined            int // requests that an endpoint declined
 	Unsent              int // final answers not sent because the client had left
-	LargeBodies         int // request bodies too long to be read at once
+	LargeBodies         int // request bodies too long to be received as one message
 	StreamedBodies      int // large bodies forwarded before they were complete
 	Streams             int // responses forwarded before they were complete
 	StreamsBroken       int // streamed responses that were never completed
--- a/internal/engine/endpoint.go
+++ b/internal/engine/endpoint.go
@@ -15,13 +15,13 @@
 	Zone       policy.Zone
 	Started    policy.Time
 	Draining   bool
-	Generation int             // rises when open connections become useless: the endpoint leaves, restarts or moves
+	Generation int             // rises when connections become useless: the endpoint drains, leaves, restarts or moves
 	Listed     bool            // the endpoint is in the latest list
 	Entry      discovery.Entry // the endpoint's entry in the latest list
 	FrontData  [MaxFronts]any  // data of the fronts, by the index that AddFront returned
 }
 
-// retire closes the endpoint's idle connections. Connections that are in use are not kept afterwards.
+// retire closes the endpoint's idle connections. Connections that are in use are closed after their request.
 func (e *Engine) retire(endpoint *Endpoint) {
 	endpoint.Draining = true
 	endpoint.Generation++
--- a/internal/engine/endpointlist.go
+++ b/internal/engine/endpointlist.go
@@ -16,7 +16,8 @@
 	// refreshTimeout bounds how long the loop waits for the source to refresh its list, after the process may have been
 	// suspended.
 	refreshTimeout = 50 * time.Millisecond
-	// readTimeout is the time given to a source that can't be refreshed to read the data that has already arrived.
+	// readTimeout is how long the loop waits, in place of a refresh, for a source that can't be refreshed to read data
+	// that has already arrived.
 	readTimeout = 2 * time.Millisecond
 )
 
@@ -97,8 +98,8 @@
 	}
 }
 
-// refresh makes the source report the current list, if the source supports that. Otherwise a process that was suspended
-// would dispatch requests by an outdated list.
+// refresh lets the source report the current list before the loop continues, because a process that was suspended would
+// otherwise dispatch requests by an outdated list.
 func (l *endpointList) refresh() {
 	if source, ok := l.source.(discovery.Refresher); ok {
 		source.Refresh(refreshTimeout)
--- a/internal/engine/endpointlist_test.go
+++ b/internal/engine/endpointlist_test.go
@@ -49,7 +49,7 @@
 	all.Wait()
 }
 
-// Lists that arrive faster than they can be applied must not block the rest of the loop, which they did for seconds.
+// Lists that arrive faster than they can be applied must not block the rest of the loop. They once blocked it for seconds.
 func TestEndlessListsDoNotBlockTheLoop(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -54,7 +54,7 @@
 	shutdownTimer Timer
 	metricsTimer  Timer // for updates of the endpoint metrics
 
-	signal           chan struct{}
+	signal           chan struct{} // wakes the loop
 	calls            chan func()   // from other goroutines, run by the loop
 	stopped          chan struct{} // closed once Run has returned
 	shuttingDown     bool
--- a/internal/engine/figures.go
+++ b/internal/engine/figures.go
@@ -10,7 +10,7 @@
 
 func newClassLabels(class string) (labels classLabels) {
 	for result, name := range resultNames {
-		labels[result] = label(class, name)
+		labels[result] = formatLabels(class, name)
 	}
 	return labels
 }
@@ -60,8 +60,8 @@
 	return to
 }
 
-// label returns the labels of a class and a result in the Prometheus format.
-func label(class, result string) string {
+// formatLabels returns the labels of a class and a result in the Prometheus format.
+func formatLabels(class, result string) string {
 	b := []byte(`{lane="`)
 	for _, c := range []byte(class) {
 		switch c {
--- a/internal/engine/front.go
+++ b/internal/engine/front.go
@@ -8,9 +8,9 @@
 // Front implements a protocol: it passes requests to the engine and carries out what the module decides for them. The
 // loop calls its methods, which must not block.
 type Front interface {
-	// Gather passes everything that has happened since the last call to the engine.
+	// Gather passes to the engine everything that has happened since Gather was last called.
 	Gather(now policy.Time)
-	// HasPending reports whether there is more to gather, in which case the next round starts at once.
+	// HasPending reports whether there is more to gather, in which case the next round starts immediately.
 	HasPending() bool
 	// Send starts an attempt. The front reports its end by calling Engine.AttemptEnded exactly once.
 	Send(now policy.Time, request *Request, to *Endpoint)
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -16,7 +16,7 @@
 	alarm := time.NewTimer(0)
 	for {
 		e.Round(e.Clock.Now())
-		if len(e.ended) > 0 || e.more() {
+		if len(e.ended) > 0 || e.hasPending() {
 			continue
 		}
 		if e.shuttingDown && e.drained(e.Clock.Now()) {
@@ -46,7 +46,8 @@
 	return time.Duration(at - e.Clock.Now())
 }
 
-func (e *Engine) more() bool {
+// hasPending reports whether a front has more to gather.
+func (e *Engine) hasPending() bool {
 	for _, f := range e.fronts {
 		if f.HasPending() {
 			return true
@@ -56,7 +57,8 @@
 }
 
 // Round runs one round of the loop: it gathers events from the fronts, passes them to the module, runs the timers that
-// are due, and carries out the module's decisions.
+// are due, and carries out the module's decisions. After a stall (see Config.StallAfter) it refreshes the endpoint list
+// first.
 func (e *Engine) Round(now policy.Time) {
 	if e.StallAfter > 0 && e.lastRound > 0 && now-e.lastRound > e.StallAfter {
 		e.list.refresh()
@@ -102,7 +104,7 @@
 	}
 }
 
-// handleEvents handles the events in the channel and one whose sender is blocked because the channel is full.
+// handleEvents handles the events in the channel, and one more whose sender is blocked if the channel is full.
 func (e *Engine) handleEvents(now policy.Time) {
 	for range maxPendingEvents + 1 {
 		select {
@@ -114,7 +116,7 @@
 	}
 }
 
-// ReportEndedAttempts reports the attempts that have ended to the module, which decides on further steps.
+// ReportEndedAttempts reports to the module which attempts have ended. The module decides on further steps.
 func (e *Engine) ReportEndedAttempts(now policy.Time) {
 	for i := 0; i < len(e.ended); i++ {
 		e.reportEnd(now, e.ended[i])
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -2,8 +2,8 @@
 
 import "pepperlead/policy"
 
-// DeadlineMarginTicks is the number of ticks before the client's deadline at which attempts end that the module does
-// not time out: attempts whose request body was completed late, and attempts whose streamed response has stalled.
+// DeadlineMarginTicks is how many ticks before the client's deadline an attempt ends to which the module's timeout does
+// not apply: an attempt that was sent before its request body was complete, or whose streamed response has stalled.
 const DeadlineMarginTicks = 4
 
 // Request is the engine's state of a request.
@@ -21,7 +21,7 @@
 	Endpoint      policy.EndpointID // of the latest attempt
 	SentAt        policy.Time       // when the latest attempt was sent
 	AttemptTimer  Timer             // timeout of the attempt in flight
-	Decided       bool              // the final answer is decided on, or the client has left
+	Decided       bool              // the module has decided on the final answer, or the client has left
 	PendingSteps  int               // steps that are decided on and not yet carried out
 
 	frontIndex   int
@@ -121,8 +121,8 @@
 	e.release(request)
 }
 
-// FinishRequest reports that the front has finished with a request whose attempt was reported as ended earlier, as it
-// is for a streamed response.
+// FinishRequest reports that the front has finished with a request. It is only needed if the front called AttemptEnded
+// before it was finished, as it does for a streamed response.
 func (e *Engine) FinishRequest(request *Request) { e.release(request) }
 
 // endWait marks that the client no longer waits, and counts the result of the request. Further calls have no effect.
--- a/internal/engine/ruleclasses.go
+++ b/internal/engine/ruleclasses.go
@@ -16,10 +16,10 @@
 	}
 }
 
-// setClasses copies the classes of the rules to the module's settings.
-func (e *Engine) setClasses(rules *ruleset.Rules, leased bool, latest *RuleSet) {
+// setClasses copies the classes of the rules to the module's settings. preferred is the first rule set of byPrecedence.
+func (e *Engine) setClasses(rules *ruleset.Rules, leased bool, preferred *RuleSet) {
 	set := func(class policy.ClassID, name string, rule ruleset.ClassRule, admits bool) {
-		e.setClass(class, name, rule, latest)
+		e.setClass(class, name, rule, preferred)
 		if admits {
 			e.eachRulesFront(func(f RulesFront) { f.SetClass(name, class, rule.Deadline) })
 		}
@@ -42,17 +42,17 @@
 	}
 }
 
-// setClass sets one class by its rule. Settings that the rule doesn't determine are those of the latest rule set, or
-// else those of the class that had this name before.
-func (e *Engine) setClass(id policy.ClassID, name string, rule ruleset.ClassRule, latest *RuleSet) {
+// setClass sets one class by its rule. Settings that the rule doesn't determine are those of the preferred rule set. If
+// that rule set does not have the class, they are those of the class that had this name before.
+func (e *Engine) setClass(id policy.ClassID, name string, rule ruleset.ClassRule, preferred *RuleSet) {
 	e.growClasses(id)
 	active := e.rules
 	class := &e.Settings.Classes[id]
 	renamed := active.classNames[id] != name
 	previous := slices.Index(active.classNames, name)
 	hasName := func(c policy.Class) bool { return c.Name == name }
-	if i := slices.IndexFunc(latest.Settings.Classes, hasName); i >= 0 {
-		*class = latest.Settings.Classes[i]
+	if i := slices.IndexFunc(preferred.Settings.Classes, hasName); i >= 0 {
+		*class = preferred.Settings.Classes[i]
 	} else if renamed && previous >= 0 {
 		*class = e.Settings.Classes[previous]
 	}
--- a/internal/engine/seenids.go
+++ b/internal/engine/seenids.go
@@ -9,7 +9,8 @@
 // maxSeenIDs bounds the number of remembered ids, and so their memory.
 const maxSeenIDs = 1 << 16
 
-// seenIDs holds the ids that have been in endpoint lists. If there are too many, the oldest are forgotten.
+// seenIDs holds the ids that have been in endpoint lists, so that an id that was never listed, such as a mistyped one,
+// is recognised. If there are too many ids, the oldest are forgotten.
 type seenIDs struct {
 	set    map[policy.EndpointID]struct{}
 	ring   []policy.EndpointID
--- a/internal/engine/shutdown.go
+++ b/internal/engine/shutdown.go
@@ -63,5 +63,5 @@
 	e.Timers.Stop(&e.metricsTimer)
 }
 
-// Abandon marks an engine as stopped that will never run.
+// Abandon marks an engine that will never run as stopped, so that callers of RunOnLoop do not wait for it.
 func (e *Engine) Abandon() { close(e.stopped) }
--- a/internal/engine/write_test.go
+++ b/internal/engine/write_test.go
@@ -40,7 +40,7 @@
 			t.Errorf("%d ms after the first attempt: %d attempts written, want %d", test.age/policy.Millisecond, f.attempts, test.want)
 		}
 		if e.ReportEndedAttempts(now); test.want == 1 && (f.answers != 0 || len(e.steps) != 1) {
-			t.Errorf("the request is not answered in place of the retry: %d steps", len(e.steps))
+			t.Errorf("the request is not answered instead of being retried: %d steps", len(e.steps))
 		}
 	}
 }
