--- a/internal/engine/activerules.go
+++ b/internal/engine/activerules.go
@@ -112,9 +112,9 @@
 	})
 }
 
-// TracesRequests reports whether the admission and the attempts of each request are logged. They are if the instance
+// LogsRequests reports whether the admission and the attempts of each request are logged. They are if the instance
 // applies agreed rules and logs at the debug level.
-func (e *Engine) TracesRequests() bool {
+func (e *Engine) LogsRequests() bool {
 	return e.rules != nil && e.Logger.IsLevelEnabled(logrus.DebugLevel)
 }
 
--- a/internal/httpproxy/admission.go
+++ b/internal/httpproxy/admission.go
@@ -135,7 +135,7 @@
 	if len(incoming.id) > 0 {
 		p.requests.Add(r, incoming.idHash)
 	}
-	if p.TracesRequests() {
+	if p.LogsRequests() {
 		p.RulesLog().WithField("id", string(incoming.id)).Debug(engine.LogRequestAdmitted)
 	}
 	routeKey := asString(headerValue(headers, headerRouteKey))
--- a/internal/httpproxy/attempts.go
+++ b/internal/httpproxy/attempts.go
@@ -167,7 +167,7 @@
 }
 
 func (p *Proxy) traceAttempt(r *connstate.Request) {
-	if !p.TracesRequests() {
+	if !p.LogsRequests() {
 		return
 	}
 	p.RulesLog().WithFields(logrus.Fields{
