--- a/internal/httpproxy/answers_test.go
+++ b/internal/httpproxy/answers_test.go
@@ -89,7 +89,7 @@
 		for _, streamed := range []bool{false, true} {
 			for _, k := range []struct {
 				method, class, version string
-				status                 int // if it was buffered: that of the other endpoint's response, or of a failure
+				status                 int // what the client gets if the response was buffered: from a retry, or of a failure
 			}{{"GET", "step", "1.1", 200}, {"GET", "step", "1.0", 200}, {"POST", "note", "1.1", 200}, {"POST", "once", "1.1", 502},
 				{"POST", "once", "1.0", 502}} {
 				name := fmt.Sprintf("%s, streamed %v, %s %s HTTP/%s", f.name, streamed, k.method, k.class, k.version)
--- a/internal/httpproxy/attempts.go
+++ b/internal/httpproxy/attempts.go
@@ -134,7 +134,8 @@
 	return endpoint.Draining || c.Generation != endpoint.Generation
 }
 
-// writeRequest writes the request to the connection of its attempt. Only a new attempt sends any of it again.
+// writeRequest writes the request to the connection of its attempt. It is called once per attempt: after a failure no
+// part of the request is sent again, except by a new attempt.
 func (p *Proxy) writeRequest(now policy.Time, r *connstate.Request) {
 	p.traceAttempt(r)
 	size := len(r.Body)
@@ -263,8 +264,8 @@
 }
 
 // abortUnwritten closes the connection of an attempt whose request is not written completely, and reports whether the
-// endpoint never receives all of it. The poller writes pending bytes concurrently, so the check follows the close:
-// otherwise the last byte could be written after the check, and a request that was processed would be retried.
+// endpoint will never receive all of the request. The poller writes pending bytes concurrently, so the check follows
+// the close: otherwise the last byte could be written after the check, and a processed request would be retried.
 func (p *Proxy) abortUnwritten(r *connstate.Request) bool {
 	c := r.AttemptConn
 	if c == nil || !c.Connected || r.Upload.Active {
--- a/internal/httpproxy/attempts_test.go
+++ b/internal/httpproxy/attempts_test.go
@@ -80,8 +80,8 @@
 func TestOutcomesOfAttempts(t *testing.T) {
 	for _, k := range []struct {
 		behaviour      string
-		step, note     int // status of the response, idempotent and keyed
-		once, onceSeen int
+		step, note     int // status of the response to an idempotent request, and to a keyed one
+		once, onceSeen int // the same for a non-idempotent request, and how often endpoints see it
 		outcome        policy.Outcome
 	}{
 		{"error", 503, 502, 502, 1, policy.Errored},
--- a/internal/httpproxy/classes.go
+++ b/internal/httpproxy/classes.go
@@ -2,8 +2,8 @@
 
 import "pepperlead/policy"
 
-// SetClass maps a class name to a class id of the settings and sets the deadline of its requests. With NoClass, new
-// requests that name the class are refused. Requests in flight keep their class.
+// SetClass maps a class name to a class id of the settings and sets the deadline of the class. If id is NoClass, new
+// requests with that class name are refused. Requests in flight keep their class.
 func (p *Proxy) SetClass(name string, id policy.ClassID, deadline policy.Time) {
 	if id == policy.NoClass {
 		delete(p.classes, name)
@@ -19,8 +19,8 @@
 	}
 }
 
-// SetTenant maps a tenant name to a tenant id of the settings. With NoTenant, requests that name the tenant count for
-// no tenant.
+// SetTenant maps a tenant name to a tenant id of the settings. If id is NoTenant, requests with that tenant name are
+// treated as requests without a tenant.
 func (p *Proxy) SetTenant(name string, id policy.TenantID) {
 	if id == policy.NoTenant {
 		delete(p.tenants, name)
--- a/internal/httpproxy/clients.go
+++ b/internal/httpproxy/clients.go
@@ -7,12 +7,14 @@
 	"pepperlead/policy"
 )
 
-// Timing of client connections. A connection that is idle since its last response is called resting.
+// Timing of client connections. A connection is idle while it carries neither a request nor a part of one. Conn.Idle is
+// set only on idle connections that have carried a request before.
 const (
 	// headTimeout is how long a request head may take to arrive: the first one from the connect on, later ones from
 	// their first byte on.
 	headTimeout = 2600 * policy.Millisecond
-	// bodyTimeout is how long a body may take to begin after the head. Received bytes extend it by minBodyRate.
+	// bodyTimeout is how long after its head a request body may take to arrive, in addition to the time that the bytes
+	// received so far take at minBodyRate.
 	bodyTimeout = 1500 * policy.Millisecond
 	// minBodyRate is the lowest accepted rate of a body, in bytes per second.
 	minBodyRate = 16 << 10
@@ -21,8 +23,8 @@
 	idleCloseAfter = 2 * policy.Second
 	// unusedCloseAfter is the same for a connection that has not carried a request yet.
 	unusedCloseAfter = 100 * policy.Millisecond
-	// restingCheckInterval is the time between checks whether a resting connection should be closed.
-	restingCheckInterval = idleCloseAfter / 8
+	// idleClientCheckInterval is the time between checks whether an idle connection should be closed.
+	idleClientCheckInterval = idleCloseAfter / 8
 	// clientLimitCheckInterval is the time between searches for connections to close while too many are open.
 	clientLimitCheckInterval = 20 * policy.Millisecond
 	// flushCheckInterval is the time between checks whether the last response has been written.
@@ -34,8 +36,8 @@
 	flushTimeout = 2 * policy.Second
 )
 
-// maxSkippedLines is how many bytes of empty lines are skipped before a request.
-const maxSkippedLines = 8
+// maxSkippedBytes is how many bytes of empty lines are skipped before a request.
+const maxSkippedBytes = 8
 
 // clientConnected handles a new connection of a client.
 func (p *Proxy) clientConnected(now policy.Time, c *connstate.Conn) {
@@ -194,7 +196,7 @@
 	case c.Output.AwaitingFlush && c.Input.Buffer != nil:
 		p.readRequests(now, now, c)
 	case c.Idle:
-		p.checkResting(now, c)
+		p.checkIdleClient(now, c)
 	case c.Input.Buffer == nil:
 		p.checkSilent(now, c)
 	default:
@@ -202,14 +204,15 @@
 	}
 }
 
-// checkResting closes a resting connection while many are resting, as they occupy descriptors that other clients need.
-func (p *Proxy) checkResting(now policy.Time, c *connstate.Conn) {
+// checkIdleClient closes an idle client connection while many are idle, as they occupy descriptors that other clients
+// need.
+func (p *Proxy) checkIdleClient(now policy.Time, c *connstate.Conn) {
 	if 2*p.conns.IdleClients > p.conns.MaxIdleClients && c.Socket.CloseIfIdle(c) {
 		p.conns.MarkClosing(c)
 		p.Counters.ClientConnsBroken++
 		return
 	}
-	p.Timers.Set(&c.Timer, now+restingCheckInterval)
+	p.Timers.Set(&c.Timer, now+idleClientCheckInterval)
 }
 
 // checkSilent closes a connection on which nothing has been received since it was opened. If input has arrived that is
@@ -252,7 +255,7 @@
 // skipEmptyLines removes empty lines before a request, as some clients send them after a body.
 func skipEmptyLines(in *connstate.Buffer) {
 	n := 0
-	for n+1 < len(in.B) && n < maxSkippedLines && in.B[n] == '\r' && in.B[n+1] == '\n' {
+	for n+1 < len(in.B) && n < maxSkippedBytes && in.B[n] == '\r' && in.B[n+1] == '\n' {
 		n += len(lineEnd)
 	}
 	if n > 0 {
--- a/internal/httpproxy/config.go
+++ b/internal/httpproxy/config.go
@@ -21,9 +21,9 @@
 	SourceIP            net.IP      // local address of connections to endpoints; nil: the kernel picks one
 	IdleTimeout         policy.Time // time after which endpoints close idle connections
 	AcceptTime          policy.Time // how long new clients are accepted after a shutdown has begun
-	ShutdownTime        policy.Time // time from the start of a shutdown to the last response
+	ShutdownTime        policy.Time // maximum time from the start of a shutdown to the last response
 	Settings            *policy.Settings
-	Deadlines           []policy.Time   // by class, for requests with no timeout or a longer one; nil: no deadlines
+	Deadlines           []policy.Time   // by class: default and maximum timeout; nil: requests must have a timeout
 	DefaultClass        string          // of requests that name no class; "": they must name one
 	Anonymous           bool            // requests may omit X-Request-ID
 	Latency             engine.Latency  // records the time to final responses; nil: not recorded
@@ -31,7 +31,7 @@
 	StallAfter          policy.Time     // see engine.Config
 	InheritedListener   int             // descriptor of a listener shared with other processes; 0: no such listener
 	Successor           bool            // another process of this instance is already serving
-	FirstListTimeout    policy.Time     // how long clients wait at startup for the list of Source; 0: not at all
-	ImportState         func()          // imports the learned state of the other process; not called on the loop
+	FirstListTimeout    policy.Time     // how long clients wait at startup for the list from Source; 0: not at all
+	ImportState         func()          // imports the learned state of the serving process; not called on the loop
 	SavedList           []byte          // list saved earlier, in the format of the discovery service
 }
--- a/internal/httpproxy/dial.go
+++ b/internal/httpproxy/dial.go
@@ -15,7 +15,7 @@
 // connector opens a connection to an address, with a timeout.
 type connector func(addr string, timeout policy.Time) (net.Conn, error)
 
-// newConnector returns a connector that dials from the local address source. If it is nil, the kernel picks one.
+// newConnector returns a connector that dials from the local address source. If source is nil, the kernel picks one.
 func newConnector(source net.IP) connector {
 	var local net.Addr
 	if source != nil {
@@ -39,8 +39,8 @@
 	})
 }
 
-// dial opens the connection in a goroutine of its own and posts the result. nbio's dialler is not used: it neither says
-// which connection has failed nor lets one be identified before it is established.
+// dial opens the connection in a goroutine of its own and posts the result. nbio's dialler is not used: it does not
+// report which dial has failed, and it does not identify a connection before it is established.
 func (s *sockets) dial(conn *connstate.Conn, addr string, timeout policy.Time) {
 	go func() {
 		dialled, err := s.connect(addr, timeout)
--- a/internal/httpproxy/frame.go
+++ b/internal/httpproxy/frame.go
@@ -154,7 +154,7 @@
 }
 
 // decodeTrailerByte decodes a byte of the trailers, whose content is ignored. Lines end with CRLF, and an empty line is
-// the last. LineLength counts the bytes of all of them, and the result is false once they exceed maxHead.
+// the last. LineLength counts the bytes of all lines together; the result is false once it exceeds maxHead.
 func decodeTrailerByte(f *connstate.Frame, c byte) bool {
 	switch {
 	case c == '\n' && f.Phase == phaseTrailerLF:
--- a/internal/httpproxy/limits_test.go
+++ b/internal/httpproxy/limits_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// A hundred clients send nothing, or only a part of a request. They are closed in time, and they neither delay other clients nor cause
-// the connections of those to be closed, even idle ones.
+// A hundred clients send nothing, or only a part of a request. Their connections are closed in time. Other clients are not delayed, and
+// keep their connections, even idle ones.
 func TestSilentClientsDoNotAffectOthers(t *testing.T) {
 	endpoint := newFakeEndpoint(t)
 	r, _ := startProxy(t, func(p *Config) { p.Descriptors = 160 }, endpoint.Addr().String())
@@ -101,9 +101,9 @@
 	}
 }
 
-// Clients send one request and stay connected. Beyond a limit responses close their connections, and connections that rest for long are
-// closed.
-func TestExcessRestingClientsAreClosed(t *testing.T) {
+// Clients that send one request and stay connected must not use up the descriptors. While many connections are idle, each response closes
+// its connection, and connections that have been idle for long are closed.
+func TestExcessIdleClientsAreClosed(t *testing.T) {
 	r, _ := startProxy(t, func(p *Config) { p.Descriptors = 160 }, newFakeEndpoint(t).Addr().String())
 	var clients []*testClient
 	closes := 0
@@ -121,10 +121,10 @@
 	}
 	idle := r.conns.MaxIdleClients
 	if idle != 20 || closes != 40-idle-1 {
-		t.Errorf("%d responses closed their connection, %d may rest", closes, idle)
+		t.Errorf("%d responses closed their connection, %d may be idle", closes, idle)
 	}
 	time.Sleep(2300 * time.Millisecond)
-	last := clients[idle/2-2] // has rested for no longer than the others, and may stay open
+	last := clients[idle/2-2] // idle for no longer than the others, and may still be open
 	ended := 0
 	for _, c := range clients {
 		c.SetReadDeadline(time.Now().Add(time.Millisecond))
@@ -138,7 +138,7 @@
 	last.Close()
 	r.shutdown()
 	if r.conns.IdleClients != 0 {
-		t.Errorf("%d connections rest after the shutdown", r.conns.IdleClients)
+		t.Errorf("%d connections count as idle after the shutdown", r.conns.IdleClients)
 	}
 }
 
--- a/internal/httpproxy/listener.go
+++ b/internal/httpproxy/listener.go
@@ -10,9 +10,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// clientListener accepts clients while fewer than the maximum are connected. A client accepted beyond it would have to
-// be closed at once, which would lose its request. Instead it waits in the kernel's accept queue, from which other
-// processes may accept it if they share the queue.
+// clientListener accepts clients while fewer than the maximum are connected. An excess client that is accepted would
+// have to be closed at once, which would lose its request. Instead it waits in the kernel's accept queue, from which
+// other processes may accept it if they share the queue.
 type clientListener struct {
 	net.Listener
 	sockets   *sockets
--- a/internal/httpproxy/parse_test.go
+++ b/internal/httpproxy/parse_test.go
@@ -169,6 +169,7 @@
 			t.Errorf("%q: %v", head, got)
 		}
 	}
+	// Only digits with an optional decimal point are a timeout, although strconv.ParseFloat accepts more.
 	for _, in := range []string{"", "1e3", "0x10", "inf", "nan", "+1", "-1", "1_0", "1.2.3", "."} {
 		if _, ok := parseSeconds([]byte(in)); ok {
 			t.Errorf("%q is accepted as a number of seconds", in)
--- a/internal/httpproxy/proxy.go
+++ b/internal/httpproxy/proxy.go
@@ -27,8 +27,8 @@
 	defaultClass     policy.ClassID    // class of requests that name none
 	ready            []*connstate.Conn // client connections with input that may hold the next request
 	scratch          []byte            // reused to assemble messages
-	startTimer       engine.Timer      // checks whether clients may be accepted
-	clientLimitTimer engine.Timer      // searches for client connections to close
+	startTimer       engine.Timer      // delays accepting clients at startup
+	clientLimitTimer engine.Timer      // repeats enforceClientLimit
 	overClientLimit  bool              // too many client connections are open, and none can be closed yet
 
 	processes      atomic.Int64 // processes of this instance, this one included
@@ -194,8 +194,9 @@
 	}
 }
 
-// closeOldestIdle closes the connection of that side that has been idle longest, and reports whether it closed one.
-// Only connections idle since usedBefore qualify, or since openedBefore if they have not carried anything yet.
+// closeOldestIdle closes the connection on the given side that has been idle longest, and reports whether it closed
+// one. A connection that has carried a request must have been idle since usedBefore or longer, one that has not must
+// have been opened at openedBefore or earlier.
 func (p *Proxy) closeOldestIdle(side connstate.Side, usedBefore, openedBefore policy.Time) bool {
 	oldest := p.conns.OldestIdle(side, usedBefore, openedBefore)
 	if oldest == nil || !oldest.Socket.CloseIfIdle(oldest) {
--- a/internal/httpproxy/races_test.go
+++ b/internal/httpproxy/races_test.go
@@ -19,7 +19,7 @@
 	"pepperlead/policy"
 )
 
-// Each test in this file forces a race of two events that rarely occurs by itself; docs/crossings.md has the table.
+// Each test in this file forces a race of two events that rarely occurs by itself; docs/crossings.md has a table of these races.
 
 // waitUntil waits until the condition, which is checked on the loop, is true.
 func (r *runningProxy) waitUntil(what string, condition func() bool) {
@@ -115,8 +115,7 @@
 	}
 }
 
-// A request and the close by its client are read together, as happens when accepting was delayed. Nobody waits for the response, so the
-// request is not forwarded.
+// A request and the close by its client are read together, as after a delayed accept. As nobody awaits the response, it is not forwarded.
 func TestRequestFollowedByCloseIsNotForwarded(t *testing.T) {
 	for name, closeClient := range map[string]func(c *net.TCPConn){
 		"closed":      func(c *net.TCPConn) { c.Close() },
@@ -154,8 +153,9 @@
 	return nil
 }
 
-// A partly written request is never processed, unless its last bytes are written as its connection closes. That decides whether an attempt
-// that times out or loses its client may have been processed; one that was not is ended even if attempts may not be cancelled.
+// An endpoint does not process a partly written request, unless its last bytes are still written while the connection closes. Only then
+// does an attempt that times out count as possibly processed (TimedOut, not NotConnected), and an attempt whose client disconnects stay
+// in flight if attempts may not be cancelled.
 func TestAttemptEndedDuringItsLastWrite(t *testing.T) {
 	for _, k := range []struct {
 		flushed      bool // the last bytes are written as the connection closes
@@ -324,15 +324,13 @@
 			c = r.client() // the old connection may still receive an earlier duplicate
 		}
 	}
-	// All forty requests may be answered before the first duplicate is sent.
-	time.Sleep(time.Duration(reuseDelay))
+	time.Sleep(time.Duration(reuseDelay)) // all forty requests may be answered before the first duplicate is sent
 	endpoint.mu.Lock()
 	defer endpoint.mu.Unlock()
 	return endpoint.duplicates > endpoint.tooLate
 }
 
-// A client disconnects before its request is sent, or before a failed one is retried. No attempt begins after that, even if attempts may
-// not be cancelled.
+// Once a client has disconnected, its request is neither sent for the first time nor retried, even if attempts may not be cancelled.
 func TestNoAttemptAfterClientDisconnects(t *testing.T) {
 	for name, k := range map[string]struct {
 		target   policy.Time           // target latency
--- a/internal/httpproxy/reconfigure.go
+++ b/internal/httpproxy/reconfigure.go
@@ -18,7 +18,7 @@
 		afterRestart = append(afterRestart, "limits")
 	}
 	if config.DefaultClass != p.config.DefaultClass {
-		// Requests in flight that name no class would change theirs. Empty settings make the engine refuse the change.
+		// Requests in flight that name no class would get another one. Empty settings make the engine keep its own.
 		config.Settings = &policy.Settings{}
 	}
 	applied := p.Reconfigure(engine.Config{
--- a/internal/httpproxy/request.go
+++ b/internal/httpproxy/request.go
@@ -38,8 +38,8 @@
 	closeAfter bool // the client connection is closed after the response
 }
 
-// parseRequestHead parses the head at the start of b. status is that of the response to a request that cannot be
-// served, and 0 for others.
+// parseRequestHead parses the head at the start of b. status is the status code with which the request must be refused,
+// or 0 if it is valid so far.
 func parseRequestHead(b []byte) (head requestHead, status int) {
 	raw := splitHead(b)
 	switch {
@@ -109,8 +109,8 @@
 	body   []byte
 }
 
-// parseRequest parses the request at the start of b. status is that of the response to a request that cannot be served,
-// which is 413 if the body exceeds maxSize, and 0 for others.
+// parseRequest parses the request at the start of b. status is 413 if the body exceeds maxSize, another status code if
+// the request must be refused, and 0 if it is valid so far.
 func parseRequest(b []byte, maxSize int) (request parsedRequest, status int) {
 	head, status := parseRequestHead(b)
 	request.requestHead = head
@@ -186,7 +186,8 @@
 }
 
 // hasAmbiguousID reports whether an endpoint could see a different request ID or idempotency key than was read here, or
-// none: a header is repeated, or the Connection header lists it and it is not forwarded.
+// none at all. That is so if either header is repeated, or if it is listed in the Connection header and therefore not
+// forwarded.
 func hasAmbiguousID(headers []byte) bool {
 	dropped := headerValue(headers, "Connection")
 	for _, name := range [...]string{headerRequestID, headerIdempotencyKey} {
--- a/internal/httpproxy/response.go
+++ b/internal/httpproxy/response.go
@@ -22,8 +22,8 @@
 }
 
 // parseResponseHead parses the head of a response and skips interim responses (1xx) before it. ended means that the
-// endpoint sends nothing more, noBody that the response to this request has no body. ok is false as soon as the input
-// proves malformed, without waiting for more of it: the endpoint may leave the connection open.
+// endpoint sends nothing more, noBody that the request was HEAD, whose response has no body. ok is false as soon as the
+// input proves malformed, without waiting for more of it: the endpoint may leave the connection open.
 func parseResponseHead(b []byte, ended, noBody bool) (response responseHead, ok bool) {
 	bodyStart := 0
 	for {
--- a/internal/httpproxy/responses.go
+++ b/internal/httpproxy/responses.go
@@ -119,7 +119,7 @@
 }
 
 // closesAfterResponse reports whether client connections are closed after their next response: during a shutdown, and
-// while too many are open or resting. That is the only moment at which no request can be on its way.
+// while too many are open or idle. At any other moment the next request could already be on its way.
 func (p *Proxy) closesAfterResponse() bool {
 	_, shuttingDown := p.ShuttingDown()
 	return shuttingDown || p.overClientLimit || p.conns.IdleClients > p.conns.MaxIdleClients
--- a/internal/httpproxy/shutdown.go
+++ b/internal/httpproxy/shutdown.go
@@ -54,7 +54,7 @@
 	return now >= min(max(p.drainedAt, p.acceptUntil), shutdownBy+lastWriteTime)
 }
 
-// acceptPending reports whether there may be a client that this process must serve and the loop does not know yet.
+// acceptPending reports whether there may be a client that this process must serve but the loop does not know of yet.
 func (p *Proxy) acceptPending() bool {
 	if p.sharesListener() {
 		return !p.sockets.listener.stopped.Load()
--- a/internal/httpproxy/socket.go
+++ b/internal/httpproxy/socket.go
@@ -58,8 +58,8 @@
 			return true
 		case errors.Is(err, unix.EINTR):
 		case n == 0 && err == nil:
-			// The kernel reports a reset only once, to a write or a read. After a write that failed, a read after a
-			// reset looks like an orderly end.
+			// The kernel reports a reset only once, to a write or a read. If a write has failed with it, the next read
+			// looks like an orderly end.
 			conn.Input.EOF.Store(!s.failed)
 			s.ended = true
 			return false
@@ -133,7 +133,7 @@
 	if conn.Flushed() {
 		n, err := syscall.Write(s.fd, b)
 		if n > 0 {
-			conn.RecordWritten(n) // no event: the loop itself checks the total that it waits for
+			conn.RecordWritten(n) // no event: the caller is the loop, which checks the total itself
 			b = b[n:]
 		}
 		if err != nil && !errors.Is(err, unix.EAGAIN) && !errors.Is(err, unix.EINTR) {
--- a/internal/httpproxy/sockets.go
+++ b/internal/httpproxy/sockets.go
@@ -42,7 +42,7 @@
 const (
 	maxDiscarded          = 512 << 10 // bytes of input discarded after the last response of a connection
 	maxPendingBytes       = 128 << 10 // unprocessed input or unwritten output of one connection, in bytes
-	endpointReceiveBuffer = 64 << 10  // in bytes, of the kernel; all of it may be read at once when an endpoint closes
+	endpointReceiveBuffer = 64 << 10  // of the kernel, in bytes; all of it may be read at once when an endpoint closes
 	spareDescriptors      = 64        // added to the size of nbio's connection table
 	acceptRetryInterval   = 20 * time.Millisecond
 )
@@ -152,8 +152,8 @@
 	}
 }
 
-// recordWritten adds n to the bytes that the kernel has accepted, and notifies the loop once the total is what it waits
-// for.
+// recordWritten adds n to the bytes that the kernel has accepted, and notifies the loop once their total reaches
+// conn.Output.NotifyAt.
 func (s *sockets) recordWritten(conn *connstate.Conn, n int) {
 	total := conn.RecordWritten(n)
 	notifyAt := conn.Output.NotifyAt.Load()
@@ -199,8 +199,8 @@
 	}
 }
 
-// resume continues to read from a connection that was paused. The poller does not report input again that is already in
-// the socket.
+// resume continues to read from a connection that was paused. It reads at once: the poller reports input when it
+// arrives, but not again while it stays in the socket.
 func (s *sockets) resume(conn *connstate.Conn) {
 	if socket, ok := conn.Socket.(*socket); ok && socket.mayHaveInput.Load() && !conn.Input.Paused.Load() {
 		s.readAvailable(conn, socket)
@@ -226,7 +226,7 @@
 	socket.mu.Lock()
 	defer socket.mu.Unlock()
 	socket.mayHaveInput.Store(false)
-	// Each buffer is posted after the next read, as only that read shows whether the peer has closed after it.
+	// Each buffer is posted after the next read, as only that read shows whether the peer closed after these bytes.
 	var last *connstate.Buffer
 	defer func() { s.postData(conn, last) }()
 	size := connstate.SmallBuffer
@@ -249,7 +249,7 @@
 		if !socket.read(conn, buf) {
 			s.buffers.Put(buf)
 			if socket.ended && conn.Side == connstate.ClientSide {
-				conn.Input.PeerClosed.Store(true) // set before the last request is posted: it needs no response
+				conn.Input.PeerClosed.Store(true) // set before the last request is posted, which needs no response
 			}
 			return
 		}
--- a/internal/httpproxy/startup.go
+++ b/internal/httpproxy/startup.go
@@ -14,7 +14,7 @@
 		p.Timers.Set(&p.startTimer, now+startCheckInterval)
 	case p.config.FirstListTimeout > 0:
 		// The saved list may be outdated, and the first attempt should already use the list of the source. So clients
-		// wait for it, but at most for this time; after that the saved list is used.
+		// wait for that list, but at most for FirstListTimeout; after that the saved list is used.
 		p.awaitingList = true
 		p.startTimer.Run = p.admitClients
 		p.Timers.Set(&p.startTimer, now+p.config.FirstListTimeout)
--- a/internal/httpproxy/stream.go
+++ b/internal/httpproxy/stream.go
@@ -17,8 +17,8 @@
 	streamStallTimeout = 5 * policy.Second
 	// longBodyPause is how long a long body may pause after its latest bytes once the client's deadline has passed.
 	longBodyPause = policy.Second
-	// shortBodyPause is the same for a body that may turn out to be short. A short response counts as lost
-	// half a second after the deadline.
+	// shortBodyPause is the same for a body that may turn out to be short. It is shorter, as a short response counts as
+	// lost half a second after the deadline.
 	shortBodyPause = 300 * policy.Millisecond
 	// streamCheckInterval is the time between checks of a stream.
 	streamCheckInterval = 250 * policy.Millisecond
@@ -72,7 +72,8 @@
 	return true
 }
 
-// recordHead records when the head of a response was complete, and how many bytes complete the response.
+// recordHead records when the head of a response was complete and, for a body with a known size of at most maxBody, how
+// long the whole response is.
 func recordHead(c *connstate.Conn, at policy.Time, head responseHead) {
 	if c.Input.HeadAt != 0 {
 		return
--- a/internal/httpproxy/stream_test.go
+++ b/internal/httpproxy/stream_test.go
@@ -59,7 +59,7 @@
 	})
 }
 
-// scriptedEndpoint starts an endpoint that passes each request, with its number, to serve, and closes the connection when that returns
+// scriptedEndpoint starts an endpoint that passes each request, with its number, to serve, and closes the connection when serve returns
 // false. seen counts the requests.
 func scriptedEndpoint(t *testing.T, serve func(c net.Conn, r *http.Request, n int) bool) (addr string, seen *atomic.Int64) {
 	t.Helper()
--- a/internal/httpproxy/upload.go
+++ b/internal/httpproxy/upload.go
@@ -219,11 +219,11 @@
 
 // endpointStalled reports whether the endpoint has accepted no bytes of a forwarded body for flushTimeout.
 func (p *Proxy) endpointStalled(now policy.Time, r *connstate.Request) bool {
-	to := r.AttemptConn
-	return r.Upload.Forwarded && to != nil && !to.Progressed(now, to.Output.Written.Load(), flushTimeout)
+	c := r.AttemptConn
+	return r.Upload.Forwarded && c != nil && !c.Progressed(now, c.Output.Written.Load(), flushTimeout)
 }
 
-// failUpload ends a request whose body remains incomplete.
+// failUpload ends a request whose body is malformed, too long or not received in time.
 func (p *Proxy) failUpload(now policy.Time, c *connstate.Conn, refused refusal) {
 	if r := c.Request; r != nil {
 		p.abandonRequest(now, c, r)
