--- a/policy/admission.go
+++ b/policy/admission.go
@@ -12,10 +12,11 @@
 	// minOverQuotaValue is the least part of its value that an over-quota request keeps, so that such
 	// requests are still ordered by value among themselves.
 	minOverQuotaValue = 0.01
-	// quotaTolerance is the multiple of its share of the quota above which a tenant counts as over quota.
+	// quotaTolerance is the factor by which a tenant may exceed the part of its quota that applies to this
+	// instance before it counts as over quota.
 	quotaTolerance = 1.1
-	// quotaStandardErrors is the number of standard errors added to this threshold where each instance sees
-	// few requests of each tenant.
+	// quotaStandardErrors is the number of standard errors added to the rate that quotaTolerance allows where
+	// each instance sees few requests of each tenant.
 	quotaStandardErrors = 2
 )
 
@@ -58,8 +59,8 @@
 	b.dispatch(now, r, ordinaryTry)
 }
 
-// valueRate returns the value expected for each second that an endpoint works on the request. It also counts
-// the request in the arrival rates.
+// valueRate returns the value expected for each nanosecond that an endpoint works on the request. It also
+// counts the request in the arrival rates.
 func (b *Balancer) valueRate(now Time, r *request, tenant TenantID, retry bool) float64 {
 	value := b.class(r).Value / b.meanLatency(r)
 	if retry {
@@ -78,7 +79,8 @@
 
 // maxTenantRate returns the rate of a tenant's requests at this instance, per second, above which the tenant
 // counts as over quota. The traffic of other instances is unknown, so the part of each quota that applies to
-// this instance is its arrival rate over the total quota, and at least an equal part for each instance.
+// this instance is estimated: its arrival rate divided by the total quota, but at least an equal part for
+// each instance.
 func (b *Balancer) maxTenantRate(tenant TenantID) float64 {
 	part := min(1, max(1/float64(b.settings.Instances), b.arrivals.rate/b.settings.TotalQuota))
 	rate := quotaTolerance * part * b.settings.Tenants[tenant].Quota
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// answerMarginTicks is the time before a request's deadline, in ticks, by which it must be answered.
+	// answerMarginTicks is how long before its deadline a request must be answered, in ticks (Settings.Tick).
 	answerMarginTicks Time = 3
 	// initialBaseline is the baseline latency before the first answer, in target latencies.
 	initialBaseline = 0.25
@@ -44,7 +44,7 @@
 	zones       zonePreference
 	retries     retryBudget
 	warmup      warmup
-	ejected     int // ejected endpoints at the latest maintenance, plus ejections since
+	ejected     int // endpoints found ejected at the latest maintenance, plus ejections since
 	rejections  rejectionState
 
 	polling    listPolling
@@ -98,9 +98,9 @@
 // answerBy returns the time by which the request must be answered.
 func (b *Balancer) answerBy(r *request) Time { return r.deadline - b.settings.answerMargin() }
 
-// AddClass sets up the statistics of a class that was put into the settings under the given id, as a copy of
-// those of the class template. Where template is the id itself, the statistics found there stay, except for
-// the mean latency, which is reset to its initial value.
+// AddClass sets up the statistics of a class that was put into the settings under the given id. They are a
+// copy of the statistics of the class template. If template is the id itself, the statistics stay as they
+// are, except for the mean latency, which is reset to its initial value.
 func (b *Balancer) AddClass(id, template ClassID) {
 	for len(b.classes) < len(b.settings.Classes) {
 		b.classes = append(b.classes, classStats{})
--- a/policy/concurrencylimit.go
+++ b/policy/concurrencylimit.go
@@ -5,11 +5,13 @@
 const (
 	// unlimited is the concurrency limit until answers are late for the first time.
 	unlimited = math.MaxInt32
-	// latenessBound is the mean lateness above which the limit is reduced.
+	// latenessBound is the mean lateness above which the limit is reduced. Lateness is answer time / target
+	// latency, and 1 at most.
 	latenessBound = 0.75
 	// strictLatenessBound is the same where late answers have no value in any class.
 	strictLatenessBound = 0.5
-	// limitGrowth is the part by which the limit grows in one target latency while the mean lateness is 0.
+	// limitGrowth is the part by which the limit grows in one target latency while it is fully used and the
+	// mean lateness is 0.
 	limitGrowth = 0.5
 	// limitHeadroom is the multiple of the mean attempts in flight that the limit may grow to.
 	limitHeadroom = 4
@@ -18,7 +20,7 @@
 	limitPerEndpoint = 16
 	// minLimitCap is the number of attempts of this instance that the limit may always grow to.
 	minLimitCap = 2
-	// maxReduction is the smallest factor of one reduction.
+	// maxReduction is the factor of the largest reduction: one reduction at most halves the limit.
 	maxReduction = 0.5
 
 	// inFlightWeight is the weight of the latest attempt in the mean attempts in flight.
@@ -26,9 +28,10 @@
 	// minLatenessWeight and maxLatenessWeight bound the weight of the latest attempt in the mean lateness.
 	minLatenessWeight = 0.1
 	maxLatenessWeight = 0.5
-	// latenessMemory is the time in target latencies that the time since the previous attempt is divided by
-	// to give the weight of an attempt. With minLatenessWeight alone, the mean would follow only after some
-	// ten attempts: at one attempt in two seconds, that is longer than any overload.
+	// latenessMemory is the time since the previous attempt, in target latencies, at which the weight of an
+	// attempt would be 1 without these bounds. If every attempt had the weight minLatenessWeight, the mean
+	// would follow only after some ten attempts: at one attempt in two seconds, that is longer than any
+	// overload.
 	latenessMemory = 4
 )
 
@@ -41,11 +44,11 @@
 	bodyPending  int     // of these, attempts whose request body is incomplete
 	inFlightMean float64 // moving average of the attempts in flight, without those in bodyPending
 
-	latenessMean  float64 // moving average of answer time over target latency, each counted as 1 at most
+	latenessMean  float64 // moving average of the lateness of attempts
 	latenessBound float64 // latenessMean above which the limit is reduced
 	observedAt    Time    // latest change of latenessMean
 	reducedAt     Time    // latest reduction of the limit
-	resumeAt      Time    // no attempt is sent before
+	resumeAt      Time    // no attempt is sent before this time; see pause
 }
 
 func newConcurrencyLimit(settings *Settings) concurrencyLimit {
@@ -66,7 +69,8 @@
 	return float64(c.processing()) < c.limit && now >= c.resumeAt
 }
 
-// observe adds an attempt's lateness, and the number of attempts in flight with it, to the means.
+// observe adds the lateness of an attempt that has just ended, and the number of attempts that were in flight
+// until then, to the means.
 func (c *concurrencyLimit) observe(now, target Time, lateness float64) {
 	sinceLast := float64(now-c.observedAt) / float64(latenessMemory*target)
 	weight := max(minLatenessWeight, min(maxLatenessWeight, sinceLast))
@@ -75,22 +79,22 @@
 	c.inFlightMean += inFlightWeight * (float64(c.processing()+1) - c.inFlightMean)
 }
 
-// reduce sets the limit to a part of itself or of the mean attempts in flight, whichever is less. The part is
-// at least maxReduction, and the limit at least minimum.
+// reduce multiplies the limit, or the mean attempts in flight if that is less, by part to give the new limit.
+// A part below maxReduction counts as maxReduction, and the new limit is at least minimum.
 func (c *concurrencyLimit) reduce(now Time, part, minimum float64) {
 	c.reducedAt = now
 	c.limit = max(minimum, min(c.limit, c.inFlightMean)*max(maxReduction, part))
 }
 
-// grow raises the limit after an attempt, by more the further the mean lateness is below the bound. minimum
-// is the result of minConcurrency.
+// grow raises the limit after an attempt with the given lateness. The further the mean lateness is below the
+// bound, the more the limit grows. minimum is the result of minConcurrency.
 func (c *concurrencyLimit) grow(lateness, mean, bound, minimum float64) {
 	c.limit *= 1 + limitGrowth*(1-mean/bound)*min(1, lateness/c.limit)
 	c.limit = min(c.limit, max(minLimitCap, limitHeadroom*c.inFlightMean, limitPerEndpoint*minimum))
 }
 
-// pause enforces a limit below 1: after an attempt that took the time elapsed, none is sent for a part of the
-// time.
+// pause enforces a limit below 1: after an attempt that took the time elapsed, no other is sent for so long
+// that attempts are in flight for a part of the time equal to the limit.
 func (c *concurrencyLimit) pause(now, elapsed Time) {
 	c.resumeAt = now + Time(float64(elapsed)*max(0, 1/c.limit-1))
 }
@@ -101,8 +105,8 @@
 	return float64(len(b.table.byID)) / float64(b.settings.Instances)
 }
 
-// observeLateness adjusts the concurrency limit after an attempt to the endpoint. lateness is the answer time
-// over the target latency, and 1 at most; elapsed is the answer time, and the target latency at most.
+// observeLateness adjusts the concurrency limit after an attempt to the endpoint. lateness is the lateness of
+// the answer, or 1 if the attempt shows overload; elapsed is the answer time, and the target latency at most.
 func (b *Balancer) observeLateness(now Time, e *endpoint, lateness float64, elapsed, target Time) {
 	b.zones.observe(b.table.isLocal(e), lateness)
 	if b.reports.available() && b.boundToLoad(e) < 1 {
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -19,8 +19,8 @@
 type tryKind uint8
 
 const (
-	ordinaryTry tryKind = iota // its home or an endpoint that it may spill to; else the request may be queued
-	lastTry                    // also any other whose load is below highLoad; else the request is rejected
+	ordinaryTry tryKind = iota // its home or one that it may spill to (see choose); else it may be queued
+	lastTry                    // also any other with room and a load below highLoad; else it is rejected
 )
 
 // dispatch sends the request, queues it or rejects it.
@@ -90,7 +90,7 @@
 	e.inFlight--
 	e.lastUsedAt = now
 	b.concurrency.inFlight--
-	if outcome < Cancelled { // the others say nothing about the endpoint
+	if outcome < Cancelled { // Cancelled, NotSent and Declined say nothing about the endpoint
 		b.recordOutcome(now, r, e, outcome, elapsed)
 	}
 	if answered {
@@ -151,8 +151,8 @@
 	b.requests.release(r)
 }
 
-// SetDeadline replaces a request's deadline; 0 means none. An answer that has begun has no deadline here: how
-// long it may take is up to the client.
+// SetDeadline replaces a request's deadline; 0 means none. The front removes the deadline of a request whose
+// answer has begun: how long the answer may take is up to the client.
 func (b *Balancer) SetDeadline(handle Handle, deadline Time) {
 	if r := b.requests.lookup(handle); r != nil {
 		r.deadline = cmp.Or(deadline, never)
@@ -193,7 +193,7 @@
 	if r == nil || r.attempts == 0 {
 		return false
 	}
-	r.attempts--
+	r.attempts-- // not counting the latest attempt, whose endpoint isAllowed would refuse as already tried
 	index := r.tried[r.attempts%len(r.tried)]
 	cold := b.warmup.isCold(now, &b.table.endpoints[index])
 	allowed := b.isAllowed(now, r, index) && (b.settings.OverloadMultiple > 0 || !cold)
--- a/policy/ejection.go
+++ b/policy/ejection.go
@@ -13,11 +13,11 @@
 	// ejectionJitter is the spread of the length of an ejection, as a part of it, so that instances do not
 	// return to the endpoint all at once.
 	ejectionJitter = 0.5
-	// maxEjectedDivisor divides the number of endpoints to give the most that can be ejected for failures
-	// other than failed connections.
+	// maxEjectedDivisor divides the number of endpoints to give the most that can be ejected at the same time.
+	// Failed connections eject endpoints beyond that number too.
 	maxEjectedDivisor = 2
-	// minSuccessRate is the least rate of an endpoint's successes, per second, that the time between them is
-	// derived from. It keeps that time finite.
+	// minSuccessRate is the least rate of an endpoint's successes, per second, from which ejectionThreshold
+	// derives the time between them. It keeps that time finite.
 	minSuccessRate = 0.01
 	// reliableLateness is the mean lateness below which fewer than ejectAfter failures are enough where an
 	// instance sees few answers.
@@ -35,6 +35,7 @@
 	e.failures++
 	e.failureKey = r.key
 	needed, ejectionTime := b.ejectionThreshold(now, e, outcome)
+	// In slow start, one failure is enough. An endpoint that is already ejected is not ejected again.
 	if e.failures < needed && e.slowStart == 0 || now < e.ejectedUntil {
 		return
 	}
@@ -48,15 +49,17 @@
 
 // ejectionThreshold returns the number of consecutive failures that eject the endpoint and the length of its
 // first ejection. Where an instance sees few answers of each endpoint, ejectAfter failures in a row hardly
-// ever occur and minEjectionTime may pass without an attempt, so fewer failures and a longer ejection apply.
+// ever occur and minEjectionTime may pass without an attempt. Then fewer failures and a longer ejection
+// apply, provided that the instance has seen more than frequencyPrior requests and the mean lateness is below
+// reliableLateness, or that the endpoint's reported load is above the mean.
 func (b *Balancer) ejectionThreshold(
 	now Time, e *endpoint, outcome Outcome,
 ) (failures int, ejectionTime Time) {
 	failures = ejectAfter
 	ejectionTime = minEjectionTime
 	successRate := b.successes.current(now) / float64(len(b.table.byID)) // of one endpoint
-	enoughSeen := b.concurrency.latenessMean < reliableLateness && b.recentKeys.count > frequencyPrior
-	if enoughSeen || e.reportedLoad > b.reports.mean {
+	reliable := b.concurrency.latenessMean < reliableLateness && b.recentKeys.count > frequencyPrior
+	if reliable || e.reportedLoad > b.reports.mean {
 		failures = 1 + int((ejectAfter-1)*min(1, successRate))
 		ejectionTime = max(ejectionTime, Time(float64(Second)/max(successRate, minSuccessRate)))
 	}
@@ -66,8 +69,8 @@
 	return failures, ejectionTime
 }
 
-// eject takes the endpoint out of use; afterwards it is in slow start. minimum is the length of a first
-// ejection.
+// eject takes the endpoint out of use for a time, after which it is in slow start. minimum is the length of a
+// first ejection.
 func (b *Balancer) eject(now Time, e *endpoint, minimum Time, outcome Outcome) {
 	e.ejectionTime = min(max(2*e.ejectionTime, minimum), maxEjectionTime)
 	jitter := 1 - ejectionJitter/2 + ejectionJitter*b.random.fraction()
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -25,8 +25,8 @@
 	inTable     bool    // whether it is in the slot table; if not, another endpoint may reuse this entry
 	ranks       []int32 // ranks of its slots in slotTable.order
 	targetSlots int     // number of slots that its weight entitles it to
-	listedAt    Time    // latest maintenance at which it was listed, or its addition
-	mark        uint32  // slotTable.mark of the latest walk or list that has visited it
+	listedAt    Time    // latest maintenance at which it was listed; until the first one, when it was added
+	mark        uint32  // slotTable.mark of the latest walk that visited it or list that contained it
 
 	inFlight     int     // attempts in flight
 	bodyPending  int     // of these, attempts whose request body is incomplete: no work is done on them yet
@@ -36,15 +36,15 @@
 	limit     float64 // most attempts in flight, not counting those in bodyPending
 	reducedAt Time    // latest reduction of the limit
 
-	latencyRatio float64 // moving average of answer time over target latency
+	latencyRatio float64 // moving average of answer time / target latency
 	observedAt   Time    // latest change of latencyRatio by an answer
 	healthyAt    Time    // when the latest successful attempt was sent
 
-	failures     int    // consecutive failures
+	failures     int    // consecutive failures; reset by a success
 	failureKey   uint64 // hash of the request key of the latest of them
-	ejectedUntil Time
-	ejectionTime Time // length of the latest ejection, without jitter; 0 after a success
-	slowStart    int  // attempts allowed in flight during slow start; 0: not in slow start
+	ejectedUntil Time   // end of the latest ejection, which may be past; 0: none since its start
+	ejectionTime Time   // length of the latest ejection, without jitter; 0: none since a success or its start
+	slowStart    int    // attempts allowed in flight during slow start; 0: not in slow start
 
 	successes       rateMeter // successful attempts
 	coldBudget      float64   // attempts that may be sent to it now while it is cold
@@ -60,7 +60,7 @@
 // nearLimit reports whether two more attempts would reach the limit.
 func (e *endpoint) nearLimit() bool { return float64(e.processing()+2) >= e.limit }
 
-// observeLatency adds an answer to the mean latency. ratio is its answer time over the target latency.
+// observeLatency adds an answer to the mean latency. ratio is its answer time / target latency.
 func (e *endpoint) observeLatency(now, target Time, ratio float64) {
 	sinceLast := float64(now-e.observedAt) / float64(answerMemory*target)
 	e.latencyRatio += max(minAnswerWeight, min(1, sinceLast)) * (ratio - e.latencyRatio)
--- a/policy/endpointlist.go
+++ b/policy/endpointlist.go
@@ -6,7 +6,7 @@
 )
 
 // resizeThreshold is the factor by which a listed weight must exceed the learned size of an endpoint to
-// replace it and move slots.
+// replace that size and move slots.
 const resizeThreshold = 1.1
 
 // UpdateEndpoints applies an endpoint list.
--- a/policy/learnedstate.go
+++ b/policy/learnedstate.go
@@ -1,13 +1,13 @@
 package policy
 
-// LearnedState is the state that an instance has learned and passes on to its successor. It is encoded as
-// JSON: the keys and the order of its fields are part of the format.
+// LearnedState is the state that an instance has learned and passes on to its successor, the process that
+// replaces it. It is encoded as JSON: the keys and the order of its fields are part of the format.
 type LearnedState struct {
 	Baseline       float64             `json:"Calm"`     // baseline latency, in target latencies
 	LatencyPerLoad float64             `json:"PerHeld"`  // see loadReports.latencyPerLoad
 	Limit          float64             `json:"Pace"`     // concurrency limit
 	InFlightMean   float64             `json:"InUse"`    // mean attempts in flight
-	Lateness       float64             `json:"Late"`     // mean of answer time over target latency
+	Lateness       float64             `json:"Late"`     // see concurrencyLimit.latenessMean
 	RetryBudget    float64             `json:"Pushes"`   // retries that may be made now
 	LocalShare     float64             `json:"NearPart"` // part of the keys that prefer local endpoints
 	ZoneLateness   [2]float64          `json:"Sides"`    // see zonePreference.lateness
@@ -21,11 +21,11 @@
 	Endpoints      []LearnedEndpoint   `json:"Servers"`
 }
 
-// FirstAttemptTimes describes the time left until the deadline with which the requests of a class arrive, not
-// counting clients' retries.
+// FirstAttemptTimes describes how much time is left until their deadlines when the requests of a class
+// arrive. Clients' retries are not counted.
 type FirstAttemptTimes struct {
 	Longest      Time    `json:"Most"`
-	ShorterShare float64 `json:"Odd"` // part that came with clearly less than Longest
+	ShorterShare float64 `json:"Odd"` // part that arrived with clearly less time left than Longest
 }
 
 // LearnedEndpoint is the state learned for one endpoint.
@@ -34,7 +34,7 @@
 	Started      Time       `json:"Started"`
 	Weight       float64    `json:"Weight"`
 	Limit        float64    `json:"Limit"`   // most attempts in flight
-	LatencyRatio float64    `json:"Ratio"`   // mean of answer time over target latency
+	LatencyRatio float64    `json:"Ratio"`   // mean of answer time / target latency
 	SuccessRate  float64    `json:"Served"`  // successful attempts per second
 	Failures     int        `json:"Row"`     // consecutive failures
 	SlowStart    int        `json:"Trickle"` // attempts allowed in flight in slow start; 0: not in it
@@ -43,9 +43,9 @@
 	ColdBudget   float64    `json:"Budget"` // attempts that may be sent to it now while it is cold
 }
 
-// ExportState returns the learned state for a successor. It hands over the budgets of cold endpoints and the
-// rates at which they grow: in this instance they are reset, so that both instances together stay within the
-// budget of one.
+// ExportState returns the learned state for a successor. The budgets of cold endpoints and the success rates
+// at which the budgets grow are handed over, not copied: they become 0 in this instance, so that both
+// instances together stay within the budget of one.
 func (b *Balancer) ExportState(now Time) LearnedState {
 	state := LearnedState{
 		Baseline:       b.baseline,
--- a/policy/loadreports.go
+++ b/policy/loadreports.go
@@ -1,26 +1,26 @@
 package policy
 
 const (
-	// initialLatencyPerLoad is the answer time expected for each request held, in target latencies, before
-	// the first list.
+	// initialLatencyPerLoad is loadReports.latencyPerLoad before the first list.
 	initialLatencyPerLoad = 0.15
 	// reportFreshness is the time after which the load that a list shows is stale.
 	reportFreshness Time = 2 * Second
-	// reportReductionInterval is the minimum time between a reduction of the concurrency limit and one by
-	// reported load.
+	// reportReductionInterval is the minimum time from any reduction of the concurrency limit to a reduction
+	// because of the reported load.
 	reportReductionInterval Time = Second / 4
 	// learningRate is the weight of the latest list in latencyPerLoad.
 	learningRate = 0.05
-	// overloadLearningRate is the same while answers are expected to be late. Latencies under overload say
-	// little about it, but a wrong value must not last.
+	// overloadLearningRate replaces learningRate while the expected lateness is at least 1. Latencies under
+	// overload say little about latencyPerLoad, but a wrong value must not last.
 	overloadLearningRate = 0.01
 )
 
-// loadReports is the load that the endpoint list shows, where listed weights fall with load.
+// loadReports holds the load that the endpoint list shows. The means are 0 where it shows none, and
+// always where listed weights do not fall with load.
 type loadReports struct {
 	mean           float64 // mean number of requests that an endpoint holds for each core, over the fleet
 	localMean      float64 // the same over the endpoints in this instance's zone
-	latencyPerLoad float64 // learned answer time for each request held, in target latencies
+	latencyPerLoad float64 // learned answer time, in target latencies, for each request held for each core
 	receivedAt     Time    // when the latest list came
 }
 
--- a/policy/maintenance.go
+++ b/policy/maintenance.go
@@ -18,7 +18,7 @@
 	latencyFade = 0.01
 )
 
-// maintain checks all endpoints, once in each maintenanceInterval.
+// maintain checks all endpoints if at least maintenanceInterval has passed since the latest check.
 func (b *Balancer) maintain(now Time) {
 	if now < b.maintainAt {
 		return
@@ -89,7 +89,7 @@
 // sends queued ones, and does the maintenance and the requests for the endpoint list that are due.
 func (b *Balancer) Woken(now Time) {
 	if now+Millisecond < b.wakeAt {
-		return // superseded: an earlier call was requested after this one and has already come
+		return // superseded: a call for an earlier time was requested later and has already been made
 	}
 	b.wakeAt = 0
 	b.pollIfDue(now)
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -16,14 +16,14 @@
 	// overloadReduction is the factor by which a rejection or timeout that shows overload reduces an
 	// endpoint's limit.
 	overloadReduction = 0.7
-	// maxEndpointReduction is the smallest factor by which a late answer reduces it.
+	// maxEndpointReduction is the smallest factor by which a late answer reduces an endpoint's limit.
 	maxEndpointReduction = 0.5
-	// loneTimeoutGrowth is added to the limit for a timeout that shows no overload, because the attempt took
-	// up part of the limit that other attempts needed.
+	// loneTimeoutGrowth is added to an endpoint's limit for a timeout that shows no overload, because the
+	// attempt took up part of the limit that other attempts needed.
 	loneTimeoutGrowth = 0.5
 )
 
-// recordOutcome updates the statistics after an attempt that was not cancelled.
+// recordOutcome updates the statistics after an attempt whose outcome says something about the endpoint.
 func (b *Balancer) recordOutcome(now Time, r *request, e *endpoint, outcome Outcome, elapsed Time) {
 	if outcome == TimedOut && elapsed < Time(b.meanLatency(r)) {
 		return // the client allowed less time than answers take, which says nothing about the endpoint
@@ -56,9 +56,10 @@
 	b.adjustEndpointLimit(now, e, ratio)
 }
 
-// recordFailure distinguishes overload from other failures. An endpoint that rejects attempts although it
-// answers in time is about to shut down. Other errors are no sign of load, and neither is a timeout while
-// attempts that were sent later succeed.
+// recordFailure distinguishes overload, which reduces the limits, from other failures, which count towards an
+// ejection. An endpoint that rejects attempts although it answers in time is about to shut down. Other errors
+// are no sign of load, and neither is a timeout while attempts that were sent later succeed, unless the load
+// is above lowLoad. A timeout of either kind also counts towards an ejection.
 func (b *Balancer) recordFailure(now Time, r *request, e *endpoint, outcome Outcome, elapsed Time) {
 	overloaded := outcome == Rejected && (b.load(e) > highLoad || e.reportedLoad > b.reports.mean)
 	if !overloaded {
@@ -86,8 +87,8 @@
 	}
 }
 
-// adjustEndpointLimit adapts the endpoint's limit to its load after an answer. ratio is the answer time over
-// the target latency.
+// adjustEndpointLimit adapts the endpoint's limit to its load after an answer. ratio is the answer time /
+// target latency.
 func (b *Balancer) adjustEndpointLimit(now Time, e *endpoint, ratio float64) {
 	load := b.load(e)
 	switch {
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// queuePart is the greatest queue length, as a part of the answers expected during the time that a
-	// request can wait.
+	// queuePart is the largest number of requests that may wait for an endpoint, as a part of the answers
+	// expected during the time that a request can wait.
 	queuePart = 0.5
 	// minQueueLength is the number of requests that may always wait for an endpoint, however slowly it
 	// answers.
@@ -105,7 +105,7 @@
 		}
 		endpoint := b.choose(now, r, ordinaryTry)
 		if endpoint < 0 || now >= r.waitUntil {
-			position++
+			position++ // it waits on; if its time is up, rejectIfDue rejects it
 			continue
 		}
 		b.queue.remove(&b.requests, position)
@@ -113,7 +113,8 @@
 	}
 }
 
-// mayServe reports whether a queued request may be sent to the freed endpoint; with noEndpoint, to any.
+// mayServe reports whether a queued request may be sent to the freed endpoint. It reports true for every
+// request if freed is noEndpoint.
 func (b *Balancer) mayServe(r *request, freed endpointIndex) bool {
 	return freed < 0 || r.home < 0 || r.home == freed || b.maySpill(r.home, &b.table.endpoints[freed])
 }
--- a/policy/recentkeys.go
+++ b/policy/recentkeys.go
@@ -15,9 +15,10 @@
 	count int // keys added so far
 }
 
-// observe adds a key and returns its frequency: its part of the recent requests, or half of its part of the
-// latest burstLength requests if that is more. The request that is added counts in neither, and in the burst
-// one more request with the key is left out.
+// observe adds a key and returns its frequency, which is the larger of its part of the recent requests and
+// half its part of the latest burstLength requests. The request that is added counts in neither. In the
+// second part, one earlier request with the key is not counted either, so a key seen twice is not yet a
+// burst.
 func (k *recentKeys) observe(key uint64) (frequency float64) {
 	k.add(key)
 	occurrences := -1.0
--- a/policy/report.go
+++ b/policy/report.go
@@ -10,7 +10,7 @@
 type Gauges struct {
 	ConcurrencyLimit  float64 // most attempts in flight to all endpoints together
 	MeanEndpointLimit float64 // mean over the endpoints of the most attempts in flight to one of them
-	Lateness          float64 // moving average of answer time over target latency, where each counts as 1 at most
+	Lateness          float64 // moving average of answer time / target latency, each counted as 1 at most
 	InFlight          int     // attempts in flight
 	Queued            int     // requests in the queue
 	Ejected           int     // ejected endpoints
--- a/policy/request.go
+++ b/policy/request.go
@@ -3,7 +3,8 @@
 // maxTriedEndpoints is the number of latest attempts of a request whose endpoints are remembered.
 const maxTriedEndpoints = 8
 
-// attemptResult is the result of an attempt, or the endpoint chosen for a queued request.
+// attemptResult is what a continuation is called with: the result of an attempt or, for a queued request, the
+// endpoint chosen for it, with outcome and attempt unset.
 type attemptResult struct {
 	now      Time
 	outcome  Outcome
@@ -11,7 +12,8 @@
 	attempt  AttemptNo
 }
 
-// continuation is the next step of a request, after its attempt has ended or an endpoint for it was chosen.
+// continuation is the next step of a request. It is called when an attempt has ended or, for a queued
+// request, when an endpoint was chosen.
 type continuation func(*Balancer, *request, attemptResult)
 
 // request is the state of a request from its admission to its release.
@@ -19,7 +21,7 @@
 	generation uint32 // of the pool entry
 	index      uint32 // of the pool entry
 	inUse      bool   // whether the pool entry holds a request
-	answered   bool   // whether no answer is needed any more
+	answered   bool   // whether it was answered or its client has left
 	queued     bool
 	mayHaveRun bool // whether an attempt may have run on an endpoint
 	class      ClassID
@@ -27,9 +29,9 @@
 	keyless      bool    // whether it came without a key
 	key          uint64  // hash of its key; random if it is keyless
 	keyFrequency float64 // part of the recent requests that have its key
-	value        float64 // expected value for each second that an endpoint works on it
+	value        float64 // expected value for each nanosecond that an endpoint works on it
 
-	home      endpointIndex // endpoint that it waits for; noEndpoint: any
+	home      endpointIndex // endpoint that it waits for in the queue; noEndpoint: any
 	arrivedAt Time          // a client's retry may count as arrived earlier; see backdateRetry
 	deadline  Time
 	waitUntil Time // end of its time in the queue
@@ -107,7 +109,8 @@
 	}
 }
 
-// mayHaveRunOn reports whether the first attempt that may have run of any request was sent to the endpoint.
+// mayHaveRunOn reports whether the endpoint is request.ranOn of any request in the pool. Its zone and cell
+// then decide where that request can be sent again.
 func (p *requestPool) mayHaveRunOn(index endpointIndex) bool {
 	for i := range p.entries {
 		if p.entries[i].inUse && p.entries[i].ranOn == index {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -9,7 +9,8 @@
 	maxRetryBudget = 20
 )
 
-// retryBudget limits retries to a part of the successful attempts, so that failures cannot feed an overload.
+// retryBudget limits retries to a part of the successful attempts, so that the retries that failures cause
+// cannot feed an overload.
 type retryBudget struct {
 	tokens float64 // retries that may be made now
 }
@@ -24,7 +25,9 @@
 func (r *retryBudget) earn() { r.tokens = min(maxRetryBudget, r.tokens+retryEarned) }
 
 // retry dispatches the request again after a failed attempt. It rejects the request if no further attempt is
-// possible or covered by the retry budget, or if an answer would come too late to have any value.
+// possible or covered by the retry budget, or if an answer would come too late to have any value. A retry
+// needs the budget if the request may have run, or if an endpoint rejected it while the mean lateness is
+// above highLoad.
 func (b *Balancer) retry(r *request, result attemptResult) {
 	now := result.now
 	class := b.class(r)
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -20,19 +20,20 @@
 
 // walk is the state of a request's walk over the slot table.
 type walk struct {
-	home     endpointIndex // first usable endpoint, if it has no room
-	fallback endpointIndex // taken if the walk finds no usable endpoint
-	visited  int           // endpoints visited
+	home     endpointIndex // first usable endpoint, if it had no room; noEndpoint until then
+	fallback endpointIndex // taken if the walk ends without a home and this has room; may be noEndpoint
+	visited  int           // endpoints visited so far
 
 	// A hot key is assigned to the less loaded of two endpoints drawn from those that share it.
-	candidate  endpointIndex // the one reached first; noEndpoint until then, or if it is cold
+	candidate  endpointIndex // the drawn endpoint reached first; noEndpoint until then, or if it is cold
 	skipFirst  int           // usable endpoints to skip before that of the first draw
 	skipSecond int           // usable endpoints to skip before that of the second draw
 }
 
-// choose returns the endpoint for the request's next attempt: the first usable one in the request's walk, its
-// home, or if that has no room, one that the request may spill to. If the request has to wait, it returns
-// noEndpoint and sets the endpoint that the request waits for.
+// choose returns the endpoint for the request's next attempt. That is the request's home, which is the first
+// usable endpoint in its walk over the slot table, or, if the home has no room, another endpoint that the
+// request may spill to. If there is none, choose returns noEndpoint and stores the home in the request, which
+// may wait for it. A keyless request may be sent to a cold endpoint instead; see chooseCold.
 func (b *Balancer) choose(now Time, r *request, kind tryKind) endpointIndex {
 	b.table.mark++
 	localFirst := b.zones.prefersLocal(r.key)
@@ -50,7 +51,7 @@
 	if index := b.walkTable(now, r, kind, false, &state); index >= 0 {
 		return index
 	}
-	// With every endpoint ejected, an attempt is better than certain failure.
+	// No endpoint is usable, for example because all are ejected. An attempt is better than certain failure.
 	if state.home < 0 && state.fallback >= 0 && b.table.endpoints[state.fallback].hasRoom() {
 		return state.fallback
 	}
@@ -58,8 +59,8 @@
 	return noEndpoint
 }
 
-// walkTable visits the endpoints not yet visited, in the order of the slots from the request's own on, until
-// one is chosen. localOnly restricts it to endpoints in this instance's zone.
+// walkTable visits the endpoints not yet visited, in the order of their slots from the slot of the request's
+// key on, until one is chosen. localOnly restricts the walk to endpoints in this instance's zone.
 func (b *Balancer) walkTable(now Time, r *request, kind tryKind, localOnly bool, state *walk) endpointIndex {
 	count := len(b.table.byID)
 	if localOnly {
@@ -90,17 +91,17 @@
 	state.skipSecond = int(b.random.fraction() * sharedBy)
 }
 
-// visit considers one endpoint of the walk. It returns the endpoint chosen, or noEndpoint if the walk goes
-// on.
+// visit considers one endpoint of the walk. It returns the endpoint chosen, which may also be the candidate
+// visited before, or noEndpoint if the walk goes on.
 func (b *Balancer) visit(now Time, r *request, kind tryKind, index endpointIndex, state *walk) endpointIndex {
 	e := &b.table.endpoints[index]
 	switch {
-	case !b.isAllowed(now, r, index):
+	case !b.isAllowed(now, r, index): // never chosen, not even as the fallback
 	case !b.isUsable(now, e) || b.passesOver(e):
 		if state.fallback < 0 && !b.warmup.isCold(now, e) {
 			state.fallback = index
 		}
-	case state.home < 0 && max(state.skipFirst, state.skipSecond) > 0:
+	case state.home < 0 && max(state.skipFirst, state.skipSecond) > 0: // hot key, second draw not yet reached
 		if min(state.skipFirst, state.skipSecond) == 0 && !b.warmup.isCold(now, e) {
 			state.candidate = index
 		}
@@ -111,7 +112,7 @@
 		return state.candidate
 	case e.hasRoom() && (state.home < 0 || kind == lastTry && b.load(e) < highLoad || b.maySpill(state.home, e)):
 		return index
-	case state.home < 0:
+	case state.home < 0: // no room: the walk goes on to find an endpoint to spill to
 		state.home = index
 	}
 	return noEndpoint
@@ -127,13 +128,13 @@
 	return e.latencyRatio < other.latencyRatio && e.hasRoom()
 }
 
-// maySpill reports whether a request whose home endpoint is at its limit may be sent to another endpoint. As
-// that endpoint does not have the key cached, it must be lightly loaded and have clearly fewer attempts or
-// clear room.
+// maySpill reports whether a request whose home endpoint is at its limit may be sent to the endpoint e. As e
+// does not have the key cached, its load must be below lowLoad, and it must have spillMargin attempts fewer
+// than the home or room for spillMargin more.
 func (b *Balancer) maySpill(home endpointIndex, e *endpoint) bool {
-	clearlyFree := b.table.endpoints[home].processing()-e.processing() >= spillMargin ||
+	hasMargin := b.table.endpoints[home].processing()-e.processing() >= spillMargin ||
 		float64(e.processing()+spillMargin) <= e.limit
-	return clearlyFree && b.load(e) < lowLoad
+	return hasMargin && b.load(e) < lowLoad
 }
 
 // isAllowed reports whether the request may be sent to the endpoint at all: the endpoint must be ready and
@@ -186,8 +187,10 @@
 	return ratio < 1 && b.random.fraction() > ratio*ratio
 }
 
-// boundToLoad returns the ratio of the bound on the endpoint's load to that load. Where the list shows no
-// load, it compares answer times instead.
+// boundToLoad returns the ratio of the bound on the endpoint's load, loadBound times the mean, to its load. A
+// ratio below 1 means that the load is above the bound. Where the list shows no load, answer times are
+// compared instead. Their mean then counts as at least lowLoad above the baseline latency, because idle
+// endpoints may differ in answer time.
 func (b *Balancer) boundToLoad(e *endpoint) float64 {
 	if !b.reports.available() {
 		mean := max(b.concurrency.latenessMean, b.baseline+lowLoad)
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -6,7 +6,7 @@
 	Value       float64 // value of an answer within the target latency
 	LateValue   float64 // part of Value that an answer between target latency and deadline is worth
 	Target      Time    // target latency
-	Deadline    Time    // how long a client waits for an answer, over all its tries
+	Deadline    Time    // how long a client waits for an answer, including its own retries
 	Idempotency Idempotency
 	Group       Group // deduplication group
 	Window      Time  // deduplication window: how long endpoints remember an idempotency key
@@ -29,21 +29,21 @@
 	OverQuotaValue       float64  // part of its value that a request beyond its tenant's quota keeps
 	FixedWeights         bool     // listed weights are sizes of endpoints and do not fall with load
 	PollList             bool     // the endpoint list must be requested; it is not pushed
-	PollWithin           Time     // the backoff between requests for the list grows to a quarter of this
+	PollWithin           Time     // the backoff between requests for the list grows up to a quarter of this
 	MayCancel            bool     // endpoints stop working on cancelled attempts
-	MaxAttempts          int      // for each request
+	MaxAttempts          int      // most attempts for each request
 	StreamsPerConnection int      // attempts that one connection can carry at once
 	MaxRetryAfter        Time     // longest Retry-After that clients respect; 0 if none is allowed
 	CrossZonePrice       float64  // price of a request to another zone; 0: no preference for the own zone
 	Tick                 Time     // resolution of the caller's timers
 	ColdCapacity         float64  // part of its capacity that an endpoint has at its start
 	ColdTime             Time     // time from an endpoint's start until it is warm
-	OverloadMultiple     float64  // multiple of its capacity that an endpoint can take; 0: cold ones get nothing
-	OverloadWindow       Time     // how long it can take that; 0: one second
+	OverloadMultiple     float64  // multiple of its capacity an endpoint can take; 0: cold ones get no attempts
+	OverloadWindow       Time     // how long an endpoint can take that multiple; 0: one second
 }
 
 // sharedConnections reports whether one connection carries many attempts at once.
 func (s *Settings) sharedConnections() bool { return s.StreamsPerConnection > 1 }
 
-// answerMargin returns the time before its deadline by which a request must be answered.
+// answerMargin returns how long before its deadline a request must be answered.
 func (s *Settings) answerMargin() Time { return answerMarginTicks * s.Tick }
--- a/policy/slottable.go
+++ b/policy/slottable.go
@@ -102,6 +102,7 @@
 	level := t.excess(slices.MinFunc(receivers, func(x, y endpointIndex) int {
 		return cmp.Compare(t.excess(x), t.excess(y))
 	}))
+	// Each round gives one slot to every receiver that is furthest below its share.
 	for ; len(unowned) > 0 && level < 0; level++ {
 		for _, receiver := range receivers {
 			if len(unowned) > 0 && t.excess(receiver) == level {
@@ -148,7 +149,7 @@
 func (t *slotTable) move(rank int32, receiver endpointIndex) {
 	slot := t.order[rank]
 	if owner := t.owners[slot]; owner >= 0 && t.endpoints[owner].inTable {
-		// Surplus slots are moved in seeded order, so this slot is the first of its owner's.
+		// Surplus slots are moved in seeded order, so this one is the first of its owner's ranks.
 		t.endpoints[owner].ranks = t.endpoints[owner].ranks[1:]
 	}
 	e := &t.endpoints[receiver]
--- a/policy/tablecodec.go
+++ b/policy/tablecodec.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// AssignSlots returns the owner of each slot after the list current has followed the list previous, to which
-// table belongs. Slots change owners only because endpoints join, leave, or hold more than their shares, so
-// all processes that apply the same lists in the same order get the same table. For the first list, table and
-// previous are nil. AssignSlots returns nil if no endpoint is left.
+// AssignSlots returns the owner of each slot for the list current. table holds the owners for previous, the
+// list before current. Slots change owners only because endpoints join, leave, or hold more than their
+// shares, so all processes that apply the same lists in the same order get the same table. For the first
+// list, table and previous are nil. AssignSlots returns nil if no endpoint is left.
 func AssignSlots(table []EndpointID, previous, current []Member) []EndpointID {
 	settings := &Settings{Instances: 1, FixedWeights: true}
 	b := New(DiscardFront{}, settings, 0, 0)
@@ -44,8 +44,8 @@
 	return present
 }
 
-// AdoptTable sets the owners of all slots. It changes nothing and returns false if one of them is not in the
-// table or the number of slots differs.
+// AdoptTable sets the owners of all slots. It changes nothing and returns false if one of the owners is not
+// in the slot table or their number is not that of the slots.
 func (b *Balancer) AdoptTable(owners []EndpointID) (adopted bool) { return b.table.adopt(owners) }
 
 func (t *slotTable) adopt(owners []EndpointID) (adopted bool) {
@@ -86,8 +86,8 @@
 	return encoded
 }
 
-// DecodeTable decodes a table encoded by EncodeTable with the same list. It returns nil if the encoding does
-// not fit the list.
+// DecodeTable decodes a table encoded by EncodeTable with the same list. It returns nil if encoded has the
+// wrong length or an index that is not in the list.
 func DecodeTable(encoded []byte, list []Member) (table []EndpointID) {
 	ids := sortedIDs(list)
 	if len(encoded) != 2*slotCount {
--- a/policy/types.go
+++ b/policy/types.go
@@ -112,7 +112,7 @@
 // Member is an entry of the endpoint list.
 type Member struct {
 	ID      EndpointID
-	Weight  float64 // size; falls with the endpoint's load unless Settings.FixedWeights is set
+	Weight  float64 // size; listed as size/(1+requests held per core) unless Settings.FixedWeights is set
 	Cell    Cell
 	Zone    Zone
 	Status  EndpointStatus
--- a/policy/warmup.go
+++ b/policy/warmup.go
@@ -9,8 +9,9 @@
 	// cacheMissCapacity is the part of its capacity that an endpoint has while it has no keys cached: a
 	// request whose key is not cached costs up to four times as much.
 	cacheMissCapacity = 0.25
-	// ownSuccessPart is the part of a cold endpoint's own rate of successes at which its budget grows, before
-	// Settings.OverloadMultiple. With a larger part, a fleet in which all endpoints are cold is sent bursts.
+	// ownSuccessPart is the part of a cold endpoint's own rate of successes that, multiplied by
+	// Settings.OverloadMultiple, is the rate at which its budget grows. With a larger part, a fleet in which
+	// all endpoints are cold is sent bursts.
 	ownSuccessPart = 0.6
 	// unusedBudgetPart is how long an unused budget is kept, as a part of Settings.OverloadWindow.
 	unusedBudgetPart = 0.4
@@ -41,7 +42,7 @@
 	return 1
 }
 
-// growBudget adds to a cold endpoint's budget what it has grown since the latest update, and returns it.
+// growBudget adds the growth since the latest update to a cold endpoint's budget and returns the new budget.
 // Every instance allows the same part of its own rate of successes, so together they allow that part of the
 // fleet's rate.
 func (w *warmup) growBudget(now Time, e *endpoint) float64 {
@@ -56,7 +57,8 @@
 	return e.coldBudget
 }
 
-// budgetGrowth returns the growth of a cold endpoint's budget, in attempts per nanosecond.
+// budgetGrowth returns the growth of a cold endpoint's budget, in attempts per nanosecond. It is derived from
+// the rate of successes of warm endpoints or from the endpoint's own, whichever gives more, with a minimum.
 func (w *warmup) budgetGrowth(now Time, e *endpoint) float64 {
 	s := w.settings
 	share := s.ColdCapacity + (1-s.ColdCapacity)*float64(now-e.Started)/float64(s.ColdTime)
@@ -66,9 +68,10 @@
 	return max(minimum, byWarmRate, byOwnSuccesses) / float64(Second)
 }
 
-// chooseCold returns a cold endpoint that may be sent a keyless request now, or noEndpoint. With hundreds of
-// instances, each has a budget for the endpoint only for moments at a time, and few of its requests reach the
-// endpoint by their slots in these moments.
+// chooseCold returns a cold endpoint that may be sent a keyless request now, or noEndpoint. By their slots
+// alone, too few requests would reach a cold endpoint: with hundreds of instances, each has a budget for the
+// endpoint only for moments at a time, and few of its requests reach the endpoint by their slots in these
+// moments.
 func (b *Balancer) chooseCold(now Time, r *request, localOnly bool) endpointIndex {
 	for _, index := range b.table.byID {
 		e := &b.table.endpoints[index]
--- a/policy/zonepreference.go
+++ b/policy/zonepreference.go
@@ -44,8 +44,8 @@
 	return zonePreference{localShare: min(1, 2*crossingLoad*settings.CrossZonePrice)}
 }
 
-// prefersLocal reports whether a key prefers local endpoints. It depends on the key alone for a given share,
-// so that a key stays with its endpoint.
+// prefersLocal reports whether a key prefers local endpoints. While the local share is the same, this depends
+// on the key alone, so that a key stays with its endpoint.
 func (z *zonePreference) prefersLocal(key uint64) bool {
 	return float64(key>>(64-hashFractionBits))/(1<<hashFractionBits) < z.localShare
 }
@@ -66,8 +66,8 @@
 	b.zones.localShare = min(b.zones.localShare, localPart)
 }
 
-// zoneLoads returns the loads of local and remote endpoints, and by how much the local share may rise. The
-// reported load of remote endpoints is that of the whole fleet.
+// zoneLoads returns the loads of local and remote endpoints, and by how much the local share may rise. Where
+// the list shows load, the load of the whole fleet is returned for the remote endpoints.
 func (b *Balancer) zoneLoads() (local, remote, rise float64) {
 	if b.reports.mean > 0 {
 		local = b.reports.localMean / (1 + b.reports.mean)
