--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -25,6 +25,7 @@
 func (f *recordingFront) ReleaseConnections(EndpointID)           { f.released++ }
 func (f *recordingFront) Forget(EndpointID)                       { f.forgotten++ }
 
+// Random histories must keep the four rules that simulation checks, whatever the order of events.
 func TestRulesAgainstReferenceModel(t *testing.T) {
 	counts := map[string]int{}
 	check := func(seed int64) bool {
@@ -45,6 +46,7 @@
 	}
 }
 
+// The same events and seed must give the same decisions, or a recorded run cannot be replayed.
 func TestDecisionsAreDeterministic(t *testing.T) {
 	same := func(seed int64) bool {
 		first, second := simulate(seed), simulate(seed)
@@ -75,21 +77,22 @@
 	return b, front
 }
 
+// Requests on the ordinary path must not burden the garbage collector.
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
 	b, front := newTestBalancer(testMembers(300, "a"))
 	front.sentTo = make([]EndpointID, 0, 5000)
 	now := 2 * Second
-	one := func() {
+	handleRequest := func() {
 		now += 3 * Millisecond
 		sendRequest(b, front, now, "call", Succeeded, Millisecond)
 		b.Woken(now)
 	}
-	if n := testing.AllocsPerRun(2000, one); n != 0 {
+	if n := testing.AllocsPerRun(2000, handleRequest); n != 0 {
 		t.Errorf("%v allocations for each request", n)
 	}
 }
 
-// sendRequest admits a request with the given key, ends each of its attempts with the outcome, and returns the
+// sendRequest admits a request with the given key, ends each of its attempts with the given outcome, and returns the
 // endpoint of the first attempt.
 func sendRequest(b *Balancer, front *recordingFront, now Time, key string, outcome Outcome, elapsed Time) EndpointID {
 	handle := b.Admit(now, 0, NoTenant, key, false, 2*Second)
@@ -116,6 +119,7 @@
 	}
 }
 
+// Before the first endpoint list, requests must not wait beyond their deadlines or stay in the pool.
 func TestRequestsWithoutEndpointsAreAnsweredBeforeTheDeadline(t *testing.T) {
 	front := &recordingFront{}
 	b := New(front, testSettings(), 7, 0)
@@ -128,7 +132,7 @@
 }
 
 // With 700 instances whose cold budgets all started at zero, a cold endpoint was sent nothing for a long time, then
-// too much at once.
+// too much at once. Its attempts must stay within what it can take and must not stop for long.
 func TestManyInstancesStayWithinTheColdBudget(t *testing.T) {
 	const instances, start = 400, 31 * Second
 	var balancers [instances]*Balancer
@@ -231,7 +235,8 @@
 	}
 }
 
-// A successor takes over limits and failure counts, and the budgets of cold endpoints are not doubled.
+// A successor takes over limits and failure counts. The budgets of cold endpoints must not be doubled: the old and the
+// new process send attempts at the same time.
 func TestLearnedStateIsPassedToTheSuccessor(t *testing.T) {
 	members := testMembers(4, "a")
 	members[3].Started = 100 * Second
@@ -343,8 +348,8 @@
 	}
 }
 
-// An attempt may be ended early, at twice the target latency, in favour of another one only where cancelling stops the
-// endpoint's work. Otherwise two endpoints work on one request, for every instance of the fleet at once.
+// An attempt may time out early, at twice the target latency, so that another can follow, but only where cancelling
+// stops the endpoint's work. Otherwise two endpoints work on one request, and all instances do this at once.
 func TestAttemptsTimeOutEarlyOnlyWhereCancellingStopsWork(t *testing.T) {
 	for _, mayCancel := range []bool{true, false} {
 		settings := testSettings()
--- a/policy/coldbudget_test.go
+++ b/policy/coldbudget_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// coldFleet is one cold endpoint and many instances, each with its own cold budget for the endpoint. What they send it
-// together is compared with what the settings allow: N calls of mean work within OverloadWindow, plus 2*sqrt(N)+2 for
-// chance.
+// coldFleet is one cold endpoint and many instances, each with its own cold budget for the endpoint. The attempts of
+// all instances together are compared with what the settings allow: N calls of mean work within OverloadWindow, plus
+// 2*sqrt(N)+2 for chance.
 type coldFleet struct {
 	*Settings
 	balancers    []*Balancer
@@ -43,7 +43,8 @@
 	}
 }
 
-// step has every instance that sends now use up its budget, and the endpoint answer calls within its capacity.
+// step advances the fleet by one step: the instances for which sends is true use up their budgets, and the endpoint
+// answers as many calls as its capacity allows.
 func (f *coldFleet) step(now, step Time, sends func(i int) bool) {
 	for i, b := range f.balancers {
 		for sends(i) && b.warmup.growBudget(now, f.endpoints[i]) >= 1 {
@@ -67,9 +68,9 @@
 	}
 }
 
-// What all instances together send a cold endpoint must stay within what is allowed: from its start, after a time
-// without attempts, in bursts, after its own restart, and while instances restart. The numbers of instances and the
-// capacities are those of deployments, from a few processes to the largest.
+// Instances do not know of each other's attempts, yet all together must not overload a cold endpoint: neither from its
+// start, nor after a time without attempts, in bursts, after its own restart, or while instances restart. The numbers
+// of instances and the capacities are those of deployments, from a few processes to the largest.
 func TestFleetStaysWithinTheColdBudget(t *testing.T) {
 	const step = 40 * Millisecond
 	for _, instances := range []int{4, 8, 24, 30, 60, 300, 350} {
--- a/policy/concurrencylimit_test.go
+++ b/policy/concurrencylimit_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// If each of many instances keeps one attempt in flight to each endpoint, all endpoints stay overloaded: the limit
-// must fall below 1, and recover afterwards.
+// Even one attempt in flight from each of many instances can keep all endpoints overloaded, so the limit must be able
+// to fall below 1. It must recover afterwards.
 func TestConcurrencyLimitFollowsLateness(t *testing.T) {
 	b, front := newTestBalancer(testMembers(20, "a"))
 	b.settings.Instances = 100
@@ -133,7 +133,8 @@
 	}
 }
 
-// Attempts whose request body is incomplete count against no limit until the body is complete.
+// Attempts whose request body is incomplete count against no limit until the body is complete. If they counted,
+// clients that upload slowly would use up the limits while endpoints are idle.
 func TestPendingBodiesCountAgainstNoLimit(t *testing.T) {
 	b, front := newTestBalancer(testMembers(1, "a"))
 	now := 2 * Second
--- a/policy/ejection_test.go
+++ b/policy/ejection_test.go
@@ -19,7 +19,8 @@
 	}
 }
 
-// After its ejection an endpoint is in slow start, with one attempt in flight at first.
+// After its ejection an endpoint may be sent one attempt at first. Without this slow start, an endpoint that still
+// fails would be sent its full share again.
 func TestSlowStartAfterEjection(t *testing.T) {
 	b, front := newTestBalancer(testMembers(2, "a"))
 	b.table.endpoints[0].slowStart = 1
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -41,10 +41,10 @@
 	incarnation   int // counts starts of the instance; events of an earlier incarnation are dropped
 	requests      map[Handle]*modelRequest
 	members       map[EndpointID]Member
-	leavingSince  map[EndpointID]Time   // when a list first showed this incarnation that an endpoint leaves
+	leavingSince  map[EndpointID]Time   // when a list first showed, in this incarnation, that an endpoint leaves
 	coldAttempts  map[EndpointID][]Time // attempts while the endpoint was cold
 	successes     []Time                // ends of successful attempts
-	coldSuccesses map[EndpointID][]Time // ends of successful attempts since the endpoint started
+	coldSuccesses map[EndpointID][]Time // the same for each endpoint since it started
 	fewestWarm    int                   // smallest number of warm endpoints so far
 	events        []event
 	trace         strings.Builder
@@ -125,7 +125,8 @@
 }
 
 // countColdAttempt records an attempt to a cold endpoint and checks rule 4: the attempts of the last second must not
-// exceed a multiple of the highest rate of successes seen from a warm endpoint or from this one.
+// exceed a multiple of the highest rate of successes seen so far, either of the mean warm endpoint, scaled to the
+// cold one's capacity, or of the cold one itself.
 func (s *simulation) countColdAttempt(id EndpointID, member Member) {
 	s.coldAttempts[id] = append(s.coldAttempts[id], s.now)
 	settings := s.settings
@@ -288,7 +289,7 @@
 	}
 }
 
-// shutDown announces the end of the instance, by which all open requests must be answered.
+// shutDown announces the end of the instance. All open requests must be answered before that.
 func (s *simulation) shutDown() {
 	by := s.now + 300*Millisecond
 	s.balancer.Shutdown(s.now, by)
--- a/policy/pool_test.go
+++ b/policy/pool_test.go
@@ -32,8 +32,8 @@
 	return handle
 }
 
-// Weights that fall with load move no slots, and most requests pass over an endpoint that holds ten times the mean
-// load.
+// Listed weights that fall with load must move no slots, or endpoints would lose the keys that they have cached. Most
+// requests must pass over an endpoint that holds ten times the mean load.
 func TestLoadedEndpointsArePassedOverAndKeepTheirSlots(t *testing.T) {
 	front := &recordingFront{}
 	b := newPooledBalancer(front, 0)
@@ -82,8 +82,9 @@
 	}
 }
 
-// A retry with less time left than first attempts have is as old as the part of the deadline that is used up. If it is
-// too late for the target latency, it is answered at once.
+// If a client's retry arrives with less time left than first attempts do, the part of the deadline that is used up
+// counts towards the target latency. A retry that is too late for the target latency is rejected at once, as its answer
+// would have no value.
 func TestRetriesThatAreTooLateAreAnsweredAtOnce(t *testing.T) {
 	for _, test := range []struct {
 		lateValue float64
--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -17,8 +17,8 @@
 	"discardfront.go", "front.go", "learnedstate.go", "random.go", "ratemeter.go", "report.go", "request.go", "settings.go", "tablecodec.go", "types.go",
 }
 
-// The files that hold decisions must have at most 400 lines that are not blank, and no line of more than 110
-// characters.
+// So that they stay readable, the files that hold decisions must have at most 400 lines that are not blank, and no line
+// of more than 110 characters.
 func TestDecisionFilesStayReadable(t *testing.T) {
 	const maxLines, maxWidth = 400, 110
 	text, err := os.ReadFile("../deploy/balancer.toml")
--- a/policy/slottable_test.go
+++ b/policy/slottable_test.go
@@ -34,6 +34,7 @@
 	}
 }
 
+// If the order of the list mattered, instances would send the same key to different endpoints.
 func TestTableDoesNotDependOnTheOrderOfTheList(t *testing.T) {
 	same := func(seed int64, n uint8) bool {
 		members := testMembers(1+int(n%40), "a")
@@ -49,6 +50,8 @@
 	}
 }
 
+// Each slot that moves sends its keys to an endpoint that does not have them cached, so a change of the fleet must move
+// no more slots than the shares require, and a faulty list none at all.
 func TestOnlySurplusSlotsMove(t *testing.T) {
 	members := testMembers(9, "a")
 	b, _ := newTestBalancer(members[:8])
@@ -82,6 +85,7 @@
 	}
 }
 
+// An endpoint that restarts keeps its slots, but it must not be sent its full share of the attempts while it is cold.
 func TestRestartKeepsSlotsAndLimitsAttempts(t *testing.T) {
 	members := testMembers(4, "a")
 	b, front := newTestBalancer(members)
--- a/policy/warmup_test.go
+++ b/policy/warmup_test.go
@@ -23,8 +23,8 @@
 }
 
 // Many instances, each with a few requests per second, must send cold endpoints enough keyless requests, but not more
-// than allowed. At each instance a budget lapses within a second, and the slots lead it to a given endpoint once in 20
-// s.
+// than allowed. By their slots alone they would send too few: at each instance a budget lapses within a second, while
+// a request reaches a given endpoint by its slot only once in 20 s.
 func TestKeylessRequestsOfManyInstancesReachColdEndpoints(t *testing.T) {
 	const (
 		instances, endpoints, coldCount = 300, 100, 60
