--- a/rpc/call.go
+++ b/rpc/call.go
@@ -20,12 +20,12 @@
 // maxPendingInstructions is how many instructions the loop can send to a call without blocking.
 const maxPendingInstructions = 4
 
-// clientCall is one RPC, from its admission to its end. The loop owns request, sequence, abandoned and closed; the
-// caller owns the other fields. mu guards the fields below it, which both use.
+// clientCall is one RPC, from its admission to its end. It is then reused for another one. The loop owns request,
+// sequence, abandoned and closed; the caller owns the other fields. mu guards the fields below it, which both use.
 type clientCall struct {
 	instructions chan instruction
 	request      *engine.Request
-	sequence     uint32 // of the latest attempt; never reset, so that late events of an earlier use match no attempt
+	sequence     uint32 // of the latest attempt; never reset, so that late events of an earlier RPC match no attempt
 	abandoned    bool   // the caller has its answer or has left, and reads no more instructions
 	closed       bool   // the caller has posted its last event
 
@@ -35,7 +35,7 @@
 	timeout policy.Time // from the start of the call to its deadline
 	stream  bool        // opened by NewStream
 
-	streamCount   atomic.Int32 // streams that gRPC has begun for the current attempt
+	streamCount   atomic.Int32 // streams that gRPC has tried to begin for the current attempt
 	options       []grpc.CallOption
 	backend       *backend                      // of the current attempt
 	decidedAt     policy.Time                   // when the loop decided on the current attempt
@@ -49,7 +49,7 @@
 	cancelledSequence uint32             // latest attempt that the loop has cancelled
 }
 
-// newClientCall creates a call with the channel and the options that all its uses share.
+// newClientCall creates a call with the channel and the options that it keeps when it is reused.
 func newClientCall() any {
 	call := &clientCall{instructions: make(chan instruction, maxPendingInstructions)}
 	call.options = []grpc.CallOption{
@@ -60,7 +60,7 @@
 	return call
 }
 
-// reset prepares the call for its next use.
+// reset prepares the call for its next RPC.
 func (c *clientCall) reset() {
 	c.abandoned = false
 	c.closed = false
@@ -93,8 +93,8 @@
 	return append(joined, c.options...)
 }
 
-// startAttempt returns the context of an attempt, which the loop can cancel from now on. If the loop has already
-// cancelled the attempt, the context is cancelled at once. A zero deadline means none.
+// startAttempt returns the context of an attempt and allows the loop to cancel it. If the loop has already cancelled
+// the attempt, the context is cancelled at once. A zero deadline means none.
 func (c *clientCall) startAttempt(
 	ctx context.Context, sequence uint32, deadline time.Time,
 ) (context.Context, context.CancelFunc) {
@@ -137,12 +137,13 @@
 // forgetPending removes the attempt's stream from the streams that are not written yet.
 func (c *clientCall) forgetPending() { c.backend.pending.remove(c.pendingID.Load()) }
 
-// singleStream makes gRPC begin at most one stream for an attempt. It acts as per-RPC credentials, which gRPC requests
-// before each stream, and returns an error for any further one.
+// singleStream makes gRPC begin at most one stream for an attempt, as only the policy decides whether a call is sent
+// again. It acts as per-RPC credentials, which gRPC requests before it begins a stream, and refuses all streams but
+// the first.
 type singleStream struct{ call *clientCall }
 
 var errStreamRefused = status.Error(codes.Unavailable,
-	"pepperlead: stream refused: not the first of its attempt, or too late")
+	"pepperlead: stream refused: second stream of an attempt, or too long after its endpoint was chosen")
 
 // GetRequestMetadata refuses a second stream. It also refuses a stream that begins more than daemon.StallAfter after
 // the decision on its attempt: the process was suspended or connecting took long, and the endpoint list may have
--- a/rpc/callcontext.go
+++ b/rpc/callcontext.go
@@ -13,12 +13,16 @@
 
 type tenantContextKey struct{}
 
-// WithKey sets the key of calls made with the context. Calls with the same key go to the same endpoint.
+// WithKey sets the key of the calls made with the context. Calls with the same key go to the same endpoint while it
+// is usable and has room, but a key that a large part of the calls have is spread over several endpoints. Without
+// WithKey, the key is taken from the metadata that the configuration names, or else, for unary calls, from the
+// request field that it names.
 func WithKey(ctx context.Context, key string) context.Context {
 	return context.WithValue(ctx, keyContextKey{}, key)
 }
 
-// WithTenant sets the tenant on whose behalf calls are made with the context.
+// WithTenant sets the tenant on whose behalf calls are made with the context. A name that is not in the configuration
+// has no effect.
 func WithTenant(ctx context.Context, name string) context.Context {
 	return context.WithValue(ctx, tenantContextKey{}, name)
 }
--- a/rpc/conn.go
+++ b/rpc/conn.go
@@ -1,7 +1,10 @@
-// Package rpc is a client-side plug-in for gRPC that makes the sidecar's decisions within the calling process. Conn
-// implements grpc.ClientConnInterface, so that generated stubs accept it in place of a *grpc.ClientConn. It reads the
-// same configuration as the daemon, follows the same endpoint lists and applies the same rules. docs/rpc.md describes
-// how to use it.
+// Package rpc is a plug-in for gRPC that balances calls within the calling process, without a sidecar. It chooses the
+// endpoint of each call, and decides whether the call waits in a queue, is retried or is rejected. It makes these
+// decisions as the sidecar's daemon does: it reads the same configuration, follows the same endpoint lists and applies
+// the same rules.
+//
+// Conn implements grpc.ClientConnInterface, so that generated stubs accept it in place of a *grpc.ClientConn.
+// docs/rpc.md describes how to use it.
 package rpc
 
 import (
@@ -37,9 +40,9 @@
 
 var _ grpc.ClientConnInterface = (*Conn)(nil)
 
-// New reads the configuration file and starts to follow the endpoint list that it configures. The options, such as
-// TLS, interceptors and stats handlers, apply to the connections to endpoints. Without transport credentials among
-// them, connections are not encrypted.
+// New reads the configuration file and starts to follow the endpoint list that the file configures, without waiting for
+// the first list. The options, such as TLS, interceptors and stats handlers, apply to the connections to endpoints. If
+// they contain no transport credentials, connections are not encrypted.
 func New(configFile string, opts ...grpc.DialOption) (*Conn, error) {
 	text, err := os.ReadFile(configFile)
 	if err != nil {
@@ -48,8 +51,8 @@
 	return FromText(configFile, text, opts...)
 }
 
-// FromText is like New but takes the text of the configuration. The name is that of a file, which need not exist:
-// errors mention it, and relative paths in the configuration are relative to its directory.
+// FromText is like New but takes the text of the configuration. The name is a file name: errors mention it, and
+// relative paths in the configuration are relative to its directory. The file need not exist.
 func FromText(name string, text []byte, opts ...grpc.DialOption) (*Conn, error) {
 	config, err := daemon.ParseClient(name, text)
 	if err != nil {
@@ -90,14 +93,16 @@
 	return c
 }
 
-// Close rejects new calls, waits up to one second for those in flight, and closes all connections.
+// Close rejects new calls, waits up to one second for the calls that Open counts, and closes the connections. Calls
+// that are still in flight then fail, and open streams break off.
 func (c *Conn) Close() error {
 	c.closeOnce.Do(func() { c.stop <- os.Interrupt })
 	<-c.engine.Stopped()
 	return nil
 }
 
-// Counters returns the plug-in's counters under the names that they have in the daemon.
+// Counters returns the plug-in's counters by name. The daemon's counters have the same names. A call that has just
+// returned may not be counted yet.
 func (c *Conn) Counters() map[string]int64 {
 	counters := map[string]int64{}
 	c.onLoop(func() {
@@ -106,10 +111,10 @@
 	return counters
 }
 
-// Server describes an endpoint that the plug-in follows.
+// Server describes an endpoint that is in the current list or is leaving it.
 type Server struct {
 	ID, Address, Zone string
-	Leaving           bool // it drains, or the list no longer names it
+	Leaving           bool // the endpoint drains, or the list no longer contains it
 }
 
 // Servers returns the endpoints of the current list and those that are leaving it, in no particular order.
@@ -127,7 +132,8 @@
 	return servers
 }
 
-// Open returns the number of calls in flight.
+// Open returns the number of calls in flight, including those that wait for an endpoint. A call that has just
+// returned may still count. A stream counts until the endpoint's first message on it.
 func (c *Conn) Open() (n int) {
 	c.onLoop(func() { n = c.engine.InFlight })
 	return n
--- a/rpc/event.go
+++ b/rpc/event.go
@@ -18,7 +18,7 @@
 	backend    *backend    // to send the attempt to; nil: this is the final answer
 	sequence   uint32      // of the attempt
 	decidedAt  policy.Time // when the loop decided on the attempt
-	answer     answer
+	answer     answer      // if backend is nil
 	retryAfter policy.Time // for rejected calls; 0: not given
 }
 
@@ -27,5 +27,5 @@
 
 const (
 	rejected answer = iota // the caller may safely send the call again
-	failed                 // the call may have run
+	failed                 // the call may have run, and it is not safe to send it again
 )
--- a/rpc/front.go
+++ b/rpc/front.go
@@ -9,18 +9,18 @@
 	"pepperlead/policy"
 )
 
-// Kinds of final answers, as engine.Latency counts them.
+// Kinds of final answers: engine.AnswerSucceeded, engine.AnswerRejected and engine.AnswerFailed.
 const (
 	answeredSuccessfully = 0
 	answeredRejected     = 2
 	answeredFailed       = 3
 )
 
-// front connects callers to the engine. Callers' goroutines post events, which the loop handles. The loop sends
-// instructions on the channel of the call.
+// front connects callers to the engine. Callers' goroutines post events, which the engine's loop, a single goroutine,
+// handles. The loop sends instructions on the channel of the call.
 type front struct {
 	engine      *engine.Engine
-	index       int // in Endpoint.FrontData
+	index       int // of this front's entry in Endpoint.FrontData
 	dialOptions []grpc.DialOption
 	calls       sync.Pool
 
@@ -82,7 +82,7 @@
 	call := e.call
 	current := call.isCurrent(e.sequence)
 	if e.last && call.request != nil && (!current || call.stream && !isFinal(e.outcome)) {
-		// The caller has its answer already, and no further attempt is of use.
+		// The caller already has its result, so the engine must not make a further attempt.
 		f.engine.ClientLeft(now, call.request)
 	}
 	if current {
@@ -230,7 +230,7 @@
 	f.recycle(call)
 }
 
-// CloseIdle retires the endpoint's connection: kept open, it could reconnect by itself while nothing uses it.
+// CloseIdle retires the endpoint's connection, which could otherwise reconnect by itself while nothing uses it.
 func (f *front) CloseIdle(endpoint *engine.Endpoint) {
 	if b, ok := endpoint.FrontData[f.index].(*backend); ok && !b.retired {
 		b.retire()
--- a/rpc/guardedconn.go
+++ b/rpc/guardedconn.go
@@ -18,18 +18,19 @@
 	headersFrameType  = 1
 )
 
-var errStale = errors.New("pepperlead: stream not sent: too late after the decision on its attempt")
+var errStale = errors.New("pepperlead: stream not sent: too long after its endpoint was chosen")
 
-// guardedConn prevents a stream from being begun on the wire more than daemon.StallAfter after the decision on its
-// attempt. A process that is suspended in between would otherwise, once resumed, send to an endpoint that has drained
-// meanwhile. It parses the frames that are written; if the connection uses TLS it cannot, and lets all bytes pass.
+// guardedConn prevents the HEADERS frame of a stream from being written more than daemon.StallAfter after the decision
+// on the stream's attempt. Otherwise, a process that is suspended between the two and then resumed would send to an
+// endpoint that has drained meanwhile. guardedConn parses the frames that are written. It can't if the connection uses
+// TLS, and then lets all bytes pass.
 type guardedConn struct {
 	net.Conn
 	pending *pendingStreams
 
 	unreadable  bool // the bytes written are not plain HTTP/2
 	prefaceSeen bool
-	frameHeader []byte // bytes of it that are written so far
+	frameHeader []byte // the part of the current frame's header that is written so far
 	payloadLeft int    // bytes of the current frame still to be written
 }
 
--- a/rpc/invoke.go
+++ b/rpc/invoke.go
@@ -14,13 +14,24 @@
 	"pepperlead/policy"
 )
 
-// deadlineTolerance is how close to its deadline a failed call is reported as DEADLINE_EXCEEDED.
+// deadlineTolerance is the time before a call's deadline from which its failure is reported as DEADLINE_EXCEEDED.
 const deadlineTolerance = 50 * time.Millisecond
 
 // errClosed is the error of calls on a Conn that is closed.
 var errClosed = status.Error(codes.Canceled, "pepperlead: the connection is closed")
 
-// Invoke makes a unary call.
+// Invoke makes a unary call. It can make several attempts, one after another, as far as the configuration of the
+// method's class (offering) allows. The call's deadline is that of the context or of the class, whichever is earlier.
+//
+// Invoke returns a success, and an error that blames the call itself, such as INVALID_ARGUMENT, as the endpoint sent
+// it. All other failures result in one of these errors:
+//
+//   - UNAVAILABLE: the call may safely be made again, because it has not run or its class allows it to run again. An
+//     errdetails.RetryInfo among the details, if there is one, says after which time.
+//   - UNKNOWN, or DEADLINE_EXCEEDED if the deadline is reached: the call may have run.
+//   - CANCELED or DEADLINE_EXCEEDED: the context has ended. The call may have run.
+//   - UNIMPLEMENTED: the configuration has no class for the method, and nothing was sent.
+//   - CANCELED: the Conn is closed.
 func (c *Conn) Invoke(ctx context.Context, method string, args, reply any, opts ...grpc.CallOption) error {
 	call, deadline, err := c.newCall(ctx, method, args)
 	if err != nil {
@@ -48,7 +59,7 @@
 				ended.outcome = policy.Cancelled
 			}
 		}
-		c.front.post(ended) // after its last event the call belongs to the loop
+		c.front.post(ended) // after this, if it is the last event, the loop owns the call
 		if ended.last {
 			return err
 		}
@@ -56,7 +67,7 @@
 	}
 }
 
-// isFinal reports whether the result of an attempt that ended so is returned to the caller.
+// isFinal reports whether the result of an attempt with this outcome is returned to the caller without a retry.
 func isFinal(outcome policy.Outcome) bool {
 	return outcome == policy.Succeeded || outcome == policy.Declined
 }
@@ -84,7 +95,8 @@
 	return call, deadline, nil
 }
 
-// nextAttempt waits for the loop's instruction to send an attempt. An error is the final result of the call.
+// nextAttempt waits for the loop's instruction to send an attempt. It skips stale instructions and reports their
+// attempts as not sent. An error is the final result of the call.
 func (c *Conn) nextAttempt(
 	ctx context.Context, call *clientCall, deadline time.Time, lastErr error,
 ) (instruction, error) {
@@ -133,7 +145,8 @@
 	return c.engine.Clock.Now()-attempt.decidedAt > daemon.StallAfter
 }
 
-// finish returns the caller's error for a final instruction. lastErr is the error of the last attempt; nil: none.
+// finish returns the error that the caller gets after a final instruction. lastErr is the error of the last attempt;
+// nil: none.
 func (c *Conn) finish(call *clientCall, final instruction, deadline time.Time, lastErr error) error {
 	c.front.post(event{handle: (*front).callerLeft, call: call, last: true})
 	cause := "no attempt was sent"
--- a/rpc/outcome.go
+++ b/rpc/outcome.go
@@ -7,8 +7,9 @@
 	"pepperlead/policy"
 )
 
-// NotProcessed is the key of trailing metadata with which an endpoint marks a call that it rejected unprocessed. The
-// value is 1. The platform's endpoints use a header of the same name for this.
+// NotProcessed is the key of the trailing metadata that an endpoint sets to 1 on a call that it rejected unprocessed,
+// so that the call may safely be sent again even if it is not idempotent. Over HTTP, endpoints use a header of the
+// same name.
 const NotProcessed = "x-not-processed"
 
 // isNotProcessed reports whether the trailer says that the call was rejected unprocessed.
@@ -17,15 +18,15 @@
 	return len(values) > 0 && values[0] == "1"
 }
 
-// outcome returns the outcome of an attempt that has ended, from the number of streams that gRPC began for it, the
-// status code that gRPC returned, and whether the trailer says that the endpoint rejected the call unprocessed.
+// outcome returns the outcome of an attempt that has ended, from the number of streams that gRPC tried to begin for
+// it, the status code that gRPC returned, and whether the trailer says that the endpoint rejected the call unprocessed.
 // docs/rpc.md has the mapping as a table.
 //
-// gRPC begins a second stream only if it knows that the first was not processed: it had no connection left, or the
-// endpoint refused the stream, or excluded it by GOAWAY (RFC 9113, 6.8 and 8.7; gRFC A6, transparent retries).
-// singleStream refuses the second stream. That gRPC asked for it shows that the call has not run. A call that ends
-// after one stream without a status from the endpoint may have run. gRPC then returns UNAVAILABLE or INTERNAL, which
-// endpoints may also send.
+// gRPC tries to begin a second stream only if it knows that the first was not processed: there was no connection left
+// to send it on, or the endpoint refused it or excluded it by GOAWAY (RFC 9113, 6.8 and 8.7; gRFC A6, transparent
+// retries). singleStream refuses the second stream, but the attempt to begin it shows that the call has not run. A call
+// that ends after one stream without a status from the endpoint may have run. gRPC then returns UNAVAILABLE or
+// INTERNAL. As endpoints may also send these codes, neither of them shows that the call has not run.
 func outcome(streams int, code codes.Code, notProcessed bool) policy.Outcome {
 	switch {
 	case streams != 1:
--- a/rpc/stream.go
+++ b/rpc/stream.go
@@ -15,9 +15,10 @@
 	"pepperlead/policy"
 )
 
-// NewStream opens a stream, whose endpoint is chosen at this point. If opening fails and the call cannot have run, the
-// stream is opened on another endpoint; if it may have run, it is not. Once open, the stream has no deadline but the
-// context's, and it continues while its endpoint drains.
+// NewStream chooses an endpoint and opens a stream to it. If opening fails and the call cannot have run, NewStream can
+// try another endpoint; if the call may have run, it returns gRPC's error. Its other errors are those of Invoke. The
+// deadline of the class applies only to the opening. Once open, the stream has no deadline but the context's, and it
+// continues while its endpoint drains.
 func (c *Conn) NewStream(
 	ctx context.Context, desc *grpc.StreamDesc, method string, opts ...grpc.CallOption,
 ) (grpc.ClientStream, error) {
@@ -65,9 +66,11 @@
 }
 
 // openedStream wraps a stream that gRPC has opened, and notifies the loop.
-func openedStream(ctx context.Context, in grpc.ClientStream, serverStreams bool, state *streamState) *stream {
+func openedStream(
+	ctx context.Context, grpcStream grpc.ClientStream, serverStreams bool, state *streamState,
+) *stream {
 	state.front.post(event{handle: (*front).streamOpened, call: state.call, sequence: state.sequence})
-	s := &stream{ClientStream: in, serverStreams: serverStreams, state: state}
+	s := &stream{ClientStream: grpcStream, serverStreams: serverStreams, state: state}
 	// A stream that its caller drops without reading it to its end or cancelling its context must not occupy the
 	// endpoint's capacity.
 	runtime.AddCleanup(s, (*streamState).cancelled, state)
@@ -75,15 +78,15 @@
 	return s
 }
 
-// stream notifies the loop once of how its opening ended: when the endpoint's first message arrives, or at the end of
-// the stream.
+// stream is the stream that the caller gets. It notifies its state of the endpoint's first message and of the end.
 type stream struct {
 	grpc.ClientStream
 	serverStreams bool
 	state         *streamState
 }
 
-// streamState notifies the loop of a stream's first message and end. It outlives a stream that its caller drops.
+// streamState notifies the loop of a stream's first message, with which its attempt has succeeded, and of its end. It
+// outlives a stream that its caller drops.
 type streamState struct {
 	front    *front
 	call     *clientCall
@@ -92,7 +95,7 @@
 	cancel   context.CancelFunc
 
 	mu       sync.Mutex // guards the fields below
-	answered bool       // the outcome of the opening has been posted to the loop
+	answered bool       // the outcome of the attempt has been posted to the loop
 	ended    bool
 }
 
