--- a/rpc/bench_test.go
+++ b/rpc/bench_test.go
@@ -19,7 +19,7 @@
 	"google.golang.org/grpc/resolver/manual"
 )
 
-// startServerProcess starts servers in a process of their own, so that their processor time is not measured.
+// startServerProcess starts n servers in one child process, so that their processor time is not measured.
 func startServerProcess(b *testing.B, n int) (members []member) {
 	p := exec.Command(os.Args[0])
 	p.Env = append(os.Environ(), fmt.Sprint("RPC_SERVERS=", n))
@@ -41,7 +41,7 @@
 	return members
 }
 
-// roundRobin connects to the members by gRPC's own round_robin policy.
+// roundRobin connects to the members with gRPC's own round_robin policy.
 func roundRobin(b testing.TB, members []member) *grpc.ClientConn {
 	r := manual.NewBuilderWithScheme("list")
 	var state resolver.State
@@ -65,8 +65,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkCall makes a small unary call over a plain connection to one server, by gRPC's own round_robin to three, and
-// by the plug-in to three: go test ./rpc -run xxx -bench Call -benchmem
+// BenchmarkCall makes small unary calls over a plain connection to one server, with gRPC's own round_robin to three
+// servers, and with the plug-in to three servers: go test ./rpc -run xxx -bench Call -benchmem
 func BenchmarkCall(b *testing.B) {
 	members := startServerProcess(b, 3)
 	bare, err := grpc.NewClient("passthrough:///"+members[0].addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -127,8 +127,9 @@
 	}
 }
 
-// BenchmarkZoneLoss makes calls for eight seconds, for four of which three of six servers don't answer, and reports the
-// part of the calls that are answered within 300 ms: go test ./rpc -run xxx -bench ZoneLoss -benchtime 1x
+// BenchmarkZoneLoss makes calls to six servers for eight seconds. For four of these seconds, three of the servers
+// don't answer. It reports the fraction of the calls that are answered within 300 ms:
+// go test ./rpc -run xxx -bench ZoneLoss -benchtime 1x
 func BenchmarkZoneLoss(b *testing.B) {
 	for _, name := range []string{"round_robin", "plugin"} {
 		b.Run(name, func(b *testing.B) {
--- a/rpc/faultyserver_test.go
+++ b/rpc/faultyserver_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// end runs a call, or doesn't, and ends its stream in a way chosen at random. It returns false if the connection is to
-// be closed.
+// end ends a stream in a way chosen at random, with or without running its call. It returns false if the connection
+// must be closed.
 func (s *faultyServer) end(framer *http2.Framer, stream uint32, id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,8 +141,8 @@
 	return true
 }
 
-// Each of 1000 non-idempotent calls to faulty servers runs at most once. A call that succeeded has run once, and one
-// that was rejected has not run.
+// Each of 1000 non-idempotent calls to faulty servers runs at most once: it must not be sent again if it may have
+// run. A call that succeeded has run once, and a call that was rejected has not run.
 func TestNonIdempotentCallsToFaultyServers(t *testing.T) {
 	var members []member
 	var servers []*faultyServer
--- a/rpc/rpc_test.go
+++ b/rpc/rpc_test.go
@@ -46,8 +46,8 @@
 	os.Exit(m.Run())
 }
 
-// The daemon and the plug-in choose the same endpoint for each key, on a first list and after each of two changes in which
-// endpoints join and leave.
+// The daemon and the plug-in choose the same endpoint for each key, on a first list and after each of two changes in
+// which endpoints join and leave.
 func TestDaemonAndPluginChooseSameEndpoints(t *testing.T) {
 	var grpcMembers []member
 	var httpMembers []member
@@ -144,8 +144,8 @@
 	}
 }
 
-// The calling process is suspended for two seconds, in which its list changes to say that a server drains. Once resumed,
-// it must read the list before it sends any attempt.
+// The calling process is suspended for two seconds, in which its list changes to say that a server drains. Once
+// resumed, it must read the list before it sends any attempt.
 func TestSuspendedCallerObeysDrain(t *testing.T) {
 	a, b := newServer(t, "a"), newServer(t, "b")
 	dir := t.TempDir()
@@ -222,8 +222,8 @@
 	}
 }
 
-// For each status code, of unary calls and streams: the error that the caller gets and the number of times that the call
-// ran. Also for calls that servers reject unprocessed, and for a server that does not listen.
+// For each status code that a server returns, unary calls and streams give the caller the right error and run the right
+// number of times. So do calls that servers reject unprocessed, and calls when one of two servers does not listen.
 func TestStatusCodes(t *testing.T) {
 	final := map[codes.Code]bool{codes.OK: true, codes.InvalidArgument: true, codes.NotFound: true, codes.AlreadyExists: true,
 		codes.PermissionDenied: true, codes.FailedPrecondition: true, codes.OutOfRange: true, codes.Unimplemented: true,
@@ -283,7 +283,7 @@
 			t.Errorf("%s rejected: retry after %v", method, retryAfter)
 		}
 	}
-	// One server of two does not listen: calls to it fail before they are sent, and are sent to the other.
+	// One of two servers does not listen. Calls to it fail before they are sent, and are sent to the other server.
 	stopped := newServer(t, "gone")
 	stopped.grpc.Stop()
 	c, _ = dial(t, 1, a.member(), stopped.member())
@@ -389,10 +389,12 @@
 	}
 }
 
+// Calls can be cancelled both in the queue and during their attempt. Calls whose deadline passes, their own or that of
+// their class, return DEADLINE_EXCEEDED in time. None of these calls remains in flight.
 func TestCancellationAndDeadlines(t *testing.T) {
 	a := newServer(t, "a")
 	c, _ := dial(t, 1, a.member())
-	// A new server takes two calls at once. Further calls wait in the queue, where they are cancelled.
+	// A new endpoint's concurrency limit is two. Further calls wait in the queue, where they are cancelled.
 	ctx, cancel := context.WithCancel(context.Background())
 	var wait sync.WaitGroup
 	var cancelled atomic.Int32
@@ -407,19 +409,19 @@
 	cancel()
 	wait.Wait()
 	if cancelled.Load() < 2 || a.calls() > 19 {
-		t.Errorf("%d calls were cancelled, %d arrived", cancelled.Load(), a.calls())
+		t.Errorf("%d calls were cancelled, %d reached the server", cancelled.Load(), a.calls())
 	}
 	waitUntilNoneOpen(t, c)
-	// A call without a deadline ends at that of its class.
+	// A call without a deadline of its own ends at the deadline of its class.
 	start := time.Now()
 	if _, err := invoke(c, context.Background(), "Once", "hang"); status.Code(err) != codes.DeadlineExceeded || time.Since(start) > 3500*time.Millisecond {
-		t.Errorf("%v after %v", err, time.Since(start))
+		t.Errorf("call without a deadline: %v after %v", err, time.Since(start))
 	}
 	shortCtx, endShort := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer endShort()
 	start = time.Now()
 	if _, err := invoke(c, shortCtx, "Once", "hang"); status.Code(err) != codes.DeadlineExceeded || time.Since(start) > 400*time.Millisecond {
-		t.Errorf("%v after %v", err, time.Since(start))
+		t.Errorf("call with a deadline of 200 ms: %v after %v", err, time.Since(start))
 	}
 	if _, err := invoke(c, context.Background(), "../Other", "x"); status.Code(err) != codes.OK && status.Code(err) != codes.Unimplemented {
 		t.Error(err)
@@ -430,6 +432,7 @@
 	waitUntilNoneOpen(t, c)
 }
 
+// Each of 10,000 concurrent calls either succeeds or is rejected, and none remains in flight.
 func TestTenThousandConcurrentCalls(t *testing.T) {
 	var all []member
 	for i := range 4 {
@@ -460,7 +463,8 @@
 	t.Logf("%d succeeded, %d rejected", succeeded.Load(), rejected.Load())
 }
 
-// Close lets calls in flight end in time, rejects new calls, and fails the calls that remain at the end.
+// Close waits for a call in flight that ends within a second, rejects new calls, and makes a call that lasts longer
+// fail.
 func TestCloseWithCallsInFlight(t *testing.T) {
 	a := newServer(t, "a")
 	c, _ := dial(t, 1, a.member())
@@ -515,7 +519,7 @@
 func (h *counter) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
 func (h *counter) HandleConn(context.Context, stats.ConnStats)                       {}
 
-// Interceptors, stats handlers, credentials and trailers of the caller work through the plug-in.
+// The caller's interceptors, stats handlers, credentials and trailers work as with a *grpc.ClientConn.
 func TestCallerOptions(t *testing.T) {
 	a := newServer(t, "a")
 	dir := t.TempDir()
@@ -539,7 +543,7 @@
 	if v := trailer.Get(NotProcessed); len(v) != 1 {
 		t.Errorf("the caller's trailer: %v", trailer)
 	}
-	// A second invocation by an interceptor is not sent.
+	// If an interceptor invokes a call a second time, the plug-in does not send it again.
 	twice := open(t, dir, grpc.WithUnaryInterceptor(func(ctx context.Context, method string, req, reply any, cc *grpc.ClientConn,
 		invoker grpc.UnaryInvoker, opts ...grpc.CallOption) error {
 		if err := invoker(ctx, method, req, reply, cc, opts...); err == nil {
--- a/rpc/testserver_test.go
+++ b/rpc/testserver_test.go
@@ -23,9 +23,10 @@
 	"pepperlead/internal/endpointfiles"
 )
 
-// server is a test server that accepts any method with text messages. The text selects the behaviour: "code N" ends the
-// call with that status code (0: it answers), "reject" rejects it unprocessed, "slow" answers after 100 ms, "hang" ends
-// the call once its caller has gone. Any other text is answered with the server's name.
+// server is a test server that accepts any method with text messages. The text selects the behaviour: "code N" ends
+// the call with that status code (0: it answers), "reject" rejects it unprocessed, "slow" answers after 100 ms,
+// "hang" ends the call only once its caller has cancelled it or its deadline has passed. Any other text is answered
+// with the server's name.
 type server struct {
 	name   string
 	addr   string
@@ -185,7 +186,8 @@
 	}
 }
 
-// dial creates a Conn to the members, whose list is in a directory of its own, and returns that directory.
+// dial writes a list of the members to a new directory, creates a Conn that follows the list, and returns both the Conn
+// and the directory.
 func dial(t testing.TB, issue int, members ...member) (*Conn, string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -193,7 +195,7 @@
 	return open(t, dir), dir
 }
 
-// open creates a Conn whose list is in the directory, and waits until it has the list.
+// open creates a Conn that follows the list in the directory, and waits until the Conn has read the list.
 func open(t testing.TB, dir string, opts ...grpc.DialOption) *Conn {
 	t.Helper()
 	path := filepath.Join(dir, "pepperlead.toml")
