--- a/examples/rpc/main.go
+++ b/examples/rpc/main.go
@@ -19,6 +19,8 @@
 	"pepperlead/rpc"
 )
 
+// configuration has one class (offering) of idempotent methods, with a target latency (quoted_time) of 200 ms and a
+// deadline (cut_off) of 1 s.
 const configuration = `
 [[offering]]
 name = "check"
@@ -65,7 +67,7 @@
 	}
 	defer func() { _ = conn.Close() }()
 	for len(conn.Servers()) == 0 {
-		time.Sleep(10 * time.Millisecond) // a list without a digest is accepted once it has not changed for a moment
+		time.Sleep(10 * time.Millisecond) // a list without a digest is accepted once it has been unchanged for a moment
 	}
 	if err := call(conn, 100); err != nil {
 		return err
@@ -101,7 +103,7 @@
 	return text.String(), stop, nil
 }
 
-// call makes count health checks, with the keys of ten callers in turn.
+// call makes count health checks, with ten keys in turn.
 func call(conn *rpc.Conn, count int) error {
 	client := pb.NewHealthClient(conn)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
