--- a/internal/admin/collector.go
+++ b/internal/admin/collector.go
@@ -8,7 +8,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// collector reads the reporter's metrics and figures at each scrape.
+// collector exports the reporter's metrics, and the figures that the command server prints, to Prometheus. It reads
+// them at each scrape.
 type collector struct{ reporter Reporter }
 
 // Describe sends no descriptions, because the metrics are known only when they are collected.
--- a/internal/admin/commandserver.go
+++ b/internal/admin/commandserver.go
@@ -21,8 +21,8 @@
 	commandWriteTimeout   = 2 * time.Second
 	acceptRetryDelay      = 10 * time.Millisecond
 
-	// Bytes that follow a command are read and discarded for lingerTimeout and up to maxLingerSize: if the connection
-	// were closed with bytes unread, the kernel would reset it, and the client could lose the answer.
+	// Up to maxLingerSize bytes that follow a command are read and discarded, for at most lingerTimeout: if the
+	// connection were closed with bytes unread, the kernel would reset it, and the client could lose the answer.
 	lingerTimeout = 200 * time.Millisecond
 	maxLingerSize = 256 << 10
 
@@ -42,17 +42,17 @@
 	listener   net.Listener
 	operations Operations
 
-	mu      sync.Mutex
-	waiting list.List // connections without a complete command, the oldest first
-	open    int
-	slot    *sync.Cond // signals that a connection was closed
-	closed  bool
+	mu         sync.Mutex
+	waiting    list.List // connections whose command is still being read, the oldest first
+	open       int
+	connClosed *sync.Cond // signals that a connection was closed
+	closed     bool
 }
 
 // commandConn is a connection of the command server.
 type commandConn struct {
 	net.Conn
-	waiting *list.Element // nil once its command is complete or closeOldest has closed it
+	waiting *list.Element // in CommandServer.waiting; nil once reading has ended or closeOldest closed the connection
 }
 
 // ListenCommands starts a command server, which serves at the address until Close.
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	s := &CommandServer{listener: listener, operations: operations}
-	s.slot = sync.NewCond(&s.mu)
+	s.connClosed = sync.NewCond(&s.mu)
 	go s.accept()
 	return s, nil
 }
@@ -75,9 +75,9 @@
 	s.mu.Lock()
 	s.closed = true
 	for e := s.waiting.Front(); e != nil; e = e.Next() {
-		_ = e.Value.(*commandConn).Close() // it reads an error then, and ends
+		_ = e.Value.(*commandConn).Close() // its read fails then, and its goroutine ends
 	}
-	s.slot.Broadcast()
+	s.connClosed.Broadcast()
 	s.mu.Unlock()
 	return s.listener.Close()
 }
@@ -99,12 +99,12 @@
 	}
 }
 
-// add waits until there is a slot for a connection, and registers it as waiting for its command.
+// add waits until one more connection may be open, and registers the connection as waiting for its command.
 func (s *CommandServer) add(conn net.Conn) *commandConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for s.open >= maxCommandConnections && !s.closed && !s.closeOldest() {
-		s.slot.Wait() // all of them are being answered
+		s.connClosed.Wait() // all of them are being answered
 	}
 	s.open++
 	c := &commandConn{Conn: conn}
@@ -137,14 +137,15 @@
 	if complete {
 		s.respond(c, s.execute(command))
 	}
-	_ = c.Close() // before its slot is free
+	_ = c.Close() // before another connection may take its place
 	s.mu.Lock()
 	s.open--
-	s.slot.Signal()
+	s.connClosed.Signal()
 	s.mu.Unlock()
 }
 
-// stopWaiting notes that the connection's command is complete. It returns false if closeOldest closed it meanwhile.
+// stopWaiting removes a connection from the waiting ones after its command was read or the read failed. It returns
+// false if closeOldest has closed the connection meanwhile.
 func (s *CommandServer) stopWaiting(c *commandConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -12,7 +12,7 @@
 	"pepperlead/policy"
 )
 
-// fakeReporterWithPeers is a reporter with peers.
+// fakeReporterWithPeers is the reporter of an instance in a cluster, so that the server has the page /_peers.
 type fakeReporterWithPeers struct{ fakeReporter }
 
 func (s *fakeReporterWithPeers) PeersReport() string { return "n-1 alive\n" }
--- a/internal/admin/metricsserver_test.go
+++ b/internal/admin/metricsserver_test.go
@@ -68,7 +68,7 @@
 	if _, page := get("/_counters"); page != "tickets 7\n" {
 		t.Error(page)
 	}
-	// Clients that hold connections open make others wait, and take no more descriptors than are reserved.
+	// Clients that hold connections open must not take more descriptors than are reserved: further clients wait.
 	var held []net.Conn
 	for range MaxConnections + 4 {
 		c, err := net.Dial("tcp", s.Addr())
--- a/internal/daemon/adminoperations.go
+++ b/internal/daemon/adminoperations.go
@@ -52,8 +52,8 @@
 type learnedState struct {
 	// LearnedState is embedded without a tag, so that its keys are encoded beside Seen.
 	policy.LearnedState
-	// Seen are the ids of all endpoints that any list has named: the successor must accept a command to drain one that
-	// has left the list.
+	// Seen are the ids of all endpoints that any list has named. The successor needs them to accept a command to drain
+	// an endpoint that is no longer listed.
 	Seen []policy.EndpointID `json:"Seen"`
 }
 
--- a/internal/daemon/cluster.go
+++ b/internal/daemon/cluster.go
@@ -75,7 +75,8 @@
 	return cluster, nil
 }
 
-// announce divides budgets among the live instances, and sends them this one's revision and slot table digest.
+// announce tells the proxy how many instances are alive, among which budgets are divided, and announces this instance's
+// revision and slot table digest to the cluster.
 func (m *clusterMember) announce(cluster *membership.Cluster) {
 	live := cluster.AliveSidecars()
 	var table uint64
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// acceptTime is how long clients are still accepted after SIGTERM: 50 ms longer than the platform's clients are
-	// said to connect.
+	// acceptTime is how long new connections are still accepted after SIGTERM. According to the platform, its clients
+	// connect for up to 400 ms after the signal; the other 50 ms are a margin.
 	acceptTime = 450 * policy.Millisecond
 	// minInheritedDescriptor is the first descriptor after standard input, output and error.
 	minInheritedDescriptor = 3
@@ -27,7 +27,7 @@
 	httpproxy.Config
 	Discovery      string // address of the discovery service, if that is the source
 	Name           string
-	fileDiscovery  string // Discovery before the environment overrides it
+	fileDiscovery  string // the discovery address in the file, which the environment may override
 	AdminAddress   string // of the command server; empty: none
 	MetricsAddress string // of the metrics server; empty: none
 	LogLevel       string // empty: as set on the command line, or by default
@@ -36,8 +36,8 @@
 	AgreedRules    bool               // the rules come from coordinators
 }
 
-// Read reads a configuration file, some of whose values environment variables override. A text that starts with { is
-// the platform's JSON, any other the product's TOML.
+// Read reads a configuration file. Environment variables override some of its values. A text that starts with { is the
+// platform's JSON, any other the product's TOML.
 func Read(path string, env func(string) string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -58,8 +58,8 @@
 	return c, c.setAdmin(c.AdminAddress, env)
 }
 
-// setAdmin sets the address of the command server and the inherited listener, both of which the environment may
-// override, and reserves descriptors for the command server and the process group.
+// setAdmin sets the address of the command server, which the environment may override, and the inherited listener,
+// which only the environment names. It reserves descriptors for the command server and the process group.
 func (c *Config) setAdmin(address string, env func(string) string) error {
 	c.AdminAddress = valueOrEnv(env, "GW_ADMIN", address)
 	if c.AdminAddress != "" && !endpointfiles.ValidAddress(c.AdminAddress) {
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// hasProcessGroup reports whether the instance may have other processes, or has drained endpoints to keep for the next
-// one.
+// hasProcessGroup reports whether the instance needs a process group. It does if it may consist of several processes,
+// as during a hot restart, or if operators can drain endpoints, which the next process must know.
 func (c *Config) hasProcessGroup() bool { return c.AdminAddress != "" || c.InheritedListener > 0 }
 
 // valueOrEnv returns the value of an environment variable, or the configured value if the variable is empty.
--- a/internal/daemon/coordinator.go
+++ b/internal/daemon/coordinator.go
@@ -59,8 +59,8 @@
 	return false
 }
 
-// assignSlots returns the encoded slot table of a text that follows the revision in force; inForce is nil if there is
-// none. It returns nil if the text can't be read or names no endpoints.
+// assignSlots returns the encoded slot table for the rules in a text, derived from the table of the revision in force;
+// inForce is nil if there is none. It returns nil if the text can't be read or names no endpoints.
 func assignSlots(text []byte, inForce *ruleset.Revision) []byte {
 	next, err := config.ReadRules("version", text)
 	if err != nil || next.Endpoints == nil {
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// coordinatorConfig returns a coordinator's configuration by its settings file and the cluster's key.
+// coordinatorConfig builds a coordinator's configuration from its settings file and the cluster's key.
 func coordinatorConfig(settings *config.CoordinatorConfig, key []byte) coordinator.Config {
 	result := coordinator.Config{
 		Name:          settings.Name,
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -169,8 +169,8 @@
 	return len(b), nil
 }
 
-// The command server's address and the inherited listener come from the file or from the environment, which overrides
-// the file, and descriptors are reserved for them.
+// The command server's address comes from the file or from the environment, which overrides the file; the inherited
+// listener comes from the environment. Descriptors are reserved for the command server and the process group.
 func TestCommandServerAndInheritedListenerAreParsed(t *testing.T) {
 	with := strings.Replace(platformText, `"name":"n3",`, `"name":"n3","admin":"127.0.0.4:9100",`, 1)
 	plain, err := Read(writeConfig(t, platformText), func(string) string { return "" })
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// A process of an earlier build must be able to decode the learned state, and its own must be decodable here.
+// Processes of different builds exchange learned state during a hot restart, so an earlier build must be able to decode
+// the state that this build encodes, and this build the state of an earlier one.
 func TestLearnedStateKeepsItsKeys(t *testing.T) {
 	golden.RoundTrip(t, "heritage.json", filledLearnedState(), &learnedState{}, json.Marshal, json.Unmarshal)
 }
--- a/internal/daemon/jsonlines.go
+++ b/internal/daemon/jsonlines.go
@@ -12,7 +12,7 @@
 
 var errSeveralValues = errors.New("more than one value")
 
-// lineScanner finds the line of each key of a JSON document.
+// lineScanner finds the line of each key of a JSON document, which encoding/json doesn't report.
 type lineScanner struct {
 	text    []byte
 	decoder *json.Decoder
--- a/internal/daemon/leaseclient.go
+++ b/internal/daemon/leaseclient.go
@@ -23,7 +23,8 @@
 	// leaseRequestJitter is the fraction of the interval over which requests are spread, so that instances that started
 	// together don't send theirs together.
 	leaseRequestJitter = 0.2
-	// issuerTimeout is how long after a lease requests are sent only to the coordinator that issued it.
+	// issuerTimeout is how long after the last lease the client sends its requests only to the coordinator that issued
+	// that lease. After that it sends them to all coordinators.
 	issuerTimeout = 3 * leaseRequestInterval
 
 	// maxQueuedMessages limits the messages of coordinators that wait to be processed.
@@ -38,15 +39,15 @@
 
 	issuer     string    // address of the coordinator that issued the last lease
 	issuedAt   time.Time // when the last lease was accepted
-	requestNow bool      // a revision was added, on which a lease can be issued: don't wait for the interval
-
-	leased           atomic.Bool
-	revision         atomic.Uint64 // the latest leased one
-	leases           atomic.Uint64
-	leasesLost       atomic.Uint64
-	revisionsAdded   atomic.Uint64
-	revisionsRefused atomic.Uint64
-	unreadable       atomic.Uint64 // messages that can't be decoded
+	requestNow bool      // a revision was added: request a lease on it without waiting for the interval
+
+	leased            atomic.Bool
+	revision          atomic.Uint64 // number of the latest leased revision
+	leases            atomic.Uint64
+	leasesLost        atomic.Uint64
+	revisionsAdded    atomic.Uint64
+	revisionsRejected atomic.Uint64
+	unreadable        atomic.Uint64 // messages that can't be decoded
 }
 
 func newLeaseClient(proxy *httpproxy.Proxy, cluster *atomic.Pointer[membership.Cluster]) *leaseClient {
@@ -165,7 +166,8 @@
 	}
 }
 
-// recordLease updates the state of the lease that metrics and announcements to the peers show. The loop calls it.
+// recordLease updates the state of the lease that is shown in metrics and announced to the peers. It must be called on
+// the engine's loop.
 func (c *leaseClient) recordLease() {
 	revisions, leased := c.proxy.LeasedRevisions()
 	if len(revisions) > 0 {
@@ -213,7 +215,7 @@
 
 // reject counts and logs a revision that can't be used.
 func (c *leaseClient) reject(revision ruleset.Revision, reason string) {
-	c.revisionsRefused.Add(1)
+	c.revisionsRejected.Add(1)
 	c.proxy.Logger.WithField("revision", revision.Number).WithField("reason", reason).
 		Error("revision rejected, the active one stays in force")
 }
@@ -229,6 +231,6 @@
 	report("rules_leases_lost", float64(c.leasesLost.Load()), true)
 	report("rules_leases", float64(c.leases.Load()), true)
 	report("rules_learned", float64(c.revisionsAdded.Load()), true)
-	report("rules_refused", float64(c.revisionsRefused.Load()), true)
+	report("rules_refused", float64(c.revisionsRejected.Load()), true)
 	report("rules_unreadable", float64(c.unreadable.Load()), true)
 }
--- a/internal/daemon/platformconfig.go
+++ b/internal/daemon/platformconfig.go
@@ -18,7 +18,7 @@
 	minDescriptors = 48
 	minMemoryMB    = 24
 	// maxShutdownDeadline is the longest deadline that the shutdown waits for. The platform sends SIGKILL 0.7 s after
-	// the longest deadline, which is 250 ms after the end of acceptTime and this wait.
+	// the longest deadline. The shutdown ends 250 ms before that, because it takes acceptTime and the deadline.
 	maxShutdownDeadline = 3 * policy.Second
 )
 
@@ -44,7 +44,8 @@
 	f.err = errors.Join(f.err, fmt.Errorf(format, args...))
 }
 
-// parsePlatformFile parses the platform's configuration. Its error has a line for each fault, with its position.
+// parsePlatformFile parses the platform's configuration. The error has a line for each fault, with the file and line in
+// which it is.
 func parsePlatformFile(path string, text []byte, env func(string) string) (Config, error) {
 	lines, err := JSONLines(path, text)
 	if err != nil {
@@ -57,7 +58,7 @@
 	return c, nil
 }
 
-// parsePlatform parses the platform's configuration. Its error has a line for each fault, without its position.
+// parsePlatform parses the platform's configuration. The error has a line for each fault, without its line in the file.
 func parsePlatform(path string, text []byte, env func(string) string) (Config, error) {
 	var c Config
 	var document platformDocument
@@ -127,7 +128,8 @@
 	mode := values.Text["membership_mode"]
 	source := discovery.NewPlatform(c.Discovery, mode == "on_request")
 	if _, hasGrace := values.Text["rules.drain_grace_s"]; hasGrace && mode == "pushed" {
-		// Discovery is an agent on this machine: a process that starts gets its list before the first attempt.
+		// With these settings, discovery is an agent on this machine. Clients of a starting process wait for the
+		// agent's list, so that the first attempt doesn't use the saved list, which may be outdated.
 		source.Grace = max(time.Millisecond, time.Duration(values.Duration("rules.drain_grace_s")))
 		c.FirstListTimeout = policy.Time(source.AnswerTimeout())
 	}
@@ -142,7 +144,8 @@
 }
 
 // flatten stores each value under its path, such as "limits.sockets" or "list.0". A list is also stored under its own
-// path, as its values joined by commas, and its length under that path with ".count" added.
+// path, as its values joined by commas, and its length under that path with ".count" added. Commas within a value
+// become underscores in the joined form, so that the values can be counted by their commas.
 func flatten(values map[string]string, path string, raw json.RawMessage) error {
 	switch text := strings.TrimSpace(string(raw)); {
 	case text == "" || text == "null":
--- a/internal/daemon/productconfig.go
+++ b/internal/daemon/productconfig.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// setMembership sets the configuration of the cluster membership, whose key it reads.
+// setMembership reads the cluster's key and sets the configuration of the cluster membership.
 func (c *Config) setMembership(path string, parsed *config.Config) error {
 	key, err := membership.ReadKey(parsed.Peers.KeyFile)
 	if err != nil {
@@ -101,7 +101,7 @@
 	Source      discovery.Source
 	Methods     [][]string // RPC methods by class
 	KeyMetadata string     // name of the RPC metadata that holds a request's key
-	KeyField    string     // name of the request message's field that holds it if no metadata does
+	KeyField    string     // name of the request message's field that holds the key if no metadata does
 	LogLevel    string
 	LogFormat   string
 }
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -30,8 +30,8 @@
 	// would run only once the runtime notices the wait, up to 10 ms later.
 	minThreads = 2
 
-	// StallAfter is the time without a round of the loop after which an engine refreshes its endpoint list before it
-	// decides.
+	// StallAfter is the time without a round of the loop after which an engine refreshes its endpoint list before the
+	// next decision: the process may have been suspended, and the list may be outdated.
 	StallAfter = 400 * policy.Millisecond
 )
 
