--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -10,8 +10,8 @@
 	"pepperlead/policy"
 )
 
-// minDeadlineTicks is the shortest deadline in ticks. The policy answers that many ticks before a deadline, so a
-// shorter one would leave no time to serve the request.
+// minDeadlineTicks is the shortest deadline in ticks. The policy answers a request 3 ticks before its deadline, so a
+// shorter deadline would leave no time to serve the request.
 const minDeadlineTicks = 4
 
 // maxClassTime is the longest target latency and deadline.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -43,7 +43,7 @@
 	DefaultClass   string        // the class of requests that name none
 	Methods        [][]string    // RPC methods by class: /package.Service/Method, /package.Service/* or *
 	KeyMetadata    string        // name of the RPC metadata that holds a request's key
-	KeyField       string        // name of the request message's field that holds it if no metadata does
+	KeyField       string        // name of the request message's field that holds the key if no metadata does
 
 	SourceKind     SourceKind
 	Discovery      string                // address of the discovery service
@@ -80,7 +80,7 @@
 	return c, nil
 }
 
-// readRoot reads all tables. Faults are reported in the order in which keys are read.
+// readRoot reads all tables. Faults on the same line are reported in the order in which the keys are read.
 func (c *Config) readRoot(root *tomlfile.Table, directory string) {
 	root.Require("offering", "source")
 	c.readInstance(root.Table("instance"))
--- a/internal/config/coordinator.go
+++ b/internal/config/coordinator.go
@@ -12,7 +12,7 @@
 type CoordinatorConfig struct {
 	Name      string
 	Directory string
-	Listen    string // for the other coordinators; by default the address at which they reach it
+	Listen    string // for the other coordinators; default: the RaftAddress of this coordinator in Members
 	Members   []Coordinator
 	Lease     policy.Time
 	Drift     float64 // by how much the rates of any two clocks may differ, as a fraction
@@ -48,7 +48,7 @@
 	c.readStore(root.Table("keep"), directory)
 	c.readMembers(root)
 	c.checkOwnMember(instance)
-	c.Peers = readPeers(root, directory, usedAddresses{c.Listen: "the log's"})
+	c.Peers = readPeers(root, directory, usedAddresses{c.Listen: "this keeper's log address"})
 	c.LogLevel, c.LogFormat = readLog(root.Table("log"))
 	root.RejectUnknown()
 }
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -7,11 +7,12 @@
 
 // Peers configures the membership of a cluster.
 type Peers struct {
-	Listen, Advertise string // empty: the instance is in no cluster
-	Cluster           string
-	Join              []string // addresses of known members
-	KeyFile           string
-	AgreedRules       bool // rules come from the coordinators; those of the file apply until the cluster has some
+	Listen      string // empty: the instance is in no cluster
+	Advertise   string // address at which other members reach this one; empty: Listen
+	Cluster     string
+	Join        []string // addresses of members to join through
+	KeyFile     string
+	AgreedRules bool // rules come from the coordinators; those of the file apply until the cluster has a revision
 }
 
 // readPeers reads the cluster membership. Each member needs a unique name, so the default name isn't enough.
--- a/internal/platformsettings/settings.go
+++ b/internal/platformsettings/settings.go
@@ -1,6 +1,7 @@
-// Package platformsettings reads the settings that the platform gives an instance at its start. Both protocols, HTTP
-// and the simulator's, flatten them to values under paths such as limits.cancel, so they are read by the same code.
-// The platform's key names are mapped to the standard terms here.
+// Package platformsettings reads the settings that the platform gives an instance at its start. A daemon finds them in
+// its JSON configuration, and the simulator's adapter gets them in a message. Both flatten them to values under paths
+// such as limits.cancel, so that this package reads them for both. It maps the platform's key names to the standard
+// terms.
 package platformsettings
 
 import (
@@ -11,9 +12,10 @@
 )
 
 const (
-	// weightsRough is the index of the last kind of weights that don't change once they are announced.
+	// weightsRough is an index of the kinds of weights in Read. Weights of the kinds up to it don't change once they
+	// are announced.
 	weightsRough = 1
-	// listOnRequest is the index of the mode in which the endpoint list is polled.
+	// listOnRequest is the index, among the modes in Read, of the one in which the endpoint list is polled.
 	listOnRequest = 1
 )
 
--- a/internal/tomlfile/document.go
+++ b/internal/tomlfile/document.go
@@ -50,8 +50,8 @@
 	line int
 }
 
-// Parse parses a document of up to maxBytes. If it is not valid TOML, the returned table is empty and Err returns the
-// reason.
+// Parse parses a document of up to maxBytes. If the document is too long, nested too deeply or not valid TOML, the
+// returned table is empty and Err returns the reason.
 func Parse(file string, text []byte, maxBytes int) (*Document, *Table) {
 	d := &Document{File: file, positions: map[string]position{}}
 	start := position{file, 1}
--- a/internal/tomlfile/positions.go
+++ b/internal/tomlfile/positions.go
@@ -102,7 +102,8 @@
 	return s.line
 }
 
-// checkDepth returns errTooDeep for a value at a level that has more levels, or keys of more parts, than are allowed.
+// checkDepth returns errTooDeep if a value that starts at the given level exceeds maxDepth, either in its levels or in
+// the parts of a key within it.
 func checkDepth(value *unstable.Node, level int) error {
 	if level > maxDepth {
 		return errTooDeep
--- a/internal/tomlfile/values.go
+++ b/internal/tomlfile/values.go
@@ -35,7 +35,8 @@
 // validString reports whether a string has 1 to maxStringLength bytes.
 func validString(value string) bool { return value != "" && len(value) <= maxStringLength }
 
-// String reads a string of 1 to 255 bytes.
+// String reads a string of 1 to 255 bytes. Like the other methods with a fallback, it returns the fallback if the key
+// is missing or its value is invalid.
 func (t *Table) String(key, fallback string) string {
 	const allowed = "a text of 1 to 255 bytes"
 	value, ok := read[string](t, key, allowed)
