--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,4 +1,4 @@
-// Package demo runs the daemon and fake endpoints in one process on loopback, without a configuration file, so that
+// Package demo runs a sidecar and fake endpoints in one process on loopback, without a configuration file, so that
 // users can try it.
 package demo
 
@@ -23,7 +23,7 @@
 
 // Options are the options of a demo.
 type Options struct {
-	Listen   string // address of the daemon; port 0: any free port
+	Listen   string // address of the sidecar; port 0: any free port
 	Servers  int    // number of fake endpoints
 	Seed     uint64
 	Duration time.Duration // 0: until the context ends
@@ -33,7 +33,7 @@
 	maxServers    = 200 // fake endpoints
 	descriptors   = 512
 	messageMemory = 32 << 20         // bytes
-	startInterval = time.Millisecond // between checks whether the daemon is ready
+	readyInterval = time.Millisecond // between checks whether the sidecar is ready
 )
 
 // faultRate is the rate of each kind of fault at the endpoints. There are some so that the counters show retries.
@@ -66,7 +66,7 @@
 }
 
 // Run runs a demo until its duration has passed or the context ends. It prints commands to try at the start, and the
-// counters of the daemon and the endpoints at the end.
+// counters of the sidecar and the endpoints at the end.
 func Run(ctx context.Context, options Options, log *logrus.Logger, out io.Writer) error {
 	if options.Servers < 1 || options.Servers > maxServers {
 		return fmt.Errorf("servers: found %d, allowed 1 to %d", options.Servers, maxServers)
@@ -80,11 +80,11 @@
 	if err := backends.start(options); err != nil {
 		return err
 	}
-	daemon := httpproxy.New(config(options, listen, &backends.list), log)
+	sidecar := httpproxy.New(config(options, listen, &backends.list), log)
 	stop := make(chan os.Signal, 1)
 	ended := make(chan error, 1)
-	go func() { ended <- daemon.Run(stop, nil) }()
-	if ready, err := awaitReady(daemon, ended); !ready {
+	go func() { ended <- sidecar.Run(stop, nil) }()
+	if ready, err := awaitReady(sidecar, ended); !ready {
 		return err
 	}
 	p := printer{out}
@@ -101,24 +101,24 @@
 	}
 	stop <- syscall.SIGTERM
 	err = <-ended
-	p.printCounters(daemon)
+	p.printCounters(sidecar)
 	p.printEndpoints(&backends)
 	return err
 }
 
-// awaitReady waits until the daemon serves. If the daemon ends before that, it returns false and the daemon's error.
-func awaitReady(daemon *httpproxy.Proxy, ended <-chan error) (ready bool, err error) {
-	for !daemon.Ready() {
+// awaitReady waits until the sidecar serves. If the sidecar ends before that, it returns false and the sidecar's error.
+func awaitReady(sidecar *httpproxy.Proxy, ended <-chan error) (ready bool, err error) {
+	for !sidecar.Ready() {
 		select {
 		case err := <-ended:
 			return false, err
-		case <-time.After(startInterval):
+		case <-time.After(readyInterval):
 		}
 	}
 	return true, nil
 }
 
-// config returns the configuration of the daemon.
+// config returns the configuration of the sidecar.
 func config(options Options, listen string, source discovery.Source) httpproxy.Config {
 	return httpproxy.Config{
 		Listen:         listen,
@@ -132,7 +132,7 @@
 		ShutdownTime:   2 * policy.Second,
 		Anonymous:      true,
 		DefaultClass:   "step",
-		Deadlines:      []policy.Time{2 * policy.Second, 3 * policy.Second, 3 * policy.Second}, // as classes
+		Deadlines:      []policy.Time{2 * policy.Second, 3 * policy.Second, 3 * policy.Second}, // by class
 		Settings: &policy.Settings{
 			Instances:        1,
 			Zone:             "a",
@@ -197,7 +197,7 @@
 
 // printIntroduction prints commands that the user can try.
 func (p printer) printIntroduction(options Options, listen string) {
-	p.printf("%d fake servers behind one daemon at %s. Try:\n\n    curl -i http://%s/step/hello\n"+
+	p.printf("%d fake servers behind one sidecar at %s. Try:\n\n    curl -i http://%s/step/hello\n"+
 		"    curl -i -H 'X-Route-Key: me' -d 'a note' -H 'Idempotency-Key: 1' http://%s/note\n"+
 		"    curl http://%s/_counters\n    curl http://%s/_servers\n\n",
 		options.Servers, listen, listen, listen, listen, listen)
@@ -206,10 +206,10 @@
 	}
 }
 
-// printCounters prints the counters of the daemon that are not zero.
-func (p printer) printCounters(daemon *httpproxy.Proxy) {
-	p.printf("Counters of the daemon:\n")
-	for line := range strings.Lines(daemon.Report()) {
+// printCounters prints the counters of the sidecar that are not zero.
+func (p printer) printCounters(sidecar *httpproxy.Proxy) {
+	p.printf("Counters of the sidecar:\n")
+	for line := range strings.Lines(sidecar.Report()) {
 		if !strings.HasSuffix(line, " 0\n") {
 			p.printf("    %s", line)
 		}
@@ -227,7 +227,7 @@
 }
 
 // freeAddress returns the address with a free port in place of port 0. Another program could take the port before the
-// daemon listens on it, which is then reported as an address in use.
+// sidecar listens on it, which is then reported as an address in use.
 func freeAddress(address string) (string, error) {
 	_, port, err := net.SplitHostPort(address)
 	if err != nil || port != "0" {
--- a/internal/migration/migration.go
+++ b/internal/migration/migration.go
@@ -26,7 +26,7 @@
 
 // Pool has the values of the new configuration that the old one doesn't have.
 type Pool struct {
-	Listen   string // address at which clients reach this sidecar
+	Listen   string // address on which this sidecar listens, no longer only for a client on its own machine
 	Sidecars int    // sidecars in the pool
 	Streams  int    // requests that a connection may carry at once
 	Seed     uint64 // of this sidecar
@@ -112,6 +112,6 @@
 	host, _, err := net.SplitHostPort(listen)
 	if err == nil && net.ParseIP(host).IsLoopback() {
 		m.addUnconverted("clients",
-			"they used "+listen+", on their own machine; configure them with the address of the pool's front")
+			"they connect to "+listen+" on their own machine; configure them with the address of the pool's front")
 	}
 }
--- a/internal/migration/toml.go
+++ b/internal/migration/toml.go
@@ -49,7 +49,8 @@
 	case sourceFiles:
 		if !source.Bool("sealed", false) {
 			m.addUnconverted("source.files",
-				"a list that is rewritten each second must be sealed, or it never stays unchanged for source.settle")
+				"seal a list that is rewritten every second: an unsealed list is used only after it has been "+
+					"unchanged for source.settle")
 		}
 	case sourceFixed:
 		m.addUnconverted("source.server", "weights in this file never follow the load: use a list that is updated")
--- a/internal/migration/tomleditor.go
+++ b/internal/migration/tomleditor.go
@@ -42,7 +42,7 @@
 	root    *tomlfile.Table
 	lines   []string
 	headers map[string]int   // line of a table's header, by the table's path
-	added   map[int][]string // lines to add after a line
+	added   map[int][]string // lines to insert, by the number of the line that they follow
 	result  *Result          // receives notes of the changes
 }
 
