--- a/cmd/pepperlead/coordinatorclient.go
+++ b/cmd/pepperlead/coordinatorclient.go
@@ -20,13 +20,14 @@
 	coordinatorTimeout  = 15 * time.Second // of one request
 )
 
-// coordinatorClient sends requests to the leader of the coordinators, which it finds by way of the one at its address.
+// coordinatorClient sends requests to the leader of the coordinators. It sends each first to the coordinator at
+// address, which responds with the leader's address if another one is the leader.
 type coordinatorClient struct{ address string }
 
 // coordinatorResponse is a coordinator's response.
 type coordinatorResponse struct {
 	status int
-	leader string // address of the leader, if the coordinator isn't it
+	leader string // address of the leader, if that is another coordinator
 	text   string
 }
 
--- a/cmd/pepperlead/descriptors_test.go
+++ b/cmd/pepperlead/descriptors_test.go
@@ -17,8 +17,8 @@
 	"pepperlead/internal/fakebackend"
 )
 
-// startAgent starts a fake discovery agent. It answers requests for the whole list with the given one, sends the time
-// of each to requests unless that is full, and leaves watches unanswered.
+// startAgent starts a fake discovery agent. It answers each request for the whole list with list, sends the time of the
+// request to the channel requests unless the channel is full, and leaves watches unanswered.
 func startAgent(t *testing.T, listen, list string, requests chan<- time.Time) (address string, stop func()) {
 	t.Helper()
 	listener, err := net.Listen("tcp", listen)
@@ -89,8 +89,8 @@
 		t.Fatal("discovery received no request")
 	}
 	stopAgent()
-	// There are more clients than descriptors: when the daemon closes one as silent, another silent one takes its
-	// place.
+	// There are more clients than descriptors: when the daemon closes the connection of a silent client, another silent
+	// client takes the descriptor.
 	var idle sync.WaitGroup
 	stopClients := make(chan struct{})
 	for range 60 {
--- a/cmd/pepperlead/list.go
+++ b/cmd/pepperlead/list.go
@@ -23,7 +23,7 @@
 func listCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "list",
-		Short: "Check and seal list files",
+		Short: "Check and seal endpoint list files",
 		RunE: func(*cobra.Command, []string) error {
 			return fmt.Errorf("list: found no subcommand, allowed check or seal; %w", errUsage)
 		},
@@ -86,11 +86,12 @@
 	c := &cobra.Command{
 		Use:   "check FILE...",
 		Args:  atLeast(1),
-		Short: "Check list files, each alone and all together",
-		Long: "Check whether list files are complete and valid, each alone and all of them as one list. The " +
-			"exit code is 1 if a daemon would\n" +
-			"reject them. Not checked is what only the daemon can tell: whether they are newer than its list, " +
-			"and remove too much of it.",
+		Short: "Check endpoint list files, each alone and all together",
+		Long: "Check whether endpoint list files are complete and valid, each alone and all of them as one list. " +
+			"The exit code is 1 if a\n" +
+			"sidecar would reject them. Two conditions depend on the list that a sidecar has, and are not " +
+			"checked: the files must be newer\n" +
+			"than that list, and must not remove too much of it.",
 		Example: "  pepperlead list check /etc/pepperlead/servers.d/*.toml",
 	}
 	asJSON := c.Flags().Bool("json", false, "print the result as one JSON object")
@@ -137,16 +138,18 @@
 	c := &cobra.Command{
 		Use:   "seal FILE",
 		Args:  exactly(1),
-		Short: "Update the count, issue and digest of a list file",
-		Long: "Update the closing table of a list file: the count of its servers, an issue number one " +
-			"higher than before, and a digest of the\n" +
-			"file. The text above the table is not changed. The file is replaced atomically, or not at all.",
+		Short: "Seal an endpoint list file: update its count, issue number and digest",
+		Long: "Update the closing table of an endpoint list file: the count of its servers, an issue number one " +
+			"higher than before, and a\n" +
+			"digest of the file. The text above the table is not changed. The file is replaced atomically, or " +
+			"not at all.",
 		Example: "  pepperlead list seal /etc/pepperlead/servers.toml\n" +
 			"  pepperlead list seal --takes-away 12 /etc/pepperlead/servers.toml",
 	}
 	issue := c.Flags().Int64("issue", 0, "`number` of this issue (default one more than the file has)")
 	removes := c.Flags().Int("takes-away", 0,
-		"number of ready servers that this issue removes on purpose, if that is more than the allowed share")
+		"number of ready servers that this issue removes on purpose; needed to remove more than the share that "+
+			"source.may_take_away allows")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		if *issue < 0 || *issue > maxIssue || *removes < 0 || *removes > maxRemoved {
 			return fmt.Errorf("issue and takes-away: found %d and %d, allowed from 0 up; %w",
--- a/cmd/pepperlead/migrate.go
+++ b/cmd/pepperlead/migrate.go
@@ -20,12 +20,11 @@
 	c := &cobra.Command{
 		Use:   "migrate OLD NEW",
 		Args:  exactly(2),
-		Short: "Convert a configuration for one client's sidecar into one for a sidecar of a pool",
-		Long: "Convert the configuration of a sidecar that serves one client (TOML, or the platform's JSON) " +
-			"into that of a sidecar of a pool,\n" +
-			"and print what changed and what could not be carried over. NEW must not exist. With --dry-run " +
-			"nothing is written. See\n" +
-			"docs/migration.md for the whole procedure.",
+		Short: "Convert the configuration of one client's sidecar for use in a pool of sidecars",
+		Long: "Convert the configuration of a sidecar that serves one client (TOML, or the platform's JSON) for " +
+			"use in a pool, whose sidecars\n" +
+			"serve all clients. Print what changed and what could not be carried over. NEW must not exist. " +
+			"With --dry-run nothing is written.\nSee docs/migration.md for the whole procedure.",
 		Example: "  pepperlead migrate --dry-run --listen 10.0.0.7:9000 --instances 12 old.toml new.toml",
 	}
 	pool := migration.Pool{Seed: rand.Uint64()}
--- a/cmd/pepperlead/query.go
+++ b/cmd/pepperlead/query.go
@@ -19,16 +19,17 @@
 	callTimeout        = 5 * time.Second // of the command and its answer, after connecting
 )
 
-// reportCommand returns a command that prints a report of a running sidecar.
-func reportCommand(report, short string) *cobra.Command {
+// reportCommand returns a command that prints a report of a running sidecar. servers says in the help text which of the
+// sidecar's servers have the report, and example is an address of one of them.
+func reportCommand(report, short, servers, example string) *cobra.Command {
 	c := &cobra.Command{
 		Use:     report,
 		Short:   short,
 		Args:    exactly(0),
-		Example: "  pepperlead " + report + " --at 127.0.0.1:9000",
+		Example: "  pepperlead " + report + " --at " + example,
 	}
 	address := c.Flags().String("at", os.Getenv("GW_LISTEN"),
-		"`address` of the sidecar's front or of its metrics server (default $GW_LISTEN)")
+		"`address` of "+servers+" (default $GW_LISTEN)")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		return printReport(c.OutOrStdout(), *address, report)
 	}
@@ -57,8 +58,11 @@
 		Use:   "call CALL [ID]",
 		Short: "Send a command to the command server of a running sidecar",
 		Args:  atLeast(1),
-		Long: "Send a command to the command server of a running sidecar: " +
-			"ready, show-stat, disable-server ID or enable-server ID.",
+		Long: "Send a command to the command server of a running sidecar:\n\n" +
+			"  ready              succeeds if the sidecar is ready to serve\n" +
+			"  show-stat          prints the sidecar's figures\n" +
+			"  disable-server ID  drains a server: it gets no new requests\n" +
+			"  enable-server ID   returns a drained server to service",
 		Example: "  pepperlead call --at 127.0.0.1:9002 disable-server s-1",
 	}
 	address := c.Flags().String("at", os.Getenv("GW_ADMIN"), "`address` of the command server (default $GW_ADMIN)")
--- a/cmd/pepperlead/root.go
+++ b/cmd/pepperlead/root.go
@@ -9,6 +9,7 @@
 
 // rootCommand returns the program's command with all its subcommands.
 func rootCommand() *cobra.Command {
+	const frontOrMetrics = "the sidecar's front or of its metrics server"
 	root := &cobra.Command{
 		Use:   "pepperlead",
 		Short: "A client-side load balancer that runs as a sidecar beside each calling process",
@@ -32,9 +33,11 @@
 	root.AddCommand(
 		serveCommand(),
 		checkCommand(),
-		reportCommand("counters", "Print the counters of a running sidecar"),
-		reportCommand("peers", "Print the peers that a running sidecar knows; --at is its metrics server"),
-		reportCommand("servers", "Print the servers that a running sidecar knows, and whether its list was rejected"),
+		reportCommand("counters", "Print the counters of a running sidecar", frontOrMetrics, "127.0.0.1:9000"),
+		reportCommand("peers", "Print the peers that a running sidecar knows",
+			"the sidecar's metrics server; its front doesn't have this report", "127.0.0.1:9001"),
+		reportCommand("servers", "Print the servers that a running sidecar knows, and whether its list was rejected",
+			frontOrMetrics, "127.0.0.1:9000"),
 		callCommand(),
 		listCommand(),
 		coordinatorCommand(),
@@ -55,7 +58,7 @@
 // atLeast requires n or more arguments.
 func atLeast(n int) cobra.PositionalArgs { return usageError(cobra.MinimumNArgs(n)) }
 
-// usageError marks the errors of a check of arguments as errors in the command line.
+// usageError returns the check with its errors marked as errors in the command line.
 func usageError(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if err := check(c, args); err != nil {
--- a/cmd/pepperlead/serve.go
+++ b/cmd/pepperlead/serve.go
@@ -10,9 +10,13 @@
 
 const bytesPerMB = 1 << 20
 
-func configFlag(c *cobra.Command) *string {
+// sidecarFormats says in help texts which formats a sidecar's configuration file may have.
+const sidecarFormats = "TOML, or the platform's JSON"
+
+// configFlag adds the flag for a configuration file of the formats.
+func configFlag(c *cobra.Command, formats string) *string {
 	return c.Flags().String("config", os.Getenv("GW_CONFIG"),
-		"configuration `file`: TOML, or the platform's JSON (default $GW_CONFIG)")
+		"configuration `file`: "+formats+" (default $GW_CONFIG)")
 }
 
 func serveCommand() *cobra.Command {
@@ -20,12 +24,12 @@
 		Use:   "serve",
 		Args:  exactly(0),
 		Short: "Run the sidecar until SIGTERM; SIGHUP reloads the configuration",
-		Long: "Run the sidecar until SIGTERM, which completes the requests in flight and ends. SIGHUP reloads the " +
-			"configuration: the faults of\n" +
-			"an invalid one are logged, and the previous one is kept.",
+		Long: "Run the sidecar. On SIGTERM it completes the requests in flight and ends. On SIGHUP it reads the " +
+			"configuration again: if the new\n" +
+			"configuration is invalid, its faults are logged and the previous configuration is kept.",
 		Example: "  pepperlead serve --config deploy/standalone.toml --log-format json",
 	}
-	path := configFlag(c)
+	path := configFlag(c, sidecarFormats)
 	level := c.Flags().String("log", "",
 		"lowest `level` that is logged: debug, info, warning or error (default info, or as configured)")
 	format := c.Flags().String("log-format", "", "`format` of the log: text or json (default text, or as configured)")
@@ -54,7 +58,7 @@
 		Short:   "Check whether the configuration is valid",
 		Example: "  pepperlead check --config deploy/standalone.toml",
 	}
-	path := configFlag(c)
+	path := configFlag(c, sidecarFormats)
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		config, err := daemon.Read(*path, os.Getenv)
 		if err != nil {
--- a/cmd/pepperlead/versions.go
+++ b/cmd/pepperlead/versions.go
@@ -35,7 +35,7 @@
 			"docs/agreement.md.",
 		Example: "  pepperlead keep --config keeper.toml",
 	}
-	path := configFlag(c)
+	path := configFlag(c, "TOML")
 	c.RunE = func(*cobra.Command, []string) error {
 		config, err := daemon.ReadCoordinatorConfig(*path)
 		if err != nil {
@@ -57,16 +57,16 @@
 		Short: "Apply the rules in a file to a cluster",
 		Long: "Check the file, propose it as the next revision of the rules, and wait until it alone is in " +
 			"force. The change has two steps: first,\n" +
-			"the sidecars that have the new revision do only what both revisions allow; then, when no lease " +
-			"on the old one alone is left,\nthey follow the new one.",
+			"the sidecars that have the new revision do only what both revisions allow; then, when no sidecar " +
+			"has a lease on the old revision\nalone any more, they follow the new one.",
 		Example: "  pepperlead apply rules.toml --to 10.0.0.1:9005 --dry-run\n" +
 			"  pepperlead apply rules.toml --to 10.0.0.1:9005",
 	}
 	address := coordinatorFlag(c)
 	dryRun := c.Flags().Bool("dry-run", false, "only check whether the rules could be applied")
 	last := c.Flags().Int64("on", latestRevision,
-		"`number` of the latest revision that you know: if there is a newer one, the command "+
-			"fails (default the latest)")
+		"`number` of the latest revision that you know: the command fails if there is a newer one; "+
+			"-1: whichever is the latest")
 	wait := waitFlag(c)
 	author := authorFlag(c)
 	c.RunE = func(c *cobra.Command, args []string) error {
@@ -85,9 +85,11 @@
 
 func rollbackCommand() *cobra.Command {
 	c := &cobra.Command{
-		Use:     "rollback N",
-		Args:    exactly(1),
-		Short:   "Apply the rules of an earlier revision to a cluster again",
+		Use:   "rollback N",
+		Args:  exactly(1),
+		Short: "Apply the rules of the earlier revision N to a cluster again",
+		Long: "Propose the rules of the earlier revision N as the next revision, and wait until it alone is in " +
+			"force. The change has the same\nsteps as that of 'pepperlead apply'.",
 		Example: "  pepperlead rollback 6 --to 10.0.0.1:9005",
 	}
 	address := coordinatorFlag(c)
@@ -105,9 +107,11 @@
 
 func withdrawCommand() *cobra.Command {
 	c := &cobra.Command{
-		Use:     "withdraw N",
-		Args:    exactly(1),
-		Short:   "Withdraw a revision that is coming into force",
+		Use:   "withdraw N",
+		Args:  exactly(1),
+		Short: "Withdraw revision N while it is coming into force",
+		Long: "Cancel the change to revision N, which is agreed on but not yet in force alone. The revision before " +
+			"it stays in force.",
 		Example: "  pepperlead withdraw 7 --to 10.0.0.1:9005",
 	}
 	address := coordinatorFlag(c)
@@ -124,7 +128,7 @@
 	c := &cobra.Command{
 		Use:   "versions [N]",
 		Args:  usageError(cobra.MaximumNArgs(1)),
-		Short: "Print the revisions that a coordinator has, or the text of one",
+		Short: "Print the revisions of the rules that a coordinator has, or the text of revision N",
 		Example: "  pepperlead versions --to 10.0.0.1:9005\n" +
 			"  pepperlead versions 7 --to 10.0.0.1:9005",
 	}
@@ -212,7 +216,7 @@
 		}
 	}
 	if wait > 0 {
-		return fmt.Errorf("version %d is agreed on, and after %v still not in force alone", number, wait)
+		return fmt.Errorf("version %d is agreed on, but not yet in force alone after %v", number, wait)
 	}
 	return nil
 }
