--- a/cmd/pepperlead/versions.go
+++ b/cmd/pepperlead/versions.go
@@ -110,8 +110,8 @@
 		Use:   "withdraw N",
 		Args:  exactly(1),
 		Short: "Withdraw revision N while it is coming into force",
-		Long: "Cancel the change to revision N, which is agreed on but not yet in force alone. The revision before " +
-			"it stays in force.",
+		Long: "Cancel the change to revision N, which is agreed on but not yet in force alone. The active " +
+			"revision stays in force.",
 		Example: "  pepperlead withdraw 7 --to 10.0.0.1:9005",
 	}
 	address := coordinatorFlag(c)
