--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -37,11 +37,11 @@
 	mu             sync.Mutex
 	executions     []judge.Execution
 	clientRequests []judge.ClientRequest
-	down           []judge.Down
+	down           []judge.Interval
 	downSince      map[*Process]int64 // processes that are stopped or not running
 	lists          []judge.EndpointList
 	// When which sidecars may not have received the list of discovery.
-	unnotified      []judge.Down
+	unnotified      []judge.Interval
 	unnotifiedSince map[*Process]int64
 }
 
@@ -181,7 +181,7 @@
 		return
 	}
 	end := int64(clock.BootTime()) + int64(answerTimeout)
-	c.down = append(c.down, judge.Down{Process: string(process.Name), From: since, To: end})
+	c.down = append(c.down, judge.Interval{Process: string(process.Name), From: since, To: end})
 	delete(c.downSince, process)
 }
 
--- a/internal/faulttest/endpoints.go
+++ b/internal/faulttest/endpoints.go
@@ -101,7 +101,7 @@
 		now := int64(clock.BootTime())
 		switch {
 		case open && wasBlocked:
-			span := judge.Down{Process: string(instance.Name), From: since, To: now + int64(notifyTimeout)}
+			span := judge.Interval{Process: string(instance.Name), From: since, To: now + int64(notifyTimeout)}
 			c.unnotified = append(c.unnotified, span)
 			delete(c.unnotifiedSince, instance)
 		case !open && !wasBlocked:
--- a/internal/faulttest/judge/history.go
+++ b/internal/faulttest/judge/history.go
@@ -48,15 +48,15 @@
 	Status  int // 0: no answer
 }
 
-// Down is a span in which a process was stopped, had ended, or had just been so.
-type Down struct {
+// Interval is a span in which a process was stopped, had ended, or had just been so.
+type Interval struct {
 	Process string
 	From    int64
 	To      int64
 }
 
 // overlaps reports whether the process was down at some time of the span.
-func (d *Down) overlaps(process string, from, to int64) bool {
+func (d *Interval) overlaps(process string, from, to int64) bool {
 	return d.Process == process && d.From <= to && from <= d.To
 }
 
@@ -78,9 +78,9 @@
 	Steps          []Step
 	Executions     []Execution
 	ClientRequests []ClientRequest
-	Down           []Down
+	Down           []Interval
 	Lists          []EndpointList // in order
-	Unnotified     []Down         // spans in which a process may not have been notified by discovery
+	Unnotified     []Interval     // spans in which a process may not have been notified by discovery
 	Deadline       time.Duration
 	Slack          time.Duration // by which machine and links may delay a client's answer
 }
--- a/internal/faulttest/report.go
+++ b/internal/faulttest/report.go
@@ -171,7 +171,7 @@
 }
 
 // addDown draws when processes were stopped or not running.
-func (p *picture) addDown(down []judge.Down) {
+func (p *picture) addDown(down []judge.Interval) {
 	for _, span := range down {
 		lane := p.lane(span.Process)
 		from := p.x(span.From)
--- a/internal/faulttest/result.go
+++ b/internal/faulttest/result.go
@@ -103,10 +103,10 @@
 
 // spreadTimes returns, sorted, the seconds from a moment until each process was reached, without the processes that
 // were down in between.
-func spreadTimes(reachedAt map[string]int64, from int64, down []judge.Down) []float64 {
+func spreadTimes(reachedAt map[string]int64, from int64, down []judge.Interval) []float64 {
 	var times []float64
 	for process, at := range reachedAt {
-		wasDown := slices.ContainsFunc(down, func(d judge.Down) bool {
+		wasDown := slices.ContainsFunc(down, func(d judge.Interval) bool {
 			return d.Process == process && d.To-int64(answerTimeout) > from && d.From < at
 		})
 		if !wasDown {
