--- a/internal/faulttest/golden_test.go
+++ b/internal/faulttest/golden_test.go
@@ -90,7 +90,7 @@
 			{Process: "n1", Revisions: []int{2}, Leased: true, At: 12 * second},
 			{Process: "n2", Revisions: []int{1}, At: 11 * second},
 		},
-		Down: []judge.Interval{{Process: "n2", From: 12 * second, To: 13*second + int64(answerTimeout)}},
+		DownIntervals: []judge.Interval{{Process: "n2", From: 12 * second, To: 13*second + int64(answerTimeout)}},
 		ClientRequests: []judge.ClientRequest{
 			{Status: 200, EndedAt: 11 * second},
 			{Status: 503, EndedAt: 14 * second},
--- a/internal/faulttest/judge/history.go
+++ b/internal/faulttest/judge/history.go
@@ -78,7 +78,7 @@
 	Steps          []Step
 	Executions     []Execution
 	ClientRequests []ClientRequest
-	Down           []Interval
+	DownIntervals  []Interval
 	Lists          []EndpointList // in order
 	Unnotified     []Interval     // spans in which a process may not have been notified by discovery
 	Deadline       time.Duration
--- a/internal/faulttest/judge/judge_test.go
+++ b/internal/faulttest/judge/judge_test.go
@@ -57,7 +57,7 @@
 		"on a list again": {h: History{Lists: append(delisted[:2:2], EndpointList{int64(3500 * time.Millisecond), []string{"b"}}), Steps: []Step{push("x", "b", 0, acts("p", 4*second, true, 1))}}},
 		"no answer":       {broken: 1, h: History{ClientRequests: []ClientRequest{{ID: "x", Process: "p", SentAt: 1, EndedAt: int64(second)}}}},
 		"no answer of one that died": {h: History{ClientRequests: []ClientRequest{{ID: "x", Process: "p", SentAt: 1, EndedAt: int64(second)}},
-			Down: []Interval{{"p", 5, 6}}}},
+			DownIntervals: []Interval{{"p", 5, 6}}}},
 		"an answer after the cut-off": {broken: 1, h: History{Deadline: second, Slack: second / 10,
 			ClientRequests: []ClientRequest{{ID: "x", Process: "p", SentAt: 0, EndedAt: int64(2 * second), Status: 200}}}},
 	} {
--- a/internal/faulttest/play.go
+++ b/internal/faulttest/play.go
@@ -165,7 +165,7 @@
 	}
 	history.Executions = p.executions
 	history.ClientRequests = p.clientRequests
-	history.Down = p.down
+	history.DownIntervals = p.down
 	history.Lists = p.lists
 	history.Unnotified = p.unnotified
 	p.result.History = history
--- a/internal/faulttest/report.go
+++ b/internal/faulttest/report.go
@@ -78,7 +78,7 @@
 func Report(directory string, script *Script, result *Result) error {
 	picture := newPicture(result)
 	picture.addRules(result.History.Changes)
-	picture.addDown(result.History.Down)
+	picture.addDown(result.History.DownIntervals)
 	bottom := lanesTop + float64(len(picture.lanes))*lanePitch + margin
 	data := reportData{
 		Result: result,
--- a/internal/faulttest/result.go
+++ b/internal/faulttest/result.go
@@ -85,12 +85,12 @@
 		}
 	}
 	applied := begun + int64(a.At*float64(time.Second))
-	if times := spreadTimes(first, applied, history.Down); len(times) > 0 {
+	if times := spreadTimes(first, applied, history.DownIntervals); len(times) > 0 {
 		a.P50 = times[len(times)/2]
 		a.P99 = times[min(len(times)-1, len(times)*99/100)]
 		a.Max = times[len(times)-1]
 	}
-	if times := spreadTimes(alone, applied, history.Down); len(times) > 0 {
+	if times := spreadTimes(alone, applied, history.DownIntervals); len(times) > 0 {
 		a.Alone = max(0, times[len(times)-1])
 	}
 }
