--- a/internal/faulttest/judge/history.go
+++ b/internal/faulttest/judge/history.go
@@ -73,14 +73,14 @@
 
 // History is all that was recorded in a fault test.
 type History struct {
-	RuleSets       map[int]RuleSet
-	Changes        []ActiveRules
-	Steps          []Step
-	Executions     []Execution
-	ClientRequests []ClientRequest
-	DownIntervals  []Interval
-	Lists          []EndpointList // in order
-	Unnotified     []Interval     // spans in which a process may not have been notified by discovery
-	Deadline       time.Duration
-	Slack          time.Duration // by which machine and links may delay a client's answer
+	RuleSets            map[int]RuleSet
+	Changes             []ActiveRules
+	Steps               []Step
+	Executions          []Execution
+	ClientRequests      []ClientRequest
+	DownIntervals       []Interval
+	Lists               []EndpointList // in order
+	UnnotifiedIntervals []Interval     // spans in which a process may not have been notified by discovery
+	Deadline            time.Duration
+	Slack               time.Duration // by which machine and links may delay a client's answer
 }
--- a/internal/faulttest/judge/judge.go
+++ b/internal/faulttest/judge/judge.go
@@ -150,7 +150,7 @@
 		}
 		ready, since := h.listed(s)
 		unnotified := func(d Interval) bool { return d.overlaps(s.Process, s.At, since+int64(DrainGrace)) }
-		if !ready && !slices.ContainsFunc(h.Unnotified, unnotified) && !slices.ContainsFunc(h.DownIntervals, unnotified) {
+		if !ready && !slices.ContainsFunc(h.UnnotifiedIntervals, unnotified) && !slices.ContainsFunc(h.DownIntervals, unnotified) {
 			v.fault("%s pushed %s to %s, which has not been ready on any list for %v", s.Process, s.ID, s.Endpoint,
 				time.Duration(s.At-since))
 		}
--- a/internal/faulttest/play.go
+++ b/internal/faulttest/play.go
@@ -167,7 +167,7 @@
 	history.ClientRequests = p.clientRequests
 	history.DownIntervals = p.down
 	history.Lists = p.lists
-	history.Unnotified = p.unnotified
+	history.UnnotifiedIntervals = p.unnotified
 	p.result.History = history
 	p.result.Verdict = judge.Judge(history)
 	p.result.OwnDelay = p.Links.Overhead(overheadLevel).Seconds()
