--- a/cmd/pepperlead-sim/drillpeers.go
+++ b/cmd/pepperlead-sim/drillpeers.go
@@ -59,7 +59,7 @@
 		return err
 	}
 	defer removeAll(directory)
-	stage, err := faulttest.Begin(faulttest.StageConfig{
+	stage, err := faulttest.StartStage(faulttest.StageConfig{
 		Program:   o.daemon,
 		Dir:       directory,
 		Count:     o.count,
--- a/internal/faulttest/drill_test.go
+++ b/internal/faulttest/drill_test.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := Begin(StageConfig{Program: program, Dir: t.TempDir(), Count: 5, Strangers: 2, Instances: 3, Seed: 1})
+	s, err := StartStage(StageConfig{Program: program, Dir: t.TempDir(), Count: 5, Strangers: 2, Instances: 3, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/faulttest/stage.go
+++ b/internal/faulttest/stage.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// Begin starts all processes at once. The caller ends them by Close; after an error none is left running.
-func Begin(config StageConfig) (*Stage, error) {
+// StartStage starts all processes at once. The caller ends them by Close; after an error none is left running.
+func StartStage(config StageConfig) (*Stage, error) {
 	stage := newStage(config.Program, config.Dir, config.Seed)
 	if err := stage.begin(config); err != nil {
 		stage.Close()
