--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -61,8 +61,8 @@
 	discoveryNode = faultproxy.Node("discovery")
 )
 
-// BeginCluster starts all processes at once. The caller ends them by Close; after an error none is left running.
-func BeginCluster(program, directory string, script *Script, seed uint64) (*Cluster, error) {
+// StartCluster starts all processes at once. The caller ends them by Close; after an error none is left running.
+func StartCluster(program, directory string, script *Script, seed uint64) (*Cluster, error) {
 	cluster := newCluster(program, directory, script, seed)
 	if err := cluster.begin(seed); err != nil {
 		cluster.Close()
--- a/internal/faulttest/play.go
+++ b/internal/faulttest/play.go
@@ -31,7 +31,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	lateness := clockLateness(ctx)
-	cluster, err := BeginCluster(program, directory, script, seed)
+	cluster, err := StartCluster(program, directory, script, seed)
 	if err != nil {
 		return nil, err
 	}
