--- a/internal/faulttest/peers.go
+++ b/internal/faulttest/peers.go
@@ -86,7 +86,7 @@
 	}
 	ctx, cancel := context.WithTimeout(t.ctx, stepTimeout)
 	defer cancel()
-	elapsed, err := t.stage.Until(ctx, processes, want)
+	elapsed, err := t.stage.WaitForAliveCount(ctx, processes, want)
 	if err != nil {
 		t.err = fmt.Errorf("%s: %w", what, err)
 	}
--- a/internal/faulttest/stage.go
+++ b/internal/faulttest/stage.go
@@ -172,8 +172,8 @@
 	return addresses, err
 }
 
-// Until waits until each process takes the given number of instances for alive, and returns how long that took.
-func (s *Stage) Until(ctx context.Context, processes []*Process, want int) (time.Duration, error) {
+// WaitForAliveCount waits until each process takes the given number of instances for alive, and returns how long that took.
+func (s *Stage) WaitForAliveCount(ctx context.Context, processes []*Process, want int) (time.Duration, error) {
 	start := time.Now()
 	for _, process := range processes {
 		for {
