--- a/internal/faulttest/peers.go
+++ b/internal/faulttest/peers.go
@@ -170,7 +170,7 @@
 func (t *peersTest) checkStrangers(strangers []*Process) {
 	connections := func(c faultproxy.Counters) uint64 { return c.Connections }
 	for _, process := range strangers {
-		alive := process.Alive()
+		alive := process.AliveCount()
 		if alive != 1 || t.stage.sumCounters([]faultproxy.Node{process.Name}, t.smaller, connections) == 0 {
 			t.fail(fmt.Errorf("stranger %s holds %d to be there, or has not tried", process.Name, alive))
 		}
--- a/internal/faulttest/process.go
+++ b/internal/faulttest/process.go
@@ -150,8 +150,8 @@
 	return lines.Err()
 }
 
-// Alive returns the number of instances that the process takes for alive, -1 if it does not answer.
-func (p *Process) Alive() int {
+// AliveCount returns the number of instances that the process takes for alive, -1 if it does not answer.
+func (p *Process) AliveCount() int {
 	alive := 0
 	err := p.fetchLines(pathPeers, func(line string) { alive += strings.Count(line, " alive up=") })
 	if err != nil {
--- a/internal/faulttest/stage.go
+++ b/internal/faulttest/stage.go
@@ -177,7 +177,7 @@
 	start := time.Now()
 	for _, process := range processes {
 		for {
-			alive := process.Alive()
+			alive := process.AliveCount()
 			if alive == want {
 				break
 			}
