--- a/internal/faulttest/figures.go
+++ b/internal/faulttest/figures.go
@@ -20,7 +20,7 @@
 func sumFigures(processes []*Process) peerFigures {
 	var sum peerFigures
 	for _, process := range processes {
-		values := process.Figures(metricPacketsSent, metricBytesSent, metricCPUSeconds, metricFalseDeaths)
+		values := process.Metrics(metricPacketsSent, metricBytesSent, metricCPUSeconds, metricFalseDeaths)
 		sum.packets += values[0]
 		sum.bytes += values[1]
 		sum.cpu += values[2]
--- a/internal/faulttest/process.go
+++ b/internal/faulttest/process.go
@@ -160,8 +160,8 @@
 	return alive
 }
 
-// Figures returns the values of some metrics, all from one page; 0 for a metric that is not there.
-func (p *Process) Figures(names ...string) []float64 {
+// Metrics returns the values of some metrics, all from one page; 0 for a metric that is not there.
+func (p *Process) Metrics(names ...string) []float64 {
 	values := make([]float64, len(names))
 	// A process that does not answer counts as 0, like a metric that is not there.
 	_ = p.fetchLines(pathMetrics, func(line string) {
@@ -174,4 +174,4 @@
 }
 
 // Figure returns the value of one metric.
-func (p *Process) Figure(name string) float64 { return p.Figures(name)[0] }
+func (p *Process) Figure(name string) float64 { return p.Metrics(name)[0] }
--- a/internal/faulttest/revisions.go
+++ b/internal/faulttest/revisions.go
@@ -101,7 +101,7 @@
 	end := time.Now().Add(timeout)
 	for _, instance := range c.instances {
 		for {
-			figures := instance.Figures(metricRevision, metricLeased)
+			figures := instance.Metrics(metricRevision, metricLeased)
 			revision := figures[0]
 			leased := figures[1]
 			if int(revision) == c.activeRevision && leased == 1 {
