--- a/internal/faulttest/drill_test.go
+++ b/internal/faulttest/drill_test.go
@@ -49,7 +49,7 @@
 	t.Logf("%+v", c)
 	dropped := 0.0
 	for _, p := range s.Processes[1:3] { // the first has left
-		dropped += p.Figure("pepperlead_peers_dropped_total")
+		dropped += p.Metric("pepperlead_peers_dropped_total")
 	}
 	if dropped == 0 {
 		t.Error("nobody has counted what strangers sent")
--- a/internal/faulttest/process.go
+++ b/internal/faulttest/process.go
@@ -173,5 +173,5 @@
 	return values
 }
 
-// Figure returns the value of one metric.
-func (p *Process) Figure(name string) float64 { return p.Metrics(name)[0] }
+// Metric returns the value of one metric.
+func (p *Process) Metric(name string) float64 { return p.Metrics(name)[0] }
