--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -189,7 +189,7 @@
 func (c *Cluster) resume(process *Process) error {
 	process.Stall(false)
 	defer c.noteUp(process)
-	if process.Runs() {
+	if process.Running() {
 		return nil
 	}
 	return process.Start()
--- a/internal/faulttest/process.go
+++ b/internal/faulttest/process.go
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// Runs reports whether the process was started and has not ended.
-func (p *Process) Runs() bool {
+// Running reports whether the process was started and has not ended.
+func (p *Process) Running() bool {
 	if p.running == nil {
 		return false
 	}
@@ -90,7 +90,7 @@
 
 // endedByItself reports whether the process has ended without Kill or Leave.
 func (p *Process) endedByItself() bool {
-	return p.running != nil && !p.Runs()
+	return p.running != nil && !p.Running()
 }
 
 // signal sends a signal to the process.
--- a/internal/faulttest/processfaults.go
+++ b/internal/faulttest/processfaults.go
@@ -23,7 +23,7 @@
 
 // throttle stops the process nine tenths of the time, like a CPU quota, until the channel is closed.
 func (p *Process) throttle(ctx context.Context, end <-chan struct{}) {
-	for p.Runs() {
+	for p.Running() {
 		p.signal(syscall.SIGSTOP)
 		select {
 		case <-ctx.Done():
--- a/internal/faulttest/revisions.go
+++ b/internal/faulttest/revisions.go
@@ -22,7 +22,7 @@
 func (c *Cluster) reachableCoordinator() *Process {
 	running := c.coordinators[0]
 	for _, coordinator := range c.coordinators {
-		if !coordinator.Runs() || coordinator.stopped {
+		if !coordinator.Running() || coordinator.stopped {
 			continue
 		}
 		running = coordinator
@@ -77,7 +77,7 @@
 	for end := time.Now().Add(convergeTimeout); time.Now().Before(end); time.Sleep(revisionsInterval) {
 		changing := false
 		for _, coordinator := range c.coordinators {
-			if !coordinator.Runs() {
+			if !coordinator.Running() {
 				continue
 			}
 			known, err := coordinator.revisions()
