--- a/internal/faulttest/actions.go
+++ b/internal/faulttest/actions.go
@@ -152,7 +152,7 @@
 func (p *player) stall(targets []*Process) {
 	for _, target := range targets {
 		p.noteDown(target)
-		target.Stall(true)
+		target.SetStalled(true)
 	}
 }
 
--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -187,7 +187,7 @@
 
 // resume lets a process continue, or starts it.
 func (c *Cluster) resume(process *Process) error {
-	process.Stall(false)
+	process.SetStalled(false)
 	defer c.noteUp(process)
 	if process.Running() {
 		return nil
--- a/internal/faulttest/peers.go
+++ b/internal/faulttest/peers.go
@@ -147,9 +147,9 @@
 func (t *peersTest) stall() {
 	count := len(t.left)
 	last := t.left[count-1]
-	last.Stall(true)
+	last.SetStalled(true)
 	t.expect("one stands still", t.left[:count-1], count-1)
-	last.Stall(false)
+	last.SetStalled(false)
 	t.expect("it goes on", t.left, count)
 }
 
--- a/internal/faulttest/process.go
+++ b/internal/faulttest/process.go
@@ -103,7 +103,7 @@
 	if p.running == nil {
 		return
 	}
-	p.Stall(false)
+	p.SetStalled(false)
 	p.signal(os.Kill)
 	<-p.exited
 	p.running = nil
@@ -117,8 +117,8 @@
 	return p.exitError
 }
 
-// Stall stops the process or lets it continue.
-func (p *Process) Stall(stopped bool) {
+// SetStalled stops the process or lets it continue.
+func (p *Process) SetStalled(stopped bool) {
 	if p.stopped == stopped {
 		return
 	}
