--- a/cmd/pepperlead-sim/drillpeers.go
+++ b/cmd/pepperlead-sim/drillpeers.go
@@ -71,7 +71,7 @@
 		return err
 	}
 	defer stage.Close()
-	result, err := faulttest.Peers(ctx, stage, o.count)
+	result, err := faulttest.RunPeersTest(ctx, stage, o.count)
 	if o.asJSON {
 		if failed := printJSON(out, result); failed != nil {
 			return failed
--- a/internal/faulttest/drill_test.go
+++ b/internal/faulttest/drill_test.go
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	c, err := Peers(t.Context(), s, 5)
+	c, err := RunPeersTest(t.Context(), s, 5)
 	if err != nil {
 		t.Errorf("%v\n%+v", err, c)
 	}
--- a/internal/faulttest/peers.go
+++ b/internal/faulttest/peers.go
@@ -37,9 +37,9 @@
 	overheadLevel = 99              // percentile
 )
 
-// Peers kills, cuts and stalls, one after the other, among at least five instances, each time until all remaining ones
+// RunPeersTest kills, cuts and stalls, one after the other, among at least five instances, each time until all remaining ones
 // know. The stage's strangers, if any, must stay alone.
-func Peers(ctx context.Context, s *Stage, count int) (PeersResult, error) {
+func RunPeersTest(ctx context.Context, s *Stage, count int) (PeersResult, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	lateness := clockLateness(ctx)
