--- a/internal/faulttest/peers.go
+++ b/internal/faulttest/peers.go
@@ -11,10 +11,10 @@
 
 // Step is one step of a test of peers, and how long it took until all remaining instances knew.
 type Step struct {
-	What      string  `json:"What"`
-	Seconds   float64 `json:"Seconds"`
-	Observers int     `json:"Know"` // instances that had to know
-	Of        int     `json:"Of"`   // instances that they had to take for alive
+	What          string  `json:"What"`
+	Seconds       float64 `json:"Seconds"`
+	Observers     int     `json:"Know"` // instances that had to know
+	ExpectedAlive int     `json:"Of"`   // instances that they had to take for alive
 }
 
 // PeersResult is the result of a test of peers.
@@ -90,7 +90,7 @@
 	if err != nil {
 		t.err = fmt.Errorf("%s: %w", what, err)
 	}
-	step := Step{What: what, Seconds: elapsed.Seconds(), Observers: len(processes), Of: want}
+	step := Step{What: what, Seconds: elapsed.Seconds(), Observers: len(processes), ExpectedAlive: want}
 	t.result.Steps = append(t.result.Steps, step)
 }
 
