--- a/internal/faulttest/peers.go
+++ b/internal/faulttest/peers.go
@@ -21,12 +21,12 @@
 type PeersResult struct {
 	Steps []Step `json:"Steps"`
 	// Of one idle instance, the mean of all: sent in a second, and part of a core.
-	Packets     float64 `json:"Packets"`
-	Bytes       float64 `json:"Bytes"`
-	CPU         float64 `json:"CPU"`
-	FalseAlarms float64 `json:"FalseAlarms"` // times that an instance was taken for gone while all were idle, over all
-	OwnDelay    float64 `json:"OwnDelay"`    // seconds that the fault proxy added itself, 99th percentile
-	LatestClock float64 `json:"LatestClock"` // seconds of the latest clock reading; no shorter time means anything
+	Packets       float64 `json:"Packets"`
+	Bytes         float64 `json:"Bytes"`
+	CPU           float64 `json:"CPU"`
+	FalseAlarms   float64 `json:"FalseAlarms"` // times that an instance was taken for gone while all were idle, over all
+	OwnDelay      float64 `json:"OwnDelay"`    // seconds that the fault proxy added itself, 99th percentile
+	ClockLateness float64 `json:"LatestClock"` // seconds of the latest clock reading; no shorter time means anything
 }
 
 const (
@@ -57,7 +57,7 @@
 	t.leaveAndRestart()
 	t.checkStrangers(s.Processes[count:])
 	t.result.OwnDelay = s.Links.Overhead(overheadLevel).Seconds()
-	t.result.LatestClock = lateness().Seconds()
+	t.result.ClockLateness = lateness().Seconds()
 	return t.result, t.err
 }
 
