--- a/cmd/pepperlead-sim/drillpeers.go
+++ b/cmd/pepperlead-sim/drillpeers.go
@@ -90,5 +90,5 @@
 		r.Packets, r.Bytes, r.CPU, r.FalseAlarms)
 	printf(out, "the links themselves took %.1f ms (99th percentile); the clock was looked at %.0f ms late at "+
 		"the worst\n",
-		r.OwnDelay*1000, r.ClockLateness*1000)
+		r.ProxyOverhead*1000, r.ClockLateness*1000)
 }
--- a/internal/faulttest/peers.go
+++ b/internal/faulttest/peers.go
@@ -25,7 +25,7 @@
 	Bytes         float64 `json:"Bytes"`
 	CPU           float64 `json:"CPU"`
 	FalseAlarms   float64 `json:"FalseAlarms"` // times that an instance was taken for gone while all were idle, over all
-	OwnDelay      float64 `json:"OwnDelay"`    // seconds that the fault proxy added itself, 99th percentile
+	ProxyOverhead float64 `json:"OwnDelay"`    // seconds that the fault proxy added itself, 99th percentile
 	ClockLateness float64 `json:"LatestClock"` // seconds of the latest clock reading; no shorter time means anything
 }
 
@@ -56,7 +56,7 @@
 	t.stall()
 	t.leaveAndRestart()
 	t.checkStrangers(s.Processes[count:])
-	t.result.OwnDelay = s.Links.Overhead(overheadLevel).Seconds()
+	t.result.ProxyOverhead = s.Links.Overhead(overheadLevel).Seconds()
 	t.result.ClockLateness = lateness().Seconds()
 	return t.result, t.err
 }
