--- a/cmd/pepperlead-sim/drillplay.go
+++ b/cmd/pepperlead-sim/drillplay.go
@@ -180,7 +180,7 @@
 		r.Converged, r.Unleased, r.FalseDeaths, r.Packets, r.Bytes, r.CPU)
 	printf(out, "  links took %.1f ms (99%%), the clock was looked at %.0f ms late at the worst; %.0f%% of the "+
 		"machine was in use\n",
-		r.OwnDelay*1000, r.ClockLateness*1000, r.Busy*100)
+		r.ProxyOverhead*1000, r.ClockLateness*1000, r.Busy*100)
 	if r.Tables > 0 {
 		printf(out, "  %d slot tables at the end\n", r.Tables)
 	}
--- a/internal/faulttest/play.go
+++ b/internal/faulttest/play.go
@@ -170,7 +170,7 @@
 	history.UnnotifiedIntervals = p.unnotified
 	p.result.History = history
 	p.result.Verdict = judge.Judge(history)
-	p.result.OwnDelay = p.Links.Overhead(overheadLevel).Seconds()
+	p.result.ProxyOverhead = p.Links.Overhead(overheadLevel).Seconds()
 	p.result.ClockLateness = p.lateness().Seconds()
 	lease, _ := time.ParseDuration(p.script.Lease) // the coordinators would not have started with a bad one
 	p.result.Void = p.result.ClockLateness > lease.Seconds()
--- a/internal/faulttest/result.go
+++ b/internal/faulttest/result.go
@@ -31,7 +31,7 @@
 	Applied       []Applied      `json:"Applied"`
 	Converged     float64        `json:"Converged"` // seconds from the healing until all had the same lease
 	Unleased      float64        `json:"Unleased"`  // seconds without a lease, over all sidecars
-	OwnDelay      float64        `json:"OwnDelay"`  // seconds that the fault proxy added itself, 99th percentile
+	ProxyOverhead float64        `json:"OwnDelay"`  // seconds that the fault proxy added itself, 99th percentile
 	ClockLateness float64        `json:"Late"`      // seconds by which the latest clock reading was late
 	Tables        int            `json:"Tables"`    // different slot tables at the end, must be 1 if counted
 	Busy          float64        `json:"Busy"`      // share of the machine's cores in use, by any process
