--- a/internal/faulttest/golden_test.go
+++ b/internal/faulttest/golden_test.go
@@ -78,7 +78,7 @@
 	golden.Fill(&result)
 	golden.Fill(&script)
 	second := int64(time.Second)
-	result.Drill, result.Seed, result.Begun = "play", 7, 10*second
+	result.Drill, result.Seed, result.StartedAt = "play", 7, 10*second
 	result.Applied = append(
 		result.Applied,
 		Applied{Version: "second", Number: 2, At: 1.5, P50: 2.5, P99: 3.5, Max: 4.5, Alone: 5.5},
--- a/internal/faulttest/play.go
+++ b/internal/faulttest/play.go
@@ -64,7 +64,7 @@
 		return errors.Join(fmt.Errorf("at the start: %w", err), errors.New(strings.Join(p.endedByThemselves(), ", ")))
 	}
 	before := sumFigures(p.instances)
-	p.result.Begun = int64(clock.BootTime())
+	p.result.StartedAt = int64(clock.BootTime())
 	p.start = time.Now()
 	cpuBefore := readCPU()
 	p.startClients()
--- a/internal/faulttest/report.go
+++ b/internal/faulttest/report.go
@@ -107,7 +107,7 @@
 }
 
 func newPicture(result *Result) *picture {
-	p := &picture{begin: result.Begun, end: result.Begun + 1}
+	p := &picture{begin: result.StartedAt, end: result.StartedAt + 1}
 	for _, request := range result.History.ClientRequests {
 		p.end = max(p.end, request.EndedAt)
 	}
--- a/internal/faulttest/result.go
+++ b/internal/faulttest/result.go
@@ -42,7 +42,7 @@
 	Bytes         float64        `json:"Bytes"`
 	CPU           float64        `json:"CPU"`
 	History       *judge.History `json:"-"`
-	Begun         int64          `json:"-"`
+	StartedAt     int64          `json:"-"`
 	Marks         []Mark         `json:"-"`
 }
 
@@ -65,10 +65,10 @@
 	for i := range r.Applied {
 		applied := &r.Applied[i]
 		if applied.Number != 0 && applied.Failed == "" && !strings.HasPrefix(applied.Version, actionWithdraw) {
-			applied.measureSpread(history, r.Begun)
+			applied.measureSpread(history, r.StartedAt)
 		}
 	}
-	r.Unleased = unleasedSeconds(history.Changes, r.Begun)
+	r.Unleased = unleasedSeconds(history.Changes, r.StartedAt)
 }
 
 // measureSpread finds how long the change took to reach the sidecars that were running meanwhile.
