--- a/cmd/pepperlead-sim/drillplay.go
+++ b/cmd/pepperlead-sim/drillplay.go
@@ -143,7 +143,7 @@
 			return false, err
 		}
 	}
-	return result.Good(script), nil
+	return result.Passed(script), nil
 }
 
 // play plays in a directory of its own, which stays if the play fails and is to be kept.
@@ -153,7 +153,7 @@
 		return nil, err
 	}
 	result, err := faulttest.Play(ctx, p.daemon, directory, script, seed)
-	if p.failedPlays == "" || err == nil && result.Good(script) {
+	if p.failedPlays == "" || err == nil && result.Passed(script) {
 		removeAll(directory)
 	}
 	return result, err
@@ -161,7 +161,7 @@
 
 func printPlay(out io.Writer, script *faulttest.Script, r *faulttest.Result) {
 	verdict := "good"
-	if !r.Good(script) {
+	if !r.Passed(script) {
 		verdict = "FAILED"
 	}
 	v := r.Verdict
--- a/internal/faulttest/drill_test.go
+++ b/internal/faulttest/drill_test.go
@@ -91,7 +91,7 @@
 			if r.Void {
 				t.Skip("the machine stood still for longer than a lease") // no figure means anything then
 			}
-			if !r.Good(s) || v.Attempts < 300 || v.Repeats == 0 || v.Unleased == 0 {
+			if !r.Passed(s) || v.Attempts < 300 || v.Repeats == 0 || v.Unleased == 0 {
 				t.Errorf("%+v %v", v, r.Failed)
 			}
 		})
--- a/internal/faulttest/result.go
+++ b/internal/faulttest/result.go
@@ -52,8 +52,8 @@
 	What string
 }
 
-// Good reports whether the result is what the script expects.
-func (r *Result) Good(s *Script) bool {
+// Passed reports whether the result is what the script expects.
+func (r *Result) Passed(s *Script) bool {
 	if s.Contradicts {
 		return r.Verdict.Contradiction > s.AgreeWithin
 	}
