--- a/cmd/pepperlead-sim/drillplay.go
+++ b/cmd/pepperlead-sim/drillplay.go
@@ -195,7 +195,7 @@
 	}
 }
 
-func printApplied(out io.Writer, a faulttest.Applied) {
+func printApplied(out io.Writer, a faulttest.RuleChange) {
 	if a.Failed != "" {
 		printf(out, "  %s at %.1f s: failed after %.1f s: %s\n", a.Version, a.At, a.Agreed, a.Failed)
 		return
--- a/internal/faulttest/golden_test.go
+++ b/internal/faulttest/golden_test.go
@@ -81,7 +81,7 @@
 	result.Drill, result.Seed, result.StartedAt = "play", 7, 10*second
 	result.Applied = append(
 		result.Applied,
-		Applied{Version: "second", Number: 2, At: 1.5, P50: 2.5, P99: 3.5, Max: 4.5, Alone: 5.5},
+		RuleChange{Version: "second", Number: 2, At: 1.5, P50: 2.5, P99: 3.5, Max: 4.5, Alone: 5.5},
 	)
 	result.Marks = []Mark{{At: 11 * second, What: "a thing was done"}}
 	result.History = &judge.History{
--- a/internal/faulttest/result.go
+++ b/internal/faulttest/result.go
@@ -8,8 +8,8 @@
 	"pepperlead/internal/faulttest/judge"
 )
 
-// Applied is one change of the rules during a test, and how it spread.
-type Applied struct {
+// RuleChange is one change of the rules during a test, and how it spread.
+type RuleChange struct {
 	Version string  `json:"Version"`
 	Number  int     `json:"Number"`
 	At      float64 `json:"At"`     // seconds since the begin
@@ -28,7 +28,7 @@
 	Drill         string         `json:"Drill"`
 	Seed          uint64         `json:"Seed"`
 	Verdict       *judge.Verdict `json:"Verdict"`
-	Applied       []Applied      `json:"Applied"`
+	Applied       []RuleChange   `json:"Applied"`
 	Converged     float64        `json:"Converged"` // seconds from the healing until all had the same lease
 	Unleased      float64        `json:"Unleased"`  // seconds without a lease, over all sidecars
 	ProxyOverhead float64        `json:"OwnDelay"`  // seconds that the fault proxy added itself, 99th percentile
@@ -72,7 +72,7 @@
 }
 
 // measureSpread finds how long the change took to reach the sidecars that were running meanwhile.
-func (a *Applied) measureSpread(history *judge.History, begun int64) {
+func (a *RuleChange) measureSpread(history *judge.History, begun int64) {
 	first := map[string]int64{} // by process: when it first acted by the revision
 	alone := map[string]int64{} // and by it alone
 	for _, rules := range history.Changes {
--- a/internal/faulttest/revisions.go
+++ b/internal/faulttest/revisions.go
@@ -152,7 +152,7 @@
 // changeRules runs the program's command for an action and records its result.
 func (p *player) changeRules(ctx context.Context, action Action, target *Process) {
 	args := p.commandArguments(action)
-	applied := Applied{Version: action.RuleSet, At: time.Since(p.start).Seconds()}
+	applied := RuleChange{Version: action.RuleSet, At: time.Since(p.start).Seconds()}
 	if applied.Version == "" {
 		applied.Version = strings.Join(args[:2], " ")
 	}
