--- a/internal/faulttest/actions.go
+++ b/internal/faulttest/actions.go
@@ -67,7 +67,7 @@
 
 // do takes an action.
 func (p *player) do(ctx context.Context, action Action) {
-	targets := p.processes(action.Who)
+	targets := p.processes(action.Targets)
 	switch action.What {
 	case actionApply, actionRollback, actionWithdraw:
 		p.startChange(ctx, action, targets)
--- a/internal/faulttest/script.go
+++ b/internal/faulttest/script.go
@@ -46,7 +46,7 @@
 	Number    int           // revision that they act by
 	After     time.Duration // how much later
 	What      string
-	Who       []string
+	Targets   []string
 	From      []string
 	To        []string
 	RuleSet   string
@@ -62,7 +62,7 @@
 
 // description names the action for the report.
 func (a Action) description() string {
-	parts := slices.Concat([]string{a.What}, a.Who, a.From, []string{a.RuleSet})
+	parts := slices.Concat([]string{a.What}, a.Targets, a.From, []string{a.RuleSet})
 	return strings.Join(parts, " ")
 }
 
@@ -196,7 +196,7 @@
 	action := Action{
 		At:        -1,
 		What:      kinds[table.OneOf("what", 0, kinds...)],
-		Who:       table.Strings("who"),
+		Targets:   table.Strings("who"),
 		From:      table.Strings("from"),
 		To:        table.Strings("to"),
 		RuleSet:   table.String("version", ""),
