--- a/internal/faulttest/actions.go
+++ b/internal/faulttest/actions.go
@@ -57,7 +57,7 @@
 			if len(atRevision) == need {
 				break
 			}
-			if !atRevision[instance] && instance.Metric(metricRevision) >= float64(action.Number) {
+			if !atRevision[instance] && instance.Metric(metricRevision) >= float64(action.AwaitedRevision) {
 				atRevision[instance] = true
 			}
 		}
--- a/internal/faulttest/script.go
+++ b/internal/faulttest/script.go
@@ -41,23 +41,23 @@
 // Action is something that is done at its moment: at a time or, if At is negative, once a share of the sidecars acts by
 // a revision.
 type Action struct {
-	At        time.Duration // since the begin
-	Share     float64       // of the sidecars
-	Number    int           // revision that they act by
-	After     time.Duration // how much later
-	What      string
-	Targets   []string
-	From      []string
-	To        []string
-	RuleSet   string
-	Revision  int // to withdraw or to roll back to
-	Drop      float64
-	Duplicate float64
-	Delay     time.Duration
-	Spread    time.Duration
-	MayFail   bool
-	Ready     []string // endpoints of a list
-	Draining  []string // endpoints of a list
+	At              time.Duration // since the begin
+	Share           float64       // of the sidecars
+	AwaitedRevision int           // revision that they act by
+	After           time.Duration // how much later
+	What            string
+	Targets         []string
+	From            []string
+	To              []string
+	RuleSet         string
+	Revision        int // to withdraw or to roll back to
+	Drop            float64
+	Duplicate       float64
+	Delay           time.Duration
+	Spread          time.Duration
+	MayFail         bool
+	Ready           []string // endpoints of a list
+	Draining        []string // endpoints of a list
 }
 
 // description names the action for the report.
@@ -231,7 +231,7 @@
 		return
 	}
 	var share string
-	if _, err := fmt.Sscanf(when, "%s %d", &share, &a.Number); err != nil || namedShares[share] == 0 {
+	if _, err := fmt.Sscanf(when, "%s %d", &share, &a.AwaitedRevision); err != nil || namedShares[share] == 0 {
 		table.Fault("when", table.Found("when"), "one, half or all, and the number of a version that so many act by")
 	}
 	a.Share = namedShares[share]
