--- a/internal/faulttest/actions.go
+++ b/internal/faulttest/actions.go
@@ -138,7 +138,7 @@
 		Drop:      action.Drop,
 		Duplicate: action.Duplicate,
 		Delay:     action.Delay,
-		Jitter:    action.Spread,
+		Jitter:    action.DelayJitter,
 	}
 	for _, from := range p.Processes {
 		for _, to := range p.Processes {
--- a/internal/faulttest/script.go
+++ b/internal/faulttest/script.go
@@ -54,7 +54,7 @@
 	Drop            float64
 	Duplicate       float64
 	Delay           time.Duration
-	Spread          time.Duration
+	DelayJitter     time.Duration
 	MayFail         bool
 	Ready           []string // endpoints of a list
 	Draining        []string // endpoints of a list
@@ -194,21 +194,21 @@
 	kinds := actionKinds()
 	table.Require("what")
 	action := Action{
-		At:        -1,
-		What:      kinds[table.OneOf("what", 0, kinds...)],
-		Targets:   table.Strings("who"),
-		From:      table.Strings("from"),
-		To:        table.Strings("to"),
-		RuleSet:   table.String("version", ""),
-		Revision:  int(table.Count("number", 0, 1, maxRevision)),
-		Drop:      table.Float("drop", 0, 0, 1),
-		Duplicate: table.Float("twice", 0, 0, 1),
-		Delay:     readDuration(table, "delay", 0),
-		Spread:    readDuration(table, "spread", 0),
-		MayFail:   table.Bool("may_fail", false),
-		After:     readDuration(table, "after", 0),
-		Ready:     table.Strings("servers"),
-		Draining:  table.Strings("leaving"),
+		At:          -1,
+		What:        kinds[table.OneOf("what", 0, kinds...)],
+		Targets:     table.Strings("who"),
+		From:        table.Strings("from"),
+		To:          table.Strings("to"),
+		RuleSet:     table.String("version", ""),
+		Revision:    int(table.Count("number", 0, 1, maxRevision)),
+		Drop:        table.Float("drop", 0, 0, 1),
+		Duplicate:   table.Float("twice", 0, 0, 1),
+		Delay:       readDuration(table, "delay", 0),
+		DelayJitter: readDuration(table, "spread", 0),
+		MayFail:     table.Bool("may_fail", false),
+		After:       readDuration(table, "after", 0),
+		Ready:       table.Strings("servers"),
+		Draining:    table.Strings("leaving"),
 	}
 	table.Require(requiredFields[action.What]...)
 	if names := s.ruleSetNames(); action.RuleSet != "" && !slices.Contains(names, action.RuleSet) {
