--- a/internal/benchmark/follow.go
+++ b/internal/benchmark/follow.go
@@ -74,7 +74,7 @@
 func (p *endpointPair) start() error {
 	for i := range p.endpoints {
 		seen := func(string, string, time.Time) { p.firstRequest[i].CompareAndSwap(0, time.Now().UnixNano()) }
-		endpoint, err := fakebackend.Start("127.0.0.1:0", fakebackend.Traits{Cores: 64, Queue: 1024, Seen: seen})
+		endpoint, err := fakebackend.Start("127.0.0.1:0", fakebackend.Traits{Cores: 64, Queue: 1024, OnRequest: seen})
 		if err != nil {
 			return err
 		}
--- a/internal/daemon/rewrite_test.go
+++ b/internal/daemon/rewrite_test.go
@@ -108,7 +108,7 @@
 	f := &fleet{t: t, dir: t.TempDir(), drained: map[int]time.Time{}}
 	for i := range servers {
 		s, err := fakebackend.Start(localIP+":0", fakebackend.Traits{Name: fmt.Sprintf("s-%d", i), Cores: 4, Queue: 64,
-			Work: time.Millisecond, Seed: uint64(i), Seen: func(id, _ string, at time.Time) {
+			Work: time.Millisecond, Seed: uint64(i), OnRequest: func(id, _ string, at time.Time) {
 				f.mu.Lock()
 				defer f.mu.Unlock()
 				if since, drains := f.drained[i]; drains && at.Sub(since) > fakebackend.Grace {
--- a/internal/fakebackend/server.go
+++ b/internal/fakebackend/server.go
@@ -55,8 +55,8 @@
 	Cold  float64       // factor on the work right after a start
 	Faults
 	Seed uint64
-	// Seen, if set, is called for each complete request, from any goroutine.
-	Seen func(id, key string, at time.Time)
+	// OnRequest, if set, is called for each complete request, from any goroutine.
+	OnRequest func(id, key string, at time.Time)
 }
 
 // validate checks the traits.
@@ -179,8 +179,8 @@
 		return
 	}
 	now := time.Now()
-	if s.traits.Seen != nil {
-		s.traits.Seen(r.Header.Get(headerRequestID), r.Header.Get(headerIdempotencyKey), now)
+	if s.traits.OnRequest != nil {
+		s.traits.OnRequest(r.Header.Get(headerRequestID), r.Header.Get(headerIdempotencyKey), now)
 	}
 	draining, work, drawn := s.arrive(now)
 	if draining || !s.admit() {
--- a/internal/faulttest/endpoints.go
+++ b/internal/faulttest/endpoints.go
@@ -30,13 +30,13 @@
 	for i := range c.script.Endpoints {
 		name := endpointName(i)
 		endpoint, err := fakebackend.Start(endpointListen, fakebackend.Traits{
-			Name:   name,
-			Cores:  endpointCores,
-			Queue:  endpointQueue,
-			Work:   endpointWork,
-			Faults: fakebackend.Faults{Resets: c.script.Resets},
-			Seed:   seed + uint64(i),
-			Seen:   func(id, _ string, _ time.Time) { c.noteExecution(id, name) },
+			Name:      name,
+			Cores:     endpointCores,
+			Queue:     endpointQueue,
+			Work:      endpointWork,
+			Faults:    fakebackend.Faults{Resets: c.script.Resets},
+			Seed:      seed + uint64(i),
+			OnRequest: func(id, _ string, _ time.Time) { c.noteExecution(id, name) },
 		})
 		if err != nil {
 			return err
