--- a/internal/benchmark/cost.go
+++ b/internal/benchmark/cost.go
@@ -55,9 +55,9 @@
 	}))
 }
 
-// Plain is the baseline: the standard library's proxy to one endpoint after another, with connections kept as the
+// ServePlainProxy is the baseline: the standard library's proxy to one endpoint after another, with connections kept as the
 // daemon keeps them, and nothing else.
-func Plain(address string, endpoints []string) error {
+func ServePlainProxy(address string, endpoints []string) error {
 	var targets []*url.URL
 	for _, endpoint := range endpoints {
 		targets = append(targets, &url.URL{Scheme: "http", Host: endpoint})
