--- a/cmd/pepperlead-sim/cost.go
+++ b/cmd/pepperlead-sim/cost.go
@@ -19,7 +19,7 @@
 // helperCommands are the processes that benchmarks start.
 func helperCommands() []*cobra.Command {
 	backend := &cobra.Command{Use: "backend ADDRESS", Hidden: true, Args: cobra.ExactArgs(1)}
-	backend.RunE = func(_ *cobra.Command, args []string) error { return benchmark.Backend(args[0]) }
+	backend.RunE = func(_ *cobra.Command, args []string) error { return benchmark.ServeBackend(args[0]) }
 	plain := &cobra.Command{Use: "plain ADDRESS SERVER...", Hidden: true, Args: cobra.MinimumNArgs(2)}
 	plain.RunE = func(_ *cobra.Command, args []string) error { return benchmark.ServePlainProxy(args[0], args[1:]) }
 	return []*cobra.Command{backend, plain}
--- a/internal/benchmark/cost.go
+++ b/internal/benchmark/cost.go
@@ -45,8 +45,8 @@
 	RSS      int           `json:"rss_kib"`
 }
 
-// Backend serves small responses at the address until the process ends. It is behind every subject alike.
-func Backend(address string) error {
+// ServeBackend serves small responses at the address until the process ends. It is behind every subject alike.
+func ServeBackend(address string) error {
 	return http.ListenAndServe(address, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		// A client that has gone needs no response.
 		_, _ = io.Copy(io.Discard, r.Body)
