--- a/internal/benchmark/cost.go
+++ b/internal/benchmark/cost.go
@@ -119,7 +119,7 @@
 		return cost, err
 	}
 	defer Kill(process)
-	if err := Answers(address, startTimeout); err != nil {
+	if err := WaitForAnswer(address, startTimeout); err != nil {
 		return cost, err
 	}
 	runLoad(address, clients, duration/warmUpShare)
--- a/internal/benchmark/follow.go
+++ b/internal/benchmark/follow.go
@@ -32,7 +32,7 @@
 	if err := pair.writeList(firstIssue); err != nil {
 		return nil, err
 	}
-	if err := Answers(listen, startTimeout); err != nil {
+	if err := WaitForAnswer(listen, startTimeout); err != nil {
 		return nil, err
 	}
 	stop := make(chan struct{})
--- a/internal/benchmark/load.go
+++ b/internal/benchmark/load.go
@@ -24,8 +24,8 @@
 // closeUnchecked closes what was only read from, or is not used any more.
 func closeUnchecked(c io.Closer) { _ = c.Close() }
 
-// Answers waits until a request is answered 200 at the address.
-func Answers(address string, timeout time.Duration) error {
+// WaitForAnswer waits until a request is answered 200 at the address.
+func WaitForAnswer(address string, timeout time.Duration) error {
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(retryInterval) {
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
