--- a/cmd/pepperlead-sim/lists.go
+++ b/cmd/pepperlead-sim/lists.go
@@ -175,7 +175,7 @@
 		return 0, err
 	}
 	defer daemon.stop()
-	notReady := benchmark.Ready(daemon.listen, 10*time.Second)
+	notReady := benchmark.WaitReady(daemon.listen, 10*time.Second)
 	time.Sleep(settleTime)
 	rss, err = benchmark.RSS(daemon.process.Process.Pid)
 	return rss, errors.Join(notReady, err)
--- a/internal/benchmark/load.go
+++ b/internal/benchmark/load.go
@@ -40,8 +40,8 @@
 	return fmt.Errorf("no answer at %s within %v", address, timeout)
 }
 
-// Ready waits until a daemon has an endpoint list.
-func Ready(address string, timeout time.Duration) error {
+// WaitReady waits until a daemon has an endpoint list.
+func WaitReady(address string, timeout time.Duration) error {
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(retryInterval) {
 		response, err := http.Get("http://" + address + "/_health")
 		if err != nil {
