--- a/cmd/pepperlead-sim/lists.go
+++ b/cmd/pepperlead-sim/lists.go
@@ -73,7 +73,7 @@
 		return nil, err
 	}
 	d := &standaloneDaemon{listen: listen, directory: directory}
-	path, err := benchmark.Standalone(directory, d.listen, endpoints, addresses, extra)
+	path, err := benchmark.WriteStandaloneConfig(directory, d.listen, endpoints, addresses, extra)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/benchmark/configuration.go
+++ b/internal/benchmark/configuration.go
@@ -92,9 +92,9 @@
 	return []byte(text + more)
 }
 
-// Standalone writes a configuration and a list of so many endpoints into the directory, and returns the path of the
+// WriteStandaloneConfig writes a configuration and a list of so many endpoints into the directory, and returns the path of the
 // former.
-func Standalone(directory, listen string, endpoints int, addresses []string, extra string) (string, error) {
+func WriteStandaloneConfig(directory, listen string, endpoints int, addresses []string, extra string) (string, error) {
 	path := filepath.Join(directory, "pepperlead.toml")
 	text := fmt.Sprintf("[front.http]\nlisten = %q\n", listen) + productClass +
 		"[source]\nkind = \"files\"\nfiles = [\"servers.toml\"]\n" + extra
