--- a/cmd/pepperlead-sim/lists.go
+++ b/cmd/pepperlead-sim/lists.go
@@ -116,7 +116,7 @@
 		return nil, err
 	}
 	defer daemon.stop()
-	return benchmark.Follow(daemon.listen, filepath.Join(daemon.directory, "servers.toml"), rounds, sealed)
+	return benchmark.MeasureListDelay(daemon.listen, filepath.Join(daemon.directory, "servers.toml"), rounds, sealed)
 }
 
 // settleTime lets a daemon's memory settle before it is read.
--- a/internal/benchmark/follow.go
+++ b/internal/benchmark/follow.go
@@ -19,10 +19,10 @@
 	followPoll       = 100 * time.Microsecond
 )
 
-// Follow measures how long it takes from a change of a list file to the first attempt that follows it, against a
+// MeasureListDelay measures how long it takes from a change of a list file to the first attempt that follows it, against a
 // daemon at the address that reads the file: two endpoints, of which the one or the other drains. From the return of
 // the rename to the first request at the endpoint that was draining until then.
-func Follow(listen, list string, rounds int, sealed bool) ([]time.Duration, error) {
+func MeasureListDelay(listen, list string, rounds int, sealed bool) ([]time.Duration, error) {
 	pair := &endpointPair{list: list, sealed: sealed}
 	defer pair.close()
 	if err := pair.start(); err != nil {
