--- a/cmd/pepperlead-sim/lists.go
+++ b/cmd/pepperlead-sim/lists.go
@@ -29,7 +29,7 @@
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		var costs []benchmark.ListCost
 		for _, size := range *sizes {
-			cost := benchmark.ReadLists(size, *rounds)
+			cost := benchmark.MeasureListCost(size, *rounds)
 			costs = append(costs, cost)
 			if !*asJSON {
 				printf(
--- a/internal/benchmark/lists.go
+++ b/internal/benchmark/lists.go
@@ -49,8 +49,8 @@
 	Again     time.Duration `json:"again_ns"` // the same list a second time, on the loop
 }
 
-// ReadLists measures a list of so many endpoints, each step by its shortest time in some rounds.
-func ReadLists(endpoints, rounds int) ListCost {
+// MeasureListCost measures a list of so many endpoints, each step by its shortest time in some rounds.
+func MeasureListCost(endpoints, rounds int) ListCost {
 	text := ListText(endpoints, nil, 1, true)
 	cost := ListCost{Endpoints: endpoints, Bytes: len(text)}
 	for range rounds {
