--- a/cmd/pepperlead-sim/lists.go
+++ b/cmd/pepperlead-sim/lists.go
@@ -40,7 +40,7 @@
 					cost.Parse,
 					cost.Evaluate,
 					cost.Assign,
-					cost.Again,
+					cost.Reassign,
 				)
 			}
 		}
--- a/internal/benchmark/lists.go
+++ b/internal/benchmark/lists.go
@@ -46,7 +46,7 @@
 	Parse     time.Duration `json:"parse_ns"` // text to entries, with the digest; beside the loop
 	Evaluate  time.Duration `json:"weigh_ns"` // beside the loop
 	Assign    time.Duration `json:"deal_ns"`  // the module's UpdateEndpoints, on the loop
-	Again     time.Duration `json:"again_ns"` // the same list a second time, on the loop
+	Reassign  time.Duration `json:"again_ns"` // the same list a second time, on the loop
 }
 
 // MeasureListCost measures a list of so many endpoints, each step by its shortest time in some rounds.
@@ -84,7 +84,7 @@
 	}
 	module := policy.New(policy.DiscardFront{}, settings, 1, 1)
 	shortest(&c.Assign, func() { module.UpdateEndpoints(1, policy.ListFull, members) })
-	shortest(&c.Again, func() { module.UpdateEndpoints(2, policy.ListFull, members) })
+	shortest(&c.Reassign, func() { module.UpdateEndpoints(2, policy.ListFull, members) })
 }
 
 // shortest runs the step and keeps its time if it is the shortest so far.
