--- a/internal/faulttest/actions.go
+++ b/internal/faulttest/actions.go
@@ -9,7 +9,7 @@
 	"pepperlead/internal/faultproxy"
 )
 
-// What an action of a script does.
+// Kinds of actions of a script.
 const (
 	actionApply     = "apply"
 	actionRollback  = "rollback"
@@ -28,10 +28,11 @@
 	actionDamage    = "damage"
 )
 
-// revisionInterval is how often sidecars are asked by which revision they act.
+// revisionInterval is the time between two reads of the sidecars' active revisions.
 const revisionInterval = 10 * time.Millisecond
 
-// waitFor waits for the moment of an action, which differs a little by seed.
+// waitFor waits until an action is due: at its time plus a random jitter or, if it waits for a revision, some time
+// after enough sidecars apply that.
 func (p *player) waitFor(ctx context.Context, action Action) error {
 	var jitter time.Duration
 	if p.script.Jitter > 0 {
@@ -46,15 +47,14 @@
 	return ctx.Err()
 }
 
-// waitForRevision waits until the action's share of the sidecars acts by its revision, or for the time in which they
-// must converge.
+// waitForRevision waits until the action's share of the sidecars applies its revision, for convergeTimeout at most.
 func (p *player) waitForRevision(ctx context.Context, action Action) {
-	need := int(math.Ceil(action.Share * float64(len(p.instances))))
+	required := int(math.Ceil(action.Share * float64(len(p.instances))))
 	atRevision := map[*Process]bool{}
 	end := time.Now().Add(convergeTimeout)
-	for len(atRevision) < need && ctx.Err() == nil && time.Now().Before(end) {
+	for len(atRevision) < required && ctx.Err() == nil && time.Now().Before(end) {
 		for _, instance := range p.instances {
-			if len(atRevision) == need {
+			if len(atRevision) == required {
 				break
 			}
 			if !atRevision[instance] && instance.Metric(metricRevision) >= float64(action.AwaitedRevision) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// do takes an action.
+// do carries out an action.
 func (p *player) do(ctx context.Context, action Action) {
 	targets := p.processes(action.Targets)
 	switch action.What {
@@ -98,7 +98,7 @@
 	}
 }
 
-// forEach does something to each process and records the errors.
+// forEach calls do for each process and records the errors.
 func (p *player) forEach(action Action, targets []*Process, do func(*Process) error) {
 	for _, target := range targets {
 		if err := do(target); err != nil {
@@ -107,14 +107,15 @@
 	}
 }
 
-// fail records that something failed.
+// fail adds a failure to the result.
 func (p *player) fail(text string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.result.Failed = append(p.result.Failed, text)
 }
 
-// startChange begins a change of the rules, at the first target or else at a coordinator that can be reached.
+// startChange starts a change of the rule set in the background, at the first target or, without targets, at a
+// coordinator that can be reached.
 func (p *player) startChange(ctx context.Context, action Action, targets []*Process) {
 	target := p.reachableCoordinator()
 	if len(targets) > 0 {
@@ -123,7 +124,7 @@
 	p.background.Go(func() { p.changeRules(ctx, action, target) })
 }
 
-// blockLinks blocks the links from some nodes to others, but not the way back.
+// blockLinks blocks the links from some nodes to others, but not those in the opposite direction.
 func (p *player) blockLinks(from, to []faultproxy.Node) {
 	for _, source := range from {
 		for _, target := range to {
@@ -132,7 +133,7 @@
 	}
 }
 
-// disturbAll lets all links between processes lose, duplicate and delay.
+// disturbAll sets the action's loss, duplication and delay on all links between processes.
 func (p *player) disturbAll(action Action) {
 	faults := faultproxy.Faults{
 		Drop:      action.Drop,
@@ -156,7 +157,7 @@
 	}
 }
 
-// kill kills processes, all at once.
+// kill kills all targets at the same time.
 func (p *player) kill(targets []*Process) {
 	for _, target := range targets {
 		p.noteDown(target)
--- a/internal/faulttest/clients.go
+++ b/internal/faulttest/clients.go
@@ -12,7 +12,7 @@
 	"pepperlead/internal/faulttest/judge"
 )
 
-// startClients lets clients send requests to each sidecar until clientsEnded is closed.
+// startClients starts the clients of each sidecar, which send requests until clientsEnded is closed.
 func (c *Cluster) startClients() {
 	if c.script.Rate == 0 {
 		return
@@ -24,7 +24,7 @@
 	}
 }
 
-// sendRequests sends requests to a sidecar in a Poisson process.
+// sendRequests sends requests to a sidecar, at the intervals of a Poisson process, until clientsEnded is closed.
 func (c *Cluster) sendRequests(instance *Process, url string, random *rand.Rand) {
 	for n := 0; ; n++ {
 		select {
@@ -37,7 +37,7 @@
 	}
 }
 
-// sendRequest sends a request and records its end.
+// sendRequest sends a request and records its response.
 func (c *Cluster) sendRequest(instance *Process, id, url string) {
 	request, _ := http.NewRequest(http.MethodPost, url, strings.NewReader("x")) // method and URL are valid
 	request.Header.Set("X-Request-ID", id)
@@ -46,7 +46,7 @@
 	record := judge.ClientRequest{ID: id, Process: string(instance.Name), SentAt: int64(clock.BootTime())}
 	if response, err := c.requestClient.Do(request); err == nil {
 		record.Status = response.StatusCode
-		_ = response.Body.Close() // the status is all that counts
+		_ = response.Body.Close() // only the status is used
 	}
 	record.EndedAt = int64(clock.BootTime())
 	c.mu.Lock()
--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -14,7 +14,7 @@
 	"pepperlead/internal/freeport"
 )
 
-// Cluster is a stage with sidecars, coordinators, endpoints and clients.
+// Cluster is a Stage with sidecars, coordinators, endpoints and clients.
 type Cluster struct {
 	*Stage
 	script            *Script
@@ -28,11 +28,11 @@
 	frontPort         int
 	activeRevision    int
 	lastRevision      int
-	lastLeader        *Process // the latest leader that was known
+	lastLeader        *Process // the latest known leader
 	upToDate          *Process // coordinator that knows the latest revision
 	requestClient     http.Client
 	requesting        sync.WaitGroup
-	clientsEnded      chan struct{} // closed: clients send no more requests
+	clientsEnded      chan struct{} // closed when clients must send no more requests
 
 	mu             sync.Mutex
 	executions     []judge.Execution
@@ -40,28 +40,29 @@
 	down           []judge.Interval
 	downSince      map[*Process]int64 // processes that are stopped or not running
 	lists          []judge.EndpointList
-	// When which sidecars may not have received the list of discovery.
+	// unnotified holds when sidecars may not have received discovery's list.
 	unnotified      []judge.Interval
 	unnotifiedSince map[*Process]int64
 }
 
 const (
-	deadline      = 2 * time.Second // of the tests' class
+	deadline      = 2 * time.Second // of the class of all test requests
 	targetLatency = 500 * time.Millisecond
 	endpointWork  = 20 * time.Millisecond
 	answerTimeout = deadline + 3*time.Second
 
 	idleConnectionsPerSidecar = 16
 
-	// notifyTimeout is how long after its link to discovery is open again a sidecar may not have received the list: a
-	// call ends after 2 s, the next one begins within 2 s, and the fault proxy passes on at once what it held
-	// (internal/discovery). No script cuts the link for as long as a watch waits.
+	// notifyTimeout is how long a sidecar may take to receive the list once its link to discovery is open again: a call
+	// times out after 2 s, the next one begins within 2 s (internal/discovery), and the fault proxy passes on at once
+	// the bytes that it held. No script blocks the link for as long as a watch waits.
 	notifyTimeout = 5 * time.Second
 
 	discoveryNode = faultproxy.Node("discovery")
 )
 
-// StartCluster starts all processes at once. The caller ends them by Close; after an error none is left running.
+// StartCluster starts all processes at once. The caller must call Close to end them. After an error, no process is
+// left running.
 func StartCluster(program, directory string, script *Script, seed uint64) (*Cluster, error) {
 	cluster := newCluster(program, directory, script, seed)
 	if err := cluster.begin(seed); err != nil {
@@ -137,8 +138,8 @@
 	return nil
 }
 
-// addCoordinators adds the coordinators, with their links and configurations. Their addresses follow those of all
-// sidecars that there may be.
+// addCoordinators adds the coordinators, with their links and configurations. Their addresses come after the
+// maxProcesses addresses that are reserved for sidecars.
 func (c *Cluster) addCoordinators(config *clusterConfig) error {
 	for i := range c.script.Coordinators {
 		name := coordinatorName(i)
@@ -172,7 +173,8 @@
 	}
 }
 
-// noteUp records that a process runs again. For a while it may still owe responses to requests of before.
+// noteUp records that a process runs again. The recorded interval ends answerTimeout later, as responses to requests
+// from before may still be missing until then.
 func (c *Cluster) noteUp(process *Process) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -185,7 +187,7 @@
 	delete(c.downSince, process)
 }
 
-// resume lets a process continue, or starts it.
+// resume continues a stopped process, or starts one that does not run.
 func (c *Cluster) resume(process *Process) error {
 	process.SetStalled(false)
 	defer c.noteUp(process)
@@ -195,7 +197,7 @@
 	return process.Start()
 }
 
-// stopClients lets the clients send no more requests. Those under way end by themselves.
+// stopClients stops the clients from sending further requests. Requests in flight are not cancelled.
 func (c *Cluster) stopClients() {
 	select {
 	case <-c.clientsEnded:
--- a/internal/faulttest/configuration.go
+++ b/internal/faulttest/configuration.go
@@ -14,7 +14,7 @@
 	configLogDebug = "[log]\nlevel = \"debug\"\n"
 )
 
-// clusterConfig holds what the configurations of a cluster's processes have in common.
+// clusterConfig holds the values that the configurations of a cluster's processes share.
 type clusterConfig struct {
 	script  *Script
 	seed    uint64
@@ -23,7 +23,7 @@
 	source  string // the table of the endpoint source
 }
 
-// instance returns the configuration of the sidecar at an index.
+// instance returns the configuration of the sidecar whose addresses have the given index.
 func (c *clusterConfig) instance(process *Process, i int, addresses peerAddresses) string {
 	return fmt.Sprintf("[instance]\nname = %q\n", process.Name) +
 		fmt.Sprintf("instances = %d\nseed = \"%x\"\n", c.script.Instances, c.seed*1000+uint64(i)) +
@@ -37,7 +37,7 @@
 		"agree = true\n"
 }
 
-// coordinator returns the configuration of the coordinator whose addresses have an index.
+// coordinator returns the configuration of the coordinator whose addresses have the given index.
 func (c *clusterConfig) coordinator(process *Process, index int, addresses peerAddresses) string {
 	return fmt.Sprintf("[instance]\nname = %q\n", process.Name) +
 		fmt.Sprintf("[keep]\nfolder = %q\n", process.stateDirectory()) +
@@ -47,7 +47,7 @@
 		c.peers(addresses)
 }
 
-// members lists the coordinators.
+// members returns the tables that list the coordinators.
 func (c *clusterConfig) members() string {
 	var text strings.Builder
 	for i := range c.script.Coordinators {
@@ -58,14 +58,15 @@
 	return text.String()
 }
 
-// peers says where a process listens for its peers; all join at the coordinators.
+// peers returns the table with the addresses at which a process's peers reach it; all processes join at the
+// coordinators.
 func (c *clusterConfig) peers(addresses peerAddresses) string {
 	return fmt.Sprintf("[peers]\nlisten = %q\nadvertise = %q\n", addresses.listen, addresses.advertise) +
 		fmt.Sprintf("cluster = %q\nkey_file = %q\n", clusterName, keyFile) +
 		fmt.Sprintf("join = [%s]\n", joinList(c.script.Coordinators, maxProcesses, c.ports.peers))
 }
 
-// classConfig returns the table of the tests' class, which differs between rule sets in its idempotency.
+// classConfig returns the table of the class of all test requests. Rule sets differ in the idempotency of the class.
 func classConfig(rules RuleSet) string {
 	text := fmt.Sprintf("[[offering]]\nname = \"step\"\nquoted_time = \"%v\"\ncut_off = \"%v\"\nrepeats = %q\n",
 		targetLatency, deadline, rules.Idempotency)
@@ -75,7 +76,7 @@
 	return text
 }
 
-// endpointTables lists endpoints, each in a table of the given name.
+// endpointTables returns one table of the given name for each endpoint.
 func (c *Cluster) endpointTables(table string, names []string) string {
 	var text strings.Builder
 	for _, name := range names {
@@ -84,7 +85,7 @@
 	return text.String()
 }
 
-// sourceConfig returns the table of the endpoint source. If that is discovery, it is started.
+// sourceConfig returns the table of the endpoint source, and starts discovery if that is the source.
 func (c *Cluster) sourceConfig() (string, error) {
 	if !c.script.Discovery {
 		return "[source]\nkind = \"fixed\"\n" + c.endpointTables("source.server", c.endpointNames), nil
--- a/internal/faulttest/drill_test.go
+++ b/internal/faulttest/drill_test.go
@@ -8,63 +8,64 @@
 	"testing"
 )
 
-var builtIn string
+// buildDir is the directory of the daemon that program builds.
+var buildDir string
 
-// program builds the daemon once for all drills of a run.
+// program builds the daemon once for all tests of a run and returns its path.
 var program = sync.OnceValues(func() (string, error) {
 	var err error
-	if builtIn, err = os.MkdirTemp("", "drill"); err != nil {
+	if buildDir, err = os.MkdirTemp("", "drill"); err != nil {
 		return "", err
 	}
-	built := filepath.Join(builtIn, "pepperlead")
-	said, err := exec.Command("go", "build", "-o", built, "pepperlead/cmd/pepperlead").CombinedOutput()
-	os.Stdout.Write(said)
-	return built, err
+	path := filepath.Join(buildDir, "pepperlead")
+	output, err := exec.Command("go", "build", "-o", path, "pepperlead/cmd/pepperlead").CombinedOutput()
+	os.Stdout.Write(output)
+	return path, err
 })
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	os.RemoveAll(builtIn)
+	os.RemoveAll(buildDir)
 	os.Exit(code)
 }
 
-// Five processes of the program and two strangers: who is there is known to all that are left through a link cut one
-// way, a kill, a partition, a stall and an end in good order. Budgets are shared among all that are there, and never
-// among fewer than are configured.
-func TestProcessesKnowWhoIsThere(t *testing.T) {
+// Five sidecars, beside two strangers, detect which of them are alive after a link blocked in one direction, a kill, a
+// partition, a stall and a graceful shutdown. Budgets are shared among all live sidecars, and never among fewer than
+// are configured.
+func TestPeersDetectFailures(t *testing.T) {
 	t.Parallel()
 	program, err := program()
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := StartStage(StageConfig{Program: program, Dir: t.TempDir(), Count: 5, Strangers: 2, Instances: 3, Seed: 1})
+	stage, err := StartStage(StageConfig{Program: program, Dir: t.TempDir(), Count: 5, Strangers: 2, Instances: 3, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	c, err := RunPeersTest(t.Context(), s, 5)
+	defer stage.Close()
+	result, err := RunPeersTest(t.Context(), stage, 5)
 	if err != nil {
-		t.Errorf("%v\n%+v", err, c)
+		t.Errorf("%v\n%+v", err, result)
 	}
-	t.Logf("%+v", c)
+	t.Logf("%+v", result)
 	dropped := 0.0
-	for _, p := range s.Processes[1:3] { // the first has left
-		dropped += p.Metric("pepperlead_peers_dropped_total")
+	for _, process := range stage.Processes[1:3] { // the first has left
+		dropped += process.Metric("pepperlead_peers_dropped_total")
 	}
 	if dropped == 0 {
-		t.Error("nobody has counted what strangers sent")
+		t.Error("no process has counted packets of strangers as dropped")
 	}
-	for _, p := range s.Processes[:3] {
-		if !p.Logged("budgets are shared among 5, 3 are configured") || p.Logged("shared among 2") {
-			log, _ := os.ReadFile(p.Log)
-			t.Errorf("%s: budgets are not shared as they should be\n%s", p.Name, log)
+	for _, process := range stage.Processes[:3] {
+		if !process.Logged("budgets are shared among 5, 3 are configured") || process.Logged("shared among 2") {
+			log, _ := os.ReadFile(process.Log)
+			t.Errorf("%s: want budgets shared among 5, never among 2\n%s", process.Name, log)
 		}
 	}
 }
 
-// Five instances and three coordinators, whose rules change while links are cut, processes stand still and the
-// coordinator that leads dies.
-func TestRulesAreAgreedOn(t *testing.T) {
+// Five sidecars and three coordinators change their rules while links are blocked, processes stall and the leader of
+// the coordinators is killed.
+func TestRuleChangesUnderFaults(t *testing.T) {
 	t.Parallel()
 	for _, name := range []string{"short-cut", "short-naps"} {
 		t.Run(name, func(t *testing.T) {
@@ -78,21 +79,21 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s, err := ReadScript(file, text)
+			script, err := ReadScript(file, text)
 			if err != nil {
 				t.Fatal(err)
 			}
-			r, err := Play(t.Context(), program, t.TempDir(), s, 1)
+			result, err := Play(t.Context(), program, t.TempDir(), script, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
-			v := r.Verdict
-			t.Logf("%+v %+v, the clock was looked at %.3f s late", v, r.Applied, r.ClockLateness)
-			if r.Void {
-				t.Skip("the machine stood still for longer than a lease") // no figure means anything then
+			verdict := result.Verdict
+			t.Logf("%+v %+v, the clock was read up to %.3f s late", verdict, result.Applied, result.ClockLateness)
+			if result.Void {
+				t.Skip("the machine stalled for longer than a lease") // the result is meaningless then
 			}
-			if !r.Passed(s) || v.Attempts < 300 || v.Repeats == 0 || v.Unleased == 0 {
-				t.Errorf("%+v %v", v, r.Failed)
+			if !result.Passed(script) || verdict.Attempts < 300 || verdict.Repeats == 0 || verdict.Unleased == 0 {
+				t.Errorf("%+v %v", verdict, result.Failed)
 			}
 		})
 	}
--- a/internal/faulttest/endpoints.go
+++ b/internal/faulttest/endpoints.go
@@ -25,7 +25,7 @@
 
 func endpointName(i int) string { return fmt.Sprint("s", i+1) }
 
-// startEndpoints starts the endpoints, which record what they execute.
+// startEndpoints starts the endpoints, which report each request that they execute to noteExecution.
 func (c *Cluster) startEndpoints(seed uint64) error {
 	for i := range c.script.Endpoints {
 		name := endpointName(i)
@@ -71,7 +71,7 @@
 	return c.Links.TCP(discoveryListen, discoveryNode, catalog.Addr())
 }
 
-// announce lets discovery announce these endpoints and no others.
+// announce replaces discovery's list with the given endpoints, and records it for the judge.
 func (c *Cluster) announce(ready, draining []string) {
 	var targets []fakebackend.Target
 	for _, name := range ready {
@@ -90,7 +90,7 @@
 	return fakebackend.Target{UID: name, Endpoint: c.endpointAddresses[name], Zone: "a", State: state, Weight: 1}
 }
 
-// noteUnnotified records which sidecars are cut off from discovery, and which were until now.
+// noteUnnotified updates, after a change of the links, the records of when each sidecar is cut off from discovery.
 func (c *Cluster) noteUnnotified() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/faulttest/figures.go
+++ b/internal/faulttest/figures.go
@@ -9,16 +9,17 @@
 	"time"
 )
 
-// peerFigures are what instances have spent on knowing each other, summed over some of them.
-type peerFigures struct {
+// usage holds the resources that some instances have used, in total, and how often they took another for dead.
+type usage struct {
 	packets     float64 // sent
 	bytes       float64 // sent
 	cpu         float64 // seconds
-	falseDeaths float64 // times that an instance took another for gone
+	falseDeaths float64 // times that an instance declared another dead
 }
 
-func sumFigures(processes []*Process) peerFigures {
-	var sum peerFigures
+// sumUsage reads the usage of the processes and adds it up.
+func sumUsage(processes []*Process) usage {
+	var sum usage
 	for _, process := range processes {
 		values := process.Metrics(metricPacketsSent, metricBytesSent, metricCPUSeconds, metricFalseDeaths)
 		sum.packets += values[0]
@@ -29,20 +30,21 @@
 	return sum
 }
 
-// since returns what was spent since an earlier reading.
-func (f peerFigures) since(before peerFigures) peerFigures {
-	return peerFigures{
-		packets:     f.packets - before.packets,
-		bytes:       f.bytes - before.bytes,
-		cpu:         f.cpu - before.cpu,
-		falseDeaths: f.falseDeaths - before.falseDeaths,
+// since returns the difference to an earlier reading.
+func (u usage) since(before usage) usage {
+	return usage{
+		packets:     u.packets - before.packets,
+		bytes:       u.bytes - before.bytes,
+		cpu:         u.cpu - before.cpu,
+		falseDeaths: u.falseDeaths - before.falseDeaths,
 	}
 }
 
+// clockInterval is the time between two readings of the clock.
 const clockInterval = 5 * time.Millisecond
 
-// clockLateness starts reading the clock until the context ends. The function it returns says by how much the latest
-// reading was late: where hundreds of processes share few cores, the scheduler's delay looks like a stall.
+// clockLateness reads the clock at intervals until the context ends. The returned function reports the longest delay of
+// a reading so far: where hundreds of processes share few cores, the scheduler's delay looks like a stall.
 func clockLateness(ctx context.Context) func() time.Duration {
 	var worst atomic.Int64
 	go func() {
@@ -55,7 +57,7 @@
 	return func() time.Duration { return time.Duration(worst.Load()) }
 }
 
-// cpuTimes are the times that all cores of the machine have spent, and the idle part of them.
+// cpuTimes holds the total time of the machine's cores and the part of it in which they were idle.
 type cpuTimes struct {
 	all  float64
 	idle float64
@@ -69,6 +71,7 @@
 	statSteal  = 8
 )
 
+// readCPU reads the times since the machine started.
 func readCPU() cpuTimes {
 	var times cpuTimes
 	text, _ := os.ReadFile("/proc/stat") // without the file no share is known, and since returns 0
--- a/internal/faulttest/golden_test.go
+++ b/internal/faulttest/golden_test.go
@@ -12,9 +12,8 @@
 	"pepperlead/internal/golden"
 )
 
-// TestResultsHaveTheirKeys holds what pepperlab drill prints as JSON, with a value in each field, to what it printed
-// before.
-func TestResultsHaveTheirKeys(t *testing.T) {
+// TestResultsMatchGoldenFiles compares the JSON form of the results, with a value in each field, with golden files.
+func TestResultsMatchGoldenFiles(t *testing.T) {
 	for name, document := range map[string]any{"play.json": &Result{}, "peers.json": &PeersResult{}} {
 		golden.Fill(document)
 		written, err := json.MarshalIndent(document, "", "  ")
@@ -25,8 +24,8 @@
 	}
 }
 
-// TestLinesOfSidecarsAreRead reads lines as instances write them during a drill.
-func TestLinesOfSidecarsAreRead(t *testing.T) {
+// TestReadLogs reads log lines of the kinds that sidecars write during a fault-injection test.
+func TestReadLogs(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	if err := os.WriteFile(path, golden.Read(t, "sidecar.log"), 0o600); err != nil {
 		t.Fatal(err)
@@ -37,22 +36,22 @@
 	if err := cluster.readLogs(&history); err != nil {
 		t.Fatal(err)
 	}
-	acts := func(at int64, leased bool, versions ...int) judge.ActiveRules {
-		return judge.ActiveRules{Process: "n1", Revisions: versions, Leased: leased, At: at}
+	rules := func(at int64, leased bool, revisions ...int) judge.ActiveRules {
+		return judge.ActiveRules{Process: "n1", Revisions: revisions, Leased: leased, At: at}
 	}
-	changes := []judge.ActiveRules{acts(11, true, 4, 5), acts(12, false, 4, 5)}
+	changes := []judge.ActiveRules{rules(11, true, 4, 5), rules(12, false, 4, 5)}
 	steps := []judge.Step{
-		{ActiveRules: acts(13, true, 5), ID: "a-1"},
-		{ActiveRules: acts(14, true, 5), ID: "a-1", Endpoint: "s-2", AttemptNumber: 3},
+		{ActiveRules: rules(13, true, 5), ID: "a-1"},
+		{ActiveRules: rules(14, true, 5), ID: "a-1", Endpoint: "s-2", AttemptNumber: 3},
 	}
 	if !reflect.DeepEqual(history.Changes, changes) || !reflect.DeepEqual(history.Steps, steps) {
 		t.Errorf("got %+v and %+v", history.Changes, history.Steps)
 	}
 }
 
-// TestDrillsAreReadAsBefore holds the values that each drill of the repository is read as to those that it was read
-// as before.
-func TestDrillsAreReadAsBefore(t *testing.T) {
+// TestScriptValuesMatchGoldenFiles compares the values that are read from each drill of the repository with golden
+// files.
+func TestScriptValuesMatchGoldenFiles(t *testing.T) {
 	paths, err := filepath.Glob("../../drills/*.toml")
 	if err != nil || len(paths) == 0 {
 		t.Fatal(err, len(paths))
@@ -70,9 +69,9 @@
 	}
 }
 
-// TestReportIsWrittenAsBefore holds the page about a play, whose template names fields that no compiler checks, to
-// what was written before.
-func TestReportIsWrittenAsBefore(t *testing.T) {
+// TestReportMatchesGoldenFile compares the report of a result with a golden file. The report's template names fields
+// that no compiler checks.
+func TestReportMatchesGoldenFile(t *testing.T) {
 	var result Result
 	var script Script
 	golden.Fill(&result)
--- a/internal/faulttest/history.go
+++ b/internal/faulttest/history.go
@@ -15,7 +15,7 @@
 // maxLogLine is the longest line of a log that can be read, in bytes.
 const maxLogLine = 1 << 20
 
-// logRecord is a line of a sidecar's log, as far as the judge needs it.
+// logRecord holds the fields of a line of a sidecar's log that the judge needs.
 type logRecord struct {
 	Message       string `json:"msg"`
 	Revisions     []int  `json:"versions"`
@@ -26,7 +26,7 @@
 	AttemptNumber int    `json:"no"`
 }
 
-// readLogs reads what the sidecars have logged.
+// readLogs adds the records in the logs of all sidecars to the history.
 func (c *Cluster) readLogs(history *judge.History) error {
 	for _, instance := range c.instances {
 		if err := instance.readLog(history); err != nil {
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// readLog reads the log of a sidecar. Lines that are no records, such as the torn last line of a killed process, are
-// ignored.
+// readLog adds the records in the log of a sidecar to the history. It ignores lines that are not valid JSON, such as
+// the incomplete last line of a killed process.
 func (p *Process) readLog(history *judge.History) error {
 	log, err := os.Open(p.Log)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return errors.Join(lines.Err(), log.Close())
 }
 
-// addTo adds what the record says of a process to the history.
+// addTo adds the record, which the process logged, to the history.
 func (r *logRecord) addTo(history *judge.History, process string) {
 	rules := judge.ActiveRules{Process: process, Revisions: r.Revisions, Leased: r.Leased, At: r.At}
 	switch r.Message {
--- a/internal/faulttest/judge/history.go
+++ b/internal/faulttest/judge/history.go
@@ -1,19 +1,19 @@
-// Package judge decides from what processes, endpoints and clients recorded whether a cluster kept its rules. It
-// shares no code with what it judges: it is given what each rule set allows. All times are of one machine's clock, in
-// nanoseconds.
+// Package judge checks the records of a fault-injection test, made by processes, endpoints and clients, for violations
+// of the rule sets. It shares no code with the program under test: the caller states what each rule set allows. All
+// times are nanoseconds of one machine's clock.
 package judge
 
 import "time"
 
-// RuleSet is what a revision of the rules allows.
+// RuleSet holds what one revision of the rule set allows.
 type RuleSet struct {
 	Idempotency string // "reissuable", "numbered" or "at-most-once"
 	Window      time.Duration
-	Endpoints   []string // nil: any
+	Endpoints   []string // nil: any endpoint is allowed
 	Drained     []string
 }
 
-// ActiveRules are the revisions by which a process acted at a time.
+// ActiveRules holds the revisions that a process applied at a time, and whether it held a lease.
 type ActiveRules struct {
 	Process   string
 	Revisions []int
@@ -21,66 +21,69 @@
 	At        int64
 }
 
-// Step is a step of a request at an instance: its admission or an attempt.
+// Step is the admission of a request at an instance, or one attempt for it.
 type Step struct {
 	ActiveRules
 	ID            string
-	Endpoint      string // "": it was admitted
+	Endpoint      string // empty: the step is the admission
 	AttemptNumber int
 }
 
 // isAttempt reports whether the step is an attempt.
 func (s *Step) isAttempt() bool { return s.Endpoint != "" }
 
-// Execution is work that an endpoint has done.
+// Execution is one execution of a request by an endpoint.
 type Execution struct {
 	ID       string
 	Endpoint string
 	At       int64
 }
 
-// ClientRequest is a client's request and its answer.
+// ClientRequest is a request of a client and its response.
 type ClientRequest struct {
 	ID      string
 	Process string
 	SentAt  int64
 	EndedAt int64
-	Status  int // 0: no answer
+	Status  int // 0: no response
 }
 
-// Interval is a span in which a process was stopped, had ended, or had just been so.
+// Interval is a span of time of one process.
 type Interval struct {
 	Process string
 	From    int64
 	To      int64
 }
 
-// overlaps reports whether the process was down at some time of the span.
-func (d *Interval) overlaps(process string, from, to int64) bool {
-	return d.Process == process && d.From <= to && from <= d.To
+// overlaps reports whether the interval belongs to the process and overlaps a span of time.
+func (i *Interval) overlaps(process string, from, to int64) bool {
+	return i.Process == process && i.From <= to && from <= i.To
 }
 
-// EndpointList is a list that discovery announced: endpoints that it does not name as ready get nothing new after the
-// grace.
+// EndpointList is an endpoint list that discovery announced. Endpoints that are not ready on it must get no new
+// attempts once DrainGrace has passed.
 type EndpointList struct {
 	At    int64
 	Ready []string
 }
 
-// DrainGrace is how long after a list an attempt may follow the list before: a second, and what the list takes to
-// arrive.
+// DrainGrace is how long after the announcement of a list attempts may still follow the previous list: one second,
+// plus the time that the list takes to reach an instance.
 const DrainGrace = 1500 * time.Millisecond
 
-// History is all that was recorded in a fault test.
+// History holds everything that was recorded in a fault-injection test.
 type History struct {
-	RuleSets            map[int]RuleSet
-	Changes             []ActiveRules
-	Steps               []Step
-	Executions          []Execution
-	ClientRequests      []ClientRequest
-	DownIntervals       []Interval
-	Lists               []EndpointList // in order
-	UnnotifiedIntervals []Interval     // spans in which a process may not have been notified by discovery
+	RuleSets       map[int]RuleSet
+	Changes        []ActiveRules
+	Steps          []Step
+	Executions     []Execution
+	ClientRequests []ClientRequest
+	// DownIntervals holds when processes were stopped or not running, with a margin after each interval for responses
+	// that were lost with the process.
+	DownIntervals []Interval
+	Lists         []EndpointList // in the order of their announcement
+	// UnnotifiedIntervals holds when processes may not have been notified by discovery.
+	UnnotifiedIntervals []Interval
 	Deadline            time.Duration
-	Slack               time.Duration // by which machine and links may delay a client's answer
+	Slack               time.Duration // delay of a client's response that the machine and the links may cause
 }
--- a/internal/faulttest/judge/judge.go
+++ b/internal/faulttest/judge/judge.go
@@ -9,29 +9,30 @@
 	"time"
 )
 
-// Verdict is what the judge found.
+// Verdict is the result of checking a history.
 type Verdict struct {
-	// Contradiction is the longest time for which one process acted by revisions of which another acted by none any
-	// more.
+	// Contradiction is the longest time after which a process still made an attempt by older revisions only, although
+	// another process had made one by newer revisions only.
 	Contradiction    time.Duration `json:"Contradiction"`
 	Between          string        `json:"Between"`
-	Faults           []string      `json:"Faults"` // the first broken rules
-	Broken           int           `json:"Broken"` // number of broken rules
+	Faults           []string      `json:"Faults"` // texts of the first violations
+	Broken           int           `json:"Broken"` // number of violations
 	Attempts         int           `json:"Pushes"`
-	Repeats          int           `json:"Repeats"`  // repeated effects, allowed unless a fault says otherwise
+	Repeats          int           `json:"Repeats"`  // repeated executions; those that are not allowed are faults too
 	Unleased         int           `json:"Unleased"` // attempts without a lease
 	ClientRequests   int           `json:"Asked"`
 	Succeeded        int           `json:"Honoured"`
 	Rejected         int           `json:"TurnedBack"`
 	Failed           int           `json:"GivenUp"`
-	Lost             int           `json:"Lost"`   // not answered by a process that was killed or stopped
-	UnleasedRequests [2]int        `json:"CutOff"` // requests that were admitted without a lease: all, and succeeded
+	Lost             int           `json:"Lost"`   // without a response, as the process was killed or stopped
+	UnleasedRequests [2]int        `json:"CutOff"` // requests admitted without a lease: all, succeeded
 }
 
-// maxFaultsShown is how many faults are kept with their texts; all are counted.
+// maxFaultsShown is the number of faults whose texts are kept; all faults are counted.
 const maxFaultsShown = 20
 
-func (v *Verdict) fault(format string, arguments ...any) {
+// addFault counts a violation and keeps its text if it is one of the first.
+func (v *Verdict) addFault(format string, arguments ...any) {
 	v.Broken++
 	if len(v.Faults) < maxFaultsShown {
 		v.Faults = append(v.Faults, fmt.Sprintf(format, arguments...))
@@ -45,21 +46,24 @@
 	slices.SortStableFunc(h.Executions, func(a, b Execution) int { return cmp.Compare(a.At, b.At) })
 	v.checkContradictions(h)
 	v.checkAttempts(h)
-	v.checkEffects(h)
+	v.checkRepeats(h)
 	v.checkDelisted(h)
-	v.checkAnswers(h)
+	v.checkResponses(h)
 	return v
 }
 
-// firstAttempt is the first attempt of a process by no revision older than one.
+// firstAttempt is the first attempt of a process whose oldest revision is a given one.
 type firstAttempt struct {
 	process string
 	at      int64
 }
 
-// checkContradictions looks for attempts by older revisions alone after another process made one by newer ones alone.
+// checkContradictions looks for attempts by older revisions only, after another process has made one by newer
+// revisions only.
 func (v *Verdict) checkContradictions(h *History) {
-	begun := map[int][]firstAttempt{} // by oldest revision, of the first two processes
+	// By the oldest revision of the attempts. Those of two processes are enough, as at least one of these differs from
+	// the process of any step.
+	firstByOldest := map[int][]firstAttempt{}
 	for i := range h.Steps {
 		s := &h.Steps[i]
 		if !s.isAttempt() || !s.Leased || len(s.Revisions) == 0 {
@@ -67,32 +71,34 @@
 		}
 		oldest := slices.Min(s.Revisions)
 		newest := slices.Max(s.Revisions)
-		for revision, firsts := range begun {
+		for revision, firsts := range firstByOldest {
 			if revision > newest {
-				v.contradict(s, revision, firsts)
+				v.updateContradiction(s, revision, firsts)
 			}
 		}
-		firsts := begun[oldest]
+		firsts := firstByOldest[oldest]
 		sameProcess := func(f firstAttempt) bool { return f.process == s.Process }
 		if len(firsts) < 2 && !slices.ContainsFunc(firsts, sameProcess) {
-			begun[oldest] = append(firsts, firstAttempt{s.Process, s.At})
+			firstByOldest[oldest] = append(firsts, firstAttempt{s.Process, s.At})
 		}
 	}
 }
 
-// contradict notes how long after other processes' first attempts by the newer revision the step came.
-func (v *Verdict) contradict(s *Step, revision int, firsts []firstAttempt) {
+// updateContradiction raises the longest contradiction to the time from the first attempts of other processes, by the
+// newer revision, to the step.
+func (v *Verdict) updateContradiction(s *Step, revision int, firsts []firstAttempt) {
 	for _, first := range firsts {
 		after := time.Duration(s.At - first.at)
 		if first.process != s.Process && after > v.Contradiction {
 			v.Contradiction = after
-			v.Between = fmt.Sprintf("%s pushed by %v, %v after %s had by none older than %d",
+			v.Between = fmt.Sprintf("%s made an attempt by %v, %v after %s had made one by none older than %d",
 				s.Process, s.Revisions, after, first.process, revision)
 		}
 	}
 }
 
-// checkAttempts checks each attempt by the rules of its process.
+// checkAttempts checks that no process goes back to older revisions, that attempts with a lease go to endpoints that
+// their revisions allow, and that no attempt without a lease follows an execution of its request.
 func (v *Verdict) checkAttempts(h *History) {
 	firstExecution := map[string]int64{}
 	for _, e := range h.Executions {
@@ -100,12 +106,12 @@
 			firstExecution[e.ID] = e.At
 		}
 	}
-	oldest := map[string]int{} // oldest revision of the latest step, by process
+	oldest := map[string]int{} // by process: oldest revision of its latest step
 	for i := range h.Steps {
 		s := &h.Steps[i]
 		if s.Leased && len(s.Revisions) > 0 {
 			if slices.Max(s.Revisions) < oldest[s.Process] {
-				v.fault("%s acts by %v after it had acted by none older than %d",
+				v.addFault("%s applies revisions %v after it had applied none older than %d",
 					s.Process, s.Revisions, oldest[s.Process])
 			}
 			oldest[s.Process] = slices.Min(s.Revisions)
@@ -120,7 +126,7 @@
 		}
 		v.Unleased++
 		if at, known := firstExecution[s.ID]; known && at < s.At {
-			v.fault("%s pushed %s to %s without a lease, %v after it had run",
+			v.addFault("%s sent %s to %s without a lease, %v after it had been executed",
 				s.Process, s.ID, s.Endpoint, time.Duration(s.At-at))
 		}
 	}
@@ -132,15 +138,16 @@
 		rules := h.RuleSets[revision]
 		unnamed := rules.Endpoints != nil && !slices.Contains(rules.Endpoints, s.Endpoint)
 		if unnamed || slices.Contains(rules.Drained, s.Endpoint) {
-			v.fault("%s pushed %s to %s by %v, and %d does not name that, or bans it",
+			v.addFault("%s sent %s to %s by revisions %v, but revision %d drains or does not name that endpoint",
 				s.Process, s.ID, s.Endpoint, s.Revisions,
 				revision)
 		}
 	}
 }
 
-// checkDelisted looks for attempts at endpoints that no list since the one in force a grace ago has as ready, by
-// processes that were notified of them.
+// checkDelisted looks for attempts at endpoints that are ready on no list that the process may have followed: the list
+// that was current DrainGrace before the attempt, and the later ones. It ignores processes that were down or may not
+// have been notified, and attempts by revisions that name their endpoints.
 func (v *Verdict) checkDelisted(h *History) {
 	for i := range h.Steps {
 		s := &h.Steps[i]
@@ -149,16 +156,17 @@
 			continue
 		}
 		ready, since := h.listed(s)
-		unnotified := func(d Interval) bool { return d.overlaps(s.Process, s.At, since+int64(DrainGrace)) }
-		if !ready && !slices.ContainsFunc(h.UnnotifiedIntervals, unnotified) && !slices.ContainsFunc(h.DownIntervals, unnotified) {
-			v.fault("%s pushed %s to %s, which has not been ready on any list for %v", s.Process, s.ID, s.Endpoint,
+		excused := func(i Interval) bool { return i.overlaps(s.Process, s.At, since+int64(DrainGrace)) }
+		if !ready && !slices.ContainsFunc(h.UnnotifiedIntervals, excused) &&
+			!slices.ContainsFunc(h.DownIntervals, excused) {
+			v.addFault("%s sent %s to %s, which has not been ready on any list for %v", s.Process, s.ID, s.Endpoint,
 				time.Duration(s.At-since))
 		}
 	}
 }
 
-// listed reports whether a list that an attempt may have followed has its endpoint as ready, and the time of the
-// first such list.
+// listed reports whether the endpoint of an attempt is ready on any list that the attempt may have followed, and when
+// the first of these lists was announced.
 func (h *History) listed(s *Step) (ready bool, since int64) {
 	ready = len(h.Lists) == 0
 	graceAgo := s.At - int64(DrainGrace)
@@ -170,14 +178,14 @@
 		if since == 0 {
 			since = list.At
 		}
-		firstStillArriving := i == 0 && list.At > graceAgo
-		ready = ready || firstStillArriving || slices.Contains(list.Ready, s.Endpoint)
+		firstNotYetReceived := i == 0 && list.At > graceAgo
+		ready = ready || firstNotYetReceived || slices.Contains(list.Ready, s.Endpoint)
 	}
 	return ready, since
 }
 
-// checkEffects checks the work that was done more than once.
-func (v *Verdict) checkEffects(h *History) {
+// checkRepeats checks the requests that were executed more than once.
+func (v *Verdict) checkRepeats(h *History) {
 	executions := map[string][]Execution{}
 	for _, e := range h.Executions {
 		executions[e.ID] = append(executions[e.ID], e)
@@ -195,21 +203,22 @@
 	}
 }
 
-// checkRepeat checks that all revisions by which a repeated execution came about allow it.
+// checkRepeat checks that a repeated execution is allowed by every revision of the request's admission and of the
+// attempts that may have caused the execution.
 func (v *Verdict) checkRepeat(h *History, steps []Step, first, again Execution) {
 	var revisions []int
 	attemptAt := int64(0)
 	for _, s := range steps {
-		causesRun := s.Endpoint == again.Endpoint && s.At <= again.At
-		if !s.isAttempt() || causesRun {
+		mayBeCause := s.Endpoint == again.Endpoint && s.At <= again.At
+		if !s.isAttempt() || mayBeCause {
 			revisions = append(revisions, s.Revisions...)
 		}
-		if causesRun {
+		if mayBeCause {
 			attemptAt = s.At
 		}
 	}
 	if attemptAt == 0 {
-		v.fault("%s ran at %s, and nobody has pushed it there", again.ID, again.Endpoint)
+		v.addFault("%s was executed by %s without an attempt there", again.ID, again.Endpoint)
 	}
 	for _, revision := range revisions {
 		rules := h.RuleSets[revision]
@@ -218,15 +227,16 @@
 		case rules.Idempotency == "reissuable":
 		case rules.Idempotency == "numbered" && withinWindow:
 		default:
-			v.fault("%s ran twice, %v apart, and version %d says %s",
+			v.addFault("%s was executed twice, %v apart, but revision %d says %s",
 				again.ID, time.Duration(again.At-first.At), revision,
 				rules.Idempotency)
 		}
 	}
 }
 
-// checkAnswers checks and counts what clients got.
-func (v *Verdict) checkAnswers(h *History) {
+// checkResponses counts the responses to clients, and checks that each request got one before its deadline unless its
+// process was down.
+func (v *Verdict) checkResponses(h *History) {
 	unleased := map[string]bool{}
 	for _, s := range h.Steps {
 		if !s.isAttempt() {
@@ -242,13 +252,15 @@
 				v.UnleasedRequests[1]++
 			}
 		}
-		down := slices.ContainsFunc(h.DownIntervals, func(d Interval) bool { return d.overlaps(r.Process, r.SentAt, r.EndedAt) })
+		down := slices.ContainsFunc(h.DownIntervals, func(i Interval) bool {
+			return i.overlaps(r.Process, r.SentAt, r.EndedAt)
+		})
 		switch {
 		case r.Status == 0 && down:
 			v.Lost++
 			continue
 		case r.Status == 0:
-			v.fault("%s of %s got no answer", r.ID, r.Process)
+			v.addFault("%s of %s got no response", r.ID, r.Process)
 			continue
 		case succeeded:
 			v.Succeeded++
@@ -258,7 +270,7 @@
 			v.Failed++
 		}
 		if late := time.Duration(r.EndedAt-r.SentAt) - h.Deadline; late > h.Slack && !down {
-			v.fault("%s of %s was answered %v after its cut-off", r.ID, r.Process, late)
+			v.addFault("%s of %s was answered %v after its deadline", r.ID, r.Process, late)
 		}
 	}
 }
--- a/internal/faulttest/play.go
+++ b/internal/faulttest/play.go
@@ -22,11 +22,11 @@
 	// tablesTimeout is far shorter than the time after which the slots of a lost endpoint are reassigned.
 	tablesTimeout = 4 * time.Second
 
-	// shownLogEnd is how many bytes are shown of the log of a process that has ended by itself.
+	// shownLogEnd is how many bytes of the log of a process are shown if it has exited unexpectedly.
 	shownLogEnd = 300
 )
 
-// Play starts a cluster, takes the script's actions, heals it and judges what was recorded.
+// Play starts a cluster, carries out the script's actions, ends all faults, and judges the recorded history.
 func Play(ctx context.Context, program, directory string, script *Script, seed uint64) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -54,21 +54,21 @@
 	result      *Result
 	lateness    func() time.Duration
 	start       time.Time
-	shuffled    []*Process     // the sidecars, in an order that the seed decides
-	background  sync.WaitGroup // actions that run beside those that follow
-	scriptEnded chan struct{}  // closed: no action may go on
+	shuffled    []*Process     // the sidecars, in an order drawn from the seed
+	background  sync.WaitGroup // actions that run concurrently with later ones
+	scriptEnded chan struct{}  // closed when the script ends, to end actions that last
 }
 
 func (p *player) play(ctx context.Context) error {
-	if err := p.waitForLeases(ctx, startTimeout); err != nil || len(p.endedByThemselves()) > 0 {
-		return errors.Join(fmt.Errorf("at the start: %w", err), errors.New(strings.Join(p.endedByThemselves(), ", ")))
+	if err := p.waitForLeases(ctx, startTimeout); err != nil || len(p.unexpectedExits()) > 0 {
+		return errors.Join(fmt.Errorf("at the start: %w", err), errors.New(strings.Join(p.unexpectedExits(), ", ")))
 	}
-	before := sumFigures(p.instances)
+	before := sumUsage(p.instances)
 	p.result.StartedAt = int64(clock.BootTime())
 	p.start = time.Now()
 	cpuBefore := readCPU()
 	p.startClients()
-	if err := p.takeActions(ctx); err != nil {
+	if err := p.runActions(ctx); err != nil {
 		return err
 	}
 	if err := p.heal(ctx); err != nil {
@@ -78,12 +78,12 @@
 	p.result.Busy = readCPU().since(cpuBefore)
 	p.stopClients()
 	p.requesting.Wait()
-	p.measurePeers(before)
+	p.measureUsage(before)
 	return p.judge()
 }
 
-// takeActions takes the script's actions, each at its moment, and waits for the end of the script.
-func (p *player) takeActions(ctx context.Context) error {
+// runActions carries out the script's actions, each when it is due, and waits for the end of the script.
+func (p *player) runActions(ctx context.Context) error {
 	for _, i := range p.random.Perm(len(p.instances)) {
 		p.shuffled = append(p.shuffled, p.instances[i])
 	}
@@ -103,6 +103,7 @@
 	return nil
 }
 
+// mark records an action for the report.
 func (p *player) mark(what string) {
 	p.result.Marks = append(p.result.Marks, Mark{At: int64(clock.BootTime()), What: what})
 }
@@ -112,13 +113,13 @@
 	healed := time.Now()
 	p.Links.Heal()
 	p.noteUnnotified()
-	for _, text := range p.endedByThemselves() {
+	for _, text := range p.unexpectedExits() {
 		p.fail(text)
 	}
 	for _, process := range p.Processes {
 		_ = p.resume(process) // a process that cannot be started gets no lease, which is found below
 	}
-	p.mark("all is healed")
+	p.mark("all faults ended")
 	if err := p.readRevisions(); err != nil {
 		return err
 	}
@@ -130,7 +131,8 @@
 	return nil
 }
 
-// checkTables fails where the active rule set names the endpoints and the sidecars keep different slot tables.
+// checkTables records a failure if the active rule set names the endpoints and the sidecars still have different slot
+// tables after tablesTimeout.
 func (p *player) checkTables() {
 	active := p.activeRuleSet()
 	if active == nil || active.Endpoints == nil {
@@ -140,21 +142,21 @@
 		p.result.Tables = p.countTables()
 	}
 	if p.result.Tables != 1 {
-		p.fail(fmt.Sprintf("sidecars go by %d tables", p.result.Tables))
+		p.fail(fmt.Sprintf("sidecars have %d different slot tables", p.result.Tables))
 	}
 }
 
-// measurePeers finds what the sidecars have spent on knowing each other.
-func (p *player) measurePeers(before peerFigures) {
-	spent := sumFigures(p.instances).since(before)
+// measureUsage measures what one sidecar has sent and used on average, and adds up the false deaths of all.
+func (p *player) measureUsage(before usage) {
+	used := sumUsage(p.instances).since(before)
 	share := 1 / time.Since(p.start).Seconds() / float64(len(p.instances))
-	p.result.FalseDeaths = spent.falseDeaths
-	p.result.Packets = spent.packets * share
-	p.result.Bytes = spent.bytes * share
-	p.result.CPU = spent.cpu * share
+	p.result.FalseDeaths = used.falseDeaths
+	p.result.Packets = used.packets * share
+	p.result.Bytes = used.bytes * share
+	p.result.CPU = used.cpu * share
 }
 
-// judge collects what was recorded and judges it.
+// judge collects the records and judges them.
 func (p *player) judge() error {
 	history := &judge.History{Deadline: deadline, Slack: judgeSlack + p.lateness()}
 	if err := errors.Join(p.readRuleSets(history), p.readLogs(history)); err != nil {
@@ -170,7 +172,7 @@
 	history.UnnotifiedIntervals = p.unnotified
 	p.result.History = history
 	p.result.Verdict = judge.Judge(history)
-	p.result.ProxyOverhead = p.Links.Overhead(overheadLevel).Seconds()
+	p.result.ProxyOverhead = p.Links.Overhead(overheadPercentile).Seconds()
 	p.result.ClockLateness = p.lateness().Seconds()
 	lease, _ := time.ParseDuration(p.script.Lease) // the coordinators would not have started with a bad one
 	p.result.Void = p.result.ClockLateness > lease.Seconds()
@@ -178,15 +180,16 @@
 	return nil
 }
 
-// endedByThemselves describes the processes that have ended although nothing ended them, with the end of their logs.
-func (c *Cluster) endedByThemselves() []string {
-	var ended []string
+// unexpectedExits describes the processes that have exited without being killed or shut down, with the end of their
+// logs.
+func (c *Cluster) unexpectedExits() []string {
+	var exits []string
 	for _, process := range c.Processes {
-		if process.endedByItself() && !process.diskFull {
+		if process.exitedUnexpectedly() && !process.diskFull {
 			log, _ := os.ReadFile(process.Log) // without the log the process is still named
 			end := log[max(0, len(log)-shownLogEnd):]
-			ended = append(ended, fmt.Sprintf("%s has ended by itself: %s", process.Name, end))
+			exits = append(exits, fmt.Sprintf("%s exited unexpectedly: %s", process.Name, end))
 		}
 	}
-	return ended
+	return exits
 }
--- a/internal/faulttest/process.go
+++ b/internal/faulttest/process.go
@@ -36,10 +36,10 @@
 	metricsAddress string
 	clockSkew      string // value of clockVariable, empty for the machine's own clock
 	running        *exec.Cmd
-	exited         chan struct{} // closed once the process has ended, also by itself
+	exited         chan struct{} // closed once the process has ended, for whatever reason
 	exitError      error         // set before exited is closed
 	stopped        bool
-	diskFull       bool // its files can grow no more
+	diskFull       bool // its files can no longer grow
 }
 
 func (p *Process) configPath() string { return filepath.Join(p.directory, string(p.Name)+".toml") }
@@ -48,7 +48,7 @@
 	return os.WriteFile(p.configPath(), []byte(text), 0o600)
 }
 
-// Start starts the process, also again after Kill.
+// Start starts the process, for the first time or again after Kill.
 func (p *Process) Start() error {
 	log, err := os.OpenFile(p.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -57,7 +57,7 @@
 	defer func() { _ = log.Close() }() // the process writes through a descriptor of its own
 	running := exec.Command(p.program, string(p.command), "--config", p.configPath())
 	running.Stderr = log
-	// A test that is itself killed leaves no process behind.
+	// The process is killed with the test, so that a killed test leaves none behind.
 	running.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if p.clockSkew != "" {
 		running.Env = append(os.Environ(), clockVariable+"="+p.clockSkew)
@@ -88,14 +88,14 @@
 	}
 }
 
-// endedByItself reports whether the process has ended without Kill or Leave.
-func (p *Process) endedByItself() bool {
+// exitedUnexpectedly reports whether the process has ended without Kill or Leave.
+func (p *Process) exitedUnexpectedly() bool {
 	return p.running != nil && !p.Running()
 }
 
 // signal sends a signal to the process.
 func (p *Process) signal(signal os.Signal) {
-	_ = p.running.Process.Signal(signal) // fails only if the process has ended, and then nothing is left to signal
+	_ = p.running.Process.Signal(signal) // fails only if the process has ended
 }
 
 // Kill ends the process at once, without a graceful shutdown.
@@ -117,7 +117,7 @@
 	return p.exitError
 }
 
-// SetStalled stops the process or lets it continue.
+// SetStalled stops the process or continues it.
 func (p *Process) SetStalled(stopped bool) {
 	if p.stopped == stopped {
 		return
@@ -132,7 +132,7 @@
 
 // Logged reports whether the log of the process contains the text.
 func (p *Process) Logged(text string) bool {
-	log, _ := os.ReadFile(p.Log) // a log that is not there contains nothing
+	log, _ := os.ReadFile(p.Log) // a missing log contains nothing
 	return strings.Contains(string(log), text)
 }
 
@@ -150,7 +150,7 @@
 	return lines.Err()
 }
 
-// AliveCount returns the number of instances that the process takes for alive, -1 if it does not answer.
+// AliveCount returns the number of instances that the process sees alive, or -1 if it does not answer.
 func (p *Process) AliveCount() int {
 	alive := 0
 	err := p.fetchLines(pathPeers, func(line string) { alive += strings.Count(line, " alive up=") })
@@ -160,18 +160,18 @@
 	return alive
 }
 
-// Metrics returns the values of some metrics, all from one page; 0 for a metric that is not there.
+// Metrics returns the values of some metrics, all read from one response. A missing metric is 0.
 func (p *Process) Metrics(names ...string) []float64 {
 	values := make([]float64, len(names))
-	// A process that does not answer counts as 0, like a metric that is not there.
+	// All metrics of a process that does not answer are 0.
 	_ = p.fetchLines(pathMetrics, func(line string) {
 		name, text, _ := strings.Cut(line, " ")
 		if i := slices.Index(names, name); i >= 0 {
-			values[i], _ = strconv.ParseFloat(text, 64) // the program's own pages are well formed
+			values[i], _ = strconv.ParseFloat(text, 64) // the program writes valid numbers
 		}
 	})
 	return values
 }
 
-// Metric returns the value of one metric.
+// Metric returns the value of one metric, 0 if it is missing.
 func (p *Process) Metric(name string) float64 { return p.Metrics(name)[0] }
--- a/internal/faulttest/processfaults.go
+++ b/internal/faulttest/processfaults.go
@@ -13,7 +13,7 @@
 
 const (
 	throttlePeriod  = 100 * time.Millisecond // the period of cpu.max
-	throttleRunning = throttlePeriod / 10    // of each period
+	throttleRunning = throttlePeriod / 10    // running time in each period
 
 	fullDiskSize = 4096 // bytes, smaller than any file that a coordinator writes to
 
@@ -41,8 +41,8 @@
 	}
 }
 
-// fillDisk lets the files of the process grow no more, as on a full disk. The process is expected to end: it must not
-// act on what raft could not write.
+// fillDisk limits the size of the files of the process, so that its writes fail as on a full disk. The process is
+// expected to exit: it must not act on what raft could not write.
 func (p *Process) fillDisk() error {
 	p.diskFull = true
 	limit := unix.Rlimit{Cur: fullDiskSize, Max: fullDiskSize}
@@ -52,7 +52,7 @@
 // stateDirectory returns the name of the directory of a coordinator's log.
 func (p *Process) stateDirectory() string { return string(p.Name) + ".kept" }
 
-// damage overwrites parts of the log of a coordinator that does not run.
+// damage overwrites parts of the raft log of a coordinator that does not run.
 func (p *Process) damage() error {
 	path := filepath.Join(p.directory, p.stateDirectory(), "log.db")
 	file, err := os.OpenFile(path, os.O_WRONLY, 0)
--- a/internal/faulttest/report.go
+++ b/internal/faulttest/report.go
@@ -18,7 +18,7 @@
 //go:embed report.html
 var reportTemplate string
 
-// box is a rectangle or, where it has no size, a label of the picture.
+// box is a rectangle of the picture, or a label if it has no size.
 type box struct {
 	X     float64
 	Y     float64
@@ -28,7 +28,7 @@
 	Label string
 }
 
-// lane shows what a process did over time.
+// lane shows the states of a process over time.
 type lane struct {
 	Name  string
 	TextY float64
@@ -37,7 +37,7 @@
 
 func (l *lane) top() float64 { return l.TextY - laneHeight + 2 }
 
-// reportData is what the template is given.
+// reportData is the data of the template.
 type reportData struct {
 	Result *Result
 	Script *Script
@@ -69,12 +69,13 @@
 	colorFailed    = "#dd8833"
 )
 
-// palette holds the colors of revisions, in turn.
+// palette holds the colors of revisions; each revision takes the next one.
 var palette = []string{"#888866", "#4477aa", "#66aa55", "#aa7744", "#8855aa", "#44aaaa", "#aa4488", "#777777"}
 
 func revisionColor(revision int) string { return palette[revision%len(palette)] }
 
-// Report writes one page of HTML about a test into a directory: a lane for each process, and responses over time.
+// Report writes an HTML page about a result into a directory. It shows a lane for each process, and the responses over
+// time.
 func Report(directory string, script *Script, result *Result) error {
 	picture := newPicture(result)
 	picture.addRules(result.History.Changes)
@@ -99,15 +100,15 @@
 	return snapshot.Replace(path, out.Bytes())
 }
 
-// picture draws a result, from its begin to the last response.
+// picture draws a result, from its start to the last response.
 type picture struct {
-	begin int64
+	start int64
 	end   int64
 	lanes []lane
 }
 
 func newPicture(result *Result) *picture {
-	p := &picture{begin: result.StartedAt, end: result.StartedAt + 1}
+	p := &picture{start: result.StartedAt, end: result.StartedAt + 1}
 	for _, request := range result.History.ClientRequests {
 		p.end = max(p.end, request.EndedAt)
 	}
@@ -116,7 +117,7 @@
 
 // x returns where a time is drawn.
 func (p *picture) x(at int64) float64 {
-	return nameWidth + plotWidth*float64(min(max(at, p.begin), p.end)-p.begin)/float64(p.end-p.begin)
+	return nameWidth + plotWidth*float64(min(max(at, p.start), p.end)-p.start)/float64(p.end-p.start)
 }
 
 // lane returns the lane of a process.
@@ -129,7 +130,7 @@
 	return &p.lanes[i]
 }
 
-// addRules draws by which revisions the processes acted.
+// addRules draws which revisions the processes applied over time.
 func (p *picture) addRules(changes []judge.ActiveRules) {
 	for i, rules := range changes {
 		until := p.end
@@ -140,13 +141,13 @@
 			}
 		}
 		lane := p.lane(rules.Process)
-		if until > p.begin {
+		if until > p.start {
 			lane.Boxes = append(lane.Boxes, p.rulesBoxes(rules, until, lane.top())...)
 		}
 	}
 }
 
-// rulesBoxes draws the rules of a process up to a time. Two revisions share the height.
+// rulesBoxes draws the rules of a process until a time. Two revisions that apply together share the height of the lane.
 func (p *picture) rulesBoxes(rules judge.ActiveRules, until int64, top float64) []box {
 	first := box{
 		X:     p.x(rules.At),
@@ -196,7 +197,7 @@
 func (p *picture) countResponses(requests []judge.ClientRequest) []responseCounts {
 	var counts []responseCounts
 	for _, request := range requests {
-		i := int((request.EndedAt - p.begin) / plotInterval)
+		i := int((request.EndedAt - p.start) / plotInterval)
 		for len(counts) <= i {
 			counts = append(counts, responseCounts{})
 		}
@@ -218,10 +219,10 @@
 	for _, count := range counts {
 		highest = max(highest, count.succeeded+count.failed)
 	}
-	width := plotWidth*float64(plotInterval)/float64(p.end-p.begin) - 1
+	width := plotWidth*float64(plotInterval)/float64(p.end-p.start) - 1
 	var boxes []box
 	for i, count := range counts {
-		x := p.x(p.begin + int64(i)*plotInterval)
+		x := p.x(p.start + int64(i)*plotInterval)
 		succeeded := count.succeeded / highest * plotHeight
 		failed := count.failed / highest * plotHeight
 		label := fmt.Sprintf("%.0f honoured, %.0f not", count.succeeded, count.failed)
@@ -233,7 +234,7 @@
 	return boxes
 }
 
-// marks draws what was done, in rows so that neighbours do not overlap.
+// marks draws the labels of the actions, in rows so that neighbours do not overlap.
 func (p *picture) marks(marks []Mark) []box {
 	var boxes []box
 	for i, mark := range marks {
--- a/internal/faulttest/result.go
+++ b/internal/faulttest/result.go
@@ -8,14 +8,14 @@
 	"pepperlead/internal/faulttest/judge"
 )
 
-// RuleChange is one change of the rules during a test, and how it spread.
+// RuleChange is one change of the rule set during a test, and how it spread to the sidecars.
 type RuleChange struct {
 	Version string  `json:"Version"`
 	Number  int     `json:"Number"`
-	At      float64 `json:"At"`     // seconds since the begin
+	At      float64 `json:"At"`     // seconds since the start
 	Agreed  float64 `json:"Agreed"` // seconds until the coordinators had agreed on it
-	// Seconds until the sidecars that were running acted by the revision, also by it and the one before, and until they
-	// acted by it alone.
+	// P50, P99 and Max are the seconds until the running sidecars applied the revision, alone or together with the
+	// previous one; Alone is the seconds until all of them applied it alone.
 	P50    float64 `json:"P50"`
 	P99    float64 `json:"P99"`
 	Max    float64 `json:"Most"`
@@ -29,24 +29,24 @@
 	Seed          uint64         `json:"Seed"`
 	Verdict       *judge.Verdict `json:"Verdict"`
 	Applied       []RuleChange   `json:"Applied"`
-	Converged     float64        `json:"Converged"` // seconds from the healing until all had the same lease
-	Unleased      float64        `json:"Unleased"`  // seconds without a lease, over all sidecars
-	ProxyOverhead float64        `json:"OwnDelay"`  // seconds that the fault proxy added itself, 99th percentile
+	Converged     float64        `json:"Converged"` // seconds from the end of the faults until all have the same lease
+	Unleased      float64        `json:"Unleased"`  // seconds without a lease, in total over all sidecars
+	ProxyOverhead float64        `json:"OwnDelay"`  // seconds that the fault proxy itself took, 99th percentile
 	ClockLateness float64        `json:"Late"`      // seconds by which the latest clock reading was late
-	Tables        int            `json:"Tables"`    // different slot tables at the end, must be 1 if counted
+	Tables        int            `json:"Tables"`    // number of different slot tables at the end; must be 1 if counted
 	Busy          float64        `json:"Busy"`      // share of the machine's cores in use, by any process
-	Void          bool           `json:"Void"`      // the machine stalled for longer than the lease: no figure counts
+	Void          bool           `json:"Void"`      // the machine stalled for longer than a lease: no value is valid
 	Failed        []string       `json:"Failed"`
-	FalseDeaths   float64        `json:"Gone"`    // times that a sidecar took another for gone, over all
-	Packets       float64        `json:"Packets"` // a second, one sidecar
+	FalseDeaths   float64        `json:"Gone"`    // times that a sidecar declared another dead, in total
+	Packets       float64        `json:"Packets"` // sent per second by one sidecar, as Bytes
 	Bytes         float64        `json:"Bytes"`
-	CPU           float64        `json:"CPU"`
+	CPU           float64        `json:"CPU"` // share of a core used by one sidecar
 	History       *judge.History `json:"-"`
 	StartedAt     int64          `json:"-"`
 	Marks         []Mark         `json:"-"`
 }
 
-// Mark is an action that was taken.
+// Mark is an event that the report labels, such as an action of the script.
 type Mark struct {
 	At   int64
 	What string
@@ -60,7 +60,7 @@
 	return !r.Void && len(r.Failed) == 0 && r.Verdict.Broken == 0 && r.Verdict.Contradiction <= s.AgreeWithin
 }
 
-// measureSpread finds how long each change took to reach the sidecars, and how long they had no lease.
+// measureSpread computes how long each change took to reach the sidecars, and how long they had no lease.
 func (r *Result) measureSpread(history *judge.History) {
 	for i := range r.Applied {
 		applied := &r.Applied[i]
@@ -71,10 +71,10 @@
 	r.Unleased = unleasedSeconds(history.Changes, r.StartedAt)
 }
 
-// measureSpread finds how long the change took to reach the sidecars that were running meanwhile.
-func (a *RuleChange) measureSpread(history *judge.History, begun int64) {
-	first := map[string]int64{} // by process: when it first acted by the revision
-	alone := map[string]int64{} // and by it alone
+// measureSpread computes how long the change took to reach the sidecars that were running meanwhile.
+func (a *RuleChange) measureSpread(history *judge.History, startedAt int64) {
+	first := map[string]int64{} // by process: when it first applied the revision
+	alone := map[string]int64{} // by process: when it first applied the revision alone
 	for _, rules := range history.Changes {
 		if !rules.Leased || !slices.Contains(rules.Revisions, a.Number) {
 			continue
@@ -84,7 +84,7 @@
 			recordEarliest(alone, rules)
 		}
 	}
-	applied := begun + int64(a.At*float64(time.Second))
+	applied := startedAt + int64(a.At*float64(time.Second))
 	if times := spreadTimes(first, applied, history.DownIntervals); len(times) > 0 {
 		a.P50 = times[len(times)/2]
 		a.P99 = times[min(len(times)-1, len(times)*99/100)]
@@ -95,6 +95,7 @@
 	}
 }
 
+// recordEarliest keeps the earliest time of each process.
 func recordEarliest(times map[string]int64, rules judge.ActiveRules) {
 	if at, known := times[rules.Process]; !known || rules.At < at {
 		times[rules.Process] = rules.At
@@ -118,13 +119,13 @@
 }
 
 // unleasedSeconds adds up how long the processes had no lease after they had had one.
-func unleasedSeconds(changes []judge.ActiveRules, begun int64) float64 {
+func unleasedSeconds(changes []judge.ActiveRules, startedAt int64) float64 {
 	total := 0.0
 	since := map[string]int64{}
 	for _, rules := range changes {
 		from, unleased := since[rules.Process]
 		switch {
-		case !rules.Leased && !unleased && rules.At > begun:
+		case !rules.Leased && !unleased && rules.At > startedAt:
 			since[rules.Process] = rules.At
 		case rules.Leased && unleased:
 			total += seconds(rules.At - from)
@@ -134,5 +135,5 @@
 	return total
 }
 
-// seconds converts nanoseconds.
+// seconds converts nanoseconds to seconds.
 func seconds(nanoseconds int64) float64 { return float64(nanoseconds) / float64(time.Second) }
--- a/internal/faulttest/revisions.go
+++ b/internal/faulttest/revisions.go
@@ -14,11 +14,11 @@
 	revisionsInterval = 100 * time.Millisecond
 	leaseInterval     = 20 * time.Millisecond
 
-	// commandTimeout ends a command that may fail.
+	// commandTimeout limits a command that may fail.
 	commandTimeout = 5 * time.Second
 )
 
-// reachableCoordinator returns a coordinator that knows the leader, or else one that runs.
+// reachableCoordinator returns a coordinator that knows the leader or, if there is none, one that runs.
 func (c *Cluster) reachableCoordinator() *Process {
 	running := c.coordinators[0]
 	for _, coordinator := range c.coordinators {
@@ -37,9 +37,9 @@
 	return running
 }
 
-// leader returns the coordinator that leads or, if none is known to, the latest one that was.
+// leader returns the leader of the coordinators or, if none is known, the latest known one.
 func (c *Cluster) leader() *Process {
-	// Without an answer the latest leader stands.
+	// Without an answer, the latest known leader is kept.
 	_ = c.reachableCoordinator().fetchLines(pathVersions, func(line string) {
 		_, text, _ := strings.Cut(line, "leader \"")
 		name, _, _ := strings.Cut(text, "\"")
@@ -58,7 +58,7 @@
 // revisions are the revisions that a coordinator knows.
 type revisions struct {
 	active int
-	next   int // other than active while a change is under way
+	next   int // differs from active while a change is in progress
 	last   int // the highest that was proposed
 }
 
@@ -72,7 +72,7 @@
 	return known, err
 }
 
-// readRevisions waits until no change is under way and notes the latest revision.
+// readRevisions waits until no change is in progress, and stores the active and the latest revision.
 func (c *Cluster) readRevisions() error {
 	for end := time.Now().Add(convergeTimeout); time.Now().Before(end); time.Sleep(revisionsInterval) {
 		changing := false
@@ -82,7 +82,7 @@
 			}
 			known, err := coordinator.revisions()
 			if err != nil || known.last < c.lastRevision {
-				continue // one that has just been started may not have caught up
+				continue // a coordinator that has just started may not have caught up
 			}
 			c.upToDate = coordinator
 			c.activeRevision = known.active
@@ -93,7 +93,7 @@
 			return nil
 		}
 	}
-	return errors.New("the keepers do not answer, or a change is under way without end")
+	return errors.New("no coordinator answers, or a change of the rules does not end")
 }
 
 // waitForLeases waits until every sidecar has a lease on the active revision.
@@ -101,14 +101,14 @@
 	end := time.Now().Add(timeout)
 	for _, instance := range c.instances {
 		for {
-			figures := instance.Metrics(metricRevision, metricLeased)
-			revision := figures[0]
-			leased := figures[1]
+			values := instance.Metrics(metricRevision, metricLeased)
+			revision := values[0]
+			leased := values[1]
 			if int(revision) == c.activeRevision && leased == 1 {
 				break
 			}
 			if time.Now().After(end) || ctx.Err() != nil {
-				return fmt.Errorf("%s goes by version %.0f, lease %.0f; in force is %d",
+				return fmt.Errorf("%s applies revision %.0f (lease %.0f), want revision %d",
 					instance.Name, revision, leased, c.activeRevision)
 			}
 			time.Sleep(leaseInterval)
@@ -134,12 +134,12 @@
 	return nil
 }
 
-// countTables counts the different slot tables that the sidecars have. Each is asked for its own: what others know of
-// it may be half a minute old.
+// countTables counts the different slot tables that the sidecars have. It reads the table of each sidecar from that
+// sidecar's own page: what others know of it may be half a minute old.
 func (c *Cluster) countTables() int {
 	tables := map[string]bool{}
 	for _, instance := range c.instances {
-		_ = instance.fetchLines(pathPeers, func(line string) { // the caller asks again until there is one table
+		_ = instance.fetchLines(pathPeers, func(line string) { // the caller tries again until there is one table
 			if strings.HasPrefix(line, string(instance.Name)+" ") {
 				_, table, _ := strings.Cut(line, "table=")
 				tables[table] = true
@@ -149,7 +149,7 @@
 	return len(tables)
 }
 
-// changeRules runs the program's command for an action and records its result.
+// changeRules runs the program's command for an action and records its result as a change.
 func (p *player) changeRules(ctx context.Context, action Action, target *Process) {
 	args := p.commandArguments(action)
 	applied := RuleChange{Version: action.RuleSet, At: time.Since(p.start).Seconds()}
--- a/internal/faulttest/script.go
+++ b/internal/faulttest/script.go
@@ -10,7 +10,7 @@
 	"pepperlead/policy"
 )
 
-// Script is what is to happen in a fault test, as its file says it.
+// Script describes a fault-injection test: its processes, its rule sets and its actions.
 type Script struct {
 	Description  string
 	Instances    int
@@ -22,14 +22,14 @@
 	Jitter       time.Duration
 	Lease        string
 	AgreeWithin  time.Duration
-	Discovery    bool // endpoints come from a fake discovery, all of them at first
-	Contradicts  bool // the judge must find a contradiction: a test of the judge
+	Discovery    bool // endpoints come from a fake discovery, which lists all of them at first
+	Contradicts  bool // the judge must find a contradiction; for tests of the judge itself
 	RuleSets     []RuleSet
 	Clocks       map[string]string // by process: its clock skew
 	Actions      []Action
 }
 
-// RuleSet is a rule set that a script applies. The first one of a script is that of the sidecars' configuration.
+// RuleSet is a rule set of a script. The first one is that of the sidecars' configuration.
 type RuleSet struct {
 	Name        string
 	Idempotency string
@@ -38,13 +38,13 @@
 	Drained     []string
 }
 
-// Action is something that is done at its moment: at a time or, if At is negative, once a share of the sidecars acts by
-// a revision.
+// Action is an action of a script. It is due at a time or, if At is negative, once a share of the sidecars applies a
+// revision.
 type Action struct {
-	At              time.Duration // since the begin
-	Share           float64       // of the sidecars
-	AwaitedRevision int           // revision that they act by
-	After           time.Duration // how much later
+	At              time.Duration // since the start
+	Share           float64       // of the sidecars, that must apply AwaitedRevision
+	AwaitedRevision int           // revision that the share of sidecars must apply
+	After           time.Duration // delay after that
 	What            string
 	Targets         []string
 	From            []string
@@ -56,8 +56,8 @@
 	Delay           time.Duration
 	DelayJitter     time.Duration
 	MayFail         bool
-	Ready           []string // endpoints of a list
-	Draining        []string // endpoints of a list
+	Ready           []string // ready endpoints of the list to announce
+	Draining        []string // draining endpoints of the list to announce
 }
 
 // description names the action for the report.
@@ -76,7 +76,7 @@
 // ownRuleSet is the name of the rule set of the sidecars' configuration.
 const ownRuleSet = "own"
 
-// requiredFields are the keys that each action needs.
+// requiredFields holds the keys that each kind of action needs.
 var requiredFields = map[string][]string{
 	actionApply:     {"version"},
 	actionRollback:  {"number"},
@@ -95,10 +95,10 @@
 	actionDamage:    {"who"},
 }
 
-// namedShares are the shares of the sidecars that an action can wait for.
+// namedShares holds the shares of the sidecars that an action can wait for.
 var namedShares = map[string]float64{"one": 1e-9, "half": 0.5, "all": 1}
 
-// Limits of what a script may say.
+// Limits and defaults of scripts.
 const (
 	maxScriptSize       = 1 << 18 // bytes
 	maxScriptTime       = 3600 * policy.Second
@@ -141,7 +141,7 @@
 	}
 	for _, action := range s.Actions {
 		if action.What == actionList && !s.Discovery {
-			root.Fault("do", "a list", "none where [drill] does not say discovery = true")
+			root.Fault("do", "a list", "none unless [drill] has discovery = true")
 		}
 	}
 	root.RejectUnknown()
@@ -214,13 +214,13 @@
 	if names := s.ruleSetNames(); action.RuleSet != "" && !slices.Contains(names, action.RuleSet) {
 		table.Fault("version", table.Found("version"), "one of "+strings.Join(names, ", "))
 	}
-	action.readMoment(table)
+	action.readDueTime(table)
 	table.RejectUnknown()
 	return action
 }
 
-// readMoment reads when the action is taken.
-func (a *Action) readMoment(table *tomlfile.Table) {
+// readDueTime reads when the action is due.
+func (a *Action) readDueTime(table *tomlfile.Table) {
 	when := table.String("when", "")
 	if table.Has("at") == table.Has("when") {
 		table.Fault("at", table.Found("at"), "either a time, or when = \"half 2\"")
@@ -232,12 +232,12 @@
 	}
 	var share string
 	if _, err := fmt.Sscanf(when, "%s %d", &share, &a.AwaitedRevision); err != nil || namedShares[share] == 0 {
-		table.Fault("when", table.Found("when"), "one, half or all, and the number of a version that so many act by")
+		table.Fault("when", table.Found("when"), "one, half or all, and the number of a revision that so many apply")
 	}
 	a.Share = namedShares[share]
 }
 
-// actionKinds returns what an action can do, sorted.
+// actionKinds returns all kinds of actions, sorted.
 func actionKinds() []string {
 	kinds := make([]string, 0, len(requiredFields))
 	for kind := range requiredFields {
--- a/internal/faulttest/script_test.go
+++ b/internal/faulttest/script_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Every drill of the project can be read.
-func TestDrillsCanBeRead(t *testing.T) {
+// Every drill of the repository can be read, and a script that names an unknown rule set is rejected.
+func TestReadScript(t *testing.T) {
 	files, _ := filepath.Glob("../../drills/*.toml")
 	if len(files) < 10 {
 		t.Fatal(files)
@@ -23,17 +23,17 @@
 		}
 	}
 	if _, err := ReadScript("bad", []byte("[drill]\n[[do]]\nwhat = \"apply\"\nat = \"1s\"\nversion = \"none\"\n[[do]]\nwhat = \"stall\"\n")); err == nil {
-		t.Error("a drill of an unknown version is taken")
+		t.Error("a script with an unknown rule set is accepted")
 	}
 }
 
-// A fleet of more than a thousand processes and endpoints can be written down; one that no addresses are laid out for
-// is a fault that says so.
-func TestLargeDrillsCanBeRead(t *testing.T) {
-	for n, fine := range map[int]bool{1024: true, maxProcesses: true, maxProcesses + 1: false} {
-		s, err := ReadScript("large", fmt.Appendf(nil, "[drill]\nsidecars = %d\nservers = %d\n", n, n))
-		if fine != (err == nil) || fine && (s.Instances != n || s.Endpoints != n) {
-			t.Errorf("%d: %v", n, err)
+// Scripts with up to maxProcesses sidecars and endpoints are accepted and larger ones are rejected. All processes have
+// different addresses.
+func TestReadLargeScripts(t *testing.T) {
+	for count, accepted := range map[int]bool{1024: true, maxProcesses: true, maxProcesses + 1: false} {
+		script, err := ReadScript("large", fmt.Appendf(nil, "[drill]\nsidecars = %d\nservers = %d\n", count, count))
+		if accepted != (err == nil) || accepted && (script.Instances != count || script.Endpoints != count) {
+			t.Errorf("%d: %v", count, err)
 		}
 	}
 	seen := map[string]bool{}
--- a/internal/faulttest/stage.go
+++ b/internal/faulttest/stage.go
@@ -1,5 +1,6 @@
 // Package faulttest starts several processes of the program on loopback, each at an address of its own, with links
-// between them that can be blocked, and injects faults: kills, stalls, partitions. docs/rehearsing.md, "Drills".
+// between them that can be blocked, and injects faults such as kills, stalls and partitions. See docs/rehearsing.md,
+// "Drills".
 package faulttest
 
 import (
@@ -26,13 +27,13 @@
 	client    *http.Client // for pages of the processes
 }
 
-// StageConfig says which processes to start.
+// StageConfig configures a Stage.
 type StageConfig struct {
 	Program   string
-	Dir       string // exists already
+	Dir       string // must exist
 	Count     int
-	Strangers int // beyond the count, in turn with another key and with another cluster name
-	Instances int // as configured
+	Strangers int // further processes, alternately with another key and with another cluster name
+	Instances int // number of instances in the configurations
 	Seed      uint64
 }
 
@@ -42,7 +43,7 @@
 
 	clusterName         = "drill"
 	strangerClusterName = "another"
-	joinAddresses       = 3 // processes whose addresses all others join at
+	joinAddresses       = 3 // number of processes at whose addresses all others join
 )
 
 func newStage(program, directory string, seed uint64) *Stage {
@@ -54,7 +55,8 @@
 	}
 }
 
-// StartStage starts all processes at once. The caller ends them by Close; after an error none is left running.
+// StartStage starts all processes at once. The caller must call Close to end them. After an error, no process is left
+// running.
 func StartStage(config StageConfig) (*Stage, error) {
 	stage := newStage(config.Program, config.Dir, config.Seed)
 	if err := stage.begin(config); err != nil {
@@ -86,13 +88,13 @@
 	return s.startAll()
 }
 
-// writeKey writes a key file of the cluster.
+// writeKey writes a key file with a key derived from the seed.
 func (s *Stage) writeKey(name string, seed uint64) error {
 	key := base64.StdEncoding.EncodeToString(fmt.Appendf(nil, "%016x", seed))
 	return os.WriteFile(filepath.Join(s.directory, name), []byte(key), 0o600)
 }
 
-// addPeer adds the sidecar at an index, with its links and its configuration.
+// addPeer adds the sidecar whose addresses have the given index, with its links and its configuration.
 func (s *Stage) addPeer(config StageConfig, i int, ports portSet) error {
 	process := s.addProcess(fmt.Sprint("n", i+1), commandServe, hostPort(processIP(i), ports.metrics))
 	addresses, err := s.linkPeer(process.Name, i, ports.peers)
@@ -120,7 +122,7 @@
 	return process.writeConfig(text)
 }
 
-// joinList returns the quoted addresses of processes, from the index first on, for the setting "join".
+// joinList returns the quoted addresses of count processes, starting at the index first, for the setting "join".
 func joinList(count, first, port int) string {
 	addresses := make([]string, 0, count)
 	for i := range count {
@@ -154,13 +156,14 @@
 	return nil
 }
 
-// peerAddresses are where a process listens for its peers and where the fault proxy listens for it.
+// peerAddresses holds the address at which a process listens for its peers, and the one at which the fault proxy
+// listens for it.
 type peerAddresses struct {
 	listen    string
 	advertise string
 }
 
-// linkPeer opens the links on which a process is reached by its peers.
+// linkPeer opens the links on which peers reach a process.
 func (s *Stage) linkPeer(name faultproxy.Node, i, port int) (peerAddresses, error) {
 	addresses := peerAddresses{listen: hostPort(processIP(i), port), advertise: hostPort(proxyIP(i), port)}
 	listen := netip.MustParseAddrPort(addresses.listen)
@@ -172,7 +175,7 @@
 	return addresses, err
 }
 
-// WaitForAliveCount waits until each process takes the given number of instances for alive, and returns how long that took.
+// WaitForAliveCount waits until each process sees the given number of instances alive, and returns how long that took.
 func (s *Stage) WaitForAliveCount(ctx context.Context, processes []*Process, want int) (time.Duration, error) {
 	start := time.Now()
 	for _, process := range processes {
@@ -183,7 +186,7 @@
 			}
 			select {
 			case <-ctx.Done():
-				return time.Since(start), fmt.Errorf("%s holds %d to be there, not %d, after %v",
+				return time.Since(start), fmt.Errorf("%s sees %d instances alive, want %d, after %v",
 					process.Name, alive, want, time.Since(start))
 			case <-time.After(pollInterval):
 			}
--- a/internal/faulttest/targets.go
+++ b/internal/faulttest/targets.go
@@ -6,21 +6,21 @@
 	"pepperlead/internal/faultproxy"
 )
 
-// Names by which a script means several processes or a process that it does not know by name.
+// Names that stand in scripts for groups of processes, or for single processes that are chosen at run time.
 const (
 	targetInstances    = "sidecars"
 	targetCoordinators = "keepers"
 	targetEndpoints    = "servers"
 	targetAll          = "all"
-	targetOne          = "one"     // sidecar
-	targetAnother      = "another" // sidecar than "one"
-	targetHalf         = "half"    // of the sidecars, with "one"
+	targetOne          = "one"     // a sidecar
+	targetAnother      = "another" // a sidecar other than "one"
+	targetHalf         = "half"    // half of the sidecars, among them "one"
 	targetOthers       = "others"  // the sidecars that are not in "half"
 	targetLeader       = "leader"
 	targetFollowers    = "followers"
 )
 
-// processes finds the processes that a script means.
+// processes returns the processes that the names of a script stand for.
 func (p *player) processes(names []string) []*Process {
 	var found []*Process
 	for _, name := range names {
@@ -70,7 +70,7 @@
 	return others
 }
 
-// nodes finds the processes, endpoints and discovery that a script means.
+// nodes returns the processes, endpoints and discovery that the names of a script stand for.
 func (p *player) nodes(names []string) []faultproxy.Node {
 	var found []faultproxy.Node
 	for _, process := range p.processes(names) {
