--- a/internal/livetest/endpointlist.go
+++ b/internal/livetest/endpointlist.go
@@ -11,12 +11,12 @@
 
 const (
 	listTimeFormat = "2006-01-02T15:04:05.000000000Z"
-	// maxListRemovals lets a list leave out any number of endpoints.
+	// maxListRemovals is the number of endpoints that a list may remove: more than there can be.
 	maxListRemovals = 10000
 )
 
-// writeList writes the endpoint list of an instance as discovery has it now. For the judge, the instance is notified of
-// it from then on.
+// writeList writes discovery's current endpoint list to the file of an instance, and reports to the judge that the
+// instance has been notified of it.
 func (r *liveRun) writeList(instance *daemonProcess) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,18 +68,18 @@
 	return []byte(b.text.String()), ready
 }
 
-// announce has discovery list the status of an endpoint that reports it itself.
+// announce changes the listed status of an endpoint that reports its status itself.
 func (r *liveRun) announce(endpoint *fakeEndpoint, status policy.EndpointStatus) {
 	r.updateList(endpoint, status, r.Scenario.Discovery.AnnounceDelay)
 }
 
-// detect has discovery find out the status of an endpoint that does not report it.
+// detect changes the listed status of an endpoint whose status discovery has to detect.
 func (r *liveRun) detect(endpoint *fakeEndpoint, status policy.EndpointStatus) {
 	r.updateList(endpoint, status, r.Scenario.Discovery.DetectDelay)
 }
 
-// updateList changes the listed status of an endpoint after a delay drawn from the range, and writes the list of each
-// instance.
+// updateList changes the listed status of an endpoint after a delay drawn from delayRange, and then writes the list of
+// each instance.
 func (r *liveRun) updateList(endpoint *fakeEndpoint, status policy.EndpointStatus, delayRange [2]policy.Time) {
 	r.mu.Lock()
 	delay := delayRange[0] + policy.Time(r.listRandom.Float64()*float64(delayRange[1]-delayRange[0]))
@@ -104,7 +104,7 @@
 	return true
 }
 
-// writeLists writes the list of each instance, later where its lists are delayed.
+// writeLists writes the list of each instance. Where a fault delays the lists of an instance, it writes that one later.
 func (r *liveRun) writeLists() {
 	r.mu.Lock()
 	instances := slices.Clone(r.instances)
--- a/internal/livetest/endpoints.go
+++ b/internal/livetest/endpoints.go
@@ -13,7 +13,7 @@
 	"pepperlead/policy"
 )
 
-// fakeEndpoint is a fake backend and what discovery says of it.
+// fakeEndpoint is a fake backend with its entry in discovery's list.
 type fakeEndpoint struct {
 	*fakebackend.ModelServer
 	id            judge.EndpointID
@@ -77,7 +77,8 @@
 }
 
 // RequestArrived reports the start of an attempt. If an earlier attempt for the request is still open at its endpoint,
-// it waits a little: that endpoint may learn later than this one that the instance has closed the connection.
+// it waits for the end of that, up to tolerance: the other endpoint may learn later than this one that the instance has
+// closed the connection.
 func (o *endpointObserver) RequestArrived(arrival fakebackend.Arrival) any {
 	r := o.run
 	r.mu.Lock()
--- a/internal/livetest/faults.go
+++ b/internal/livetest/faults.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// defaultDrainTime is how long an endpoint drains where the fault does not say.
+	// defaultDrainTime is how long an endpoint drains if the fault has no duration.
 	defaultDrainTime = 10 * policy.Second
 	// addedCellOffset puts endpoints that are added during the run into cells of their own.
 	addedCellOffset = 1000
 )
 
-// scheduleFaults sets a timer for each fault of the scenario. The faults of load are in the plan of requests already;
-// the others are applied to endpoints, instances and lists. A lost zone is silent: connections to it still come up, as
-// a process cannot have its packets refused.
+// scheduleFaults sets a timer for each fault of the scenario. Faults that change the load are part of the plan of
+// requests already; the others are applied to endpoints, instances and lists. A lost zone is only silent: connections
+// to it are still established, as a process cannot have its packets refused.
 func (r *liveRun) scheduleFaults() []*time.Timer {
 	var timers []*time.Timer
 	for i := range r.Scenario.Faults {
@@ -53,7 +53,7 @@
 	}
 }
 
-// applyToEndpoints begins a fault of the chosen endpoints.
+// applyToEndpoints begins a fault that affects the chosen endpoints.
 func (r *liveRun) applyToEndpoints(fault *emulator.Fault, chosen []*fakeEndpoint, random *rand.Rand) {
 	switch fault.Kind {
 	case emulator.Slow:
@@ -96,7 +96,7 @@
 	return chosen[:count]
 }
 
-// affects returns whether an endpoint is among those that a fault is about.
+// affects reports whether a fault may affect an endpoint.
 func affects(fault *emulator.Fault, endpoint *fakeEndpoint) bool {
 	if fault.Zone != "" && fault.Zone != endpoint.zone {
 		return false
@@ -116,14 +116,14 @@
 	}
 }
 
-// setSpeed sets the speed of endpoints, as a part of the usual, for a time.
-func (r *liveRun) setSpeed(endpoints []*fakeEndpoint, part float64, duration policy.Time) {
-	set := func(part float64) {
+// setSpeed sets the speed of endpoints to a fraction of the usual one for a time.
+func (r *liveRun) setSpeed(endpoints []*fakeEndpoint, fraction float64, duration policy.Time) {
+	set := func(fraction float64) {
 		for _, endpoint := range endpoints {
-			endpoint.Update(func(m *machine.Machine, now policy.Time) { m.SetFaultSpeed(now, part) })
+			endpoint.Update(func(m *machine.Machine, now policy.Time) { m.SetFaultSpeed(now, fraction) })
 		}
 	}
-	set(part)
+	set(fraction)
 	afterFunc(duration, func() { set(1) })
 }
 
@@ -138,7 +138,7 @@
 	afterFunc(duration, func() { set(0) })
 }
 
-// pauseInTurn pauses one endpoint after the other until the end of the fault.
+// pauseInTurn pauses one endpoint after another, starting with the one that turn selects, until the end of the fault.
 func (r *liveRun) pauseInTurn(fault *emulator.Fault, endpoints []*fakeEndpoint, end policy.Time, turn int) {
 	if r.clock.Now() >= end || len(endpoints) == 0 {
 		return
@@ -159,7 +159,7 @@
 	}
 }
 
-// makeResponsive brings silent endpoints back, cold ones by a restart.
+// makeResponsive ends the silence of endpoints. If they are to be cold, it restarts them.
 func (r *liveRun) makeResponsive(endpoints []*fakeEndpoint, cold bool) {
 	if cold {
 		for _, endpoint := range endpoints {
@@ -186,7 +186,7 @@
 func (r *liveRun) restartEndpoints(endpoints []*fakeEndpoint) {
 	for _, endpoint := range endpoints {
 		if err := endpoint.Restart(); err != nil {
-			r.log("server %s: %v", endpoint.uid, err)
+			r.log("endpoint %s: cannot restart: %v", endpoint.uid, err)
 			continue
 		}
 		endpoint.down.Store(false)
@@ -217,7 +217,7 @@
 	for range count {
 		added, err := r.addEndpoint()
 		if err != nil {
-			r.log("grow: %v", err)
+			r.log("cannot add an endpoint: %v", err)
 			return
 		}
 		r.announce(added, policy.Ready)
--- a/internal/livetest/instanceconfig.go
+++ b/internal/livetest/instanceconfig.go
@@ -9,10 +9,10 @@
 	"pepperlead/policy"
 )
 
-// minColdShare is the least cold.share that the configuration allows.
+// minColdShare is the smallest value of cold.share that the configuration allows.
 const minColdShare = 0.001
 
-// idempotencyNames and groupNames are the configuration's names.
+// idempotencyNames and groupNames are the values that the configuration uses.
 var (
 	idempotencyNames = [...]string{
 		policy.Idempotent:    "reissuable",
--- a/internal/livetest/instances.go
+++ b/internal/livetest/instances.go
@@ -25,14 +25,14 @@
 	healthTimeout  = time.Second
 )
 
-// daemonProcess is a sidecar, as a process of its own.
+// daemonProcess is a sidecar that runs as a process of its own.
 type daemonProcess struct {
 	id               judge.InstanceID
 	zone             policy.Zone
 	address          string
 	listPath         string
 	configPath       string
-	generation       int           // raised each time it is killed
+	generation       int           // incremented each time it is killed
 	process          *exec.Cmd     // nil: killed and not started again
 	exited           chan struct{} // closed once a killed process has exited
 	ready            bool          // it has been healthy since its start
@@ -110,7 +110,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("the sidecar at %s is not ready within %v", instance.address, timeout)
+	return fmt.Errorf("the sidecar at %s was not ready within %v", instance.address, timeout)
 }
 
 func healthy(client *http.Client, address string) bool {
@@ -118,11 +118,11 @@
 	if err != nil {
 		return false
 	}
-	_ = response.Body.Close() // only the status counts
+	_ = response.Body.Close() // only the status is used
 	return response.StatusCode == http.StatusOK
 }
 
-// stop ends all instances, gracefully where they do so in time, and then all endpoints.
+// stop shuts down all instances, kills those that take longer than stopTimeout, and then closes all endpoints.
 func (r *liveRun) stop() {
 	for _, instance := range r.instances {
 		if process := r.process(instance); process != nil {
@@ -139,7 +139,7 @@
 	}
 }
 
-// process returns the present process of an instance, nil if there is none.
+// process returns the current process of an instance, nil if there is none.
 func (r *liveRun) process(instance *daemonProcess) *exec.Cmd {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/livetest/livetest.go
+++ b/internal/livetest/livetest.go
@@ -15,7 +15,7 @@
 	"pepperlead/policy"
 )
 
-// The limits keep a scenario to what one machine can play beside the daemons.
+// Limits of the size of scenarios: one machine must be able to play them beside the daemons.
 const (
 	maxEndpoints = 2048
 	maxInstances = 2048
@@ -34,7 +34,7 @@
 	observationInterval = 250 * policy.Millisecond
 )
 
-// Options says what is played.
+// Options configures a run.
 type Options struct {
 	Scenario *emulator.Scenario
 	Seed     uint64
@@ -70,7 +70,7 @@
 	return r.play(ctx, plan)
 }
 
-// checkSize returns an error if a scenario with so many requests a second cannot be played on sockets.
+// checkSize returns an error if a scenario, with the given number of requests a second, cannot be played on sockets.
 func checkSize(scenario *emulator.Scenario, rate float64) error {
 	switch {
 	case scenario.Endpoints > maxEndpoints || scenario.Instances > maxInstances || rate > maxRate:
@@ -78,7 +78,7 @@
 			"%s: found %d servers, %d sidecars, %.0f requests a second, allowed %d, %d, %d on sockets",
 			scenario.Name, scenario.Endpoints, scenario.Instances, rate, maxEndpoints, maxInstances, maxRate)
 	case scenario.Discovery.Polled:
-		return fmt.Errorf("%s: discovery.asked: lists come by files on sockets", scenario.Name)
+		return fmt.Errorf("%s: discovery.asked: lists are only read from files on sockets", scenario.Name)
 	}
 	return nil
 }
--- a/internal/livetest/livetest_test.go
+++ b/internal/livetest/livetest_test.go
@@ -87,8 +87,9 @@
 	return traces
 }
 
-// Real daemons on real sockets, with an endpoint that crashes and an instance that is killed: the judge finds no rule
-// broken, and the traces they wrote, one of them cut off by the kill, give about the same in virtual time.
+// A short scenario runs with real daemons on real sockets, with an endpoint that crashes and an instance that is killed.
+// The judge must find no violation, and a replay of the recorded traces in virtual time, one of them truncated by the
+// kill, must give about the same service.
 func TestShortScenarioOnSocketsAndReplay(t *testing.T) {
 	dir := t.TempDir()
 	daemon := buildDaemon(t, dir)
@@ -115,7 +116,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// What reached an instance while it was down was not recorded.
+	// Requests that reached an instance while it was down were not recorded.
 	if replayed.Arrivals < verdict.ClientRequests*8/10 || replayed.Arrivals > verdict.ClientRequests ||
 		replayed.Endpoints != 4 || len(replayed.Faults) == 0 ||
 		!strings.HasPrefix(replayed.Faults[0], "s-00001: crash from ") {
--- a/internal/livetest/requests.go
+++ b/internal/livetest/requests.go
@@ -13,7 +13,7 @@
 	"pepperlead/policy"
 )
 
-// clientRequest is what a client wants. It takes one request to its instance or, with retries, several.
+// clientRequest is a planned request of a client. It takes one request to its instance or, with retries, several.
 type clientRequest struct {
 	arrival  *emulator.Arrival
 	class    *emulator.Class
@@ -36,10 +36,10 @@
 type requestResult struct {
 	answer     judge.Answer
 	retryAfter policy.Time
-	answered   bool // false where the instance was not there, or died with the request
+	answered   bool // false if the instance was down or was killed with the request
 }
 
-// serveClient plays a planned request with its retries.
+// serveClient sends a planned request with its retries.
 func (r *liveRun) serveClient(arrival *emulator.Arrival) {
 	at := r.now()
 	r.mu.Lock()
@@ -68,7 +68,8 @@
 	r.judge.ClientRequestEnded(request.id)
 }
 
-// mayRetry returns whether the client sends again after so many requests, the latest of which ended with the result.
+// mayRetry reports whether the client sends another request after the given number of requests, the latest of which
+// ended with the result.
 func (r *liveRun) mayRetry(request *clientRequest, result requestResult, sent int) bool {
 	if result.answered && result.answer == judge.Succeeded || sent > r.Scenario.Clients.Retries {
 		return false
@@ -109,7 +110,7 @@
 	return r.recordEnd(request, pending, response, err)
 }
 
-// register makes a request known to the judge and the endpoints. It returns nil if the instance is not ready.
+// register reports a request to the judge and stores it for the endpoints. It returns nil if the instance is not ready.
 func (r *liveRun) register(request *clientRequest, number int) *pendingRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -198,7 +199,7 @@
 	case err != nil && (instance.generation != pending.generation || !instance.ready):
 		r.judge.ClientLeft(pending.id, request.id)
 	case err != nil:
-		r.log("%s: no answer: %v", pending.headerID, err)
+		r.log("%s: no response: %v", pending.headerID, err)
 	case response.status == http.StatusOK:
 		ended.answer = judge.Succeeded
 	case response.status == http.StatusServiceUnavailable || response.status == http.StatusTooManyRequests:
@@ -212,7 +213,7 @@
 	return ended
 }
 
-// forget ends the observation of a request whose deadline has passed.
+// forget reports that the deadline of a request has passed, and removes the request.
 func (r *liveRun) forget(request *clientRequest, pending *pendingRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/livetest/run.go
+++ b/internal/livetest/run.go
@@ -15,7 +15,7 @@
 	"pepperlead/policy"
 )
 
-// Streams of the seed, one for each purpose. Endpoints and faults add their number.
+// Random streams of the seed, one for each purpose. Endpoints and faults add their index.
 const (
 	listStream     = 1
 	retryStream    = 2
@@ -33,7 +33,7 @@
 	endpoints []*fakeEndpoint
 	instances []*daemonProcess
 	client    *http.Transport
-	tasks     sync.WaitGroup // requests under way and the observation of endpoints
+	tasks     sync.WaitGroup // requests in flight and the observation of endpoints
 
 	// mu guards the fields below, and those of endpoints, instances and pending requests that change.
 	mu          sync.Mutex
@@ -123,7 +123,7 @@
 	r.judge.IdleObserved(idle, anyQueues, observationInterval)
 }
 
-// waitUntil waits for a time by the clock. It returns false when the context has ended before.
+// waitUntil waits until a time of the clock. It returns false if the context ends before that.
 func (r *liveRun) waitUntil(ctx context.Context, at policy.Time) bool {
 	select {
 	case <-ctx.Done():
@@ -136,6 +136,7 @@
 // now returns the time since the start of the scenario, which is negative before it.
 func (r *liveRun) now() policy.Time { return r.clock.Now() - r.start }
 
+// log writes a line with the time since the start of the scenario.
 func (r *liveRun) log(format string, arguments ...any) {
 	if r.Log == nil {
 		return
