--- a/internal/fakebackend/discovery.go
+++ b/internal/fakebackend/discovery.go
@@ -15,7 +15,7 @@
 // readHeaderTimeout bounds how long a client may take for the head of a request.
 const readHeaderTimeout = 10 * time.Second
 
-// Target is an endpoint in the form of the platform's discovery service.
+// Target is an endpoint in the format of the platform's discovery service.
 type Target struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -26,8 +26,8 @@
 	Boot     int64   `json:"boot_ms"`
 }
 
-// Catalog is a discovery service that answers as the platform's does: with the complete list first, then, to each call
-// that waits, with the changes since the version that the call names.
+// Catalog is a fake of the platform's discovery service. It answers a first call with the complete list, and later
+// calls, which may wait for a change, with the changes since the version that the call names.
 type Catalog struct {
 	http    http.Server
 	address net.Addr
@@ -106,26 +106,26 @@
 	}
 }
 
-// serve answers a call at once, or holds it until there is a change or its hold time is over. Without a valid version
-// the call gets the complete list.
+// serve answers a call with the complete list at once if it names no valid version. Otherwise it holds the call until
+// there is a change or the hold time of the call is over.
 func (c *Catalog) serve(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	since, err := strconv.ParseInt(query.Get("from"), 10, 64)
 	if err != nil {
 		since = -1
 	}
-	holdMillis, _ := strconv.ParseInt(query.Get("hold_ms"), 10, 64) // without a valid number the call isn't held
+	holdMillis, _ := strconv.ParseInt(query.Get("hold_ms"), 10, 64) // without a valid number, the call is not held
 	hold := time.NewTimer(time.Duration(holdMillis) * time.Millisecond)
 	defer hold.Stop()
 	if since >= 0 && !c.waitForChange(r, since, hold.C) {
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(c.response(since)) // fails only when the client has left
+	_ = json.NewEncoder(w).Encode(c.response(since)) // fails only if the client has closed the connection
 }
 
-// waitForChange waits until there is a version after the given one or the hold time is over. It returns false when the
-// client has left.
+// waitForChange waits until there is a version after the given one or the hold time is over. It returns false if the
+// client has closed the connection.
 func (c *Catalog) waitForChange(r *http.Request, since int64, holdOver <-chan time.Time) bool {
 	for {
 		c.mu.Lock()
--- a/internal/fakebackend/modelserver.go
+++ b/internal/fakebackend/modelserver.go
@@ -18,13 +18,13 @@
 	headerWork     = "X-Work"
 	headerRouteKey = "X-Route-Key"
 
-	// routeKeyPrefix and routeKeyBase are the form of a key in X-Route-Key.
+	// routeKeyPrefix and routeKeyBase define the format of a key in X-Route-Key.
 	routeKeyPrefix = "k"
 	routeKeyBase   = 36
 
-	// overloadRestartDelay is how long a cold server that was overloaded stays away, as in the emulator.
+	// overloadRestartDelay is how long a cold server that was overloaded stays down, as in the emulator.
 	overloadRestartDelay = 20 * time.Second
-	// idleTimer is the first setting of the timer, before there is any work.
+	// idleTimer is the initial setting of the timer, before there is any work.
 	idleTimer = time.Hour
 )
 
@@ -39,7 +39,7 @@
 
 	mu         sync.Mutex // guards the fields below
 	machine    *machine.Machine
-	waiting    map[uint64]chan bool // by request: sent true when it is done, closed when the process ends
+	waiting    map[uint64]chan bool // by request number: sent true when it is done, closed when the server stops
 	lastNumber uint64               // of the latest request
 	timer      *time.Timer          // runs the machine's next event
 	http       *http.Server         // nil while the server is stopped
@@ -47,7 +47,7 @@
 	draining   bool
 	errorRate  float64
 	started    policy.Time
-	generation uint64 // raised by each Stop
+	generation uint64 // incremented by each Stop
 }
 
 // Observer receives the requests of a ModelServer. Its methods are called from any goroutine.
@@ -65,20 +65,20 @@
 	Work      policy.Time
 	Cold      bool        // the server is warming up
 	Started   policy.Time // when the server started
-	Capacity  float64     // cores times speed at the present warmth
+	Capacity  float64     // cores times speed at the current warmth
 }
 
-// Status is the load of a ModelServer and what it can do.
+// Status is the load and the capacity of a ModelServer.
 type Status struct {
 	Requests int     // in the server
-	Queued   int     // of these, those that wait
+	Queued   int     // of these, those that wait for a core
 	Capacity float64 // cores times speed once warm; 0 while the server is stopped or silent
 }
 
 // ModelServerOptions configures a ModelServer.
 type ModelServerOptions struct {
 	Traits   machine.Traits
-	Started  policy.Time // when it started, 0 for long ago
+	Started  policy.Time // when the server started; 0 means long ago
 	Clock    clock.Clock
 	Random   func() float64 // draws from 0 to 1 for errors
 	Observer Observer       // nil for none
@@ -132,7 +132,7 @@
 // Close stops the server for good.
 func (s *ModelServer) Close() { s.Stop() }
 
-// Stop acts as the end of the process: connections are reset, new ones refused, and all requests are lost.
+// Stop simulates the end of the process: connections are reset, new ones are refused, and all requests are lost.
 func (s *ModelServer) Stop() {
 	s.mu.Lock()
 	server := s.http
@@ -166,21 +166,21 @@
 	return nil
 }
 
-// Started returns the time of the latest start, 0 for long ago.
+// Started returns the time of the latest start; 0 means long ago.
 func (s *ModelServer) Started() policy.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.started
 }
 
-// SetSilent makes the server read requests and answer none, or ends that.
+// SetSilent makes the server read requests without answering them, or ends that.
 func (s *ModelServer) SetSilent(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.silent = silent
 }
 
-// Drain makes the server finish what it has and reject all further requests.
+// Drain makes the server finish the requests it has and reject all further ones.
 func (s *ModelServer) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -240,7 +240,7 @@
 	s.setTimer(now)
 }
 
-// modelRequest is what a request asks of the model.
+// modelRequest is a request in the terms of the model.
 type modelRequest struct {
 	id   string
 	key  uint64
@@ -248,7 +248,7 @@
 	io   policy.Time
 }
 
-// parseRequest reads the headers of a request. What cannot be read counts as 0.
+// parseRequest reads the headers of a request. Invalid values count as 0.
 func parseRequest(header http.Header) modelRequest {
 	workText, ioText, _ := strings.Cut(header.Get(headerWork), ",")
 	request := modelRequest{
@@ -294,7 +294,7 @@
 	}
 }
 
-// describeArrival returns the state of the server that a request meets, and whether the server is silent.
+// describeArrival returns the state of the server at the arrival of a request, and whether the server is silent.
 func (s *ModelServer) describeArrival(request modelRequest) (arrival Arrival, silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -320,7 +320,7 @@
 	done       <-chan bool
 }
 
-// admit hands a request to the model and returns whether the model took it.
+// admit passes a request to the model and reports whether the model has admitted it.
 func (s *ModelServer) admit(request modelRequest) (job modelJob, admitted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -343,8 +343,8 @@
 	return job, admitted
 }
 
-// wait returns true once a job is done. It cancels the job and returns false when the client has left, and aborts the
-// connection when the process has ended.
+// wait returns true once a job is done. It cancels the job and returns false if the client closes the connection, and
+// aborts the connection if the server stops.
 func (s *ModelServer) wait(r *http.Request, job modelJob) bool {
 	select {
 	case finished := <-job.done:
--- a/internal/fakebackend/server.go
+++ b/internal/fakebackend/server.go
@@ -1,4 +1,4 @@
-// Package fakebackend provides HTTP servers that behave as the platform's endpoints do, and a fake of its discovery
+// Package fakebackend provides HTTP servers that behave like the platform's endpoints, and a fake of its discovery
 // service. A Server has cores that work on one request each, a queue, warm-up after a start, draining, and faults drawn
 // from a seed; a ModelServer runs the emulator's model of an endpoint in real time. They serve demos, experiments and
 // tests; nothing that decides or forwards requests imports them.
@@ -18,12 +18,12 @@
 )
 
 const (
-	// Grace is how long after the start of draining new requests may still come.
+	// Grace is how long after the start of draining new requests may still arrive.
 	Grace = time.Second
 
 	maxBodyBytes = 64 << 10
 	slowFactor   = 8
-	// faultStream separates the draws of a server from those that others make with the same seed.
+	// faultStream is the random stream of a server, different from other streams of the same seed.
 	faultStream = 0x5374616e64496e
 )
 
@@ -34,10 +34,10 @@
 	headerServedBy       = "X-Made-By"
 )
 
-// errClientLeft says that the client closed its connection before the work was done.
+// errClientLeft reports that the client closed its connection before the work was done.
 var errClientLeft = errors.New("the client has left")
 
-// Faults holds the share of requests, from 0 to 1, that each kind of fault hits. The shares add up to 1 at most.
+// Faults holds the share of requests, from 0 to 1, that each kind of fault affects. The shares add up to 1 at most.
 type Faults struct {
 	Errors float64 // status 500 once the work is done
 	Resets float64 // the connection ends without a response once the work is done
@@ -51,7 +51,7 @@
 	Cores int           // requests worked on at once
 	Queue int           // requests that may wait for a core; further ones are rejected
 	Work  time.Duration // mean work of a request, exponentially distributed
-	Warm  time.Duration // warm-up time after a start, over which the work falls to the usual
+	Warm  time.Duration // warm-up time after a start, in which the work per request falls to the usual
 	Cold  float64       // factor on the work right after a start
 	Faults
 	Seed uint64
@@ -63,7 +63,8 @@
 func (t *Traits) validate() error {
 	faultShare := t.Errors + t.Resets + t.Silent + t.Slow
 	if t.Cores < 1 || t.Queue < 0 || t.Cold < 0 || faultShare > 1 {
-		return fmt.Errorf("stand-in %s: found %+v, allowed 1 core or more and faults of 1 in all at most", t.Name, *t)
+		return fmt.Errorf("fake backend %s: found %+v, allowed at least 1 core and fault shares of at most 1 in total",
+			t.Name, *t)
 	}
 	return nil
 }
@@ -74,11 +75,11 @@
 	Served     int
 	Rejected   int
 	Faults     int
-	AfterDrain int // requests that came later than Grace after the start of draining
+	AfterDrain int // requests that arrived later than Grace after the start of draining
 	Conns      int // open connections
 }
 
-// fault is what goes wrong with a request.
+// fault is the fault that a request is given.
 type fault int
 
 const (
@@ -94,7 +95,7 @@
 	http    http.Server
 	address net.Addr
 	cores   chan struct{} // one entry for each core at work
-	pending atomic.Int64  // requests that wait or are worked on
+	pending atomic.Int64  // requests that wait for a core or are worked on
 	started time.Time
 
 	mu            sync.Mutex // guards the fields below
@@ -136,7 +137,7 @@
 // Started returns the time of the start.
 func (s *Server) Started() time.Time { return s.started }
 
-// Drain makes the server finish what it has and reject all further requests.
+// Drain makes the server finish the requests it has and reject all further ones.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,7 +147,7 @@
 // Close ends the server and all its connections at once.
 func (s *Server) Close() error { return s.http.Close() }
 
-// Counts returns the counters as they are now.
+// Counts returns the current counters.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,7 +169,7 @@
 	change(&s.counts)
 }
 
-// serve rejects a request or works on it and answers with its body, unless a fault was drawn.
+// serve rejects a request, or works on it and returns its body in the response, unless a fault was drawn.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/ping" {
 		return
@@ -191,7 +192,7 @@
 	err = s.work(r, work)
 	s.pending.Add(-1)
 	if err != nil {
-		return // nobody is left to answer
+		return // the client has closed the connection
 	}
 	if drawn != noFault {
 		s.count(func(c *Counts) { c.Faults++ })
@@ -203,7 +204,7 @@
 	writeBody(w, body)
 }
 
-// admit takes a place for a request and returns whether there was one.
+// admit reserves a core or a place in the queue for a request and reports whether one was free.
 func (s *Server) admit() bool {
 	if s.pending.Add(1) > int64(s.traits.Queue+s.traits.Cores) {
 		s.pending.Add(-1)
@@ -219,7 +220,7 @@
 
 func writeBody(w http.ResponseWriter, body []byte) {
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	_, _ = w.Write(body) // fails only when the client has left
+	_, _ = w.Write(body) // fails only if the client has closed the connection
 }
 
 func failRequest(w http.ResponseWriter, r *http.Request, drawn fault) {
@@ -233,8 +234,8 @@
 	}
 }
 
-// arrive counts a request and draws its work and its fault. Each request takes all draws, so that a change of one share
-// leaves the draws for the other faults as they are.
+// arrive counts a request and draws its work and its fault. Each request makes all draws, so that a change of one fault
+// share does not change the draws of later requests.
 func (s *Server) arrive(now time.Time) (draining bool, work time.Duration, drawn fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -260,7 +261,7 @@
 	return draining, work, drawn
 }
 
-// warmUp returns the work of a request at a time, which is longer while the server warms up.
+// warmUp returns the work of a request that arrives at a time: more than given while the server warms up.
 func (s *Server) warmUp(work time.Duration, now time.Time) time.Duration {
 	age := now.Sub(s.started)
 	if age >= s.traits.Warm || s.traits.Cold <= 1 {
@@ -270,7 +271,7 @@
 	return time.Duration(float64(work) * factor)
 }
 
-// work waits for a core and holds it for as long as the work takes or the client stays.
+// work waits for a core and holds it until the work is done or the client closes the connection.
 func (s *Server) work(r *http.Request, work time.Duration) error {
 	select {
 	case s.cores <- struct{}{}:
