--- a/internal/faultproxy/network.go
+++ b/internal/faultproxy/network.go
@@ -1,6 +1,6 @@
-// Package faultproxy injects network faults between the processes of a test. Proxies for TCP and UDP stand between
-// them, and delay, reorder, drop, duplicate or block what passes, in each direction on its own, without privileges. A
-// proxy identifies a caller by its address, so each process has a loopback address of its own. The time that the
+// Package faultproxy injects network faults between the processes of a test. TCP and UDP proxies relay the traffic
+// between them and delay, reorder, drop, duplicate or block it, separately for each direction and without privileges. A
+// proxy identifies a caller by its address, so each process needs a loopback address of its own. The time that the
 // proxies themselves take is recorded.
 package faultproxy
 
@@ -22,10 +22,10 @@
 	overheadDigits    = 3
 )
 
-// Node is a process or a server. Empty: any that has no address of its own.
+// Node is the name of a process or a server. The empty name stands for all callers without an address of their own.
 type Node string
 
-// Link is one direction between two nodes.
+// Link is one direction of the traffic between two nodes.
 type Link struct {
 	From Node
 	To   Node
@@ -33,22 +33,22 @@
 
 // Faults are the faults of a link.
 type Faults struct {
-	// Blocked blocks all. Bytes of connections are held until that ends, as a sender would repeat them; packets are
-	// lost.
+	// Blocked blocks the link. Bytes of connections are held until the link is open again, as a sender would retransmit
+	// them; packets are lost.
 	Blocked bool
-	Delay   time.Duration // of everything
+	Delay   time.Duration // of all bytes and packets
 	// Jitter is the maximum of a further random delay. It reorders packets, but not the bytes of a connection.
 	Jitter    time.Duration
-	Drop      float64 // share of packets that are lost; on connections, a loss would only be a delay
+	Drop      float64 // share of packets that are lost; bytes of connections are not, as a loss would only delay them
 	Duplicate float64 // share of packets that are duplicated, each with a delay of its own
 }
 
-// Counters count what was sent over a link, and what became of it.
+// Counters counts the traffic of a link.
 type Counters struct {
 	Connections uint64 // opened
 	Chunks      uint64 // of bytes on connections
 	Packets     uint64
-	Held        uint64 // chunks that came while the link was blocked
+	Held        uint64 // chunks that arrived while the link was blocked
 	Lost        uint64 // packets that were dropped or blocked
 }
 
@@ -66,10 +66,10 @@
 	listeners  []io.Closer
 	conns      map[net.Conn]struct{}
 	udpProxies map[netip.AddrPort]udpProxy     // by target
-	udpSenders map[netip.AddrPort]*net.UDPConn // by the caller whose packets leave from it
+	udpSenders map[netip.AddrPort]*net.UDPConn // by the caller whose packets it sends
 }
 
-// New returns a network without faults. The seed is that of its random numbers.
+// New returns a network without faults. Its random numbers are drawn from the seed.
 func New(seed uint64) *Network {
 	return &Network{
 		nodes:      map[netip.Addr]Node{},
@@ -99,9 +99,9 @@
 	n.notifyChange()
 }
 
-// Partition blocks the links, in both directions, between any two members of two groups.
-func (n *Network) Partition(some, others []Node) {
-	for _, a := range some {
+// Partition blocks, in both directions, all links between the nodes of two groups.
+func (n *Network) Partition(group, others []Node) {
+	for _, a := range group {
 		for _, b := range others {
 			n.Set(Link{From: a, To: b}, Faults{Blocked: true})
 			n.Set(Link{From: b, To: a}, Faults{Blocked: true})
@@ -117,7 +117,7 @@
 	n.notifyChange()
 }
 
-// notifyChange wakes what waits for the end of a fault. The caller holds the lock.
+// notifyChange wakes the goroutines that wait for the end of a fault. The caller holds the lock.
 func (n *Network) notifyChange() {
 	close(n.changed)
 	n.changed = make(chan struct{})
@@ -148,14 +148,14 @@
 	}
 }
 
-// Counters returns the counters of a link. A test of a fault that nothing met shows nothing.
+// Counters returns the counters of a link. Tests use them to check that a fault has affected any traffic.
 func (n *Network) Counters(link Link) Counters {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return *n.countersOf(link)
 }
 
-// countersOf returns the counters of a link, which it creates if need be. The caller holds the lock.
+// countersOf returns the counters of a link and creates them if necessary. The caller holds the lock.
 func (n *Network) countersOf(link Link) *Counters {
 	counters := n.counters[link]
 	if counters == nil {
@@ -176,7 +176,8 @@
 func (n *Network) recordOverhead(overhead time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	_ = n.overhead.RecordValue(max(minOverheadMicros, overhead.Microseconds())) // over a minute: no proxy takes that
+	// Fails only for more than a minute, which no proxy takes.
+	_ = n.overhead.RecordValue(max(minOverheadMicros, overhead.Microseconds()))
 }
 
 // nodeOf returns the process that calls from an address.
@@ -190,7 +191,7 @@
 	return n.nodes[parsed.Addr().Unmap()]
 }
 
-// drawDelay draws the delay of what comes now. The caller holds the lock.
+// drawDelay draws the delay of a chunk or packet. The caller holds the lock.
 func (n *Network) drawDelay(faults Faults) time.Duration {
 	if faults.Jitter <= 0 {
 		return faults.Delay
--- a/internal/faultproxy/network_test.go
+++ b/internal/faultproxy/network_test.go
@@ -24,33 +24,33 @@
 
 // startServer starts a server at b that answers each byte with the next one.
 func startServer(t *testing.T) string {
-	l, err := net.Listen("tcp", "127.3.0.2:0")
+	listener, err := net.Listen("tcp", "127.3.0.2:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				defer c.Close()
-				for one := make([]byte, 1); ; {
-					if _, err := c.Read(one); err != nil {
+				defer conn.Close()
+				for buffer := make([]byte, 1); ; {
+					if _, err := conn.Read(buffer); err != nil {
 						return
 					}
-					one[0]++
-					c.Write(one)
+					buffer[0]++
+					conn.Write(buffer)
 				}
 			}()
 		}
 	}()
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
-// dial connects from an address.
+// dial connects to a server from an address.
 func dial(t *testing.T, from netip.Addr, to string) net.Conn {
 	c, err := (&net.Dialer{LocalAddr: &net.TCPAddr{IP: from.AsSlice()}, Timeout: time.Second}).Dial("tcp", to)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return c
 }
 
-// receives reports whether a byte comes within the time.
+// receives reports whether a byte arrives within the time.
 func receives(c net.Conn, within time.Duration) bool {
 	c.SetReadDeadline(time.Now().Add(within))
 	_, err := c.Read(make([]byte, 1))
--- a/internal/faultproxy/resources.go
+++ b/internal/faultproxy/resources.go
@@ -24,7 +24,7 @@
 
 // closeConn closes and removes a connection.
 func (n *Network) closeConn(conn net.Conn) {
-	_ = conn.Close() // all that was to be sent has been
+	_ = conn.Close() // all bytes have been relayed, or the other side has failed
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.conns, conn)
--- a/internal/faultproxy/tcp.go
+++ b/internal/faultproxy/tcp.go
@@ -14,12 +14,12 @@
 	maxChunksInFlight = 64
 	// dialTimeout is how long the target may take to accept a connection.
 	dialTimeout = time.Second
-	// acceptRetryDelay is the wait after a connection could not be accepted, as for lack of file descriptors.
+	// acceptRetryDelay is the delay after a failed accept, for example for lack of file descriptors.
 	acceptRetryDelay = time.Millisecond
 )
 
 // TCP relays connections from an address to a target, which belongs to a process. It returns the address on which it
-// listens. As the kernel accepts connections, they come up even where the link is blocked, but carry nothing.
+// listens. Connections are established even if the link is blocked, as the kernel accepts them, but carry nothing.
 func (n *Network) TCP(listen string, to Node, target string) (string, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return listener.Addr().String(), nil
 }
 
-// acceptTCP relays the connections of a listener until that is closed.
+// acceptTCP relays the connections of a listener until the listener is closed.
 func (n *Network) acceptTCP(listener net.Listener, to Node, target string) {
 	for {
 		conn, err := listener.Accept()
@@ -58,7 +58,7 @@
 	n.mu.Lock()
 	n.countersOf(request).Connections++
 	n.mu.Unlock()
-	// A handshake needs both directions.
+	// A handshake needs both directions of the link.
 	if !n.waitUntilOpen(request) || !n.waitUntilOpen(response) {
 		return
 	}
@@ -81,12 +81,12 @@
 	<-responseDone
 }
 
-// chunk is a part of the bytes in one direction, or their end.
+// chunk is a part of the bytes of a connection in one direction, or their end.
 type chunk struct {
 	bytes      []byte
 	receivedAt time.Time
 	dueAt      time.Time
-	end        error // io.EOF, or why the connection broke; nil: there is more
+	end        error // io.EOF, or the error that ended the connection; nil: more chunks follow
 }
 
 // relayBytes passes bytes in one direction, in order, each chunk when it is due and the link is open.
@@ -97,7 +97,7 @@
 		time.Sleep(time.Until(c.dueAt))
 		blockedSince := time.Now()
 		if !n.waitUntilOpen(link) {
-			continue // the channel must be emptied, so that its writer ends
+			continue // the channel must be drained so that its writer can end
 		}
 		blocked := time.Since(blockedSince)
 		if len(c.bytes) > 0 {
@@ -109,7 +109,7 @@
 		switch {
 		case c.end == nil:
 		case errors.Is(c.end, io.EOF):
-			_ = to.CloseWrite() // fails where the other end has closed already
+			_ = to.CloseWrite() // fails if the other end has closed already
 		default:
 			reset(to)
 		}
--- a/internal/faultproxy/udp.go
+++ b/internal/faultproxy/udp.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// maxPacketSize is how many bytes a packet may have.
+// maxPacketSize is the maximum size of a packet in bytes.
 const maxPacketSize = 64 << 10
 
 // udpProxy is the proxy for packets to one target.
@@ -18,9 +18,9 @@
 }
 
 // UDP relays packets from an address to a target, which belongs to a process, and the target's answers back. It returns
-// the address on which it listens. All packets of one caller leave from one socket, whatever their target, as answers
-// are told apart by the target that sends them. So the number of sockets grows with that of the processes, not with its
-// square.
+// the address on which it listens. All packets of one caller are sent from one socket, whatever their target, because
+// answers are distinguished by the target that sends them. So the number of sockets grows linearly with the number of
+// processes, not with its square.
 func (n *Network) UDP(listen string, to Node, target netip.AddrPort) (string, error) {
 	address, err := net.ResolveUDPAddr("udp", listen)
 	if err != nil {
@@ -86,7 +86,7 @@
 	}
 }
 
-// senderFor returns the socket from which a caller's packets leave, or nil if none can be opened.
+// senderFor returns the socket that sends the packets of a caller, or nil if none can be opened.
 func (n *Network) senderFor(caller netip.AddrPort) *net.UDPConn {
 	n.mu.Lock()
 	sender := n.udpSenders[caller]
@@ -104,7 +104,7 @@
 		n.udpSenders[caller] = sender
 	}
 	n.mu.Unlock()
-	if other != nil { // another proxy has opened one meanwhile
+	if other != nil { // another proxy has opened one in the meantime
 		n.closeConn(sender)
 		return other
 	}
