--- a/internal/benchmark/configuration.go
+++ b/internal/benchmark/configuration.go
@@ -7,11 +7,11 @@
 	"path/filepath"
 )
 
-// object is a JSON object of the platform's configuration.
+// object is a JSON object of a platform configuration.
 type object map[string]any
 
-// PlatformJSON returns a configuration as the platform gives it, with the endpoints as a saved list. Nobody answers
-// at the address of discovery.
+// PlatformJSON returns a configuration in the platform's format, with the endpoints as a saved list. Nothing listens at
+// its address of discovery.
 func PlatformJSON(listen string, endpoints []string) []byte {
 	text, err := json.Marshal(object{
 		"name":      "n",
@@ -75,7 +75,7 @@
 	}
 }
 
-// productClass is the class of requests in configurations of the product.
+// productClass is the class of requests in configurations in the product's own format.
 const productClass = `[[offering]]
 name = "step"
 quoted_time = "1s"
@@ -83,17 +83,17 @@
 repeats = "reissuable"
 `
 
-// ProductTOML returns a configuration of the product, with more text at its end.
-func ProductTOML(listen string, endpoints []string, more string) []byte {
+// ProductTOML returns a configuration in the product's own format, followed by extra text.
+func ProductTOML(listen string, endpoints []string, extra string) []byte {
 	text := fmt.Sprintf("[front.http]\nlisten = %q\n", listen) + productClass + "[source]\nkind = \"fixed\"\n"
 	for i, endpoint := range endpoints {
 		text += fmt.Sprintf("[[source.server]]\nid = \"s-%d\"\naddress = %q\n", i, endpoint)
 	}
-	return []byte(text + more)
+	return []byte(text + extra)
 }
 
-// WriteStandaloneConfig writes a configuration and a list of so many endpoints into the directory, and returns the path of the
-// former.
+// WriteStandaloneConfig writes a configuration and an endpoint list with the given number of endpoints into the
+// directory, and returns the path of the configuration.
 func WriteStandaloneConfig(directory, listen string, endpoints int, addresses []string, extra string) (string, error) {
 	path := filepath.Join(directory, "pepperlead.toml")
 	text := fmt.Sprintf("[front.http]\nlisten = %q\n", listen) + productClass +
--- a/internal/benchmark/cost.go
+++ b/internal/benchmark/cost.go
@@ -1,5 +1,6 @@
-// Package benchmark measures whole processes on loopback, side by side in one run: what a request costs the daemon next
-// to a plain proxy, how long a change of a list file takes to show, how much memory a list takes.
+// Package benchmark measures whole processes on loopback, side by side in one run: the cost of a request at the daemon
+// compared with a plain proxy, the time until the daemon follows a change of a list file, and the time and memory that a
+// list takes.
 package benchmark
 
 import (
@@ -23,40 +24,40 @@
 const (
 	backendCount     = 3
 	startTimeout     = 5 * time.Second
-	warmUpShare      = 5 // part of the measured time, as a divisor, in which connections and pools fill
+	warmUpShare      = 5 // the measured time divided by this is spent first, to fill connections and pools
 	plainIdlePerHost = 256
 )
 
-// Subject is a proxy that is measured: what starts it, given where it listens and the endpoints behind it.
+// Subject is a proxy to measure. Start starts it, to listen at the address and to forward to the endpoints.
 type Subject struct {
 	Label string
 	Start func(listen string, endpoints []string) (*exec.Cmd, error)
 }
 
-// Cost is what one subject used in one round.
+// Cost holds the measurements of one subject in one round.
 type Cost struct {
 	Subject  string        `json:"subject"`
 	Clients  int           `json:"clients"`
 	Requests int           `json:"tickets"`
 	Failed   int           `json:"failed"`
-	CPU      time.Duration `json:"cpu_ns"` // of the subject's process, a request
+	CPU      time.Duration `json:"cpu_ns"` // of the subject's process, per request
 	P50      time.Duration `json:"p50_ns"`
 	P99      time.Duration `json:"p99_ns"`
 	RSS      int           `json:"rss_kib"`
 }
 
-// ServeBackend serves small responses at the address until the process ends. It is behind every subject alike.
+// ServeBackend serves small responses at the address until the process ends. All subjects forward to such backends.
 func ServeBackend(address string) error {
 	return http.ListenAndServe(address, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// A client that has gone needs no response.
+		// Errors are ignored: a client that has closed the connection needs no response.
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.Header().Set("Content-Length", "2")
 		_, _ = w.Write([]byte("ok"))
 	}))
 }
 
-// ServePlainProxy is the baseline: the standard library's proxy to one endpoint after another, with connections kept as the
-// daemon keeps them, and nothing else.
+// ServePlainProxy serves the baseline: the standard library's reverse proxy, which sends requests to one endpoint after
+// another and keeps idle connections like the daemon, and does nothing else.
 func ServePlainProxy(address string, endpoints []string) error {
 	var targets []*url.URL
 	for _, endpoint := range endpoints {
@@ -72,8 +73,9 @@
 	return http.ListenAndServe(address, proxy)
 }
 
-// Run measures each subject for some time with some clients, one after another, round by round, so that a drift of the
-// machine's speed affects all alike. self is the program that has the command "backend ADDRESS".
+// Run measures the subjects one after another in each round, so that a drift of the machine's speed affects all of them
+// alike. Each measurement takes the duration, with the given number of clients. self is the path of a program with the
+// command "backend ADDRESS".
 func Run(
 	ctx context.Context,
 	self string,
@@ -108,6 +110,7 @@
 	return costs, nil
 }
 
+// measure measures one subject in one round.
 func measure(subject Subject, endpoints []string, clients int, duration time.Duration) (Cost, error) {
 	cost := Cost{Subject: subject.Label, Clients: clients}
 	address, err := freeport.ChooseAddress(loopback)
--- a/internal/benchmark/follow.go
+++ b/internal/benchmark/follow.go
@@ -19,9 +19,9 @@
 	followPoll       = 100 * time.Microsecond
 )
 
-// MeasureListDelay measures how long it takes from a change of a list file to the first attempt that follows it, against a
-// daemon at the address that reads the file: two endpoints, of which the one or the other drains. From the return of
-// the rename to the first request at the endpoint that was draining until then.
+// MeasureListDelay measures how long a daemon takes to follow a change of a list file. The daemon listens at the
+// address and reads the file, which lists two endpoints, of which one is draining. Each round swaps them and measures
+// the time from the return of the rename to the first request at the endpoint that was draining before.
 func MeasureListDelay(listen, list string, rounds int, sealed bool) ([]time.Duration, error) {
 	pair := &endpointPair{list: list, sealed: sealed}
 	defer pair.close()
@@ -52,6 +52,7 @@
 	return delays, nil
 }
 
+// loadUntil sends requests until the channel is closed.
 func loadUntil(stop <-chan struct{}, listen string) {
 	for {
 		select {
@@ -63,7 +64,7 @@
 	}
 }
 
-// endpointPair is two fake backends, and the list file that has one of them drain.
+// endpointPair holds two fake backends and the list file in which one of them is draining.
 type endpointPair struct {
 	list         string
 	sealed       bool
@@ -91,10 +92,11 @@
 	}
 }
 
-// draining returns the endpoint that drains by a list.
+// draining returns the index of the endpoint that is draining in an issue of the list.
 func (p *endpointPair) draining(issue int) int { return issue % 2 }
 
-// followChange writes a list and returns how long it took until a request reached the endpoint that is newly ready.
+// followChange writes an issue of the list and returns the time until a request reaches the endpoint that it makes
+// ready.
 func (p *endpointPair) followChange(issue int) (time.Duration, error) {
 	ready := 1 - p.draining(issue)
 	p.firstRequest[ready].Store(0)
@@ -112,7 +114,7 @@
 	return time.Duration(p.firstRequest[ready].Load() - written), nil
 }
 
-// writeList replaces the list file.
+// writeList replaces the list file with an issue of the list.
 func (p *endpointPair) writeList(issue int) error {
 	var body strings.Builder
 	for i, endpoint := range p.endpoints {
--- a/internal/benchmark/lists.go
+++ b/internal/benchmark/lists.go
@@ -10,7 +10,8 @@
 	"pepperlead/policy"
 )
 
-// ListText returns a list file of so many endpoints, the first ones at the addresses, the others where nobody answers.
+// ListText returns a list file with the given number of endpoints. The first ones are at the addresses, the others at
+// addresses where nothing listens.
 func ListText(endpoints int, addresses []string, issue endpointfiles.Issue, sealed bool) []byte {
 	var text strings.Builder
 	for i := range endpoints {
@@ -43,13 +44,14 @@
 type ListCost struct {
 	Endpoints int           `json:"servers"`
 	Bytes     int           `json:"bytes"`
-	Parse     time.Duration `json:"parse_ns"` // text to entries, with the digest; beside the loop
-	Evaluate  time.Duration `json:"weigh_ns"` // beside the loop
+	Parse     time.Duration `json:"parse_ns"` // from text to entries, including the digest; outside the loop
+	Evaluate  time.Duration `json:"weigh_ns"` // outside the loop
 	Assign    time.Duration `json:"deal_ns"`  // the module's UpdateEndpoints, on the loop
-	Reassign  time.Duration `json:"again_ns"` // the same list a second time, on the loop
+	Reassign  time.Duration `json:"again_ns"` // UpdateEndpoints with the same list again, on the loop
 }
 
-// MeasureListCost measures a list of so many endpoints, each step by its shortest time in some rounds.
+// MeasureListCost measures the cost of a list with the given number of endpoints. Of each step it returns the shortest
+// time of all rounds.
 func MeasureListCost(endpoints, rounds int) ListCost {
 	text := ListText(endpoints, nil, 1, true)
 	cost := ListCost{Endpoints: endpoints, Bytes: len(text)}
@@ -60,7 +62,7 @@
 	return cost
 }
 
-// measure reads the list once.
+// measure reads the list once and keeps the time of each step that was shorter than before.
 func (c *ListCost) measure(text []byte) {
 	var file endpointfiles.File
 	var result endpointfiles.Result
@@ -87,7 +89,7 @@
 	shortest(&c.Reassign, func() { module.UpdateEndpoints(2, policy.ListFull, members) })
 }
 
-// shortest runs the step and keeps its time if it is the shortest so far.
+// shortest runs the step and stores its time in least if it is the shortest so far; 0 means no time yet.
 func shortest(least *time.Duration, step func()) {
 	start := time.Now()
 	step()
--- a/internal/benchmark/load.go
+++ b/internal/benchmark/load.go
@@ -14,17 +14,17 @@
 
 const (
 	requestTimeout   = 5 * time.Second
-	retryInterval    = 5 * time.Millisecond // between tries of a daemon that starts
-	minLatency       = 1000                 // ns; shorter ones count as this
+	retryInterval    = 5 * time.Millisecond // between attempts to reach a daemon that is starting
+	minLatency       = 1000                 // ns; shorter latencies are recorded as this
 	maxLatency       = 10 * time.Second
 	latencyPrecision = 3    // significant digits
-	routeKeys        = 1000 // different keys of requests
+	routeKeys        = 1000 // number of different keys of requests
 )
 
-// closeUnchecked closes what was only read from, or is not used any more.
+// closeUnchecked closes something that was only read from or is no longer used, so that an error does not matter.
 func closeUnchecked(c io.Closer) { _ = c.Close() }
 
-// WaitForAnswer waits until a request is answered 200 at the address.
+// WaitForAnswer waits until a request to the address is answered with status 200.
 func WaitForAnswer(address string, timeout time.Duration) error {
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(retryInterval) {
 		conn, err := net.Dial("tcp", address)
@@ -40,7 +40,7 @@
 	return fmt.Errorf("no answer at %s within %v", address, timeout)
 }
 
-// WaitReady waits until a daemon has an endpoint list.
+// WaitReady waits until the daemon at the address is healthy, which means that it has an endpoint list.
 func WaitReady(address string, timeout time.Duration) error {
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(retryInterval) {
 		response, err := http.Get("http://" + address + "/_health")
@@ -73,7 +73,7 @@
 	return response.StatusCode, err
 }
 
-// loadResult is what clients measured.
+// loadResult holds the measurements of clients.
 type loadResult struct {
 	latencies *hdrhistogram.Histogram
 	failed    int
@@ -83,7 +83,7 @@
 	return loadResult{latencies: hdrhistogram.New(minLatency, int64(maxLatency), latencyPrecision)}
 }
 
-// runLoad has each client send one request after another for some time.
+// runLoad runs clients that each send one request after another for the duration.
 func runLoad(address string, clients int, duration time.Duration) loadResult {
 	all := newLoadResult()
 	var mu sync.Mutex
@@ -102,7 +102,7 @@
 	return all
 }
 
-// runClient sends requests on one connection until the end, or until the connection fails.
+// runClient sends requests on one connection until the end time, or until the connection fails.
 func runClient(address string, end time.Time) loadResult {
 	result := newLoadResult()
 	conn, err := net.Dial("tcp", address)
--- a/internal/benchmark/process.go
+++ b/internal/benchmark/process.go
@@ -9,16 +9,17 @@
 	"time"
 )
 
-// cpuTick is the unit of process times; proc(5), stat.
+// cpuTick is the unit of the times in /proc/PID/stat; see proc(5).
 const cpuTick = 10 * time.Millisecond
 
-// CPU returns the time that a process has used, its own and the kernel's for it, in steps of a tick; proc(5), stat.
+// CPU returns the user and system CPU time of a process, in multiples of cpuTick; see /proc/PID/stat in proc(5).
 func CPU(pid int) (time.Duration, error) {
 	content, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, err
 	}
-	// The name in brackets may hold anything; what follows it is numbers, the 12th and 13th being the two times.
+	// The name in parentheses may contain anything. The fields after it are numbers, of which the 12th and 13th are the
+	// user and the system time.
 	const firstTime, lastTime = 11, 12
 	fields := strings.Fields(string(content[strings.LastIndexByte(string(content), ')')+1:]))
 	if len(fields) <= lastTime {
@@ -35,15 +36,15 @@
 	return sum, nil
 }
 
-// RSS returns the memory that a process has in use, in KiB; proc(5), status.
+// RSS returns the resident memory of a process in KiB; see /proc/PID/status in proc(5).
 func RSS(pid int) (int, error) {
 	content, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0, err
 	}
 	for line := range strings.Lines(string(content)) {
-		if rest, found := strings.CutPrefix(line, "VmRSS:"); found {
-			return strconv.Atoi(strings.TrimSpace(strings.TrimSuffix(strings.TrimSpace(rest), "kB")))
+		if size, found := strings.CutPrefix(line, "VmRSS:"); found {
+			return strconv.Atoi(strings.TrimSpace(strings.TrimSuffix(strings.TrimSpace(size), "kB")))
 		}
 	}
 	return 0, fmt.Errorf("process %d: no VmRSS", pid)
