--- a/internal/freeport/freeport.go
+++ b/internal/freeport/freeport.go
@@ -1,4 +1,5 @@
-// Package freeport chooses ports for processes that tests and benchmarks start, some of them again at the same address.
+// Package freeport chooses free ports for processes that tests and benchmarks start, and may restart at the same
+// address.
 package freeport
 
 import (
@@ -9,12 +10,13 @@
 	"sync"
 )
 
-// The ports lie below those that the kernel chooses for outgoing connections (ip_local_port_range, from 32768 on):
-// otherwise a connection may have taken the port while its process was stopped.
+// Ports are chosen from minPort up to endPort, exclusive. They lie below those that the kernel chooses for outgoing
+// connections (ip_local_port_range, from 32768 on): otherwise a connection could take the port of a process while the
+// process is stopped.
 const (
-	first = 10000
-	last  = 32000
-	tries = 50
+	minPort  = 10000
+	endPort  = 32000
+	maxTries = 50
 )
 
 var errNoneFree = errors.New("no free port found")
@@ -24,14 +26,14 @@
 	chosen = map[string]bool{}
 )
 
-// Choose returns a port that nobody listens on at the IP address. It draws the port, so that tests that run side by
-// side get different ones, and never returns one twice for an IP address.
+// Choose returns a port on which nothing listens at the IP address. It draws the port at random, so that test processes
+// that run in parallel get different ones, and never returns a port twice for an IP address.
 func Choose(ip string) (int, error) {
 	mu.Lock()
 	defer mu.Unlock()
 	err := errNoneFree
-	for range tries {
-		port := first + rand.IntN(last-first)
+	for range maxTries {
+		port := minPort + rand.IntN(endPort-minPort)
 		address := net.JoinHostPort(ip, strconv.Itoa(port))
 		if chosen[address] {
 			continue
--- a/internal/freeport/freeport_test.go
+++ b/internal/freeport/freeport_test.go
@@ -21,8 +21,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if port := listener.Addr().(*net.TCPAddr).Port; port < first || port >= last {
-			t.Errorf("found port %d, allowed %d to %d", port, first, last-1)
+		if port := listener.Addr().(*net.TCPAddr).Port; port < minPort || port >= endPort {
+			t.Errorf("found port %d, allowed %d to %d", port, minPort, endPort-1)
 		}
 		if err := listener.Close(); err != nil {
 			t.Fatal(err)
--- a/internal/golden/commands.go
+++ b/internal/golden/commands.go
@@ -9,8 +9,8 @@
 	"github.com/spf13/pflag"
 )
 
-// Commands writes the command and all below it: how each is called, and of its flags the names, the kinds of the
-// values and the defaults, without what helps say.
+// Commands writes the usage of a command and of all its subcommands, with the names, types, defaults and properties of
+// their flags, but without help texts.
 func Commands(out *bytes.Buffer, command *cobra.Command) {
 	usage := strings.TrimPrefix(command.Use, command.Name())
 	fmt.Fprintf(out, "%s%s", command.CommandPath(), usage)
@@ -21,7 +21,7 @@
 		fmt.Fprint(out, ", hidden")
 	}
 	fmt.Fprintln(out)
-	show := func(flag *pflag.Flag) {
+	writeFlag := func(flag *pflag.Flag) {
 		fmt.Fprintf(out, "    --%s %s, default %q", flag.Name, flag.Value.Type(), flag.DefValue)
 		for _, property := range []struct {
 			name, value string
@@ -38,8 +38,8 @@
 		}
 		fmt.Fprintln(out)
 	}
-	command.LocalFlags().VisitAll(show)
-	for _, below := range command.Commands() {
-		Commands(out, below)
+	command.LocalFlags().VisitAll(writeFlag)
+	for _, subcommand := range command.Commands() {
+		Commands(out, subcommand)
 	}
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,4 @@
-// Package golden helps tests that hold what the program writes and reads to what it wrote and read before. Only tests
-// import it.
+// Package golden helps tests to compare what the program writes and reads with golden files. Only tests import it.
 package golden
 
 import (
@@ -15,11 +14,11 @@
 	"time"
 )
 
-// writeMissing is the environment variable that, set to 1, has golden files written that do not exist yet. Those that
-// exist are never changed.
+// writeMissing is the environment variable that, if set to 1, makes tests write golden files that do not exist yet.
+// Existing ones are never changed.
 const writeMissing = "PEPPERLEAD_WRITE_GOLDEN"
 
-// Compare fails the test unless what it got is, to the byte, what the file of that name in testdata holds.
+// Compare fails the test unless got is equal to the content of the golden file, a file of that name in testdata.
 func Compare(t testing.TB, name string, got []byte) {
 	t.Helper()
 	want := ReadOrWrite(t, name, got)
@@ -37,8 +36,8 @@
 	}
 }
 
-// ReadOrWrite returns what the golden file holds. One that does not exist is written first where the environment asks
-// for it.
+// ReadOrWrite returns the content of a golden file. If the file does not exist and writeMissing is 1, it first writes
+// the given content to the file.
 func ReadOrWrite(t testing.TB, name string, content []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -53,7 +52,7 @@
 	return Read(t, name)
 }
 
-// Read returns what the file of that name in testdata holds.
+// Read returns the content of the file of that name in testdata.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join("testdata", name))
@@ -63,8 +62,9 @@
 	return content
 }
 
-// RoundTrip fails the test unless marshal encodes the value to what the golden file of that name holds, and, once
-// unmarshal has decoded the file to decoded, a pointer to a zero value, encodes that to the same again.
+// RoundTrip checks both directions of an encoding against a golden file: marshal must encode the value to the content
+// of the file, and unmarshal must decode the file into decoded, a pointer to a zero value, so that marshal encodes that
+// to the same content again.
 func RoundTrip(t testing.TB, name string, value, decoded any,
 	marshal func(any) ([]byte, error), unmarshal func([]byte, any) error) {
 	t.Helper()
@@ -95,8 +95,9 @@
 	return "the end"
 }
 
-// Fill gives every exported field below the pointer a value of its own: numbers count up, texts are numbered, slices
-// and maps get one element, booleans become true. The values depend on the order of the fields, not on their names.
+// Fill gives every exported field of the value that the pointer points to, at any depth, a different value: numbers
+// count up, texts are numbered, slices and maps get one element, booleans become true. The values depend on the order
+// of the fields, not on their names.
 func Fill(pointer any) {
 	count := 0
 	fill(reflect.ValueOf(pointer).Elem(), &count)
@@ -144,8 +145,8 @@
 	}
 }
 
-// Values writes all values below one, a line each, in the order of their fields. No name of a field or a type is in
-// it, so that renaming one changes nothing.
+// Values returns a text with all values within a value, one per line, in the order of the fields. It contains no names
+// of fields or types, so that renaming them does not change the text.
 func Values(value any) []byte {
 	var out bytes.Buffer
 	values(&out, reflect.ValueOf(value), "")
--- a/internal/knownred/knownred.go
+++ b/internal/knownred/knownred.go
@@ -1,5 +1,5 @@
 // Package knownred reads KNOWN-RED.txt, the list of tests that fail because of a known fault, and runs
-// the tests of the module without them. An entry of the list:
+// the tests of the module without them. This is an entry of the list:
 //
 //	test: pepperlead/policy TestPick
 //	command: go test ./policy -run '^TestPick$' -seed 7
@@ -18,30 +18,30 @@
 
 // An Entry is one test that fails because of a known fault.
 type Entry struct {
-	// Line is where the entry begins in the file, from 1.
+	// Line is the number of the first line of the entry in the file, counted from 1.
 	Line int
 	// Package is the import path of the test's package.
 	Package string
 	// Test is the name of a top-level test function.
 	Test string
-	// Command shows the failure.
+	// Command is the command that reproduces the failure.
 	Command string
-	// Seed is what the command was given, or "none".
+	// Seed is the seed that the command uses, or "none".
 	Seed string
-	// Seen is what the command said.
+	// Seen is the failure that was seen.
 	Seen string
-	// Issue is where the fault is described.
+	// Issue refers to the description of the fault.
 	Issue string
 }
 
-// fields are the lines of an entry, in their order.
+// fields holds the names of the lines of an entry, in their order.
 var fields = []string{"test", "command", "seed", "seen", "issue"}
 
 // testLine is the value of an entry's test line: an import path and a test function's name.
 var testLine = regexp.MustCompile(`^([\w./-]+) ((?:Test|Fuzz|Example)\w*)$`)
 
-// Parse reads a list of known failures; name is the file's, for errors. Each entry is the lines of fields,
-// as "seed: none". Blank lines and lines that begin with # may stand anywhere.
+// Parse reads a list of known failures. Errors contain the name of the file. An entry has one line for
+// each name in fields, such as "seed: none". Blank lines and lines that begin with # are ignored.
 func Parse(name string, r io.Reader) ([]Entry, error) {
 	p := parser{name: name, lines: bufio.NewScanner(r), seen: map[string]int{}}
 	var entries []Entry
@@ -58,16 +58,16 @@
 	return entries, nil
 }
 
-// A parser goes through the lines of one file.
+// A parser reads the lines of one file.
 type parser struct {
 	name  string
 	lines *bufio.Scanner
 	line  int
 	text  string
-	seen  map[string]int // lines of the tests that have an entry
+	seen  map[string]int // by test: the line of its entry
 }
 
-// next goes on to the next line that is neither blank nor a comment, and says whether there is one.
+// next advances to the next line that is neither blank nor a comment, and reports whether there is one.
 func (p *parser) next() bool {
 	for p.lines.Scan() {
 		p.line++
@@ -79,7 +79,7 @@
 	return false
 }
 
-// entry reads the entry that begins on the present line.
+// entry reads the entry that begins on the current line.
 func (p *parser) entry() (Entry, error) {
 	first := p.line
 	values := make([]string, len(fields))
@@ -103,7 +103,7 @@
 		Command: values[1], Seed: values[2], Seen: values[3], Issue: values[4]}, nil
 }
 
-// checkTest says what is wrong with the value of a test line.
+// checkTest returns an error if the value of a test line is malformed or already has an entry.
 func (p *parser) checkTest(value string) error {
 	if !testLine.MatchString(value) {
 		return p.errorf("found test %q, want an import path, a space and the name of a top-level test function", value)
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// errorf is an error at the present line.
+// errorf returns an error with the current line.
 func (p *parser) errorf(format string, args ...any) error {
 	return fmt.Errorf("%s:%d: %s", p.name, p.line, fmt.Sprintf(format, args...))
 }
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// good is an entry without faults.
+// good is a valid entry.
 const good = `test: pepperlead/policy TestPick
 command: go test ./policy -run '^TestPick$' -seed 7
 seed: 7
@@ -14,7 +14,7 @@
 issue: #12
 `
 
-// TestParse reads lists, right ones and those with one fault each.
+// TestParse reads valid lists, and lists with one fault each.
 func TestParse(t *testing.T) {
 	entry := Entry{Line: 1, Package: "pepperlead/policy", Test: "TestPick", Seed: "7", Issue: "#12",
 		Command: "go test ./policy -run '^TestPick$' -seed 7", Seen: `picked "a", want "b"`}
@@ -64,7 +64,7 @@
 	}
 }
 
-// message is an error's text, "" for none.
+// message returns the text of an error, "" for nil.
 func message(err error) string {
 	if err == nil {
 		return ""
--- a/internal/knownred/run.go
+++ b/internal/knownred/run.go
@@ -13,21 +13,21 @@
 	"strings"
 )
 
-// File is the list's name in the root of the module.
+// File is the name of the list, which is in the root directory of the module.
 const File = "KNOWN-RED.txt"
 
 // A Runner runs the tests of one module.
 type Runner struct {
 	// Dir is the root of the module.
 	Dir string
-	// Flags are for go test, as -race.
+	// Flags are passed to go test, for example -race.
 	Flags []string
-	// Stdout and Stderr get what go test writes.
+	// Stdout and Stderr receive the output of go test.
 	Stdout, Stderr io.Writer
 }
 
-// Run runs all tests but those that the module's list has, which it prints. Without a list it is
-// go test ./... and nothing else. A wrong list is an error, and then no test runs.
+// Run runs all tests except those on the module's list, and prints the latter. Without a list it only
+// runs go test ./... . If the list is invalid, it returns an error and runs no test.
 func (r *Runner) Run() error {
 	entries, err := r.read()
 	if err != nil {
@@ -50,7 +50,7 @@
 	return r.testWithout(packages, skip)
 }
 
-// read reads the module's list, which is empty where there is no file.
+// read reads the module's list, which is empty if there is no file.
 func (r *Runner) read() ([]Entry, error) {
 	text, err := os.ReadFile(filepath.Join(r.Dir, File))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -62,13 +62,13 @@
 	return Parse(File, bytes.NewReader(text))
 }
 
-// packages are the import paths of the module's packages.
+// packages returns the import paths of the module's packages.
 func (r *Runner) packages() ([]string, error) {
 	out, err := r.output("list", "./...")
 	return strings.Fields(out), err
 }
 
-// check looks for the test of each entry and gives the tests to pass over by package.
+// check checks that the test of each entry exists, and returns the tests to skip by package.
 func (r *Runner) check(entries []Entry, packages []string) (map[string][]string, error) {
 	skip := map[string][]string{}
 	existing := map[string][]string{}
@@ -91,13 +91,13 @@
 	return skip, nil
 }
 
-// tests are the lines of go test -list: the names of a package's tests, and how long listing them took.
+// tests returns the output lines of go test -list: the names of the package's tests, and a line with the time taken.
 func (r *Runner) tests(pkg string) ([]string, error) {
 	out, err := r.output(slices.Concat([]string{"test", "-list", "."}, r.Flags, []string{pkg})...)
 	return strings.Split(out, "\n"), err
 }
 
-// print says which tests are passed over.
+// print prints the tests that are skipped.
 func (r *Runner) print(entries []Entry) error {
 	for _, e := range entries {
 		_, err := fmt.Fprintf(r.Stdout, "known red, passed over: %s %s (%s): %s\n", e.Package, e.Test, e.Issue, e.Seen)
@@ -108,7 +108,8 @@
 	return nil
 }
 
-// testWithout tests the packages, first those without a known failure. It goes on where one fails.
+// testWithout tests the packages without the tests to skip, first the packages that have none. It continues
+// after a failure.
 func (r *Runner) testWithout(packages []string, skip map[string][]string) error {
 	var clean, red []string
 	for _, pkg := range packages {
@@ -128,7 +129,7 @@
 	return errors.Join(failures...)
 }
 
-// skipPattern matches exactly the tests named.
+// skipPattern returns a regular expression that matches exactly the named tests.
 func skipPattern(tests []string) string {
 	return "^(" + strings.Join(tests, "|") + ")$"
 }
@@ -145,7 +146,7 @@
 	return nil
 }
 
-// output is what the go command writes to its standard output.
+// output runs the go command and returns its standard output.
 func (r *Runner) output(args ...string) (string, error) {
 	cmd := exec.Command("go", args...)
 	cmd.Dir, cmd.Stderr = r.Dir, r.Stderr
--- a/internal/knownred/run_test.go
+++ b/internal/knownred/run_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// module is a module with two packages. Each has a TestRed that fails, and one has a TestRedToo and a
-// TestReddish besides, of which the second fails where the environment says so.
+// module holds the files of a module with two packages. Package a has TestRed and TestRedToo, which fail, and
+// TestReddish, which fails if REDDISH is set. Package b has a TestRed, which fails if B_RED is set.
 var module = map[string]string{
 	"go.mod": "module m\n\ngo 1.26.0\n",
 	"a/a_test.go": `package a
@@ -42,7 +42,7 @@
 `,
 }
 
-// list is a known-failures file with an entry for each test.
+// list returns the text of a list with an entry for each test.
 func list(tests ...string) string {
 	var b strings.Builder
 	for _, test := range tests {
@@ -51,13 +51,13 @@
 	return b.String()
 }
 
-// TestRun runs the module's tests with lists that have all, some and none of the failing tests.
+// TestRun runs the module's tests with lists that contain all, some or none of the failing tests, and with invalid lists.
 func TestRun(t *testing.T) {
 	both := list("m/a TestRed", "m/a TestRedToo")
 	tests := []struct {
 		name, list, env string
-		fails           string   // the error's text, "" for none
-		prints          []string // parts of the output
+		fails           string   // text of the error, "" for none
+		prints          []string // texts that the output must contain
 	}{
 		{name: "no list", fails: "go test: exit status 1", prints: []string{"a is red", "a is red too"}},
 		{name: "comments alone", list: "# none\n", fails: "go test: exit status 1", prints: []string{"a is red"}},
@@ -95,13 +95,13 @@
 				}
 			}
 			if test.prints == nil && strings.Contains(out.String(), "m/") {
-				t.Errorf("tests ran with a wrong list:\n%s", &out)
+				t.Errorf("tests ran with an invalid list:\n%s", &out)
 			}
 		})
 	}
 }
 
-// write writes the module, and its list where there is one, to a new directory.
+// write writes the module, and the list unless it is empty, to a new directory, and returns the directory.
 func write(t *testing.T, list string) string {
 	t.Helper()
 	dir := t.TempDir()
--- a/internal/knownred/runtests/main.go
+++ b/internal/knownred/runtests/main.go
@@ -1,5 +1,5 @@
-// Command runtests runs the tests of the module in the present directory, without those in KNOWN-RED.txt.
-// Its arguments are flags for go test.
+// Command runtests runs the tests of the module in the current directory, except those listed in
+// KNOWN-RED.txt. Its arguments are passed to go test as flags.
 package main
 
 import (
