--- a/internal/faulttest/actions.go
+++ b/internal/faulttest/actions.go
@@ -68,7 +68,7 @@
 // do carries out an action.
 func (p *player) do(ctx context.Context, action Action) {
 	targets := p.processes(action.Targets)
-	switch action.What {
+	switch action.Kind {
 	case actionApply, actionRollback, actionWithdraw:
 		p.startChange(ctx, action, targets)
 	case actionPartition:
@@ -102,7 +102,7 @@
 func (p *player) forEach(action Action, targets []*Process, do func(*Process) error) {
 	for _, target := range targets {
 		if err := do(target); err != nil {
-			p.fail(action.What + ": " + err.Error())
+			p.fail(action.Kind + ": " + err.Error())
 		}
 	}
 }
--- a/internal/faulttest/revisions.go
+++ b/internal/faulttest/revisions.go
@@ -184,7 +184,7 @@
 
 // commandArguments returns the command of the program that carries out an action.
 func (c *Cluster) commandArguments(action Action) []string {
-	switch action.What {
+	switch action.Kind {
 	case actionRollback:
 		return []string{"rollback", strconv.Itoa(action.Revision), "--wait", "30s"}
 	case actionWithdraw:
--- a/internal/faulttest/script.go
+++ b/internal/faulttest/script.go
@@ -45,7 +45,7 @@
 	Share           float64       // of the sidecars, that must apply AwaitedRevision
 	AwaitedRevision int           // revision that the share of sidecars must apply
 	After           time.Duration // delay after that
-	What            string
+	Kind            string
 	Targets         []string
 	From            []string
 	To              []string
@@ -62,7 +62,7 @@
 
 // description names the action for the report.
 func (a Action) description() string {
-	parts := slices.Concat([]string{a.What}, a.Targets, a.From, []string{a.RuleSet})
+	parts := slices.Concat([]string{a.Kind}, a.Targets, a.From, []string{a.RuleSet})
 	return strings.Join(parts, " ")
 }
 
@@ -140,7 +140,7 @@
 		s.Actions = append(s.Actions, s.readAction(table))
 	}
 	for _, action := range s.Actions {
-		if action.What == actionList && !s.Discovery {
+		if action.Kind == actionList && !s.Discovery {
 			root.Fault("do", "a list", "none unless [drill] has discovery = true")
 		}
 	}
@@ -195,7 +195,7 @@
 	table.Require("what")
 	action := Action{
 		At:          -1,
-		What:        kinds[table.OneOf("what", 0, kinds...)],
+		Kind:        kinds[table.OneOf("what", 0, kinds...)],
 		Targets:     table.Strings("who"),
 		From:        table.Strings("from"),
 		To:          table.Strings("to"),
@@ -210,7 +210,7 @@
 		Ready:       table.Strings("servers"),
 		Draining:    table.Strings("leaving"),
 	}
-	table.Require(requiredFields[action.What]...)
+	table.Require(requiredFields[action.Kind]...)
 	if names := s.ruleSetNames(); action.RuleSet != "" && !slices.Contains(names, action.RuleSet) {
 		table.Fault("version", table.Found("version"), "one of "+strings.Join(names, ", "))
 	}
