--- a/internal/faulttest/golden_test.go
+++ b/internal/faulttest/golden_test.go
@@ -82,7 +82,7 @@
 		result.Applied,
 		RuleChange{Version: "second", Number: 2, At: 1.5, P50: 2.5, P99: 3.5, Max: 4.5, Alone: 5.5},
 	)
-	result.Marks = []Mark{{At: 11 * second, What: "a thing was done"}}
+	result.Marks = []Mark{{At: 11 * second, Label: "a thing was done"}}
 	result.History = &judge.History{
 		Changes: []judge.ActiveRules{
 			{Process: "n1", Revisions: []int{1, 2}, Leased: true, At: 10 * second},
--- a/internal/faulttest/play.go
+++ b/internal/faulttest/play.go
@@ -105,7 +105,7 @@
 
 // mark records an action for the report.
 func (p *player) mark(what string) {
-	p.result.Marks = append(p.result.Marks, Mark{At: int64(clock.BootTime()), What: what})
+	p.result.Marks = append(p.result.Marks, Mark{At: int64(clock.BootTime()), Label: what})
 }
 
 // heal ends all faults and waits until the sidecars have converged.
--- a/internal/faulttest/report.go
+++ b/internal/faulttest/report.go
@@ -239,7 +239,7 @@
 	var boxes []box
 	for i, mark := range marks {
 		y := markHeight + float64(i%markRows)*markHeight
-		boxes = append(boxes, box{X: p.x(mark.At), Y: y, Label: mark.What})
+		boxes = append(boxes, box{X: p.x(mark.At), Y: y, Label: mark.Label})
 	}
 	return boxes
 }
--- a/internal/faulttest/result.go
+++ b/internal/faulttest/result.go
@@ -48,8 +48,8 @@
 
 // Mark is an event that the report labels, such as an action of the script.
 type Mark struct {
-	At   int64
-	What string
+	At    int64
+	Label string
 }
 
 // Passed reports whether the result is what the script expects.
