--- a/cmd/pepperlead-sim/drillpeers.go
+++ b/cmd/pepperlead-sim/drillpeers.go
@@ -84,7 +84,7 @@
 
 func printPeers(out io.Writer, r faulttest.PeersResult) {
 	for _, step := range r.Steps {
-		printf(out, "%6.1f s  %s (%d know of %d)\n", step.Seconds, step.What, step.Observers, step.ExpectedAlive)
+		printf(out, "%6.1f s  %s (%d know of %d)\n", step.Seconds, step.Name, step.Observers, step.ExpectedAlive)
 	}
 	printf(out, "an idle one: %.1f packets and %.0f bytes a second sent, %.4f of a core; %.0f false alarms\n",
 		r.Packets, r.Bytes, r.CPU, r.FalseAlarms)
--- a/internal/faulttest/peers.go
+++ b/internal/faulttest/peers.go
@@ -11,7 +11,7 @@
 
 // Step is one step of a test of peers: what was done, and how long the remaining instances took to detect it.
 type Step struct {
-	What          string  `json:"What"`
+	Name          string  `json:"What"`
 	Seconds       float64 `json:"Seconds"`
 	Observers     int     `json:"Know"` // instances that had to detect it
 	ExpectedAlive int     `json:"Of"`   // instances that each of them had to see alive
@@ -91,7 +91,7 @@
 	if err != nil {
 		t.err = fmt.Errorf("%s: %w", what, err)
 	}
-	step := Step{What: what, Seconds: elapsed.Seconds(), Observers: len(processes), ExpectedAlive: want}
+	step := Step{Name: what, Seconds: elapsed.Seconds(), Observers: len(processes), ExpectedAlive: want}
 	t.result.Steps = append(t.result.Steps, step)
 }
 
