--- a/internal/faulttest/peers.go
+++ b/internal/faulttest/peers.go
@@ -159,7 +159,7 @@
 // leaveAndRestart shuts an instance down gracefully, and restarts the killed one.
 func (t *peersTest) leaveAndRestart() {
 	count := len(t.survivors)
-	if err := t.survivors[0].Leave(); err != nil {
+	if err := t.survivors[0].Shutdown(); err != nil {
 		t.fail(err)
 	}
 	remaining := t.survivors[1:]
--- a/internal/faulttest/process.go
+++ b/internal/faulttest/process.go
@@ -109,8 +109,8 @@
 	p.running = nil
 }
 
-// Leave shuts the process down gracefully and waits until it has ended.
-func (p *Process) Leave() error {
+// Shutdown shuts the process down gracefully and waits until it has ended.
+func (p *Process) Shutdown() error {
 	p.signal(syscall.SIGTERM)
 	<-p.exited
 	p.running = nil
