--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -161,14 +161,14 @@
 	e.list.Label = "stand-ins of the demo"
 	for i := range scene.Servers {
 		traits := fakebackend.Traits{
-			Name:   fmt.Sprintf("s-%d", i+1),
-			Cores:  2,
-			Queue:  8,
-			Work:   20 * time.Millisecond,
-			Warm:   2 * time.Second,
-			Cold:   4,
-			Seed:   scene.Seed + uint64(i),
-			Faults: fakebackend.Faults{Errors: faultRate, Resets: faultRate, Slow: faultRate},
+			Name:       fmt.Sprintf("s-%d", i+1),
+			Cores:      2,
+			Queue:      8,
+			Work:       20 * time.Millisecond,
+			WarmUpTime: 2 * time.Second,
+			Cold:       4,
+			Seed:       scene.Seed + uint64(i),
+			Faults:     fakebackend.Faults{Errors: faultRate, Resets: faultRate, Slow: faultRate},
 		}
 		server, err := fakebackend.Start("127.0.0.1:0", traits)
 		if err != nil {
--- a/internal/fakebackend/server.go
+++ b/internal/fakebackend/server.go
@@ -47,12 +47,12 @@
 
 // Traits configures a Server.
 type Traits struct {
-	Name  string
-	Cores int           // requests worked on at once
-	Queue int           // requests that may wait for a core; further ones are rejected
-	Work  time.Duration // mean work of a request, exponentially distributed
-	Warm  time.Duration // warm-up time after a start, in which the work per request falls to the usual
-	Cold  float64       // factor on the work right after a start
+	Name       string
+	Cores      int           // requests worked on at once
+	Queue      int           // requests that may wait for a core; further ones are rejected
+	Work       time.Duration // mean work of a request, exponentially distributed
+	WarmUpTime time.Duration // warm-up time after a start, in which the work per request falls to the usual
+	Cold       float64       // factor on the work right after a start
 	Faults
 	Seed uint64
 	// OnRequest, if set, is called for each complete request, from any goroutine.
@@ -264,10 +264,10 @@
 // warmUp returns the work of a request that arrives at a time: more than given while the server warms up.
 func (s *Server) warmUp(work time.Duration, now time.Time) time.Duration {
 	age := now.Sub(s.started)
-	if age >= s.traits.Warm || s.traits.Cold <= 1 {
+	if age >= s.traits.WarmUpTime || s.traits.Cold <= 1 {
 		return work
 	}
-	factor := s.traits.Cold + (1-s.traits.Cold)*float64(age)/float64(s.traits.Warm)
+	factor := s.traits.Cold + (1-s.traits.Cold)*float64(age)/float64(s.traits.WarmUpTime)
 	return time.Duration(float64(work) * factor)
 }
 
