--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -166,7 +166,7 @@
 			Queue:      8,
 			Work:       20 * time.Millisecond,
 			WarmUpTime: 2 * time.Second,
-			Cold:       4,
+			ColdFactor: 4,
 			Seed:       scene.Seed + uint64(i),
 			Faults:     fakebackend.Faults{Errors: faultRate, Resets: faultRate, Slow: faultRate},
 		}
--- a/internal/fakebackend/server.go
+++ b/internal/fakebackend/server.go
@@ -52,7 +52,7 @@
 	Queue      int           // requests that may wait for a core; further ones are rejected
 	Work       time.Duration // mean work of a request, exponentially distributed
 	WarmUpTime time.Duration // warm-up time after a start, in which the work per request falls to the usual
-	Cold       float64       // factor on the work right after a start
+	ColdFactor float64       // factor on the work right after a start
 	Faults
 	Seed uint64
 	// OnRequest, if set, is called for each complete request, from any goroutine.
@@ -62,7 +62,7 @@
 // validate checks the traits.
 func (t *Traits) validate() error {
 	faultShare := t.Errors + t.Resets + t.Silent + t.Slow
-	if t.Cores < 1 || t.Queue < 0 || t.Cold < 0 || faultShare > 1 {
+	if t.Cores < 1 || t.Queue < 0 || t.ColdFactor < 0 || faultShare > 1 {
 		return fmt.Errorf("fake backend %s: found %+v, allowed at least 1 core and fault shares of at most 1 in total",
 			t.Name, *t)
 	}
@@ -264,10 +264,10 @@
 // warmUp returns the work of a request that arrives at a time: more than given while the server warms up.
 func (s *Server) warmUp(work time.Duration, now time.Time) time.Duration {
 	age := now.Sub(s.started)
-	if age >= s.traits.WarmUpTime || s.traits.Cold <= 1 {
+	if age >= s.traits.WarmUpTime || s.traits.ColdFactor <= 1 {
 		return work
 	}
-	factor := s.traits.Cold + (1-s.traits.Cold)*float64(age)/float64(s.traits.WarmUpTime)
+	factor := s.traits.ColdFactor + (1-s.traits.ColdFactor)*float64(age)/float64(s.traits.WarmUpTime)
 	return time.Duration(float64(work) * factor)
 }
 
