--- a/internal/benchmark/cost.go
+++ b/internal/benchmark/cost.go
@@ -1,6 +1,6 @@
 // Package benchmark measures whole processes on loopback, side by side in one run: the cost of a request at the daemon
-// compared with a plain proxy, the time until the daemon follows a change of a list file, and the time and memory that a
-// list takes.
+// compared with a plain proxy, the time until the daemon follows a change of a list file, and the time and memory that
+// a list takes.
 package benchmark
 
 import (
