--- a/internal/emulator/judge/attempts.go
+++ b/internal/emulator/judge/attempts.go
@@ -13,28 +13,29 @@
 	cell       policy.Cell
 	at         policy.Time
 	inFlight   bool
-	mayHaveRun bool
+	mayHaveRun bool // the endpoint may have run the request
 }
 
-// notification is what an instance has been notified of an endpoint.
+// notification is the state of an endpoint as its instance was last notified of it.
 type notification struct {
-	drainingSince policy.Time // or gone since; 0: it is ready
-	startedAt     policy.Time
+	drainingSince policy.Time // time of the notification that it drains or is removed; 0: it is ready
+	startedAt     policy.Time // latest start of the endpoint that was notified
 }
 
-// arrivedWork is work that has reached a cold endpoint.
+// arrivedWork is work that has reached a cold endpoint, in ns of a core at speed 1.
 type arrivedWork struct {
 	at   policy.Time
 	work float64
 }
 
-// AttemptStarted records an attempt when its first byte is sent, and returns its number within the request.
+// AttemptStarted records an attempt when its first byte is sent, and returns its number within the request. It checks
+// the rules on attempts.
 func (j *Judge) AttemptStarted(at policy.Time, id RequestID, to EndpointID, zone policy.Zone, cell policy.Cell,
 	crossesZone bool) int {
 	r := &j.requests[id]
 	number := len(r.attempts)
 	j.attempts++
-	if at < j.facts.Length {
+	if at < j.config.Length {
 		j.spread.countAttempt(at, to, r.key, r.number)
 	}
 	if crossesZone {
@@ -43,8 +44,8 @@
 	if r.answered || r.abandoned {
 		j.violate(1, at, r.number, "pushed after its final answer")
 	}
-	if number >= j.facts.MaxAttempts {
-		j.violate(2, at, r.number, "push %d of %d allowed", number+1, j.facts.MaxAttempts)
+	if number >= j.config.MaxAttempts {
+		j.violate(2, at, r.number, "push %d of %d allowed", number+1, j.config.MaxAttempts)
 	}
 	if r.inFlight > 0 {
 		j.violate(2, at, r.number, "two pushes out at once")
@@ -52,7 +53,7 @@
 	next := attempt{endpoint: to, zone: zone, cell: cell, at: at, inFlight: true}
 	j.checkRepeat(r, next)
 	notified, known := j.notifications[r.instance][to]
-	if known && notified.drainingSince > 0 && at > notified.drainingSince+j.facts.Grace {
+	if known && notified.drainingSince > 0 && at > notified.drainingSince+j.config.Grace {
 		j.violate(3, at, r.number, "pushed to server %d, %v after its sidecar was told that it leaves", to,
 			seconds(at-notified.drainingSince))
 	}
@@ -61,9 +62,9 @@
 	return number
 }
 
-// checkRepeat holds an attempt to rule 2 where an earlier one may have run.
+// checkRepeat checks by rule 2 whether an attempt may follow earlier ones that may have run.
 func (j *Judge) checkRepeat(r *request, next attempt) {
-	class := &j.facts.Classes[r.class]
+	class := &j.config.Classes[r.class]
 	keyed := class.Idempotency == policy.Keyed
 	for _, earlier := range r.attempts {
 		if !earlier.mayHaveRun && !earlier.inFlight {
@@ -89,12 +90,13 @@
 	}
 }
 
-// AttemptWritten records that the last byte of an attempt has left its instance: from now on it may run.
+// AttemptWritten records that the instance has sent the last byte of an attempt, which may run from now on.
 func (j *Judge) AttemptWritten(id RequestID, number int) {
 	j.requests[id].attempts[number].mayHaveRun = true
 }
 
-// AttemptEnded records the end of an attempt at its instance. neverRan: the wire shows that it has not run.
+// AttemptEnded records the end of an attempt at its instance. neverRan says that its outcome proves that it has not
+// run.
 func (j *Judge) AttemptEnded(id RequestID, number int, neverRan bool) {
 	r := &j.requests[id]
 	ended := &r.attempts[number]
@@ -107,7 +109,8 @@
 	j.releaseRequest(id)
 }
 
-// EndpointNotified records that a list has reached an instance that names, or no longer names, an endpoint.
+// EndpointNotified records the status of an endpoint in a list that has reached an instance. An endpoint that is no
+// longer in the list has the status Removed.
 func (j *Judge) EndpointNotified(at policy.Time, instance InstanceID, endpoint EndpointID, status policy.EndpointStatus,
 	startedAt policy.Time) {
 	notified := j.notifications[instance][endpoint]
@@ -120,19 +123,20 @@
 	j.notifications[instance][endpoint] = notified
 }
 
-// InstanceDied records that an instance has lost all that it knew.
+// InstanceDied records that an instance has died, and with it its endpoint list.
 func (j *Judge) InstanceDied(instance InstanceID) { clear(j.notifications[instance]) }
 
-// ColdWorkArrived records work, in ns of a core at speed 1, that reaches an endpoint while it is cold; capacity is
-// what it can do in a ns. Only work from instances that were notified of its start counts: others cannot know.
+// ColdWorkArrived records work that reaches an endpoint while it is cold, and checks rule 4. work is in ns of a core at
+// speed 1; capacity is the work that the endpoint can do per ns. Work counts only if its instance was notified of the
+// endpoint's start: other instances cannot know that it is cold.
 func (j *Judge) ColdWorkArrived(at policy.Time, instance InstanceID, to EndpointID, startedAt policy.Time,
 	work, capacity float64) {
-	if j.notifications[instance][to].startedAt < startedAt || j.facts.OverloadMultiple == 0 {
+	if j.notifications[instance][to].startedAt < startedAt || j.config.OverloadMultiple == 0 {
 		return
 	}
 	recent := append(j.coldWork[to], arrivedWork{at, work})
 	first := 0
-	for recent[first].at <= at-j.facts.OverloadWindow {
+	for recent[first].at <= at-j.config.OverloadWindow {
 		first++
 	}
 	recent = slices.Delete(recent, 0, first)
@@ -141,10 +145,11 @@
 	for _, arrived := range recent {
 		sum += arrived.work
 	}
-	allowed := j.facts.OverloadMultiple * capacity * float64(j.facts.OverloadWindow)
+	allowed := j.config.OverloadMultiple * capacity * float64(j.config.OverloadWindow)
 	if sum > allowed && j.overloaded[to] != startedAt {
 		j.overloaded[to] = startedAt
 		j.violate(4, at, 0, "server %d, cold, was sent %.1f times what it can do within %v, allowed %.1f", to,
-			sum/(capacity*float64(j.facts.OverloadWindow)), seconds(j.facts.OverloadWindow), j.facts.OverloadMultiple)
+			sum/(capacity*float64(j.config.OverloadWindow)), seconds(j.config.OverloadWindow),
+			j.config.OverloadMultiple)
 	}
 }
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -151,7 +151,7 @@
 }
 
 // Sets reads path=value, "" being none. A value that is a whole number stays one.
-func Sets(text string) []emulator.Set {
+func Sets(text string) []emulator.Override {
 	path, value, ok := strings.Cut(text, "=")
 	if !ok {
 		return nil
@@ -164,7 +164,7 @@
 	} else if b, err := strconv.ParseBool(value); err == nil {
 		v = b
 	}
-	return []emulator.Set{{Path: path, Value: v}}
+	return []emulator.Override{{Path: path, Value: v}}
 }
 
 // Range reads values as a list, 1,2,4, or as from:to:step.
@@ -261,7 +261,7 @@
 	r.Crossed /= days
 	for i := range r.Scatter {
 		r.Scatter[i] /= days
-		r.Forced[i] /= days
+		r.KeyScatter[i] /= days
 	}
 	r.Busiest /= days
 	r.IdleSeconds /= days
@@ -271,7 +271,7 @@
 func (r *Row) add(e *judge.Spread) {
 	for i := range e.Scatter {
 		r.Scatter[i] += e.Scatter[i]
-		r.Forced[i] += e.Forced[i]
+		r.KeyScatter[i] += e.KeyScatter[i]
 	}
 	r.Busiest += e.Busiest
 	r.IdleSeconds += e.IdleSeconds
