--- a/cmd/pepperlead-sim/drillplay.go
+++ b/cmd/pepperlead-sim/drillplay.go
@@ -144,7 +144,7 @@
 			return false, err
 		}
 	}
-	return result.Good(script), nil
+	return result.Passed(script), nil
 }
 
 // play plays a script in a new directory, which is removed unless the run failed and failed runs are kept.
@@ -154,7 +154,7 @@
 		return nil, err
 	}
 	result, err := faulttest.Play(ctx, p.daemon, directory, script, seed)
-	if p.failedRuns == "" || err == nil && result.Good(script) {
+	if p.failedRuns == "" || err == nil && result.Passed(script) {
 		removeAll(directory)
 	}
 	return result, err
@@ -162,7 +162,7 @@
 
 func printPlay(out io.Writer, script *faulttest.Script, r *faulttest.Result) {
 	verdict := "good"
-	if !r.Good(script) {
+	if !r.Passed(script) {
 		verdict = "FAILED"
 	}
 	v := r.Verdict
@@ -181,7 +181,7 @@
 		r.Converged, r.Unleased, r.FalseDeaths, r.Packets, r.Bytes, r.CPU)
 	printf(out, "  the fault proxy itself added %.1f ms (99%%); clock readings were up to %.0f ms late; %.0f%% of the "+
 		"machine was in use\n",
-		r.OwnDelay*1000, r.ClockLateness*1000, r.Busy*100)
+		r.ProxyOverhead*1000, r.ClockLateness*1000, r.Busy*100)
 	if r.Tables > 0 {
 		printf(out, "  %d different slot tables at the end\n", r.Tables)
 	}
@@ -196,7 +196,7 @@
 	}
 }
 
-func printApplied(out io.Writer, a faulttest.Applied) {
+func printApplied(out io.Writer, a faulttest.RuleChange) {
 	if a.Failed != "" {
 		printf(out, "  %s at %.1f s: failed after %.1f s: %s\n", a.Version, a.At, a.Agreed, a.Failed)
 		return
