--- a/cmd/pepperlead-sim/drillplay.go
+++ b/cmd/pepperlead-sim/drillplay.go
@@ -178,7 +178,7 @@
 	printf(out, "  same lease %.1f s after all faults were healed; in total %.1f s without a lease and %.0f times a "+
 		"sidecar was taken for gone; "+
 		"one sidecar: %.1f packets and %.0f bytes per second, %.4f of a core\n",
-		r.Converged, r.Unleased, r.FalseDeaths, r.Packets, r.Bytes, r.CPU)
+		r.Converged, r.Unleased, r.Departures, r.Packets, r.Bytes, r.CPU)
 	printf(out, "  the fault proxy itself added %.1f ms (99%%); clock readings were up to %.0f ms late; %.0f%% of the "+
 		"machine was in use\n",
 		r.ProxyOverhead*1000, r.ClockLateness*1000, r.Busy*100)
--- a/internal/faulttest/figures.go
+++ b/internal/faulttest/figures.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// usage holds the resources that some instances have used, in total, and how often they took another for dead.
+// usage holds the resources that a group of instances has used in total, and how many departures they counted.
 type usage struct {
-	packets     float64 // sent
-	bytes       float64 // sent
-	cpu         float64 // seconds
-	falseDeaths float64 // times that an instance declared another dead
+	packets    float64 // sent
+	bytes      float64 // sent
+	cpu        float64 // seconds
+	departures float64 // times that one of them saw another instance leave or declared it dead
 }
 
 // sumUsage reads the usage of the processes and adds it up.
 func sumUsage(processes []*Process) usage {
 	var sum usage
 	for _, process := range processes {
-		values := process.Metrics(metricPacketsSent, metricBytesSent, metricCPUSeconds, metricFalseDeaths)
+		values := process.Metrics(metricPacketsSent, metricBytesSent, metricCPUSeconds, metricDepartures)
 		sum.packets += values[0]
 		sum.bytes += values[1]
 		sum.cpu += values[2]
-		sum.falseDeaths += values[3]
+		sum.departures += values[3]
 	}
 	return sum
 }
@@ -33,10 +33,10 @@
 // since returns the difference to an earlier reading.
 func (u usage) since(before usage) usage {
 	return usage{
-		packets:     u.packets - before.packets,
-		bytes:       u.bytes - before.bytes,
-		cpu:         u.cpu - before.cpu,
-		falseDeaths: u.falseDeaths - before.falseDeaths,
+		packets:    u.packets - before.packets,
+		bytes:      u.bytes - before.bytes,
+		cpu:        u.cpu - before.cpu,
+		departures: u.departures - before.departures,
 	}
 }
 
--- a/internal/faulttest/metrics.go
+++ b/internal/faulttest/metrics.go
@@ -11,5 +11,5 @@
 	metricPacketsSent = "pepperlead_peers_packets_sent_total"
 	metricBytesSent   = "pepperlead_peers_bytes_sent_total"
 	metricCPUSeconds  = "process_cpu_seconds_total"
-	metricFalseDeaths = "pepperlead_peers_gone_total"
+	metricDepartures  = "pepperlead_peers_gone_total"
 )
--- a/internal/faulttest/peers.go
+++ b/internal/faulttest/peers.go
@@ -106,7 +106,7 @@
 	t.result.Packets = used.packets * share
 	t.result.Bytes = used.bytes * share
 	t.result.CPU = used.cpu * share
-	t.result.FalseAlarms = used.falseDeaths
+	t.result.FalseAlarms = used.departures
 	return nil
 }
 
--- a/internal/faulttest/play.go
+++ b/internal/faulttest/play.go
@@ -146,11 +146,11 @@
 	}
 }
 
-// measureUsage measures what one sidecar has sent and used on average, and adds up the false deaths of all.
+// measureUsage measures what one sidecar has sent and used on average, and adds up the departures that all counted.
 func (p *player) measureUsage(before usage) {
 	used := sumUsage(p.instances).since(before)
 	share := 1 / time.Since(p.start).Seconds() / float64(len(p.instances))
-	p.result.FalseDeaths = used.falseDeaths
+	p.result.Departures = used.departures
 	p.result.Packets = used.packets * share
 	p.result.Bytes = used.bytes * share
 	p.result.CPU = used.cpu * share
