--- a/internal/faulttest/actions.go
+++ b/internal/faulttest/actions.go
@@ -31,8 +31,8 @@
 // revisionInterval is the time between two reads of the sidecars' active revisions.
 const revisionInterval = 10 * time.Millisecond
 
-// waitFor waits until an action is due: at its time plus a random jitter or, if it waits for a revision, some time
-// after enough sidecars apply that.
+// waitFor waits until an action is due: at its time plus a random jitter or, if it waits for a revision, its
+// delay After once enough sidecars apply that revision.
 func (p *player) waitFor(ctx context.Context, action Action) error {
 	var jitter time.Duration
 	if p.script.Jitter > 0 {
@@ -61,7 +61,7 @@
 				atRevision[instance] = true
 			}
 		}
-		_ = sleep(ctx, revisionInterval) // the loop's condition looks at the context
+		_ = sleep(ctx, revisionInterval) // the loop's condition checks the context
 	}
 }
 
--- a/internal/faulttest/addresses.go
+++ b/internal/faulttest/addresses.go
@@ -8,7 +8,7 @@
 	"pepperlead/internal/freeport"
 )
 
-// maxProcesses is the number of processes, and of endpoints, that loopback addresses are laid out for.
+// maxProcesses is the largest number of sidecars, and of endpoints, in a test. It fixes the layout of the addresses.
 const maxProcesses = 2048
 
 // hostsPerNetwork is the number of addresses used of each /24 network.
--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -40,7 +40,7 @@
 	down           []judge.Interval
 	downSince      map[*Process]int64 // processes that are stopped or not running
 	lists          []judge.EndpointList
-	// unnotified holds when sidecars may not have received discovery's list.
+	// unnotified holds the intervals in which a sidecar may not have received discovery's latest list.
 	unnotified      []judge.Interval
 	unnotifiedSince map[*Process]int64
 }
@@ -55,7 +55,7 @@
 
 	// notifyTimeout is how long a sidecar may take to receive the list once its link to discovery is open again: a call
 	// times out after 2 s, the next one begins within 2 s (internal/discovery), and the fault proxy passes on at once
-	// the bytes that it held. No script blocks the link for as long as a watch waits.
+	// the bytes that it held. This is enough because no script blocks the link for as long as a watch waits.
 	notifyTimeout = 5 * time.Second
 
 	discoveryNode = faultproxy.Node("discovery")
@@ -173,8 +173,8 @@
 	}
 }
 
-// noteUp records that a process runs again. The recorded interval ends answerTimeout later, as responses to requests
-// from before may still be missing until then.
+// noteUp records that a process runs again. The recorded interval ends answerTimeout later, as
+// earlier requests may still end without a response until then.
 func (c *Cluster) noteUp(process *Process) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/faulttest/drill_test.go
+++ b/internal/faulttest/drill_test.go
@@ -64,7 +64,7 @@
 }
 
 // Five sidecars and three coordinators change their rules while links are blocked, processes stall and the leader of
-// the coordinators is killed.
+// the coordinators is killed. The judge must find no violation of the rules, and no contradiction beyond the limit.
 func TestRuleChangesUnderFaults(t *testing.T) {
 	t.Parallel()
 	for _, name := range []string{"short-cut", "short-naps"} {
--- a/internal/faulttest/endpoints.go
+++ b/internal/faulttest/endpoints.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// endpointListen is where the endpoints and discovery listen; the fault proxy has an address for each.
+	// endpointListen is where the endpoints and discovery themselves listen. Sidecars reach them through the fault
+	// proxy, which listens for discovery at discoveryListen.
 	endpointListen  = "127.8.0.1:0"
 	discoveryListen = "127.9.1.1:0"
 
--- a/internal/faulttest/figures.go
+++ b/internal/faulttest/figures.go
@@ -44,7 +44,8 @@
 const clockInterval = 5 * time.Millisecond
 
 // clockLateness reads the clock at intervals until the context ends. The returned function reports the longest delay of
-// a reading so far: where hundreds of processes share few cores, the scheduler's delay looks like a stall.
+// a reading so far. Where hundreds of processes share few cores, a delay of this length may come from the scheduler and
+// not from the program under test.
 func clockLateness(ctx context.Context) func() time.Duration {
 	var worst atomic.Int64
 	go func() {
@@ -63,15 +64,15 @@
 	idle float64
 }
 
-// Columns of the first line of /proc/stat, see proc(5). Column 0 is the word "cpu"; the times of guests, after steal,
-// are contained in those of user.
+// Columns of the first line of /proc/stat, see proc(5). Column 0 is the word "cpu"; the guest times that follow
+// steal are already included in the user time.
 const (
 	statIdle   = 4
 	statIOWait = 5
 	statSteal  = 8
 )
 
-// readCPU reads the times since the machine started.
+// readCPU reads the CPU times since the machine started.
 func readCPU() cpuTimes {
 	var times cpuTimes
 	text, _ := os.ReadFile("/proc/stat") // without the file no share is known, and since returns 0
--- a/internal/faulttest/history.go
+++ b/internal/faulttest/history.go
@@ -72,7 +72,8 @@
 	}
 }
 
-// readRuleSets finds, by its text, which rule set of the script each agreed revision is.
+// readRuleSets finds for each agreed revision the rule set of the script that has the same text. Revision 0 is the rule
+// set of the sidecars' configuration.
 func (c *Cluster) readRuleSets(history *judge.History) error {
 	byText := map[string]RuleSet{}
 	for _, rules := range c.script.RuleSets {
--- a/internal/faulttest/judge/history.go
+++ b/internal/faulttest/judge/history.go
@@ -67,8 +67,8 @@
 	Ready []string
 }
 
-// DrainGrace is how long after the announcement of a list attempts may still follow the previous list: one second,
-// plus the time that the list takes to reach an instance.
+// DrainGrace is how long attempts may still follow the previous list once a new one is announced: one second, plus the
+// time that the new list takes to reach an instance.
 const DrainGrace = 1500 * time.Millisecond
 
 // History holds everything that was recorded in a fault-injection test.
@@ -78,11 +78,11 @@
 	Steps          []Step
 	Executions     []Execution
 	ClientRequests []ClientRequest
-	// DownIntervals holds when processes were stopped or not running, with a margin after each interval for responses
-	// that were lost with the process.
+	// DownIntervals holds the intervals in which processes were stopped or not running, with a margin after each
+	// interval for responses that were lost with the process.
 	DownIntervals []Interval
 	Lists         []EndpointList // in the order of their announcement
-	// UnnotifiedIntervals holds when processes may not have been notified by discovery.
+	// UnnotifiedIntervals holds the intervals in which processes may not have been notified by discovery.
 	UnnotifiedIntervals []Interval
 	Deadline            time.Duration
 	Slack               time.Duration // delay of a client's response that the machine and the links may cause
--- a/internal/faulttest/judge/judge.go
+++ b/internal/faulttest/judge/judge.go
@@ -11,12 +11,12 @@
 
 // Verdict is the result of checking a history.
 type Verdict struct {
-	// Contradiction is the longest time after which a process still made an attempt by older revisions only, although
-	// another process had made one by newer revisions only.
+	// Contradiction is the longest time by which an attempt under older revisions only came after an attempt of another
+	// process under newer revisions only.
 	Contradiction    time.Duration `json:"Contradiction"`
-	Between          string        `json:"Between"`
-	Faults           []string      `json:"Faults"` // texts of the first violations
-	Broken           int           `json:"Broken"` // number of violations
+	Between          string        `json:"Between"` // describes the longest contradiction
+	Faults           []string      `json:"Faults"`  // texts of the first violations
+	Broken           int           `json:"Broken"`  // number of violations
 	Attempts         int           `json:"Pushes"`
 	Repeats          int           `json:"Repeats"`  // repeated executions; those that are not allowed are faults too
 	Unleased         int           `json:"Unleased"` // attempts without a lease
@@ -25,7 +25,7 @@
 	Rejected         int           `json:"TurnedBack"`
 	Failed           int           `json:"GivenUp"`
 	Lost             int           `json:"Lost"`   // without a response, as the process was killed or stopped
-	UnleasedRequests [2]int        `json:"CutOff"` // requests admitted without a lease: all, succeeded
+	UnleasedRequests [2]int        `json:"CutOff"` // requests admitted without a lease: total, succeeded
 }
 
 // maxFaultsShown is the number of faults whose texts are kept; all faults are counted.
@@ -52,17 +52,17 @@
 	return v
 }
 
-// firstAttempt is the first attempt of a process whose oldest revision is a given one.
+// firstAttempt is the first attempt that a process made with a certain revision as the oldest one.
 type firstAttempt struct {
 	process string
 	at      int64
 }
 
-// checkContradictions looks for attempts by older revisions only, after another process has made one by newer
-// revisions only.
+// checkContradictions looks for attempts under older revisions only, made after an attempt of another process under
+// newer revisions only.
 func (v *Verdict) checkContradictions(h *History) {
-	// By the oldest revision of the attempts. Those of two processes are enough, as at least one of these differs from
-	// the process of any step.
+	// Keyed by the oldest revision of the attempts. First attempts of two processes are kept for each: whichever
+	// process a later step belongs to, at least one of the two is another process.
 	firstByOldest := map[int][]firstAttempt{}
 	for i := range h.Steps {
 		s := &h.Steps[i]
@@ -84,14 +84,15 @@
 	}
 }
 
-// updateContradiction raises the longest contradiction to the time from the first attempts of other processes, by the
-// newer revision, to the step.
+// updateContradiction updates the longest contradiction for a step. firsts are the first attempts whose oldest revision
+// is the given one, which is newer than all revisions of the step.
 func (v *Verdict) updateContradiction(s *Step, revision int, firsts []firstAttempt) {
 	for _, first := range firsts {
 		after := time.Duration(s.At - first.at)
 		if first.process != s.Process && after > v.Contradiction {
 			v.Contradiction = after
-			v.Between = fmt.Sprintf("%s made an attempt by %v, %v after %s had made one by none older than %d",
+			v.Between = fmt.Sprintf(
+				"%s made an attempt under revisions %v, %v after %s had made one under revision %d or newer ones only",
 				s.Process, s.Revisions, after, first.process, revision)
 		}
 	}
@@ -111,7 +112,7 @@
 		s := &h.Steps[i]
 		if s.Leased && len(s.Revisions) > 0 {
 			if slices.Max(s.Revisions) < oldest[s.Process] {
-				v.addFault("%s applies revisions %v after it had applied none older than %d",
+				v.addFault("%s applies revisions %v after its oldest revision had been %d",
 					s.Process, s.Revisions, oldest[s.Process])
 			}
 			oldest[s.Process] = slices.Min(s.Revisions)
@@ -138,7 +139,7 @@
 		rules := h.RuleSets[revision]
 		unnamed := rules.Endpoints != nil && !slices.Contains(rules.Endpoints, s.Endpoint)
 		if unnamed || slices.Contains(rules.Drained, s.Endpoint) {
-			v.addFault("%s sent %s to %s by revisions %v, but revision %d drains or does not name that endpoint",
+			v.addFault("%s sent %s to %s under revisions %v, but revision %d drains or does not name that endpoint",
 				s.Process, s.ID, s.Endpoint, s.Revisions,
 				revision)
 		}
@@ -147,7 +148,7 @@
 
 // checkDelisted looks for attempts at endpoints that are ready on no list that the process may have followed: the list
 // that was current DrainGrace before the attempt, and the later ones. It ignores processes that were down or may not
-// have been notified, and attempts by revisions that name their endpoints.
+// have been notified, and attempts under revisions that name their endpoints.
 func (v *Verdict) checkDelisted(h *History) {
 	for i := range h.Steps {
 		s := &h.Steps[i]
--- a/internal/faulttest/peers.go
+++ b/internal/faulttest/peers.go
@@ -27,7 +27,7 @@
 	CPU           float64 `json:"CPU"`
 	FalseAlarms   float64 `json:"FalseAlarms"` // times that an instance was declared dead while all were idle, in total
 	ProxyOverhead float64 `json:"OwnDelay"`    // seconds that the fault proxy itself took, 99th percentile
-	ClockLateness float64 `json:"LatestClock"` // seconds by which the latest reading was late; shorter times are noise
+	ClockLateness float64 `json:"LatestClock"` // longest delay of a clock reading, in seconds; shorter times are noise
 }
 
 const (
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// blockOneWay blocks a link in one direction. No instance must be declared dead.
+// blockOneWay blocks a link in one direction, which must not cause any instance to be declared dead.
 func (t *peersTest) blockOneWay() {
 	link := faultproxy.Link{From: t.all[0].Name, To: t.all[1].Name}
 	t.stage.Links.Set(link, faultproxy.Faults{Blocked: true})
@@ -170,7 +170,8 @@
 	t.expect("the killed one restarted", append(remaining, t.killed), count)
 }
 
-// checkStrangers fails the test if a process of another cluster or key sees other instances, or has not tried to join.
+// checkStrangers fails the test if a process of another cluster or key sees other instances. It also fails
+// if such a process has not tried to join, as it then proves nothing.
 func (t *peersTest) checkStrangers(strangers []*Process) {
 	connections := func(c faultproxy.Counters) uint64 { return c.Connections }
 	for _, process := range strangers {
--- a/internal/faulttest/play.go
+++ b/internal/faulttest/play.go
@@ -17,12 +17,13 @@
 	startTimeout    = 90 * time.Second
 	convergeTimeout = 90 * time.Second
 	settleTime      = 500 * time.Millisecond
-	judgeSlack      = 250 * time.Millisecond
+	judgeSlack      = 250 * time.Millisecond // for late responses, besides the lateness of the clock
 
-	// tablesTimeout is far shorter than the time after which the slots of a lost endpoint are reassigned.
+	// tablesTimeout is how long the sidecars may take to have the same slot table. It is far shorter than the time
+	// after which the slots of a lost endpoint are reassigned.
 	tablesTimeout = 4 * time.Second
 
-	// shownLogEnd is how many bytes of the log of a process are shown if it has exited unexpectedly.
+	// shownLogEnd is how many bytes at the end of its log are shown for a process that has exited unexpectedly.
 	shownLogEnd = 300
 )
 
@@ -56,7 +57,7 @@
 	start       time.Time
 	shuffled    []*Process     // the sidecars, in an order drawn from the seed
 	background  sync.WaitGroup // actions that run concurrently with later ones
-	scriptEnded chan struct{}  // closed when the script ends, to end actions that last
+	scriptEnded chan struct{}  // closed when the script ends, to end lasting faults such as throttling
 }
 
 func (p *player) play(ctx context.Context) error {
--- a/internal/faulttest/process.go
+++ b/internal/faulttest/process.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// exitedUnexpectedly reports whether the process has ended without Kill or Leave.
+// exitedUnexpectedly reports whether the process has ended without Kill or Shutdown.
 func (p *Process) exitedUnexpectedly() bool {
 	return p.running != nil && !p.Running()
 }
--- a/internal/faulttest/processfaults.go
+++ b/internal/faulttest/processfaults.go
@@ -17,8 +17,8 @@
 
 	fullDiskSize = 4096 // bytes, smaller than any file that a coordinator writes to
 
-	blockSize   = 4096 // of a file, in bytes
-	damagedSize = 1 << 16
+	blockSize   = 4096    // of a file, in bytes
+	damagedSize = 1 << 16 // bytes at the beginning of the raft log
 )
 
 // throttle stops the process nine tenths of the time, like a CPU quota, until the channel is closed.
@@ -52,7 +52,8 @@
 // stateDirectory returns the name of the directory of a coordinator's log.
 func (p *Process) stateDirectory() string { return string(p.Name) + ".kept" }
 
-// damage overwrites parts of the raft log of a coordinator that does not run.
+// damage overwrites the beginning of each block in the first damagedSize bytes of the raft log of a coordinator that
+// does not run.
 func (p *Process) damage() error {
 	path := filepath.Join(p.directory, p.stateDirectory(), "log.db")
 	file, err := os.OpenFile(path, os.O_WRONLY, 0)
--- a/internal/faulttest/result.go
+++ b/internal/faulttest/result.go
@@ -10,10 +10,10 @@
 
 // RuleChange is one change of the rule set during a test, and how it spread to the sidecars.
 type RuleChange struct {
-	Version string  `json:"Version"`
-	Number  int     `json:"Number"`
-	At      float64 `json:"At"`     // seconds since the start
-	Agreed  float64 `json:"Agreed"` // seconds until the coordinators had agreed on it
+	Version string  `json:"Version"` // name of the applied rule set, or the command and its revision
+	Number  int     `json:"Number"`  // new revision, as printed by the command; 0: none
+	At      float64 `json:"At"`      // seconds since the start
+	Agreed  float64 `json:"Agreed"`  // seconds until the coordinators had agreed on it
 	// P50, P99 and Max are the seconds until the running sidecars applied the revision, alone or together with the
 	// previous one; Alone is the seconds until all of them applied it alone.
 	P50    float64 `json:"P50"`
@@ -32,13 +32,13 @@
 	Converged     float64        `json:"Converged"` // seconds from the end of the faults until all have the same lease
 	Unleased      float64        `json:"Unleased"`  // seconds without a lease, in total over all sidecars
 	ProxyOverhead float64        `json:"OwnDelay"`  // seconds that the fault proxy itself took, 99th percentile
-	ClockLateness float64        `json:"Late"`      // seconds by which the latest clock reading was late
+	ClockLateness float64        `json:"Late"`      // longest delay of a clock reading, in seconds
 	Tables        int            `json:"Tables"`    // number of different slot tables at the end; must be 1 if counted
 	Busy          float64        `json:"Busy"`      // share of the machine's cores in use, by any process
 	Void          bool           `json:"Void"`      // the machine stalled for longer than a lease: no value is valid
 	Failed        []string       `json:"Failed"`
 	Departures    float64        `json:"Gone"`    // times that a sidecar saw another leave or declared it dead, in total
-	Packets       float64        `json:"Packets"` // sent per second by one sidecar, as Bytes
+	Packets       float64        `json:"Packets"` // sent per second by one sidecar on average, like Bytes
 	Bytes         float64        `json:"Bytes"`
 	CPU           float64        `json:"CPU"` // share of a core used by one sidecar
 	History       *judge.History `json:"-"`
@@ -95,7 +95,7 @@
 	}
 }
 
-// recordEarliest keeps the earliest time of each process.
+// recordEarliest records the time of the rules if it is the earliest of their process.
 func recordEarliest(times map[string]int64, rules judge.ActiveRules) {
 	if at, known := times[rules.Process]; !known || rules.At < at {
 		times[rules.Process] = rules.At
@@ -118,7 +118,7 @@
 	return times
 }
 
-// unleasedSeconds adds up how long the processes had no lease after they had had one.
+// unleasedSeconds adds up the times, from each loss of a lease after startedAt until the process had a lease again.
 func unleasedSeconds(changes []judge.ActiveRules, startedAt int64) float64 {
 	total := 0.0
 	since := map[string]int64{}
--- a/internal/faulttest/revisions.go
+++ b/internal/faulttest/revisions.go
@@ -18,7 +18,7 @@
 	commandTimeout = 5 * time.Second
 )
 
-// reachableCoordinator returns a coordinator that knows the leader or, if there is none, one that runs.
+// reachableCoordinator returns a coordinator that knows the leader or, if none does, one that runs.
 func (c *Cluster) reachableCoordinator() *Process {
 	running := c.coordinators[0]
 	for _, coordinator := range c.coordinators {
@@ -37,7 +37,8 @@
 	return running
 }
 
-// leader returns the leader of the coordinators or, if none is known, the latest known one.
+// leader returns the leader of the coordinators. If no coordinator names one now, it returns the leader that was named
+// last, or the first coordinator if there was none yet.
 func (c *Cluster) leader() *Process {
 	// Without an answer, the latest known leader is kept.
 	_ = c.reachableCoordinator().fetchLines(pathVersions, func(line string) {
@@ -135,7 +136,7 @@
 }
 
 // countTables counts the different slot tables that the sidecars have. It reads the table of each sidecar from that
-// sidecar's own page: what others know of it may be half a minute old.
+// sidecar's own page, as the other sidecars' knowledge of its table may be half a minute old.
 func (c *Cluster) countTables() int {
 	tables := map[string]bool{}
 	for _, instance := range c.instances {
--- a/internal/faulttest/script.go
+++ b/internal/faulttest/script.go
@@ -17,13 +17,13 @@
 	Coordinators int
 	Endpoints    int
 	Length       time.Duration
-	Rate         float64 // requests a second at each sidecar
-	Resets       float64 // share of the executed requests whose response is lost
-	Jitter       time.Duration
+	Rate         float64       // requests a second at each sidecar
+	Resets       float64       // share of the executed requests whose response is lost
+	Jitter       time.Duration // maximum random delay of an action that is due at a time
 	Lease        string
-	AgreeWithin  time.Duration
-	Discovery    bool // endpoints come from a fake discovery, which lists all of them at first
-	Contradicts  bool // the judge must find a contradiction; for tests of the judge itself
+	AgreeWithin  time.Duration // longest contradiction that the judge may find
+	Discovery    bool          // endpoints come from a fake discovery, which lists all of them at first
+	Contradicts  bool          // the judge must find a contradiction; for tests of the judge itself
 	RuleSets     []RuleSet
 	Clocks       map[string]string // by process: its clock skew
 	Actions      []Action
@@ -44,7 +44,7 @@
 	At              time.Duration // since the start
 	Share           float64       // of the sidecars, that must apply AwaitedRevision
 	AwaitedRevision int           // revision that the share of sidecars must apply
-	After           time.Duration // delay after that
+	After           time.Duration // delay once they apply it
 	Kind            string
 	Targets         []string
 	From            []string
@@ -55,7 +55,7 @@
 	Duplicate       float64
 	Delay           time.Duration
 	DelayJitter     time.Duration
-	MayFail         bool
+	MayFail         bool     // a failure of the command does not fail the test
 	Ready           []string // ready endpoints of the list to announce
 	Draining        []string // draining endpoints of the list to announce
 }
@@ -95,7 +95,8 @@
 	actionDamage:    {"who"},
 }
 
-// namedShares holds the shares of the sidecars that an action can wait for.
+// namedShares holds the shares of the sidecars that an action can wait for. Their number is rounded up, so the smallest
+// share means one sidecar.
 var namedShares = map[string]float64{"one": 1e-9, "half": 0.5, "all": 1}
 
 // Limits and defaults of scripts.
@@ -232,7 +233,7 @@
 	}
 	var share string
 	if _, err := fmt.Sscanf(when, "%s %d", &share, &a.AwaitedRevision); err != nil || namedShares[share] == 0 {
-		table.Fault("when", table.Found("when"), "one, half or all, and the number of a revision that so many apply")
+		table.Fault("when", table.Found("when"), "one, half or all, then a space and the number of a revision")
 	}
 	a.Share = namedShares[share]
 }
--- a/internal/faulttest/stage.go
+++ b/internal/faulttest/stage.go
@@ -32,8 +32,8 @@
 	Program   string
 	Dir       string // must exist
 	Count     int
-	Strangers int // further processes, alternately with another key and with another cluster name
-	Instances int // number of instances in the configurations
+	Strangers int // processes that must fail to join: they have, in turn, another key or another cluster name
+	Instances int // number of instances that the configurations state; may differ from Count
 	Seed      uint64
 }
 
@@ -163,7 +163,7 @@
 	advertise string
 }
 
-// linkPeer opens the links on which peers reach a process.
+// linkPeer starts the TCP and UDP proxies through which peers reach a process.
 func (s *Stage) linkPeer(name faultproxy.Node, i, port int) (peerAddresses, error) {
 	addresses := peerAddresses{listen: hostPort(processIP(i), port), advertise: hostPort(proxyIP(i), port)}
 	listen := netip.MustParseAddrPort(addresses.listen)
