--- a/internal/benchmark/cost.go
+++ b/internal/benchmark/cost.go
@@ -24,7 +24,7 @@
 const (
 	backendCount     = 3
 	startTimeout     = 5 * time.Second
-	warmUpShare      = 5 // the measured time divided by this is spent first, to fill connections and pools
+	warmUpShare      = 5 // before measuring, load runs for the duration divided by this, to fill connections and pools
 	plainIdlePerHost = 256
 )
 
@@ -74,8 +74,8 @@
 }
 
 // Run measures the subjects one after another in each round, so that a drift of the machine's speed affects all of them
-// alike. Each measurement takes the duration, with the given number of clients. self is the path of a program with the
-// command "backend ADDRESS".
+// alike. Each measurement takes the duration, with the given number of clients. self is the path of a program whose
+// command "backend ADDRESS" calls ServeBackend.
 func Run(
 	ctx context.Context,
 	self string,
--- a/internal/benchmark/follow.go
+++ b/internal/benchmark/follow.go
@@ -69,7 +69,7 @@
 	list         string
 	sealed       bool
 	endpoints    [2]*fakebackend.Server
-	firstRequest [2]atomic.Int64 // Unix time, ns, of the first request at each since it was reset
+	firstRequest [2]atomic.Int64 // Unix time, ns, of the first request at each endpoint; 0: none yet
 }
 
 func (p *endpointPair) start() error {
@@ -95,8 +95,8 @@
 // draining returns the index of the endpoint that is draining in an issue of the list.
 func (p *endpointPair) draining(issue int) int { return issue % 2 }
 
-// followChange writes an issue of the list and returns the time until a request reaches the endpoint that it makes
-// ready.
+// followChange writes an issue of the list and returns the time until a request reaches the endpoint that this issue
+// makes ready.
 func (p *endpointPair) followChange(issue int) (time.Duration, error) {
 	ready := 1 - p.draining(issue)
 	p.firstRequest[ready].Store(0)
--- a/internal/benchmark/lists.go
+++ b/internal/benchmark/lists.go
@@ -10,8 +10,8 @@
 	"pepperlead/policy"
 )
 
-// ListText returns a list file with the given number of endpoints. The first ones are at the addresses, the others at
-// addresses where nothing listens.
+// ListText returns a list file with the given number of endpoints. The first of them have the given addresses, the
+// others addresses where nothing listens.
 func ListText(endpoints int, addresses []string, issue endpointfiles.Issue, sealed bool) []byte {
 	var text strings.Builder
 	for i := range endpoints {
@@ -40,14 +40,15 @@
 	return list
 }
 
-// ListCost is the time that a list takes to be read, checked and assigned to slots.
+// ListCost is the time that a list takes to be read, checked and assigned to slots. Of these steps, the daemon runs
+// Assign and Reassign on its loop, and the others outside it.
 type ListCost struct {
 	Endpoints int           `json:"servers"`
 	Bytes     int           `json:"bytes"`
-	Parse     time.Duration `json:"parse_ns"` // from text to entries, including the digest; outside the loop
-	Evaluate  time.Duration `json:"weigh_ns"` // outside the loop
-	Assign    time.Duration `json:"deal_ns"`  // the module's UpdateEndpoints, on the loop
-	Reassign  time.Duration `json:"again_ns"` // UpdateEndpoints with the same list again, on the loop
+	Parse     time.Duration `json:"parse_ns"` // from text to entries, including the digest
+	Evaluate  time.Duration `json:"weigh_ns"` // the validator's Evaluate
+	Assign    time.Duration `json:"deal_ns"`  // the module's UpdateEndpoints
+	Reassign  time.Duration `json:"again_ns"` // UpdateEndpoints with the same list again
 }
 
 // MeasureListCost measures the cost of a list with the given number of endpoints. Of each step it returns the shortest
--- a/internal/fakebackend/discovery.go
+++ b/internal/fakebackend/discovery.go
@@ -21,7 +21,7 @@
 	Endpoint string  `json:"endpoint"`
 	Zone     string  `json:"az"`
 	Pod      int     `json:"pod_group"`
-	State    string  `json:"state"` // Ready or Terminating; Gone among changes only
+	State    string  `json:"state"` // Ready or Terminating; Gone in lists of changes only
 	Weight   float64 `json:"capacity_hint"`
 	Boot     int64   `json:"boot_ms"`
 }
@@ -73,7 +73,7 @@
 // Close ends the service and all its connections at once.
 func (c *Catalog) Close() error { return c.http.Close() }
 
-// SetTargets replaces the list. Targets that were listed before and are no longer get the state Gone.
+// SetTargets replaces the list. Targets that are no longer listed get the state Gone.
 func (c *Catalog) SetTargets(targets []Target) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,8 +106,8 @@
 	}
 }
 
-// serve answers a call with the complete list at once if it names no valid version. Otherwise it holds the call until
-// there is a change or the hold time of the call is over.
+// serve answers a call that names no valid version with the complete list at once. It holds any other call until there
+// is a change or the hold time of the call is over.
 func (c *Catalog) serve(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	since, err := strconv.ParseInt(query.Get("from"), 10, 64)
--- a/internal/fakebackend/server.go
+++ b/internal/fakebackend/server.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// Grace is how long after the start of draining new requests may still arrive.
+	// Grace is how long new requests may still arrive once draining has started.
 	Grace = time.Second
 
 	maxBodyBytes = 64 << 10
@@ -51,7 +51,7 @@
 	Cores      int           // requests worked on at once
 	Queue      int           // requests that may wait for a core; further ones are rejected
 	Work       time.Duration // mean work of a request, exponentially distributed
-	WarmUpTime time.Duration // warm-up time after a start, in which the work per request falls to the usual
+	WarmUpTime time.Duration // warm-up time after a start, in which the factor on the work falls from ColdFactor to 1
 	ColdFactor float64       // factor on the work right after a start
 	Faults
 	Seed uint64
@@ -79,7 +79,7 @@
 	Conns      int // open connections
 }
 
-// fault is the fault that a request is given.
+// fault is the kind of fault that was drawn for a request.
 type fault int
 
 const (
@@ -183,7 +183,7 @@
 	if s.traits.OnRequest != nil {
 		s.traits.OnRequest(r.Header.Get(headerRequestID), r.Header.Get(headerIdempotencyKey), now)
 	}
-	draining, work, drawn := s.arrive(now)
+	draining, work, drawn := s.recordArrival(now)
 	if draining || !s.admit() {
 		s.count(func(c *Counts) { c.Rejected++ })
 		writeRejection(w)
@@ -234,9 +234,9 @@
 	}
 }
 
-// arrive counts a request and draws its work and its fault. Each request makes all draws, so that a change of one fault
-// share does not change the draws of later requests.
-func (s *Server) arrive(now time.Time) (draining bool, work time.Duration, drawn fault) {
+// recordArrival counts a request and draws its work and its fault. Each request makes all draws, so that a change of
+// one fault share does not change the draws of later requests.
+func (s *Server) recordArrival(now time.Time) (draining bool, work time.Duration, drawn fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Requests++
@@ -261,7 +261,8 @@
 	return draining, work, drawn
 }
 
-// warmUp returns the work of a request that arrives at a time: more than given while the server warms up.
+// warmUp returns the work of a request that arrives at the given time: the usual work, multiplied while the server is
+// still warming up.
 func (s *Server) warmUp(work time.Duration, now time.Time) time.Duration {
 	age := now.Sub(s.started)
 	if age >= s.traits.WarmUpTime || s.traits.ColdFactor <= 1 {
--- a/internal/faultproxy/tcp.go
+++ b/internal/faultproxy/tcp.go
@@ -18,8 +18,9 @@
 	acceptRetryDelay = time.Millisecond
 )
 
-// TCP relays connections from an address to a target, which belongs to a process. It returns the address on which it
-// listens. Connections are established even if the link is blocked, as the kernel accepts them, but carry nothing.
+// TCP listens on an address and relays the connections there to a target, the address of a process. It returns the
+// address on which it listens. Connections are established even if the link is blocked, as the kernel accepts them, but
+// carry nothing.
 func (n *Network) TCP(listen string, to Node, target string) (string, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
--- a/internal/faultproxy/udp.go
+++ b/internal/faultproxy/udp.go
@@ -17,10 +17,10 @@
 	conn *net.UDPConn
 }
 
-// UDP relays packets from an address to a target, which belongs to a process, and the target's answers back. It returns
-// the address on which it listens. All packets of one caller are sent from one socket, whatever their target, because
-// answers are distinguished by the target that sends them. So the number of sockets grows linearly with the number of
-// processes, not with its square.
+// UDP listens on an address and relays the packets there to a target, the address of a process, and the target's
+// answers back. It returns the address on which it listens. One socket sends all packets of a caller, whatever their
+// target, as the source address of an answer tells which target has sent it. So the number of sockets grows linearly
+// with the number of processes, not with its square.
 func (n *Network) UDP(listen string, to Node, target netip.AddrPort) (string, error) {
 	address, err := net.ResolveUDPAddr("udp", listen)
 	if err != nil {
--- a/internal/freeport/freeport.go
+++ b/internal/freeport/freeport.go
@@ -1,4 +1,4 @@
-// Package freeport chooses free ports for processes that tests and benchmarks start, and may restart at the same
+// Package freeport chooses free ports for processes that tests and benchmarks start and may later restart at the same
 // address.
 package freeport
 
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -63,8 +63,8 @@
 }
 
 // RoundTrip checks both directions of an encoding against a golden file: marshal must encode the value to the content
-// of the file, and unmarshal must decode the file into decoded, a pointer to a zero value, so that marshal encodes that
-// to the same content again.
+// of the file, and unmarshal must decode the file into decoded, which points to a zero value. When marshal encodes
+// decoded, the result must be the same content again.
 func RoundTrip(t testing.TB, name string, value, decoded any,
 	marshal func(any) ([]byte, error), unmarshal func([]byte, any) error) {
 	t.Helper()
@@ -145,8 +145,8 @@
 	}
 }
 
-// Values returns a text with all values within a value, one per line, in the order of the fields. It contains no names
-// of fields or types, so that renaming them does not change the text.
+// Values returns a text that lists all values that a value contains, one per line, in the order of the fields. It
+// contains no names of fields or types, so that renaming them does not change the text.
 func Values(value any) []byte {
 	var out bytes.Buffer
 	values(&out, reflect.ValueOf(value), "")
--- a/internal/knownred/knownred.go
+++ b/internal/knownred/knownred.go
@@ -34,7 +34,7 @@
 	Issue string
 }
 
-// fields holds the names of the lines of an entry, in their order.
+// fields holds the keys of the lines of an entry, in the order of the lines.
 var fields = []string{"test", "command", "seed", "seen", "issue"}
 
 // testLine is the value of an entry's test line: an import path and a test function's name.
--- a/internal/knownred/run.go
+++ b/internal/knownred/run.go
@@ -108,22 +108,22 @@
 	return nil
 }
 
-// testWithout tests the packages without the tests to skip, first the packages that have none. It continues
-// after a failure.
+// testWithout runs all tests of the packages except those to skip. Packages without a test to skip come first. It
+// continues after a failure.
 func (r *Runner) testWithout(packages []string, skip map[string][]string) error {
-	var clean, red []string
+	var complete, partial []string
 	for _, pkg := range packages {
 		if skip[pkg] == nil {
-			clean = append(clean, pkg)
+			complete = append(complete, pkg)
 		} else {
-			red = append(red, pkg)
+			partial = append(partial, pkg)
 		}
 	}
 	var failures []error
-	if len(clean) > 0 {
-		failures = append(failures, r.test(clean...))
+	if len(complete) > 0 {
+		failures = append(failures, r.test(complete...))
 	}
-	for _, pkg := range red {
+	for _, pkg := range partial {
 		failures = append(failures, r.test("-skip", skipPattern(skip[pkg]), pkg))
 	}
 	return errors.Join(failures...)
--- a/internal/livetest/endpointlist.go
+++ b/internal/livetest/endpointlist.go
@@ -11,7 +11,7 @@
 
 const (
 	listTimeFormat = "2006-01-02T15:04:05.000000000Z"
-	// maxListRemovals is the number of endpoints that a list may remove: more than there can be.
+	// maxListRemovals is the number of endpoints that a list may remove: more than a run can have.
 	maxListRemovals = 10000
 )
 
@@ -92,7 +92,8 @@
 	})
 }
 
-// setListed changes the listed status of an endpoint, unless the endpoint has restarted or come back meanwhile.
+// setListed changes the listed status of an endpoint, unless the endpoint has restarted or come back meanwhile. It
+// reports whether it has changed the status.
 func (r *liveRun) setListed(endpoint *fakeEndpoint, status policy.EndpointStatus, started policy.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/livetest/endpoints.go
+++ b/internal/livetest/endpoints.go
@@ -77,8 +77,8 @@
 }
 
 // RequestArrived reports the start of an attempt. If an earlier attempt for the request is still open at its endpoint,
-// it waits for the end of that, up to tolerance: the other endpoint may learn later than this one that the instance has
-// closed the connection.
+// it first waits for the end of that attempt, for at most tolerance: the earlier endpoint may not have noticed yet that
+// the instance has closed the connection.
 func (o *endpointObserver) RequestArrived(arrival fakebackend.Arrival) any {
 	r := o.run
 	r.mu.Lock()
@@ -97,7 +97,7 @@
 		r.mu.Lock()
 	}
 	if request.answeredAt > 0 && at < request.answeredAt+tolerance {
-		return nil // sent before the response
+		return nil // the attempt was sent before the client's response
 	}
 	instance := request.instance
 	endpoint := o.endpoint
--- a/internal/livetest/faults.go
+++ b/internal/livetest/faults.go
@@ -20,8 +20,8 @@
 )
 
 // scheduleFaults sets a timer for each fault of the scenario. Faults that change the load are part of the plan of
-// requests already; the others are applied to endpoints, instances and lists. A lost zone is only silent: connections
-// to it are still established, as a process cannot have its packets refused.
+// requests already; the others are applied to endpoints, instances and lists. The endpoints of a lost zone only fall
+// silent: connections to them are still established, as the kernel accepts them for the process.
 func (r *liveRun) scheduleFaults() []*time.Timer {
 	var timers []*time.Timer
 	for i := range r.Scenario.Faults {
@@ -230,13 +230,13 @@
 	defer r.mu.Unlock()
 	scenario := r.Scenario
 	number := len(r.endpoints)
-	model := r.endpoints[number%scenario.Endpoints]
+	template := r.endpoints[number%scenario.Endpoints]
 	added := &fakeEndpoint{
 		id:           judge.EndpointID(number),
 		uid:          fmt.Sprintf("s-%05d", number),
 		zone:         scenario.Zones[number%len(scenario.Zones)],
-		cell:         model.cell + addedCellOffset,
-		weight:       model.weight,
+		cell:         template.cell + addedCellOffset,
+		weight:       template.weight,
 		listedStatus: policy.Removed,
 	}
 	traits := scenario.Kinds[number%len(scenario.Kinds)].Traits
--- a/internal/livetest/livetest.go
+++ b/internal/livetest/livetest.go
@@ -1,6 +1,6 @@
 // Package livetest plays a scenario on sockets in real time, at a small size: daemons as processes of their own, fake
 // backends with the emulator's model of endpoints, the requests of the emulator's clients, and the same judge. It shows
-// whether the daemon, sockets and all, does what the decision module does in virtual time.
+// whether the whole daemon, with real sockets, does what the decision module does in virtual time.
 package livetest
 
 import (
@@ -24,7 +24,7 @@
 
 const (
 	// tolerance is how late a fake backend may observe what an instance did: its handler starts, or learns of a closed
-	// connection, that much later.
+	// connection, at most that much later.
 	tolerance = 100 * policy.Millisecond
 	// leadTime is the time between the end of the setup and the first request.
 	leadTime = 500 * policy.Millisecond
@@ -78,7 +78,8 @@
 			"%s: found %d servers, %d sidecars, %.0f requests a second, allowed %d, %d, %d on sockets",
 			scenario.Name, scenario.Endpoints, scenario.Instances, rate, maxEndpoints, maxInstances, maxRate)
 	case scenario.Discovery.Polled:
-		return fmt.Errorf("%s: discovery.asked: lists are only read from files on sockets", scenario.Name)
+		return fmt.Errorf("%s: discovery.asked: not supported on sockets, where lists are read from files",
+			scenario.Name)
 	}
 	return nil
 }
--- a/internal/livetest/run.go
+++ b/internal/livetest/run.go
@@ -15,7 +15,8 @@
 	"pepperlead/policy"
 )
 
-// Random streams of the seed, one for each purpose. Endpoints and faults add their index.
+// Random streams of the seed, one for each purpose. Each endpoint and each fault adds its index to the number, to have
+// a stream of its own.
 const (
 	listStream     = 1
 	retryStream    = 2
@@ -42,7 +43,7 @@
 	values      *emulator.ValueMeter
 	listRandom  *rand.Rand
 	retryRandom *rand.Rand
-	listIssue   int // issue of the latest endpoint list
+	listIssue   int // issue number of the latest endpoint list
 }
 
 func newLiveRun(options Options, dir string, world *emulator.World) *liveRun {
