--- a/cmd/pepperlead-sim/drillpeers.go
+++ b/cmd/pepperlead-sim/drillpeers.go
@@ -85,7 +85,8 @@
 
 func printPeers(out io.Writer, r faulttest.PeersResult) {
 	for _, step := range r.Steps {
-		printf(out, "%6.1f s  %s (%d sidecars see %d alive)\n", step.Seconds, step.Name, step.Observers, step.ExpectedAlive)
+		printf(out, "%6.1f s  %s (%d sidecars see %d alive)\n",
+			step.Seconds, step.Name, step.Observers, step.ExpectedAlive)
 	}
 	printf(out, "an idle sidecar: %.1f packets and %.0f bytes sent per second, %.4f of a core; "+
 		"%.0f false alarms in total\n",
--- a/internal/fakebackend/server.go
+++ b/internal/fakebackend/server.go
@@ -261,8 +261,8 @@
 	return draining, work, drawn
 }
 
-// warmUp returns the work of a request that arrives at the given time: the usual work, multiplied while the server is
-// still warming up.
+// warmUp returns the work of a request that arrives at the given time: the work passed in, increased while the server
+// is still warming up.
 func (s *Server) warmUp(work time.Duration, now time.Time) time.Duration {
 	age := now.Sub(s.started)
 	if age >= s.traits.WarmUpTime || s.traits.ColdFactor <= 1 {
--- a/internal/faultproxy/network_test.go
+++ b/internal/faultproxy/network_test.go
@@ -22,7 +22,7 @@
 	return n
 }
 
-// startServer starts a server at b that answers each byte with the next one.
+// startServer starts a server at b that answers each byte with its value plus one.
 func startServer(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.3.0.2:0")
 	if err != nil {
--- a/internal/faulttest/figures.go
+++ b/internal/faulttest/figures.go
@@ -14,7 +14,7 @@
 	packets    float64 // sent
 	bytes      float64 // sent
 	cpu        float64 // seconds
-	departures float64 // times that one of them saw another instance leave or declared it dead
+	departures float64 // other members that left or were declared dead, counted by each
 }
 
 // sumUsage reads the usage of the processes and adds it up.
--- a/internal/faulttest/golden_test.go
+++ b/internal/faulttest/golden_test.go
@@ -12,7 +12,8 @@
 	"pepperlead/internal/golden"
 )
 
-// TestResultsMatchGoldenFiles compares the JSON form of the results, with a value in each field, with golden files.
+// TestResultsMatchGoldenFiles compares the JSON form of the results, with a value in each field, with golden files. It
+// fails if renaming a field changes its JSON name.
 func TestResultsMatchGoldenFiles(t *testing.T) {
 	for name, document := range map[string]any{"play.json": &Result{}, "peers.json": &PeersResult{}} {
 		golden.Fill(document)
@@ -24,7 +25,8 @@
 	}
 }
 
-// TestReadLogs reads log lines of the kinds that sidecars write during a fault-injection test.
+// TestReadLogs reads log lines of the kinds that sidecars write during a fault-injection test. If such lines were no
+// longer recognised, the judge would get no records and find no violations.
 func TestReadLogs(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	if err := os.WriteFile(path, golden.Read(t, "sidecar.log"), 0o600); err != nil {
@@ -50,7 +52,7 @@
 }
 
 // TestScriptValuesMatchGoldenFiles compares the values that are read from each drill of the repository with golden
-// files.
+// files. It fails if a key is read into another field or a default changes.
 func TestScriptValuesMatchGoldenFiles(t *testing.T) {
 	paths, err := filepath.Glob("../../drills/*.toml")
 	if err != nil || len(paths) == 0 {
@@ -69,8 +71,8 @@
 	}
 }
 
-// TestReportMatchesGoldenFile compares the report of a result with a golden file. The report's template names fields
-// that no compiler checks.
+// TestReportMatchesGoldenFile compares the report of a result with a golden file. The report's template names fields,
+// and the compiler does not check them.
 func TestReportMatchesGoldenFile(t *testing.T) {
 	var result Result
 	var script Script
--- a/internal/faulttest/result.go
+++ b/internal/faulttest/result.go
@@ -37,7 +37,7 @@
 	Busy          float64        `json:"Busy"`      // share of the machine's cores in use, by any process
 	Void          bool           `json:"Void"`      // the machine stalled for longer than a lease: no value is valid
 	Failed        []string       `json:"Failed"`
-	Departures    float64        `json:"Gone"`    // times that a sidecar saw another leave or declared it dead, in total
+	Departures    float64        `json:"Gone"`    // members that left or were declared dead, summed over all sidecars
 	Packets       float64        `json:"Packets"` // sent per second by one sidecar on average, like Bytes
 	Bytes         float64        `json:"Bytes"`
 	CPU           float64        `json:"CPU"` // share of a core used by one sidecar
