--- a/internal/faulttest/peers.go
+++ b/internal/faulttest/peers.go
@@ -48,7 +48,7 @@
 		return PeersResult{}, fmt.Errorf("drill: found %d processes, allowed 5 at least", count)
 	}
 	t := &peersTest{ctx: ctx, stage: s, all: s.Processes[:count]}
-	t.expect("all started", t.all, count)
+	t.expect("started at once", t.all, count)
 	if err := t.idle(); err != nil {
 		return t.result, err
 	}
@@ -115,7 +115,7 @@
 	link := faultproxy.Link{From: t.all[0].Name, To: t.all[1].Name}
 	t.stage.Links.Set(link, faultproxy.Faults{Blocked: true})
 	_ = sleep(t.ctx, oneWayTime) // a cancelled context fails the step below
-	t.expect("one link blocked in one direction: all stay alive", t.all, len(t.all))
+	t.expect("one link cut one way: nobody is held to be gone", t.all, len(t.all))
 	t.stage.Links.Heal()
 }
 
@@ -137,13 +137,13 @@
 		}
 	}
 	t.stage.Links.Partition(t.smaller, larger)
-	t.expect("one killed, the others partitioned: the smaller part", t.survivors[:smallerCount], smallerCount)
-	t.expect("one killed, the others partitioned: the larger part", t.survivors[smallerCount:], count-smallerCount-1)
+	t.expect("one killed, the company cut in two: the smaller part", t.survivors[:smallerCount], smallerCount)
+	t.expect("the larger part", t.survivors[smallerCount:], count-smallerCount-1)
 	if t.lost(t.smaller, larger) == 0 || t.lost(larger, t.smaller) == 0 {
 		t.fail(errors.New("one part has sent no packets to the other during the partition"))
 	}
 	t.stage.Links.Heal()
-	t.expect("partition healed", t.survivors, count-1)
+	t.expect("healed", t.survivors, count-1)
 }
 
 // stall stops an instance for a while.
@@ -151,9 +151,9 @@
 	count := len(t.survivors)
 	last := t.survivors[count-1]
 	last.SetStalled(true)
-	t.expect("one stalled", t.survivors[:count-1], count-1)
+	t.expect("one stands still", t.survivors[:count-1], count-1)
 	last.SetStalled(false)
-	t.expect("the stalled one continues", t.survivors, count)
+	t.expect("it goes on", t.survivors, count)
 }
 
 // leaveAndRestart shuts an instance down gracefully, and restarts the killed one.
@@ -167,7 +167,7 @@
 	if err := t.killed.Start(); err != nil {
 		t.fail(err)
 	}
-	t.expect("the killed one restarted", append(remaining, t.killed), count)
+	t.expect("the killed one is back", append(remaining, t.killed), count)
 }
 
 // checkStrangers fails the test if a process of another cluster or key sees other instances. It also fails
