--- a/cmd/pepperlead-sim/drillpeers.go
+++ b/cmd/pepperlead-sim/drillpeers.go
@@ -60,7 +60,7 @@
 		return err
 	}
 	defer removeAll(directory)
-	stage, err := faulttest.Begin(faulttest.StageConfig{
+	stage, err := faulttest.StartStage(faulttest.StageConfig{
 		Program:   o.daemon,
 		Dir:       directory,
 		Count:     o.count,
@@ -72,7 +72,7 @@
 		return err
 	}
 	defer stage.Close()
-	result, err := faulttest.Peers(ctx, stage, o.count)
+	result, err := faulttest.RunPeersTest(ctx, stage, o.count)
 	if o.asJSON {
 		if failed := printJSON(out, result); failed != nil {
 			return failed
@@ -85,11 +85,12 @@
 
 func printPeers(out io.Writer, r faulttest.PeersResult) {
 	for _, step := range r.Steps {
-		printf(out, "%6.1f s  %s (%d sidecars see %d alive)\n", step.Seconds, step.What, step.Know, step.Of)
+		printf(out, "%6.1f s  %s (%d sidecars see %d alive)\n",
+			step.Seconds, step.Name, step.Observers, step.ExpectedAlive)
 	}
 	printf(out, "an idle sidecar: %.1f packets and %.0f bytes sent per second, %.4f of a core; "+
 		"%.0f false alarms in total\n",
 		r.Packets, r.Bytes, r.CPU, r.FalseAlarms)
 	printf(out, "the fault proxy itself added %.1f ms (99th percentile); clock readings were up to %.0f ms late\n",
-		r.OwnDelay*1000, r.LatestClock*1000)
+		r.ProxyOverhead*1000, r.ClockLateness*1000)
 }
--- a/internal/benchmark/lists.go
+++ b/internal/benchmark/lists.go
@@ -10,7 +10,8 @@
 	"pepperlead/policy"
 )
 
-// ListText returns a list file of so many endpoints, the first ones at the addresses, the others where nobody answers.
+// ListText returns a list file with the given number of endpoints. The first of them have the given addresses, the
+// others addresses where nothing listens.
 func ListText(endpoints int, addresses []string, issue endpointfiles.Issue, sealed bool) []byte {
 	var text strings.Builder
 	for i := range endpoints {
@@ -39,18 +40,20 @@
 	return list
 }
 
-// ListCost is the time that a list takes to be read, checked and assigned to slots.
+// ListCost is the time that a list takes to be read, checked and assigned to slots. Of these steps, the daemon runs
+// Assign and Reassign on its loop, and the others outside it.
 type ListCost struct {
 	Endpoints int           `json:"servers"`
 	Bytes     int           `json:"bytes"`
-	Parse     time.Duration `json:"parse_ns"` // text to entries, with the digest; beside the loop
-	Evaluate  time.Duration `json:"weigh_ns"` // beside the loop
-	Assign    time.Duration `json:"deal_ns"`  // the module's UpdateEndpoints, on the loop
-	Again     time.Duration `json:"again_ns"` // the same list a second time, on the loop
+	Parse     time.Duration `json:"parse_ns"` // from text to entries, including the digest
+	Evaluate  time.Duration `json:"weigh_ns"` // the validator's Evaluate
+	Assign    time.Duration `json:"deal_ns"`  // the module's UpdateEndpoints
+	Reassign  time.Duration `json:"again_ns"` // UpdateEndpoints with the same list again
 }
 
-// ReadLists measures a list of so many endpoints, each step by its shortest time in some rounds.
-func ReadLists(endpoints, rounds int) ListCost {
+// MeasureListCost measures the cost of a list with the given number of endpoints. Of each step it returns the shortest
+// time of all rounds.
+func MeasureListCost(endpoints, rounds int) ListCost {
 	text := ListText(endpoints, nil, 1, true)
 	cost := ListCost{Endpoints: endpoints, Bytes: len(text)}
 	for range rounds {
@@ -60,7 +63,7 @@
 	return cost
 }
 
-// measure reads the list once.
+// measure reads the list once and keeps the time of each step that was shorter than before.
 func (c *ListCost) measure(text []byte) {
 	var file endpointfiles.File
 	var result endpointfiles.Result
@@ -84,10 +87,10 @@
 	}
 	module := policy.New(policy.DiscardFront{}, settings, 1, 1)
 	shortest(&c.Assign, func() { module.UpdateEndpoints(1, policy.ListFull, members) })
-	shortest(&c.Again, func() { module.UpdateEndpoints(2, policy.ListFull, members) })
+	shortest(&c.Reassign, func() { module.UpdateEndpoints(2, policy.ListFull, members) })
 }
 
-// shortest runs the step and keeps its time if it is the shortest so far.
+// shortest runs the step and stores its time in least if it is the shortest so far; 0 means no time yet.
 func shortest(least *time.Duration, step func()) {
 	start := time.Now()
 	step()
--- a/internal/fakebackend/discovery.go
+++ b/internal/fakebackend/discovery.go
@@ -15,19 +15,19 @@
 // readHeaderTimeout bounds how long a client may take for the head of a request.
 const readHeaderTimeout = 10 * time.Second
 
-// Target is an endpoint in the form of the platform's discovery service.
+// Target is an endpoint in the format of the platform's discovery service.
 type Target struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
 	Zone     string  `json:"az"`
 	Pod      int     `json:"pod_group"`
-	State    string  `json:"state"` // Ready or Terminating; Gone among changes only
+	State    string  `json:"state"` // Ready or Terminating; Gone in lists of changes only
 	Weight   float64 `json:"capacity_hint"`
 	Boot     int64   `json:"boot_ms"`
 }
 
-// Catalog is a discovery service that answers as the platform's does: with the complete list first, then, to each call
-// that waits, with the changes since the version that the call names.
+// Catalog is a fake of the platform's discovery service. It answers a first call with the complete list, and later
+// calls, which may wait for a change, with the changes since the version that the call names.
 type Catalog struct {
 	http    http.Server
 	address net.Addr
@@ -73,7 +73,7 @@
 // Close ends the service and all its connections at once.
 func (c *Catalog) Close() error { return c.http.Close() }
 
-// SetTargets replaces the list. Targets that were listed before and are no longer get the state Gone.
+// SetTargets replaces the list. Targets that are no longer listed get the state Gone.
 func (c *Catalog) SetTargets(targets []Target) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,26 +106,26 @@
 	}
 }
 
-// serve answers a call at once, or holds it until there is a change or its hold time is over. Without a valid version
-// the call gets the complete list.
+// serve answers a call that names no valid version with the complete list at once. It holds any other call until there
+// is a change or the hold time of the call is over.
 func (c *Catalog) serve(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	since, err := strconv.ParseInt(query.Get("from"), 10, 64)
 	if err != nil {
 		since = -1
 	}
-	holdMillis, _ := strconv.ParseInt(query.Get("hold_ms"), 10, 64) // without a valid number the call isn't held
+	holdMillis, _ := strconv.ParseInt(query.Get("hold_ms"), 10, 64) // without a valid number, the call is not held
 	hold := time.NewTimer(time.Duration(holdMillis) * time.Millisecond)
 	defer hold.Stop()
 	if since >= 0 && !c.waitForChange(r, since, hold.C) {
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(c.response(since)) // fails only when the client has left
+	_ = json.NewEncoder(w).Encode(c.response(since)) // fails only if the client has closed the connection
 }
 
-// waitForChange waits until there is a version after the given one or the hold time is over. It returns false when the
-// client has left.
+// waitForChange waits until there is a version after the given one or the hold time is over. It returns false if the
+// client has closed the connection.
 func (c *Catalog) waitForChange(r *http.Request, since int64, holdOver <-chan time.Time) bool {
 	for {
 		c.mu.Lock()
--- a/internal/faulttest/figures.go
+++ b/internal/faulttest/figures.go
@@ -9,40 +9,43 @@
 	"time"
 )
 
-// peerFigures are what instances have spent on knowing each other, summed over some of them.
-type peerFigures struct {
-	packets     float64 // sent
-	bytes       float64 // sent
-	cpu         float64 // seconds
-	falseDeaths float64 // times that an instance took another for gone
+// usage holds the resources that a group of instances has used in total, and how many departures they counted.
+type usage struct {
+	packets    float64 // sent
+	bytes      float64 // sent
+	cpu        float64 // seconds
+	departures float64 // other members that left or were declared dead, counted by each
 }
 
-func sumFigures(processes []*Process) peerFigures {
-	var sum peerFigures
+// sumUsage reads the usage of the processes and adds it up.
+func sumUsage(processes []*Process) usage {
+	var sum usage
 	for _, process := range processes {
-		values := process.Figures(metricPacketsSent, metricBytesSent, metricCPUSeconds, metricFalseDeaths)
+		values := process.Metrics(metricPacketsSent, metricBytesSent, metricCPUSeconds, metricDepartures)
 		sum.packets += values[0]
 		sum.bytes += values[1]
 		sum.cpu += values[2]
-		sum.falseDeaths += values[3]
+		sum.departures += values[3]
 	}
 	return sum
 }
 
-// since returns what was spent since an earlier reading.
-func (f peerFigures) since(before peerFigures) peerFigures {
-	return peerFigures{
-		packets:     f.packets - before.packets,
-		bytes:       f.bytes - before.bytes,
-		cpu:         f.cpu - before.cpu,
-		falseDeaths: f.falseDeaths - before.falseDeaths,
+// since returns the difference to an earlier reading.
+func (u usage) since(before usage) usage {
+	return usage{
+		packets:    u.packets - before.packets,
+		bytes:      u.bytes - before.bytes,
+		cpu:        u.cpu - before.cpu,
+		departures: u.departures - before.departures,
 	}
 }
 
+// clockInterval is the time between two readings of the clock.
 const clockInterval = 5 * time.Millisecond
 
-// clockLateness starts reading the clock until the context ends. The function it returns says by how much the latest
-// reading was late: where hundreds of processes share few cores, the scheduler's delay looks like a stall.
+// clockLateness reads the clock at intervals until the context ends. The returned function reports the longest delay of
+// a reading so far. Where hundreds of processes share few cores, a delay of this length may come from the scheduler and
+// not from the program under test.
 func clockLateness(ctx context.Context) func() time.Duration {
 	var worst atomic.Int64
 	go func() {
@@ -55,20 +58,21 @@
 	return func() time.Duration { return time.Duration(worst.Load()) }
 }
 
-// cpuTimes are the times that all cores of the machine have spent, and the idle part of them.
+// cpuTimes holds the total time of the machine's cores and the part of it in which they were idle.
 type cpuTimes struct {
 	all  float64
 	idle float64
 }
 
-// Columns of the first line of /proc/stat, see proc(5). Column 0 is the word "cpu"; the times of guests, after steal,
-// are contained in those of user.
+// Columns of the first line of /proc/stat, see proc(5). Column 0 is the word "cpu"; the guest times that follow
+// steal are already included in the user time.
 const (
 	statIdle   = 4
 	statIOWait = 5
 	statSteal  = 8
 )
 
+// readCPU reads the CPU times since the machine started.
 func readCPU() cpuTimes {
 	var times cpuTimes
 	text, _ := os.ReadFile("/proc/stat") // without the file no share is known, and since returns 0
--- a/internal/faulttest/golden_test.go
+++ b/internal/faulttest/golden_test.go
@@ -12,9 +12,9 @@
 	"pepperlead/internal/golden"
 )
 
-// TestResultsHaveTheirKeys holds what pepperlab drill prints as JSON, with a value in each field, to what it printed
-// before.
-func TestResultsHaveTheirKeys(t *testing.T) {
+// TestResultsMatchGoldenFiles compares the JSON form of the results, with a value in each field, with golden files. It
+// fails if renaming a field changes its JSON name.
+func TestResultsMatchGoldenFiles(t *testing.T) {
 	for name, document := range map[string]any{"play.json": &Result{}, "peers.json": &PeersResult{}} {
 		golden.Fill(document)
 		written, err := json.MarshalIndent(document, "", "  ")
@@ -25,8 +25,9 @@
 	}
 }
 
-// TestLinesOfSidecarsAreRead reads lines as instances write them during a drill.
-func TestLinesOfSidecarsAreRead(t *testing.T) {
+// TestReadLogs reads log lines of the kinds that sidecars write during a fault-injection test. If such lines were no
+// longer recognised, the judge would get no records and find no violations.
+func TestReadLogs(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	if err := os.WriteFile(path, golden.Read(t, "sidecar.log"), 0o600); err != nil {
 		t.Fatal(err)
@@ -37,22 +38,22 @@
 	if err := cluster.readLogs(&history); err != nil {
 		t.Fatal(err)
 	}
-	acts := func(at int64, leased bool, versions ...int) judge.ActiveRules {
-		return judge.ActiveRules{Process: "n1", Revisions: versions, Leased: leased, At: at}
+	rules := func(at int64, leased bool, revisions ...int) judge.ActiveRules {
+		return judge.ActiveRules{Process: "n1", Revisions: revisions, Leased: leased, At: at}
 	}
-	changes := []judge.ActiveRules{acts(11, true, 4, 5), acts(12, false, 4, 5)}
+	changes := []judge.ActiveRules{rules(11, true, 4, 5), rules(12, false, 4, 5)}
 	steps := []judge.Step{
-		{ActiveRules: acts(13, true, 5), ID: "a-1"},
-		{ActiveRules: acts(14, true, 5), ID: "a-1", Endpoint: "s-2", AttemptNumber: 3},
+		{ActiveRules: rules(13, true, 5), ID: "a-1"},
+		{ActiveRules: rules(14, true, 5), ID: "a-1", Endpoint: "s-2", AttemptNumber: 3},
 	}
 	if !reflect.DeepEqual(history.Changes, changes) || !reflect.DeepEqual(history.Steps, steps) {
 		t.Errorf("got %+v and %+v", history.Changes, history.Steps)
 	}
 }
 
-// TestDrillsAreReadAsBefore holds the values that each drill of the repository is read as to those that it was read
-// as before.
-func TestDrillsAreReadAsBefore(t *testing.T) {
+// TestScriptValuesMatchGoldenFiles compares the values that are read from each drill of the repository with golden
+// files. It fails if a key is read into another field or a default changes.
+func TestScriptValuesMatchGoldenFiles(t *testing.T) {
 	paths, err := filepath.Glob("../../drills/*.toml")
 	if err != nil || len(paths) == 0 {
 		t.Fatal(err, len(paths))
@@ -70,27 +71,27 @@
 	}
 }
 
-// TestReportIsWrittenAsBefore holds the page about a play, whose template names fields that no compiler checks, to
-// what was written before.
-func TestReportIsWrittenAsBefore(t *testing.T) {
+// TestReportMatchesGoldenFile compares the report of a result with a golden file. The report's template names fields,
+// and the compiler does not check them.
+func TestReportMatchesGoldenFile(t *testing.T) {
 	var result Result
 	var script Script
 	golden.Fill(&result)
 	golden.Fill(&script)
 	second := int64(time.Second)
-	result.Drill, result.Seed, result.Begun = "play", 7, 10*second
+	result.Drill, result.Seed, result.StartedAt = "play", 7, 10*second
 	result.Applied = append(
 		result.Applied,
-		Applied{Version: "second", Number: 2, At: 1.5, P50: 2.5, P99: 3.5, Max: 4.5, Alone: 5.5},
+		RuleChange{Version: "second", Number: 2, At: 1.5, P50: 2.5, P99: 3.5, Max: 4.5, Alone: 5.5},
 	)
-	result.Marks = []Mark{{At: 11 * second, What: "a thing was done"}}
+	result.Marks = []Mark{{At: 11 * second, Label: "a thing was done"}}
 	result.History = &judge.History{
 		Changes: []judge.ActiveRules{
 			{Process: "n1", Revisions: []int{1, 2}, Leased: true, At: 10 * second},
 			{Process: "n1", Revisions: []int{2}, Leased: true, At: 12 * second},
 			{Process: "n2", Revisions: []int{1}, At: 11 * second},
 		},
-		Down: []judge.Down{{Process: "n2", From: 12 * second, To: 13*second + int64(answerTimeout)}},
+		DownIntervals: []judge.Interval{{Process: "n2", From: 12 * second, To: 13*second + int64(answerTimeout)}},
 		ClientRequests: []judge.ClientRequest{
 			{Status: 200, EndedAt: 11 * second},
 			{Status: 503, EndedAt: 14 * second},
--- a/internal/livetest/run.go
+++ b/internal/livetest/run.go
@@ -15,7 +15,8 @@
 	"pepperlead/policy"
 )
 
-// Streams of the seed, one for each purpose. Endpoints and faults add their number.
+// Random streams of the seed, one for each purpose. Each endpoint and each fault adds its index to the number, to have
+// a stream of its own.
 const (
 	listStream     = 1
 	retryStream    = 2
@@ -33,7 +34,7 @@
 	endpoints []*fakeEndpoint
 	instances []*daemonProcess
 	client    *http.Transport
-	tasks     sync.WaitGroup // requests under way and the observation of endpoints
+	tasks     sync.WaitGroup // requests in flight and the observation of endpoints
 
 	// mu guards the fields below, and those of endpoints, instances and pending requests that change.
 	mu          sync.Mutex
@@ -42,7 +43,7 @@
 	values      *emulator.ValueMeter
 	listRandom  *rand.Rand
 	retryRandom *rand.Rand
-	listIssue   int // issue of the latest endpoint list
+	listIssue   int // issue number of the latest endpoint list
 }
 
 func newLiveRun(options Options, dir string, world *emulator.World) *liveRun {
@@ -123,7 +124,7 @@
 	r.judge.IdleObserved(idle, anyQueues, observationInterval)
 }
 
-// waitUntil waits for a time by the clock. It returns false when the context has ended before.
+// waitUntil waits until a time of the clock. It returns false if the context ends before that.
 func (r *liveRun) waitUntil(ctx context.Context, at policy.Time) bool {
 	select {
 	case <-ctx.Done():
@@ -136,6 +137,7 @@
 // now returns the time since the start of the scenario, which is negative before it.
 func (r *liveRun) now() policy.Time { return r.clock.Now() - r.start }
 
+// log writes a line with the time since the start of the scenario.
 func (r *liveRun) log(format string, arguments ...any) {
 	if r.Log == nil {
 		return
