--- a/internal/emulator/attempt.go
+++ b/internal/emulator/attempt.go
@@ -48,7 +48,8 @@
 	w.beginJob(e, try, newConnection)
 }
 
-// notifyInstance schedules do, which ends the try's attempt, for when a message from the endpoint reaches the instance.
+// notifyInstance schedules a call of do, which ends the try's attempt. The call takes place when a message that the
+// endpoint sends now reaches the instance.
 func (w *World) notifyInstance(tryIndex int32, try *clientTry, do func(w *World, e *event)) {
 	at := w.now + w.transit(try.endpoint.zone, try.instance.zone)
 	w.queue.add(event{at: at, rank: rankAttemptEnd, do: do, a: tryIndex, c: try.attemptID})
@@ -213,7 +214,7 @@
 	}
 }
 
-// closeAttempt closes an attempt's connection. The endpoint then drops the work, as far as its kind does so.
+// closeAttempt closes an attempt's connection. Whether the endpoint then drops the work depends on EndpointKind.Cancel.
 func (w *World) closeAttempt(try *clientTry) {
 	ep := try.endpoint
 	if try.written && !ep.unreachable() && !ep.down {
--- a/internal/emulator/baseline/balancer.go
+++ b/internal/emulator/baseline/balancer.go
@@ -114,7 +114,7 @@
 // ListFailed polls the list again.
 func (b *balancer) ListFailed(policy.Time) { b.front.FollowList(true) }
 
-// Admit takes in a request.
+// Admit registers a request and returns its handle.
 func (b *balancer) Admit(now policy.Time, class policy.ClassID, _ policy.TenantID, key string, _ bool,
 	timeLeft policy.Time) policy.Handle {
 	if len(b.free) == 0 {
@@ -156,7 +156,7 @@
 // Begin makes the first attempt of a request.
 func (b *balancer) Begin(now policy.Time, h policy.Handle) { b.dispatch(now, b.lookup(h)) }
 
-// marginTicks is the number of ticks before its deadline at which a request is answered at the latest.
+// marginTicks is how many ticks before its deadline a request is answered at the latest.
 const marginTicks = 3
 
 func (b *balancer) margin() policy.Time { return marginTicks * b.settings.Tick }
@@ -180,8 +180,8 @@
 	b.reject(r)
 }
 
-// reject answers that the request was not served. The answer is a rejection if it is safe that the client retries, and
-// a failure otherwise.
+// reject answers that the request was not served. The answer is a rejection if the client may safely retry, and a
+// failure otherwise.
 func (b *balancer) reject(r *request) {
 	class := &b.settings.Classes[r.class]
 	r.answered = true
--- a/internal/emulator/baseline/baseline.go
+++ b/internal/emulator/baseline/baseline.go
@@ -1,7 +1,8 @@
 // Package baseline has policies to compare the decision module with: random choice, round robin, fewest attempts in
 // flight, the better of two random choices, a plain slot table, and, as an upper bound, a policy that sees the true
-// state of the fleet. They keep the rules on answers, retries and drains. Except for the last one, they do not know
-// which endpoints are cold and use them like others. Nothing that is deployed imports this package.
+// state of the fleet. They keep the rules on answers, retries and drains that package judge checks. Except for the last
+// one, they do not know which endpoints are cold, and use cold endpoints like others. Nothing that is deployed
+// imports this package.
 package baseline
 
 import (
@@ -50,7 +51,7 @@
 			view:       view,
 			random:     random,
 			choose:     choose,
-			nextInRing: random.IntN(math.MaxInt32), // so that instances do not all use the same endpoint at a time
+			nextInRing: random.IntN(math.MaxInt32), // so that instances do not all use the same endpoint at once
 			endpoints:  map[policy.EndpointID]*endpoint{},
 			usesSlots:  name == "table",
 		}
--- a/internal/emulator/baseline/slottable.go
+++ b/internal/emulator/baseline/slottable.go
@@ -13,8 +13,9 @@
 // minWeight replaces a weight of zero.
 const minWeight = 1e-9
 
-// SlotTable is a plain slot table without anything that adapts to load. Slots are assigned when endpoints join: each
-// takes slots, in a fixed random order, that are free or whose owners have more than their new share.
+// SlotTable is a plain slot table that does not adapt to load. Slots are assigned only when an endpoint joins: it goes
+// through all slots in a fixed random order and takes those that are free or whose owners have more than their new
+// share, until it has its own share.
 type SlotTable struct {
 	table  []policy.EndpointID // owner of each slot
 	order  []int               // order in which slots are taken
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// newRequest returns the index of a new request.
+// newRequest adds a request and returns its index in World.requests.
 func (w *World) newRequest() int32 {
 	if n := len(w.freeRequests); n > 0 {
 		requestIndex := w.freeRequests[n-1]
@@ -204,7 +204,7 @@
 	inst.decider.Begin(w.now, try.handle)
 }
 
-// newTry returns the index of an unused entry of tries.
+// newTry returns the index of an unused entry of World.tries.
 func (w *World) newTry() int32 {
 	if n := len(w.freeTries); n > 0 {
 		tryIndex := w.freeTries[n-1]
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -13,12 +13,12 @@
 // statusChanged schedules when discovery learns the new status of an endpoint: after the announce delay if the endpoint
 // announces it, else after the delay that detecting a loss takes.
 func (w *World) statusChanged(ep *endpoint, status policy.EndpointStatus, announced bool) {
-	d := w.scenario.Discovery.DetectDelay
+	limits := w.scenario.Discovery.DetectDelay
 	if announced {
-		d = w.scenario.Discovery.AnnounceDelay
+		limits = w.scenario.Discovery.AnnounceDelay
 	}
-	r := stream(w.seed, "notice", int(ep.number)*1000+ep.incarnation)
-	at := w.now + d[0] + policy.Time(r.Float64()*float64(d[1]-d[0]))
+	random := stream(w.seed, "notice", int(ep.number)*1000+ep.incarnation)
+	at := w.now + limits[0] + policy.Time(random.Float64()*float64(limits[1]-limits[0]))
 	w.queue.add(
 		event{
 			at:   at,
@@ -40,7 +40,7 @@
 		return
 	}
 	if status == policy.Removed && ep.status != policy.Removed && !ep.unreachable() && !ep.down {
-		return // it came back before its loss was detected
+		return // the endpoint came back before its loss was detected
 	}
 	ep.knownStatus, ep.knownStart = status, ep.started
 	w.version++
@@ -109,7 +109,8 @@
 	inst.decider.UpdateEndpoints(w.now, kind, w.members)
 }
 
-// requestList schedules the arrival of the complete list at an instance, after the minimum announce delay.
+// requestList schedules the arrival of the complete list at an instance, after the minimum announce delay. It does
+// nothing if the instance waits for the list already.
 func (w *World) requestList(inst *instance) {
 	if inst.pollPending {
 		return
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -41,7 +41,7 @@
 func TestModuleKeepsRulesInAllScenarios(t *testing.T) {
 	all, err := filepath.Glob(scenarioDir + "/*.toml")
 	if err != nil || len(all) < 12 {
-		t.Fatal(len(all), err)
+		t.Fatalf("%d scenarios found, want at least 12; error %v", len(all), err)
 	}
 	for _, path := range all {
 		name := filepath.Base(path)
@@ -51,7 +51,7 @@
 		}
 		v := simulate(t, read(t, string(text)), 3, "module")
 		if !v.NoViolations() || v.ClientRequests < 1000 || v.Service < 0.6 {
-			t.Errorf("%s: %v, service %.3f of %d requests: %v", name, v.ViolationCounts, v.Service, v.ClientRequests, v.Violations)
+			t.Errorf("%s: violations by rule %v, service %.3f of %d requests: %v", name, v.ViolationCounts, v.Service, v.ClientRequests, v.Violations)
 		}
 		if again := simulate(t, read(t, string(text)), 3, "module"); !reflect.DeepEqual(v, again) {
 			t.Errorf("%s: the second run has another result", name)
@@ -64,10 +64,11 @@
 func TestRetriesAfterTheDeadlineNeedNoAnswer(t *testing.T) {
 	text, _ := load("monday-without-b.toml")
 	if v := simulate(t, read(t, string(text)), 19, "module"); !v.NoViolations() {
-		t.Errorf("%v", v.Violations)
+		t.Errorf("rules broken: %v", v.Violations)
 	}
 }
 
+// overlay begins a scenario that changes some values of calm.toml.
 const overlay = "base = \"calm.toml\"\nname = \"x\"\n"
 
 // Random streams are independent of each other: a fault does not change the requests that clients send.
@@ -80,7 +81,7 @@
 		}
 	}
 	if other := emulator.Plan(read(t, overlay), 8); reflect.DeepEqual(plain, other) || len(plain) < 5000 {
-		t.Errorf("%d requests, or the same requests with another seed", len(plain))
+		t.Errorf("%d requests, want at least 5000, or another seed has the same requests", len(plain))
 	}
 }
 
@@ -91,7 +92,7 @@
 	sc := read(t, string(text))
 	v := simulate(t, sc, 1, "table")
 	if v.ViolationCounts[3] == 0 || v.ViolationCounts[0]+v.ViolationCounts[1]+v.ViolationCounts[2] > 0 {
-		t.Errorf("%v", v.ViolationCounts)
+		t.Errorf("violations by rule %v, want some of rule 4 and none of the others", v.ViolationCounts)
 	}
 	if seeing, module := simulate(t, sc, 1, "seeing"), simulate(t, sc, 1, "module"); seeing.Service < module.Service-0.005 || module.Service < v.Service {
 		t.Errorf("seeing %.3f, module %.3f, table %.3f", seeing.Service, module.Service, v.Service)
@@ -110,14 +111,14 @@
 		return &singleAttempt{front: front, timeout: 12 * policy.Millisecond, outcomes: &outcomes}
 	}
 	if v := emulator.New(sc, 1, factory, nil).Run(); v.Succeeded != 1 || !v.NoViolations() || outcomes[0] != policy.Succeeded {
-		t.Errorf("%+v, %v", v, outcomes)
+		t.Errorf("response at the timeout: result %+v, outcomes of attempts %v", v, outcomes)
 	}
 	outcomes = nil
 	factory = func(front policy.Front, _ *policy.Settings, _ uint64, _ policy.Time, _ emulator.View) emulator.Decider {
 		return &singleAttempt{front: front, timeout: 12*policy.Millisecond - 1, outcomes: &outcomes}
 	}
 	if v := emulator.New(sc, 1, factory, nil).Run(); v.Failed != 1 || outcomes[0] != policy.TimedOut {
-		t.Errorf("%+v, %v", v, outcomes)
+		t.Errorf("response 1 ns after the timeout: result %+v, outcomes of attempts %v", v, outcomes)
 	}
 }
 
@@ -157,7 +158,7 @@
 	for _, name := range []string{"module", "ring"} {
 		v := simulate(t, sc, 1, name)
 		if !v.NoViolations() || v.ClientRequests < 15000 || v.Succeeded+v.Rejected+v.Failed != int(v.Requests) {
-			t.Errorf("%s: %v, %d client requests, %d requests, %d succeeded, %d rejected, %d failed", name, v.ViolationCounts, v.ClientRequests, v.Requests,
+			t.Errorf("%s: violations by rule %v, %d client requests, %d requests, %d succeeded, %d rejected, %d failed", name, v.ViolationCounts, v.ClientRequests, v.Requests,
 				v.Succeeded, v.Rejected, v.Failed)
 		}
 		if name == "ring" && v.Succeeded < 1100 {
--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -24,11 +24,11 @@
 	machine        *machine.Machine
 	started        policy.Time
 	status         policy.EndpointStatus
-	down           bool      // its process has ended
-	silentFaults   int       // number of active faults that make it unreachable by itself
-	lost           bool      // its process ended while it was unreachable
-	slowFactors    []float64 // of active faults; each divides its speed
-	errorRate      float64
+	down           bool        // its process has ended
+	silentFaults   int         // number of active silent faults
+	lost           bool        // its process ended when it became unreachable, and starts when it is reachable again
+	slowFactors    []float64   // of active faults; each divides its speed
+	errorRate      float64     // set by an errors fault; 0: none is active
 	incarnation    int         // counts starts and stops
 	scheduledAt    policy.Time // of its next event; 0: none is scheduled
 	scheduledEvent uint32      // number of its latest scheduled event; earlier ones are ignored
@@ -44,7 +44,7 @@
 type pod struct {
 	endpoints   []*endpoint
 	limit       float64 // cores; 0: none
-	limitFactor float64 // part of the limit that is left during a fault
+	limitFactor float64 // part of the limit that is left during a pod-throttled fault; 1: none is active
 }
 
 func (w *World) newEndpoint(kind *EndpointKind, started policy.Time) *endpoint {
@@ -83,7 +83,7 @@
 	return ep
 }
 
-// paddedNumber formats a number with leading zeros, so that the order of texts is that of the numbers.
+// paddedNumber formats a number with leading zeros, so that the texts sort in the order of the numbers.
 func paddedNumber(number int) string {
 	b := []byte("00000")
 	for i := len(b) - 1; number > 0 && i >= 0; i-- {
@@ -167,7 +167,7 @@
 // unreachable reports whether a fault cuts the endpoint off from the network.
 func (ep *endpoint) unreachable() bool { return ep.silentFaults > 0 || ep.world.lostZones[ep.zone] > 0 }
 
-// stop ends the endpoint's process. Its jobs are lost and its connections are reset.
+// stop ends the endpoint's process. Its jobs are lost, and its connections are reset unless it is unreachable.
 func (ep *endpoint) stop() {
 	ep.incarnation++
 	ep.down = true
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -48,7 +48,8 @@
 	return n
 }
 
-// affects reports whether the endpoint is a candidate: it is ready and in the zone, the pod and the list of the fault.
+// affects reports whether the endpoint is a candidate: it is ready, and matches the fault's zone, pod and endpoint
+// numbers, as far as they are set.
 func (f *fault) affects(ep *endpoint) bool {
 	return ep.status == policy.Ready && !ep.down && (f.Zone == "" || f.Zone == ep.zone) &&
 		(f.Pod < 0 || f.Pod == int(ep.cell)) &&
@@ -153,7 +154,7 @@
 	}
 }
 
-// throttlePod reduces the limit of the endpoint's pod to a part of it. It has no effect on a pod that is throttled
+// throttlePod reduces the limit of the endpoint's pod to the given part. It has no effect on a pod that is throttled
 // already. A pod without a limit gets one of all its cores, which remains after the fault.
 func (ep *endpoint) throttlePod(part float64) {
 	pod := ep.pod
@@ -231,8 +232,8 @@
 	ep.world.statusChanged(ep, policy.Removed, false)
 }
 
-// becomeReachable handles the end of such a fault. Unless another one is active, the process starts again if it has
-// ended, and discovery learns that the endpoint is ready.
+// becomeReachable handles the end of a fault that made the endpoint unreachable. Unless another such fault is active,
+// the process starts again if the fault ended it, and discovery learns that the endpoint is ready.
 func (ep *endpoint) becomeReachable() {
 	if ep.unreachable() || ep.status == policy.Removed {
 		return // still affected by another fault
@@ -241,7 +242,7 @@
 		ep.lost = false
 		ep.start()
 	}
-	// Attempts that were written while it was unreachable have no job. Their connections are reset now.
+	// Attempts that were written while the endpoint was unreachable have no job. Their connections are reset now.
 	w := ep.world
 	for i := range w.tries {
 		if try := &w.tries[i]; try.inUse && try.inFlight && try.endpoint == ep && try.job == -1 && try.written {
@@ -251,7 +252,8 @@
 	w.statusChanged(ep, policy.Ready, true)
 }
 
-// pause pauses the next endpoint that a fault affects, in rotation, until the fault ends.
+// pause pauses the next endpoint that a fault affects, in rotation, for Size seconds. Until the fault ends, it
+// schedules the pause after this one.
 func (w *World) pause(e *event) {
 	f := &w.faults[e.a]
 	if w.now >= startTime+f.At+f.Duration || len(f.endpoints) == 0 {
--- a/internal/emulator/front.go
+++ b/internal/emulator/front.go
@@ -41,7 +41,7 @@
 		inst.idleConnections[ep.number] = idle[:len(idle)-1]
 		w.queue.add(event{at: w.now + transit, rank: rankArrive, do: (*World).attemptArrived, a: tryIndex,
 			c: try.attemptID})
-		try.written = true // the kernel's send buffer takes it at once
+		try.written = true // the kernel's send buffer takes the whole attempt at once
 		w.judge.AttemptWritten(try.judgeID, try.judgeAttempt)
 		return
 	}
--- a/internal/emulator/golden_test.go
+++ b/internal/emulator/golden_test.go
@@ -9,7 +9,8 @@
 )
 
 // TestScenarioValuesMatchGoldenFiles compares the values that are read from each scenario of the repository, and from
-// one that sets every key, with golden files. These have the values in the order of the fields, without names.
+// one that sets every key, with golden files. It guards against keys that are no longer read or are read into another
+// field. The golden files have the values in the order of the fields, without names.
 func TestScenarioValuesMatchGoldenFiles(t *testing.T) {
 	paths, err := filepath.Glob("../../scenarios/*.toml")
 	if err != nil || len(paths) == 0 {
--- a/internal/emulator/instance.go
+++ b/internal/emulator/instance.go
@@ -8,7 +8,7 @@
 	"pepperlead/policy"
 )
 
-// request is a client's request, over all its tries.
+// request is a client's request, over all its tries. The judge calls it a client request.
 type request struct {
 	inUse       bool
 	judgeID     judge.ClientRequestID
@@ -17,14 +17,15 @@
 	instance    int32
 	key         uint64
 	workFactor  float64 // its work over the mean of its class
-	ioFactor    float64
+	ioFactor    float64 // its I/O time over the mean of its class
 	tries       int
 	at          policy.Time // when it began
 	deadline    policy.Time
 	markedRetry bool // its recorded arrival was marked as a retry
 }
 
-// clientTry is one transmission of a request from its client to an instance.
+// clientTry is one transmission of a request from its client to an instance. The judge and the deciders treat each try
+// as a request of its own.
 type clientTry struct {
 	inUse               bool
 	clientWaiting       bool // the client waits for a final answer
@@ -62,7 +63,7 @@
 	idleConnections [][]policy.Time // by endpoint number: when each idle connection was last used
 	wakeAt          policy.Time     // of the next call of Woken; 0: none is scheduled
 	version         int64           // of its endpoint list
-	pollPending     bool            // it has requested the list
+	pollPending     bool            // it has requested the list and not received it yet
 	following       bool            // it receives changes of the list
 	list            map[*endpoint]notifiedStatus
 	loadShare       float64 // part of all requests that its clients send
--- a/internal/emulator/judge/attempts.go
+++ b/internal/emulator/judge/attempts.go
@@ -95,8 +95,8 @@
 	j.requests[id].attempts[number].mayHaveRun = true
 }
 
-// AttemptEnded records the end of an attempt at its instance. neverRan says that its outcome proves that it has not
-// run.
+// AttemptEnded records that an attempt has ended for its instance. neverRan means that the outcome proves that the
+// endpoint has not run the request.
 func (j *Judge) AttemptEnded(id RequestID, number int, neverRan bool) {
 	r := &j.requests[id]
 	ended := &r.attempts[number]
@@ -127,8 +127,8 @@
 func (j *Judge) InstanceDied(instance InstanceID) { clear(j.notifications[instance]) }
 
 // ColdWorkArrived records work that reaches an endpoint while it is cold, and checks rule 4. work is in ns of a core at
-// speed 1; capacity is the work that the endpoint can do per ns. Work counts only if its instance was notified of the
-// endpoint's start: other instances cannot know that it is cold.
+// speed 1; capacity is the work that the endpoint can do per ns. Work counts only if the instance that sent it was
+// notified of the endpoint's start: other instances cannot know that the endpoint is cold.
 func (j *Judge) ColdWorkArrived(at policy.Time, instance InstanceID, to EndpointID, startedAt policy.Time,
 	work, capacity float64) {
 	if j.notifications[instance][to].startedAt < startedAt || j.config.OverloadMultiple == 0 {
--- a/internal/emulator/judge/judge.go
+++ b/internal/emulator/judge/judge.go
@@ -7,8 +7,9 @@
 //  1. Each request gets one final answer before its deadline, and no attempt follows the answer.
 //  2. Attempts and rejections respect the class's idempotency. A request has at most one attempt in flight and at most
 //     MaxAttempts in all.
-//  3. After a grace period, no attempt goes to an endpoint that the instance was notified is draining or removed.
-//  4. No cold endpoint is sent more work than it can bear.
+//  3. Once an instance has been notified that an endpoint is draining or removed, it sends attempts to this endpoint
+//     only for a grace period.
+//  4. Within OverloadWindow, no cold endpoint is sent more than OverloadMultiple times the work that it can do.
 package judge
 
 import (
@@ -43,12 +44,12 @@
 // ruleCount is the number of rules, which are numbered from 1.
 const ruleCount = 4
 
-// Config has the limits that the rules apply, and the properties of the run that the judge cannot observe.
+// Config has the limits of the rules, and the properties of the run that the judge cannot observe.
 type Config struct {
 	Classes          []policy.Class
 	Instances        int
 	MaxAttempts      int
-	Grace            policy.Time // after an instance is notified that an endpoint drains or is removed
+	Grace            policy.Time // grace period of rule 3
 	OverloadMultiple float64     // multiple of its capacity that overloads a cold endpoint; 0: no overloads
 	OverloadWindow   policy.Time // over which the work sent to a cold endpoint is added up
 	Length           policy.Time // of the run: requests that begin later are not counted
@@ -76,7 +77,7 @@
 
 	requests     []request
 	freeRequests []RequestID
-	lastNumber   uint64 // of requests, in the order of arrival
+	lastNumber   uint64 // number of the latest request; they are numbered from 1 in the order of arrival
 
 	clientRequests     []clientRequest
 	freeClientRequests []ClientRequestID
--- a/internal/emulator/judge/judge_test.go
+++ b/internal/emulator/judge/judge_test.go
@@ -186,7 +186,7 @@
 				j.ColdWorkArrived(2*sec+policy.Time(i), 0, 1, sec, 0.1e9*0.2, 0.2)
 			}
 		}},
-		{"as much work for a cold endpoint in more time than the window", 0, "", func(j *Judge) {
+		{"as much work for a cold endpoint, but over more time than the window", 0, "", func(j *Judge) {
 			j.EndpointNotified(sec, 0, 1, policy.Ready, sec)
 			for i := range 32 {
 				j.ColdWorkArrived(2*sec+policy.Time(i)*sec/10, 0, 1, sec, 0.1e9*0.2, 0.2)
@@ -198,7 +198,7 @@
 		v := j.Finish(30 * sec)
 		if test.rule == 0 {
 			if !v.NoViolations() {
-				t.Errorf("%s: %v", test.name, v.Violations)
+				t.Errorf("%s: unexpected violations %v", test.name, v.Violations)
 			}
 			continue
 		}
@@ -206,7 +206,7 @@
 		want[test.rule-1] = 1
 		if v.ViolationCounts != want || !strings.Contains(v.Violations[0].What, test.what) || v.Violations[0].At == 0 ||
 			test.rule < 4 && v.Violations[0].Request != 1 {
-			t.Errorf("%s: %v, %v", test.name, v.ViolationCounts, v.Violations)
+			t.Errorf("%s: violations by rule %v, want one of rule %d with %q: %v", test.name, v.ViolationCounts, test.rule, test.what, v.Violations)
 		}
 	}
 }
--- a/internal/emulator/judge/spread.go
+++ b/internal/emulator/judge/spread.go
@@ -9,15 +9,15 @@
 // Spread measures how evenly attempts were distributed over the endpoints in service, relative to their capacity.
 // Windows in which the capacity of any endpoint changed are not counted.
 type Spread struct {
-	// Scatter is the scatter of attempts per endpoint relative to that of a random distribution, the mean over windows
-	// of 1 s and of 5 s.
+	// Scatter is how far the attempts at the endpoints deviate from shares by capacity, as a multiple of the deviation
+	// of a random distribution: the mean over windows of 1 s, and the mean over windows of 5 s.
 	Scatter [2]float64 `json:"scatter"`
-	// KeyScatter is what Scatter would be if each key had one random endpoint.
+	// KeyScatter is what Scatter would be if all attempts with the same key went to one endpoint, chosen at random.
 	KeyScatter  [2]float64 `json:"forced"`
 	Busiest     float64    `json:"busiest"`      // attempts at the busiest endpoint over its share, mean of 5 s windows
 	BusiestMax  float64    `json:"busiest_most"` // the same, maximum of these windows
 	IdleSeconds float64    `json:"idle_s"`       // seconds that endpoints were idle while others had queues, summed
-	Herd        float64    `json:"herd"`         // maximum attempts at an endpoint beyond its share within 50 ms
+	Herd        float64    `json:"herd"`         // attempts at an endpoint beyond its share, maximum of 50 ms windows
 }
 
 // Windows over which attempts are counted.
@@ -31,7 +31,7 @@
 
 var windowLengths = [windowCount]policy.Time{policy.Second, 5 * policy.Second, 50 * policy.Millisecond}
 
-// requestKey marks keys that are made from the number of a request without a key.
+// requestKey marks the key that a request without a key is counted under, which is made from the request's number.
 const requestKey = 1 << 63
 
 // window counts the attempts of the current window and adds up the results of earlier ones.
@@ -43,7 +43,7 @@
 	byKey         map[uint64]float64
 	scatterSum    float64 // over the earlier windows that count
 	keyScatterSum float64
-	windowsEnded  float64
+	windowsEnded  float64 // number of the earlier windows that count
 }
 
 // spreadCounter computes the Spread of a run.
@@ -107,7 +107,7 @@
 	}
 }
 
-// endWindows ends the windows that lie before the given time, and begins new ones.
+// endWindows ends the windows that are over at the given time, and begins new ones.
 func (s *spreadCounter) endWindows(at policy.Time) {
 	for i, length := range windowLengths {
 		w := &s.windows[i]
@@ -163,7 +163,7 @@
 	w.windowsEnded++
 }
 
-// finish returns the result. Windows that have not ended are not counted.
+// finish returns the result. The windows that have not ended yet are not counted.
 func (s *spreadCounter) finish() Spread {
 	for i := range keyWindowCount {
 		w := &s.windows[i]
--- a/internal/emulator/judge/verdict.go
+++ b/internal/emulator/judge/verdict.go
@@ -64,7 +64,8 @@
 // NoViolations reports whether no rule was broken.
 func (v *Verdict) NoViolations() bool { return v.ViolationCounts == [ruleCount]int{} }
 
-// Finish ends the run and returns the result. Requests that are still open count as they are.
+// Finish ends the run and returns the result. A request without an answer breaks rule 1 if its deadline has passed. The
+// value of a client's request that is still open is not counted.
 func (j *Judge) Finish(at policy.Time) *Verdict {
 	for i := range j.requests {
 		r := &j.requests[i]
--- a/internal/emulator/keys.go
+++ b/internal/emulator/keys.go
@@ -8,7 +8,7 @@
 // zipf draws keys from 1 on with Zipf's distribution: key k has a weight of 1/k^s.
 type zipf struct{ cumulative []float64 }
 
-// newZipf returns a zipf of the exponent s. Beyond 1<<20 keys, the rest are never drawn, which limits its memory.
+// newZipf returns a distribution of n keys with the exponent s. To limit its memory, keys above 1<<20 are never drawn.
 func newZipf(n int, s float64) *zipf {
 	z := &zipf{cumulative: make([]float64, min(n, 1<<20))}
 	for i := range z.cumulative {
--- a/internal/emulator/largefleet_test.go
+++ b/internal/emulator/largefleet_test.go
@@ -13,9 +13,10 @@
 
 var fleetSizes = []fleetSize{{4, 8}, {60, 24}, {350, 120}}
 
-// Each instance sees little of a large fleet. Together they must serve at least as much value as random choice does in
-// the same run, and at least half of what a policy serves that sees the true state of the fleet. The latter holds for
-// the whole run, for each third of it, and for each class with a twentieth of the requests or of the value.
+// Each instance of a large fleet sees only a small part of the traffic. Together the instances must serve at least as
+// much value as random choice does in the same run, and at least half of what a policy serves that sees the true state
+// of the fleet. The second bound holds for the whole run, for each third of it, and for each class that has at least a
+// twentieth of the requests or of the value.
 func TestValueServedByLargeFleets(t *testing.T) {
 	for _, scenario := range []string{"short-queues.toml", "short-deadlines.toml", "many-tenants.toml", "one-class.toml",
 		"release.toml", "zone-returns.toml", "restarts.toml"} {
@@ -72,7 +73,7 @@
 	return earned / requested
 }
 
-// isLarge reports whether a class has a twentieth of the requests or of the value.
+// isLarge reports whether a class has at least a twentieth of the requests or of the value.
 func isLarge(sc *emulator.Scenario, v *judge.Verdict, class int) bool {
 	shares, value := 0.0, 0.0
 	for i := range sc.Classes {
--- a/internal/emulator/machine/jobs.go
+++ b/internal/emulator/machine/jobs.go
@@ -3,7 +3,8 @@
 import "pepperlead/policy"
 
 // Submit adds a job, or rejects it if the queue is full. owner identifies the job when it has finished. work is the
-// work without a cached key; newConnection adds ConnectWork to it. Run must have been called for this time.
+// work of the job if its key is not cached; newConnection adds ConnectWork to it. Run must have been called with the
+// same now before.
 func (m *Machine) Submit(now policy.Time, owner, key uint64, work, io policy.Time,
 	newConnection bool) (id JobID, accepted bool) {
 	m.advance(now)
@@ -56,8 +57,8 @@
 	return JobID(len(m.jobs) - 1)
 }
 
-// CanTake reports whether a cold machine can receive so much more work without an overload. It keeps a tenth of the
-// allowed work in reserve.
+// CanTake reports whether a cold machine can receive the given work, in addition to what arrived recently, without an
+// overload. It keeps a tenth of the allowed work in reserve.
 func (m *Machine) CanTake(now, work policy.Time) bool {
 	const usablePart = 0.9
 	return m.recentWork.add(now, 0)+float64(work) <
--- a/internal/emulator/machine/keycache.go
+++ b/internal/emulator/machine/keycache.go
@@ -34,8 +34,8 @@
 	return cached
 }
 
-// touch makes the key the newest one and reports whether it was cached. It replaces the oldest key if the cache is
-// full.
+// touch marks the key as the most recently used one, and reports whether it was cached before. A new key replaces the
+// least recently used one if the cache is full.
 func (k *keyCache) touch(key uint64) (cached bool) {
 	i, cached := k.index[key]
 	switch {
--- a/internal/emulator/machine/machine.go
+++ b/internal/emulator/machine/machine.go
@@ -171,7 +171,7 @@
 	return m.speed() * min(1, m.Cores/n)
 }
 
-// warmUpStep is the interval in which the speed is computed anew while warming up.
+// warmUpStep is the interval at which the speed is recomputed during the warm-up.
 const warmUpStep = 50 * policy.Millisecond
 
 // advance accounts for the work done until now. Between two calls, only the warm-up and the end of a pause change the
--- a/internal/emulator/machine/machine_test.go
+++ b/internal/emulator/machine/machine_test.go
@@ -19,8 +19,8 @@
 	io   policy.Time
 }
 
-// simulate submits jobs at their times and calls actions at theirs. It returns when each job has finished, 0 for a
-// rejected one.
+// simulate submits jobs at their times and calls each action at the time that is its key. It returns when each job has
+// finished, 0 for a rejected job.
 func simulate(m *Machine, submissions []submission, actions map[policy.Time]func()) []policy.Time {
 	finishedAt := make([]policy.Time, len(submissions))
 	now := policy.Time(0)
@@ -134,8 +134,8 @@
 }
 
 // meanTime submits n jobs with exponentially distributed gaps and work. It returns the mean time of the jobs in the
-// machine, and half the width of a confidence interval: 3.5 standard errors, from 20 batches.
-func meanTime(m *Machine, rate float64, work policy.Time, n int) (mean, half float64) {
+// machine, and the margin of a confidence interval on each side of the mean: 3.5 standard errors, from 20 batches.
+func meanTime(m *Machine, rate float64, work policy.Time, n int) (mean, margin float64) {
 	random := rand.New(rand.NewPCG(5, 6))
 	arrivedAt := make([]policy.Time, n)
 	batches := make([]float64, 20)
@@ -179,7 +179,7 @@
 	}{{1, 0.5}, {1, 0.8}, {4, 0.8}, {16, 0.9}} {
 		rate := test.load * float64(test.workers) / 0.010
 		m := New(Traits{Cores: float64(test.workers), Speed: 1, Workers: test.workers, QueueSize: 1 << 30}, 0)
-		got, half := meanTime(m, rate, work, 200000)
+		got, margin := meanTime(m, rate, work, 200000)
 		offered := test.load * float64(test.workers)
 		sum, term := 0.0, 1.0
 		for i := range test.workers {
@@ -188,13 +188,13 @@
 		}
 		waitProbability := term / (1 - test.load) / (sum + term/(1-test.load))
 		want := 0.010 + waitProbability*0.010/(float64(test.workers)*(1-test.load))
-		if math.Abs(got-want) > half || half > want/4 {
-			t.Errorf("M/M/%d with a load of %.1f: %.5fs ± %.5f, want %.5fs by the formula", test.workers, test.load, got, half, want)
+		if math.Abs(got-want) > margin || margin > want/4 {
+			t.Errorf("M/M/%d with a load of %.1f: %.5fs ± %.5f, want %.5fs by the formula", test.workers, test.load, got, margin, want)
 		}
 	}
 	m := New(Traits{Cores: 1, Speed: 1, QueueSize: 1 << 30}, 0)
-	if got, half := meanTime(m, 70, work, 200000); math.Abs(got-0.010/0.3) > half || half > 0.01 {
-		t.Errorf("a shared core with a load of 0.7: %.5fs ± %.5f, want %.5fs by the formula", got, half, 0.010/0.3)
+	if got, margin := meanTime(m, 70, work, 200000); math.Abs(got-0.010/0.3) > margin || margin > 0.01 {
+		t.Errorf("a shared core with a load of 0.7: %.5fs ± %.5f, want %.5fs by the formula", got, margin, 0.010/0.3)
 	}
 }
 
--- a/internal/emulator/plan.go
+++ b/internal/emulator/plan.go
@@ -30,7 +30,8 @@
 // Woken does nothing.
 func (noDecisions) Woken(policy.Time) {}
 
-// Plan returns the requests that a run of the scenario with this seed has.
+// Plan returns the requests that a run of the scenario with this seed generates. It does not simulate how they
+// are served.
 func Plan(sc *Scenario, seed uint64) []Arrival {
 	var all []Arrival
 	w := New(
@@ -54,7 +55,7 @@
 	quotas   []float64 // by tenant, in requests per second
 }
 
-// NewValueMeter returns a meter for a run. Quotas that are shares refer to rate, in requests per second.
+// NewValueMeter returns a meter for a run. rate is the total rate in requests per second, to which QuotaShare refers.
 func NewValueMeter(sc *Scenario, rate float64) *ValueMeter {
 	m := &ValueMeter{sc: sc, arrivals: make([]meter, len(sc.Tenants))}
 	for _, tenant := range sc.Tenants {
--- a/internal/emulator/queue.go
+++ b/internal/emulator/queue.go
@@ -20,7 +20,7 @@
 type event struct {
 	at   policy.Time
 	rank rank
-	seq  uint64 // orders events of the same time and rank as they were scheduled
+	seq  uint64 // keeps events of the same time and rank in the order in which they were scheduled
 	do   func(w *World, e *event)
 	a, b int32
 	c    uint64
--- a/internal/emulator/read.go
+++ b/internal/emulator/read.go
@@ -18,7 +18,7 @@
 	day          = 24 * 3600 * policy.Second
 )
 
-// Override replaces a value of a scenario file. Path is its path in the file, as load.part.
+// Override replaces a value of a scenario file. Path is its path in the file, such as load.part.
 type Override struct {
 	Path  string
 	Value any
@@ -109,7 +109,7 @@
 		}
 		kind.Traits = readTraits(t)
 		if kind.Workers == 0 && kind.QueueSize == 0 {
-			t.Fault("queue", "0", "1 or more where cores are shared")
+			t.Fault("queue", "0", "1 or more if slots is 0")
 		}
 		t.RejectUnknown()
 		sc.Kinds = append(sc.Kinds, kind)
--- a/internal/emulator/samples.go
+++ b/internal/emulator/samples.go
@@ -5,20 +5,21 @@
 	"pepperlead/policy"
 )
 
-// AnswerObserver is called for each final answer of a run. elapsed is the time since the request reached its instance.
+// AnswerObserver receives each final answer of a run. elapsed is the time since the request reached its instance.
 type AnswerObserver interface {
 	Answer(class policy.ClassID, answer judge.Answer, elapsed policy.Time)
 }
 
 // Sample is the state of the fleet at a point in time.
 type Sample struct {
-	At         policy.Time `json:"at_ns"`
-	Attempts   []int       `json:"pushes"`  // in flight, by endpoint
-	Waiting    int         `json:"waiting"` // jobs beyond the cores of their endpoints
-	Busy       float64     `json:"busy"`    // part of the cores that are in use
-	TotalLimit float64     `json:"pace"`    // mean over the instances; 0 if the policy has no such gauge
-	Limit      float64     `json:"limit"`   // mean, as TotalLimit
-	Ejected    float64     `json:"aside"`   // mean, as TotalLimit
+	At       policy.Time `json:"at_ns"`
+	Attempts []int       `json:"pushes"`  // in flight, by endpoint
+	Waiting  int         `json:"waiting"` // jobs beyond the cores of their endpoints
+	Busy     float64     `json:"busy"`    // part of the cores that are in use
+	// These are means over the running instances, 0 if the policy has no gauges.
+	TotalLimit float64 `json:"pace"`  // concurrency limit of an instance, counted as 1e4 if it is higher
+	Limit      float64 `json:"limit"` // mean concurrency limit of an endpoint at an instance
+	Ejected    float64 `json:"aside"` // number of endpoints that an instance has ejected
 }
 
 // takeSample adds a sample to Series if the run has an observer. It runs once a second.
@@ -72,7 +73,7 @@
 // gaugeSource is implemented by deciders that have gauges.
 type gaugeSource interface{ Gauges() policy.Gauges }
 
-// addGauges sets the means of the gauges of all running instances whose decider has gauges.
+// addGauges adds to a sample the means of the gauges of all running instances whose decider has gauges.
 func (w *World) addGauges(s *Sample) {
 	count := 0.0
 	for _, inst := range w.instances {
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -15,7 +15,7 @@
 	Endpoints int
 	Instances int
 	Zones     []policy.Zone
-	PodSize   int // endpoints of a pod
+	PodSize   int // endpoints per pod
 	Kinds     []EndpointKind
 	PodLimit  float64 // cores that a pod's endpoints may use together, as a part of the sum of their cores; 0: no limit
 
@@ -26,12 +26,12 @@
 	Limits         Limits
 	Classes        []Class
 	Tenants        []Tenant
-	OverQuotaValue float64 // part of its value that a request beyond its tenant's quota has
+	OverQuotaValue float64 // part of its value that a request beyond its tenant's quota keeps
 	Faults         []Fault
 	Arrivals       []Arrival // requests of a trace; if there are any, none are generated from Load
 }
 
-// EndpointKind describes the endpoints of one kind. Each has the same traits except for its speed.
+// EndpointKind describes the endpoints of one kind. They have the same traits except for the speed.
 type EndpointKind struct {
 	machine.Traits
 	Name        string
@@ -97,7 +97,7 @@
 	MayCancel      bool        // whether instances may cancel attempts
 	MaxRetryAfter  policy.Time // maximum of the Retry-After of a rejection
 	CrossZonePrice float64     // of an attempt to another zone, as a part of the target latency
-	Grace          policy.Time // after an instance is notified of a drain, while it may still send attempts
+	Grace          policy.Time // how long an instance may still send attempts after it is notified of a drain
 }
 
 // Class describes the requests of one class and the work that they cause at endpoints.
@@ -122,21 +122,21 @@
 
 // The kinds of faults.
 const (
-	ZoneLost       FaultKind = iota // a zone's endpoints, and optionally its instances, are lost
+	ZoneLost       FaultKind = iota // a zone's endpoints are unreachable, and optionally its instances are down
 	Slow                            // endpoints are slower
 	AllSlow                         // all endpoints are slower
 	Errors                          // endpoints answer with errors
 	Silent                          // endpoints are unreachable
 	Pauses                          // endpoints pause in turn
-	PodThrottled                    // pods of the endpoints have fewer cores
+	PodThrottled                    // the pods of the affected endpoints have fewer cores
 	SidecarRestart                  // instances are down, and start again with their saved list
 	ListBehind                      // endpoint lists are delayed
 	Burst                           // the rate of requests is higher or lower
 	HotKey                          // a part of the requests has the same key
-	Shrink                          // endpoints drain and leave
+	Shrink                          // endpoints drain and are removed
 	Grow                            // endpoints are added
 	Rolling                         // endpoints drain and restart one after another
-	Crash                           // the processes of endpoints end
+	Crash                           // the processes of endpoints end, and start again after the fault
 	faultKinds
 )
 
@@ -146,7 +146,8 @@
 // String returns the name that scenarios use.
 func (k FaultKind) String() string { return faultNames[k] }
 
-// Fault describes one fault. Faults may overlap.
+// Fault describes one fault. Faults may overlap. The candidates of a fault are the endpoints, or for sidecar-restart
+// the instances, that it may affect.
 type Fault struct {
 	Kind         FaultKind
 	At, Duration policy.Time
@@ -160,7 +161,7 @@
 	Every            policy.Time // pauses: between two pauses of an endpoint; rolling, shrink: between two drains
 	Cold             bool        // zone-lost, silent: the endpoints lose their work and come back cold
 	IncludeInstances bool        // zone-lost: the zone's instances fail too
-	Endpoints        []int       // numbers of the only candidates; empty: all endpoints
+	Endpoints        []int       // only the endpoints with these numbers; empty: all
 }
 
 // Arrival is one request of a planned or recorded run.
@@ -185,7 +186,7 @@
 	return false
 }
 
-// capacity returns the requests per second that so many cores can serve, without cached keys and fully used.
+// capacity returns how many requests per second the given number of cores, all busy, can serve if no key is cached.
 func (sc *Scenario) capacity(cores float64) float64 {
 	share, work := 0.0, 0.0
 	for _, class := range sc.Classes {
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -77,9 +77,9 @@
 	rate              float64   // requests per second
 	keys              *zipf
 	hotKeyShare       float64               // part of the requests that use the hot key
-	burstFactor       float64               // factor on the rate
+	burstFactor       float64               // factor on the rate: the product of the sizes of active bursts
 	lostZones         map[policy.Zone]int   // number of active zone-lost faults by zone
-	listsDelayedUntil policy.Time           // end of list-behind faults
+	listsDelayedUntil policy.Time           // latest end of the list-behind faults so far
 	version           int64                 // of the endpoint list that discovery has
 	finishedJobs      []machine.FinishedJob // buffer of endpoint.advance
 	eventCount        uint64
@@ -91,7 +91,7 @@
 	noise             *rand.Rand // draws network delays
 	draws             struct{ faults, retries, errors *rand.Rand }
 	members           []policy.Member // buffer of instance.notify
-	plan              *[]Arrival      // if not nil, requests are added to it and not sent
+	plan              *[]Arrival      // if not nil, requests are appended to it instead of being sent
 	Series            []Sample
 }
 
@@ -188,9 +188,9 @@
 }
 
 const (
-	// pollWithin is the time within which an instance must have polled the list, where the list is polled.
+	// pollWithin is the instances' setting PollWithin, which limits the backoff between polls of the endpoint list.
 	pollWithin = 10 * policy.Second
-	// defaultOverloadMultiple is the setting of instances if no kind of endpoint can be overloaded.
+	// defaultOverloadMultiple is the instances' setting OverloadMultiple if no kind of endpoint can be overloaded.
 	defaultOverloadMultiple = 3
 )
 
@@ -276,7 +276,7 @@
 	return len(cumulative) - 1
 }
 
-// weighted reports whether lists show the capacity of any kind of endpoint.
+// weighted reports whether any kind of endpoint has its real capacity as its weight in lists.
 func (sc *Scenario) weighted() bool {
 	for _, kind := range sc.Kinds {
 		if kind.Weighted {
@@ -302,7 +302,8 @@
 	return cores
 }
 
-// Run runs the simulation for the scenario's length, and on until all requests have ended.
+// Run runs the simulation for the scenario's length and then long enough for the last requests to end. It returns the
+// result of the run.
 func (w *World) Run() *judge.Verdict {
 	longest := policy.Time(0)
 	for _, class := range w.scenario.Classes {
@@ -340,7 +341,7 @@
 	return w.wastedWork / w.totalWork
 }
 
-// sinceStart converts a virtual time to a time since the start of the run, as the judge has it.
+// sinceStart converts a virtual time to the time since the start of the run, which the judge uses.
 func (w *World) sinceStart(at policy.Time) policy.Time { return at - startTime }
 
 // transit draws the one-way delay between two zones.
@@ -352,7 +353,7 @@
 	return policy.Time(float64(delay) * logNormal(w.noise, w.scenario.Network.Jitter))
 }
 
-// EndpointNames returns the UIDs of all endpoints of the run, by number.
+// EndpointNames returns the UIDs of all endpoints of the run, in the order of their numbers.
 func (w *World) EndpointNames() (all []string) {
 	for _, ep := range w.endpoints {
 		all = append(all, ep.uid)
@@ -377,8 +378,8 @@
 	return all
 }
 
-// JudgeConfig returns the configuration of another judge of the same run. slack is added to the grace period, for
-// judges that observe events with a delay.
+// JudgeConfig returns the configuration of the run's judge, for a separate judge of the same scenario. slack extends
+// the grace period, for a judge that observes events with a delay.
 func (w *World) JudgeConfig(slack policy.Time) judge.Config {
 	config := w.judgeConfig
 	config.Grace += slack
--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -28,7 +28,8 @@
 	return header, records
 }
 
-// TestWrittenTraceMatchesGoldenFile writes a trace and compares its bytes with the golden file.
+// TestWrittenTraceMatchesGoldenFile guards against changes of the format: it writes a trace and compares its bytes with
+// the golden file.
 func TestWrittenTraceMatchesGoldenFile(t *testing.T) {
 	header, records := goldenTrace()
 	path := filepath.Join(t.TempDir(), "trace")
--- a/internal/trace/reader.go
+++ b/internal/trace/reader.go
@@ -14,8 +14,8 @@
 const (
 	maxNesting       = 4
 	maxArrayElements = 1 << 16
-	// maxLastRecord is how many bytes a trace may have beyond MaxSize: those of the record that exceeds the size, and
-	// of the recorder's buffer.
+	// maxLastRecord is how many bytes a trace may have beyond MaxSize: the recorder does not count the bytes in
+	// its buffer, and completes the record that exceeds the size.
 	maxLastRecord = 1 << 20
 )
 
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -99,7 +99,7 @@
 	return n, err
 }
 
-// Put adds a record to the trace. record.At must be a Unix time; the trace has it relative to its start.
+// Put adds a record to the trace. record.At must be a Unix time; the trace stores it relative to its own start.
 func (r *Recorder) Put(record Record) {
 	record.At -= r.header.Start
 	select {
@@ -129,7 +129,8 @@
 	return number
 }
 
-// KnownEndpoint returns the number of an endpoint, or -1 if none is assigned.
+// KnownEndpoint returns the number of an endpoint, or -1 if none is assigned yet. Unlike EndpointNumber, it does
+// not assign one.
 func (r *Recorder) KnownEndpoint(id policy.EndpointID) int64 {
 	if number, known := r.endpoints[id]; known {
 		return number
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -58,17 +58,18 @@
 		last = len(got.Records)
 	}
 	if last != len(want) {
-		t.Errorf("%d of %d records", last, len(want))
+		t.Errorf("read %d of %d records from the complete trace", last, len(want))
 	}
 }
 
+// Read does not panic on any input, and accepts only traces of the current version.
 func FuzzRead(f *testing.F) {
 	complete, _ := write(f)
 	f.Add(complete)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		got, err := Read(bytes.NewReader(b))
 		if err == nil && got.Version != version {
-			t.Fatalf("%+v", got.Header)
+			t.Fatalf("accepted a trace of another version: %+v", got.Header)
 		}
 	})
 }
