--- a/cmd/pepperlead-sim/run.go
+++ b/cmd/pepperlead-sim/run.go
@@ -72,7 +72,7 @@
 func loadScenario(path string, settings []string) (*emulator.Scenario, error) {
 	var sets []emulator.Override
 	for _, setting := range settings {
-		sets = append(sets, experiment.ParseSets(setting)...)
+		sets = append(sets, experiment.ParseOverride(setting)...)
 	}
 	return experiment.Load(path, sets...)
 }
--- a/cmd/pepperlead-sim/sockets.go
+++ b/cmd/pepperlead-sim/sockets.go
@@ -47,7 +47,7 @@
 func (o *socketsOptions) run(out io.Writer, path string) error {
 	ctx, stop := interruptContext()
 	defer stop()
-	scenario, err := experiment.Load(path, experiment.ParseSets(o.set)...)
+	scenario, err := experiment.Load(path, experiment.ParseOverride(o.set)...)
 	if err != nil {
 		return err
 	}
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -91,7 +91,7 @@
 	var jobs []job
 	for _, path := range g.Scenarios {
 		for _, set := range sets {
-			if _, err := Load(path, ParseSets(set)...); err != nil {
+			if _, err := Load(path, ParseOverride(set)...); err != nil {
 				return nil, err
 			}
 			for _, seed := range g.Seeds {
@@ -137,7 +137,7 @@
 
 // play plays the run. It drops the values by second, as a sweep may have thousands of runs.
 func (j job) play() (*Result, error) {
-	scenario, err := Load(j.path, ParseSets(j.set)...)
+	scenario, err := Load(j.path, ParseOverride(j.set)...)
 	if err != nil {
 		return nil, err
 	}
@@ -150,9 +150,9 @@
 	return r, nil
 }
 
-// ParseSets parses a set of the form path=value; text without an equals sign is no set. The value is an integer, a
-// float or a boolean if it can be parsed as one, else a string.
-func ParseSets(text string) []emulator.Override {
+// ParseOverride parses an override of the form path=value. The result has one element, or none if text has no equals
+// sign. The value becomes an integer, a float or a boolean if it can be parsed as one, else a string.
+func ParseOverride(text string) []emulator.Override {
 	path, value, ok := strings.Cut(text, "=")
 	if !ok {
 		return nil
