--- a/internal/simprotocol/adapter.go
+++ b/internal/simprotocol/adapter.go
@@ -1,6 +1,6 @@
 // Package simprotocol connects instances of the decision module to the simulator by a line protocol. The simulator
-// sends batches of lines. Each event becomes a call to an instance, and the actions of the instances are the lines of
-// the reply to the batch.
+// sends batches of lines, each from a "round" line, which gives the time, to a "go" line. An event in a batch becomes a
+// call to an instance. The reply to the batch has a line for each action of the instances, and ends with "ack".
 package simprotocol
 
 import (
@@ -29,7 +29,7 @@
 	keywordNewInstance = "new_instance"
 )
 
-// adapter runs the instances of one process and decodes its input.
+// adapter decodes the simulator's lines, and holds the instances and endpoint lists that they refer to.
 type adapter struct {
 	in        *bufio.Reader
 	out       io.Writer
@@ -44,8 +44,8 @@
 	fields    []field // of the current line
 }
 
-// Run serves batches until the input ends or a line cannot be handled. The error then quotes the line and gives the
-// reason.
+// Run serves batches until the input ends. It stops at a line that it cannot handle, with an error that quotes the line
+// and gives the reason.
 func Run(in io.Reader, out io.Writer) error {
 	a := &adapter{in: bufio.NewReaderSize(in, readBufferSize), out: out, instances: map[string]*instance{}}
 	for {
--- a/internal/simprotocol/adapter_test.go
+++ b/internal/simprotocol/adapter_test.go
@@ -15,6 +15,7 @@
 
 const requestField = "tid=5d3a91c4-b544-46b7-ac67-2a5efa00dc6c"
 
+// batches is valid input: an instance and a list with one endpoint, then a request whose attempt succeeds.
 const batches = "round wall_s=8.41225\n" + newInstanceLine +
 	"roster table=0 nodes_list=1\nendpoint scale=1 endpoint=5 group=0 readiness=Ready area=a sku=x\n" +
 	"fleet sidecar_id=sidecar/0 table=0 version=1 how=SAVED\nnews_to_come sidecar_id=sidecar/0 x=1\n" +
@@ -49,6 +50,7 @@
 	}
 }
 
+// A list replaces an earlier one of the same number, instead of adding to it.
 func TestListNumbersCanBeReused(t *testing.T) {
 	in := strings.Replace(batches, "roster table=0", "roster table=0 nodes_list=1\n"+
 		"endpoint endpoint=9 readiness=Gone area=a\nroster table=0", 1)
--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -9,8 +9,8 @@
 // retryOption is the bit of a request's options that marks a retry by the client.
 const retryOption = 2
 
-// eventHandler handles an event of an instance, which is nil if it is unknown or has stopped. The event has no effect
-// then, but its fields must still be valid.
+// eventHandler handles an event for instance i. If the instance is unknown or has stopped, i is nil: the event then has
+// no effect, but its required fields must still be valid.
 type eventHandler func(a *adapter, i *instance) error
 
 // events maps the keyword of a line to the handler of the event.
@@ -26,6 +26,7 @@
 	"from_peer":   (*adapter).ignore,
 }
 
+// ignore handles an event that the module does not need.
 func (a *adapter) ignore(*instance) error { return nil }
 
 // admit passes a new request to the instance.
@@ -48,8 +49,8 @@
 	}
 	tenant := policy.NoTenant
 	if name, found := a.lookup("party"); found {
-		if known, ok := i.tenants[string(name)]; ok {
-			tenant = known
+		if tenantID, ok := i.tenants[string(name)]; ok {
+			tenant = tenantID
 		}
 	}
 	options := uint64(0)
--- a/internal/simprotocol/instance.go
+++ b/internal/simprotocol/instance.go
@@ -12,8 +12,8 @@
 // requestID is the ID of a request, in the protocol's text form.
 type requestID [36]byte
 
-// instance is one instance of the decision module, with the names and IDs that the protocol uses for the module's
-// numbers. It implements the module's front.
+// instance is one instance of the decision module, with the maps that translate between the protocol's names and IDs
+// and the module's numbers. It implements policy.Front.
 type instance struct {
 	name     []byte
 	reply    *bytes.Buffer
@@ -74,8 +74,8 @@
 	return settings, nil
 }
 
-// setHandle records the handle of a request, and removes the request whose handle had the same index before: it has
-// ended.
+// setHandle records the handle of a request. If another request had a handle with the same index before, that request
+// has ended, and its handle is removed.
 func (i *instance) setHandle(id requestID, h policy.Handle) {
 	for len(i.ids) <= h.Index() {
 		i.ids = append(i.ids, requestID{})
