--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Comparison compares the service of two sweeps, A and B, in one scenario, over runs paired by seed.
+// Comparison compares the service of two sweeps, A and B, in one scenario with one setting, over runs paired by seed.
 type Comparison struct {
 	Scenario      string  `json:"scenario"`
 	Set           string  `json:"set,omitempty"`
@@ -22,7 +22,7 @@
 // runKey identifies a run of a sweep of one policy.
 type runKey struct {
 	scenario string
-	set      string
+	override string
 	seed     uint64
 }
 
@@ -36,7 +36,7 @@
 	if _, err := indexRuns(b); err != nil {
 		return nil, err
 	}
-	type group struct{ scenario, set string }
+	type group struct{ scenario, override string }
 	gains := map[group][]float64{}
 	comparisons := map[group]*Comparison{}
 	for _, resultB := range b {
--- a/internal/experiment/latency.go
+++ b/internal/experiment/latency.go
@@ -33,9 +33,8 @@
 // Answer records the latency of a succeeded request.
 func (l *latencyRecorder) Answer(class policy.ClassID, answer judge.Answer, elapsed policy.Time) {
 	if answer == judge.Succeeded {
-		_ = l.byClass[class].RecordValue(
-			int64(max(elapsed, minLatency)),
-		) // fails only above maxLatency, the maximum length of a scenario
+		// RecordValue fails only above maxLatency, which is the maximum length of a scenario.
+		_ = l.byClass[class].RecordValue(int64(max(elapsed, minLatency)))
 	}
 }
 
@@ -55,7 +54,7 @@
 	return all
 }
 
-// curves returns the latency curves by class: seconds over percentiles.
+// curves returns the latency curves by class: the latency in seconds (Y) at each of curvePercentiles (X).
 func (l *latencyRecorder) curves(scenario *emulator.Scenario) map[string][]Point {
 	all := map[string][]Point{}
 	for i, histogram := range l.byClass {
--- a/internal/experiment/outages.go
+++ b/internal/experiment/outages.go
@@ -13,7 +13,7 @@
 const (
 	// failuresInRow is how many attempts in a row, over all instances, must fail for an endpoint to count as down.
 	failuresInRow = 4
-	// silentAfter is the time after which a failed connection counts as unanswered rather than refused.
+	// silentAfter is the time above which a failed attempt to connect counts as unanswered rather than refused.
 	silentAfter = 50 * policy.Millisecond
 	// restartTime is the assumed downtime of an endpoint that restarted without an observed failure.
 	restartTime = 200 * policy.Millisecond
@@ -29,9 +29,9 @@
 }
 
 // inferFaults infers faults from the endpoint lists and the outcomes of attempts in traces. An endpoint that restarted
-// was down since the first of the failures before the restart, or for restartTime if there were none. One with
-// failuresInRow consecutive failures was silent, or had crashed if it refused or reset connections. The times of the
-// faults are relative to start, a Unix time.
+// was down since the first of the failures before the restart, or for restartTime if there were none. An endpoint with
+// failuresInRow or more consecutive failures before a success was silent, or had crashed if it refused or reset
+// connections in at least half of them. The times of the faults are relative to start, a Unix time.
 func inferFaults(
 	scenario *emulator.Scenario,
 	traces []*trace.Trace,
@@ -136,7 +136,7 @@
 	from   policy.Time
 	last   policy.Time
 	count  int
-	silent int
+	silent int // failures without an answer
 }
 
 // crashed reports whether at least half of the failures were answered, by a refusal or a reset.
@@ -156,7 +156,7 @@
 // findOutages finds the spans in which an endpoint was down.
 func findOutages(observations []observation) (outages []outage) {
 	var run failureRun
-	counted := policy.Time(0) // start time of the latest restart seen: every instance reports it
+	counted := policy.Time(0) // start time of the last restart counted: the traces of all instances show the same one
 	for _, o := range observations {
 		switch {
 		case o.started > 0:
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -50,8 +50,8 @@
 	return snapshot.Replace(path, out.Bytes())
 }
 
-// groupRows returns the labels of the groups, which are a scenario with its setting, the policies, and the points of
-// each policy.
+// groupRows groups rows by scenario and setting. It returns the labels of the groups, the names of the policies, and
+// the points of each policy.
 func groupRows(rows []Row) (groups, policies []string, points map[string]*intervalPoints) {
 	const policyOffset = 0.08 // x distance between the marks of a group
 	points = map[string]*intervalPoints{}
--- a/internal/experiment/replay.go
+++ b/internal/experiment/replay.go
@@ -22,8 +22,9 @@
 }
 
 // FromTraces replaces a scenario's load by the requests of traces, and its faults by those that the traces show:
-// endpoints that restarted or were unreachable. The fleet stays the scenario's, as no instance knows how fast
-// endpoints are. Endpoints are matched by uid; those that the scenario does not have are left out.
+// endpoints that restarted or were unreachable. The fleet stays the scenario's, because the instances that record
+// traces do not know how fast endpoints are. Endpoints are matched by uid; those that the scenario does not have are
+// left out.
 func FromTraces(scenario *emulator.Scenario, traces []*trace.Trace) (*ReplaySummary, error) {
 	if len(traces) == 0 {
 		return nil, errors.New("no traces to replay")
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -43,7 +43,7 @@
 	return path, snapshot.Replace(path, out.Bytes())
 }
 
-// ruleNames describes the judge's rules, which are numbered from 1.
+// ruleNames describes the judge's rules in their order, beginning with rule 1.
 var ruleNames = []string{
 	"one final answer before the cut-off",
 	"no effect twice",
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -1,6 +1,6 @@
-// Package experiment plays scenarios in the emulator: single runs with a report, sweeps over seeds, settings and
-// policies, and comparisons of two sweeps. What it writes depends only on scenario, settings, seed and policy, not on
-// clocks or the number of workers.
+// Package experiment plays scenarios in the emulator: single runs with a report, replays of traces, sweeps over seeds,
+// settings and policies, and comparisons of two sweeps. What it writes depends only on the scenario, the overrides of
+// its settings, the traces of a replay, the seed and the policy, not on clocks or the number of workers.
 package experiment
 
 import (
@@ -32,7 +32,7 @@
 	Scenario string         `json:"scenario"`
 	Seed     uint64         `json:"seed"`
 	Policy   string         `json:"policy"`
-	Set      string         `json:"set,omitempty"` // settings that replaced the scenario's, as path=value
+	Set      string         `json:"set,omitempty"` // overrides of the scenario's settings, as path=value
 	Verdict  *judge.Verdict `json:"verdict"`
 	Wasted   float64        `json:"wasted"` // share of the endpoints' work that was done for abandoned attempts
 	Latency  []Latency      `json:"latency,omitempty"`
@@ -90,7 +90,8 @@
 	}, nil
 }
 
-// FaultSpans returns the faults of a scenario as spans of time since its start.
+// FaultSpans returns the faults of a scenario as spans of time since its start. A fault without a duration is shown for
+// 1 s, and a rolling fault until the end of the scenario.
 func FaultSpans(scenario *emulator.Scenario) (spans []FaultSpan) {
 	for _, fault := range scenario.Faults {
 		to := fault.At + fault.Duration
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -35,10 +35,10 @@
 
 // job is one run of a grid.
 type job struct {
-	path   string
-	seed   uint64
-	set    string
-	policy string
+	path     string
+	seed     uint64
+	override string // path=value; "": none
+	policy   string
 }
 
 // Sweep plays all runs of a grid, several at once. The results are in the grid's order, whichever run ends first.
@@ -81,22 +81,22 @@
 
 // jobs lists the runs of the grid. A scenario that cannot be loaded is an error before any run starts.
 func (g *Grid) jobs() ([]job, error) {
-	sets := []string{""}
+	overrides := []string{""}
 	if g.Vary != "" {
-		sets = nil
+		overrides = nil
 		for _, value := range g.Values {
-			sets = append(sets, g.Vary+"="+value)
+			overrides = append(overrides, g.Vary+"="+value)
 		}
 	}
 	var jobs []job
 	for _, path := range g.Scenarios {
-		for _, set := range sets {
-			if _, err := Load(path, ParseOverride(set)...); err != nil {
+		for _, override := range overrides {
+			if _, err := Load(path, ParseOverride(override)...); err != nil {
 				return nil, err
 			}
 			for _, seed := range g.Seeds {
 				for _, policyName := range g.Policies {
-					jobs = append(jobs, job{path, seed, set, policyName})
+					jobs = append(jobs, job{path, seed, override, policyName})
 				}
 			}
 		}
@@ -135,9 +135,9 @@
 	}
 }
 
-// play plays the run. It drops the values by second, as a sweep may have thousands of runs.
+// play plays the run. It drops the verdict's values by second, to save space: a sweep may have thousands of runs.
 func (j job) play() (*Result, error) {
-	scenario, err := Load(j.path, ParseOverride(j.set)...)
+	scenario, err := Load(j.path, ParseOverride(j.override)...)
 	if err != nil {
 		return nil, err
 	}
@@ -145,7 +145,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.Set = j.set
+	r.Set = j.override
 	r.Verdict.Seconds = nil
 	return r, nil
 }
@@ -220,7 +220,7 @@
 
 // Table summarizes a sweep by scenario, setting and policy.
 func Table(all []*Result) []Row {
-	type key struct{ scenario, set, policy string }
+	type key struct{ scenario, override, policy string }
 	indexes := map[key]int{}
 	var rows []Row
 	var services [][]float64 // of the runs of each row
@@ -300,7 +300,8 @@
 	return mean, t * math.Sqrt(sum/(n-1)/n)
 }
 
-// ReadResults reads the results that run or sweep wrote into a directory, or one file of such results.
+// ReadResults reads the results that the command run, replay or sweep wrote into a directory; path may also be the file
+// itself.
 func ReadResults(path string) ([]*Result, error) {
 	for _, name := range []string{filepath.Join(path, "sweep.json"), path} {
 		var all []*Result
@@ -308,13 +309,13 @@
 			return all, nil
 		}
 	}
-	var one Result
-	if err := readJSON(filepath.Join(path, "result.json"), &one); err != nil {
-		if err2 := readJSON(path, &one); err2 != nil {
+	var single Result
+	if err := readJSON(filepath.Join(path, "result.json"), &single); err != nil {
+		if err2 := readJSON(path, &single); err2 != nil {
 			return nil, err
 		}
 	}
-	return []*Result{&one}, nil
+	return []*Result{&single}, nil
 }
 
 // FilterByPolicy keeps the results of one policy; "" keeps all.
