--- a/cmd/pepperlead-sim/compare.go
+++ b/cmd/pepperlead-sim/compare.go
@@ -15,13 +15,14 @@
 		Use:   "compare A B",
 		Args:  cobra.ExactArgs(2),
 		Short: "Compare two sweeps, or two runs, paired by seed",
-		Long: "Compare what run or sweep wrote into two folders, paired by scenario, setting and seed, with " +
-			"the 95% interval of the gain.\n" +
-			"Exit code 1 if the service of a scenario falls by more than is allowed, or if B breaks a rule where A " +
-			"did not.",
+		Long: "Compare the service of the runs that run, replay or sweep wrote into the folders A and B. Runs are " +
+			"paired by scenario,\n" +
+			"setting and seed. The gain is the mean service of B minus that of A, with its 95% interval (±). Exit " +
+			"code 1 if a scenario loses\n" +
+			"more service than --allow, or if B breaks a rule in a run in which A does not.",
 		Example: "  pepperlead-sim compare /tmp/before /tmp/after --allow 0.01",
 	}
-	allow := c.Flags().Float64("allow", 0.01, "the largest loss of service that is accepted")
+	allow := c.Flags().Float64("allow", 0.01, "the largest loss of service (a negative gain) that is accepted")
 	policyA := c.Flags().String("policy-a", "", "the policy to compare from A, if A has several")
 	policyB := c.Flags().String("policy-b", "", "the policy to compare from B, if B has several")
 	asJSON := c.Flags().Bool("json", false, "print JSON")
--- a/cmd/pepperlead-sim/cost.go
+++ b/cmd/pepperlead-sim/cost.go
@@ -39,7 +39,7 @@
 	c := &cobra.Command{
 		Use:   "cost --daemon LABEL=PROGRAM...",
 		Args:  cobra.NoArgs,
-		Short: "Measure the cost of a request in daemons and in a plain proxy of the standard library, side by side",
+		Short: "Measure the CPU time and latency of requests through daemons and a plain proxy of the standard library",
 		Example: "  pepperlead-sim cost --daemon now=bin/pepperlead --clients 1,16 --rounds 5 --each 3s\n" +
 			"  pepperlead-sim cost --daemon before=/path/to/an/earlier/pepperlead --daemon now=bin/pepperlead",
 	}
@@ -47,11 +47,13 @@
 	c.Flags().StringArrayVar(&o.daemons, "daemon", []string{"now=bin/pepperlead"},
 		"`label=program` of a daemon; may be repeated to measure several side by side")
 	c.Flags().StringArrayVar(&o.products, "product", nil,
-		"`label=program=file` of a daemon with the product's configuration, to which the text of the file is "+
-			"added, such as a [peers] table")
+		"`label=program=file` of a daemon with a TOML configuration of the product instead of the platform's JSON; "+
+			"the text of the file, such as a [peers] table, is added to the configuration; may be repeated")
 	c.Flags().IntSliceVar(&o.clients, "clients", []int{1, 16}, "numbers of concurrent clients")
-	c.Flags().IntVar(&o.rounds, "rounds", 5, "rounds, in each of which every subject is measured once")
-	c.Flags().DurationVar(&o.duration, "each", 3*time.Second, "how long each subject is measured in a round")
+	c.Flags().IntVar(&o.rounds, "rounds", 5,
+		"number of rounds; each of them measures every daemon and the plain proxy once")
+	c.Flags().DurationVar(&o.duration, "each", 3*time.Second,
+		"how long each daemon, and the plain proxy, is measured in a round")
 	c.Flags().BoolVar(&o.asJSON, "json", false, "print every round as JSON")
 	c.RunE = func(c *cobra.Command, _ []string) error { return o.run(c.OutOrStdout()) }
 	return c
@@ -91,7 +93,7 @@
 	return nil
 }
 
-// subjectStarter creates the subjects of a benchmark.
+// subjectStarter creates the subjects of a benchmark, which are the programs that it measures side by side.
 type subjectStarter struct {
 	ctx       context.Context
 	directory string // for the daemons' configurations
@@ -142,6 +144,7 @@
 			return nil, err
 		}
 		process := exec.CommandContext(s.ctx, program, "serve", "-config", path, "-log", "error")
+		// The platform settings of this process's environment must not reach the daemon.
 		isPlatform := func(variable string) bool { return strings.HasPrefix(variable, "GW_") }
 		process.Env = slices.DeleteFunc(os.Environ(), isPlatform)
 		process.Stderr = os.Stderr
@@ -158,7 +161,7 @@
 	clients int,
 	duration time.Duration,
 ) {
-	var base time.Duration
+	var plainCPU time.Duration
 	for _, subject := range subjects {
 		var cpu, p50, p99 []time.Duration
 		var requests, failed, rss []int
@@ -173,12 +176,12 @@
 			failed = append(failed, cost.Failed)
 			rss = append(rss, cost.RSS)
 		}
-		if base == 0 {
-			base = median(cpu)
+		if plainCPU == 0 {
+			plainCPU = median(cpu)
 		}
 		printf(out, "%3d clients  %-12s CPU %6.1f us/request (%.2f of plain)  p50 %7v  p99 %7v  %6.0f "+
 			"requests/s  failed %d  RSS %.1f MB\n",
-			clients, subject.Label, float64(median(cpu))/1e3, float64(median(cpu))/float64(max(1, base)),
+			clients, subject.Label, float64(median(cpu))/1e3, float64(median(cpu))/float64(max(1, plainCPU)),
 			median(p50).Round(time.Microsecond), median(p99).Round(time.Microsecond),
 			float64(median(requests))/duration.Seconds(), slices.Max(failed), float64(median(rss))/1024)
 	}
--- a/cmd/pepperlead-sim/drillpeers.go
+++ b/cmd/pepperlead-sim/drillpeers.go
@@ -34,12 +34,13 @@
 		Use:   "peers",
 		Args:  cobra.NoArgs,
 		Short: "Measure how soon sidecars learn of killed, stalled and partitioned peers",
-		Long: "Starts sidecars of one cluster on loopback, connected through a fault proxy. Measures what an idle " +
-			"sidecar sends and costs. Then blocks a\n" +
-			"link in one direction, kills one sidecar, partitions the others, heals the partition, stalls one, has " +
-			"one leave, and starts the killed one\n" +
-			"again. After each step it waits until all running sidecars know who is alive. Exit code 1 if they do " +
-			"not in time.",
+		Long: "Start sidecars of one cluster on loopback, connected through a fault proxy, and measure the packets, " +
+			"bytes and CPU time of an\n" +
+			"idle one. Then block a link in one direction, kill one sidecar, partition the others, heal the " +
+			"partition, stall one, let one\n" +
+			"leave, and start the killed one again. After each step, every running sidecar must see the right " +
+			"number of sidecars alive.\n" +
+			"Exit code 1 if that takes too long.",
 		Example: "  pepperlead-sim drill peers --count 50",
 	}
 	var o drillPeersOptions
--- a/cmd/pepperlead-sim/drillplay.go
+++ b/cmd/pepperlead-sim/drillplay.go
@@ -20,12 +20,13 @@
 		Use:   "play FILE...",
 		Args:  cobra.MinimumNArgs(1),
 		Short: "Play scripts of faults against a cluster whose rule set changes",
-		Long: "Starts the sidecars, coordinators, endpoints and clients of a script (drills/*.toml), performs its " +
-			"actions, heals all faults, and\n" +
-			"has the judge check what processes, endpoints and clients recorded. Exit code 1 if a rule was broken, " +
-			"two processes acted on contradicting\n" +
-			"rule sets for longer than agree_within, or something failed; the commands that repeat the failed runs " +
-			"are printed.",
+		Long: "Start the sidecars, coordinators, endpoints and clients of a script (drills/*.toml), perform its " +
+			"actions, heal all faults, and\n" +
+			"have the judge check what processes, endpoints and clients recorded. Exit code 1 if a rule was broken, " +
+			"if two processes acted on\n" +
+			"contradicting rule sets for longer than the script's agree_within, or if something failed; the commands " +
+			"that repeat the failed\n" +
+			"runs are then printed.",
 		Example: "  pepperlead-sim drill play drills/naps.toml --seeds 20 --report out",
 	}
 	var p drillPlayer
@@ -170,13 +171,13 @@
 		"without a lease), %d repeated effects\n",
 		r.Drill, r.Seed, verdict, v.Contradiction, script.AgreeWithin, v.Broken, v.Attempts, v.Unleased, v.Repeats)
 	printf(out, "  clients: %d requests, %d succeeded, %d rejected, %d failed, %d lost with their sidecar; "+
-		"without a lease %d of %d succeeded\n",
+		"%d of %d requests without a lease succeeded\n",
 		v.ClientRequests, v.Succeeded, v.Rejected, v.Failed, v.Lost, v.UnleasedRequests[1], v.UnleasedRequests[0])
 	for _, a := range r.Applied {
 		printApplied(out, a)
 	}
-	printf(out, "  same lease %.1f s after all faults were healed; in total %.1f s without a lease and %.0f times a "+
-		"sidecar was taken for gone; "+
+	printf(out, "  all had the same lease %.1f s after the faults were healed; in total, sidecars had no lease for "+
+		"%.1f s and took another one for gone %.0f times; "+
 		"one sidecar: %.1f packets and %.0f bytes per second, %.4f of a core\n",
 		r.Converged, r.Unleased, r.FalseDeaths, r.Packets, r.Bytes, r.CPU)
 	printf(out, "  the fault proxy itself added %.1f ms (99%%); clock readings were up to %.0f ms late; %.0f%% of the "+
@@ -202,5 +203,5 @@
 		return
 	}
 	printf(out, "  %s at %.1f s: revision %d, used by sidecars within %.2f s (50%%), %.2f s (99%%), %.2f s (all), "+
-		"used alone within %.2f s\n", a.Version, a.At, a.Number, a.P50, a.P99, a.Max, a.Alone)
+		"without the previous revision within %.2f s\n", a.Version, a.At, a.Number, a.P50, a.P99, a.Max, a.Alone)
 }
--- a/cmd/pepperlead-sim/lists.go
+++ b/cmd/pepperlead-sim/lists.go
@@ -24,7 +24,7 @@
 		Example: "  pepperlead-sim lists --servers 300,5000",
 	}
 	sizes := c.Flags().IntSlice("servers", []int{10, 300, 5000}, "sizes of the list, in endpoints")
-	rounds := c.Flags().Int("rounds", 5, "rounds, of which the shortest times are printed")
+	rounds := c.Flags().Int("rounds", 5, "number of rounds; the shortest time of each step is printed")
 	asJSON := c.Flags().Bool("json", false, "print JSON")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		var costs []benchmark.ListCost
@@ -92,7 +92,10 @@
 	c := &cobra.Command{
 		Use:   "follow",
 		Args:  cobra.NoArgs,
-		Short: "Measure the time from a change of a list file to the first attempt that follows it",
+		Short: "Measure the time from a change of a list file to the first attempt that is based on it",
+		Long: "Measure the time from a change of a list file to the first attempt that is based on it, for " +
+			"lists that end with a digest\n" +
+			"(sealed) and for lists without one.",
 	}
 	program := c.Flags().String("daemon", "bin/pepperlead", "the daemon's `program`")
 	rounds := c.Flags().Int("rounds", 40, "number of changes")
@@ -111,7 +114,7 @@
 	return c
 }
 
-// follow measures how long a daemon takes to follow changes of a list file; sealed lists end with a digest.
+// follow measures how long a daemon takes to apply changes of a list file; sealed lists end with a digest.
 func follow(program string, rounds int, sealed bool) ([]time.Duration, error) {
 	daemon, err := startStandalone(program, 2, nil, "")
 	if err != nil {
@@ -121,7 +124,7 @@
 	return benchmark.Follow(daemon.listen, filepath.Join(daemon.directory, "servers.toml"), rounds, sealed)
 }
 
-// settleTime is the wait before the memory of a daemon is read, so that it has settled.
+// settleTime is the wait before a daemon's memory is read, so that its use of memory has settled.
 const settleTime = 2 * time.Second
 
 func memoryCommand() *cobra.Command {
@@ -132,7 +135,7 @@
 	}
 	program := c.Flags().String("daemon", "bin/pepperlead", "the daemon's `program`")
 	sizes := c.Flags().IntSlice("servers", []int{10, 300, 5000}, "sizes of the list, in endpoints")
-	admin := c.Flags().Bool("admin", false, "configure an admin address")
+	admin := c.Flags().Bool("admin", false, "configure an admin address for the daemon")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		self, err := os.Executable()
 		if err != nil {
--- a/cmd/pepperlead-sim/replay.go
+++ b/cmd/pepperlead-sim/replay.go
@@ -2,11 +2,9 @@
 
 import (
 	"io"
-	"strings"
 
 	"github.com/spf13/cobra"
 
-	"pepperlead/internal/emulator/baseline"
 	"pepperlead/internal/experiment"
 	"pepperlead/internal/trace"
 )
@@ -26,20 +24,21 @@
 		Use:   "replay TRACE...",
 		Args:  cobra.MinimumNArgs(1),
 		Short: "Replay traces that daemons recorded, in virtual time",
-		Long: "Replay traces that daemons recorded by serve --record, one from each sidecar, in virtual time: " +
-			"the same requests at the same\n" +
-			"times, and the faults of endpoints that the traces show. The fleet, which no sidecar knows, is that of " +
-			"a scenario.",
+		Long: "Replay traces that daemons recorded with serve --record, one from each sidecar, in virtual time: the " +
+			"same requests at the same\n" +
+			"times, and the faults of endpoints that the traces show. The fleet is that of a scenario, because " +
+			"traces do not show how fast\n" +
+			"endpoints are.",
 		Example: "  pepperlead-sim replay --scenario scenarios/monday.toml /tmp/monday/*.trace --out /tmp/again",
 	}
 	var o replayOptions
 	c.Flags().StringVar(&o.scenarioPath, "scenario", "",
 		"the `scenario` whose fleet, classes and clients are used (required)")
 	c.Flags().BoolVar(&o.scripted, "scripted", false,
-		"play the scenario's faults instead of those that the traces show, except for faults of the load, which "+
-			"the traces contain")
-	c.Flags().Uint64Var(&o.seed, "seed", 1, "random seed for what was not recorded: sizes of work, speeds")
-	c.Flags().StringVar(&o.policyName, "policy", "module", strings.Join(baseline.Names, ", "))
+		"play the scenario's faults instead of those that the traces show; faults that change the load are left "+
+			"out, as the recorded requests already contain them")
+	c.Flags().Uint64Var(&o.seed, "seed", 1, "random seed for what was not recorded, such as sizes of work and speeds")
+	c.Flags().StringVar(&o.policyName, "policy", "module", policyHelp)
 	c.Flags().StringVar(&o.directory, "out", "",
 		"`folder` for result.json and series.json (default: nothing is written)")
 	c.Flags().BoolVar(&o.asJSON, "json", false, "print the summary of the traces and the result as JSON")
@@ -58,7 +57,7 @@
 		return err
 	}
 	scriptedFaults := scenario.Faults
-	replayed, err := experiment.FromTraces(scenario, traces)
+	summary, err := experiment.FromTraces(scenario, traces)
 	if err != nil {
 		return err
 	}
@@ -77,9 +76,9 @@
 		}
 	}
 	if o.asJSON {
-		return printJSON(out, map[string]any{"traces": replayed, "result": result})
+		return printJSON(out, map[string]any{"traces": summary, "result": result})
 	}
-	printReplay(out, len(traces), replayed, result)
+	printReplay(out, len(traces), summary, result)
 	return checkRules(result.Verdict)
 }
 
@@ -95,11 +94,11 @@
 	return traces, nil
 }
 
-func printReplay(out io.Writer, traces int, replayed *experiment.ReplaySummary, result *experiment.Result) {
+func printReplay(out io.Writer, traces int, summary *experiment.ReplaySummary, result *experiment.Result) {
 	printf(out, "%d traces (%d truncated): %d requests, %d retries left out, %d endpoints; "+
 		"%.3f of the recorded requests succeeded\n",
-		traces, replayed.Truncated, replayed.Arrivals, replayed.Retries, replayed.Endpoints, replayed.SucceededShare)
-	for _, fault := range replayed.Faults {
+		traces, summary.Truncated, summary.Arrivals, summary.Retries, summary.Endpoints, summary.SucceededShare)
+	for _, fault := range summary.Faults {
 		printf(out, "  %s\n", fault)
 	}
 	v := result.Verdict
--- a/cmd/pepperlead-sim/report.go
+++ b/cmd/pepperlead-sim/report.go
@@ -10,7 +10,7 @@
 	c := &cobra.Command{
 		Use:     "report FOLDER",
 		Args:    cobra.ExactArgs(1),
-		Short:   "Write report.html from the files that run or replay wrote",
+		Short:   "Write report.html into a folder, from the files that run or replay wrote there with --out",
 		Example: "  pepperlead-sim report /tmp/monday",
 	}
 	asJSON := c.Flags().Bool("json", false, "print the file's path as JSON")
--- a/cmd/pepperlead-sim/run.go
+++ b/cmd/pepperlead-sim/run.go
@@ -12,6 +12,10 @@
 	"pepperlead/internal/experiment"
 )
 
+// policyHelp is the help text of flags that take policies.
+var policyHelp = "load-balancing policy: module is that of the sidecar, the others are baselines (" +
+	strings.Join(baseline.Names, ", ") + ")"
+
 // runOptions are the flags of the command run.
 type runOptions struct {
 	seed       uint64
@@ -26,8 +30,9 @@
 		Use:   "run SCENARIO",
 		Args:  cobra.ExactArgs(1),
 		Short: "Run a scenario once in virtual time",
-		Long: "Run a scenario once in virtual time. " +
-			"The same scenario, seed and policy give the same result.json, to the byte.",
+		Long: "Run a scenario once in virtual time, and print the verdict of the emulator's judge. The service is " +
+			"the earned part of the\n" +
+			"requests' value. The same scenario, settings, seed and policy give the same result.json, to the byte.",
 		Example: "  pepperlead-sim run scenarios/monday.toml --seed 7 --out /tmp/monday " +
 			"&& pepperlead-sim report /tmp/monday",
 	}
@@ -35,9 +40,9 @@
 	c.Flags().Uint64Var(&o.seed, "seed", 1, "random seed")
 	c.Flags().StringVar(&o.directory, "out", "",
 		"`folder` for result.json and series.json (default: nothing is written)")
-	c.Flags().StringVar(&o.policyName, "policy", "module", strings.Join(baseline.Names, ", "))
+	c.Flags().StringVar(&o.policyName, "policy", "module", policyHelp)
 	c.Flags().StringArrayVar(&o.settings, "set", nil,
-		"a setting that replaces the scenario's, such as `load.part=0.8`; may be repeated")
+		"override of a setting of the scenario as `path=value`, such as load.part=0.8; may be repeated")
 	c.Flags().BoolVar(&o.asJSON, "json", false, "print the result as JSON")
 	c.RunE = func(c *cobra.Command, args []string) error { return o.run(c.OutOrStdout(), args[0]) }
 	return c
@@ -68,13 +73,13 @@
 	return checkRules(result.Verdict)
 }
 
-// loadScenario loads a scenario with settings that replace its own, each as path=value.
+// loadScenario loads a scenario with overrides of its settings, each as path=value.
 func loadScenario(path string, settings []string) (*emulator.Scenario, error) {
-	var sets []emulator.Override
+	var overrides []emulator.Override
 	for _, setting := range settings {
-		sets = append(sets, experiment.ParseOverride(setting)...)
+		overrides = append(overrides, experiment.ParseOverride(setting)...)
 	}
-	return experiment.Load(path, sets...)
+	return experiment.Load(path, overrides...)
 }
 
 func printRun(out io.Writer, scenario *emulator.Scenario, result *experiment.Result, elapsed time.Duration) {
--- a/cmd/pepperlead-sim/sockets.go
+++ b/cmd/pepperlead-sim/sockets.go
@@ -15,7 +15,7 @@
 	seed     uint64
 	daemon   string
 	traceDir string
-	set      string
+	override string
 	verbose  bool
 	asJSON   bool
 }
@@ -25,18 +25,19 @@
 		Use:   "sockets SCENARIO",
 		Args:  cobra.ExactArgs(1),
 		Short: "Play a scenario over sockets in real time, with real daemons",
-		Long: "Play a scenario over sockets in real time, with daemons as separate processes, fake backends that " +
-			"follow the emulator's model of\n" +
-			"endpoints, clients that send the requests that the emulator's clients would send, and the same judge. " +
-			"At most 2,048 sidecars, 2,048\n" +
-			"endpoints and 5,000 requests per second.",
+		Long: "Play a scenario over sockets in real time. The daemons are separate processes, fake backends follow " +
+			"the emulator's model of\n" +
+			"endpoints, clients send the same requests as in the emulator, and the emulator's judge checks the run. " +
+			"At most 2,048 sidecars,\n" +
+			"2,048 endpoints and 5,000 requests per second.",
 		Example: "  pepperlead-sim sockets scenarios/monday.toml --seed 1 --record /tmp/monday",
 	}
 	var o socketsOptions
 	c.Flags().Uint64Var(&o.seed, "seed", 1, "random seed")
 	c.Flags().StringVar(&o.daemon, "daemon", "bin/pepperlead", "the daemon's `program`")
 	c.Flags().StringVar(&o.traceDir, "record", "", "`folder` for the daemons' traces")
-	c.Flags().StringVar(&o.set, "set", "", "a setting that replaces the scenario's, such as `length=30s`")
+	c.Flags().StringVar(&o.override, "set", "",
+		"override of a setting of the scenario as `path=value`, such as length=30s")
 	c.Flags().BoolVar(&o.verbose, "log", false, "print faults and the daemons' warnings to standard error")
 	c.Flags().BoolVar(&o.asJSON, "json", false, "print the verdict as JSON")
 	c.RunE = func(c *cobra.Command, args []string) error { return o.run(c.OutOrStdout(), args[0]) }
@@ -47,7 +48,7 @@
 func (o *socketsOptions) run(out io.Writer, path string) error {
 	ctx, stop := interruptContext()
 	defer stop()
-	scenario, err := experiment.Load(path, experiment.ParseOverride(o.set)...)
+	scenario, err := experiment.Load(path, experiment.ParseOverride(o.override)...)
 	if err != nil {
 		return err
 	}
--- a/cmd/pepperlead-sim/sweep.go
+++ b/cmd/pepperlead-sim/sweep.go
@@ -31,6 +31,19 @@
 		Use:   "sweep SCENARIO...",
 		Args:  cobra.MinimumNArgs(1),
 		Short: "Run scenarios over many seeds, values of a setting and policies",
+		Long: "Run scenarios over many seeds, values of a setting and policies, and print a row for each scenario, " +
+			"value and policy.\n" +
+			"Columns are means over the seeds, except for maximum and herd, which are maxima, and the last one, " +
+			"which counts runs:\n" +
+			"  service           earned part of the requests' value; ± is half its 95% interval\n" +
+			"  worst 10 s        service in the worst window of 10 s\n" +
+			"  wasted            share of the endpoints' work that was done for abandoned attempts\n" +
+			"  cross-zone        share of the attempts that went to another zone\n" +
+			"  scatter           scatter of attempts per endpoint in 1 s and 5 s, relative to a random distribution\n" +
+			"  forced            what the scatter would be if each key had one random endpoint\n" +
+			"  busiest, maximum  attempts at the busiest endpoint over its share in 5 s, mean and maximum\n" +
+			"  idle s            seconds that endpoints were idle while others had queues, summed\n" +
+			"  herd              attempts at an endpoint beyond its share within 50 ms",
 		Example: "  pepperlead-sim sweep scenarios/*.toml --seeds 20 --policies module,two,seeing --out /tmp/all\n" +
 			"  pepperlead-sim sweep scenarios/burst.toml --vary load.part=0.5:1.5:0.1 --seeds 5 --out /tmp/load\n" +
 			"  pepperlead-sim sweep scenarios/slow.toml --vary scale=4x8,300x100 --seeds 5     " +
@@ -40,10 +53,10 @@
 	c.Flags().Uint64Var(&o.seeds, "seeds", 5, "number of seeds, starting with --first")
 	c.Flags().Uint64Var(&o.firstSeed, "first", 1, "the first seed")
 	c.Flags().StringVar(&o.variation, "vary", "",
-		"a setting and its `values`, such as load.part=0.5,0.8 or load.part=0.5:1.5:0.1")
-	c.Flags().StringSliceVar(&o.policies, "policies", []string{"module"}, strings.Join(baseline.Names, ", "))
+		"a setting and its `values`, such as load.part=0.5,0.8, or load.part=0.5:1.5:0.1 for from:to:step")
+	c.Flags().StringSliceVar(&o.policies, "policies", []string{"module"}, policyHelp)
 	c.Flags().IntVar(&o.workers, "workers", 0, "number of concurrent runs (default: as many as there are cores)")
-	c.Flags().StringVar(&o.directory, "out", "", "`folder` for sweep.json")
+	c.Flags().StringVar(&o.directory, "out", "", "`folder` for sweep.json (default: nothing is written)")
 	c.Flags().BoolVar(&o.asJSON, "json", false, "print the table as JSON")
 	c.Flags().BoolVar(&o.noProgress, "quiet", false, "show no progress bar")
 	c.Flags().StringVar(&o.plotPath, "plot", "", "`file` for a plot of the table, as SVG")
@@ -120,9 +133,8 @@
 
 func printTable(out io.Writer, rows []experiment.Row) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	printf(w, "scenario\tset\tpolicy\truns\tservice\t±\tworst 10 s\twasted\tcross-zone\tscatter 1 s, 5 "+
-		"s\tforced\tbusiest\tmaximum\t"+
-		"idle s\therd\truns that broke rules 1 2 3 4\n")
+	printf(w, "scenario\tset\tpolicy\truns\tservice\t±\tworst 10 s\twasted\tcross-zone\tscatter 1 s, 5 s\t"+
+		"forced\tbusiest\tmaximum\tidle s\therd\truns that broke rules 1 2 3 4\n")
 	for _, r := range rows {
 		printf(
 			w,
