--- a/cmd/pepperlead-sim/lists.go
+++ b/cmd/pepperlead-sim/lists.go
@@ -29,7 +29,7 @@
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		var costs []benchmark.ListCost
 		for _, size := range *sizes {
-			cost := benchmark.ReadLists(size, *rounds)
+			cost := benchmark.MeasureListCost(size, *rounds)
 			costs = append(costs, cost)
 			if !*asJSON {
 				printf(
@@ -40,7 +40,7 @@
 					cost.Parse,
 					cost.Evaluate,
 					cost.Assign,
-					cost.Again,
+					cost.Reassign,
 				)
 			}
 		}
@@ -74,7 +74,7 @@
 		return nil, err
 	}
 	d := &standaloneDaemon{listen: listen, directory: directory}
-	path, err := benchmark.Standalone(directory, d.listen, endpoints, addresses, extra)
+	path, err := benchmark.WriteStandaloneConfig(directory, d.listen, endpoints, addresses, extra)
 	if err != nil {
 		return nil, err
 	}
@@ -121,7 +121,7 @@
 		return nil, err
 	}
 	defer daemon.stop()
-	return benchmark.Follow(daemon.listen, filepath.Join(daemon.directory, "servers.toml"), rounds, sealed)
+	return benchmark.MeasureListDelay(daemon.listen, filepath.Join(daemon.directory, "servers.toml"), rounds, sealed)
 }
 
 // settleTime is the wait before a daemon's memory is read, so that its use of memory has settled.
@@ -180,7 +180,7 @@
 		return 0, err
 	}
 	defer daemon.stop()
-	notReady := benchmark.Ready(daemon.listen, 10*time.Second)
+	notReady := benchmark.WaitReady(daemon.listen, 10*time.Second)
 	time.Sleep(settleTime)
 	rss, err = benchmark.RSS(daemon.process.Process.Pid)
 	return rss, errors.Join(notReady, err)
