--- a/cmd/pepperlead-sim/drillplay.go
+++ b/cmd/pepperlead-sim/drillplay.go
@@ -179,7 +179,7 @@
 	printf(out, "  all had the same lease %.1f s after the faults were healed; in total, sidecars had no lease for "+
 		"%.1f s and took another one for gone %.0f times; "+
 		"one sidecar: %.1f packets and %.0f bytes per second, %.4f of a core\n",
-		r.Converged, r.Unleased, r.FalseDeaths, r.Packets, r.Bytes, r.CPU)
+		r.Converged, r.Unleased, r.Departures, r.Packets, r.Bytes, r.CPU)
 	printf(out, "  the fault proxy itself added %.1f ms (99%%); clock readings were up to %.0f ms late; %.0f%% of the "+
 		"machine was in use\n",
 		r.ProxyOverhead*1000, r.ClockLateness*1000, r.Busy*100)
