--- a/internal/faulttest/endpoints.go
+++ b/internal/faulttest/endpoints.go
@@ -25,18 +25,18 @@
 
 func endpointName(i int) string { return fmt.Sprint("s", i+1) }
 
-// startEndpoints starts the endpoints, which record what they execute.
+// startEndpoints starts the endpoints, which report each request that they execute to noteExecution.
 func (c *Cluster) startEndpoints(seed uint64) error {
 	for i := range c.script.Endpoints {
 		name := endpointName(i)
 		endpoint, err := fakebackend.Start(endpointListen, fakebackend.Traits{
-			Name:   name,
-			Cores:  endpointCores,
-			Queue:  endpointQueue,
-			Work:   endpointWork,
-			Faults: fakebackend.Faults{Resets: c.script.Resets},
-			Seed:   seed + uint64(i),
-			Seen:   func(id, _ string, _ time.Time) { c.noteExecution(id, name) },
+			Name:      name,
+			Cores:     endpointCores,
+			Queue:     endpointQueue,
+			Work:      endpointWork,
+			Faults:    fakebackend.Faults{Resets: c.script.Resets},
+			Seed:      seed + uint64(i),
+			OnRequest: func(id, _ string, _ time.Time) { c.noteExecution(id, name) },
 		})
 		if err != nil {
 			return err
@@ -71,7 +71,7 @@
 	return c.Links.TCP(discoveryListen, discoveryNode, catalog.Addr())
 }
 
-// announce lets discovery announce these endpoints and no others.
+// announce replaces discovery's list with the given endpoints, and records it for the judge.
 func (c *Cluster) announce(ready, draining []string) {
 	var targets []fakebackend.Target
 	for _, name := range ready {
@@ -90,7 +90,7 @@
 	return fakebackend.Target{UID: name, Endpoint: c.endpointAddresses[name], Zone: "a", State: state, Weight: 1}
 }
 
-// noteUnnotified records which sidecars are cut off from discovery, and which were until now.
+// noteUnnotified updates, after a change of the links, the records of when each sidecar is cut off from discovery.
 func (c *Cluster) noteUnnotified() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,7 +101,7 @@
 		now := int64(clock.BootTime())
 		switch {
 		case open && wasBlocked:
-			span := judge.Down{Process: string(instance.Name), From: since, To: now + int64(notifyTimeout)}
+			span := judge.Interval{Process: string(instance.Name), From: since, To: now + int64(notifyTimeout)}
 			c.unnotified = append(c.unnotified, span)
 			delete(c.unnotifiedSince, instance)
 		case !open && !wasBlocked:
