--- a/internal/faulttest/figures.go
+++ b/internal/faulttest/figures.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// usage holds the resources that some instances have used, in total, and how often they took another for dead.
+// usage holds the resources that a group of instances has used in total, and how many departures they counted.
 type usage struct {
-	packets     float64 // sent
-	bytes       float64 // sent
-	cpu         float64 // seconds
-	falseDeaths float64 // times that an instance declared another dead
+	packets    float64 // sent
+	bytes      float64 // sent
+	cpu        float64 // seconds
+	departures float64 // other members that left or were declared dead, counted by each
 }
 
 // sumUsage reads the usage of the processes and adds it up.
 func sumUsage(processes []*Process) usage {
 	var sum usage
 	for _, process := range processes {
-		values := process.Metrics(metricPacketsSent, metricBytesSent, metricCPUSeconds, metricFalseDeaths)
+		values := process.Metrics(metricPacketsSent, metricBytesSent, metricCPUSeconds, metricDepartures)
 		sum.packets += values[0]
 		sum.bytes += values[1]
 		sum.cpu += values[2]
-		sum.falseDeaths += values[3]
+		sum.departures += values[3]
 	}
 	return sum
 }
@@ -33,10 +33,10 @@
 // since returns the difference to an earlier reading.
 func (u usage) since(before usage) usage {
 	return usage{
-		packets:     u.packets - before.packets,
-		bytes:       u.bytes - before.bytes,
-		cpu:         u.cpu - before.cpu,
-		falseDeaths: u.falseDeaths - before.falseDeaths,
+		packets:    u.packets - before.packets,
+		bytes:      u.bytes - before.bytes,
+		cpu:        u.cpu - before.cpu,
+		departures: u.departures - before.departures,
 	}
 }
 
@@ -44,7 +44,8 @@
 const clockInterval = 5 * time.Millisecond
 
 // clockLateness reads the clock at intervals until the context ends. The returned function reports the longest delay of
-// a reading so far: where hundreds of processes share few cores, the scheduler's delay looks like a stall.
+// a reading so far. Where hundreds of processes share few cores, a delay of this length may come from the scheduler and
+// not from the program under test.
 func clockLateness(ctx context.Context) func() time.Duration {
 	var worst atomic.Int64
 	go func() {
@@ -63,15 +64,15 @@
 	idle float64
 }
 
-// Columns of the first line of /proc/stat, see proc(5). Column 0 is the word "cpu"; the times of guests, after steal,
-// are contained in those of user.
+// Columns of the first line of /proc/stat, see proc(5). Column 0 is the word "cpu"; the guest times that follow
+// steal are already included in the user time.
 const (
 	statIdle   = 4
 	statIOWait = 5
 	statSteal  = 8
 )
 
-// readCPU reads the times since the machine started.
+// readCPU reads the CPU times since the machine started.
 func readCPU() cpuTimes {
 	var times cpuTimes
 	text, _ := os.ReadFile("/proc/stat") // without the file no share is known, and since returns 0
