--- a/cmd/pepperlead-sim/cost.go
+++ b/cmd/pepperlead-sim/cost.go
@@ -39,7 +39,7 @@
 	c := &cobra.Command{
 		Use:   "cost --daemon LABEL=PROGRAM...",
 		Args:  cobra.NoArgs,
-		Short: "Measure the CPU time and latency of requests through daemons and a plain proxy of the standard library",
+		Short: "Measure CPU time and latency of requests through daemons and the standard library's reverse proxy",
 		Example: "  pepperlead-sim cost --daemon now=bin/pepperlead --clients 1,16 --rounds 5 --each 3s\n" +
 			"  pepperlead-sim cost --daemon before=/path/to/an/earlier/pepperlead --daemon now=bin/pepperlead",
 	}
--- a/cmd/pepperlead-sim/sweep.go
+++ b/cmd/pepperlead-sim/sweep.go
@@ -30,9 +30,9 @@
 	c := &cobra.Command{
 		Use:   "sweep SCENARIO...",
 		Args:  cobra.MinimumNArgs(1),
-		Short: "Run scenarios over many seeds, values of a setting and policies",
-		Long: "Run scenarios over many seeds, values of a setting and policies, and print a row for each scenario, " +
-			"value and policy.\n" +
+		Short: "Run scenarios for each combination of seeds, policies and values of a setting",
+		Long: "Run scenarios for each combination of seeds, policies and values of a setting, and print a row " +
+			"for each scenario, value and policy.\n" +
 			"Columns are means over the seeds, except for maximum and herd, which are maxima, and the last one, " +
 			"which counts runs:\n" +
 			"  service           earned part of the requests' value; ± is half its 95% interval\n" +
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -176,7 +176,7 @@
 	}
 	address := t.String(key, "")
 	if address != "" && !endpointfiles.ValidAddress(address) {
-		t.Fault(key, t.Found(key), "an IP address and port, as 127.0.0.1:9000 or [::1]:9000")
+		t.Fault(key, t.Found(key), "an IP address and port, such as 127.0.0.1:9000 or [::1]:9000")
 	}
 	return address
 }
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -36,7 +36,7 @@
 	}
 	for _, address := range t.Strings("join") {
 		if !endpointfiles.ValidAddress(address) {
-			t.Fault("join", address, "IP addresses and ports, as 10.0.0.7:9003")
+			t.Fault("join", address, "IP addresses and ports, such as 10.0.0.7:9003")
 		}
 		peers.Join = append(peers.Join, address)
 	}
--- a/internal/connstate/conn.go
+++ b/internal/connstate/conn.go
@@ -78,7 +78,7 @@
 
 // Output is the state of writing to a connection.
 type Output struct {
-	Queued           int64         // total bytes passed to the socket
+	Queued           int64         // total bytes to send, including those that the kernel has not accepted yet
 	Written          atomic.Int64  // total bytes that the kernel has accepted
 	NotifyAt         atomic.Int64  // value of Written at which the loop is notified; 0: never
 	CompleteAt       atomic.Int64  // value of Written at which a request is complete; 0: none is being written
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -63,7 +63,7 @@
 func (c *Config) setAdmin(address string, env func(string) string) error {
 	c.AdminAddress = valueOrEnv(env, "GW_ADMIN", address)
 	if c.AdminAddress != "" && !endpointfiles.ValidAddress(c.AdminAddress) {
-		return fmt.Errorf("admin: found %q, allowed an IP address and port, as 127.0.0.1:9002", c.AdminAddress)
+		return fmt.Errorf("admin: found %q, allowed an IP address and port, such as 127.0.0.1:9002", c.AdminAddress)
 	}
 	if inherited := env("GW_INHERITED_FD"); inherited != "" {
 		descriptor, err := strconv.Atoi(inherited)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -154,7 +154,7 @@
 				t.Errorf("%s, %d bytes; want %s", next.Source.Name(), next.MessageMemory, step.discovery)
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatal("neither reloaded nor rejected")
+			t.Fatal("the configuration file was neither applied nor rejected")
 		}
 	}
 	close(signals)
--- a/internal/discovery/jsonreader.go
+++ b/internal/discovery/jsonreader.go
@@ -192,7 +192,7 @@
 	return int64(number), nil
 }
 
-// readBool reads true or false.
+// readBool reads a JSON boolean and rejects any other value.
 func (r *jsonReader) readBool() (bool, error) {
 	switch {
 	case r.acceptLiteral("true"):
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -194,7 +194,8 @@
 	defaultOverloadMultiple = 3
 )
 
-// settings returns the settings of all instances, without zone, classes and tenants.
+// settings returns the settings that all instances share. The caller sets the classes and tenants, and each instance
+// its zone.
 func (sc *Scenario) settings() policy.Settings {
 	settings := policy.Settings{
 		Instances:        sc.Instances,
--- a/internal/fakebackend/modelserver.go
+++ b/internal/fakebackend/modelserver.go
@@ -84,7 +84,7 @@
 	Observer Observer       // nil for none
 }
 
-// StartModelServer serves on the address, whose port may be 0.
+// StartModelServer starts a model server that listens on the address. If the port is 0, the system chooses a free one.
 func StartModelServer(address string, options ModelServerOptions) (*ModelServer, error) {
 	s := &ModelServer{
 		clock:    options.Clock,
--- a/internal/faulttest/configuration.go
+++ b/internal/faulttest/configuration.go
@@ -23,7 +23,7 @@
 	source  string // the table of the endpoint source
 }
 
-// instance returns the configuration of the sidecar whose addresses have the given index.
+// instance returns the configuration of a sidecar. Its index i determines its IP address and its seed.
 func (c *clusterConfig) instance(process *Process, i int, addresses peerAddresses) string {
 	return fmt.Sprintf("[instance]\nname = %q\n", process.Name) +
 		fmt.Sprintf("instances = %d\nseed = \"%x\"\n", c.script.Instances, c.seed*1000+uint64(i)) +
@@ -37,7 +37,7 @@
 		"agree = true\n"
 }
 
-// coordinator returns the configuration of the coordinator whose addresses have the given index.
+// coordinator returns the configuration of a coordinator. Its index determines its IP address.
 func (c *clusterConfig) coordinator(process *Process, index int, addresses peerAddresses) string {
 	return fmt.Sprintf("[instance]\nname = %q\n", process.Name) +
 		fmt.Sprintf("[keep]\nfolder = %q\n", process.stateDirectory()) +
--- a/internal/faulttest/judge/judge.go
+++ b/internal/faulttest/judge/judge.go
@@ -146,9 +146,10 @@
 	}
 }
 
-// checkDelisted looks for attempts at endpoints that are ready on no list that the process may have followed: the list
-// that was current DrainGrace before the attempt, and the later ones. It ignores processes that were down or may not
-// have been notified, and attempts under revisions that name their endpoints.
+// checkDelisted reports attempts at endpoints that are not ready on any list that the process may have followed: the
+// list that was current DrainGrace before the attempt, and the lists announced between then and the attempt. It ignores
+// attempts of processes that were down or may not have been notified of a list, and attempts under a revision that
+// names the endpoints to use.
 func (v *Verdict) checkDelisted(h *History) {
 	for i := range h.Steps {
 		s := &h.Steps[i]
--- a/internal/httpproxy/answers_test.go
+++ b/internal/httpproxy/answers_test.go
@@ -34,7 +34,7 @@
 	{"sized", "Content-Length: %d\r\n", func(b string) string { return b[:len(b)-1] }, func(b string) string { return b[len(b)-1:] }, false},
 	{"in chunks", "Transfer-Encoding: chunked\r\n", func(b string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(b), b) },
 		func(string) string { return "0\r\n\r\n" }, false},
-	{"until close", "Connection: close\r\n", func(b string) string { return b }, func(string) string { return "" }, true},
+	{"until EOF", "Connection: close\r\n", func(b string) string { return b }, func(string) string { return "" }, true},
 }
 
 // resetConn ends a connection with a reset.
@@ -182,9 +182,9 @@
 	{"short, sized", "Content-Length: 1000\r\n", "xxx", 1, true},
 	{"short, sized, slow", "Content-Length: 1000\r\n", "xxx", 11, true},
 	{"short, in chunks", "Transfer-Encoding: chunked\r\n", chunkOf(9), 1, true},
-	{"short, until close", "Connection: close\r\n", "xxx", 1, true},
+	{"short, until EOF", "Connection: close\r\n", "xxx", 1, true},
 	{"in chunks, slow", "Transfer-Encoding: chunked\r\n", chunkOf(9), 11, false},
-	{"until close, slow", "Connection: close\r\n", "xxx", 11, false},
+	{"until EOF, slow", "Connection: close\r\n", "xxx", 11, false},
 	{"long, sized", "Content-Length: 1000000\r\n", "xxx", 1, false},
 	{"long, in chunks", "Transfer-Encoding: chunked\r\n", chunkOf(80000), 1, false},
 }
--- a/internal/httpproxy/attempts_test.go
+++ b/internal/httpproxy/attempts_test.go
@@ -26,10 +26,11 @@
 			body := strings.Repeat("b", size)
 			id := c.send("step/"+behaviour, body, "X-Priority-Class: step\r\nX-Attrs: a=1\r\n")
 			if answer, got := c.receive(); answer.StatusCode != 200 || got != body || answer.Close {
-				t.Errorf("%s %d: %d, %d bytes", behaviour, size, answer.StatusCode, len(got))
+				t.Errorf("%s, body of %d bytes: got status %d and a body of %d bytes, or the connection closes",
+					behaviour, size, answer.StatusCode, len(got))
 			}
 			if n, _ := endpoint.count(id); n != 1 {
-				t.Errorf("%s %d: seen %d times", behaviour, size, n)
+				t.Errorf("%s, body of %d bytes: the endpoint received the request %d times", behaviour, size, n)
 			}
 		}
 	}
--- a/internal/httpproxy/stream_test.go
+++ b/internal/httpproxy/stream_test.go
@@ -126,7 +126,7 @@
 			}
 			io.WriteString(w, "0\r\nX-T: 1\r\n\r\n")
 		},
-		"until close": func(w io.Writer, body *rand.Rand) {
+		"until EOF": func(w io.Writer, body *rand.Rand) {
 			io.WriteString(w, "HTTP/1.1 200 OK\r\nX-Made-By: server\r\nConnection: close\r\n\r\n")
 			io.CopyN(w, body, longBody)
 			w.(net.Conn).Close()
--- a/internal/migration/migration.go
+++ b/internal/migration/migration.go
@@ -62,7 +62,7 @@
 // validate checks the address and the bounds.
 func (p Pool) validate() error {
 	if !endpointfiles.ValidAddress(p.Listen) {
-		return fmt.Errorf("listen: found %q, allowed an IP address and port, as 10.0.0.7:9000", p.Listen)
+		return fmt.Errorf("listen: found %q, allowed an IP address and port, such as 10.0.0.7:9000", p.Listen)
 	}
 	sidecarsValid := p.Sidecars >= minSidecars && p.Sidecars <= maxSidecars
 	streamsValid := p.Streams >= minStreams && p.Streams <= maxStreams
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -5,9 +5,9 @@
 const (
 	// meanLatencyWeight is the weight of the latest answer in a class's mean latency.
 	meanLatencyWeight = 0.05
-	// baselineRise and baselineFall are the weights of an answer in the baseline latency, where the
-	// endpoint's mean latency is above or below it. It rises slowly, so that a long overload is not taken for
-	// the baseline.
+	// baselineRise is the weight of an answer in the baseline latency if the endpoint's mean latency is above
+	// the baseline, and baselineFall is the weight if it is below. The baseline rises slowly so that it does
+	// not adapt to a long overload.
 	baselineRise = 0.0005
 	baselineFall = 0.05
 
--- a/rpc/stream.go
+++ b/rpc/stream.go
@@ -115,7 +115,8 @@
 	})
 }
 
-// end notifies the loop once of the stream's end, which releases the connection.
+// end ends the stream and notifies the loop, which then releases the backend's connection. Further calls have no
+// effect.
 func (s *streamState) end(outcome policy.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
