--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// retryValue is the part of its value that a client's retry keeps.
+	// retryValue is the factor applied to the value of a request that is a client's retry.
 	retryValue = 0.5
 	// minOverQuotaValue is the least part of its value that an over-quota request keeps, so that such
 	// requests are still ordered by value among themselves.
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -33,9 +33,9 @@
 	table    slotTable
 
 	classes    []classStats // by class
-	tenants    []rateMeter  // arriving requests, by tenant
-	arrivals   rateMeter    // arriving requests of all tenants
-	successes  rateMeter    // successful attempts to warm endpoints
+	tenants    []rateMeter  // arrival rates of requests, by tenant
+	arrivals   rateMeter    // arrival rate of all requests, with or without a tenant
+	successes  rateMeter    // rate of successful attempts to warm endpoints
 	recentKeys recentKeys
 
 	concurrency concurrencyLimit
@@ -48,13 +48,13 @@
 	rejections  rejectionState
 
 	polling    listPolling
-	wakeAt     Time // earliest call of Woken requested from the front; 0: none
+	wakeAt     Time // when the front is to call Woken next; 0: no call is requested
 	maintainAt Time // next maintenance
-	shutdownAt Time // latest deadline of any request; never before Shutdown is called
+	shutdownAt Time // upper bound of all deadlines; the constant never until Shutdown sets it
 }
 
-// New returns the Balancer of an instance that starts at now. Similar seeds are fine, as they are hashed
-// first.
+// New returns the Balancer of an instance that starts at now. Instances may have similar seeds, because New
+// hashes the seed.
 func New(front Front, settings *Settings, seed uint64, now Time) *Balancer {
 	b := &Balancer{
 		front:       front,
@@ -89,7 +89,7 @@
 // initialLatency returns the mean latency of a class, in ns, before its first answer.
 func initialLatency(class *Class) float64 { return float64(class.Target) / initialLatencyDivisor }
 
-// class returns the class of a request.
+// class returns the settings of a request's class.
 func (b *Balancer) class(r *request) *Class { return &b.settings.Classes[r.class] }
 
 // meanLatency returns the mean latency of a request's class, in ns.
@@ -98,9 +98,9 @@
 // answerBy returns the time by which the request must be answered.
 func (b *Balancer) answerBy(r *request) Time { return r.deadline - b.settings.answerMargin() }
 
-// AddClass sets up the statistics of a class that was put into the settings under the given id. They are a
-// copy of the statistics of the class template. If template is the id itself, the statistics stay as they
-// are, except for the mean latency, which is reset to its initial value.
+// AddClass sets up the statistics of the class that was put into the settings under the given id, by copying
+// those of the class whose id is template. If template is equal to id, the statistics of the class stay as
+// they are, except for the mean latency, which is reset to its initial value.
 func (b *Balancer) AddClass(id, template ClassID) {
 	for len(b.classes) < len(b.settings.Classes) {
 		b.classes = append(b.classes, classStats{})
--- a/policy/concurrencylimit.go
+++ b/policy/concurrencylimit.go
@@ -8,19 +8,19 @@
 	// latenessBound is the mean lateness above which the limit is reduced. Lateness is answer time / target
 	// latency, and 1 at most.
 	latenessBound = 0.75
-	// strictLatenessBound is the same where late answers have no value in any class.
+	// strictLatenessBound replaces latenessBound if late answers have no value in any class.
 	strictLatenessBound = 0.5
 	// limitGrowth is the part by which the limit grows in one target latency while it is fully used and the
 	// mean lateness is 0.
 	limitGrowth = 0.5
 	// limitHeadroom is the multiple of the mean attempts in flight that the limit may grow to.
 	limitHeadroom = 4
-	// limitPerEndpoint is the number of attempts to each endpoint, summed over all instances, that the limit
-	// may always grow to.
+	// limitPerEndpoint is the number of attempts in flight to each endpoint from all instances together that
+	// the instances' limits may always grow to.
 	limitPerEndpoint = 16
-	// minLimitCap is the number of attempts of this instance that the limit may always grow to.
+	// minLimitCap is the value that the limit of a single instance may always grow to.
 	minLimitCap = 2
-	// maxReduction is the factor of the largest reduction: one reduction at most halves the limit.
+	// maxReduction is the smallest factor of a reduction: one reduction at most halves the limit.
 	maxReduction = 0.5
 
 	// inFlightWeight is the weight of the latest attempt in the mean attempts in flight.
@@ -28,10 +28,10 @@
 	// minLatenessWeight and maxLatenessWeight bound the weight of the latest attempt in the mean lateness.
 	minLatenessWeight = 0.1
 	maxLatenessWeight = 0.5
-	// latenessMemory is the time since the previous attempt, in target latencies, at which the weight of an
-	// attempt would be 1 without these bounds. If every attempt had the weight minLatenessWeight, the mean
-	// would follow only after some ten attempts: at one attempt in two seconds, that is longer than any
-	// overload.
+	// latenessMemory is the number of target latencies by which the time since the previous attempt is divided
+	// to give the weight of an attempt, before minLatenessWeight and maxLatenessWeight are applied. If every
+	// attempt had the weight minLatenessWeight, the mean would need some ten attempts to follow a change: at
+	// one attempt in two seconds, that is longer than any overload.
 	latenessMemory = 4
 )
 
@@ -41,13 +41,13 @@
 type concurrencyLimit struct {
 	limit        float64 // most attempts in flight, not counting those in bodyPending; below 1: see pause
 	inFlight     int     // attempts in flight
-	bodyPending  int     // of these, attempts whose request body is incomplete
+	bodyPending  int     // attempts in flight whose request body is incomplete
 	inFlightMean float64 // moving average of the attempts in flight, without those in bodyPending
 
 	latenessMean  float64 // moving average of the lateness of attempts
 	latenessBound float64 // latenessMean above which the limit is reduced
-	observedAt    Time    // latest change of latenessMean
-	reducedAt     Time    // latest reduction of the limit
+	observedAt    Time    // when latenessMean last changed
+	reducedAt     Time    // when the limit was last reduced
 	resumeAt      Time    // no attempt is sent before this time; see pause
 }
 
@@ -79,8 +79,9 @@
 	c.inFlightMean += inFlightWeight * (float64(c.processing()+1) - c.inFlightMean)
 }
 
-// reduce multiplies the limit, or the mean attempts in flight if that is less, by part to give the new limit.
-// A part below maxReduction counts as maxReduction, and the new limit is at least minimum.
+// reduce sets the limit to the product of part and either the old limit or the mean attempts in flight,
+// whichever of these two is less. A part below maxReduction counts as maxReduction, and the new limit is at
+// least minimum.
 func (c *concurrencyLimit) reduce(now Time, part, minimum float64) {
 	c.reducedAt = now
 	c.limit = max(minimum, min(c.limit, c.inFlightMean)*max(maxReduction, part))
@@ -93,8 +94,9 @@
 	c.limit = min(c.limit, max(minLimitCap, limitHeadroom*c.inFlightMean, limitPerEndpoint*minimum))
 }
 
-// pause enforces a limit below 1: after an attempt that took the time elapsed, no other is sent for so long
-// that attempts are in flight for a part of the time equal to the limit.
+// pause enforces a limit below 1 after an attempt that took the time elapsed: it delays the next attempt so
+// that the part of the time during which an attempt is in flight equals the limit. With a limit of 0.25, for
+// example, the delay is three times elapsed.
 func (c *concurrencyLimit) pause(now, elapsed Time) {
 	c.resumeAt = now + Time(float64(elapsed)*max(0, 1/c.limit-1))
 }
@@ -106,7 +108,8 @@
 }
 
 // observeLateness adjusts the concurrency limit after an attempt to the endpoint. lateness is the lateness of
-// the answer, or 1 if the attempt shows overload; elapsed is the answer time, and the target latency at most.
+// the answer, or 1 if the attempt shows overload; elapsed is how long the attempt took, or the target latency
+// if that is less.
 func (b *Balancer) observeLateness(now Time, e *endpoint, lateness float64, elapsed, target Time) {
 	b.zones.observe(b.table.isLocal(e), lateness)
 	if b.reports.available() && b.boundToLoad(e) < 1 {
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -9,21 +9,22 @@
 const never Time = math.MaxInt64
 
 const (
-	// earlyTimeoutTargets is the timeout, in target latencies, of an attempt that another may follow.
+	// earlyTimeoutTargets is the timeout, in target latencies, of an attempt after which the request may be
+	// retried.
 	earlyTimeoutTargets = 2.0
-	// earlyTimeoutMeans is the least such timeout, in mean latencies of the request's class.
+	// earlyTimeoutMeans is the minimum of that timeout, in mean latencies of the request's class.
 	earlyTimeoutMeans = 6
 )
 
-// tryKind says which endpoints a request may be sent to.
+// tryKind says which endpoints a request may be sent to, and what happens if none of them can take it.
 type tryKind uint8
 
 const (
-	ordinaryTry tryKind = iota // its home or one that it may spill to (see choose); else it may be queued
-	lastTry                    // also any other with room and a load below highLoad; else it is rejected
+	ordinaryTry tryKind = iota // its home or an endpoint that it may spill to (see choose); else the queue
+	lastTry                    // also any endpoint with room and a load below highLoad; else rejection
 )
 
-// dispatch sends the request, queues it or rejects it.
+// dispatch sends the request to an endpoint if one can take it now, and otherwise queues or rejects it.
 func (b *Balancer) dispatch(now Time, r *request, kind tryKind) {
 	r.home = noEndpoint
 	if now < b.answerBy(r) && b.concurrency.allows(now) {
@@ -39,7 +40,7 @@
 	}
 }
 
-// attempt sends the request to the endpoint.
+// attempt sends the request to the endpoint and updates the counts, the cold budget and the next wake-up.
 func (b *Balancer) attempt(now Time, r *request, index endpointIndex) {
 	e := &b.table.endpoints[index]
 	timeout := b.attemptTimeout(now, r)
@@ -60,7 +61,7 @@
 
 // attemptTimeout returns the timeout of the next attempt. It is shortened where another attempt may follow
 // and endpoints stop working on cancelled attempts, so that an endpoint that does not answer cannot hold up
-// the request. Cancelling and the retry budget limit the work that this adds.
+// the request. Cancelling and the retry budget limit the work that the retries after early timeouts add.
 func (b *Balancer) attemptTimeout(now Time, r *request) Time {
 	timeout := b.answerBy(r) - now
 	class := b.class(r)
@@ -101,8 +102,8 @@
 	b.drainQueue(now, index)
 }
 
-// finishAttempt has the endpoint's answer passed on if the attempt succeeded or was declined, else it retries
-// the request.
+// finishAttempt is the continuation of a request that was sent. If the attempt succeeded or was declined, the
+// front passes the endpoint's answer on to the client; otherwise the request is retried.
 func (b *Balancer) finishAttempt(r *request, result attemptResult) {
 	if result.outcome == Succeeded || result.outcome == Declined {
 		r.markAnswered()
@@ -159,9 +160,9 @@
 	}
 }
 
-// BodyPending reports that a request's body is incomplete (complete is false), and later that it is complete,
-// with the deadline from then on. In between, its attempt counts against no limit and the request has no
-// deadline.
+// BodyPending is called with complete false when a request is sent before its body is complete, and with
+// complete true once the body is complete; deadline is the request's deadline from then on. Between the two
+// calls, the request has no deadline and its attempt counts against no limit.
 func (b *Balancer) BodyPending(handle Handle, complete bool, deadline Time) {
 	r := b.requests.lookup(handle)
 	if r == nil || r.answered || r.bodyPending != complete {
@@ -201,7 +202,8 @@
 	return allowed
 }
 
-// Shutdown limits the deadlines of all requests, including those admitted later, to the end of the instance.
+// Shutdown announces that the instance ends at the time by. No request, including those admitted later, has a
+// deadline after that time.
 func (b *Balancer) Shutdown(now, by Time) {
 	b.shutdownAt = by
 	answerBy := by - b.settings.answerMargin()
--- a/policy/ejection.go
+++ b/policy/ejection.go
@@ -6,12 +6,12 @@
 	// minEjectionTime is the length of a first ejection. It doubles with each ejection until an attempt
 	// succeeds.
 	minEjectionTime Time = 2 * Second
-	// maxEjectionTime is the length up to which it doubles.
+	// maxEjectionTime is the longest ejection, before jitter.
 	maxEjectionTime Time = 16 * Second
 	// ejectAfter is the number of consecutive failures that eject an endpoint.
 	ejectAfter = 3
-	// ejectionJitter is the spread of the length of an ejection, as a part of it, so that instances do not
-	// return to the endpoint all at once.
+	// ejectionJitter is the width of the random range of an ejection's length, as a part of that length. The
+	// jitter keeps instances from returning to the endpoint all at once.
 	ejectionJitter = 0.5
 	// maxEjectedDivisor divides the number of endpoints to give the most that can be ejected at the same time.
 	// Failed connections eject endpoints beyond that number too.
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -25,30 +25,30 @@
 	inTable     bool    // whether it is in the slot table; if not, another endpoint may reuse this entry
 	ranks       []int32 // ranks of its slots in slotTable.order
 	targetSlots int     // number of slots that its weight entitles it to
-	listedAt    Time    // latest maintenance at which it was listed; until the first one, when it was added
-	mark        uint32  // slotTable.mark of the latest walk that visited it or list that contained it
+	listedAt    Time    // latest maintenance that found it listed; before the first one, when it was added
+	mark        uint32  // slotTable.mark when a walk last visited it or a list last contained it
 
 	inFlight     int     // attempts in flight
-	bodyPending  int     // of these, attempts whose request body is incomplete: no work is done on them yet
-	lastUsedAt   Time    // end of the latest attempt; 0: none since its idle connections were released
+	bodyPending  int     // attempts in flight whose request body is incomplete: it does not work on them yet
+	lastUsedAt   Time    // end of the latest attempt; 0: no attempt since its idle connections were released
 	reportedLoad float64 // requests that it holds for each core, according to the latest list
 
 	limit     float64 // most attempts in flight, not counting those in bodyPending
-	reducedAt Time    // latest reduction of the limit
+	reducedAt Time    // when the limit was last reduced
 
 	latencyRatio float64 // moving average of answer time / target latency
-	observedAt   Time    // latest change of latencyRatio by an answer
+	observedAt   Time    // when an answer last changed latencyRatio
 	healthyAt    Time    // when the latest successful attempt was sent
 
 	failures     int    // consecutive failures; reset by a success
-	failureKey   uint64 // hash of the request key of the latest of them
-	ejectedUntil Time   // end of the latest ejection, which may be past; 0: none since its start
-	ejectionTime Time   // length of the latest ejection, without jitter; 0: none since a success or its start
+	failureKey   uint64 // hash of the request key of the latest of these failures
+	ejectedUntil Time   // end of the latest ejection, possibly in the past; 0: no ejection since its start
+	ejectionTime Time   // length of the latest ejection before jitter; 0: no ejection since a success or start
 	slowStart    int    // attempts allowed in flight during slow start; 0: not in slow start
 
-	successes       rateMeter // successful attempts
+	successes       rateMeter // rate of successful attempts
 	coldBudget      float64   // attempts that may be sent to it now while it is cold
-	budgetUpdatedAt Time      // latest growth or reset of coldBudget
+	budgetUpdatedAt Time      // when coldBudget last grew or was reset
 }
 
 // processing returns the number of attempts that the endpoint is working on.
--- a/policy/endpointlist.go
+++ b/policy/endpointlist.go
@@ -9,7 +9,8 @@
 // replace that size and move slots.
 const resizeThreshold = 1.1
 
-// UpdateEndpoints applies an endpoint list.
+// UpdateEndpoints applies an endpoint list: it adds new endpoints and updates known ones. Unless the list
+// contains changes only, it marks the known endpoints that are not in the list as removed.
 func (b *Balancer) UpdateEndpoints(now Time, kind ListKind, members []Member) {
 	if b.settings.PollList && kind != ListSaved {
 		b.polling = listPolling{}
--- a/policy/firstattempts.go
+++ b/policy/firstattempts.go
@@ -8,11 +8,11 @@
 	maxShorterShare = 0.1
 )
 
-// firstAttemptTimes describes how much time is left until their deadlines when clients' first attempts, the
-// requests of a class that are not clients' retries, arrive.
+// firstAttemptTimes describes, for one class, how much time is left until the deadline when a client's first
+// attempt arrives. First attempts are the requests that are not clients' retries.
 type firstAttemptTimes struct {
-	longest      Time    // longest time left so far
-	shorterShare float64 // moving average of the part that arrived with clearly less time left than longest
+	longest      Time    // longest time left of any first attempt so far
+	shorterShare float64 // moving average of the part of first attempts with clearly less time left
 }
 
 // observe adds a client's first attempt. The attempt counts as shorter if timeLeft is below the longest by
--- a/policy/learnedstate.go
+++ b/policy/learnedstate.go
@@ -21,11 +21,11 @@
 	Endpoints      []LearnedEndpoint   `json:"Servers"`
 }
 
-// FirstAttemptTimes describes how much time is left until their deadlines when the requests of a class
-// arrive. Clients' retries are not counted.
+// FirstAttemptTimes describes, for one class, how much time is left until the deadline when a client's first
+// attempt arrives. First attempts are the requests that are not clients' retries.
 type FirstAttemptTimes struct {
 	Longest      Time    `json:"Most"`
-	ShorterShare float64 `json:"Odd"` // part that arrived with clearly less time left than Longest
+	ShorterShare float64 `json:"Odd"` // part of first attempts with clearly less time left than Longest
 }
 
 // LearnedEndpoint is the state learned for one endpoint.
@@ -44,8 +44,8 @@
 }
 
 // ExportState returns the learned state for a successor. The budgets of cold endpoints and the success rates
-// at which the budgets grow are handed over, not copied: they become 0 in this instance, so that both
-// instances together stay within the budget of one.
+// from which these budgets grow are handed over, not copied: they become 0 in this instance, so that this
+// instance and its successor together stay within the budget of one.
 func (b *Balancer) ExportState(now Time) LearnedState {
 	state := LearnedState{
 		Baseline:       b.baseline,
--- a/policy/listpolling.go
+++ b/policy/listpolling.go
@@ -14,7 +14,7 @@
 
 // listPolling schedules requests for the endpoint list where it is not pushed.
 type listPolling struct {
-	nextAt Time // next request for the list; 0: none, the list is being followed
+	nextAt Time // when to request the list next; 0: no request is due, the list is being followed
 	delay  Time // latest backoff, before jitter
 }
 
@@ -39,7 +39,8 @@
 
 func (b *Balancer) maxPollDelay() Time { return b.settings.PollWithin / maxPollDelayDivisor }
 
-// pollIfDue requests the list if it is time to do so.
+// pollIfDue requests the list if a request is due, and otherwise schedules a wake-up for the next request, if
+// there is one.
 func (b *Balancer) pollIfDue(now Time) {
 	switch {
 	case b.polling.nextAt <= 0:
--- a/policy/loadreports.go
+++ b/policy/loadreports.go
@@ -15,11 +15,11 @@
 	overloadLearningRate = 0.01
 )
 
-// loadReports holds the load that the endpoint list shows. The means are 0 where it shows none, and
-// always where listed weights do not fall with load.
+// loadReports holds the load that the endpoint list shows. The means are 0 if the list shows no load, which
+// is always so if listed weights do not fall with load.
 type loadReports struct {
 	mean           float64 // mean number of requests that an endpoint holds for each core, over the fleet
-	localMean      float64 // the same over the endpoints in this instance's zone
+	localMean      float64 // the same mean over only the endpoints in this instance's zone
 	latencyPerLoad float64 // learned answer time, in target latencies, for each request held for each core
 	receivedAt     Time    // when the latest list came
 }
@@ -47,7 +47,8 @@
 
 func (m *weightedMean) value() float64 { return m.sum / max(m.weight, 1) }
 
-// updateReports updates the mean loads, over the endpoints that are ready and not ejected, after a new list.
+// updateReports recomputes the mean loads after a new list. It counts only endpoints that are ready and not
+// ejected.
 func (b *Balancer) updateReports(now Time) {
 	var fleet, local weightedMean
 	for _, index := range b.table.byID {
--- a/policy/maintenance.go
+++ b/policy/maintenance.go
@@ -13,12 +13,13 @@
 	// minExpectedLateness is the least expected lateness that idleConnectionTime assumes, so that its result
 	// is finite.
 	minExpectedLateness = 0.2
-	// latencyFade is the part of the difference by which an endpoint's mean latency returns to the baseline
-	// latency in each interval.
+	// latencyFade is the part of the difference between an endpoint's mean latency and the baseline latency
+	// by which the mean returns to the baseline in each maintenance interval.
 	latencyFade = 0.01
 )
 
-// maintain checks all endpoints if at least maintenanceInterval has passed since the latest check.
+// maintain checks all endpoints and updates what is derived from them, if at least maintenanceInterval has
+// passed since the latest check.
 func (b *Balancer) maintain(now Time) {
 	if now < b.maintainAt {
 		return
@@ -51,7 +52,7 @@
 }
 
 // idleConnectionTime returns how long this instance keeps idle connections. It is shorter where endpoints
-// are busier, because a connection that is kept costs most there.
+// are busier, because each open connection costs a busy endpoint more.
 func (b *Balancer) idleConnectionTime() Time {
 	expected := max(minExpectedLateness, b.reports.expectedLateness())
 	return Time(float64(fleetIdleTime) / float64(b.settings.Instances) / (expected * expected))
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -85,7 +85,7 @@
 	return max(minQueueLength, rate*float64(r.waitUntil-now)/float64(Second)*queuePart)
 }
 
-// leaveQueue sends a queued request to the endpoint chosen for it.
+// leaveQueue is the continuation of a queued request: it sends the request to the endpoint chosen for it.
 func (b *Balancer) leaveQueue(r *request, result attemptResult) {
 	b.attempt(result.now, r, result.endpoint)
 }
@@ -105,7 +105,7 @@
 		}
 		endpoint := b.choose(now, r, ordinaryTry)
 		if endpoint < 0 || now >= r.waitUntil {
-			position++ // it waits on; if its time is up, rejectIfDue rejects it
+			position++ // the request keeps waiting; once its time is up, rejectIfDue rejects it
 			continue
 		}
 		b.queue.remove(&b.requests, position)
--- a/policy/recentkeys.go
+++ b/policy/recentkeys.go
@@ -15,10 +15,10 @@
 	count int // keys added so far
 }
 
-// observe adds a key and returns its frequency, which is the larger of its part of the recent requests and
-// half its part of the latest burstLength requests. The request that is added counts in neither. In the
-// second part, one earlier request with the key is not counted either, so a key seen twice is not yet a
-// burst.
+// observe adds a key and returns its frequency. That is the larger of two figures: the key's part of the
+// recent requests, and half the key's part of the latest burstLength requests. Neither figure counts the
+// request that is being added. The second one also leaves out one earlier request with the key, so a key seen
+// twice is not yet a burst.
 func (k *recentKeys) observe(key uint64) (frequency float64) {
 	k.add(key)
 	occurrences := -1.0
@@ -50,8 +50,8 @@
 	return keys
 }
 
-// restore replaces the keys by others, given with the latest first. If there are too many, it takes none of
-// them.
+// restore replaces the keys by those given, the latest first. If more than recentKeyCount are given, it takes
+// none of them.
 func (k *recentKeys) restore(latestFirst []uint64) {
 	k.count = 0
 	if len(latestFirst) > len(k.keys) {
--- a/policy/rejection.go
+++ b/policy/rejection.go
@@ -8,7 +8,7 @@
 // rejectionState limits the log to one line at the start and one at the end of an overload.
 type rejectionState struct {
 	active bool // whether an overload was logged and has not ended
-	lastAt Time // latest rejection
+	lastAt Time // time of the latest rejection
 }
 
 // noteRejection logs the first rejection of an overload.
--- a/policy/request.go
+++ b/policy/request.go
@@ -18,8 +18,8 @@
 
 // request is the state of a request from its admission to its release.
 type request struct {
-	generation uint32 // of the pool entry
-	index      uint32 // of the pool entry
+	generation uint32 // generation of its pool entry
+	index      uint32 // index of its pool entry
 	inUse      bool   // whether the pool entry holds a request
 	answered   bool   // whether it was answered or its client has left
 	queued     bool
@@ -32,7 +32,7 @@
 	value        float64 // expected value for each nanosecond that an endpoint works on it
 
 	home      endpointIndex // endpoint that it waits for in the queue; noEndpoint: any
-	arrivedAt Time          // a client's retry may count as arrived earlier; see backdateRetry
+	arrivedAt Time          // when it arrived; earlier for some clients' retries, see backdateRetry
 	deadline  Time
 	waitUntil Time // end of its time in the queue
 
@@ -40,7 +40,7 @@
 	inFlight    int                              // attempts in flight
 	sentAt      Time                             // when the latest attempt was sent
 	ranAt       Time                             // when the first attempt that may have run was sent
-	ranOn       endpointIndex                    // endpoint of that attempt
+	ranOn       endpointIndex                    // endpoint of the attempt sent at ranAt; noEndpoint: none
 	tried       [maxTriedEndpoints]endpointIndex // ring of the endpoints of the latest attempts
 	bodyPending bool                             // whether its body is incomplete
 	next        continuation
@@ -109,8 +109,8 @@
 	}
 }
 
-// mayHaveRunOn reports whether the endpoint is request.ranOn of any request in the pool. Its zone and cell
-// then decide where that request can be sent again.
+// mayHaveRunOn reports whether the endpoint is request.ranOn of any request in the pool. The state of such an
+// endpoint is still needed: its zone and cell decide where the request can be sent again.
 func (p *requestPool) mayHaveRunOn(index endpointIndex) bool {
 	for i := range p.entries {
 		if p.entries[i].inUse && p.entries[i].ranOn == index {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -21,13 +21,13 @@
 // walk is the state of a request's walk over the slot table.
 type walk struct {
 	home     endpointIndex // first usable endpoint, if it had no room; noEndpoint until then
-	fallback endpointIndex // taken if the walk ends without a home and this has room; may be noEndpoint
+	fallback endpointIndex // chosen if no home is found and it has room; noEndpoint: none
 	visited  int           // endpoints visited so far
 
 	// A hot key is assigned to the less loaded of two endpoints drawn from those that share it.
-	candidate  endpointIndex // the drawn endpoint reached first; noEndpoint until then, or if it is cold
-	skipFirst  int           // usable endpoints to skip before that of the first draw
-	skipSecond int           // usable endpoints to skip before that of the second draw
+	candidate  endpointIndex // the drawn endpoint that is reached first; noEndpoint: not reached yet, or cold
+	skipFirst  int           // usable endpoints still to skip to reach the first one drawn
+	skipSecond int           // usable endpoints still to skip to reach the second one drawn
 }
 
 // choose returns the endpoint for the request's next attempt. That is the request's home, which is the first
--- a/policy/slottable.go
+++ b/policy/slottable.go
@@ -18,7 +18,7 @@
 type slotTable struct {
 	settings   *Settings
 	endpoints  []endpoint                   // entries that are not in the table are free for reuse
-	indexes    map[EndpointID]endpointIndex // indexes in endpoints
+	indexes    map[EndpointID]endpointIndex // index in endpoints, by id
 	owners     []endpointIndex              // by slot
 	order      []int32                      // the slots in seeded order; a slot's rank is its index here
 	byID       []endpointIndex              // endpoints in the table, in the order of their ids
--- a/policy/tablecodec.go
+++ b/policy/tablecodec.go
@@ -57,8 +57,8 @@
 		return false
 	}
 	for _, index := range t.byID {
-		// Empty and not nil: if the endpoint leaves without slots, assign must not move surplus slots
-		// instead.
+		// The ranks must not be nil: if the endpoint left without slots, leave would pass nil to assign, which
+		// would then move surplus slots instead.
 		t.endpoints[index].ranks = []int32{}
 	}
 	for rank, slot := range t.order {
