--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -12,7 +12,7 @@
 type recordingFront struct {
 	simulation
 	sentTo    []EndpointID
-	answered  int // calls of Reject and Fail
+	answered  int // number of calls of Reject and Fail
 	forgotten int
 	released  int
 }
@@ -25,7 +25,7 @@
 func (f *recordingFront) ReleaseConnections(EndpointID)           { f.released++ }
 func (f *recordingFront) Forget(EndpointID)                       { f.forgotten++ }
 
-// Random histories must keep the four rules that simulation checks, whatever the order of events.
+// The decisions must keep the four rules that the type simulation checks, whatever the order of events.
 func TestRulesAgainstReferenceModel(t *testing.T) {
 	counts := map[string]int{}
 	check := func(seed int64) bool {
@@ -88,7 +88,7 @@
 		b.Woken(now)
 	}
 	if n := testing.AllocsPerRun(2000, handleRequest); n != 0 {
-		t.Errorf("%v allocations for each request", n)
+		t.Errorf("an ordinary request makes %v allocations, want none", n)
 	}
 }
 
@@ -109,13 +109,13 @@
 func TestSpillsOnlyToLightlyLoadedEndpoints(t *testing.T) {
 	b, front := newTestBalancer(testMembers(3, "a"))
 	for i := range b.table.endpoints {
-		b.table.endpoints[i].latencyRatio, b.table.endpoints[i].limit, b.concurrency.latenessMean = 0.6, 2, 0.6 // all loaded alike
+		b.table.endpoints[i].latencyRatio, b.table.endpoints[i].limit, b.concurrency.latenessMean = 0.6, 2, 0.6 // equal loads
 	}
 	for range 3 {
 		b.Begin(2*Second, b.Admit(2*Second, 0, NoTenant, "hot", false, Second))
 	}
 	if n := len(slices.Compact(front.sentTo)); n != 1 {
-		t.Errorf("requests with one key went to %d loaded endpoints", n)
+		t.Errorf("requests with the same key went to %d endpoints although all are loaded", n)
 	}
 }
 
@@ -127,7 +127,8 @@
 	b.Begin(0, b.Admit(0, 0, NoTenant, "k", false, Millisecond))
 	b.Woken(Second/2 - b.settings.answerMargin())
 	if front.answered != 2 || len(b.requests.free) != len(b.requests.entries) {
-		t.Errorf("%d answers, %d pool entries, %d free", front.answered, len(b.requests.entries), len(b.requests.free))
+		t.Errorf("%d of 2 requests answered; %d request pool entries, of which %d are free",
+			front.answered, len(b.requests.entries), len(b.requests.free))
 	}
 }
 
@@ -162,7 +163,7 @@
 			t.Errorf("%.0f attempts in second %d to a cold endpoint with a capacity of %.1f", n, second, capacity)
 		}
 		if second >= 3 && attempts[second-3]+attempts[second-2]+attempts[second-1]+n == 0 {
-			t.Errorf("no attempt in the four seconds up to %d", second)
+			t.Errorf("the cold endpoint got no attempt in the four seconds up to second %d", second)
 		}
 	}
 }
@@ -188,11 +189,13 @@
 		b.Begin(now, handle)
 		b.AttemptEnded(now, handle, 0, front.sentTo[len(front.sentTo)-1], Declined, Millisecond, false)
 		if b.requests.lookup(handle) != nil || len(front.sentTo) != i+1 {
-			t.Fatalf("not released, or attempted again: %d attempts of %d requests", len(front.sentTo), i+1)
+			t.Fatalf("a declined request was not released or was attempted again: %d attempts for %d requests",
+				len(front.sentTo), i+1)
 		}
 	}
 	if b.ejected > 0 || b.concurrency.latenessMean > 0 || front.answered > 0 {
-		t.Errorf("%d endpoints ejected, lateness %.2f, %d answers not passed on", b.ejected, b.concurrency.latenessMean, front.answered)
+		t.Errorf("declined attempts: %d endpoints ejected, mean lateness %.2f, %d requests rejected or failed; want all 0",
+			b.ejected, b.concurrency.latenessMean, front.answered)
 	}
 }
 
@@ -208,18 +211,19 @@
 		b.UpdateEndpoints(now, ListFull, next)
 		sendRequest(b, front, now, fmt.Sprint(day), Succeeded, Millisecond)
 		if id := front.sentTo[len(front.sentTo)-1]; id/1000 != EndpointID(day) {
-			t.Fatalf("attempt to endpoint %d on day %d", id, day)
+			t.Fatalf("endpoint %d, which is no longer listed, got an attempt on day %d", id, day)
 		}
 	}
 	if forgotten := front.forgotten; len(b.table.endpoints) > 12 || len(b.table.indexes) > 12 || forgotten < 4*47 {
-		t.Errorf("%d endpoint entries, %d ids, %d forgotten", len(b.table.endpoints), len(b.table.indexes), forgotten)
+		t.Errorf("the table has %d endpoint entries and %d ids; the front was told to forget %d endpoints",
+			len(b.table.endpoints), len(b.table.indexes), forgotten)
 	}
 	owned := map[EndpointID]int{}
 	for _, index := range b.table.owners {
 		owned[b.table.endpoints[index].ID]++
 	}
 	if len(owned) > 8 {
-		t.Errorf("the table has slots of %d endpoints", len(owned))
+		t.Errorf("the slots of the table belong to %d endpoints", len(owned))
 	}
 }
 
@@ -231,12 +235,13 @@
 		b.Begin(2*Second, b.Admit(2*Second, 0, NoTenant, fmt.Sprint(i), false, 2*Second))
 	}
 	if len(front.sentTo) != initialEndpointLimit || len(b.queue.waiting) != 3 || front.answered != 0 {
-		t.Errorf("%d attempted, %d waiting, %d rejected", len(front.sentTo), len(b.queue.waiting), front.answered)
+		t.Errorf("%d requests attempted, %d queued, %d rejected",
+			len(front.sentTo), len(b.queue.waiting), front.answered)
 	}
 }
 
-// A successor takes over limits and failure counts. The budgets of cold endpoints must not be doubled: the old and the
-// new process send attempts at the same time.
+// A successor takes over limits and failure counts. The budgets of cold endpoints must not be doubled, because the old
+// and the new process send attempts at the same time.
 func TestLearnedStateIsPassedToTheSuccessor(t *testing.T) {
 	members := testMembers(4, "a")
 	members[3].Started = 100 * Second
@@ -250,17 +255,18 @@
 	successor, _ := newTestBalancer(members)
 	successor.UpdateEndpoints(now, ListFull, members)
 	state := old.ExportState(now)
-	members[1].Started = now // it has restarted since
+	members[1].Started = now // this endpoint has restarted since the export
 	successor.UpdateEndpoints(now, ListFull, members)
 	successor.ImportState(now, state)
 	for i := range successor.table.endpoints {
 		if e := &successor.table.endpoints[i]; i != 1 && (e.limit != 9 || e.failures != i) || i == 1 && (e.limit != initialEndpointLimit || e.failures != 0) {
-			t.Errorf("endpoint %d: %+v", i, e)
+			t.Errorf("the successor has the wrong limit or failure count for endpoint %d: %+v", i, e)
 		}
 	}
 	if cold := old.table.endpoints[3].coldBudget + successor.table.endpoints[3].coldBudget; cold > 0.8 || old.successes.rate+successor.successes.rate > 40 || old.warmup.rate+successor.warmup.rate > 40 || successor.classes[0].meanLatency != 7e6 ||
 		successor.recentKeys.observe(77) == 0 {
-		t.Errorf("cold budget %v, %v and %v successes per second, mean latency %v", cold, old.successes.rate, successor.successes.rate, successor.classes[0].meanLatency)
+		t.Errorf("sum of the cold budgets %v; success rates: old %v, successor %v; mean latency of the successor %v",
+			cold, old.successes.rate, successor.successes.rate, successor.classes[0].meanLatency)
 	}
 	now += Second // a state with more classes is ignored
 	state.MeanLatency = append(state.MeanLatency, 1)
@@ -270,8 +276,8 @@
 	}
 }
 
-// A request that may have run and is not allowed on any endpoint must be answered at once, not queued until its wait
-// ends.
+// A request that may have run and is not allowed on any endpoint must be answered at once, not queued until its time
+// in the queue ends.
 func TestRequestsWithoutAllowedEndpointAreAnsweredAtOnce(t *testing.T) {
 	for idempotency, want := range map[Idempotency]int{NonIdempotent: 1, Idempotent: 0} {
 		b, front := newTestBalancer(testMembers(3, "a"))
@@ -280,7 +286,8 @@
 		b.Begin(2*Second, handle)
 		b.AttemptEnded(2*Second+Millisecond, handle, 0, front.sentTo[0], ConnectionLost, Millisecond, false)
 		if front.answered != want || len(b.queue.waiting) != 0 {
-			t.Errorf("idempotency %d: %d answers, %d waiting", idempotency, front.answered, len(b.queue.waiting))
+			t.Errorf("idempotency %d: %d requests rejected or failed, %d queued",
+				idempotency, front.answered, len(b.queue.waiting))
 		}
 	}
 }
@@ -297,9 +304,9 @@
 	f.sent[id]++
 }
 
-// If hardly any endpoint is warm, the rate of successes at warm endpoints gives cold ones next to no budget, and
-// requests are rejected. Budgets must grow with an endpoint's own successes. Here all endpoints start at once, and
-// each answers eight requests per second.
+// If hardly any endpoint is warm, the success rate of warm endpoints gives cold ones next to no budget, and requests
+// are rejected. The budget of a cold endpoint must also grow with that endpoint's own successes. Here all endpoints
+// start at once, and each answers eight requests per second.
 func TestColdBudgetGrowsByOwnSuccesses(t *testing.T) {
 	const perSecond, seconds = 8, 15
 	front := &holdingFront{inFlight: map[EndpointID][]Handle{}}
@@ -344,7 +351,8 @@
 	at := 2*Second + 600*Millisecond - b.settings.answerMargin() - Time(b.classes[0].meanLatency) + Millisecond
 	b.AttemptEnded(at, handles[0], 0, front.sentTo[0], Succeeded, at-2*Second, true)
 	if b.Woken(at + Millisecond); len(front.sentTo) != initialEndpointLimit || front.answered != 1 {
-		t.Errorf("%d attempted, %d rejected with a sixth of the client's time left", len(front.sentTo), front.answered)
+		t.Errorf("%d requests attempted, %d rejected with a sixth of the client's time left",
+			len(front.sentTo), front.answered)
 	}
 }
 
@@ -359,7 +367,8 @@
 		b.UpdateEndpoints(Second, ListFull, testMembers(10, "a"))
 		b.Begin(2*Second, b.Admit(2*Second, 0, NoTenant, "k", false, 10*Second))
 		if early := front.timeout < 9*Second; early != mayCancel {
-			t.Errorf("cancel %v: an attempt has a timeout of %v out of 10 s", mayCancel, front.timeout)
+			t.Errorf("MayCancel %v: the attempt has a timeout of %v ns, the client a deadline of 10 s",
+				mayCancel, front.timeout)
 		}
 	}
 }
--- a/policy/coldbudget_test.go
+++ b/policy/coldbudget_test.go
@@ -20,7 +20,7 @@
 	capacityLeft float64     // calls that the endpoint can answer now
 	sent         []Time      // attempts within the last OverloadWindow
 	worst        float64     // largest ratio of attempts in one OverloadWindow to what is allowed
-	worstAt      Time        // when that was
+	worstAt      Time        // when the ratio was largest
 }
 
 func newColdFleet(instances int, capacity, utilization float64, window Time, coldCapacity float64, seed uint64) *coldFleet {
@@ -34,8 +34,8 @@
 	return f
 }
 
-// start resets the endpoint's state at the instances with an index of at least first: the endpoint has started at the
-// given time, or these instances have restarted.
+// start resets the endpoint's state at the instances with an index of at least first: use it when the endpoint has
+// started at the given time, or when these instances have restarted.
 func (f *coldFleet) start(now, startedAt Time, first int) {
 	f.started = startedAt
 	for i := first; i < len(f.balancers); i++ {
@@ -68,9 +68,10 @@
 	}
 }
 
-// Instances do not know of each other's attempts, yet all together must not overload a cold endpoint: neither from its
-// start, nor after a time without attempts, in bursts, after its own restart, or while instances restart. The numbers
-// of instances and the capacities are those of deployments, from a few processes to the largest.
+// Instances do not know of each other's attempts, yet all instances together must not overload a cold endpoint. This
+// applies from the endpoint's start on, after a time without attempts, when attempts come in bursts, after a restart of
+// the endpoint, and while instances restart. The numbers of instances and the capacities are those of deployments, from
+// a few processes to the largest.
 func TestFleetStaysWithinTheColdBudget(t *testing.T) {
 	const step = 40 * Millisecond
 	for _, instances := range []int{4, 8, 24, 30, 60, 300, 350} {
@@ -88,7 +89,8 @@
 							"instance restarts": func(f *coldFleet, now Time) func(int) bool {
 								if now%Second < step {
 									started := f.started
-									f.start(now, started, len(f.balancers)*9/10) // the last tenth of the instances, once a second
+									// Once a second, the last tenth of the instances restarts.
+									f.start(now, started, len(f.balancers)*9/10)
 								}
 								return func(int) bool { return true }
 							},
@@ -112,7 +114,8 @@
 						}
 					}
 					if worst > 1 {
-						t.Errorf("%d instances, %g calls per second, window %d s, cold capacity %g: %.2f of what is allowed: %s", instances, capacity, window/Second, coldCapacity, worst, where)
+						t.Errorf("%d instances, capacity %g calls/s, window %d s, cold capacity %g: %.2f times what is allowed (%s)",
+							instances, capacity, window/Second, coldCapacity, worst, where)
 					}
 				}
 			}
--- a/policy/concurrencylimit_test.go
+++ b/policy/concurrencylimit_test.go
@@ -18,7 +18,8 @@
 			sendRequest(b, front, 2*Second+Time(i)*test.interval, fmt.Sprint(i), Succeeded, test.elapsed)
 		}
 		if limit := b.table.endpoints[0].limit; limit > test.maxLimit {
-			t.Errorf("limit %.1f after %d answers of %dms", limit, test.requests, test.elapsed/Millisecond)
+			t.Errorf("endpoint limit is %.1f after %d answers that took %dms each",
+				limit, test.requests, test.elapsed/Millisecond)
 		}
 	}
 }
@@ -35,11 +36,11 @@
 		}
 		sendRequest(b, front, now, fmt.Sprint(i), Succeeded, elapsed)
 		if i == 59 && (b.concurrency.limit >= 1 || b.concurrency.allows(now)) {
-			t.Errorf("limit %.2f, or no pause, after a minute of late answers", b.concurrency.limit)
+			t.Errorf("after a minute of late answers, the limit is %.2f, want below 1 and a pause", b.concurrency.limit)
 		}
 	}
 	if b.concurrency.limit < 1 {
-		t.Errorf("limit %.2f after a long time of early answers", b.concurrency.limit)
+		t.Errorf("after many early answers, the limit is %.2f, want at least 1", b.concurrency.limit)
 	}
 }
 
@@ -56,7 +57,8 @@
 			sendRequest(b, front, Time(i+2)*Second, fmt.Sprint(i), Succeeded, target*Time(52+6*(i%2))/100)
 		}
 		if b.concurrency.latenessMean < strictLatenessBound || b.concurrency.latenessMean > 0.62 || (b.concurrency.limit < 1) != reduced {
-			t.Errorf("streams %d: limit %.2f at a mean lateness of %.2f, baseline %.2f", streams, b.concurrency.limit, b.concurrency.latenessMean, b.baseline)
+			t.Errorf("with %d streams for each connection: limit %.2f, mean lateness %.2f, baseline latency %.2f",
+				streams, b.concurrency.limit, b.concurrency.latenessMean, b.baseline)
 		}
 	}
 }
@@ -84,7 +86,8 @@
 			limits += e.limit
 		}
 		if b.concurrency.latenessMean > 0.5 != want || limits < initialEndpointLimit*6 != want {
-			t.Errorf("outcome and load %v: lateness %.2f, sum of limits %.1f", test, b.concurrency.latenessMean, limits)
+			t.Errorf("outcome and load %v: mean lateness %.2f, sum of the endpoints' limits %.1f",
+				test, b.concurrency.latenessMean, limits)
 		}
 	}
 }
@@ -108,13 +111,14 @@
 			b.AttemptEnded(now+Second, handle, 0, id, TimedOut, Second, true)
 		}
 		if e := &b.table.endpoints[0]; b.concurrency.latenessMean > 0.5 != want || e.limit < initialEndpointLimit != want {
-			t.Errorf("success of later attempts %v: lateness %.2f, limit %.1f", laterSuccess, b.concurrency.latenessMean, e.limit)
+			t.Errorf("later attempts succeed: %v; mean lateness %.2f, endpoint limit %.1f",
+				laterSuccess, b.concurrency.latenessMean, e.limit)
 		}
 	}
 }
 
-// Attempts on connections that have stopped answering take up the limit until they time out. If the limit grew only by
-// answers, idle endpoints would stay unused.
+// Attempts on connections that have stopped answering use up the endpoint's limit until they time out. If only answers
+// raised the limit, idle endpoints would stay unused.
 func TestLoneTimeoutsRaiseTheLimit(t *testing.T) {
 	b, front := newTestBalancer(testMembers(1, "a"))
 	b.table.endpoints[0].limit = 3.9
@@ -128,7 +132,7 @@
 	for i, handle := range handles {
 		b.AttemptEnded(5*Second, handle, 0, id, TimedOut, Second, true)
 		if limit := b.table.endpoints[0].limit; i == 0 && (limit < 3.9+loneTimeoutGrowth || limit > 4+loneTimeoutGrowth) || limit > 4+2*loneTimeoutGrowth {
-			t.Errorf("limit %.1f after %d lone timeouts", limit, i+1)
+			t.Errorf("the endpoint limit is %.1f after %d lone timeouts", limit, i+1)
 		}
 	}
 }
@@ -146,10 +150,11 @@
 		handles = append(handles, handle)
 	}
 	if len(front.sentTo) != len(handles) || b.concurrency.inFlight != len(handles) || b.concurrency.bodyPending != len(handles) || b.table.endpoints[0].processing() != 0 {
-		t.Fatalf("%d attempts, %d in flight, %d with incomplete bodies", len(front.sentTo), b.concurrency.inFlight, b.concurrency.bodyPending)
+		t.Fatalf("%d attempts sent; %d in flight, of which %d have incomplete bodies",
+			len(front.sentTo), b.concurrency.inFlight, b.concurrency.bodyPending)
 	}
 	if b.Woken(now + 10*Second); b.requests.lookup(handles[0]).answered {
-		t.Error("answered before its body was complete")
+		t.Error("a request was answered before its body was complete")
 	}
 	now += 10 * Second
 	for _, handle := range handles {
@@ -158,13 +163,14 @@
 	}
 	handle := b.Admit(now, 0, NoTenant, "", false, Second)
 	if b.Begin(now, handle); b.processingAt(0) != len(handles) || len(front.sentTo) != len(handles) {
-		t.Errorf("%d attempts that count, %d sent", b.processingAt(0), len(front.sentTo))
+		t.Errorf("%d attempts count against the limit, %d were sent", b.processingAt(0), len(front.sentTo))
 	}
 	for _, handle := range handles {
 		b.AttemptEnded(now+Millisecond, handle, 0, 1, Succeeded, Millisecond, false)
 	}
 	if b.concurrency.bodyPending != 0 || b.concurrency.inFlight != b.processingAt(0) || b.concurrency.inFlight > 1 {
-		t.Errorf("%d with incomplete bodies, %d in flight", b.concurrency.bodyPending, b.concurrency.inFlight)
+		t.Errorf("in the end, %d attempts have incomplete bodies and %d are in flight",
+			b.concurrency.bodyPending, b.concurrency.inFlight)
 	}
 }
 
--- a/policy/ejection_test.go
+++ b/policy/ejection_test.go
@@ -41,12 +41,12 @@
 	id := front.sentTo[len(front.sentTo)-1]
 	b.AttemptEnded(61*Second, handle, 0, id, TimedOut, Second, false)
 	if until := b.table.endpoints[b.table.indexes[id]].ejectedUntil; until < 70*Second {
-		t.Errorf("ejected until %d after the only failure seen in a minute", until)
+		t.Errorf("after the only failure in a minute, the endpoint is ejected until %d ns, want at least 70 s", until)
 	}
 }
 
-// Endpoints that shut down may reject everything for seconds before the list shows it. They must be ejected, or every
-// instance keeps sending them attempts; endpoints that reject because of load must not.
+// An endpoint that shuts down may reject everything for seconds before the list shows that it leaves. It must be
+// ejected, or every instance keeps sending it attempts. An endpoint that rejects because of load must not be ejected.
 func TestEndpointsThatRejectBeforeTheyAreUnlistedAreEjected(t *testing.T) {
 	for load, want := range map[float64]int{0: 1, 0.9: 0} {
 		b, front := newTestBalancer(testMembers(4, "a"))
@@ -68,7 +68,8 @@
 			}
 		}
 		if b.maintain(4 * Second); b.ejected != want || want > 0 && (rejected > ejectAfter || b.concurrency.latenessMean > 0.5) {
-			t.Errorf("load %.1f: %d ejected, %d rejected, lateness %.2f", load, b.ejected, rejected, b.concurrency.latenessMean)
+			t.Errorf("load %.1f: %d endpoints ejected, %d attempts rejected, mean lateness %.2f",
+				load, b.ejected, rejected, b.concurrency.latenessMean)
 		}
 	}
 }
@@ -88,6 +89,7 @@
 		b.AttemptEnded(now+84*Millisecond, handle, 0, front.sentTo[len(front.sentTo)-1], TimedOut, 84*Millisecond, true)
 	}
 	if e := &b.table.endpoints[0]; e.ejectedUntil > 0 || e.limit < initialEndpointLimit || b.concurrency.latenessMean > before {
-		t.Errorf("ejected until %d, limit %.1f, lateness %.2f, before %.2f", e.ejectedUntil, e.limit, b.concurrency.latenessMean, before)
+		t.Errorf("endpoint ejected until %d ns, limit %.1f; mean lateness %.2f after the timeouts, %.2f before",
+			e.ejectedUntil, e.limit, b.concurrency.latenessMean, before)
 	}
 }
--- a/policy/pool_test.go
+++ b/policy/pool_test.go
@@ -38,7 +38,8 @@
 	front := &recordingFront{}
 	b := newPooledBalancer(front, 0)
 	table := fmt.Sprint(b.table.owners)
-	b.UpdateEndpoints(2*Second, ListChanges, loadedMembers(map[int]float64{3: -0.05})[3:4]) // noise: slightly above its size
+	// The first listed weight is slightly above the endpoint's size, as if by noise.
+	b.UpdateEndpoints(2*Second, ListChanges, loadedMembers(map[int]float64{3: -0.05})[3:4])
 	b.UpdateEndpoints(2*Second, ListChanges, loadedMembers(map[int]float64{3: 30})[3:4])
 	if fmt.Sprint(b.table.owners) != table {
 		t.Error("slots moved because of load")
@@ -50,11 +51,11 @@
 		b.AttemptEnded(2*Second, handle, 0, front.sentTo[len(front.sentTo)-1], Cancelled, 0, true)
 	}
 	if attempts[4] > 50 || attempts[1]+attempts[2]+attempts[3]+attempts[5] < 300 {
-		t.Errorf("requests by endpoint: %v", attempts)
+		t.Errorf("the loaded endpoint 4 got too many requests or the others too few: %v", attempts)
 	}
 	b.UpdateEndpoints(3*Second, ListChanges, loadedMembers(nil)[3:4])
 	if e := b.table.endpoints[b.table.indexes[4]]; e.reportedLoad != 0 || e.Weight != 2 {
-		t.Errorf("%+v", e)
+		t.Errorf("endpoint without load: reported load %v, weight %v, want 0 and 2", e.reportedLoad, e.Weight)
 	}
 }
 
@@ -77,7 +78,8 @@
 		b.maintain(6 * Second)
 		b.maintain(7 * Second)
 		if before > 0 || test.idle > maintenanceInterval && early > 0 || test.idle < maintenanceInterval && early < test.want || front.released != test.want {
-			t.Errorf("%+v: %d released with an attempt in flight, %d early, %d in the end", test, before, early, front.released)
+			t.Errorf("%+v: connections released: %d with an attempt in flight, %d before the idle time, %d in the end",
+				test, before, early, front.released)
 		}
 	}
 }
@@ -98,15 +100,16 @@
 		front.admit(b, 2*Second, "a", false, 800*Millisecond)
 		front.admit(b, 3*Second, "b", test.retry, test.timeLeft)
 		if len(front.sentTo) != 1+test.attempts || front.answered != 1-test.attempts {
-			t.Errorf("%+v: %d attempted, %d rejected", test, len(front.sentTo)-1, front.answered)
+			t.Errorf("%+v: %d requests attempted, %d rejected", test, len(front.sentTo)-1, front.answered)
 		}
-		for n := range Time(20) { // clients with different deadlines: a shorter time left shows nothing
+		// Once first attempts have different deadlines, less time left does not show that the client has spent time.
+		for n := range Time(20) {
 			front.admit(b, 4*Second, fmt.Sprint(n), false, (700+40*(n%3))*Millisecond)
 		}
 		answered := front.answered
 		b.concurrency.limit, b.concurrency.resumeAt = 100, 0
 		if front.admit(b, 5*Second, "c", true, 400*Millisecond); front.answered > answered {
-			t.Errorf("%+v: rejected although first attempts have different times left", test)
+			t.Errorf("%+v: a retry was rejected although first attempts have different times left", test)
 		}
 	}
 }
@@ -123,20 +126,20 @@
 	}
 	b.UpdateEndpoints(2*Second, ListChanges, loadedMembers(loads))
 	if b.concurrency.limit != 5 {
-		t.Errorf("limit %v at a load of one request for each core", b.concurrency.limit)
+		t.Errorf("the limit is %v at a load of one request for each core, want 5", b.concurrency.limit)
 	}
 	for i := range loads {
 		loads[i] = 20
 	}
 	b.UpdateEndpoints(3*Second, ListChanges, loadedMembers(loads))
 	if b.concurrency.limit > 2.5 {
-		t.Errorf("limit %v at a load of twenty requests for each core", b.concurrency.limit)
+		t.Errorf("the limit is %v at a load of twenty requests for each core, want at most 2.5", b.concurrency.limit)
 	}
 	for n := range Time(20) {
 		b.UpdateEndpoints((4+n)*Second, ListChanges, loadedMembers(loads))
 	}
 	if b.concurrency.limit != 0.1 {
-		t.Errorf("limit %v in the end", b.concurrency.limit)
+		t.Errorf("the limit is %v after 20 more lists that show overload, want 0.1", b.concurrency.limit)
 	}
 	// A wrong value of latencyPerLoad, learned while the list was stale, must not keep the limit low forever.
 	b.reports.latencyPerLoad, b.concurrency.latenessMean = 2, 0.3
@@ -144,7 +147,7 @@
 		b.UpdateEndpoints((30+n/4)*Second, ListChanges, loadedMembers(map[int]float64{0: 1}))
 	}
 	if b.reports.latencyPerLoad > 0.9 {
-		t.Errorf("latency for each request held is %v after 300 lists", b.reports.latencyPerLoad)
+		t.Errorf("latencyPerLoad is %v after 300 lists, want at most 0.9", b.reports.latencyPerLoad)
 	}
 	// With one attempt in ten seconds, an early answer counts for more than the late ones long before it.
 	b.concurrency.latenessMean, b.concurrency.limit = 1, 0.1
@@ -155,7 +158,8 @@
 		b.AttemptEnded(at+100*Millisecond, handle, 0, front.sentTo[len(front.sentTo)-1], Succeeded, 100*Millisecond, true)
 	}
 	if b.concurrency.latenessMean > 0.2 || b.concurrency.limit < 0.25 {
-		t.Errorf("lateness %v, limit %v after answers in time", b.concurrency.latenessMean, b.concurrency.limit)
+		t.Errorf("after answers in time, the mean lateness is %v and the limit %v",
+			b.concurrency.latenessMean, b.concurrency.limit)
 	}
 }
 
@@ -175,7 +179,7 @@
 		b.UpdateEndpoints(2*Second, ListChanges, loadedMembers(map[int]float64{index: test.load, (index + 1) % 10: 0.1})[index:index+1])
 		b.AttemptEnded(3*Second, handle, 0, front.sentTo[0], test.outcome, Second, false)
 		if ejected := b.table.endpoints[b.table.indexes[front.sentTo[0]]].ejectedUntil > 3*Second; ejected != test.ejected {
-			t.Errorf("%+v: ejected %v", test, ejected)
+			t.Errorf("%+v: endpoint ejected: %v", test, ejected)
 		}
 	}
 }
@@ -188,14 +192,14 @@
 	b.tenants = make([]rateMeter, 2)
 	first := b.valueRate(2*Second, &request{}, 0, false)
 	if second := b.valueRate(2*Second, &request{}, 0, false); second != first {
-		t.Errorf("value %v, then %v", first, second)
+		t.Errorf("the first request has the value %v, the second %v, want the same", first, second)
 	}
 	for range 28 {
-		b.valueRate(2*Second, &request{}, 1, false) // the other tenant sends as much
+		b.valueRate(2*Second, &request{}, 1, false) // the other tenant sends the same number of requests
 		b.valueRate(2*Second, &request{}, 0, false)
 	}
 	b.arrivals = rateMeter{}
 	if last := b.valueRate(2*Second, &request{}, 0, false); last != 0.05*first {
-		t.Errorf("value %v, after thirty requests at once %v", first, last)
+		t.Errorf("the first request has the value %v, the thirtieth %v, want 0.05 of the first", first, last)
 	}
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -57,13 +57,14 @@
 	for i := range b.table.endpoints {
 		b.table.endpoints[i].limit = 100
 		if i%2 == 0 {
-			b.table.endpoints[i].latencyRatio = 1.4 * b.baseline // below the bound
+			b.table.endpoints[i].latencyRatio = 1.4 * b.baseline // below the bound for passing over the endpoint
 		} else {
 			b.table.endpoints[i].latencyRatio = b.baseline
 		}
 	}
 	for range 4000 {
-		r := request{key: uint64(b.random.fraction() * slotCount), keyFrequency: 1. / hotKeySpread} // spread over all ten
+		// The key is so hot that all ten endpoints share it.
+		r := request{key: uint64(b.random.fraction() * slotCount), keyFrequency: 1. / hotKeySpread}
 		share[b.choose(2*Second, &r, ordinaryTry)%2]++
 	}
 	if share[0] > 1500 || share[0] < 500 {
@@ -95,9 +96,9 @@
 	}
 }
 
-// Where the list shows no load, part of the requests pass over an endpoint whose latency exceeds the bound over the
-// mean. One answer after a long time without any is enough to show that. If all endpoints are equally late, none is
-// passed over.
+// Where the list shows no load, part of the requests pass over an endpoint whose latency is above the bound, a multiple
+// of the mean. After a long time without answers, one late answer is enough to show that. If all endpoints are equally
+// late, none is passed over.
 func TestLatencyShowsALoadedEndpoint(t *testing.T) {
 	b, front := newTestBalancer(testMembers(10, "a"))
 	home := sendRequest(b, front, 2*Second, "k", Succeeded, Second/4)
@@ -113,18 +114,19 @@
 	}
 	e := &b.table.endpoints[b.table.indexes[home]]
 	if e.limit = 100; e.latencyRatio < 1 {
-		t.Errorf("after one answer of two target latencies in a minute its mean is %.2f", e.latencyRatio)
+		t.Errorf("after a single answer in a minute, which took two target latencies, the mean latency ratio is %.2f",
+			e.latencyRatio)
 	}
 	b.concurrency.latenessMean = 0.4
 	part := loadBound * b.concurrency.latenessMean / e.latencyRatio
 	if n := kept(); math.Abs(float64(n)/1000-part*part) > 0.06 {
-		t.Errorf("%d of 1000 requests stayed, want a part of %.2f", n, part*part)
+		t.Errorf("%d of 1000 requests stayed at the late endpoint, want a part of %.2f", n, part*part)
 	}
 	b.concurrency.latenessMean = e.latencyRatio
 	if n := kept(); n != 1000 {
-		t.Errorf("all endpoints are equally late, and %d of 1000 requests stayed", n)
+		t.Errorf("only %d of 1000 requests stayed at their endpoint although all endpoints are equally late", n)
 	}
-	// Idle endpoints may answer in one or in ten milliseconds: that is no load.
+	// Idle endpoints may take one or ten milliseconds to answer. This difference is no sign of load.
 	if b.concurrency.latenessMean, b.baseline, e.latencyRatio = 0.001, 0.001, 0.01; kept() != 1000 {
 		t.Error("an idle endpoint was passed over")
 	}
--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -40,11 +40,11 @@
 				lines++
 			}
 			if width := utf8.RuneCountInString(line); width > maxWidth {
-				t.Errorf("%s:%d: %d characters", name, i+1, width)
+				t.Errorf("%s:%d: the line has %d characters, more than the limit", name, i+1, width)
 			}
 		}
 		if lines > maxLines {
-			t.Errorf("%s: %d lines", name, lines)
+			t.Errorf("%s has %d lines that are not blank, more than the limit", name, lines)
 		}
 	}
 	shipped, err := filepath.Glob("*.go")
--- a/policy/slottable_test.go
+++ b/policy/slottable_test.go
@@ -61,7 +61,7 @@
 	joined := slotOwners(b)
 	for i := range before {
 		if joined[i] != before[i] && joined[i] != 9 {
-			t.Fatalf("slot %d went from %d to %d when 9 joined", i, before[i], joined[i])
+			t.Fatalf("slot %d moved from endpoint %d to %d when endpoint 9 joined", i, before[i], joined[i])
 		}
 	}
 	removed := members[3]
@@ -74,7 +74,7 @@
 	checkShares(t, b)
 	for i, id := range slotOwners(b) {
 		if id != joined[i] && joined[i] != 4 {
-			t.Fatalf("slot %d went from %d to %d when 4 left", i, joined[i], id)
+			t.Fatalf("slot %d moved from endpoint %d to %d when endpoint 4 left", i, joined[i], id)
 		}
 	}
 	b.UpdateEndpoints(Second+slotHoldTime, ListFull, nil)
--- a/policy/tablecodec_test.go
+++ b/policy/tablecodec_test.go
@@ -55,13 +55,13 @@
 		}
 		// Endpoints join before others leave, so a slot may move twice in one change.
 		if table != nil && float64(moved) > 1.5*needed+float64(len(current)) {
-			t.Errorf("%d slots moved, %v had to move", moved, needed)
+			t.Errorf("%d slots moved, but only %v had to move", moved, needed)
 		}
 		instance.UpdateEndpoints(now, ListFull, current)
 		if !instance.AdoptTable(assigned) {
 			t.Fatal("the table of the current list was not adopted")
 		}
-		for range 200 { // past slotHoldTime
+		for range 200 { // 50 s, which is longer than slotHoldTime
 			now += Second / 4
 			instance.UpdateEndpoints(now, ListFull, current)
 			instance.Woken(now)
@@ -75,6 +75,6 @@
 		table, previous = assigned, current
 	}
 	if AssignSlots(table, previous, nil) != nil || AssignSlots(nil, nil, nil) != nil {
-		t.Error("slots were assigned without an endpoint")
+		t.Error("slots were assigned although the list has no endpoint")
 	}
 }
--- a/policy/warmup_test.go
+++ b/policy/warmup_test.go
@@ -9,7 +9,7 @@
 )
 
 // maxColdRatio returns the largest ratio of the attempts that an endpoint was sent within OverloadWindow to what is
-// allowed there: N requests, plus 2*sqrt(N)+2 for chance.
+// allowed in that time: N requests, plus 2*sqrt(N)+2 for chance.
 func maxColdRatio(sent []Time, started Time, settings *Settings, capacity float64) (worst float64) {
 	for first, last := 0, 0; last < len(sent); last++ {
 		for sent[first] <= sent[last]-settings.OverloadWindow {
@@ -61,7 +61,7 @@
 	for id, times := range sent {
 		total += len(times)
 		if ratio := maxColdRatio(times, startedAt, settings, capacity); ratio > 1 {
-			t.Errorf("endpoint %d was sent %.2f of what is allowed", id, ratio)
+			t.Errorf("endpoint %d was sent %.2f times the attempts that are allowed", id, ratio)
 		}
 	}
 	// While a new endpoint warms up, it can take on average seven tenths of what a warm one gets by its slots. At
--- a/policy/zonepreference_test.go
+++ b/policy/zonepreference_test.go
@@ -25,7 +25,8 @@
 		b.Woken(3*Second + Time(i)*maintenanceInterval)
 	}
 	if b.zones.localShare > 0 {
-		t.Errorf("%.2f of the keys still prefer local endpoints", b.zones.localShare)
+		t.Errorf("a part of %.2f of the keys still prefers local endpoints although they are overloaded",
+			b.zones.localShare)
 	}
 }
 
@@ -43,7 +44,7 @@
 	}
 }
 
-// The same part of the keyless requests as of the keys must prefer local endpoints.
+// The local share must apply to keyless requests as well as to keys.
 func TestLocalShareAppliesToKeylessRequests(t *testing.T) {
 	b, front := newTestBalancer(testMembers(100, "a", "b"))
 	b.zones.localShare = 0.5
@@ -58,7 +59,7 @@
 	}
 	// Half of the requests prefer local endpoints; half of the others reach one by their slots.
 	if local < 680 || local > 820 {
-		t.Errorf("%d of 1000 requests went to local endpoints", local)
+		t.Errorf("%d of 1000 requests went to local endpoints, want about 750", local)
 	}
 }
 
@@ -75,7 +76,8 @@
 		b.zones.localShare = 0.25
 		b.zones.lateness = [2]float64{b.baseline + test.load, b.baseline + test.load}
 		if b.adjustLocalShare(2 * Second); math.Abs(b.zones.localShare-0.25-test.want) > 1e-9 {
-			t.Errorf("price %g, load %g: rose by %g, want %g", test.price, test.load, b.zones.localShare-0.25, test.want)
+			t.Errorf("price %g, load %g: the local share rose by %g, want %g",
+				test.price, test.load, b.zones.localShare-0.25, test.want)
 		}
 	}
 }
