--- a/policy/concurrencylimit.go
+++ b/policy/concurrencylimit.go
@@ -13,12 +13,12 @@
 	// limitGrowth is the part by which the limit grows in one target latency while it is fully used and the
 	// mean lateness is 0.
 	limitGrowth = 0.5
-	// limitHeadroom is the multiple of the mean attempts in flight that the limit may grow to.
+	// limitHeadroom is the multiple of the mean attempts in flight up to which the limit may grow.
 	limitHeadroom = 4
-	// limitPerEndpoint is the number of attempts in flight to each endpoint from all instances together that
-	// the instances' limits may always grow to.
+	// limitPerEndpoint is the number of attempts in flight to each endpoint, from all instances together, up
+	// to which the instances' limits may always grow.
 	limitPerEndpoint = 16
-	// minLimitCap is the value that the limit of a single instance may always grow to.
+	// minLimitCap is the value up to which the limit of a single instance may always grow.
 	minLimitCap = 2
 	// maxReduction is the smallest factor of a reduction: one reduction at most halves the limit.
 	maxReduction = 0.5
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -161,8 +161,8 @@
 }
 
 // BodyPending is called with complete false if the body of an admitted request is not complete yet, and with
-// complete true once it is; deadline is the request's deadline from then on. Between the two calls, the
-// request has no deadline and its attempt counts against no limit.
+// complete true once it is. In the second case, deadline is the request's deadline from then on. Between the
+// two calls, the request has no deadline and its attempt counts against no limit.
 func (b *Balancer) BodyPending(handle Handle, complete bool, deadline Time) {
 	r := b.requests.lookup(handle)
 	if r == nil || r.answered || r.bodyPending != complete {
--- a/policy/front.go
+++ b/policy/front.go
@@ -2,8 +2,8 @@
 
 // Front carries out the decisions of a Balancer. Its methods are called from within the Balancer's methods.
 type Front interface {
-	// Attempt sends the request to the endpoint. If there is no answer within timeout, the attempt has
-	// timed out.
+	// Attempt sends the request to the endpoint. If there is no answer within timeout, the attempt's outcome
+	// is TimedOut.
 	Attempt(request Handle, endpoint EndpointID, timeout Time)
 	// Cancel cancels an attempt that is in flight.
 	Cancel(request Handle, attempt AttemptNo)
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -59,8 +59,7 @@
 // recordFailure distinguishes overload, which reduces the limits, from other failures, which count towards an
 // ejection. An endpoint that rejects attempts although it answers in time is about to shut down. Other errors
 // are no sign of load, and neither is a timeout while attempts that were sent later succeed, unless the load
-// is above lowLoad. A timeout counts towards an ejection whether or not it
-// shows overload.
+// is above lowLoad. A timeout counts towards an ejection whether or not it shows overload.
 func (b *Balancer) recordFailure(now Time, r *request, e *endpoint, outcome Outcome, elapsed Time) {
 	overloaded := outcome == Rejected && (b.load(e) > highLoad || e.reportedLoad > b.reports.mean)
 	if !overloaded {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -38,7 +38,7 @@
 	Tick                 Time     // resolution of the caller's timers
 	ColdCapacity         float64  // part of its capacity that an endpoint has at its start
 	ColdTime             Time     // time from an endpoint's start until it is warm
-	OverloadMultiple     float64  // multiple of its capacity that an endpoint can take; 0: none to cold ones
+	OverloadMultiple     float64  // multiple of its capacity an endpoint can take; 0: no attempts to cold ones
 	OverloadWindow       Time     // how long an endpoint can take that multiple; 0: one second
 }
 
