--- a/policy/coldbudget_test.go
+++ b/policy/coldbudget_test.go
@@ -7,8 +7,8 @@
 )
 
 // coldFleet is one cold endpoint and many instances, each with its own cold budget for the endpoint. The attempts of
-// all instances together are compared with what the settings allow: N calls of mean work within OverloadWindow, plus
-// 2*sqrt(N)+2 for chance.
+// all instances together are compared with what the settings allow within OverloadWindow. That is N+2*sqrt(N)+2 calls,
+// where N is what the endpoint can take with OverloadMultiple and the rest allows for chance.
 type coldFleet struct {
 	*Settings
 	balancers    []*Balancer
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -44,7 +44,7 @@
 	leavingSince  map[EndpointID]Time   // when a list first showed, in this incarnation, that an endpoint leaves
 	coldAttempts  map[EndpointID][]Time // attempts while the endpoint was cold
 	successes     []Time                // ends of successful attempts
-	coldSuccesses map[EndpointID][]Time // the same for each endpoint since it started
+	coldSuccesses map[EndpointID][]Time // ends of successful attempts since the endpoint started
 	fewestWarm    int                   // smallest number of warm endpoints so far
 	events        []event
 	trace         strings.Builder
@@ -55,7 +55,7 @@
 
 func (s *simulation) fail(format string, args ...any) {
 	if s.violation == "" {
-		s.violation = fmt.Sprintf("at %d: ", s.now) + fmt.Sprintf(format, args...)
+		s.violation = fmt.Sprintf("at %d ns: ", s.now) + fmt.Sprintf(format, args...)
 	}
 }
 
@@ -71,7 +71,7 @@
 func (s *simulation) openRequest(handle Handle) *modelRequest {
 	request := s.requests[handle]
 	if request == nil || request.answered {
-		s.fail("rule 1: action for a request that is unknown or answered")
+		s.fail("rule 1: balancer acted on a request that is unknown or answered")
 		return &modelRequest{}
 	}
 	return request
@@ -81,11 +81,11 @@
 	fmt.Fprintf(&s.trace, "attempt %d %d %d\n", handle, id, timeout)
 	request, member := s.openRequest(handle), s.members[id]
 	if len(request.attempts) >= s.settings.MaxAttempts {
-		s.fail("more attempts than allowed")
+		s.fail("request attempted more than MaxAttempts times")
 	}
 	for _, earlier := range request.attempts {
 		if earlier.inFlight {
-			s.fail("two attempts in flight at once")
+			s.fail("request has two attempts in flight at once")
 		}
 	}
 	if first := slices.IndexFunc(request.attempts, func(earlier modelAttempt) bool { return earlier.mayHaveRun }); first >= 0 {
@@ -94,7 +94,7 @@
 		within := class.Group == GroupAll || class.Group == GroupZone && ranOn.Zone == member.Zone ||
 			class.Group == GroupCell && ranOn.Cell == member.Cell
 		if class.Idempotency == NonIdempotent || class.Idempotency == Keyed && (!within || s.now > earlier.sentAt+class.Window) {
-			s.fail("rule 2: attempted again outside its deduplication group or window")
+			s.fail("rule 2: request that may have run was repeated outside its deduplication group or window")
 		}
 	}
 	if at, leaving := s.leavingSince[id]; leaving && s.now > at+Second {
@@ -104,13 +104,13 @@
 		s.countColdAttempt(id, member)
 	}
 	if timeout <= 0 || s.now+timeout > request.deadline {
-		s.fail("rule 1: a timeout of %d with %d left", timeout, request.deadline-s.now)
+		s.fail("rule 1: attempt has a timeout of %d ns with %d ns left until the deadline", timeout, request.deadline-s.now)
 	}
 	request.attempts = append(request.attempts, modelAttempt{endpoint: id, sentAt: s.now, inFlight: true})
 	s.scheduleOutcome(handle, request, len(request.attempts)-1, timeout)
 }
 
-// maxPerSecond returns the largest number of the times that fall into one second.
+// maxPerSecond returns the largest number of the given times that lie within any one second.
 func maxPerSecond(times []Time) (most int) {
 	for i, at := range times {
 		count := 1
@@ -185,7 +185,7 @@
 	repeatable := request.class.Idempotency == Idempotent || request.class.Idempotency == Keyed && request.class.Group == GroupAll
 	for _, attempt := range request.attempts {
 		if (attempt.mayHaveRun || attempt.inFlight) && !repeatable {
-			s.fail("rule 2: rejected although it may have run")
+			s.fail("rule 2: request was rejected although it may have run")
 		}
 	}
 	request.answered = true
@@ -362,7 +362,7 @@
 		s.now = next
 		for _, r := range s.requests {
 			if !r.answered && s.now > r.deadline+20*Millisecond {
-				s.fail("rule 1: no answer before the deadline")
+				s.fail("rule 1: request was not answered before its deadline")
 			}
 		}
 		switch draw := s.Intn(200); {
--- a/policy/warmup_test.go
+++ b/policy/warmup_test.go
@@ -9,7 +9,8 @@
 )
 
 // maxColdRatio returns the largest ratio of the attempts that an endpoint was sent within OverloadWindow to what is
-// allowed in that time: N requests, plus 2*sqrt(N)+2 for chance.
+// allowed in that time. That is N+2*sqrt(N)+2 attempts, where N is what the endpoint can take with OverloadMultiple and
+// the rest allows for chance.
 func maxColdRatio(sent []Time, started Time, settings *Settings, capacity float64) (worst float64) {
 	for first, last := 0, 0; last < len(sent); last++ {
 		for sent[first] <= sent[last]-settings.OverloadWindow {
