--- a/policy/pool_test.go
+++ b/policy/pool_test.go
@@ -55,7 +55,7 @@
 	}
 	b.UpdateEndpoints(3*Second, ListChanges, loadedMembers(nil)[3:4])
 	if e := b.table.endpoints[b.table.indexes[4]]; e.reportedLoad != 0 || e.Weight != 2 {
-		t.Errorf("endpoint without load: reported load %v, weight %v, want 0 and 2", e.reportedLoad, e.Weight)
+		t.Errorf("endpoint without load, want reportedLoad 0 and Weight 2: %+v", e)
 	}
 }
 
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -45,7 +45,7 @@
 		}
 	}
 	if len(hotAttempts) < 4 {
-		t.Errorf("six requests of a key with a quarter of the traffic went to %d endpoints, want at least 4", len(hotAttempts))
+		t.Errorf("six requests of a key with a quarter of the traffic went to %d endpoints, want 4 or more", len(hotAttempts))
 	}
 }
 
@@ -68,7 +68,7 @@
 		share[b.choose(2*Second, &r, ordinaryTry)%2]++
 	}
 	if share[0] > 1500 || share[0] < 500 {
-		t.Errorf("%d of 4000 requests with hot keys went to the loaded half of the endpoints, want 500 to 1500", share[0])
+		t.Errorf("%d of 4000 requests with hot keys went to the loaded half of endpoints, want 500 to 1500", share[0])
 	}
 	// A cold endpoint without answers so far must not count as the less loaded one: it would be sent all that its
 	// budget allows, with keys that other endpoints have cached.
@@ -85,7 +85,7 @@
 		}
 	}
 	if cold > 2300 || cold < 1700 {
-		t.Errorf("%d of 4000 requests with hot keys went to the cold half of the endpoints, want 1700 to 2300", cold)
+		t.Errorf("%d of 4000 requests with hot keys went to the cold half of endpoints, want 1700 to 2300", cold)
 	}
 	r := request{key: 5}
 	first := b.choose(2*Second, &r, ordinaryTry)
