--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -109,7 +109,8 @@
 func TestSpillsOnlyToLightlyLoadedEndpoints(t *testing.T) {
 	b, front := newTestBalancer(testMembers(3, "a"))
 	for i := range b.table.endpoints {
-		b.table.endpoints[i].latencyRatio, b.table.endpoints[i].limit, b.concurrency.latenessMean = 0.6, 2, 0.6 // equal loads
+		// All endpoints have the same load.
+		b.table.endpoints[i].latencyRatio, b.table.endpoints[i].limit, b.concurrency.latenessMean = 0.6, 2, 0.6
 	}
 	for range 3 {
 		b.Begin(2*Second, b.Admit(2*Second, 0, NoTenant, "hot", false, Second))
@@ -194,7 +195,7 @@
 		}
 	}
 	if b.ejected > 0 || b.concurrency.latenessMean > 0 || front.answered > 0 {
-		t.Errorf("declined attempts: %d endpoints ejected, mean lateness %.2f, %d requests rejected or failed; want all 0",
+		t.Errorf("declined attempts: %d endpoints ejected, lateness %.2f, %d requests rejected or failed; want all 0",
 			b.ejected, b.concurrency.latenessMean, front.answered)
 	}
 }
--- a/policy/coldbudget_test.go
+++ b/policy/coldbudget_test.go
@@ -114,7 +114,7 @@
 						}
 					}
 					if worst > 1 {
-						t.Errorf("%d instances, capacity %g calls/s, window %d s, cold capacity %g: %.2f times what is allowed (%s)",
+						t.Errorf("%d instances, capacity %g calls/s, window %d s, cold capacity %g: %.2f of what is allowed: %s",
 							instances, capacity, window/Second, coldCapacity, worst, where)
 					}
 				}
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -104,7 +104,7 @@
 		s.countColdAttempt(id, member)
 	}
 	if timeout <= 0 || s.now+timeout > request.deadline {
-		s.fail("rule 1: attempt has a timeout of %d ns with %d ns left to the deadline", timeout, request.deadline-s.now)
+		s.fail("rule 1: attempt has a timeout of %d ns, the client only %d ns left", timeout, request.deadline-s.now)
 	}
 	request.attempts = append(request.attempts, modelAttempt{endpoint: id, sentAt: s.now, inFlight: true})
 	s.scheduleOutcome(handle, request, len(request.attempts)-1, timeout)
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -45,7 +45,7 @@
 		}
 	}
 	if len(hotAttempts) < 4 {
-		t.Errorf("six requests of a key with a quarter of the traffic went to %d endpoints, want 4 or more", len(hotAttempts))
+		t.Errorf("six requests with a quarter of the traffic on their key went to %d endpoints, want >= 4", len(hotAttempts))
 	}
 }
 
