--- a/internal/connstate/conn.go
+++ b/internal/connstate/conn.go
@@ -48,12 +48,12 @@
 	Number     uint64 // sequence number of the connection
 	Timer      engine.Timer
 	Request    *Request  // the request that the connection carries now
-	Endpoint   *Endpoint // EndpointSide: the peer
-	Generation int       // EndpointSide: generation of the endpoint when the connection was dialled
+	Endpoint   *Endpoint // on EndpointSide only: the endpoint that is the peer
+	Generation int       // on EndpointSide only: generation of the endpoint when the connection was dialled
 
 	Connected bool        // the connection is established
 	Closing   bool        // the connection is closed, or about to be: nothing more is read or sent
-	Idle      bool        // ClientSide: no request has arrived since the last response
+	Idle      bool        // on ClientSide only: no request has arrived since the last response
 	Used      bool        // the connection has carried a request
 	IdleSince policy.Time // when the connection was opened, or last had a request
 
@@ -81,7 +81,7 @@
 	Queued           int64         // total bytes to send, including those that the kernel has not accepted yet
 	Written          atomic.Int64  // total bytes that the kernel has accepted
 	NotifyAt         atomic.Int64  // value of Written at which the loop is notified; 0: never
-	CompleteAt       atomic.Int64  // value of Written at which a request is complete; 0: none is being written
+	CompleteAt       atomic.Int64  // value of Written at which a request is completely written; 0: none is being written
 	RequestsWritten  *atomic.Int64 // counts the requests that are completely written
 	CloseWhenFlushed bool          // the connection closes once everything is written; further input is discarded
 	AwaitingFlush    bool          // the next request waits until the last response is written
--- a/internal/connstate/conns.go
+++ b/internal/connstate/conns.go
@@ -18,7 +18,7 @@
 // connections to endpoints.
 type Conns struct {
 	Open           map[*Conn]struct{}
-	Limit          [2]int // by side; to stay within it, idle connections of that side are closed
+	Limit          [2]int // limit of the connections by side; over it, idle connections of that side are closed
 	AcceptLimit    int    // maximum number of open client connections; over Limit, clients are still accepted up to it
 	IdleClients    int    // number of idle client connections
 	MaxIdleClients int    // number of idle client connections above which they are closed
@@ -74,7 +74,8 @@
 	}
 }
 
-// Count returns the number of connections on that side that are open or being opened.
+// Count returns the number of connections on that side that are open or being opened, without those being
+// closed.
 func (conns *Conns) Count(side Side) int { return conns.open[side] - conns.closing[side] }
 
 // Add adds a connection that is being opened, and assigns its number.
--- a/internal/connstate/request.go
+++ b/internal/connstate/request.go
@@ -11,7 +11,7 @@
 	*engine.Request
 	idHash uint64 // hash of the request id that the client sent; set while the request is in RequestIndex
 
-	Client         *Conn       // nil once answered, or once the client has left
+	Client         *Conn       // nil once the request is answered or the client has left
 	CloseAfter     bool        // the client's connection is closed after the response
 	HTTP10         bool        // the client uses HTTP/1.0
 	ClientTimeLeft policy.Time // how long the client waits after the last byte of its request
@@ -55,7 +55,8 @@
 // RequestIndex finds requests by the hashes of the ids that clients gave them.
 type RequestIndex struct{ byIDHash map[uint64]*Request }
 
-// Add adds the request by the hash of its id. If another request has the same hash, the earlier one stays.
+// Add adds the request by the hash of its id. If another request has the same hash, the earlier one stays in the
+// index.
 func (x *RequestIndex) Add(r *Request, idHash uint64) {
 	if x.byIDHash == nil {
 		x.byIDHash = map[uint64]*Request{}
--- a/internal/coordinator/admin.go
+++ b/internal/coordinator/admin.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	maxTextBytes      = 4 << 20 // size of a revision's text
+	maxTextBytes      = 4 << 20 // maximum size of a revision's text
 	maxHeaderBytes    = 16 << 10
 	adminReadTimeout  = 10 * time.Second
 	adminWriteTimeout = 20 * time.Second
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -57,11 +57,11 @@
 
 // Config configures a coordinator.
 type Config struct {
-	Name          string // of this coordinator's entry in Members
+	Name          string // name of this coordinator's entry in Members
 	Directory     string // directory of the store
 	Listen        string // address for connections of the other coordinators
 	Cluster       string
-	Key           []byte // shared by all coordinators and instances of the cluster
+	Key           []byte // key that all coordinators and instances of the cluster share
 	Members       []Member
 	LeaseDuration policy.Time
 	ClockDrift    float64 // maximum difference between the rates of two clocks, as a fraction
@@ -95,7 +95,7 @@
 	revisionLog     ruleset.RevisionLog
 	leaseIssuer     *ruleset.LeaseIssuer // nil unless this coordinator leads
 	pendingRequests []pendingRequest
-	revisionsSentAt map[string]time.Time // by the instance's address
+	revisionsSentAt map[string]time.Time // when revisions were last sent to an instance, by its address
 	changeBegan     policy.Time          // when the change in progress began
 
 	requestsPending chan struct{} // holds a signal while pendingRequests may hold requests
--- a/internal/coordinator/store.go
+++ b/internal/coordinator/store.go
@@ -19,7 +19,7 @@
 	storeFile       = "log.db"
 	storeMode       = 0o600
 	directoryMode   = 0o700
-	lockTimeout     = 2 * time.Second // time for a previous process to release the file
+	lockTimeout     = 2 * time.Second // how long to wait until a previous process releases the file
 	storedSnapshots = 2               // number of snapshots kept
 )
 
--- a/internal/discovery/cachedlist.go
+++ b/internal/discovery/cachedlist.go
@@ -25,7 +25,7 @@
 	SavedAt   policy.Time                    `json:"saved"` // Unix time, in nanoseconds
 	Endpoints []cachedEndpoint               `json:"servers"`
 	Issues    map[string]endpointfiles.Issue `json:"issues,omitempty"`
-	Drains    map[string][2]policy.Time      `json:"drains,omitempty"` // first listed, last listed
+	Drains    map[string][2]policy.Time      `json:"drains,omitempty"` // by uid: Drain.FirstListed, Drain.LastListed
 }
 
 // cachedEndpoint is the encoding of an endpoint in a cached list.
@@ -52,7 +52,7 @@
 	}
 }
 
-// isValid reports whether the endpoint can be used.
+// isValid reports whether the endpoint has a uid, an address, and a valid weight and status.
 func (e cachedEndpoint) isValid() bool {
 	weightValid := e.Weight >= 0 && e.Weight < maxWeight
 	return e.UID != "" && e.Address != "" && weightValid && e.Status <= policy.Draining
@@ -83,7 +83,7 @@
 	return list
 }
 
-// save writes the file.
+// save writes the file of the cached list.
 func (c *Cached) save(list cachedList) error {
 	body, err := json.Marshal(list)
 	if err != nil {
@@ -92,7 +92,7 @@
 	return c.store.Put(cacheName, cacheKind, cacheVersion, body)
 }
 
-// load reads the file. A list with an invalid endpoint is an error.
+// load reads the file of the cached list. A list with an invalid endpoint is an error.
 func (c *Cached) load() ([]Entry, endpointfiles.State, error) {
 	body, err := c.store.Get(cacheName, cacheKind, cacheVersion)
 	if err != nil {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -36,7 +36,7 @@
 	Name() string
 	// Run emits events until the context ends. It is called once.
 	Run(ctx context.Context, emit func(Event))
-	// Follow starts or stops calls of sources whose calls put load on a shared service. It never blocks.
+	// Follow starts or stops the calls of a source that calls a service. Other sources ignore it. It never blocks.
 	Follow(on bool)
 }
 
--- a/internal/discovery/files.go
+++ b/internal/discovery/files.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		emit(Event{Note: "file change notifications unavailable, polling every second: " + err.Error()})
 	} else {
-		defer func() { _ = watcher.Close() }() // an error has no consequence: its notifications are not read any more
+		defer func() { _ = watcher.Close() }() // an error does not matter: no notifications are read any more
 		changes = watcher.Events
 		overflows = watcher.Errors
 	}
--- a/internal/discovery/jsonreader.go
+++ b/internal/discovery/jsonreader.go
@@ -40,7 +40,7 @@
 // isSpace reports whether a character is white space in JSON.
 func isSpace(c byte) bool { return c == ' ' || c == '\n' || c == '\r' || c == '\t' }
 
-// accept skips a character if it is next.
+// accept skips a character if it is next, and reports whether it was.
 func (r *jsonReader) accept(c byte) bool {
 	if next := r.remaining(); len(next) == 0 || next[0] != c {
 		return false
@@ -163,7 +163,7 @@
 	return utf8.AppendRune(to, rune(codeUnit)), nil // half a surrogate pair becomes the replacement character
 }
 
-// readNumber reads a number.
+// readNumber reads a number and returns errMalformedList if there is none.
 func (r *jsonReader) readNumber() (float64, error) {
 	rest := r.remaining()
 	length := 0
@@ -204,7 +204,7 @@
 	}
 }
 
-// acceptLiteral skips a literal if it is next.
+// acceptLiteral skips a literal if it is next, and reports whether it was.
 func (r *jsonReader) acceptLiteral(literal string) bool {
 	if !bytes.HasPrefix(r.remaining(), []byte(literal)) {
 		return false
--- a/internal/discovery/platform.go
+++ b/internal/discovery/platform.go
@@ -41,10 +41,10 @@
 	return &Platform{gate: newGate(), addr: addr, onDemand: onDemand, WatchTimeout: maxWatchTimeout}
 }
 
-// Name returns the address.
+// Name returns a name that contains the address of the discovery service.
 func (p *Platform) Name() string { return "discovery at " + p.addr }
 
-// Run makes calls while Follow is on.
+// Run calls the discovery service while Follow is on, and emits the lists that the service returns.
 func (p *Platform) Run(ctx context.Context, emit func(Event)) {
 	transport := p.newTransport()
 	defer transport.CloseIdleConnections()
--- a/internal/discovery/platformtimes.go
+++ b/internal/discovery/platformtimes.go
@@ -20,7 +20,7 @@
 	answerTimeout   = 2 * time.Second
 	firstRetryDelay = 100 * time.Millisecond
 	maxRetryDelay   = 2 * time.Second
-	maxDoublings    = 8 // of the delay, so that it can't overflow
+	maxDoublings    = 8 // maximum number of doublings of the delay, so that it can't overflow
 )
 
 // Timeout and retry delay of calls to an agent, as parts of the grace. A call without an answer, the delay after it and
--- a/internal/endpointfiles/file_test.go
+++ b/internal/endpointfiles/file_test.go
@@ -37,7 +37,7 @@
 	for _, in := range []string{text, unsealed} {
 		for i := range in {
 			if f := Parse("f", []byte(in[:i])); f.Problem == "" && !reflect.DeepEqual(f.Entries, complete.Entries) {
-				t.Fatalf("accepted: %s", in[:i])
+				t.Fatalf("a truncated file was accepted: %s", in[:i])
 			}
 		}
 	}
@@ -56,13 +56,13 @@
 			}
 			f := Parse("f", []byte(mixed))
 			if f.Problem == "" && !reflect.DeepEqual(f.Entries, a.Entries) && !reflect.DeepEqual(f.Entries, b.Entries) {
-				t.Fatalf("accepted: %s", mixed)
+				t.Fatalf("a mixture of the old and the new text was accepted: %s", mixed)
 			}
 		}
 		// Overwritten without being truncated: the end of the old text follows the new text.
 		mixed := updated + old[min(len(updated), len(old)):]
 		if f := Parse("f", []byte(mixed)); len(old) > len(updated)+1 && f.Problem == "" {
-			t.Errorf("new text with the end of the old: accepted: %s", mixed)
+			t.Errorf("the new text followed by the end of the old text was accepted: %s", mixed)
 		}
 	}
 }
--- a/internal/endpointfiles/seal.go
+++ b/internal/endpointfiles/seal.go
@@ -51,7 +51,8 @@
 	return fmt.Appendf(text, "digest = %q\n", digest)
 }
 
-// sealDigest returns the digest of the text above the closing table and of the table's other keys.
+// sealDigest returns the digest of the text above the closing table and of the values in that table, except for the
+// digest itself.
 func sealDigest(above []byte, endpoints int64, issue Issue, removes int) string {
 	hash := sha256.New()
 	hash.Write(above)
--- a/internal/engine/activerules.go
+++ b/internal/engine/activerules.go
@@ -35,7 +35,7 @@
 	leaseChanges uint64 // the lease client's count of changes when rules were last applied
 	version      uint64 // counts how often rules were applied
 	ruleSets     map[ruleset.RevisionNumber]*RuleSet
-	logged       []ruleset.RevisionNumber // revisions in the latest log line
+	logged       []ruleset.RevisionNumber // revisions named in the last log line about the rules
 
 	classes    ruleset.ClassTable
 	classNames []string // by class id
@@ -68,8 +68,8 @@
 }
 
 // AddRuleSet adds a rule set that leases may name. It returns false if a different rule set with the same number is
-// known, if the number is older than the leased revisions, or if there is no room beside the rule sets that may be in
-// force.
+// known, if the number is older than the leased revisions, or if the lease client is full and can't drop another rule
+// set for this one.
 func (e *Engine) AddRuleSet(set *RuleSet) bool {
 	active := e.rules
 	if !active.lease.Add(set.RuleSet) {
@@ -85,8 +85,8 @@
 	return true
 }
 
-// NewLeaseRequest starts a lease request that is sent now. It returns the request's id and the revisions that this
-// instance could apply.
+// NewLeaseRequest starts a lease request that is sent now. It returns the request's id and the revisions whose
+// rule sets this instance has.
 func (e *Engine) NewLeaseRequest() (id uint64, known []ruleset.RevisionNumber) {
 	return e.rules.lease.NewRequest(clock.LeaseTime())
 }
--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -32,7 +32,7 @@
 	Lists               int // endpoint lists applied
 	ListEntries         int // entries of these lists
 	ListFailures        int
-	ListsRefused        int // rejected by the validation of list files
+	ListsRefused        int // endpoint lists rejected by the validation of list files
 	Reconfigurations    int
 	BytesIn             int64
 	BytesOut            int64
--- a/internal/engine/drained.go
+++ b/internal/engine/drained.go
@@ -33,7 +33,7 @@
 }
 
 // WasListed reports whether the endpoint has been in any list. It also returns true for an administratively drained
-// endpoint: only listed endpoints can be drained, but seen may have forgotten the id since.
+// endpoint: only listed endpoints can be drained, but list.seen may have forgotten the id since.
 func (e *Engine) WasListed(uid string) bool {
 	return e.list.seen.contains(endpointfiles.EndpointID(uid)) || e.list.drained[uid].drained
 }
--- a/internal/engine/endpoint.go
+++ b/internal/engine/endpoint.go
@@ -15,7 +15,7 @@
 	Zone       policy.Zone
 	Started    policy.Time
 	Draining   bool
-	Generation int             // rises when connections become useless: the endpoint drains, leaves, restarts or moves
+	Generation int             // increases when the endpoint drains, leaves, restarts or moves: old connections close
 	Listed     bool            // the endpoint is in the latest list
 	Entry      discovery.Entry // the endpoint's entry in the latest list
 	FrontData  [MaxFronts]any  // data of the fronts, by the index that AddFront returned
@@ -34,8 +34,8 @@
 	}
 }
 
-// updateEndpoint applies an entry and reports whether the module gets it too. Two endpoints whose ids collide are not
-// merged: the second one is skipped.
+// updateEndpoint applies an entry of a list to Endpoints and reports whether the entry must also be passed to the
+// module. Two endpoints whose ids collide are not merged: the second one is skipped.
 func (e *Engine) updateEndpoint(entry discovery.Entry) bool {
 	endpoint := e.Endpoints[entry.ID]
 	if endpoint == nil && entry.Status == policy.Removed {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -19,7 +19,7 @@
 type Config struct {
 	Seed         uint64
 	Settings     *policy.Settings
-	Source       discovery.Source // of endpoints
+	Source       discovery.Source // emits the endpoint lists
 	SavedList    []byte           // an endpoint list saved earlier, in the encoding of the discovery service
 	ShutdownTime policy.Time      // time from the start of the shutdown until the last answer must be sent
 	Latency      Latency          // measures the latency of final answers; nil: not measured
@@ -43,22 +43,22 @@
 	InFlight  int // number of requests that are not released yet
 
 	fronts       []Front
-	freeRequests [MaxFronts][]*Request // for reuse, by front
-	requests     []*Request            // by Handle.Index
-	steps        []step                // decided by the module and not yet carried out
-	ended        []endedAttempt        // not yet reported to the module
+	freeRequests [MaxFronts][]*Request // released requests for reuse, by front
+	requests     []*Request            // requests by Handle.Index
+	steps        []step                // steps that the module has decided on and the loop has not carried out
+	ended        []endedAttempt        // ended attempts that are not yet reported to the module
 	list         endpointList
 	rules        *activeRules // nil: no rules are agreed on with other instances
 
-	wakeTimer     Timer // set by the module
+	wakeTimer     Timer // calls Module.Woken at the time that the module has set
 	shutdownTimer Timer
 	metricsTimer  Timer // for updates of the endpoint metrics
 
 	signal           chan struct{} // wakes the loop
-	calls            chan func()   // from other goroutines, run by the loop
+	calls            chan func()   // functions that other goroutines pass to the loop to run
 	stopped          chan struct{} // closed once Run has returned
 	shuttingDown     bool
-	shutdownDeadline policy.Time // by which the last answer must be sent
+	shutdownDeadline policy.Time // time by which the last answer must be sent
 	lastRound        policy.Time // start of the latest round
 
 	classLabels []classLabels // labels of the request metrics, by row
--- a/internal/engine/front.go
+++ b/internal/engine/front.go
@@ -43,9 +43,9 @@
 
 // RulesFront is a front whose classes and tenants can be added and removed while it runs.
 type RulesFront interface {
-	// SetClass sets the class of that name; NoClass removes it.
+	// SetClass assigns an id and a deadline to the class with that name. The id NoClass removes the class.
 	SetClass(name string, class policy.ClassID, deadline policy.Time)
-	// SetTenant sets the tenant of that name; NoTenant removes it.
+	// SetTenant assigns an id to the tenant with that name. The id NoTenant removes the tenant.
 	SetTenant(name string, tenant policy.TenantID)
 }
 
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -2,8 +2,9 @@
 
 import "pepperlead/policy"
 
-// DeadlineMarginTicks is how many ticks before the client's deadline an attempt ends to which the module's timeout does
-// not apply: an attempt that was sent before its request body was complete, or whose streamed response has stalled.
+// DeadlineMarginTicks is the number of ticks before the client's deadline at which an attempt is ended if the module's
+// timeout does not apply to it. Such an attempt was sent before its request body was complete, or its streamed response
+// has stalled.
 const DeadlineMarginTicks = 4
 
 // Request is the engine's state of a request.
@@ -16,9 +17,9 @@
 	ReceivedAt    policy.Time       // when the request's last byte was received
 	ClientWaiting bool              // the client waits for an answer
 	InFlight      bool              // an attempt is in flight, or is about to be sent
-	AttemptNo     policy.AttemptNo  // of the latest attempt
+	AttemptNo     policy.AttemptNo  // number of the latest attempt, by which the module identifies it
 	Attempts      int               // number of attempts so far
-	Endpoint      policy.EndpointID // of the latest attempt
+	Endpoint      policy.EndpointID // endpoint of the latest attempt
 	SentAt        policy.Time       // when the latest attempt was sent
 	AttemptTimer  Timer             // timeout of the attempt in flight
 	Decided       bool              // the module has decided on the final answer, or the client has left
@@ -122,7 +123,7 @@
 }
 
 // FinishRequest reports that the front has finished with a request. It is only needed if the front called AttemptEnded
-// before it was finished, as it does for a streamed response.
+// before it had finished with the request, as it does for a streamed response.
 func (e *Engine) FinishRequest(request *Request) { e.release(request) }
 
 // endWait marks that the client no longer waits, and counts the result of the request. Further calls have no effect.
--- a/internal/engine/ruleendpoints.go
+++ b/internal/engine/ruleendpoints.go
@@ -19,8 +19,8 @@
 	return digest
 }
 
-// adoptTable makes the module use the agreed endpoint table, and reports whether it does. It returns false if there is
-// no agreed table, or if the table names an endpoint that is not listed.
+// adoptTable makes the module use the agreed endpoint table, and reports whether the module uses it. It returns
+// false if there is no agreed table, or if the table names an endpoint that is not listed.
 func (e *Engine) adoptTable() bool {
 	active := e.rules
 	if !active.leased || !e.list.rulesList {
@@ -71,8 +71,8 @@
 }
 
 // agreedEntry returns the entry to be listed for an entry of a rule set, and whether it is listed. An endpoint that is
-// missing from one of the rule sets that may be in force is draining. If it is neither known nor in the rule set of the
-// agreed table, it is not listed yet, so that the table in force does not change.
+// missing from one of the rule sets that may be in force is draining. An endpoint that is neither known nor in the rule
+// set of the agreed table is not listed yet, so that the table in force does not change.
 func (l *endpointList) agreedEntry(entry discovery.Entry, rules *ruleset.Rules, inTable bool) (discovery.Entry, bool) {
 	byID := func(s ruleset.Endpoint, id policy.EndpointID) int { return cmp.Compare(s.ID, id) }
 	i, agreed := slices.BinarySearchFunc(rules.Endpoints, entry.ID, byID)
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -6,7 +6,7 @@
 	"pepperlead/policy"
 )
 
-// Timer calls Run when it is due. It is a field of the struct that it serves.
+// Timer calls Run when it is due. Each struct that needs a timer has it as a field.
 type Timer struct {
 	Run      func(now policy.Time)
 	at       policy.Time
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -152,7 +152,7 @@
 	earlier.receive()
 	earlier.send(`told {"learned": 2}`)
 	if states := <-learned; len(states) != 1 || string(states[0]) != `{"learned": 2}` {
-		t.Errorf("learned states %q", states)
+		t.Errorf("unexpected learned states %q", states)
 	}
 	compareTranscript(t, "questions.txt", transcript.String())
 }
--- a/internal/hotrestart/processgroup.go
+++ b/internal/hotrestart/processgroup.go
@@ -55,7 +55,7 @@
 	setDrained   func(uids []string) bool
 	exportState  func() []byte
 	setProcesses func(processes int)
-	unsaved      map[string]bool // by uid: whether drained, for changes not saved and in force in this process only
+	unsaved      map[string]bool // whether drained, by uid: unsaved changes, which apply in this process only
 	peers        map[*peerProcess]struct{}
 	sequence     uint64 // number of the last change that the peers were asked to apply
 	closed       bool
--- a/internal/membership/cluster.go
+++ b/internal/membership/cluster.go
@@ -65,7 +65,7 @@
 	background sync.WaitGroup
 
 	mu         sync.Mutex
-	metadata   Metadata         // of this member
+	metadata   Metadata         // metadata of this member
 	announceAt time.Time        // when changed metadata is announced; zero: nothing has changed
 	peers      map[string]*Peer // by name, former members included
 	joinTurn   int              // selects the next address to join, modulo the number of these addresses
--- a/internal/membership/metadata.go
+++ b/internal/membership/metadata.go
@@ -10,7 +10,7 @@
 type Metadata struct {
 	Zone        string `cbor:"1,keyasint"`
 	StartedAt   int64  `cbor:"2,keyasint"` // Unix time of the start, in nanoseconds
-	Revision    uint64 `cbor:"3,keyasint"` // latest leased revision; 0: its own settings file applies
+	Revision    uint64 `cbor:"3,keyasint"` // latest leased revision; 0: the member's own settings file applies
 	TableDigest uint64 `cbor:"4,keyasint"` // digest of the slot table
 	Coordinator bool   `cbor:"5,keyasint"` // the member is a coordinator and serves no requests
 }
--- a/internal/ruleset/leaseclient.go
+++ b/internal/ruleset/leaseclient.go
@@ -17,9 +17,9 @@
 // LeaseClient is an instance's side of the lease protocol.
 type LeaseClient struct {
 	ruleSets        []RuleSet        // in order of number
-	term            Term             // of the last accepted lease
-	leasedRevisions []RevisionNumber // of the last accepted lease
-	leaseExpiry     policy.Time      // on the client's own clock
+	term            Term             // term of the last accepted lease
+	leasedRevisions []RevisionNumber // revisions of the last accepted lease
+	leaseExpiry     policy.Time      // when the last accepted lease expires, on the client's own clock
 	lastRequestID   uint64
 	requestedAt     policy.Time // time of the last request
 	leasedRules     Rules       // the strictest combination of the leased revisions
--- a/internal/ruleset/random_test.go
+++ b/internal/ruleset/random_test.go
@@ -222,10 +222,10 @@
 	revision := func(text string) Revision { return Revision{Text: []byte(text), Author: "a"} }
 	if log.Propose(revision("x"), 0, log.Active) != nil || log.Active != 0 || log.Next != 1 ||
 		log.Propose(revision("y"), 1, log.Active) != ErrChangeInProgress {
-		t.Fatalf("%+v", log)
+		t.Fatalf("unexpected revision log or error; log: %+v", log)
 	}
 	if log.Complete(2) || !log.Complete(1) || log.Complete(1) || log.Active != 1 {
-		t.Fatalf("%+v", log)
+		t.Fatalf("unexpected revision log or error; log: %+v", log)
 	}
 	if err := log.Propose(revision("y"), 0, log.Active); err == nil {
 		t.Error("a proposal whose author did not know the latest revision is accepted")
@@ -235,24 +235,24 @@
 	}
 	if log.Propose(revision("y"), 1, log.Active) != nil || log.Withdraw(1) != ErrNoChange || log.Withdraw(2) != nil ||
 		log.Active != 1 || log.Next != 1 {
-		t.Fatalf("%+v", log)
+		t.Fatalf("unexpected revision log or error; log: %+v", log)
 	}
 	if log.Propose(revision("z"), 2, log.Active) != nil || !log.Complete(3) ||
 		log.ProposeRollback(9, Revision{}, 3, log.Active) == nil ||
 		log.ProposeRollback(1, Revision{}, 3, log.Active) != nil {
-		t.Fatalf("%+v", log)
+		t.Fatalf("unexpected revision log or error; log: %+v", log)
 	}
 	if active := log.InForce(); len(active) != 2 || string(active[0].Text) != "z" || string(active[1].Text) != "x" ||
 		active[1].RollbackOf != 1 || active[1].Number != 4 {
-		t.Fatalf("%+v", active)
+		t.Fatalf("unexpected revisions in force: %+v", active)
 	}
 	log.Complete(4)
 	for i := range 2 * maxRevisions { // withdrawn revisions must not push out the active one
 		if log.Propose(revision(fmt.Sprint(i)), log.LastNumber, log.Active) != nil || log.Withdraw(log.Next) != nil {
-			t.Fatalf("%+v", log)
+			t.Fatalf("unexpected revision log or error; log: %+v", log)
 		}
 	}
 	if active := log.InForce(); len(log.Revisions) != maxRevisions || len(active) != 1 || active[0].Number != 4 {
-		t.Fatalf("%d revisions, %+v", len(log.Revisions), active)
+		t.Fatalf("the log has %d revisions, in force are %+v", len(log.Revisions), active)
 	}
 }
--- a/internal/ruleset/rules_test.go
+++ b/internal/ruleset/rules_test.go
@@ -161,11 +161,11 @@
 		t.Error("a valid lease was rejected, or one of an older term accepted")
 	}
 	if rules, leased := client.Active(119); !leased || !rules.Classes[0].Repeatable {
-		t.Errorf("%+v before the lease expires", rules)
+		t.Errorf("unexpected rules before the lease expires: %+v", rules)
 	}
 	if rules, leased := client.Active(120); leased || rules.Classes[0].Repeatable || rules.OverloadMultiple != 0 ||
 		len(rules.Classes) != 2 {
-		t.Errorf("%+v without a lease", rules)
+		t.Errorf("unexpected rules without a lease: %+v", rules)
 	}
 	client.Add(testRuleSet(2))
 	requestID, _ = client.NewRequest(130)
@@ -173,7 +173,7 @@
 		t.Error("a lease on two revisions was rejected")
 	}
 	if rules, _ := client.Active(131); rules.Classes[0].Repeatable || rules.Classes[1].Repeatable {
-		t.Errorf("%+v during a change", rules)
+		t.Errorf("unexpected rules during a change: %+v", rules)
 	}
 	requestID, _ = client.NewRequest(140)
 	if !client.Accept(Lease{2, requestID, []RevisionNumber{2}, 100}) ||
@@ -181,7 +181,7 @@
 		t.Error("the change was not completed")
 	}
 	if rules, _ := client.Active(141); rules.Classes[0].Repeatable || !rules.Classes[1].Repeatable {
-		t.Errorf("%+v after the change", rules)
+		t.Errorf("unexpected rules after the change: %+v", rules)
 	}
 	requestID, _ = client.NewRequest(150)
 	if client.Accept(Lease{3, requestID, []RevisionNumber{1}, 100}) {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -35,7 +35,7 @@
 type header struct {
 	kind     string
 	version  int
-	size     int    // of the value, in bytes
+	size     int    // size of the value, in bytes
 	checksum string // SHA-256 of the value, in hexadecimal
 }
 
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -130,7 +130,7 @@
 		version int
 	}{{"kind", 2}, {"other", 1}} {
 		if _, err := s.Get("x", k.kind, k.version); err == nil {
-			t.Errorf("%+v was accepted", k)
+			t.Errorf("a value was read with another kind or version: %+v", k)
 		}
 	}
 	path := filepath.Join(s.Dir, "x")
@@ -142,7 +142,7 @@
 		} {
 			os.WriteFile(path, damaged, 0o600)
 			if body, err := s.Get("x", "kind", 1); err == nil && string(body) != "a body" {
-				t.Fatalf("damaged at %d: %q", i, body)
+				t.Fatalf("a file damaged at byte %d was read as %q", i, body)
 			}
 		}
 	}
