--- a/internal/connstate/conn.go
+++ b/internal/connstate/conn.go
@@ -17,7 +17,7 @@
 	CloseIfIdle(c *Conn) bool
 	// Idle reports whether no unprocessed bytes have arrived and the peer has not closed the connection.
 	Idle(c *Conn) bool
-	// DiscardInput makes the socket discard all further input, up to a bound.
+	// DiscardInput makes the socket discard all further input, up to a maximum number of bytes.
 	DiscardInput()
 	// Reset resets the connection, so that the peer does not see an orderly close.
 	Reset()
@@ -55,7 +55,7 @@
 	Closing   bool        // the connection is closed, or about to be: nothing more is read or sent
 	Idle      bool        // on ClientSide only: no request has arrived since the last response
 	Used      bool        // the connection has carried a request
-	IdleSince policy.Time // when the connection was opened, or last had a request
+	IdleSince policy.Time // when the last request ended; before the first one, when the connection was opened
 
 	Input    Input
 	Output   Output
@@ -81,7 +81,7 @@
 	Queued           int64         // total bytes to send, including those that the kernel has not accepted yet
 	Written          atomic.Int64  // total bytes that the kernel has accepted
 	NotifyAt         atomic.Int64  // value of Written at which the loop is notified; 0: never
-	CompleteAt       atomic.Int64  // value of Written at which a request is completely written; 0: none is being written
+	CompleteAt       atomic.Int64  // value of Written at which a request is completely written; 0: no request
 	RequestsWritten  *atomic.Int64 // counts the requests that are completely written
 	CloseWhenFlushed bool          // the connection closes once everything is written; further input is discarded
 	AwaitingFlush    bool          // the next request waits until the last response is written
--- a/internal/connstate/conns.go
+++ b/internal/connstate/conns.go
@@ -96,8 +96,8 @@
 	conns.closing[c.Side]++
 }
 
-// Remove removes a closed connection and reports whether it was open before. Only here the connection's descriptor
-// stops counting against the limits.
+// Remove removes a connection whose socket is closed, and reports whether it was in Open. Count leaves a connection out
+// from MarkClosing on, but its descriptor is in use until the socket is closed.
 func (conns *Conns) Remove(c *Conn) bool {
 	if _, open := conns.Open[c]; !open {
 		return false
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -163,11 +163,11 @@
 	}
 	store, err := openStore(configs[leader].Directory, log, newRaftLogger(log))
 	if err != nil || store.damagedCopy == "" || !store.fresh {
-		t.Fatalf("damaged store: error %v, store %+v", err, store)
+		t.Fatalf("opening a damaged store: error %v, store %+v", err, store)
 	}
 	if _, err := openStore(configs[leader].Directory, log, newRaftLogger(log)); err == nil ||
 		errors.Is(err, errDamaged) {
-		t.Errorf("a store in use by another process: %v", err)
+		t.Errorf("opening a store that is already open: error %v", err)
 	}
 	store.Close()
 	if coordinators[leader], err = Open(configs[leader], log); err != nil {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -36,7 +36,8 @@
 	Name() string
 	// Run emits events until the context ends. It is called once.
 	Run(ctx context.Context, emit func(Event))
-	// Follow starts or stops the calls of a source that calls a service. Other sources ignore it. It never blocks.
+	// Follow starts or stops the calls of a source that calls a service, because the calls put load on a service that
+	// may be shared. Other sources ignore it. It never blocks.
 	Follow(on bool)
 }
 
--- a/internal/discovery/platform_agent_test.go
+++ b/internal/discovery/platform_agent_test.go
@@ -184,7 +184,7 @@
 				t.Errorf("the drain was emitted %v after the recovery, want at most %v", delay, grace)
 			}
 			if n := len(s.requested()); n > 20 {
-				t.Errorf("%d calls in an outage of 1.5 s", n)
+				t.Errorf("%d calls in an outage of 1.5 s, want at most 20", n)
 			}
 		})
 	}
--- a/internal/endpointfiles/file_test.go
+++ b/internal/endpointfiles/file_test.go
@@ -118,7 +118,7 @@
 		parsed := Parse("f", in)
 		if parsed.Problem != "" {
 			if !strings.HasPrefix(parsed.Problem, "f:") || len(parsed.Entries) > 0 {
-				t.Fatalf("%q", parsed.Problem)
+				t.Fatalf("the problem lacks the file name, or an invalid file has entries: %q", parsed.Problem)
 			}
 			return
 		}
@@ -127,7 +127,7 @@
 			return
 		}
 		if err != nil || !sealed.Sealed || !slices.Equal(parsed.Entries, sealed.Entries) || sealed.Issue != parsed.Issue+1 {
-			t.Fatalf("%v: %q sealed as %q", err, in, out)
+			t.Fatalf("error %v: %q was sealed as %q", err, in, out)
 		}
 	})
 }
--- a/internal/engine/activerules_test.go
+++ b/internal/engine/activerules_test.go
@@ -74,12 +74,12 @@
 		}
 	}
 	if a := f.classes["a"]; settings.Classes[a].Idempotency != policy.NonIdempotent || settings.OverloadMultiple != 0 {
-		t.Fatalf("without a lease: %+v", settings)
+		t.Fatalf("unexpected settings without a lease: %+v", settings)
 	}
 	accept(policy.Second*100, 0)
 	a := f.classes["a"]
 	if settings.Classes[a].Idempotency != policy.Idempotent || settings.OverloadMultiple != 3 {
-		t.Fatalf("with a lease on its own rule set: %+v", settings)
+		t.Fatalf("unexpected settings with a lease on the instance's own rule set: %+v", settings)
 	}
 	e.list.handle(0, sourceEvent{event: discovery.Event{List: &discovery.List{Kind: policy.ListFull, Entries: []discovery.Entry{{Member: policy.Member{ID: 9}, UID: "own"}}}}})
 	now := e.Clock.Now()
@@ -95,19 +95,19 @@
 	}
 	accept(policy.Second*100, 0, 1)
 	if settings.Classes[a].Idempotency != policy.NonIdempotent || f.classes["a"] != a || settings.Classes[f.classes["b"]].Idempotency != policy.NonIdempotent {
-		t.Fatalf("with revisions 0 and 1 in force: %+v %v", settings.Classes, f.classes)
+		t.Fatalf("with revisions 0 and 1 in force: unexpected classes %+v or class ids %v", settings.Classes, f.classes)
 	}
 	accept(policy.Second*100, 1)
 	if b := settings.Classes[f.classes["b"]]; b.Name != "b" || b.Idempotency != policy.Keyed || settings.TotalQuota != 5 || f.tenants["f"] != 0 || !e.list.rulesList ||
 		len(e.Endpoints) != 3 || e.Endpoints[9].Listed || !e.Endpoints[1].Listed {
-		t.Fatalf("with revision 1 in force: %+v %+v %+v", settings, f, e.Endpoints)
+		t.Fatalf("with revision 1 in force: unexpected settings %+v, front %+v or endpoints %+v", settings, f, e.Endpoints)
 	}
 	if !e.AddRuleSet(newRuleSet(2, endpoints[:1], nil, class("a", policy.Idempotent))) {
 		t.Fatal("rule set 2 was not added")
 	}
 	accept(policy.Second*100, 1, 2)
 	if y := e.Endpoints[2]; !y.Listed || !y.Draining || e.Endpoints[1].Draining {
-		t.Fatalf("while an endpoint is being removed: %+v", y)
+		t.Fatalf("the endpoint being removed is not draining, or another one is: %+v", y)
 	}
 	accept(policy.Second*100, 2)
 	if e.Endpoints[2].Listed {
@@ -119,7 +119,7 @@
 	accept(policy.Second*100, 3)
 	if id := f.classes["a"]; id == a || settings.Classes[id].Idempotency != policy.Idempotent || settings.Classes[a].Idempotency != policy.NonIdempotent ||
 		f.classes["b"] != policy.NoClass || f.tenants["f"] != policy.NoTenant || !e.Endpoints[9].Listed {
-		t.Fatalf("rules of requests in flight were relaxed, or revision 3 is not in force: %+v %+v", settings.Classes, f)
+		t.Fatalf("rules of requests in flight were relaxed, or revision 3 is not in force: classes %+v, front %+v", settings.Classes, f)
 	}
 	withDrain := newRuleSet(4, nil, nil, class("a", policy.Idempotent))
 	withDrain.Rules.Drained = []policy.EndpointID{9}
--- a/internal/engine/endpointlist.go
+++ b/internal/engine/endpointlist.go
@@ -36,7 +36,7 @@
 	done      chan struct{}      // closed once the source has ended
 	following bool               // the module wants the source to follow changes
 	hasList   bool               // a list has been applied, perhaps a saved one
-	fresh     bool               // the source has reported a list since the start
+	fresh     bool               // a source has reported a list since the engine started
 	failures  int                // consecutive failures of the source
 	rejection string             // why the latest list was rejected; "" if it was not
 
@@ -83,7 +83,7 @@
 	}()
 }
 
-// replaceSource switches to another source. Its lists need not be related to those of the previous source.
+// replaceSource switches to another source. The lists of the new source need not be related to those of the old one.
 func (l *endpointList) replaceSource(source discovery.Source) {
 	l.cancel()
 	l.failures = 0
@@ -157,7 +157,7 @@
 	}
 }
 
-// apply updates the endpoints by a list and passes the list to the module.
+// apply updates Engine.Endpoints to match a list and passes the list to the module.
 func (l *endpointList) apply(now policy.Time, list *discovery.List) {
 	e := l.engine
 	l.hasList = true
@@ -204,7 +204,7 @@
 // ApplyList applies a list that does not come from the engine's source.
 func (e *Engine) ApplyList(now policy.Time, list *discovery.List) { e.list.apply(now, list) }
 
-// ListFresh reports whether the source has reported a list since the start.
+// ListFresh reports whether a source has reported a list since the engine started.
 func (e *Engine) ListFresh() bool { return e.list.fresh }
 
 // ListStatus reports whether there is an endpoint list, and why the latest list was rejected ("" if it was not).
--- a/internal/engine/write_test.go
+++ b/internal/engine/write_test.go
@@ -34,13 +34,13 @@
 		e.AttemptEnded(admitted+10*policy.Millisecond, request, policy.ConnectionLost)
 		e.ReportEndedAttempts(admitted + 10*policy.Millisecond) // the module decides on a retry, within the window
 		if request.Attempts != 2 || f.attempts != 1 {
-			t.Fatalf("%d attempts decided on, %d written", request.Attempts, f.attempts)
+			t.Fatalf("%d attempts decided on and %d written, want 2 and 1", request.Attempts, f.attempts)
 		}
 		if e.Round(admitted + 10*policy.Millisecond); f.attempts != test.want {
 			t.Errorf("%d ms after the first attempt: %d attempts written, want %d", test.age/policy.Millisecond, f.attempts, test.want)
 		}
 		if e.ReportEndedAttempts(now); test.want == 1 && (f.answers != 0 || len(e.steps) != 1) {
-			t.Errorf("the request is not answered instead of being retried: %d steps", len(e.steps))
+			t.Errorf("the request was answered at once, or %d steps are queued instead of 1", len(e.steps))
 		}
 	}
 }
--- a/internal/hotrestart/processgroup_test.go
+++ b/internal/hotrestart/processgroup_test.go
@@ -83,7 +83,7 @@
 	dir := filepath.Join(t.TempDir(), longName)
 	old := join(t, dir)
 	if err := old.SetDrained("s-1", true); err != nil || !old.hasDrained("s-1") || old.Processes() != 1 {
-		t.Fatal(err, old.drained)
+		t.Fatal("drain by the only process:", err, old.drained)
 	}
 	fresh := join(t, dir)
 	eventually(t, "the processes do not see each other", func() bool {
@@ -95,10 +95,10 @@
 	}
 	if err := fresh.SetDrained("s-2", true); err != nil || !old.hasDrained("s-1", "s-2") ||
 		!fresh.hasDrained("s-1", "s-2") {
-		t.Error(err, old.drained, fresh.drained)
+		t.Error("drain by the new process:", err, old.drained, fresh.drained)
 	}
 	if err := old.SetDrained("s-1", false); err != nil || !old.hasDrained("s-2") || !fresh.hasDrained("s-2") {
-		t.Error(err, old.drained, fresh.drained)
+		t.Error("end of a drain by the old process:", err, old.drained, fresh.drained)
 	}
 	// A process that doesn't confirm delays a change only up to the timeout, and the error reports it.
 	old.mu.Lock()
@@ -107,7 +107,7 @@
 	start := time.Now()
 	if err := fresh.SetDrained("s-3", true); !errors.Is(err, ErrNotConfirmed) || time.Since(start) > time.Second ||
 		!fresh.hasDrained("s-2", "s-3") {
-		t.Error(err, time.Since(start), fresh.drained)
+		t.Error("drain that a process does not confirm:", err, time.Since(start), fresh.drained)
 	}
 	// The socket of a killed process stays in the directory, and a third process still joins.
 	old.mu.Lock()
@@ -152,7 +152,7 @@
 		})
 		callers.Wait()
 		if uids, err := b.Drained(); err != nil || !slices.Contains(uids, "s-9") || !b.hasDrained(uids...) {
-			t.Fatal(uids, err, b.drained)
+			t.Fatal("drained endpoints in the file, error, and those in the process:", uids, err, b.drained)
 		}
 	}
 }
@@ -166,10 +166,10 @@
 	}
 	os.WriteFile(filepath.Join(dir, drainedFile), []byte("damaged"), 0o600)
 	if err := p.SetDrained("s-2", true); err != nil || !p.hasDrained("s-1", "s-2") {
-		t.Error(err, p.drained)
+		t.Error("drain after the file was damaged:", err, p.drained)
 	}
 	if uids, err := join(t, dir).Drained(); err != nil || !slices.Equal(uids, []string{"s-1", "s-2"}) {
-		t.Error(uids, err)
+		t.Error("drained endpoints saved after the damage:", uids, err)
 	}
 }
 
@@ -187,7 +187,7 @@
 	text[len(text)-1]++
 	os.WriteFile(path, text, 0o600)
 	if uids, err := p.Drained(); err != nil || len(uids) != 0 {
-		t.Error(uids, err)
+		t.Error("drained endpoints read from a damaged file:", uids, err)
 	}
 	if moved, err := os.ReadFile(path + ".unread"); err != nil || string(moved) != string(text) {
 		t.Error("the damaged file was not moved aside:", err)
@@ -196,17 +196,17 @@
 	os.Mkdir(path, 0o700)
 	os.WriteFile(filepath.Join(path, "full"), nil, 0o600)
 	if err := p.SetDrained("s-4", true); err == nil || !p.hasDrained("s-1", "s-4") {
-		t.Error(err, p.drained)
+		t.Error("drain that cannot be saved:", err, p.drained)
 	}
 	os.RemoveAll(path)
 	// The unsaved change stays in force when another process saves a change, which comes into force too.
 	if err := join(t, dir).SetDrained("s-5", true); err != nil || !p.hasDrained("s-5", "s-4") {
-		t.Error(err, p.drained)
+		t.Error("drain by another process after an unsaved one:", err, p.drained)
 	}
 	os.Remove(filepath.Join(dir, "lock"))
 	os.Mkdir(filepath.Join(dir, "lock"), 0o700)
 	if err := p.SetDrained("s-6", true); err == nil || !p.hasDrained("s-5", "s-4", "s-6") {
-		t.Error(err, p.drained)
+		t.Error("drain without access to the lock:", err, p.drained)
 	}
 	// A process that never answers delays Join only up to the timeout.
 	listener, err := net.Listen("unix", filepath.Join(dir, "y"+socketSuffix))
@@ -229,6 +229,6 @@
 	g.Serve(func(uids []string) bool { drained = uids; return true }, nil, func(int) {})
 	if failure := g.SetDrained("s-1", true); !errors.Is(failure, err) || !slices.Equal(drained, []string{"s-1"}) ||
 		g.Processes() != 1 {
-		t.Error("standalone:", failure, drained)
+		t.Error("drain in a standalone group:", failure, drained)
 	}
 }
--- a/internal/ruleset/messages_test.go
+++ b/internal/ruleset/messages_test.go
@@ -31,6 +31,6 @@
 		}
 	}
 	if _, err := Decode(message('a', "sender", 1, []int{1}, "a field of a newer version")); err != nil {
-		t.Errorf("message with an additional field: %v", err)
+		t.Errorf("a message with an additional field was rejected: %v", err)
 	}
 }
--- a/internal/ruleset/rules_test.go
+++ b/internal/ruleset/rules_test.go
@@ -128,12 +128,12 @@
 	client.Accept(Lease{1, requestID, []RevisionNumber{1}, 100})
 	for number := RevisionNumber(2); number < 2+2*maxRuleSets; number++ {
 		if client.Add(testRuleSet(number)) != (number <= maxRuleSets) {
-			t.Errorf("revision %d: stored %v", number, client.Knows(number))
+			t.Errorf("revision %d: unexpected result of Add, stored: %v", number, client.Knows(number))
 		}
 	}
 	if rules, leased := client.Active(1); !leased || !rules.Allows(testRuleSet(1).Rules) ||
 		!testRuleSet(1).Rules.Allows(*rules) {
-		t.Errorf("leased %v, rules %+v", leased, rules)
+		t.Errorf("unexpected rules %+v, leased: %v", rules, leased)
 	}
 }
 
@@ -142,7 +142,7 @@
 func TestLeaseClientExpiryAndRejections(t *testing.T) {
 	client := NewLeaseClient(1)
 	if _, leased := client.Active(0); leased {
-		t.Error("leased before the first lease")
+		t.Error("Active reports a lease before the first lease was accepted")
 	}
 	if added, addedAgain := client.Add(testRuleSet(1)), client.Add(testRuleSet(1)); !added || !addedAgain ||
 		client.Add(RuleSet{Number: 1, Digest: [32]byte{9}}) {
@@ -153,7 +153,7 @@
 	for _, lease := range []Lease{{1, first, []RevisionNumber{1}, 100}, {1, requestID, []RevisionNumber{1, 2}, 100},
 		{1, requestID, nil, 100}} {
 		if client.Accept(lease) {
-			t.Errorf("%+v was accepted", lease)
+			t.Errorf("an invalid lease was accepted: %+v", lease)
 		}
 	}
 	if !client.Accept(Lease{2, requestID, []RevisionNumber{1}, 100}) || !slices.Equal(known, []RevisionNumber{1}) ||
