--- a/internal/engine/activerules_test.go
+++ b/internal/engine/activerules_test.go
@@ -107,7 +107,7 @@
 	}
 	accept(policy.Second*100, 1, 2)
 	if y := e.Endpoints[2]; !y.Listed || !y.Draining || e.Endpoints[1].Draining {
-		t.Fatalf("the endpoint being removed is not draining, or another one is: %+v", y)
+		t.Fatalf("the endpoint being removed is not listed as draining, or another one is draining: %+v", y)
 	}
 	accept(policy.Second*100, 2)
 	if e.Endpoints[2].Listed {
