--- a/internal/hotrestart/processgroup.go
+++ b/internal/hotrestart/processgroup.go
@@ -55,7 +55,7 @@
 	setDrained   func(uids []string) bool
 	exportState  func() []byte
 	setProcesses func(processes int)
-	unsaved      map[string]bool // changes that apply in this process only, by uid: whether the endpoint is drained
+	unsaved      map[string]bool // changes that are not saved, in force in this process only; by uid: whether drained
 	peers        map[*peerProcess]struct{}
 	sequence     uint64 // number of the last change that the peers were asked to apply
 	closed       bool
