--- a/internal/httpproxy/chunked.go
+++ b/internal/httpproxy/chunked.go
@@ -10,8 +10,8 @@
 
 // chunkedExtent holds the encoded and decoded lengths of a chunked body.
 type chunkedExtent struct {
-	length int // with chunk sizes and trailers; 0: the body is incomplete
-	size   int // of the decoded body, as far as it is known
+	length int // encoded length, including chunk sizes and trailers; 0 if the body is incomplete
+	size   int // decoded length: the sum of the chunk sizes read so far
 }
 
 // measureChunks measures the chunked body at the start of b. ok is false if the body is malformed or longer than limit;
@@ -60,7 +60,8 @@
 	}
 }
 
-// parseChunkSize parses the line with the size of a chunk. length is that of the line, 0 while it is incomplete.
+// parseChunkSize parses the line with the size of a chunk. length is the length of the line including its line end, or
+// 0 if the line is incomplete.
 func parseChunkSize(b []byte) (size, length int, ok bool) {
 	end := bytes.Index(b, lineEnd)
 	if end < 0 {
--- a/internal/httpproxy/config.go
+++ b/internal/httpproxy/config.go
@@ -15,7 +15,7 @@
 	Source              discovery.Source // supplies the endpoint list
 	Seed                uint64
 	Descriptors         int
-	ReservedDescriptors int // part of Descriptors that other parts of the process need
+	ReservedDescriptors int // how many of the Descriptors are reserved for other parts of the process
 	MessageMemory       int // bytes that messages in flight may occupy
 	ConnectTimeout      policy.Time
 	SourceIP            net.IP      // local address of connections to endpoints; nil: the kernel picks one
--- a/internal/httpproxy/frame.go
+++ b/internal/httpproxy/frame.go
@@ -18,7 +18,7 @@
 	phaseData
 	phaseDataCR
 	phaseDataLF
-	phaseTrailerStart // first byte of a line
+	phaseTrailerStart // the first byte of a trailer line
 	phaseTrailer
 	phaseTrailerLF
 	phaseLastLF
@@ -40,7 +40,7 @@
 // decoded is the result of decoding some bytes of a body.
 type decoded struct {
 	size int  // decoded bytes, moved to the start of the input
-	used int  // bytes of the input that belong to the message: all of them unless done
+	used int  // input bytes that belong to the message: all of them, or possibly fewer if done is set
 	done bool // the body is complete
 }
 
--- a/internal/httpproxy/header.go
+++ b/internal/httpproxy/header.go
@@ -5,11 +5,11 @@
 	"unsafe"
 )
 
-// Limits of a message, in bytes.
+// Limits of a message.
 const (
-	maxHead          = 16 << 10
-	maxBody          = 64 << 10
-	maxChunkOverhead = 8 // maximum ratio of the length of a chunked body with its framing to the maximum body size
+	maxHead          = 16 << 10 // maximum length of a head, in bytes
+	maxBody          = 64 << 10 // bytes; a longer body is not handled as one message, but part by part as it arrives
+	maxChunkOverhead = 8        // maximum ratio of the length of a chunked body with its framing to the maximum body size
 )
 
 var (
@@ -23,8 +23,8 @@
 // messageHead is the first line and the header lines of a message.
 type messageHead struct {
 	firstLine []byte
-	headers   []byte // lines including their line ends
-	length    int    // of the head including the empty line after it; 0: the head is incomplete
+	headers   []byte // the header lines, including their line ends
+	length    int    // length of the head including the empty line after it; 0 if the head is incomplete
 }
 
 // splitHead returns the head at the start of b.
@@ -143,7 +143,7 @@
 
 // framing holds what the headers specify about the length of the body and the end of the connection.
 type framing struct {
-	size    int // of the body; -1: unknown
+	size    int // value of Content-Length; -1 if there is no such header
 	chunked bool
 	closing bool // the connection is to be closed after the message
 }
--- a/internal/httpproxy/limits.go
+++ b/internal/httpproxy/limits.go
@@ -9,7 +9,8 @@
 	p.Signal()
 }
 
-// applyShare applies a changed share of the limits. Excess connections are closed as they become idle.
+// applyShare computes the limits of this process anew if the number of processes that share them has changed. Excess
+// connections are closed as they become idle.
 func (p *Proxy) applyShare(now policy.Time) {
 	processes := int(p.processes.Load())
 	if processes == p.limitsSharedBy {
--- a/internal/httpproxy/proxy.go
+++ b/internal/httpproxy/proxy.go
@@ -33,16 +33,16 @@
 
 	processes      atomic.Int64 // processes of this instance, this one included
 	limitsSharedBy int          // number of processes for which the limits are currently divided
-	streamCount    int          // responses that are being streamed
+	streamCount    int          // number of responses that are being streamed
 	serving        atomic.Bool  // this process accepts clients and is not shutting down
-	awaitingList   bool         // clients wait until the source has supplied its list
+	awaitingList   bool         // clients are not accepted yet, because the source has not supplied its list
 	drainedAt      policy.Time  // during a shutdown: time from which no client is expected to reconnect
 	acceptUntil    policy.Time  // during a shutdown: time until which new clients are accepted
 }
 
 var _ engine.RulesFront = (*Proxy)(nil)
 
-// New returns an instance, which serves once Run is called.
+// New returns a proxy that starts to serve when Run is called.
 func New(config Config, log *logrus.Logger) *Proxy {
 	p := &Proxy{
 		config:         config,
@@ -113,7 +113,8 @@
 	}
 }
 
-// Gather handles the queued socket events, and pipelined requests whose predecessors have been answered.
+// Gather handles the queued socket events. It then reads the pipelined requests whose preceding request on the same
+// connection has been answered.
 func (p *Proxy) Gather(now policy.Time) {
 	p.applyShare(now)
 	if p.awaitingList && p.ListFresh() {
@@ -133,7 +134,7 @@
 // HasPending reports whether a pipelined request may be waiting to be handled.
 func (p *Proxy) HasPending() bool { return len(p.ready) > 0 }
 
-// handleEvent handles an event of a socket.
+// handleEvent calls the handler for the kind of a socket's event.
 func (p *Proxy) handleEvent(now policy.Time, e event) {
 	c := e.conn
 	switch e.kind {
@@ -195,8 +196,8 @@
 }
 
 // closeOldestIdle closes the connection on the given side that has been idle longest, and reports whether it closed
-// one. A connection that has carried a request must have been idle since usedBefore or longer, one that has not must
-// have been opened at openedBefore or earlier.
+// one. A connection that has carried a request must have become idle at usedBefore or earlier. One that has not carried
+// a request must have been opened at openedBefore or earlier.
 func (p *Proxy) closeOldestIdle(side connstate.Side, usedBefore, openedBefore policy.Time) bool {
 	oldest := p.conns.OldestIdle(side, usedBefore, openedBefore)
 	if oldest == nil || !oldest.Socket.CloseIfIdle(oldest) {
--- a/internal/httpproxy/reconfigure.go
+++ b/internal/httpproxy/reconfigure.go
@@ -18,7 +18,8 @@
 		afterRestart = append(afterRestart, "limits")
 	}
 	if config.DefaultClass != p.config.DefaultClass {
-		// Requests in flight that name no class would get another one. Empty settings make the engine keep its own.
+		// The class of requests in flight that name no class would change. Empty settings make the engine keep those
+		// that it has.
 		config.Settings = &policy.Settings{}
 	}
 	applied := p.Reconfigure(engine.Config{
--- a/internal/httpproxy/request.go
+++ b/internal/httpproxy/request.go
@@ -23,7 +23,7 @@
 // maxMethod is the maximum length of a method in an incomplete request head, in bytes.
 const maxMethod = 32
 
-// maxSeconds is the longest timeout in seconds, exclusive.
+// maxSeconds is the number of seconds that a timeout in a header must be below.
 const maxSeconds = 1e6
 
 // requestHead is the parsed head of a request.
@@ -105,7 +105,7 @@
 // parsedRequest is a parsed request with its body.
 type parsedRequest struct {
 	requestHead
-	length int // of the whole message; 0: the message is incomplete
+	length int // length of the whole message; 0 if the message is incomplete
 	body   []byte
 }
 
@@ -140,8 +140,8 @@
 	return request, 0
 }
 
-// mayBeRequest reports whether an incomplete head may still become a request. Other input is refused without waiting
-// for more.
+// mayBeRequest reports whether an incomplete head can be the beginning of a valid request. If it cannot, the input is
+// refused without waiting for more bytes.
 func mayBeRequest(b []byte) bool {
 	for i, c := range b {
 		if c == ' ' {
@@ -253,8 +253,8 @@
 	return to
 }
 
-// appendRequestHead appends the head of a request in the form sent to an endpoint. timeout is how long the response is
-// awaited. A bodySize of -1 means that the size is unknown and the body is sent in chunks.
+// appendRequestHead appends the head of a request in the form sent to an endpoint. timeout is how long the proxy waits
+// for the response. A bodySize of -1 means that the size is unknown and the body is sent in chunks.
 func appendRequestHead(to, method, target, headers []byte, bodySize int, timeout policy.Time) []byte {
 	to = append(to, method...)
 	to = append(to, ' ')
--- a/internal/httpproxy/response.go
+++ b/internal/httpproxy/response.go
@@ -64,7 +64,7 @@
 
 // parsedResponse is a parsed response with its body.
 type parsedResponse struct {
-	length   int // of the whole message; 0: the message is incomplete
+	length   int // length of the whole message; 0 if the message is incomplete
 	status   int
 	headers  []byte
 	body     []byte
@@ -102,7 +102,7 @@
 	return parsedResponse{length: length, status: h.status, headers: h.headers, body: body, reusable: h.reusable}
 }
 
-// mayBeResponse reports whether an incomplete head may still become that of a response.
+// mayBeResponse reports whether an incomplete head can be the beginning of a valid response head.
 func mayBeResponse(b []byte) bool {
 	firstLine, headers, complete := bytes.Cut(b, lineEnd)
 	if !complete {
--- a/internal/httpproxy/responses.go
+++ b/internal/httpproxy/responses.go
@@ -8,7 +8,8 @@
 	"pepperlead/policy"
 )
 
-// Kinds of final responses, with the values of the engine's constants AnswerSucceeded and so on.
+// Kinds of final responses. Their values equal those of the engine's constants AnswerSucceeded, AnswerDeclined,
+// AnswerRejected and AnswerFailed.
 const (
 	answerSucceeded = iota
 	answerDeclined
@@ -20,7 +21,7 @@
 type localResponse struct {
 	status     int
 	body       string
-	retryAfter policy.Time // value of the Retry-After header; 0: no such header
+	retryAfter policy.Time // value of the Retry-After header; 0 if the response has no such header
 }
 
 // detachClient separates the client from a request that is being answered. It returns the client connection, or nil if
--- a/internal/httpproxy/shutdown.go
+++ b/internal/httpproxy/shutdown.go
@@ -10,9 +10,9 @@
 
 // Timing of a shutdown.
 const (
-	// lastWriteTime is how long a client has to receive the last response.
+	// lastWriteTime is how long after the time limit of the shutdown a client may still receive the last response.
 	lastWriteTime = 100 * policy.Millisecond
-	// closeTimeout is how long connections have to close.
+	// closeTimeout is how long Close waits for the connections to close, and again for the poller to stop.
 	closeTimeout = 50 * policy.Millisecond
 	// recentUseTime is how long a client connection stays open after its last use while other processes accept new
 	// clients. A client that has just used a connection is likely to use it again.
@@ -40,7 +40,8 @@
 // sharesListener reports whether other processes accept from the same queue.
 func (p *Proxy) sharesListener() bool { return p.config.InheritedListener > 0 }
 
-// Drained reports whether no further request can arrive, or the time of the shutdown is over.
+// Drained reports whether the front can be closed: no further request is expected, or the shutdown has reached its time
+// limit.
 func (p *Proxy) Drained(now policy.Time) bool {
 	shutdownBy, _ := p.ShuttingDown()
 	if now < p.acceptUntil {
--- a/internal/httpproxy/socket.go
+++ b/internal/httpproxy/socket.go
@@ -133,7 +133,7 @@
 	if conn.Flushed() {
 		n, err := syscall.Write(s.fd, b)
 		if n > 0 {
-			conn.RecordWritten(n) // no event: the caller is the loop, which checks the total itself
+			conn.RecordWritten(n) // no event is needed: the caller is the loop, which checks the total itself
 			b = b[n:]
 		}
 		if err != nil && !errors.Is(err, unix.EAGAIN) && !errors.Is(err, unix.EINTR) {
@@ -151,7 +151,7 @@
 func (s *socket) shutdown() {
 	if !s.ended && !s.readShut {
 		s.readShut = true
-		_ = syscall.Shutdown(s.fd, syscall.SHUT_RDWR) // fails only if the peer has already ended it
+		_ = syscall.Shutdown(s.fd, syscall.SHUT_RDWR) // fails only if the peer has already ended the connection
 	}
 }
 
--- a/internal/httpproxy/sockets.go
+++ b/internal/httpproxy/sockets.go
@@ -40,9 +40,9 @@
 
 // Limits of the sockets.
 const (
-	maxDiscarded          = 512 << 10 // bytes of input discarded after the last response of a connection
-	maxPendingBytes       = 128 << 10 // unprocessed input or unwritten output of one connection, in bytes
-	endpointReceiveBuffer = 64 << 10  // of the kernel, in bytes; all of it may be read at once when an endpoint closes
+	maxDiscarded          = 512 << 10 // maximum input discarded after the last response of a connection, in bytes
+	maxPendingBytes       = 128 << 10 // maximum unprocessed input or unwritten output of a connection, in bytes
+	endpointReceiveBuffer = 64 << 10  // kernel's buffer in bytes; all of it may be read at once when an endpoint closes
 	spareDescriptors      = 64        // added to the size of nbio's connection table
 	acceptRetryInterval   = 20 * time.Millisecond
 )
--- a/internal/httpproxy/startup.go
+++ b/internal/httpproxy/startup.go
@@ -2,7 +2,7 @@
 
 import "pepperlead/policy"
 
-// startCheckInterval is the time between checks whether there is an endpoint list.
+// startCheckInterval is the time between a starting process's checks whether it has an endpoint list.
 const startCheckInterval = 20 * policy.Millisecond
 
 // start makes the listener accept clients as soon as they can be served.
--- a/internal/httpproxy/stream.go
+++ b/internal/httpproxy/stream.go
@@ -11,20 +11,21 @@
 
 // Timing of streamed responses.
 const (
-	// streamAfter is how long after its head a response of unknown length may take before it is streamed.
+	// streamAfter is how long after its head a response of unknown length is buffered before it may be streamed.
 	streamAfter = 300 * policy.Millisecond
-	// streamStallTimeout is how long the client may accept none of the pending bytes.
+	// streamStallTimeout is the time after which a stream is broken if the client accepts none of the bytes pending for
+	// it, or if the endpoint sends nothing while the client still sends the request body.
 	streamStallTimeout = 5 * policy.Second
 	// longBodyPause is how long a long body may pause after its latest bytes once the client's deadline has passed.
 	longBodyPause = policy.Second
-	// shortBodyPause is the same for a body that may turn out to be short. It is shorter, as a short response counts as
-	// lost half a second after the deadline.
+	// shortBodyPause is the same for a body that may turn out to be short. It is less than longBodyPause, because a
+	// short response counts as lost half a second after the client's deadline.
 	shortBodyPause = 300 * policy.Millisecond
 	// streamCheckInterval is the time between checks of a stream.
 	streamCheckInterval = 250 * policy.Millisecond
 )
 
-// minPendingBytes is the least number of bytes that may be pending per stream, however many streams there are.
+// minPendingBytes is the number of bytes that every stream may have pending, however many streams there are.
 const minPendingBytes = 16 << 10
 
 var lastChunk = []byte("0\r\n\r\n")
@@ -135,8 +136,8 @@
 	}
 }
 
-// writeStreamed writes a part of the body to the client. While too much is pending there, reading from the endpoint is
-// paused.
+// writeStreamed writes a part of the body to the client. While too many bytes are pending for the client, reading from
+// the endpoint is paused.
 func (p *Proxy) writeStreamed(c *connstate.Conn, r *connstate.Request, b []byte) {
 	if len(b) == 0 {
 		return
@@ -277,8 +278,8 @@
 	p.Timers.Set(&c.Timer, min(deadline, now+streamCheckInterval))
 }
 
-// streamDeadline returns when a stream is broken if its endpoint sends nothing more: at the client's deadline, or soon
-// after it if bytes arrived shortly before it.
+// streamDeadline returns the time at which a stream is broken if its endpoint sends nothing more: the client's deadline,
+// or a time soon after it if the latest bytes arrived shortly before the deadline.
 func streamDeadline(f connstate.Frame, progressAt, clientDeadline policy.Time) policy.Time {
 	pause := shortBodyPause
 	if f.Kind == sizedBody || f.Received > maxBody { // a short body of known size is never streamed
--- a/internal/httpproxy/upload.go
+++ b/internal/httpproxy/upload.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// collectUpload appends a part of a body to the collected ones, and starts to stream the body once it is too long to be
-// collected.
+// collectUpload appends a part of a body to the parts collected before, and starts to stream the body once it is too
+// long to be collected.
 func (p *Proxy) collectUpload(now, at policy.Time, c *connstate.Conn, buf *connstate.Buffer, done bool) {
 	c.Input.Buffer = p.buffers.Join(c.Input.Buffer, buf)
 	if done {
@@ -109,7 +109,7 @@
 	p.Counters.StreamedBodies++
 	c.Input.Buffer = nil
 	c.Upload.State = connstate.StreamingUpload
-	head, _ := parseRequestHead(buf.B) // it has been parsed before
+	head, _ := parseRequestHead(buf.B) // cannot fail: the same head was parsed before
 	p.handleRequest(now, at, c, buf, parsedRequest{requestHead: head, body: buf.B[head.bodyStart:]})
 }
 
@@ -125,7 +125,7 @@
 	c.Input.Buffer = next
 	switch {
 	case collected:
-		head, _ := parseRequestHead(buf.B) // it has been parsed before
+		head, _ := parseRequestHead(buf.B) // cannot fail: the same head was parsed before
 		body := buf.B[head.bodyStart:]
 		head.bodySize = len(body)
 		head.chunked = false
--- a/rpc/backend.go
+++ b/rpc/backend.go
@@ -26,7 +26,7 @@
 type backend struct {
 	conn    *grpc.ClientConn
 	pending *pendingStreams
-	uses    int // calls and streams that use the connection
+	uses    int // number of calls and streams that use the connection
 	retired bool
 }
 
--- a/rpc/call.go
+++ b/rpc/call.go
@@ -25,7 +25,7 @@
 type clientCall struct {
 	instructions chan instruction
 	request      *engine.Request
-	sequence     uint32 // of the latest attempt; never reset, so that late events of an earlier RPC match no attempt
+	sequence     uint32 // number of the latest attempt; never reset: late events of an earlier RPC must match no attempt
 	abandoned    bool   // the caller has its answer or has left, and reads no more instructions
 	closed       bool   // the caller has posted its last event
 
@@ -37,15 +37,15 @@
 
 	streamCount   atomic.Int32 // streams that gRPC has tried to begin for the current attempt
 	options       []grpc.CallOption
-	backend       *backend                      // of the current attempt
+	backend       *backend                      // connection used by the current attempt
 	decidedAt     policy.Time                   // when the loop decided on the current attempt
-	pendingID     atomic.Uint64                 // of the current attempt's stream in backend.pending
-	trailer       metadata.MD                   // of the current attempt
-	callerCreds   credentials.PerRPCCredentials // nil: none
-	callerTrailer *metadata.MD                  // where the caller wants the trailer stored; nil: none
+	pendingID     atomic.Uint64                 // id of the current attempt's stream in backend.pending
+	trailer       metadata.MD                   // trailer received by the current attempt
+	callerCreds   credentials.PerRPCCredentials // credentials among the caller's options; nil if there are none
+	callerTrailer *metadata.MD                  // where the caller wants the trailer stored; nil if it does not
 
 	mu                sync.Mutex
-	cancel            context.CancelFunc // of the current attempt
+	cancel            context.CancelFunc // cancels the current attempt
 	cancelledSequence uint32             // latest attempt that the loop has cancelled
 }
 
@@ -94,7 +94,7 @@
 }
 
 // startAttempt returns the context of an attempt and allows the loop to cancel it. If the loop has already cancelled
-// the attempt, the context is cancelled at once. A zero deadline means none.
+// the attempt, the context is cancelled at once. If deadline is the zero time, the context gets no deadline.
 func (c *clientCall) startAttempt(
 	ctx context.Context, sequence uint32, deadline time.Time,
 ) (context.Context, context.CancelFunc) {
--- a/rpc/callcontext.go
+++ b/rpc/callcontext.go
@@ -13,10 +13,10 @@
 
 type tenantContextKey struct{}
 
-// WithKey sets the key of the calls made with the context. Calls with the same key go to the same endpoint while it
-// is usable and has room, but a key that a large part of the calls have is spread over several endpoints. Without
-// WithKey, the key is taken from the metadata that the configuration names, or else, for unary calls, from the
-// request field that it names.
+// WithKey sets the key of the calls made with the context. Calls with the same key go to the same endpoint while that
+// endpoint is usable and has room. If a large part of all calls have the same key, these calls are spread over several
+// endpoints. Without WithKey, the key is taken from the metadata that the configuration names. If a unary call has no
+// such metadata, its key is taken from the request field that the configuration names.
 func WithKey(ctx context.Context, key string) context.Context {
 	return context.WithValue(ctx, keyContextKey{}, key)
 }
@@ -32,7 +32,7 @@
 // Deprecated: use WithTenant.
 func WithFranchise(ctx context.Context, name string) context.Context { return WithTenant(ctx, name) }
 
-// key returns the key of a call, from the context, else from its metadata, else from a field of the request.
+// key returns the key of a call: that set by WithKey, else that in the metadata, else that in a field of the request.
 func (c *Conn) key(ctx context.Context, request any) string {
 	if key, ok := ctx.Value(keyContextKey{}).(string); ok {
 		return key
--- a/rpc/conn.go
+++ b/rpc/conn.go
@@ -32,7 +32,7 @@
 	closeOnce sync.Once
 
 	methods     methodClasses
-	deadlines   []policy.Time // by class
+	deadlines   []policy.Time // deadline of each class, indexed by policy.ClassID
 	tenants     map[string]policy.TenantID
 	keyMetadata string
 	keyField    protoreflect.Name
--- a/rpc/event.go
+++ b/rpc/event.go
@@ -6,20 +6,20 @@
 type event struct {
 	handle   func(f *front, now policy.Time, e event)
 	call     *clientCall
-	at       policy.Time    // when it was posted
-	sequence uint32         // of the attempt
-	backend  *backend       // of the attempt
-	outcome  policy.Outcome // of the attempt
-	last     bool           // the caller's last event of the call
+	at       policy.Time    // when the event was posted
+	sequence uint32         // number of the attempt that the event belongs to
+	backend  *backend       // connection used by the attempt
+	outcome  policy.Outcome // outcome of the attempt
+	last     bool           // the caller posts no more events for this call
 }
 
 // instruction is the loop's message to the caller of a call: to send an attempt, or to return the final answer.
 type instruction struct {
-	backend    *backend    // to send the attempt to; nil: this is the final answer
-	sequence   uint32      // of the attempt
+	backend    *backend    // connection on which to send the attempt; nil: this is the final answer
+	sequence   uint32      // number of the attempt
 	decidedAt  policy.Time // when the loop decided on the attempt
-	answer     answer      // if backend is nil
-	retryAfter policy.Time // for rejected calls; 0: not given
+	answer     answer      // the final answer, if backend is nil
+	retryAfter policy.Time // for rejected calls: when to retry, from now; 0 if unspecified
 }
 
 // answer is the loop's final answer to a call.
--- a/rpc/front.go
+++ b/rpc/front.go
@@ -20,7 +20,7 @@
 // handles. The loop sends instructions on the channel of the call.
 type front struct {
 	engine      *engine.Engine
-	index       int // of this front's entry in Endpoint.FrontData
+	index       int // index of this front's entry in Endpoint.FrontData
 	dialOptions []grpc.DialOption
 	calls       sync.Pool
 
--- a/rpc/guardedconn.go
+++ b/rpc/guardedconn.go
@@ -8,7 +8,7 @@
 	"pepperlead/internal/daemon"
 )
 
-// clientPreface is what an HTTP/2 client sends first: RFC 9113, 3.4.
+// clientPreface is the first text that an HTTP/2 client sends on a connection: RFC 9113, 3.4.
 var clientPreface = []byte("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n")
 
 // Layout of an HTTP/2 frame header: RFC 9113, 4.1.
@@ -22,8 +22,8 @@
 
 // guardedConn prevents the HEADERS frame of a stream from being written more than daemon.StallAfter after the decision
 // on the stream's attempt. Otherwise, a process that is suspended between the two and then resumed would send to an
-// endpoint that has drained meanwhile. guardedConn parses the frames that are written. It can't if the connection uses
-// TLS, and then lets all bytes pass.
+// endpoint that has drained meanwhile. guardedConn parses the frames that are written. On a connection that uses TLS it
+// cannot parse them, and passes all bytes on unchecked.
 type guardedConn struct {
 	net.Conn
 	pending *pendingStreams
@@ -37,7 +37,7 @@
 // Write writes to the connection, or closes it if a stream would begin too late.
 func (g *guardedConn) Write(b []byte) (int, error) {
 	if !g.unreadable && !g.mayWrite(b) {
-		_ = g.Close() // errStale is the error to report
+		_ = g.Close() // an error of Close is ignored, because Write returns errStale
 		return 0, errStale
 	}
 	return g.Conn.Write(b)
--- a/rpc/invoke.go
+++ b/rpc/invoke.go
@@ -96,7 +96,7 @@
 }
 
 // nextAttempt waits for the loop's instruction to send an attempt. It skips stale instructions and reports their
-// attempts as not sent. An error is the final result of the call.
+// attempts as not sent. If it returns an error, that error is the final result of the call.
 func (c *Conn) nextAttempt(
 	ctx context.Context, call *clientCall, deadline time.Time, lastErr error,
 ) (instruction, error) {
@@ -145,8 +145,8 @@
 	return c.engine.Clock.Now()-attempt.decidedAt > daemon.StallAfter
 }
 
-// finish returns the error that the caller gets after a final instruction. lastErr is the error of the last attempt;
-// nil: none.
+// finish returns the error that the caller gets after a final instruction. lastErr is the error of the last attempt, or
+// nil if no attempt was sent.
 func (c *Conn) finish(call *clientCall, final instruction, deadline time.Time, lastErr error) error {
 	c.front.post(event{handle: (*front).callerLeft, call: call, last: true})
 	cause := "no attempt was sent"
--- a/rpc/methods.go
+++ b/rpc/methods.go
@@ -6,7 +6,8 @@
 	"pepperlead/policy"
 )
 
-// methodClasses binds methods to classes: by the full name, else by the service, else by the fallback.
+// methodClasses maps methods to classes. A class for the full method name takes precedence over one for the service, and
+// that over the fallback.
 type methodClasses struct {
 	byMethod  map[string]policy.ClassID
 	byService map[string]policy.ClassID
--- a/rpc/stream.go
+++ b/rpc/stream.go
@@ -17,8 +17,8 @@
 
 // NewStream chooses an endpoint and opens a stream to it. If opening fails and the call cannot have run, NewStream can
 // try another endpoint; if the call may have run, it returns gRPC's error. Its other errors are those of Invoke. The
-// deadline of the class applies only to the opening. Once open, the stream has no deadline but the context's, and it
-// continues while its endpoint drains.
+// deadline of the class applies only to the opening. An open stream has no deadline other than that of the context, and
+// it continues while its endpoint drains.
 func (c *Conn) NewStream(
 	ctx context.Context, desc *grpc.StreamDesc, method string, opts ...grpc.CallOption,
 ) (grpc.ClientStream, error) {
@@ -78,15 +78,16 @@
 	return s
 }
 
-// stream is the stream that the caller gets. It notifies its state of the endpoint's first message and of the end.
+// stream is the stream that the caller gets. It informs its streamState of the endpoint's first message and of the end
+// of the stream.
 type stream struct {
 	grpc.ClientStream
 	serverStreams bool
 	state         *streamState
 }
 
-// streamState notifies the loop of a stream's first message, with which its attempt has succeeded, and of its end. It
-// outlives a stream that its caller drops.
+// streamState notifies the loop of a stream's first message, which makes its attempt a success, and of the stream's end.
+// It still exists after the caller has dropped the stream, so that the end can be reported.
 type streamState struct {
 	front    *front
 	call     *clientCall
