--- a/internal/httpproxy/header.go
+++ b/internal/httpproxy/header.go
@@ -9,7 +9,7 @@
 const (
 	maxHead          = 16 << 10 // maximum length of a head, in bytes
 	maxBody          = 64 << 10 // bytes; a longer body is not handled as one message, but part by part as it arrives
-	maxChunkOverhead = 8        // maximum ratio of the length of a chunked body with its framing to the maximum body size
+	maxChunkOverhead = 8        // maximum ratio of a chunked body's encoded length to the maximum body size
 )
 
 var (
--- a/internal/httpproxy/stream.go
+++ b/internal/httpproxy/stream.go
@@ -278,8 +278,8 @@
 	p.Timers.Set(&c.Timer, min(deadline, now+streamCheckInterval))
 }
 
-// streamDeadline returns the time at which a stream is broken if its endpoint sends nothing more: the client's deadline,
-// or a time soon after it if the latest bytes arrived shortly before the deadline.
+// streamDeadline returns the time at which a stream is broken if its endpoint sends nothing more. That is the client's
+// deadline, or a time soon after the deadline if the latest bytes arrived shortly before it.
 func streamDeadline(f connstate.Frame, progressAt, clientDeadline policy.Time) policy.Time {
 	pause := shortBodyPause
 	if f.Kind == sizedBody || f.Received > maxBody { // a short body of known size is never streamed
--- a/rpc/methods.go
+++ b/rpc/methods.go
@@ -6,8 +6,8 @@
 	"pepperlead/policy"
 )
 
-// methodClasses maps methods to classes. A class for the full method name takes precedence over one for the service, and
-// that over the fallback.
+// methodClasses maps methods to classes. A method gets the class of its full name; without one, the class of its
+// service; and without that, the fallback.
 type methodClasses struct {
 	byMethod  map[string]policy.ClassID
 	byService map[string]policy.ClassID
--- a/rpc/stream.go
+++ b/rpc/stream.go
@@ -86,8 +86,8 @@
 	state         *streamState
 }
 
-// streamState notifies the loop of a stream's first message, which makes its attempt a success, and of the stream's end.
-// It still exists after the caller has dropped the stream, so that the end can be reported.
+// streamState notifies the loop of a stream's first message, which makes its attempt a success, and of the stream's
+// end. It still exists after the caller has dropped the stream, so that the end can be reported.
 type streamState struct {
 	front    *front
 	call     *clientCall
