--- a/internal/httpproxy/answers_test.go
+++ b/internal/httpproxy/answers_test.go
@@ -19,8 +19,8 @@
 	"pepperlead/policy"
 )
 
-// The tests in this file check when a response is complete: only at the end that its framing defines. If its body ends when the connection
-// closes, that requires an orderly close.
+// The tests in this file check that a response counts as complete only at the end that its framing defines. If the body ends when the
+// connection closes, the response is complete only after an orderly close.
 
 // responseFramings holds the ways to frame a body. part and remainder together, followed by an orderly close if untilClose is set, make the
 // complete body; part alone is incomplete.
@@ -89,7 +89,7 @@
 		for _, streamed := range []bool{false, true} {
 			for _, k := range []struct {
 				method, class, version string
-				status                 int // what the client gets if the response was buffered: from a retry, or of a failure
+				status                 int // what the client gets if the response was buffered: that of a retry, or that of a failure
 			}{{"GET", "step", "1.1", 200}, {"GET", "step", "1.0", 200}, {"POST", "note", "1.1", 200}, {"POST", "once", "1.1", 502},
 				{"POST", "once", "1.0", 502}} {
 				name := fmt.Sprintf("%s, streamed %v, %s %s HTTP/%s", f.name, streamed, k.method, k.class, k.version)
@@ -122,11 +122,11 @@
 					status, got, complete := readByClient(t, k.method, received, endErr)
 					switch {
 					case streamed && complete:
-						t.Errorf("a truncated response is taken for complete: %d bytes of %d, %v", len(got), len(body), endErr)
+						t.Errorf("a truncated response is taken for complete: got %d bytes of %d, then error %v", len(got), len(body), endErr)
 					case streamed && seen.Load() != 1:
-						t.Errorf("sent %d times, although a part of a response had been forwarded", seen.Load())
+						t.Errorf("the request was sent %d times, although a part of a response had been forwarded", seen.Load())
 					case !streamed && (!complete || status != k.status || status == 200 && got != body):
-						t.Errorf("%d %q, %v; want %d", status, got, endErr, k.status)
+						t.Errorf("got status %d, %q, then error %v; want status %d", status, got, endErr, k.status)
 					}
 					r.waitUntil("no request in flight", func() bool { return r.InFlight == 0 })
 					r.RunOnLoop(func() {
@@ -135,13 +135,13 @@
 							want = 0
 						}
 						if r.Counters.StreamsBroken != int(want) || !streamed && r.Counters.Outcomes[policy.ConnectionLost] != 1 {
-							t.Errorf("%d streams broken, outcomes %v", r.Counters.StreamsBroken, r.Counters.Outcomes)
+							t.Errorf("%d streams are counted as broken; attempts by outcome %v", r.Counters.StreamsBroken, r.Counters.Outcomes)
 						}
 					})
 					// Conversely, the same bytes with the remainder and an orderly close are the complete response.
 					received, _, endErr = r.exchangeRaw(k.method, k.class, k.version)
 					if status, got, complete = readByClient(t, k.method, received, endErr); !complete || status != 200 || got != body {
-						t.Errorf("a complete response: %d, %d bytes, %v", status, len(got), endErr)
+						t.Errorf("a complete response: got status %d, %d bytes, then error %v", status, len(got), endErr)
 					}
 				})
 			}
@@ -154,7 +154,7 @@
 	peer, nb, conn := connectedPair(t)
 	io.WriteString(peer, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\npart")
 	resetConn(peer)
-	time.Sleep(20 * time.Millisecond) // until both have arrived at this end
+	time.Sleep(20 * time.Millisecond) // until the bytes and the reset have arrived at this end
 	if _, err := conn.Socket.Write([]byte("more")); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
 		t.Fatal("the write did not fail with a reset:", err)
 	}
@@ -172,7 +172,7 @@
 type hungResponse struct {
 	name, header, part string
 	parts              int  // number of parts that are sent, 40 ms apart
-	retried            bool // another endpoint gets an attempt
+	retried            bool // the request is retried at another endpoint
 }
 
 // chunkOf returns a chunk of n bytes.
@@ -190,9 +190,9 @@
 }
 
 // If an endpoint hangs in the middle of a response of which nothing has been forwarded, the attempt fails and is retried. Otherwise the
-// client learns by its deadline that the response is incomplete; a long response that makes progress has a second more, counted from its
-// last bytes. A run that takes too long is repeated only if the machine delayed the first bytes of the endpoint, or any timer, by at least
-// the excess.
+// client learns by its deadline that the response is incomplete. A long response that makes progress may last until a second after its
+// latest bytes, if that is later. A run that takes too long is repeated only if the machine delayed the first bytes of the endpoint, or
+// any timer, by at least the excess.
 func TestHungResponseEndsByDeadline(t *testing.T) {
 	const limit, runs = 1030 * time.Millisecond, 10
 	for _, h := range hungResponses {
@@ -204,7 +204,7 @@
 						return
 					}
 					if took-limit > delay || run == runs {
-						t.Fatalf("run %d: ended after %v, the deadline is 1 s; the machine delayed this process by %v", run, took, delay)
+						t.Fatalf("run %d: the response ended after %v, the deadline is 1 s; the machine delayed this process by %v", run, took, delay)
 					}
 				}
 			})
@@ -242,10 +242,10 @@
 	delay = stopWatch() + time.Duration(firstBytes.Load())
 	status, body, complete := readByClient(t, "GET", received, endErr)
 	if h.retried && (!complete || status != 200 || body != "whole") {
-		t.Errorf("status %d, complete %v, %q", status, complete, body)
+		t.Errorf("got status %d, complete %v, %q, want the whole response of the other endpoint", status, complete, body)
 	}
 	if !h.retried && (complete || status != 200 || seen.Load() != 1) {
-		t.Errorf("status %d, complete %v, %d bytes, sent %d times", status, complete, len(received), seen.Load())
+		t.Errorf("got status %d, complete %v, %d bytes; the request was sent %d times", status, complete, len(received), seen.Load())
 	}
 	return took, delay
 }
@@ -266,7 +266,7 @@
 		{chunkedBody, maxBody + 1, 1390 * ms, 2390 * ms},
 	} {
 		if got := streamDeadline(connstate.Frame{Kind: k.kind, Received: k.received}, k.progressAt, 1000*ms); got != k.want {
-			t.Errorf("%+v: %v", k, got)
+			t.Errorf("%+v: got %v", k, got)
 		}
 	}
 }
@@ -297,7 +297,7 @@
 			time.Sleep(pace)
 		}
 		if got != longBody || err != io.EOF {
-			t.Errorf("%d bytes, %v", got, err)
+			t.Errorf("the client received %d bytes and then %v, want %d and EOF", got, err, longBody)
 		}
 	}
 }
@@ -316,7 +316,7 @@
 	go c.sendLongBody(30<<20, false)
 	began := time.Now()
 	if _, err := io.ReadAll(c.in); time.Since(began) > 4*time.Second {
-		t.Errorf("ended after %v, %v", time.Since(began), err)
+		t.Errorf("the connection ended only after %v, with error %v", time.Since(began), err)
 	}
 	r.waitUntil("no request in flight", func() bool { return r.InFlight == 0 })
 }
--- a/internal/httpproxy/attempts.go
+++ b/internal/httpproxy/attempts.go
@@ -14,8 +14,8 @@
 const reuseDelay = 20 * policy.Millisecond
 
 // reuseWaitDivisor limits the time that an attempt waits for an idle connection to become reusable, to the target
-// latency of its class divided by this number. If that is not enough, another connection is opened, which costs the
-// endpoint work and this request a handshake.
+// latency of its class divided by this number. If no connection becomes reusable in that time, a new one is opened,
+// which costs the endpoint work and delays the request by a handshake.
 const reuseWaitDivisor = 32
 
 // Send begins an attempt, on an idle connection to the endpoint or on a new one.
@@ -49,8 +49,9 @@
 	p.dialFor(r, endpoint)
 }
 
-// takeIdle returns a connection to the endpoint that has been idle for reuseDelay or has never been used, nil if there
-// is none. It closes connections that the endpoint has closed or on which it has sent unsolicited bytes.
+// takeIdle returns an idle connection to the endpoint, or nil if there is none that can be used. The connection has
+// been idle for at least reuseDelay, or has never been used. takeIdle closes the idle connections that the endpoint has
+// closed, or on which the endpoint has sent unsolicited bytes.
 func (p *Proxy) takeIdle(now policy.Time, endpoint *connstate.Endpoint) *connstate.Conn {
 	for {
 		c := p.conns.TakeIdle(endpoint, now-reuseDelay)
@@ -119,8 +120,8 @@
 	case outdated(c):
 		p.endAttempt(now, c.Request, policy.NotConnected, false)
 	case c.Request.Decided || !p.AttemptStillValid(now, c.Request.Request):
-		// Since the attempt was decided on, the request was answered, its client disconnected, the rules or the
-		// endpoint list changed, or the window in which it may be retried ended.
+		// One of these has happened since the decision on the attempt: the request was answered, its client
+		// disconnected, the rules or the endpoint list changed, or the window ended in which it may be retried.
 		p.endAttempt(now, c.Request, policy.NotSent, true)
 	default:
 		p.writeRequest(now, c.Request)
@@ -286,7 +287,7 @@
 	}
 }
 
-// hasAttempt reports whether the request has an attempt with a connection, or one that waits for a reusable one.
+// hasAttempt reports whether the request has an attempt with a connection, or one that waits for a reusable connection.
 func hasAttempt(r *connstate.Request) bool { return r.AttemptConn != nil || r.ReuseTimer.Active() }
 
 // endAttempt ends the attempt in flight.
--- a/internal/httpproxy/attempts_test.go
+++ b/internal/httpproxy/attempts_test.go
@@ -35,13 +35,13 @@
 		}
 	}
 	if _, conns := endpoint.count(""); conns != 1 {
-		t.Errorf("%d connections for sequential requests", conns)
+		t.Errorf("sequential requests used %d connections, want 1", conns)
 	}
 	endpoint.mu.Lock()
 	defer endpoint.mu.Unlock()
 	if q, w := endpoint.last.URL.RequestURI(), endpoint.last.Header.Get("X-Timeout"); q != "/step/slow?q=1" ||
 		endpoint.last.Header.Get("X-Attrs") != "a=1" || w <= "0.4" || w >= "1.0" {
-		t.Errorf("forwarded as %s with timeout %s", q, w)
+		t.Errorf("the last request was forwarded with target %s and timeout %s", q, w)
 	}
 }
 
@@ -52,7 +52,7 @@
 		c := r.client()
 		c.send("step/"+behaviour, "some body that is longer than one piece", "")
 		if answer, got := c.receive(); answer.StatusCode != 200 || got != "some body that is longer than one piece" {
-			t.Errorf("%s: %d %q", behaviour, answer.StatusCode, got)
+			t.Errorf("%s: got status %d, %q", behaviour, answer.StatusCode, got)
 		}
 	}
 	c := r.client()
@@ -62,27 +62,27 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	if answer, _ := http.ReadResponse(c.in, nil); answer == nil || answer.StatusCode != 100 {
-		t.Error("no 100 Continue")
+		t.Error("the client did not get 100 Continue")
 	}
 	if answer, got := c.receive(); answer.StatusCode != 200 || got != "abcde" {
-		t.Errorf("%d %q", answer.StatusCode, got)
+		t.Errorf("request in chunks: got status %d, %q", answer.StatusCode, got)
 	}
 	// Two pipelined requests are answered one after the other.
 	first, second := c.send("step/slow", "1", ""), c.send("step/echo", "2", "")
 	for _, want := range []string{"1", "2"} {
 		if _, got := c.receive(); got != want {
-			t.Errorf("%q, want %q (%s, %s)", got, want, first, second)
+			t.Errorf("got %q, want %q (the request IDs are %s and %s)", got, want, first, second)
 		}
 	}
 }
 
-// Checks for each outcome of an attempt, by the idempotency of the request, how often endpoints see the request and which response the
-// client gets.
+// For each outcome of an attempt and each idempotency of a request, this test checks how often endpoints receive the request and which
+// response the client gets.
 func TestOutcomesOfAttempts(t *testing.T) {
 	for _, k := range []struct {
 		behaviour      string
 		step, note     int // status of the response to an idempotent request, and to a keyed one
-		once, onceSeen int // the same for a non-idempotent request, and how often endpoints see it
+		once, onceSeen int // the same for a non-idempotent request, and how often endpoints receive that request
 		outcome        policy.Outcome
 	}{
 		{"error", 503, 502, 502, 1, policy.Errored},
@@ -106,10 +106,10 @@
 			id := c.send(class+"/"+k.behaviour, "b", "")
 			answer, _ := c.receive()
 			if answer.StatusCode != want || answer.StatusCode == 503 && answer.Header.Get("Retry-After") == "" {
-				t.Errorf("%s of %s: %d, want %d", k.behaviour, class, answer.StatusCode, want)
+				t.Errorf("behaviour %s, class %s: got status %d, want %d; a 503 needs Retry-After", k.behaviour, class, answer.StatusCode, want)
 			}
 			if took := time.Since(began); took > 1050*time.Millisecond || k.behaviour == "icy" && took > 200*time.Millisecond {
-				t.Errorf("%s of %s: answered after %v", k.behaviour, class, time.Since(began))
+				t.Errorf("behaviour %s, class %s: answered after %v", k.behaviour, class, time.Since(began))
 			}
 			seen := 0
 			for _, s := range endpoints {
@@ -117,12 +117,12 @@
 				seen += n
 			}
 			if class == "once" && seen != k.onceSeen || seen == 0 || seen > 3 {
-				t.Errorf("%s of %s: seen %d times", k.behaviour, class, seen)
+				t.Errorf("behaviour %s, class %s: endpoints received the request %d times", k.behaviour, class, seen)
 			}
 		}
 		r.shutdown()
 		if r.Counters.Outcomes[k.outcome] < 3 {
-			t.Errorf("%s: outcomes %v", k.behaviour, r.Counters.Outcomes)
+			t.Errorf("behaviour %s: attempts by outcome %v", k.behaviour, r.Counters.Outcomes)
 		}
 	}
 }
@@ -133,10 +133,10 @@
 	r, _ := startProxy(t, nil, endpoint.Addr().String())
 	c := r.client()
 	for i := range 300 {
-		body := strings.Repeat(fmt.Sprint(i%10), 1+i*43) // also larger than a buffer
+		body := strings.Repeat(fmt.Sprint(i%10), 1+i*43) // some bodies are larger than a buffer
 		c.send("step/copy", body, "")
 		if answer, got := c.receive(); answer.StatusCode != 200 || got != body {
-			t.Fatalf("%d: %d, %d bytes of %.1q, want %d of %.1q", i, answer.StatusCode, len(got), got, len(body), body)
+			t.Fatalf("request %d: got status %d, %d bytes of %.1q, want %d of %.1q", i, answer.StatusCode, len(got), got, len(body), body)
 		}
 	}
 }
@@ -150,7 +150,7 @@
 		c := r.client()
 		c.send("once/echo", "b", "")
 		if answer, _ := c.receive(); answer.StatusCode != 200 {
-			t.Errorf("%d", answer.StatusCode)
+			t.Errorf("got status %d, want 200", answer.StatusCode)
 		}
 	}
 	r.shutdown()
@@ -176,7 +176,7 @@
 		s.conns.Add(c)
 		s.connClosed(1, 1, c)
 		if s.ReportEndedAttempts(1); s.Counters.Outcomes[want] != 1 {
-			t.Errorf("10 of %d bytes written: outcomes %v, want %d", queued, s.Counters.Outcomes, want)
+			t.Errorf("10 of %d bytes were written: attempts by outcome %v, want one with outcome %d", queued, s.Counters.Outcomes, want)
 		}
 	}
 }
@@ -198,6 +198,6 @@
 	time.Sleep(50 * time.Millisecond)
 	r.shutdown()
 	if r.Counters.ClientsDisconnected != 5 || r.Counters.Outcomes[policy.Cancelled] != 5 {
-		t.Errorf("%d clients disconnected, outcomes %v", r.Counters.ClientsDisconnected, r.Counters.Outcomes)
+		t.Errorf("%d clients disconnected, want 5; attempts by outcome %v", r.Counters.ClientsDisconnected, r.Counters.Outcomes)
 	}
 }
--- a/internal/httpproxy/config.go
+++ b/internal/httpproxy/config.go
@@ -23,8 +23,8 @@
 	AcceptTime          policy.Time // how long new clients are accepted after a shutdown has begun
 	ShutdownTime        policy.Time // maximum time from the start of a shutdown to the last response
 	Settings            *policy.Settings
-	Deadlines           []policy.Time   // by class: default and maximum timeout; nil: requests must have a timeout
-	DefaultClass        string          // of requests that name no class; "": they must name one
+	Deadlines           []policy.Time   // default and maximum timeout by class id; nil: requests must have a timeout
+	DefaultClass        string          // class of requests that name no class; "" if requests must name one
 	Anonymous           bool            // requests may omit X-Request-ID
 	Latency             engine.Latency  // records the time to final responses; nil: not recorded
 	Recorder            *trace.Recorder // records requests and their results; nil: not recorded
--- a/internal/httpproxy/harness_test.go
+++ b/internal/httpproxy/harness_test.go
@@ -29,11 +29,11 @@
 // lateDuplicateDelay is how long after a response a fake endpoint sends it again if the path of the request ends in "late".
 const lateDuplicateDelay = 10 * time.Millisecond
 
-// fakeEndpoint is an endpoint that counts its requests. The last part of a request's path selects its behaviour, see serve.
+// fakeEndpoint is an endpoint that counts its requests. The last part of a request's path selects one of the behaviours in serve.
 type fakeEndpoint struct {
 	net.Listener
 	mu    sync.Mutex
-	seen  map[string]int // requests by id
+	seen  map[string]int // number of requests by request ID
 	last  *http.Request
 	conns int
 
@@ -63,7 +63,7 @@
 	return s
 }
 
-// count returns how many requests with this id, and how many connections, the endpoint has received.
+// count returns how many requests with this request ID the endpoint has received, and how many connections in all.
 func (s *fakeEndpoint) count(id string) (seen, conns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -157,7 +157,7 @@
 	list    string
 	changed chan struct{}
 	calls   []string
-	noWait  bool // answers at once even if the list has not changed
+	noWait  bool // the service answers at once even if the list has not changed
 }
 
 func newFakeDiscovery(t *testing.T, list string) *fakeDiscovery {
@@ -212,7 +212,7 @@
 	return `{"rev":REV,"all":true,"targets":[` + strings.Join(all, ",") + `]}`
 }
 
-// runningProxy is an instance that serves.
+// runningProxy is a running proxy, its address, and the channels that control it.
 type runningProxy struct {
 	*Proxy
 	t       *testing.T
@@ -256,7 +256,7 @@
 			break
 		}
 		if i > 500 {
-			t.Fatal("the instance does not listen")
+			t.Fatal("the instance does not accept connections")
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
@@ -264,7 +264,7 @@
 	return r, service
 }
 
-// shutdown stops the instance and checks that it has released everything. It may be called again.
+// shutdown stops the instance and checks that it has released all resources. It may be called more than once.
 func (r *runningProxy) shutdown() {
 	select {
 	case r.stop <- syscall.SIGTERM:
@@ -282,7 +282,7 @@
 	r.done <- nil
 	if r.InFlight != 0 || r.Timers.Len() != 0 || r.buffers.InUse() != 0 || len(r.conns.Open) != 0 ||
 		r.conns.Count(connstate.ClientSide) != 0 || r.conns.Count(connstate.EndpointSide) != 0 {
-		r.t.Errorf("not everything was released: %s", r.Report())
+		r.t.Errorf("some requests, timers, buffers or connections were not released: %s", r.Report())
 	}
 }
 
--- a/internal/httpproxy/header.go
+++ b/internal/httpproxy/header.go
@@ -178,7 +178,7 @@
 	return f, !f.chunked || f.size < 0
 }
 
-// maxParsed prevents an overflow in parseDigits.
+// maxParsed is the value above which parseDigits accepts no further digit, to prevent an overflow.
 const maxParsed = 1 << 40
 
 // parseDigits parses a number that consists of decimal digits only.
--- a/internal/httpproxy/limits_test.go
+++ b/internal/httpproxy/limits_test.go
@@ -26,7 +26,7 @@
 		c := r.client()
 		c.send("step/echo", "b", "")
 		if answer, _ := c.receive(); answer.StatusCode != 200 || answer.Close {
-			t.Errorf("below the limit: %d, closes %v", answer.StatusCode, answer.Close)
+			t.Errorf("below the limit: got status %d, connection closes: %v", answer.StatusCode, answer.Close)
 		}
 	}
 	time.Sleep(2050 * time.Millisecond)
@@ -44,13 +44,13 @@
 		c.Close()
 	}
 	if codes[200] == 0 || codes[503] == 0 || codes[200]+codes[503] != 40 || closing[true] < 20 {
-		t.Errorf("responses %v, closing %v", codes, closing)
+		t.Errorf("responses by status %v, by whether they close their connection %v", codes, closing)
 	}
 	time.Sleep(20 * time.Millisecond)
 	c := r.client()
 	c.send("step/echo", "b", "")
 	if answer, _ := c.receive(); answer.StatusCode != 200 {
-		t.Errorf("afterwards: %d", answer.StatusCode)
+		t.Errorf("after the other clients disconnected: got status %d, want 200", answer.StatusCode)
 	}
 	r.shutdown()
 	if r.Counters.ClientConnsBroken == 0 {
@@ -58,8 +58,8 @@
 	}
 }
 
-// A hundred clients send nothing, or only a part of a request. Their connections are closed in time. Other clients are not delayed, and
-// keep their connections, even idle ones.
+// A hundred clients send nothing, or only a part of a request. Their connections are closed within 3 s. Other clients are not delayed,
+// and their connections stay open even while idle.
 func TestSilentClientsDoNotAffectOthers(t *testing.T) {
 	endpoint := newFakeEndpoint(t)
 	r, _ := startProxy(t, func(p *Config) { p.Descriptors = 160 }, endpoint.Addr().String())
@@ -69,7 +69,7 @@
 		began := time.Now()
 		c.send("step/echo", "b", "")
 		if answer, _ := c.receive(); answer.StatusCode != 200 || time.Since(began) > 500*time.Millisecond {
-			t.Errorf("%d after %v", answer.StatusCode, time.Since(began))
+			t.Errorf("got status %d after %v, want 200 within 500 ms", answer.StatusCode, time.Since(began))
 		}
 	}
 	exchange(active)
@@ -88,16 +88,16 @@
 	for i, c := range silent {
 		answer, err := http.ReadResponse(c.in, nil)
 		if i%20 == 0 && (err != nil || answer.StatusCode != 408) || i%20 > 0 && err == nil {
-			t.Errorf("client %d: %v", i, err)
+			t.Errorf("client %d did not get 408 after a part of a request, or got a response without sending anything: %v", i, err)
 		}
 	}
 	if took := time.Since(began); took > 3*time.Second {
-		t.Errorf("all closed after %v", took)
+		t.Errorf("the silent connections were closed only after %v", took)
 	}
 	exchange(active)
 	r.shutdown()
 	if k := r.Counters; k.ClientConnsBroken+k.ClientsSilent != 95 || k.ClientsSilent == 0 || k.ClientConnsBroken == 0 {
-		t.Errorf("%s", k.String())
+		t.Errorf("the counters of closed client connections are wrong: %s", k.String())
 	}
 }
 
@@ -112,7 +112,7 @@
 		c.send("step/echo", "b", "")
 		answer, _ := c.receive()
 		if answer.StatusCode != 200 {
-			t.Errorf("%d", answer.StatusCode)
+			t.Errorf("got status %d, want 200", answer.StatusCode)
 		}
 		if answer.Close {
 			closes++
@@ -121,10 +121,10 @@
 	}
 	idle := r.conns.MaxIdleClients
 	if idle != 20 || closes != 40-idle-1 {
-		t.Errorf("%d responses closed their connection, %d may be idle", closes, idle)
+		t.Errorf("%d responses closed their connection; the limit of idle connections is %d, want 20", closes, idle)
 	}
 	time.Sleep(2300 * time.Millisecond)
-	last := clients[idle/2-2] // idle for no longer than the others, and may still be open
+	last := clients[idle/2-2] // one of the connections that may still be open
 	ended := 0
 	for _, c := range clients {
 		c.SetReadDeadline(time.Now().Add(time.Millisecond))
@@ -133,7 +133,7 @@
 		}
 	}
 	if ended < 40-idle/2-1 || ended == 40 {
-		t.Errorf("%d of 40 connections closed", ended)
+		t.Errorf("%d of 40 connections were closed, want most but not all", ended)
 	}
 	last.Close()
 	r.shutdown()
@@ -152,14 +152,14 @@
 	time.Sleep(20 * time.Millisecond)
 	io.WriteString(second, request)
 	if answer, _ := second.receive(); answer.StatusCode != 409 || !answer.Close {
-		t.Errorf("second: %d, closes %v", answer.StatusCode, answer.Close)
+		t.Errorf("second request with the ID: got status %d, connection closes: %v", answer.StatusCode, answer.Close)
 	}
 	for i := range 2 {
 		if answer, _ := first.receive(); answer.StatusCode != 200 {
-			t.Errorf("first: %d", answer.StatusCode)
+			t.Errorf("request on the first connection: got status %d, want 200", answer.StatusCode)
 		}
 		if n, _ := endpoint.count("same"); n != i+1 {
-			t.Errorf("seen %d times", n)
+			t.Errorf("the endpoint has received %d requests with the ID, want %d", n, i+1)
 		}
 		io.WriteString(first, request)
 	}
@@ -168,7 +168,7 @@
 	third := r.client()
 	io.WriteString(third, request)
 	if answer, _ := third.receive(); answer.StatusCode != 200 {
-		t.Errorf("after the client disconnected: %d", answer.StatusCode)
+		t.Errorf("after the client disconnected: got status %d, want 200", answer.StatusCode)
 	}
 }
 
@@ -183,7 +183,7 @@
 			io.WriteString(c, "POST /step/echo HTTP/1.1\r\nHost: o\r\nContent-Length: 60000\r\n\r\npart")
 		}
 		if answer, _ := c.receive(); answer.StatusCode != 503 {
-			t.Errorf("%d", answer.StatusCode)
+			t.Errorf("request %d: got status %d, want 503", i, answer.StatusCode)
 		}
 	}
 }
@@ -215,7 +215,7 @@
 			"Content-Length: %d\r\n\r\n%s", i, len(body), body)
 	}
 	if err == nil {
-		t.Error("not closed")
+		t.Error("the connection was not closed within 4 s")
 	}
 	c.Close()
 	r.shutdown()
@@ -290,7 +290,7 @@
 	time.Sleep(20 * time.Millisecond)
 	s.read(nb) // a little input is always read, so that the request can be rejected
 	if conn.Socket.(*socket).readShut || conn.Input.Unread.Load() != 3 {
-		t.Errorf("closed at the first bytes, or they were not read: %d", conn.Input.Unread.Load())
+		t.Errorf("the connection was closed at the first bytes, or %d bytes were read instead of 3", conn.Input.Unread.Load())
 	}
 	fmt.Fprint(peer, strings.Repeat("x", 2*connstate.SmallBuffer))
 	time.Sleep(20 * time.Millisecond)
@@ -306,19 +306,19 @@
 	peer, _, conn := connectedPair(t)
 	buffers := &connstate.Buffers{}
 	if !conn.Socket.Idle(conn) {
-		t.Error("not idle before any input")
+		t.Error("the connection is not idle before any input")
 	}
 	fmt.Fprint(peer, "GET")
 	time.Sleep(20 * time.Millisecond) // until the bytes have arrived at this end
 	if conn.Socket.Idle(conn) || conn.Socket.CloseIfIdle(conn) {
-		t.Fatal("closed with unread bytes in the kernel")
+		t.Fatal("the connection was idle or closed although the kernel holds unread bytes")
 	}
 	buf := buffers.Get(connstate.SmallBuffer)
 	if !conn.Socket.(*socket).read(conn, buf) || string(buf.B) != "GET" || conn.Socket.CloseIfIdle(conn) {
-		t.Error("closed with bytes that the loop has not processed")
+		t.Error("the bytes were not read, or the connection was closed before the loop processed them")
 	}
 	conn.Input.Unread.Store(0)
 	if !conn.Socket.CloseIfIdle(conn) || conn.Socket.(*socket).read(conn, buf) {
-		t.Error("not closed, or read after the close")
+		t.Error("the idle connection was not closed, or bytes were read after the close")
 	}
 }
--- a/internal/httpproxy/mixed_test.go
+++ b/internal/httpproxy/mixed_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Runs clients and endpoints with all kinds of behaviour concurrently. Each request gets one response, or none if its client
+// This test runs clients and endpoints with all kinds of behaviour concurrently. Each request gets one response, or none if its client
 // disconnected. Non-idempotent requests are not retried once they may have been processed, and everything is released at the end.
 func TestMixedClientAndEndpointBehaviour(t *testing.T) {
 	var endpoints []*fakeEndpoint
@@ -64,13 +64,13 @@
 				}
 				answer, err := http.ReadResponse(in, nil)
 				if err != nil {
-					t.Errorf("%s: %v", message[:40], err)
+					t.Errorf("%s: reading the response failed: %v", message[:40], err)
 					return
 				}
 				got, err := io.ReadAll(answer.Body)
 				if answer.StatusCode == 200 && string(got) != body || err != nil ||
 					answer.StatusCode != 200 && answer.StatusCode != 502 && answer.StatusCode != 503 {
-					t.Errorf("%s: %d, %d bytes, %v", message[:40], answer.StatusCode, len(got), err)
+					t.Errorf("%s: got status %d, a body of %d bytes, error %v", message[:40], answer.StatusCode, len(got), err)
 				}
 				seen := 0
 				for _, s := range endpoints {
@@ -78,7 +78,7 @@
 					seen += k
 				}
 				if class == "once" && behaviour != "away" && seen > 1 || seen > 3 {
-					t.Errorf("%s of %s: sent %d times", behaviour, class, seen)
+					t.Errorf("behaviour %s, class %s: the request was sent to endpoints %d times", behaviour, class, seen)
 				}
 				if answer.Close {
 					c.Close()
--- a/internal/httpproxy/operated_test.go
+++ b/internal/httpproxy/operated_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// An administratively drained endpoint gets no requests, whatever the endpoint list contains. After the drain is lifted it is cold, and
-// used again.
+// An administratively drained endpoint gets no requests, whatever the endpoint list contains. After the drain is lifted, the endpoint
+// is cold, and it is used again.
 func TestAdministrativeDrainOverridesList(t *testing.T) {
 	one, two := newFakeEndpoint(t), newFakeEndpoint(t)
 	r, service := startProxy(t, nil, one.Addr().String(), two.Addr().String())
@@ -43,7 +43,7 @@
 		return counts
 	}
 	if counts := requestsTo(40); counts[0] == 0 || counts[1] == 0 {
-		t.Fatal("both should be used", counts)
+		t.Fatal("not both endpoints got requests; requests by endpoint:", counts)
 	}
 	r.drainByOperator("s-0")
 	list := listOf(one.Addr().String(), two.Addr().String())
@@ -60,7 +60,7 @@
 	var started policy.Time
 	r.RunOnLoop(func() { listed, unknownListed = r.WasListed("s-0"), r.WasListed("s-9") })
 	if !listed || unknownListed || r.Metrics.Endpoints.Load() != 2 || r.Metrics.Unavailable.Load() != 1 {
-		t.Error(listed, unknownListed, r.Metrics.Endpoints.Load(), r.Metrics.Unavailable.Load())
+		t.Error("wrong result of WasListed for s-0 or s-9, or wrong number of endpoints or unavailable ones:", listed, unknownListed, r.Metrics.Endpoints.Load(), r.Metrics.Unavailable.Load())
 	}
 	before := r.Clock.Now()
 	r.drainByOperator()
@@ -76,10 +76,10 @@
 	}
 	time.Sleep(1100 * time.Millisecond) // until it is warm
 	if counts := requestsTo(40); counts[0] == 0 {
-		t.Error("not used again", counts)
+		t.Error("the endpoint was not used again; requests by endpoint:", counts)
 	}
 	if r.Metrics.Unavailable.Load() != 0 {
-		t.Error("still counted as unavailable")
+		t.Error("the endpoint still counts as unavailable")
 	}
 }
 
@@ -106,7 +106,7 @@
 	metrics := string(r.AppendFigures(nil))
 	for line, n := range want {
 		if !strings.Contains(metrics, fmt.Sprintf("%s %d\n", line, n)) {
-			t.Errorf("no %s %d in\n%s", line, n, metrics)
+			t.Errorf("the line %s %d is missing in\n%s", line, n, metrics)
 		}
 	}
 	one.mu.Lock()
@@ -118,12 +118,12 @@
 	for _, line := range []string{fmt.Sprintf("edge_gw_upstream_requests_total %d\n", seen), "edge_gw_pending 0\n", "edge_gw_members 1\n",
 		"edge_gw_members_unavailable "} {
 		if !strings.Contains(metrics, line) {
-			t.Errorf("no %q in\n%s", line, metrics)
+			t.Errorf("%q is missing in\n%s", line, metrics)
 		}
 	}
 	buf := make([]byte, 0, 4<<10)
 	if n := testing.AllocsPerRun(100, func() { r.AppendFigures(buf[:0]) }); n > 1 {
-		t.Errorf("%v allocations to write the metrics", n)
+		t.Errorf("writing the metrics took %v allocations, want at most 1", n)
 	}
 }
 
@@ -177,17 +177,17 @@
 		time.Sleep(150 * time.Millisecond)
 		fresh := startProcess(true)
 		if fresh.Ready() && !fresh.Metrics.HasList.Load() {
-			t.Error("ready without an endpoint list")
+			t.Error("the new process is ready without an endpoint list")
 		}
 		time.Sleep(100 * time.Millisecond)
 		old.shutdown()
 		if old.Ready() {
-			t.Error("ready after the shutdown")
+			t.Error("the old process is ready after its shutdown")
 		}
 		old = fresh
 	}
 	wg.Wait()
 	if served.Load() < 500 || lost.Load() > 2 {
-		t.Errorf("%d served, %d lost", served.Load(), lost.Load())
+		t.Errorf("%d requests were served and %d lost, want at least 500 and at most 2", served.Load(), lost.Load())
 	}
 }
--- a/internal/httpproxy/parse_test.go
+++ b/internal/httpproxy/parse_test.go
@@ -102,7 +102,7 @@
 		"POST / HTTP/1.0\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n": 400,
 		"{\"json\":1}":                        400,
 		"G@T / HTTP/1.1\r\nHost: a\r\n\r\n":   400,
-		"GET /\x7f HTTP/1.1\r\nHost: a\r\n\r": 0, // incomplete: refused once it is complete
+		"GET /\x7f HTTP/1.1\r\nHost: a\r\n\r": 0, // the head is incomplete; it is refused once it is complete
 	} {
 		if _, status := parseRequest([]byte(in), maxBody); status != want {
 			t.Errorf("%.80q: status %d, want %d", in, status, want)
@@ -136,13 +136,13 @@
 			got = outcomeOf(response.status, response.headers)
 		}
 		if got != want {
-			t.Errorf("%.80q: %d, want %d", in, got, want)
+			t.Errorf("%.80q: got outcome %d, want %d", in, got, want)
 		}
 	}
 	in := "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nto the end"
 	response, ok := parseResponse([]byte(in), true, false, maxBody)
 	if response.length == 0 || string(response.body) != "to the end" || response.reusable || !ok {
-		t.Errorf("a body that ends with the connection: %+v %v", response, ok)
+		t.Errorf("response whose body ends with the connection: got %+v, ok %v", response, ok)
 	}
 }
 
@@ -166,7 +166,7 @@
 		"X-Request-ID: 1\r\nx-request-id: 2\r\n":               true,
 		"Idempotency-Key: 1\r\nA: b\r\nIdempotency-Key: 1\r\n": true, "X-Request-ID: 1\r\nConnection: close, Idempotency-Key\r\n": true} {
 		if got := hasAmbiguousID([]byte(head)); got != want {
-			t.Errorf("%q: %v", head, got)
+			t.Errorf("%q: got %v, want %v", head, got, want)
 		}
 	}
 	// Only digits with an optional decimal point are a timeout, although strconv.ParseFloat accepts more.
@@ -184,7 +184,7 @@
 		"X-Timeout: 0.2500\r\nContent-Length: 3\r\n\r\n"
 	got := appendRequestHead(nil, []byte("POST"), []byte("/s?q=1"), head, 3, policy.Second/4)
 	if string(got) != want {
-		t.Errorf("%q", got)
+		t.Errorf("got %q, want %q", got, want)
 	}
 }
 
@@ -194,7 +194,7 @@
 		original := bytes.Clone(in)
 		request, status := parseRequest(in, maxBody)
 		if request.length > len(in) || request.length > 0 && status != 0 || len(request.body) > maxBody {
-			t.Fatalf("%d of %d, status %d, body %d", request.length, len(in), status, len(request.body))
+			t.Fatalf("parsed %d of %d bytes, with status %d and a body of %d bytes", request.length, len(in), status, len(request.body))
 		}
 		if request.length == 0 {
 			return
@@ -217,7 +217,7 @@
 		response, ok := parseResponse(in, ended, false, maxBody)
 		if response.length > len(in) || response.length > 0 && !ok ||
 			response.status == 200 && len(response.body) > maxBody {
-			t.Fatalf("%d of %d, %v, body %d", response.length, len(in), ok, len(response.body))
+			t.Fatalf("parsed %d of %d bytes, with ok %v and a body of %d bytes", response.length, len(in), ok, len(response.body))
 		}
 	})
 }
--- a/internal/httpproxy/proxy_test.go
+++ b/internal/httpproxy/proxy_test.go
@@ -21,7 +21,7 @@
 	endpoint := newFakeEndpoint(t)
 	r, _ := startProxy(t, nil, endpoint.Addr().String())
 	for in, want := range map[string]int{
-		"GET /step/echo HTTP/1.1\r\nHost: o\r\nX-Timeout: 1\r\n\r\n":                                      400, // no id
+		"GET /step/echo HTTP/1.1\r\nHost: o\r\nX-Timeout: 1\r\n\r\n":                                      400, // no request ID
 		"GET /step/echo HTTP/1.1\r\nHost: o\r\nX-Request-ID: a\r\n\r\n":                                   400, // no timeout
 		"GET /step/echo HTTP/1.1\r\nHost: o\r\nX-Request-ID: a\r\nX-Timeout: soon\r\n\r\n":                400,
 		"GET /step/echo HTTP/1.1\r\nHost: o\r\nX-Request-ID: a\r\nX-Timeout: -1\r\n\r\n":                  400,
@@ -31,7 +31,7 @@
 		"GET / HTTP/1.1\r\nHost: o\r\nX-Request-ID: a\r\nX-Timeout: 1\r\n\r\n":                            404,
 		"GET /? HTTP/1.1\r\nHost: o\r\nX-Request-ID: a\r\nX-Timeout: 1\r\n\r\n":                           404,
 		"GET /_what HTTP/1.1\r\nHost: o\r\n\r\n":                                                          404,
-		"POST /step HTTP/1.1\r\nHost: o\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("b", 70000):    400, // no id
+		"POST /step HTTP/1.1\r\nHost: o\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("b", 70000):    400, // no request ID
 		"POST /step HTTP/1.1\r\nHost: o\r\nContent-Length: 70000000\r\n\r\n" + strings.Repeat("b", 70000): 413,
 		"GET /step HTTP/1.1\r\nHost: o\r\nX-A: " + strings.Repeat("b", 300<<10) + "\r\n\r\n":              431,
 		strings.Repeat("\x00", 9000): 400,
@@ -39,10 +39,10 @@
 		c := r.client()
 		io.WriteString(c, in)
 		if answer, _ := c.receive(); answer.StatusCode != want || !answer.Close {
-			t.Errorf("%.60q: %d, want %d", in, answer.StatusCode, want)
+			t.Errorf("%.60q: got status %d, want %d and Connection: close", in, answer.StatusCode, want)
 		}
 		if _, err := c.in.ReadByte(); err == nil {
-			t.Errorf("%.60q: not closed", in)
+			t.Errorf("%.60q: the connection was not closed after the response", in)
 		}
 	}
 	if _, conns := endpoint.count(""); conns != 0 {
@@ -60,23 +60,23 @@
 	}
 	for i := 0; ready() != 200; i++ {
 		if i > 100 {
-			t.Fatal("never ready")
+			t.Fatal("/_health does not answer 200")
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	c := r.client()
 	io.WriteString(c, "GET /_servers HTTP/1.1\r\nHost: o\r\n\r\n")
 	if _, body := c.receive(); !strings.HasPrefix(body, "s-0 id ") || !strings.HasSuffix(body, " in a ready, 0 connections idle\n") {
-		t.Errorf("%q", body)
+		t.Errorf("/_servers: got %q", body)
 	}
 	io.WriteString(c, "GET /_counters HTTP/1.1\r\nHost: o\r\nConnection: close\r\n\r\n")
 	if answer, body := c.receive(); answer.StatusCode != 200 || !strings.Contains(body, "\nlists 1\n") || !answer.Close {
-		t.Errorf("%d %q", answer.StatusCode, body)
+		t.Errorf("/_counters: got status %d, %q", answer.StatusCode, body)
 	}
 	service.mu.Lock()
 	defer service.mu.Unlock()
 	if len(service.calls) < 2 || service.calls[0] != "/catalog/members" || service.calls[1] != "/catalog/members?from=1&hold_ms=20000" {
-		t.Errorf("calls %v", service.calls)
+		t.Errorf("the discovery service received the requests %v", service.calls)
 	}
 }
 
@@ -87,7 +87,7 @@
 		c := r.client()
 		id := c.send("step/echo", "b", "")
 		if answer, _ := c.receive(); answer.StatusCode != 200 {
-			t.Errorf("%d", answer.StatusCode)
+			t.Errorf("got status %d, want 200", answer.StatusCode)
 		}
 		count, _ = old.count(id)
 		return count
@@ -105,7 +105,7 @@
 	service.setList(listOf(old.Addr().String()+" Terminating", new.Addr().String()))
 	for i := 0; requestsToOld() != 0; i++ {
 		if i > 500 {
-			t.Fatal("the change was not applied")
+			t.Fatal("the list in which the old endpoint drains was not applied")
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -127,7 +127,7 @@
 	service.mu.Lock()
 	defer service.mu.Unlock()
 	if n := len(service.calls); n < 4 || n > 12 {
-		t.Errorf("%d calls", n)
+		t.Errorf("the discovery service received %d requests, want 4 to 12", n)
 	}
 }
 
@@ -146,12 +146,12 @@
 	r.configs <- config
 	first.Close()
 	if answer, got := slow.receive(); answer.StatusCode != 200 || got != "b" || answer.Close {
-		t.Errorf("in flight: %d %q, closes %v", answer.StatusCode, got, answer.Close)
+		t.Errorf("request in flight: got status %d, %q, connection closes: %v", answer.StatusCode, got, answer.Close)
 	}
 	for i := 0; ; i++ {
 		id := kept.send("step/echo", "c", "")
 		if answer, _ := kept.receive(); answer.StatusCode != 200 {
-			t.Errorf("%d", answer.StatusCode)
+			t.Errorf("got status %d, want 200", answer.StatusCode)
 		}
 		if n, _ := new.count(id); n > 0 {
 			break
@@ -165,7 +165,7 @@
 	r.configs <- config // the module's classes cannot change while it runs
 	kept.send("step/echo", "d", "")
 	if answer, _ := kept.receive(); answer.StatusCode != 200 {
-		t.Errorf("after settings with other classes: %d", answer.StatusCode)
+		t.Errorf("after settings with other classes: got status %d, want 200", answer.StatusCode)
 	}
 	changed := *r.config.Settings
 	changed.MaxRetryAfter = 2 * policy.Second
@@ -173,16 +173,16 @@
 	r.configs <- config
 	kept.send("step/away", "e", "")
 	if answer, _ := kept.receive(); answer.StatusCode != 503 {
-		t.Errorf("rejected by the endpoint: %d", answer.StatusCode)
+		t.Errorf("request rejected by the endpoint: got status %d, want 503", answer.StatusCode)
 	}
 	second.mu.Lock()
 	if len(second.calls) < 2 || second.calls[0] != "/catalog/members" {
-		t.Errorf("calls %v", second.calls)
+		t.Errorf("the new discovery service received the requests %v", second.calls)
 	}
 	second.mu.Unlock()
 	r.shutdown()
 	if r.Counters.Reconfigurations != 3 || r.config.Settings.MaxRetryAfter != 2*policy.Second {
-		t.Errorf("%d reconfigurations, MaxRetryAfter %d", r.Counters.Reconfigurations, r.config.Settings.MaxRetryAfter)
+		t.Errorf("got %d reconfigurations and a MaxRetryAfter of %d", r.Counters.Reconfigurations, r.config.Settings.MaxRetryAfter)
 	}
 }
 
@@ -199,27 +199,27 @@
 	began := time.Now()
 	r.stop <- syscall.SIGTERM
 	if answer, got := slow.receive(); answer.StatusCode != 200 || got != "b" || !answer.Close {
-		t.Errorf("in flight: %d, closes %v", answer.StatusCode, answer.Close)
+		t.Errorf("request in flight: got status %d, connection closes: %v", answer.StatusCode, answer.Close)
 	}
 	late := r.client()
 	late.send("step/echo", "b", "")
 	if answer, _ := late.receive(); answer.StatusCode != 200 || !answer.Close {
-		t.Errorf("new client during the shutdown: %d, closes %v", answer.StatusCode, answer.Close)
+		t.Errorf("new client during the shutdown: got status %d, connection closes: %v", answer.StatusCode, answer.Close)
 	}
 	idle.send("step/echo", "b", "")
 	if answer, _ := idle.receive(); answer.StatusCode != 200 || !answer.Close {
-		t.Errorf("on an idle connection: %d, closes %v", answer.StatusCode, answer.Close)
+		t.Errorf("request on an idle connection: got status %d, connection closes: %v", answer.StatusCode, answer.Close)
 	}
 	if answer, _ := silent.receive(); answer.StatusCode != 502 || time.Since(began) > 650*time.Millisecond {
-		t.Errorf("silent: %d after %v", answer.StatusCode, time.Since(began))
+		t.Errorf("request to a silent endpoint: got status %d after %v", answer.StatusCode, time.Since(began))
 	}
 	r.shutdown()
 	if took := time.Since(began); took > 900*time.Millisecond {
-		t.Errorf("ended after %v", took)
+		t.Errorf("the shutdown took %v", took)
 	}
 }
 
-// recordingSocket is a socket that accepts everything and records the last write.
+// recordingSocket is a socket whose writes all succeed. It records the bytes of the last write.
 type recordingSocket struct {
 	conn     *connstate.Conn
 	last     []byte
@@ -287,11 +287,11 @@
 		once()
 	}
 	if n := testing.AllocsPerRun(200, once); n > 0 {
-		t.Errorf("%v allocations a request", n)
+		t.Errorf("%v allocations per request, want none", n)
 	}
 	if !bytes.HasSuffix(responses.last, []byte("\r\n\r\nok")) || !bytes.HasPrefix(attempts.last, []byte("GET /step/a ")) ||
 		s.Counters.Succeeded < 700 {
-		t.Errorf("%q %q %s", responses.last, attempts.last, s.report())
+		t.Errorf("last response %q, last attempt %q, counters %s", responses.last, attempts.last, s.report())
 	}
 }
 
@@ -314,15 +314,15 @@
 	buf := s.buffers.Get(connstate.SmallBuffer)
 	buf.B = append(buf.B, "GET /step/a HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Timeout: 1\r\n\r\n"...)
 	client.Input.Buffer = buf
-	now += 2*policy.Millisecond + reuseDelay // too early for the last one; the one before it has input
+	now += 2*policy.Millisecond + reuseDelay // too early to reuse the last connection; the one before it has input
 	s.readRequests(now, now, client)
 	s.Round(now)
 	if len(idle[1].last) == 0 || len(idle[0].last)+len(idle[2].last)+len(idle[3].last) > 0 || !all[2].Closing || all[3].Closing {
-		t.Errorf("sent on %q, %q, %q, %q", idle[0].last, idle[1].last, idle[2].last, idle[3].last)
+		t.Errorf("the connections carried %q, %q, %q, %q; want a request on the second only", idle[0].last, idle[1].last, idle[2].last, idle[3].last)
 	}
 }
 
-// Whatever clients, endpoints and discovery send, and however it is split, the process keeps running and releases everything.
+// Whatever bytes clients, endpoints and the discovery service send, the process keeps running and releases all resources.
 func TestMalformedInputIsSurvived(t *testing.T) {
 	s, connect := newStoppedProxy(t)
 	texts := []string{"GET /step/a HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Route-Key: k\r\nX-Timeout: 1\r\n\r\n",
@@ -386,7 +386,7 @@
 		return s.InFlight == 0 && s.buffers.InUse() == 0 && len(s.conns.Open) == 0
 	}
 	if err := quick.Check(feed, &quick.Config{MaxCount: 5000, Rand: rand.New(rand.NewSource(9))}); err != nil {
-		t.Error(err, s.report())
+		t.Errorf("%v; counters: %s", err, s.report())
 	}
 	if k := s.Counters; k.Succeeded == 0 || k.MalformedRequests == 0 || k.Outcomes[policy.ConnectionLost] == 0 || k.Lists < 100 {
 		t.Errorf("not all kinds of results occurred: %s", k.String())
--- a/internal/httpproxy/races_test.go
+++ b/internal/httpproxy/races_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// blockDials blocks dials to endpoints, from the given one on, until release is closed, and sends the address of each to begun.
+// blockDials blocks dials to endpoints, from dial number first on, until release is closed. It sends the address of each to begun.
 func (r *runningProxy) blockDials(first int) (begun chan string, release chan struct{}) {
 	begun, release = make(chan string, 8), make(chan struct{})
 	r.RunOnLoop(func() {
@@ -65,7 +65,7 @@
 	}
 	for name, k := range map[string]struct {
 		path      string
-		firstDial int // the first dial to be blocked, counted from 1
+		firstDial int // number of the first dial to be blocked, counted from 1
 		mayCancel bool
 		event     func(s *setup) // races with the dial
 	}{
@@ -108,14 +108,14 @@
 			time.Sleep(30 * time.Millisecond)
 			for _, to := range []*fakeEndpoint{s.one, s.two} {
 				if n, _ := to.count(s.id); to.Addr().String() == blocked && n != 0 {
-					t.Errorf("sent %d times on the connection that was established late", n)
+					t.Errorf("the request was sent %d times to the endpoint whose connection was established late", n)
 				}
 			}
 		})
 	}
 }
 
-// A request and the close by its client are read together, as after a delayed accept. As nobody awaits the response, it is not forwarded.
+// A request and the close by its client are read together, as after a delayed accept. The request is not forwarded, as its client has left.
 func TestRequestFollowedByCloseIsNotForwarded(t *testing.T) {
 	for name, closeClient := range map[string]func(c *net.TCPConn){
 		"closed":      func(c *net.TCPConn) { c.Close() },
@@ -127,7 +127,7 @@
 		s.conns.Add(conn)
 		fmt.Fprint(peer, "GET /step/a HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Timeout: 1\r\n\r\n")
 		closeClient(peer.(*net.TCPConn))
-		time.Sleep(20 * time.Millisecond) // until both have arrived at this end
+		time.Sleep(20 * time.Millisecond) // until the request and the close have arrived at this end
 		s.sockets.read(nb)
 		now := s.Clock.Now()
 		for _, e := range s.sockets.takeEvents() {
@@ -180,7 +180,7 @@
 		s.Round(now)
 		request := endpointConn.Request
 		if request == nil {
-			t.Fatal("no attempt")
+			t.Fatal("the request got no attempt")
 		}
 		endpointConn.Socket = &flushingSocket{plain, k.flushed}
 		endpointConn.Output.Queued++ // all but one byte are written
@@ -191,7 +191,7 @@
 		}
 		s.ReportEndedAttempts(now)
 		if n := s.Counters.Outcomes[k.want]; !k.notEnded && n != 1 || k.notEnded && request.AttemptConn == nil {
-			t.Errorf("%+v: outcomes %v", k, s.Counters.Outcomes)
+			t.Errorf("%+v: attempts by outcome %v", k, s.Counters.Outcomes)
 		}
 	}
 }
@@ -213,7 +213,7 @@
 	r.sockets.maxClients.Store(limit)
 	r.sockets.signalAcceptor()
 	if answer, got := pending.receive(); answer.StatusCode != 200 || got != "b" || !answer.Close {
-		t.Errorf("%d %q, closes %v", answer.StatusCode, got, answer.Close)
+		t.Errorf("got status %d, %q, connection closes: %v", answer.StatusCode, got, answer.Close)
 	}
 	r.shutdown()
 }
@@ -257,7 +257,7 @@
 		id := c.send("step/echo", "b", "")
 		time.Sleep(50 * time.Millisecond)
 		if n, _ := drained.count(id); n != 0 || r.Ready() {
-			t.Errorf("%s: sent %d times before the discovery service answered, ready %v", name, n, r.Ready())
+			t.Errorf("%s: the request was sent %d times before the discovery service answered, ready %v", name, n, r.Ready())
 		}
 		want := 1
 		switch name {
@@ -269,7 +269,7 @@
 		}
 		answer, _ := c.receive()
 		if n, _ := drained.count(id); answer.StatusCode != 200 || n != want || time.Since(began) > 600*time.Millisecond {
-			t.Errorf("%s: %d, sent %d times to the draining endpoint, after %v", name, answer.StatusCode, n, time.Since(began))
+			t.Errorf("%s: got status %d, sent %d times to the draining endpoint, answered after %v", name, answer.StatusCode, n, time.Since(began))
 		}
 		r.shutdown()
 		lines := 0
@@ -279,12 +279,12 @@
 			}
 		}
 		if lines != 1 {
-			t.Errorf("%s: %d log lines of the wait with the right message", name, lines)
+			t.Errorf("%s: got %d log lines about the wait with the right message, want 1", name, lines)
 		}
 	}
 }
 
-// A duplicate of a response arrives milliseconds after it, when the next request could already have been written. It is discarded.
+// A duplicate that arrives milliseconds after a response, when the next request could already be written, is discarded.
 func TestLateDuplicateResponsesAreDiscarded(t *testing.T) {
 	for range 10 {
 		if lateDuplicatesArriveInTime(t) {
@@ -292,7 +292,7 @@
 		}
 		// The machine delayed the endpoint for longer than reuseDelay, so that run proves nothing.
 	}
-	t.Error("no duplicate came in time in ten runs: the machine is too busy for this test")
+	t.Error("no duplicate was sent early enough in ten runs: the machine is too busy for this test")
 }
 
 // lateDuplicatesArriveInTime sends requests whose responses are sent twice, and reports whether a duplicate came early enough to detect.
@@ -317,7 +317,7 @@
 			// A duplicate that the endpoint sent in time is too late as well if this process was delayed before reading it.
 			if tooLate == 0 {
 				if delay := stopWatch(); delay < time.Duration(reuseDelay)-lateDuplicateDelay {
-					t.Fatalf("%d %q, want %q; the machine delayed this process by %v", answer.StatusCode, got, body, delay)
+					t.Fatalf("got status %d, %q, want %q; the machine delayed this process by %v", answer.StatusCode, got, body, delay)
 				}
 				return false
 			}
@@ -337,7 +337,7 @@
 		prepare  func(r *runningProxy) // delays the attempt
 		path     string
 		waits    time.Duration // how long the client waits after sending before it disconnects
-		attempts int           // attempts that have begun by then
+		attempts int           // number of attempts that have begun by then
 	}{
 		"pipelined behind another request": {policy.Second / 4, nil, "step/slow", 30 * time.Millisecond, 1},
 		"retry":                            {policy.Second / 4, nil, "step/fail", 30 * time.Millisecond, 1},
@@ -390,7 +390,7 @@
 				c.Close()
 				time.Sleep(400 * time.Millisecond)
 				if n := int(seen.Load()); n != k.attempts {
-					t.Errorf("%d attempts, want %d", n, k.attempts)
+					t.Errorf("endpoints received %d attempts, want %d", n, k.attempts)
 				}
 				r.waitUntil("no request in flight", func() bool { return r.InFlight == 0 })
 			})
@@ -413,7 +413,7 @@
 			}
 		}
 		if sides[connstate.ClientSide] == 0 || sides[connstate.EndpointSide] == 0 {
-			t.Errorf("connections by side: %v", sides)
+			t.Errorf("there are not connections on both sides: %v", sides)
 		}
 	})
 }
--- a/internal/httpproxy/sockets.go
+++ b/internal/httpproxy/sockets.go
@@ -249,7 +249,7 @@
 		if !socket.read(conn, buf) {
 			s.buffers.Put(buf)
 			if socket.ended && conn.Side == connstate.ClientSide {
-				conn.Input.PeerClosed.Store(true) // set before the last request is posted, which needs no response
+				conn.Input.PeerClosed.Store(true) // set before the last request is posted: that one needs no response
 			}
 			return
 		}
--- a/internal/httpproxy/stream_test.go
+++ b/internal/httpproxy/stream_test.go
@@ -40,7 +40,7 @@
 			got = append(got, part[:decoded.size]...)
 			at += decoded.used
 			if done != (done && valid) || !valid && complete {
-				t.Fatalf("%q: refused at %d, but it is complete", in, at)
+				t.Fatalf("%q: refused at byte %d, but the body is complete", in, at)
 			}
 			if !valid {
 				return
@@ -54,13 +54,13 @@
 			}
 		}
 		if complete {
-			t.Fatalf("%q: not done, but the body is complete at %d", in, used)
+			t.Fatalf("%q: not done at the end of the input, but the body is complete after %d bytes", in, used)
 		}
 	})
 }
 
-// scriptedEndpoint starts an endpoint that passes each request, with its number, to serve, and closes the connection when serve returns
-// false. seen counts the requests.
+// scriptedEndpoint starts an endpoint that calls serve for each request, where n is the number of the request, counted from 1. It closes
+// the connection when serve returns false. seen counts the requests.
 func scriptedEndpoint(t *testing.T, serve func(c net.Conn, r *http.Request, n int) bool) (addr string, seen *atomic.Int64) {
 	t.Helper()
 	l, err := net.Listen("tcp", loopbackAddr)
@@ -89,7 +89,7 @@
 	return l.Addr().String(), seen
 }
 
-// respondingEndpoint starts an endpoint whose responses are written by respond, which is passed a fixed random body.
+// respondingEndpoint starts an endpoint that calls respond to write each response. body always yields the same random bytes.
 func respondingEndpoint(t *testing.T, respond func(w io.Writer, body *rand.Rand)) string {
 	addr, _ := scriptedEndpoint(t, func(c net.Conn, r *http.Request, _ int) bool {
 		io.Copy(io.Discard, r.Body)
@@ -108,7 +108,7 @@
 	return [32]byte(h.Sum(nil))
 }
 
-// Long responses are streamed unchanged in every framing, also to slow clients, and occupy no more memory than may be pending.
+// Long responses are streamed unchanged in every framing, also to slow clients, within the limit of pending bytes.
 func TestLongResponsesAreStreamedUnchanged(t *testing.T) {
 	for name, answer := range map[string]func(w io.Writer, body *rand.Rand){
 		"sized": func(w io.Writer, body *rand.Rand) {
@@ -139,7 +139,7 @@
 				c.send("step/x", "", "")
 				a, err := http.ReadResponse(c.in, nil)
 				if err != nil || a.StatusCode != 200 || a.Header.Get("X-Made-By") != "server" {
-					t.Fatal(err, a)
+					t.Fatalf("got response %v, error %v", a, err)
 				}
 				h, maxHeld := sha256.New(), int64(0)
 				for err == nil {
@@ -148,10 +148,10 @@
 					time.Sleep(pace)
 				}
 				if [32]byte(h.Sum(nil)) != digestOf(longBody) {
-					t.Error("the body differs from that of the endpoint")
+					t.Error("the body differs from the one that the endpoint sent")
 				}
 				if maxHeld > maxPendingBytes+3*connstate.LargeBuffer {
-					t.Errorf("%d bytes of buffers were in use", maxHeld)
+					t.Errorf("buffers took up to %d bytes of memory", maxHeld)
 				}
 			}
 			if r.Counters.StreamsBroken != 0 {
@@ -181,21 +181,21 @@
 			c.send("step/x", "", "")
 			a, err := http.ReadResponse(c.in, nil)
 			if err != nil || a.StatusCode != 200 {
-				t.Fatal(err, a)
+				t.Fatalf("got response %v, error %v", a, err)
 			}
 			if n, err := io.Copy(io.Discard, a.Body); err == nil || n > longBody/2 {
-				t.Errorf("%d bytes received, %v", n, err)
+				t.Errorf("the client received %d bytes and then the error %v", n, err)
 			}
 			r.RunOnLoop(func() {
 				if r.Counters.Attempts != 1 || r.Counters.StreamsBroken != 1 || r.Metrics.Answered[0][2].Load() != 1 {
-					t.Error(r.Counters.Attempts, r.Counters.StreamsBroken)
+					t.Errorf("got %d attempts, %d broken streams", r.Counters.Attempts, r.Counters.StreamsBroken)
 				}
 			})
 		})
 	}
 }
 
-// Clients may send a head and a body slowly, but one that stops sending soon gets 408.
+// Clients may send a head and a body slowly, but a client that stops sending gets 408 within 2.5 s.
 func TestSlowRequestsTimeOut(t *testing.T) {
 	r, _ := startProxy(t, nil, newFakeEndpoint(t).Addr().String())
 	slow := r.client()
@@ -213,15 +213,15 @@
 	begun := time.Now()
 	fmt.Fprint(stuck, "POST /step/echo HTTP/1.1\r\nHost: o\r\nContent-Length: 60000\r\n\r\nx")
 	if a, _ := stuck.receive(); a.StatusCode != 408 || time.Since(begun) > 2500*time.Millisecond {
-		t.Error(a.Status, time.Since(begun))
+		t.Errorf("client that stopped sending: got %s after %v", a.Status, time.Since(begun))
 	}
 	if a, body := slow.receive(); a.StatusCode != 200 || len(body) != 60000 {
-		t.Error(a.Status, len(body))
+		t.Errorf("slow client: got %s and a body of %d bytes", a.Status, len(body))
 	}
 }
 
-// readingEndpoint starts an endpoint that reads each body with read and responds with its length and digest. If the last result of read
-// is false, it closes the connection instead.
+// readingEndpoint starts an endpoint that reads each request body with read and responds with the length and digest of the body. If the
+// last result of read is false, the endpoint closes the connection instead.
 func readingEndpoint(t *testing.T, read func(r *http.Request, n int) (int64, [32]byte, bool)) (string, *atomic.Int64) {
 	return scriptedEndpoint(t, func(c net.Conn, r *http.Request, number int) bool {
 		n, digest, ok := read(r, number)
@@ -263,7 +263,7 @@
 // Long bodies reach the endpoint unchanged, whether collected or streamed, and the client connection then carries its next request.
 func TestLongBodiesAreForwardedUnchanged(t *testing.T) {
 	addr, _ := readingEndpoint(t, func(r *http.Request, n int) (int64, [32]byte, bool) {
-		time.Sleep(50 * time.Millisecond) // makes the client wait
+		time.Sleep(50 * time.Millisecond) // the client must pause, as the endpoint does not read yet
 		return readAll(r, n)
 	})
 	r, _ := startProxy(t, withLittleMemory, addr)
@@ -286,16 +286,16 @@
 			c.sendLongBody(n, chunked)
 			a, body := c.receive()
 			if want := fmt.Sprintf("%d %x", n, digestOf(n)); a.StatusCode != 200 || body != want {
-				t.Fatalf("%d bytes, chunked %v: %s %q, want %q", n, chunked, a.Status, body, want)
+				t.Fatalf("body of %d bytes, chunked %v: got %s, %q, want %q", n, chunked, a.Status, body, want)
 			}
 		}
 	}
 	close(done)
 	if m := maxHeld.Load(); m > 5<<20 {
-		t.Errorf("%d bytes of buffers were in use", m)
+		t.Errorf("buffers took up to %d bytes of memory", m)
 	}
 	if written := r.Metrics.Written.Load(); written != 8 {
-		t.Errorf("%d written requests counted, want 8", written)
+		t.Errorf("%d requests were counted as written, want 8", written)
 	}
 }
 
@@ -324,11 +324,11 @@
 				continue // the first attempt went to the other endpoint
 			}
 			if a.StatusCode != c.status || c.status == 200 && seenByOther.Load() == 0 {
-				t.Errorf("%d bytes: %s, %d and %d requests", c.n, a.Status, seen.Load(), seenByOther.Load())
+				t.Errorf("body of %d bytes: got %s; the two endpoints received %d and %d requests", c.n, a.Status, seen.Load(), seenByOther.Load())
 			}
 			client.sendLongBody(3, false) // the connection remains usable
 			if a, _ := client.receive(); a.StatusCode != 200 {
-				t.Error(a.Status)
+				t.Errorf("next request on the connection: got %s, want 200", a.Status)
 			}
 		}
 	}
@@ -343,15 +343,15 @@
 		lastID++
 		fmt.Fprintf(c, "POST /step/x HTTP/1.1\r\nHost: o\r\nX-Request-ID: id-%d\r\nX-Timeout: 1\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n", lastID, n)
 		if line, _ := c.in.ReadString('\n'); line != "HTTP/1.1 100 Continue\r\n" {
-			t.Errorf("%q", line)
+			t.Errorf("got %q, want 100 Continue", line)
 		}
 		c.in.ReadString('\n')
 		io.CopyN(c, rand.New(rand.NewSource(1)), 20<<10)
 		if a, _ := c.receive(); a.StatusCode != 408 {
-			t.Error(n, a.Status)
+			t.Errorf("body of %d bytes: got %s, want 408", n, a.Status)
 		}
 	}
 	if r.Metrics.Written.Load() != 0 || r.Metrics.Pending.Load() != 0 {
-		t.Error(r.Metrics.Written.Load(), r.Metrics.Pending.Load())
+		t.Errorf("%d requests are counted as written and %d as pending, want none", r.Metrics.Written.Load(), r.Metrics.Pending.Load())
 	}
 }
--- a/rpc/bench_test.go
+++ b/rpc/bench_test.go
@@ -107,7 +107,7 @@
 					}
 					wait.Wait()
 				}
-				run(20 * callers) // until connections are established and limits have grown
+				run(20 * callers) // a warm-up, until connections are established and limits have grown
 				for range 20 {
 					run(2000)
 				}
--- a/rpc/call.go
+++ b/rpc/call.go
@@ -143,7 +143,7 @@
 type singleStream struct{ call *clientCall }
 
 var errStreamRefused = status.Error(codes.Unavailable,
-	"pepperlead: stream refused: second stream of an attempt, or too long after its endpoint was chosen")
+	"pepperlead: stream refused: it is the second one of its attempt, or too late after the choice of its endpoint")
 
 // GetRequestMetadata refuses a second stream. It also refuses a stream that begins more than daemon.StallAfter after
 // the decision on its attempt: the process was suspended or connecting took long, and the endpoint list may have
--- a/rpc/conn.go
+++ b/rpc/conn.go
@@ -94,7 +94,7 @@
 }
 
 // Close rejects new calls, waits up to one second for the calls that Open counts, and closes the connections. Calls
-// that are still in flight then fail, and open streams break off.
+// that are still in flight at that time fail, and open streams break off.
 func (c *Conn) Close() error {
 	c.closeOnce.Do(func() { c.stop <- os.Interrupt })
 	<-c.engine.Stopped()
--- a/rpc/faultyserver_test.go
+++ b/rpc/faultyserver_test.go
@@ -22,8 +22,8 @@
 	net.Listener
 	mu   sync.Mutex
 	rnd  *rand.Rand
-	ran  map[string]int // executions by call id
-	ends map[string]int // ends of streams by kind
+	ran  map[string]int // how often each call has run, by call id
+	ends map[string]int // how many streams have ended in each way, by the name of that way
 }
 
 func newFaultyServer(t *testing.T, seed uint64) *faultyServer {
@@ -190,7 +190,7 @@
 		}
 	}
 	if len(ends) != 9 || results["succeeded"] < 50 || results["failed"] < 100 {
-		t.Errorf("too few kinds of ends or results: %v, results %v", ends, results)
+		t.Errorf("too few kinds of ends of streams, or too few results of a kind: ends %v, results %v", ends, results)
 	}
 	waitUntilNoneOpen(t, c)
 	t.Logf("ends %v, results %v", ends, results)
--- a/rpc/guardedconn.go
+++ b/rpc/guardedconn.go
@@ -18,7 +18,7 @@
 	headersFrameType  = 1
 )
 
-var errStale = errors.New("pepperlead: stream not sent: too long after its endpoint was chosen")
+var errStale = errors.New("pepperlead: stream not sent: too much time has passed since its endpoint was chosen")
 
 // guardedConn prevents the HEADERS frame of a stream from being written more than daemon.StallAfter after the decision
 // on the stream's attempt. Otherwise, a process that is suspended between the two and then resumed would send to an
--- a/rpc/rpc_test.go
+++ b/rpc/rpc_test.go
@@ -223,7 +223,8 @@
 }
 
 // For each status code that a server returns, unary calls and streams give the caller the right error and run the right
-// number of times. So do calls that servers reject unprocessed, and calls when one of two servers does not listen.
+// number of times. The same holds for calls that servers reject unprocessed, and for calls when one of two servers does
+// not listen.
 func TestStatusCodes(t *testing.T) {
 	final := map[codes.Code]bool{codes.OK: true, codes.InvalidArgument: true, codes.NotFound: true, codes.AlreadyExists: true,
 		codes.PermissionDenied: true, codes.FailedPrecondition: true, codes.OutOfRange: true, codes.Unimplemented: true,
@@ -240,20 +241,20 @@
 			switch {
 			case final[code]:
 				if got != code || n != 1 {
-					t.Errorf("%s %v: %v, ran %d times", method, code, err, n)
+					t.Errorf("%s, server returns %v: got error %v, ran %d times", method, code, err, n)
 				}
 			case idempotent: // up to three attempts, then rejected
 				if got != codes.Unavailable || n < 2 || n > 3 {
-					t.Errorf("%s %v: %v, ran %d times", method, code, err, n)
+					t.Errorf("%s, server returns %v: got error %v, ran %d times", method, code, err, n)
 				}
 			default:
 				if got != codes.Unknown || n != 1 || !strings.Contains(err.Error(), "failed, may have run") {
-					t.Errorf("%s %v: %v, ran %d times", method, code, err, n)
+					t.Errorf("%s, server returns %v: got error %v, ran %d times", method, code, err, n)
 				}
 			}
 			s, err := c.NewStream(withID("stream "+id), &grpc.StreamDesc{ServerStreams: true, ClientStreams: true}, "/test.S/"+method)
 			if err != nil {
-				t.Fatalf("%s %v: %v", method, code, err)
+				t.Fatalf("%s: opening a stream failed, before the server could return %v: %v", method, code, err)
 			}
 			s.SendMsg(wrapperspb.String(fmt.Sprintf("code %d", code)))
 			s.CloseSend()
@@ -262,7 +263,7 @@
 				err = s.RecvMsg(&m)
 			}
 			if code == codes.OK && err != io.EOF || code != codes.OK && status.Code(err) != code || ran("stream "+id) != 1 {
-				t.Errorf("%s %v as a stream: %v, ran %d times", method, code, err, ran("stream "+id))
+				t.Errorf("stream of %s, server returns %v: got error %v, ran %d times", method, code, err, ran("stream "+id))
 			}
 		}
 		c.Close()
@@ -271,7 +272,7 @@
 	for _, method := range []string{"Step", "Once"} {
 		_, err := invoke(c, withID("reject "+method), method, "reject")
 		if status.Code(err) != codes.Unavailable || ran("reject "+method) != 0 {
-			t.Errorf("%s rejected: %v", method, err)
+			t.Errorf("%s, rejected by the server: got error %v, or the call ran", method, err)
 		}
 		var retryAfter time.Duration
 		for _, detail := range status.Convert(err).Details() {
@@ -280,7 +281,7 @@
 			}
 		}
 		if retryAfter != 500*time.Millisecond { // the target latency, which is less than the longest Retry-After
-			t.Errorf("%s rejected: retry after %v", method, retryAfter)
+			t.Errorf("%s, rejected by the server: got a retry delay of %v, want 500 ms", method, retryAfter)
 		}
 	}
 	// One of two servers does not listen. Calls to it fail before they are sent, and are sent to the other server.
@@ -290,12 +291,12 @@
 	for n := range 40 {
 		for _, method := range []string{"Once", "Step"} {
 			if got, err := invoke(c, withID(fmt.Sprint("gone", method, n)), method, fmt.Sprint("x", n)); err != nil || got != "a" || ran(fmt.Sprint("gone", method, n)) != 1 {
-				t.Errorf("%s: %q %v, ran %d times", method, got, err, ran(fmt.Sprint("gone", method, n)))
+				t.Errorf("%s, one server does not listen: got %q, error %v, ran %d times", method, got, err, ran(fmt.Sprint("gone", method, n)))
 			}
 		}
 		s, err := c.NewStream(context.Background(), &grpc.StreamDesc{ServerStreams: true}, "/test.S/Once")
 		if err != nil {
-			t.Errorf("stream: %v", err)
+			t.Errorf("opening a stream while one server does not listen: %v", err)
 			continue
 		}
 		s.SendMsg(wrapperspb.String(fmt.Sprint("y", n)))
@@ -330,7 +331,7 @@
 			t.Fatal(err)
 		}
 		if got := echo(s); got != "a" {
-			t.Fatal(got)
+			t.Fatalf("got %q on a new stream, want \"a\"", got)
 		}
 		open = append(open, s)
 	}
@@ -358,18 +359,18 @@
 			t.Fatal(err)
 		}
 		if got := echo(s); got != "b" {
-			t.Fatalf("stream opened at %s", got)
+			t.Fatalf("got %q on a stream opened after the drain, want \"b\"", got)
 		}
 		s.CloseSend()
 		s.RecvMsg(&wrapperspb.StringValue{})
 	}
 	for _, s := range open {
 		if got := echo(s); got != "a" {
-			t.Errorf("open stream: %s", got)
+			t.Errorf("got %q on a stream opened before the drain, want \"a\"", got)
 		}
 		s.CloseSend()
 		if err := s.RecvMsg(&wrapperspb.StringValue{}); err != io.EOF {
-			t.Error(err)
+			t.Errorf("end of a stream opened before the drain: %v, want EOF", err)
 		}
 	}
 	if a.calls() != before {
@@ -409,25 +410,25 @@
 	cancel()
 	wait.Wait()
 	if cancelled.Load() < 2 || a.calls() > 19 {
-		t.Errorf("%d calls were cancelled, %d reached the server", cancelled.Load(), a.calls())
+		t.Errorf("%d calls were cancelled, want at least 2; %d reached the server, want at most 19", cancelled.Load(), a.calls())
 	}
 	waitUntilNoneOpen(t, c)
 	// A call without a deadline of its own ends at the deadline of its class.
 	start := time.Now()
 	if _, err := invoke(c, context.Background(), "Once", "hang"); status.Code(err) != codes.DeadlineExceeded || time.Since(start) > 3500*time.Millisecond {
-		t.Errorf("call without a deadline: %v after %v", err, time.Since(start))
+		t.Errorf("call without a deadline: got error %v after %v", err, time.Since(start))
 	}
 	shortCtx, endShort := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer endShort()
 	start = time.Now()
 	if _, err := invoke(c, shortCtx, "Once", "hang"); status.Code(err) != codes.DeadlineExceeded || time.Since(start) > 400*time.Millisecond {
-		t.Errorf("call with a deadline of 200 ms: %v after %v", err, time.Since(start))
+		t.Errorf("call with a deadline of 200 ms: got error %v after %v", err, time.Since(start))
 	}
 	if _, err := invoke(c, context.Background(), "../Other", "x"); status.Code(err) != codes.OK && status.Code(err) != codes.Unimplemented {
-		t.Error(err)
+		t.Errorf("call of method ../Other: %v", err)
 	}
 	if err := c.Invoke(context.Background(), "/other.S/X", wrapperspb.String("x"), &wrapperspb.StringValue{}); status.Code(err) != codes.Unimplemented {
-		t.Errorf("method without a class: %v", err)
+		t.Errorf("method without a class: got error %v, want UNIMPLEMENTED", err)
 	}
 	waitUntilNoneOpen(t, c)
 }
@@ -457,10 +458,10 @@
 	}
 	wait.Wait()
 	if succeeded.Load() < 10 || succeeded.Load()+rejected.Load() != 10000 {
-		t.Errorf("%d succeeded, %d rejected, %d other", succeeded.Load(), rejected.Load(), other.Load())
+		t.Errorf("%d calls succeeded, %d were rejected, %d ended otherwise", succeeded.Load(), rejected.Load(), other.Load())
 	}
 	waitUntilNoneOpen(t, c)
-	t.Logf("%d succeeded, %d rejected", succeeded.Load(), rejected.Load())
+	t.Logf("%d calls succeeded, %d were rejected", succeeded.Load(), rejected.Load())
 }
 
 // Close waits for a call in flight that ends within a second, rejects new calls, and makes a call that lasts longer
@@ -475,21 +476,21 @@
 	start := time.Now()
 	go c.Close()
 	if err := <-slow; err != nil {
-		t.Errorf("slow: %v", err)
+		t.Errorf("call that ends within a second: %v", err)
 	}
 	time.Sleep(20 * time.Millisecond)
 	if _, err := invoke(c, context.Background(), "Step", "x"); status.Code(err) != codes.Unavailable && status.Code(err) != codes.Canceled {
-		t.Errorf("call while closing: %v", err)
+		t.Errorf("call while the Conn closes: got error %v, want UNAVAILABLE or CANCELED", err)
 	}
 	if err := <-hang; err == nil {
-		t.Error("hang: succeeded")
+		t.Error("the call that does not end succeeded")
 	}
 	c.Close()
 	if took := time.Since(start); took > 2*time.Second {
-		t.Errorf("closing took %v", took)
+		t.Errorf("closing the Conn took %v", took)
 	}
 	if _, err := invoke(c, context.Background(), "Step", "x"); status.Code(err) != codes.Canceled {
-		t.Errorf("call after closing: %v", err)
+		t.Errorf("call on the closed Conn: got error %v, want CANCELED", err)
 	}
 }
 
@@ -537,11 +538,11 @@
 	creds, trailer := &token{}, metadata.MD{}
 	if got, err := invoke(c, context.Background(), "Step", "x", grpc.PerRPCCredentials(creds)); err != nil || got != "a" || creds.requests.Load() != 1 ||
 		a.count("by-token") != 1 || statsHandler.begun.Load() != 1 || intercepted != 1 {
-		t.Errorf("%q %v, credentials requested %d times, %d calls begun, %d intercepted", got, err, creds.requests.Load(), statsHandler.begun.Load(), intercepted)
+		t.Errorf("got %q, error %v, credentials requested %d times, %d calls begun, %d intercepted", got, err, creds.requests.Load(), statsHandler.begun.Load(), intercepted)
 	}
 	invoke(c, context.Background(), "Step", "reject", grpc.Trailer(&trailer))
 	if v := trailer.Get(NotProcessed); len(v) != 1 {
-		t.Errorf("the caller's trailer: %v", trailer)
+		t.Errorf("the caller's trailer does not contain %s once: %v", NotProcessed, trailer)
 	}
 	// If an interceptor invokes a call a second time, the plug-in does not send it again.
 	twice := open(t, dir, grpc.WithUnaryInterceptor(func(ctx context.Context, method string, req, reply any, cc *grpc.ClientConn,
@@ -553,16 +554,16 @@
 	}))
 	invoke(twice, withID("twice"), "Once", "code 13")
 	if n := a.count("twice"); n != 1 {
-		t.Errorf("call sent %d times", n)
+		t.Errorf("the call ran %d times, want once", n)
 	}
 	// The key comes from the context, else from the metadata, else from the request.
 	if got := c.key(metadata.AppendToOutgoingContext(context.Background(), "about", "m"), wrapperspb.String("r")); got != "m" {
-		t.Error(got)
+		t.Errorf("key from the metadata: got %q", got)
 	}
 	if got := c.key(context.Background(), wrapperspb.String("r")); got != "r" {
-		t.Error(got)
+		t.Errorf("key from the request: got %q", got)
 	}
 	if got := c.key(WithKey(context.Background(), "k"), wrapperspb.String("r")); got != "k" {
-		t.Error(got)
+		t.Errorf("key from the context: got %q", got)
 	}
 }
--- a/rpc/testserver_test.go
+++ b/rpc/testserver_test.go
@@ -24,7 +24,7 @@
 )
 
 // server is a test server that accepts any method with text messages. The text selects the behaviour: "code N" ends
-// the call with that status code (0: it answers), "reject" rejects it unprocessed, "slow" answers after 100 ms,
+// the call with status code N ("code 0" answers it), "reject" rejects it unprocessed, "slow" answers after 100 ms,
 // "hang" ends the call only once its caller has cancelled it or its deadline has passed. Any other text is answered
 // with the server's name.
 type server struct {
@@ -32,9 +32,9 @@
 	addr   string
 	grpc   *grpc.Server
 	mu     sync.Mutex
-	ran    map[string]int // calls processed, by id in the metadata
-	times  []time.Time    // of the processed calls, up to 100000
-	silent atomic.Bool    // it answers no calls
+	ran    map[string]int // how often each call was processed, by its id in the metadata
+	times  []time.Time    // when the processed calls arrived, for up to 100000 calls
+	silent atomic.Bool    // the server answers no calls
 }
 
 func newServer(t testing.TB, name string) *server {
