--- a/internal/httpproxy/local.go
+++ b/internal/httpproxy/local.go
@@ -40,7 +40,7 @@
 	return true
 }
 
-// endpointList returns the current endpoint list as text, with the ids that the module uses for the endpoints.
+// endpointList returns the current endpoint list as text, with the ids that the decision module uses for the endpoints.
 func (p *Proxy) endpointList() string {
 	var lines []string
 	for id, endpoint := range p.Endpoints {
--- a/internal/httpproxy/responses.go
+++ b/internal/httpproxy/responses.go
@@ -78,7 +78,7 @@
 	p.responseSent(now, c, closing)
 }
 
-// Reject answers a request that the module has rejected.
+// Reject answers a request that the decision module has rejected.
 func (p *Proxy) Reject(now policy.Time, request *engine.Request, retryAfter policy.Time) {
 	r := connstate.AsRequest(request)
 	if c := p.detachClient(now, r, answerRejected); c != nil {
@@ -88,7 +88,7 @@
 	}
 }
 
-// Fail answers a request that the module has failed.
+// Fail answers a request that the decision module has given up as failed.
 func (p *Proxy) Fail(now policy.Time, request *engine.Request) {
 	r := connstate.AsRequest(request)
 	if c := p.detachClient(now, r, answerFailed); c != nil {
--- a/internal/httpproxy/stream.go
+++ b/internal/httpproxy/stream.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// beginStream ends the attempt and writes the head of the response to the client. For the module the attempt ends here,
-// with the first bytes, as the endpoint has done its work by then.
+// beginStream ends the attempt and writes the head of the response to the client. For the decision module the attempt
+// ends here, with the first bytes, as the endpoint has done its work by then.
 func (p *Proxy) beginStream(at policy.Time, c *connstate.Conn, head responseHead) {
 	r := c.Request
 	r.Decided = true
--- a/rpc/call.go
+++ b/rpc/call.go
@@ -25,7 +25,7 @@
 type clientCall struct {
 	instructions chan instruction
 	request      *engine.Request
-	sequence     uint32 // number of the latest attempt; never reset, as late events of an earlier RPC must match none
+	sequence     uint32 // number of the latest attempt; never reset, so that no late event of an earlier RPC matches
 	abandoned    bool   // the caller has its answer or has left, and reads no more instructions
 	closed       bool   // the caller has posted its last event
 
