--- a/cmd/pepperlead/coordinatorclient.go
+++ b/cmd/pepperlead/coordinatorclient.go
@@ -17,7 +17,7 @@
 	// leaderTimeout is how long the coordinators may take to elect a leader.
 	leaderTimeout       = 5 * time.Second
 	leaderRetryInterval = 200 * time.Millisecond
-	coordinatorTimeout  = 15 * time.Second // of one request
+	coordinatorTimeout  = 15 * time.Second // for one request and its response
 )
 
 // coordinatorClient sends requests to the leader of the coordinators. It sends each first to the coordinator at
@@ -39,7 +39,8 @@
 	for time.Now().Before(deadline) {
 		response, err := send(client, method, "http://"+address+path, body)
 		if isDialError(err) && address != c.address {
-			// The leader has failed, and the others have not noticed yet. It has not received the request.
+			// The leader has failed, and the other coordinators have not noticed yet. The leader has not received
+			// the request.
 			address = c.address
 			time.Sleep(leaderRetryInterval)
 			continue
@@ -90,7 +91,7 @@
 // revisions has the numbers of a cluster's revisions.
 type revisions struct {
 	inForce uint64
-	coming  uint64 // the one that is coming into force; 0: none
+	coming  uint64 // the revision that is coming into force; 0: none
 	last    uint64
 }
 
--- a/cmd/pepperlead/query.go
+++ b/cmd/pepperlead/query.go
@@ -16,7 +16,7 @@
 const (
 	reportTimeout      = 2 * time.Second
 	callConnectTimeout = 2 * time.Second
-	callTimeout        = 5 * time.Second // of the command and its answer, after connecting
+	callTimeout        = 5 * time.Second // limits sending the command and reading the answer, after connecting
 )
 
 // reportCommand returns a command that prints a report of a running sidecar. servers says in the help text which of the
--- a/internal/admin/commandserver.go
+++ b/internal/admin/commandserver.go
@@ -55,7 +55,7 @@
 	waiting *list.Element // in CommandServer.waiting; nil once reading has ended or closeOldest closed the connection
 }
 
-// ListenCommands starts a command server, which serves at the address until Close.
+// ListenCommands starts a command server, which answers commands at the address until Close is called.
 func ListenCommands(address string, operations Operations) (*CommandServer, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return s, nil
 }
 
-// Addr is the address at which the server listens.
+// Addr returns the address at which the server listens.
 func (s *CommandServer) Addr() string { return s.listener.Addr().String() }
 
 // Close closes the listener and the connections that have no command yet.
@@ -88,7 +88,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // probably out of descriptors
+		if err != nil { // the process has probably run out of descriptors
 			s.mu.Lock()
 			s.closeOldest()
 			s.mu.Unlock()
@@ -104,7 +104,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for s.open >= maxCommandConnections && !s.closed && !s.closeOldest() {
-		s.connClosed.Wait() // all of them are being answered
+		s.connClosed.Wait() // all open connections are being answered
 	}
 	s.open++
 	c := &commandConn{Conn: conn}
@@ -120,7 +120,7 @@
 	}
 	c := s.waiting.Remove(oldest).(*commandConn)
 	c.waiting = nil
-	_ = c.Close() // nothing was written to it
+	_ = c.Close() // an error loses no data: nothing was written
 	s.open--
 	return true
 }
--- a/internal/admin/metricsserver.go
+++ b/internal/admin/metricsserver.go
@@ -43,7 +43,7 @@
 	address net.Addr
 }
 
-// ListenMetrics starts a metrics server, which serves at the address until Close.
+// ListenMetrics starts a metrics server, which answers HTTP requests at the address until Close is called.
 func ListenMetrics(address string, reporter Reporter, latency *Latency) (*MetricsServer, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -60,12 +60,12 @@
 		},
 	}
 	go func() {
-		_ = s.http.Serve(newLimitListener(listener, MaxConnections)) // ends by Close
+		_ = s.http.Serve(newLimitListener(listener, MaxConnections)) // returns when Close is called
 	}()
 	return s, nil
 }
 
-// Addr is the address at which the server listens.
+// Addr returns the address at which the server listens.
 func (s *MetricsServer) Addr() string { return s.address.String() }
 
 // Close closes the listener and all connections.
@@ -100,6 +100,6 @@
 func textHandler(text func() string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		_, _ = io.WriteString(w, text()) // the client may have gone
+		_, _ = io.WriteString(w, text()) // an error means that the client has closed the connection
 	}
 }
--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -20,7 +20,7 @@
 // maxWindow is the longest time in which a keyed request may be retried.
 const maxWindow = 24 * 3600 * policy.Second
 
-// Bounds of values and quotas.
+// Bounds of a class's value and a tenant's quota.
 const (
 	minQuantity = 1e-6
 	maxQuantity = 1e9
@@ -90,7 +90,7 @@
 	return class
 }
 
-// readIdempotency maps the settings' names, which are in the order of policy's constants.
+// readIdempotency reads how requests of a class may be repeated. The choices are in the order of policy's constants.
 func readIdempotency(t *tomlfile.Table) policy.Idempotency {
 	return policy.Idempotency(t.OneOf("repeats", int(policy.NonIdempotent), "reissuable", "numbered", "at-most-once"))
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -28,16 +28,16 @@
 	Name           string
 	Seed           uint64
 	Seeded         bool   // false: no seed is configured, and one is drawn
-	Listen         string // for HTTP
+	Listen         string // address at which clients connect over HTTP
 	Anonymous      bool   // requests without an ID are accepted
-	AdminAddress   string // for operators' commands; empty: none
-	MetricsAddress string // for metrics over HTTP; empty: none
+	AdminAddress   string // of the command server; empty: none
+	MetricsAddress string // of the metrics server; empty: none
 	Descriptors    int
 	MemoryMB       int
 	ConnectTimeout policy.Time
 	SourceIP       net.IP // source address of outgoing connections; nil: the kernel chooses
 	IdleTimeout    policy.Time
-	ShutdownTime   policy.Time // for requests in flight at a graceful shutdown
+	ShutdownTime   policy.Time // how long a graceful shutdown waits for requests in flight
 	Settings       *policy.Settings
 	Deadlines      []policy.Time // by class
 	DefaultClass   string        // the class of requests that name none
@@ -47,9 +47,9 @@
 
 	SourceKind     SourceKind
 	Discovery      string                // address of the discovery service
-	Patterns       []string              // of endpoint files
-	FileLimits     endpointfiles.Limits  // on changes of endpoint files
-	Endpoints      []endpointfiles.Entry // of a fixed source
+	Patterns       []string              // paths of endpoint files, which may contain wildcards
+	FileLimits     endpointfiles.Limits  // limits on changes of endpoint files
+	Endpoints      []endpointfiles.Entry // the endpoints if SourceKind is Fixed
 	StateDirectory string                // empty: no state is stored
 
 	Peers Peers
@@ -105,7 +105,7 @@
 	root.RejectUnknown()
 }
 
-// requiredTables reads an array of tables that must have one element at least.
+// requiredTables reads an array of tables that must have at least one element.
 func requiredTables(root *tomlfile.Table, key string) []*tomlfile.Table {
 	tables := root.Tables(key)
 	if root.Has(key) && len(tables) == 0 {
@@ -123,7 +123,7 @@
 	t.RejectUnknown()
 }
 
-// usedAddresses maps each listen address of the file to its owner, as faults name it.
+// usedAddresses maps each listen address of the file to the words for its owner in faults, such as "that of [admin]".
 type usedAddresses map[string]string
 
 // readListener reads an optional listen address, which must differ from the used ones.
--- a/internal/config/coordinator.go
+++ b/internal/config/coordinator.go
@@ -12,10 +12,10 @@
 type CoordinatorConfig struct {
 	Name      string
 	Directory string
-	Listen    string // for the other coordinators; default: the RaftAddress of this coordinator in Members
+	Listen    string // address for the other coordinators; default: the RaftAddress of this coordinator in Members
 	Members   []Coordinator
 	Lease     policy.Time
-	Drift     float64 // by how much the rates of any two clocks may differ, as a fraction
+	Drift     float64 // maximum difference between the rates of two machines' clocks, as a fraction
 	Peers     Peers
 
 	LogLevel  string
--- a/internal/daemon/adminoperations.go
+++ b/internal/daemon/adminoperations.go
@@ -19,8 +19,8 @@
 	group *hotrestart.ProcessGroup // nil: there is no command server and no other process
 }
 
-// start drains the endpoints that were drained before this process started, and starts to answer the other processes of
-// the instance. It must be called before the proxy runs.
+// start drains the endpoints that were drained before this process started, and starts to answer requests of the other
+// processes of the instance. It must be called before the proxy runs.
 func (o *adminOperations) start() error {
 	uids, err := o.group.Drained()
 	if err != nil {
--- a/internal/daemon/cluster.go
+++ b/internal/daemon/cluster.go
@@ -45,7 +45,7 @@
 // run joins the cluster and then announces the instance at each announceInterval until it is stopped. A failed join is
 // retried: it fails, for example, while the previous process still has the address.
 func (m *clusterMember) run() {
-	lastError := "" // as logged, so that a repeated error is logged once
+	lastError := "" // the last logged error; the same error is not logged again
 	for wait := time.Duration(0); ; wait = announceInterval {
 		select {
 		case <-m.stop:
@@ -75,8 +75,8 @@
 	return cluster, nil
 }
 
-// announce tells the proxy how many instances are alive, among which budgets are divided, and announces this instance's
-// revision and slot table digest to the cluster.
+// announce tells the proxy how many instances are alive, because budgets are divided among them. It also announces this
+// instance's revision and slot table digest to the cluster.
 func (m *clusterMember) announce(cluster *membership.Cluster) {
 	live := cluster.AliveSidecars()
 	var table uint64
@@ -97,7 +97,7 @@
 	return m.lease.revision.Load()
 }
 
-// PeersReport returns a report of the live instances, one per line.
+// PeersReport returns a report with a line for each live instance, or "" until the cluster is joined.
 func (m *clusterMember) PeersReport() string {
 	if cluster := m.cluster.Load(); cluster != nil {
 		return cluster.Report()
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -30,7 +30,7 @@
 	fileDiscovery  string // the discovery address in the file, which the environment may override
 	AdminAddress   string // of the command server; empty: none
 	MetricsAddress string // of the metrics server; empty: none
-	LogLevel       string // empty: as set on the command line, or by default
+	LogLevel       string // empty: the level of the command line, or the default
 	LogFormat      string
 	Membership     *membership.Config // nil: the instance is in no cluster
 	AgreedRules    bool               // the rules come from coordinators
--- a/internal/daemon/coordinator.go
+++ b/internal/daemon/coordinator.go
@@ -25,8 +25,8 @@
 	return config.ReadCoordinator(path, text)
 }
 
-// ValidateRules checks that a text is a valid revision and can follow the text in force, which is nil if there is none.
-// The error has a line for each fault.
+// ValidateRules checks that a text is a valid revision and can follow the revision in force, whose text is inForce, or
+// nil if no revision is in force. The error has a line for each fault.
 func ValidateRules(file string, text, inForce []byte) error {
 	next, err := config.ReadRules(file, text)
 	if err != nil || inForce == nil || next.Endpoints == nil {
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// hasReadyEndpoint reports whether at least one endpoint is ready and not drained under both rules. While a change is
-// in progress only such endpoints are used, so a change without any would be an outage.
+// hasReadyEndpoint reports whether at least one endpoint is ready and not drained in both the active and the next
+// rules. While a change is in progress only such endpoints are used, so a change without any would be an outage.
 func hasReadyEndpoint(active, next *config.Rules) bool {
 	ready := map[policy.EndpointID]bool{}
 	for _, endpoint := range active.Endpoints {
@@ -59,8 +59,9 @@
 	return false
 }
 
-// assignSlots returns the encoded slot table for the rules in a text, derived from the table of the revision in force;
-// inForce is nil if there is none. It returns nil if the text can't be read or names no endpoints.
+// assignSlots returns the encoded slot table for the rules in a text. The table is derived from that of inForce, the
+// revision in force, which is nil if there is none. assignSlots returns nil if the text can't be read or names no
+// endpoints.
 func assignSlots(text []byte, inForce *ruleset.Revision) []byte {
 	next, err := config.ReadRules("version", text)
 	if err != nil || next.Endpoints == nil {
@@ -95,7 +96,7 @@
 	if err != nil {
 		return fmt.Errorf("pages: %w", err)
 	}
-	defer func() { _ = server.Close() }() // the process ends
+	defer func() { _ = server.Close() }() // an error doesn't matter: the process is about to end
 	cluster, err := membership.Open(membership.Config{
 		Name:        settings.Name,
 		Cluster:     settings.Peers.Cluster,
--- a/internal/daemon/jsonlines.go
+++ b/internal/daemon/jsonlines.go
@@ -35,7 +35,7 @@
 	return nil, fmt.Errorf("%s:%d: document: found %w, allowed one JSON object", file, s.lineAt(offset), err)
 }
 
-// scanDocument scans a value, after which the text must end.
+// scanDocument scans the value that is the document. It returns an error if more text follows the value.
 func (s *lineScanner) scanDocument() error {
 	if err := s.scanValue(""); err != nil {
 		return err
@@ -79,13 +79,14 @@
 	return err
 }
 
-// lineAt returns the line of an offset in the text.
+// lineAt returns the number of the line that contains an offset in the text.
 func (s *lineScanner) lineAt(offset int64) int {
 	before := s.text[:min(int(offset), len(s.text))]
 	return 1 + bytes.Count(before, []byte{'\n'})
 }
 
-// addLines adds to each fault of a platform's configuration its line in the file. The error has one fault per line.
+// addLines adds to each fault of a platform's configuration the number of its line in the file. err must have a line of
+// text for each fault, and so does the returned error.
 func addLines(file string, err error, lines map[string]int) error {
 	var faults []error
 	for fault := range strings.SplitSeq(err.Error(), "\n") {
--- a/internal/daemon/leaseclient.go
+++ b/internal/daemon/leaseclient.go
@@ -27,7 +27,7 @@
 	// that lease. After that it sends them to all coordinators.
 	issuerTimeout = 3 * leaseRequestInterval
 
-	// maxQueuedMessages limits the messages of coordinators that wait to be processed.
+	// maxQueuedMessages limits the messages that were received from coordinators and are not yet processed.
 	maxQueuedMessages = 64
 )
 
@@ -162,7 +162,7 @@
 		return
 	}
 	for _, address := range coordinators {
-		_ = cluster.Send(address, encoded) // a lost request is repeated
+		_ = cluster.Send(address, encoded) // an error doesn't matter: requests are repeated
 	}
 }
 
--- a/internal/daemon/platformconfig.go
+++ b/internal/daemon/platformconfig.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// minDescriptors and minMemoryMB are the least resources with which an instance can serve.
+	// minDescriptors and minMemoryMB are the smallest configured limits on resources with which an instance can serve.
 	minDescriptors = 48
 	minMemoryMB    = 24
 	// maxShutdownDeadline is the longest deadline that the shutdown waits for. The platform sends SIGKILL 0.7 s after
@@ -44,8 +44,8 @@
 	f.err = errors.Join(f.err, fmt.Errorf(format, args...))
 }
 
-// parsePlatformFile parses the platform's configuration. The error has a line for each fault, with the file and line in
-// which it is.
+// parsePlatformFile parses the platform's configuration. The error has a line of text for each fault, which names the
+// file and the line that contain the fault.
 func parsePlatformFile(path string, text []byte, env func(string) string) (Config, error) {
 	lines, err := JSONLines(path, text)
 	if err != nil {
@@ -58,7 +58,8 @@
 	return c, nil
 }
 
-// parsePlatform parses the platform's configuration. The error has a line for each fault, without its line in the file.
+// parsePlatform parses the platform's configuration. The error has a line of text for each fault, which names the file,
+// but not the line that contains the fault.
 func parsePlatform(path string, text []byte, env func(string) string) (Config, error) {
 	var c Config
 	var document platformDocument
--- a/internal/daemon/productconfig.go
+++ b/internal/daemon/productconfig.go
@@ -16,9 +16,10 @@
 const (
 	bytesPerMB = 1 << 20
 
-	// watchDescriptors are the descriptors of the file watcher and of the file being read or written.
+	// watchDescriptors is the number of file descriptors for the file watcher and for the file being read or written.
 	watchDescriptors = 6
-	// metricsListenerDescriptors are the descriptors of the metrics server in addition to its connections.
+	// metricsListenerDescriptors is the number of file descriptors that the metrics server holds in addition to its
+	// connections.
 	metricsListenerDescriptors = 2
 )
 
@@ -106,7 +107,7 @@
 	LogFormat   string
 }
 
-// ParseClient parses the configuration of a client.
+// ParseClient parses the TOML configuration of an RPC client. Faults are reported with the name.
 func ParseClient(name string, text []byte) (ClientConfig, error) {
 	parsed, err := config.ReadClient(name, text)
 	if err != nil {
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -10,8 +10,8 @@
 	"pepperlead/policy"
 )
 
-// reloader reads the configuration file again at a signal. It runs in its own goroutine, because reading a file would
-// block the loop.
+// reloader reads the configuration file again at each signal (SIGHUP) and sends the new configuration to the proxy. It
+// runs in its own goroutine, because reading a file would block the loop.
 type reloader struct {
 	path    string
 	current Config
@@ -20,7 +20,7 @@
 	log     *logrus.Logger
 }
 
-// run reloads the configuration at each signal. A file with faults is logged and changes nothing.
+// run reloads the configuration at each signal. If the file is invalid, run logs its faults and sends nothing.
 func (r *reloader) run(signals <-chan os.Signal) {
 	for range signals {
 		next, err := Read(r.path, currentEnvironment)
@@ -38,8 +38,8 @@
 	}
 }
 
-// currentEnvironment returns the value of an environment variable, but none for the discovery address: the environment
-// is as old as the process, so the address in the file is newer.
+// currentEnvironment returns the value of an environment variable, but "" for the variable of the discovery address:
+// the environment dates from the start of the process, so the address in the reloaded file is newer.
 func currentEnvironment(name string) string {
 	if name == "GW_DISCOVERY" {
 		return ""
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -45,7 +45,7 @@
 	proxy      *httpproxy.Proxy
 	operations *adminOperations
 	reporter   admin.Reporter
-	closers    []func() // called at the end, in reverse order
+	closers    []func() // close calls them, the last one first
 }
 
 // Serve runs an instance until it receives SIGTERM or SIGINT. On SIGHUP it reads the configuration again from path. If
@@ -80,7 +80,7 @@
 }
 
 // limitResources sets the limits of the process and the memory for messages. The instance itself stays below its limit
-// on descriptors; the kernel enforces it if clients connect faster than they are accepted.
+// on descriptors; the kernel enforces the limit if clients connect faster than their connections are accepted.
 func limitResources(config *Config, log *logrus.Logger) {
 	runtime.GOMAXPROCS(max(minThreads, runtime.GOMAXPROCS(0)))
 	debug.SetMemoryLimit(int64(float64(config.MessageMemory) * heapMemoryShare))
@@ -189,7 +189,7 @@
 		return fmt.Errorf("pages: %w", err)
 	}
 	s.onClose(func() {
-		_ = metrics.Close() // the process ends
+		_ = metrics.Close() // an error doesn't matter: the process is about to end
 	})
 	return nil
 }
@@ -204,7 +204,7 @@
 		return fmt.Errorf("admin: cannot listen on %q: %w", address, err)
 	}
 	s.onClose(func() {
-		_ = commands.Close() // the process ends
+		_ = commands.Close() // an error doesn't matter: the process is about to end
 	})
 	return nil
 }
--- a/internal/migration/migration.go
+++ b/internal/migration/migration.go
@@ -16,7 +16,7 @@
 // maxConfigSize is the largest size of a configuration in bytes.
 const maxConfigSize = 1 << 20
 
-// Bounds on the pool.
+// Bounds on the number of sidecars in a pool and of requests that a connection may carry at once.
 const (
 	minSidecars = 1
 	maxSidecars = 1 << 16
--- a/internal/migration/toml.go
+++ b/internal/migration/toml.go
@@ -7,7 +7,7 @@
 	"pepperlead/internal/tomlfile"
 )
 
-// sourceKinds are the values of source.kind. sourceFiles and sourceFixed are indexes of it.
+// sourceKinds are the values of source.kind. sourceFiles and sourceFixed are indexes into this list.
 var sourceKinds = []string{"files", "discovery", "fixed"}
 
 // Indexes of the kinds of sources that need a note.
--- a/internal/platformsettings/settings.go
+++ b/internal/platformsettings/settings.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// weightsRough is an index of the kinds of weights in Read. Weights of the kinds up to it don't change once they
-	// are announced.
+	// weightsRough is the index of "rough" among the kinds of weights in Read. Weights of this kind and of the kinds
+	// before it don't change once they are announced.
 	weightsRough = 1
-	// listOnRequest is the index, among the modes in Read, of the one in which the endpoint list is polled.
+	// listOnRequest is the index of "on_request" among the modes in Read. In this mode the endpoint list is polled.
 	listOnRequest = 1
 )
 
@@ -85,7 +85,7 @@
 	}
 }
 
-// readIdempotency maps the platform's names, which are in the order of policy's constants.
+// readIdempotency reads how requests of a class may be repeated. The choices are in the order of policy's constants.
 func readIdempotency(values *Values, path string) policy.Idempotency {
 	return policy.Idempotency(values.OneOf(path, "retryable", "dedup", "fragile"))
 }
--- a/internal/platformsettings/values.go
+++ b/internal/platformsettings/values.go
@@ -10,7 +10,7 @@
 	"pepperlead/policy"
 )
 
-// maxSeconds is the longest duration, in seconds, that policy.Time can hold with a margin.
+// maxSeconds is the longest accepted duration, in seconds. policy.Time can hold slightly longer ones.
 const maxSeconds = 9e9
 
 // Values parses the values of flattened settings. Faults are collected in Err, so that all of them can be reported at
@@ -21,7 +21,7 @@
 	failed map[string]bool   // paths that have a fault in Err
 }
 
-// fail adds the first fault of a path to Err.
+// fail adds a fault of the path to Err, unless Err has one of that path already.
 func (v *Values) fail(path, found, allowed string) {
 	if v.failed[path] {
 		return
@@ -48,7 +48,7 @@
 	return text
 }
 
-// Float returns the finite number from 0 up under the path.
+// Float returns the number under the path, which must be finite and not negative.
 func (v *Values) Float(path string) float64 {
 	text := v.String(path)
 	number, err := strconv.ParseFloat(text, 64)
@@ -100,7 +100,7 @@
 	return 0
 }
 
-// ParseDuration parses seconds and rounds them to nanoseconds. path is named in the error.
+// ParseDuration parses a number of seconds and rounds it to nanoseconds. The error names the path.
 func ParseDuration(path, text string) (policy.Time, error) {
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(seconds) || seconds < 0 || seconds > maxSeconds {
@@ -109,7 +109,7 @@
 	return policy.Time(math.Round(seconds * 1e9)), nil
 }
 
-// ParseBool parses 1, true, 0 or false. path is named in the error.
+// ParseBool parses 1, true, 0 or false. The error names the path.
 func ParseBool(path, text string) (bool, error) {
 	switch text {
 	case "1", "true":
--- a/internal/tomlfile/document.go
+++ b/internal/tomlfile/document.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	maxFaults      = 20 // reported one by one
+	maxFaults      = 20 // number of faults shown in full; further ones are only counted
 	maxFoundLength = 48 // bytes of a value shown in a fault
 )
 
@@ -44,7 +44,7 @@
 	LastTableOffset int
 }
 
-// position is where a key is.
+// position is the file and the line in which a key is written.
 type position struct {
 	file string
 	line int
--- a/internal/tomlfile/overlay.go
+++ b/internal/tomlfile/overlay.go
@@ -57,8 +57,9 @@
 	return list[n], nil
 }
 
-// Overlay adds the keys of base that the table doesn't have, table by table. A list, also one of tables, replaces that
-// of base entirely. Faults name the file that a key is from.
+// Overlay adds to the table, and to the tables within it, the keys of base that they don't have. A list of the table,
+// including an array of tables, replaces the list under the same key of base entirely. A fault names the file in which
+// its key is written.
 func (t *Table) Overlay(base *Table) {
 	overlayValues(t.values, base.values)
 	for path, at := range base.doc.positions {
--- a/internal/tomlfile/positions.go
+++ b/internal/tomlfile/positions.go
@@ -92,7 +92,8 @@
 	return path, nil
 }
 
-// lineAt returns the line of an offset. Offsets must be passed in ascending order, except within a line.
+// lineAt returns the number of the line that contains an offset. Offsets must be passed in ascending order, except
+// within a line.
 func (s *positionScanner) lineAt(offset int) int {
 	for ; s.scanned < offset; s.scanned++ {
 		if s.text[s.scanned] == '\n' {
--- a/internal/tomlfile/values.go
+++ b/internal/tomlfile/values.go
@@ -84,7 +84,7 @@
 	return index
 }
 
-// Bool reads true or false.
+// Bool reads a boolean. It returns the fallback if the key is missing or its value is invalid.
 func (t *Table) Bool(key string, fallback bool) bool {
 	if value, ok := read[bool](t, key, "true or false"); ok {
 		return value
