--- a/cmd/pepperlead/descriptors_test.go
+++ b/cmd/pepperlead/descriptors_test.go
@@ -141,7 +141,7 @@
 			err = fmt.Errorf("%s", page)
 		}
 		if time.Now().After(end) {
-			t.Fatal(err)
+			t.Fatalf("/_servers did not show s-0 as draining and s-1 within 5 s: %v", err)
 		}
 	}
 }
--- a/cmd/pepperlead/main_test.go
+++ b/cmd/pepperlead/main_test.go
@@ -21,11 +21,11 @@
 func TestCommands(t *testing.T) {
 	var out bytes.Buffer
 	if err := run([]string{"version"}, &out); err != nil || !strings.HasPrefix(out.String(), "pepperlead ") {
-		t.Errorf("%v %q", err, out.String())
+		t.Errorf("version: error %v, unexpected output %q", err, out.String())
 	}
 	for _, args := range [][]string{{}, {"dance"}, {"check", "-config", "/nowhere"}, {"counters", "-at", "127.0.0.1:1"}} {
 		if err := run(args, &out); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%v: %v", args, err)
+			t.Errorf("arguments %v: got error %v, want one of one line", args, err)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 	var out bytes.Buffer
 	err := run([]string{"list", "check", path}, &out)
 	if err == nil || !strings.Contains(err.Error(), path+":1: whole: found nothing") {
-		t.Error(err)
+		t.Errorf("check of an unsealed list: got error %v, want a fault at its line 1", err)
 	}
 	for issue := 1; issue < 3; issue++ {
 		out.Reset()
@@ -48,20 +48,20 @@
 			t.Fatal(err)
 		}
 		if want := fmt.Sprintf("1 ready with a weight of 1, issue %d, sealed\n", issue); !strings.HasSuffix(out.String(), want) {
-			t.Errorf("%s", out.String())
+			t.Errorf("unexpected summary of the sealed list: %s", out.String())
 		}
 	}
 	out.Reset()
 	if err := run([]string{"list", "check", "--json", path}, &out); err != nil || !strings.Contains(out.String(), `"usable":true`) {
-		t.Errorf("%v %s", err, out.String())
+		t.Errorf("check of the sealed list: error %v, output %s", err, out.String())
 	}
 	sealed, _ := os.ReadFile(path)
 	os.WriteFile(path, bytes.Replace(sealed, []byte("127.0.0.1:1"), []byte("127.0.0.1:2"), 1), 0o600)
 	if err := run([]string{"list", "check", path}, &out); err == nil || !strings.Contains(err.Error(), "whole.digest") {
-		t.Error(err)
+		t.Errorf("check of a list changed after sealing: got error %v, want a fault of whole.digest", err)
 	}
 	if err := run([]string{"list", "seal", path, path}, &out); !errors.Is(err, errUsage) {
-		t.Error(err)
+		t.Errorf("seal with two files: got error %v, want errUsage", err)
 	}
 }
 
@@ -69,7 +69,7 @@
 func build(t *testing.T, program string) {
 	t.Helper()
 	if built, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
-		t.Fatalf("%v %s", err, built)
+		t.Fatalf("go build: %v: %s", err, built)
 	}
 }
 
@@ -79,7 +79,7 @@
 		{"check", "-config=../../deploy/standalone.toml"}, {"check", "--config", "../../deploy/standalone.toml"}} {
 		var out bytes.Buffer
 		if err := run(args, &out); err != nil || !strings.HasPrefix(out.String(), "can be served: 3 offerings") {
-			t.Errorf("%v: %v %s", args, err, out.String())
+			t.Errorf("arguments %v: error %v, unexpected output %s", args, err, out.String())
 		}
 	}
 }
@@ -97,7 +97,7 @@
 		c.Env = append(os.Environ(), "GW_CONFIG="+path)
 		out, err := c.CombinedOutput()
 		if err == nil || strings.Count(string(out), "\n") != 1 || !strings.HasPrefix(string(out), "pepperlead: ") {
-			t.Errorf("%q: %v %q", path, err, out)
+			t.Errorf("configuration %q: got error %v and output %q, want an error and one line", path, err, out)
 		}
 	}
 }
@@ -158,7 +158,7 @@
 		after, _ := os.ReadFile(file("new.toml"))
 		if writes := m == (migration{"--dry-run=false", "old.toml", ""}); (err == nil) != (m.fault == "") ||
 			err != nil && !strings.Contains(err.Error(), m.fault) || (string(before) != string(after)) != writes {
-			t.Errorf("%+v: %v; %q before, %q after", m, err, before, after)
+			t.Errorf("migration %+v: error %v; the target was %q before and is %q after it", m, err, before, after)
 		}
 	}
 	if remaining, _ := filepath.Glob(file(".migrate-*")); len(remaining) > 0 {
@@ -184,14 +184,14 @@
 		if status, body := get("/_health"); status == 200 {
 			break
 		} else if time.Now().After(end) {
-			t.Fatal(body)
+			t.Fatalf("the sidecar was not healthy within 10 s: %s", body)
 		}
 	}
 	for n := range 10 {
 		writeList(2, 2/float64(n+2)) // the load of the second server rises
 		for range 5 {
 			if status, body := get("/step"); status != 200 {
-				t.Errorf("%d %s", status, body)
+				t.Errorf("request to /step: status %d, body %s", status, body)
 			}
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -201,7 +201,7 @@
 		if strings.Contains(counters, "lists_refused 0\n") && strings.Contains(counters, "servers_known 2\n") && !strings.Contains(counters, "lists 1\n") {
 			break
 		} else if time.Now().After(end) {
-			t.Fatal(counters)
+			t.Fatalf("the sidecar did not follow the list within 5 s: counters %s", counters)
 		}
 	}
 }
@@ -241,7 +241,7 @@
 		c.Process.Signal(syscall.SIGTERM)
 		if err := c.Wait(); err != nil || !ready || strings.Count(log.String(), "hot restart disabled") != 1 ||
 			strings.Count(log.String(), "level=error") != 1 {
-			t.Errorf("%s: %v, ready %v, %s", tmp, err, ready, log.String())
+			t.Errorf("environment %s: exit error %v, ready %v, log %s", tmp, err, ready, log.String())
 		}
 	}
 }
--- a/internal/admin/commandserver_test.go
+++ b/internal/admin/commandserver_test.go
@@ -37,7 +37,7 @@
 	io.WriteString(c, sent)
 	answer, err := io.ReadAll(c)
 	if err != nil {
-		t.Errorf("%.40q: %v", sent, err)
+		t.Errorf("reading the answer to %.40q: %v", sent, err)
 	}
 	return string(answer)
 }
@@ -66,7 +66,7 @@
 		{"enable-server s-1 s-2\n", "ERR enable-server: found no id"}, {"\n", "ERR no such call; allowed: ready, "},
 		{"\x00\xff\n", "ERR no such call"}, {strings.Repeat("x", 20<<10) + "\n", "ERR no such call"}} {
 		if got := sendCommand(t, server, c[0]); !strings.HasPrefix(got, c[1]) || !strings.HasSuffix(got, "\n") || got[0] == 'E' && strings.Count(got, "\n") != 1 {
-			t.Errorf("%.30q: %q", c[0], got)
+			t.Errorf("unexpected answer to %.30q: %q", c[0], got)
 		}
 	}
 	if operations.drained.Load() != false {
@@ -75,6 +75,6 @@
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	if server.open > maxCommandConnections || server.waiting.Len() > server.open {
-		t.Errorf("%d open, %d of them waiting", server.open, server.waiting.Len())
+		t.Errorf("unexpected connections: %d open, %d of them waiting for a command", server.open, server.waiting.Len())
 	}
 }
--- a/internal/admin/metricsserver_test.go
+++ b/internal/admin/metricsserver_test.go
@@ -32,7 +32,7 @@
 	latency := NewLatency([]policy.Class{{Name: "step"}, {Name: "call"}})
 	latency.Observe(1, 3, 30*policy.Millisecond)
 	if n := testing.AllocsPerRun(100, func() { latency.Observe(0, 0, policy.Millisecond/2) }); n > 0 {
-		t.Errorf("%v allocations per observation", n)
+		t.Errorf("Observe made %v allocations per call, want none", n)
 	}
 	s, err := ListenMetrics("127.0.0.1:0", reporter, latency)
 	if err != nil {
@@ -49,11 +49,11 @@
 		return answer.StatusCode, string(b)
 	}
 	if status, _ := get("/_health"); status != 503 {
-		t.Errorf("health: %d", status)
+		t.Errorf("status of /_health before the reporter is ready: %d, want 503", status)
 	}
 	reporter.ready = true
 	if status, _ := get("/_health"); status != 200 {
-		t.Errorf("health: %d", status)
+		t.Errorf("status of /_health once the reporter is ready: %d, want 200", status)
 	}
 	_, page := get("/metrics")
 	for _, want := range []string{"pepperlead_tickets_total 7\n", "pepperlead_tickets_in_hand 2\n",
@@ -62,11 +62,11 @@
 		`pepperlead_answer_seconds_bucket{answer="given_up",offering="call",le="0.05"} 1`,
 		`pepperlead_answer_seconds_count{answer="honoured",offering="step"} 101`, "go_goroutines "} {
 		if !strings.Contains(page, want) {
-			t.Errorf("no %s", want)
+			t.Errorf("the page /metrics does not contain %s", want)
 		}
 	}
 	if _, page := get("/_counters"); page != "tickets 7\n" {
-		t.Error(page)
+		t.Errorf("unexpected page /_counters: %s", page)
 	}
 	// Clients that hold connections open must not take more descriptors than are reserved: further clients wait.
 	var held []net.Conn
@@ -87,12 +87,12 @@
 		}
 	}
 	if answered > MaxConnections {
-		t.Errorf("%d were answered at once", answered)
+		t.Errorf("%d connections were answered at once, more than MaxConnections", answered)
 	}
 	for _, c := range held {
 		c.Close()
 	}
 	if _, page := get("/_servers"); page != "s-1\n" {
-		t.Error(page)
+		t.Errorf("unexpected page /_servers: %s", page)
 	}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -35,12 +35,12 @@
 		!settings.FixedWeights || settings.StreamsPerConnection != 1 || config.ShutdownTime != 3*policy.Second ||
 		settings.TotalQuota != 250 || settings.ColdTime != 24*policy.Second ||
 		config.Patterns[0] != "../../deploy/servers.toml" || config.FileLimits.SettleTime != 200*policy.Millisecond {
-		t.Errorf("%+v\n%+v", config, settings)
+		t.Errorf("unexpected configuration %+v\nwith settings %+v", config, settings)
 	}
 	list, err := os.ReadFile(config.Patterns[0])
 	if f := endpointfiles.Parse("servers.toml", list); err != nil || f.Problem != "" || !f.Sealed ||
 		len(f.Entries) != 3 {
-		t.Errorf("%v %+v", err, f)
+		t.Errorf("list file of the example: error %v, unexpected contents %+v", err, f)
 	}
 }
 
@@ -91,20 +91,20 @@
 	}
 	_, err := Read("x.toml", []byte(broken))
 	if err == nil {
-		t.Fatal("accepted")
+		t.Fatal("the invalid configuration was accepted")
 	}
 	lines := strings.Split(err.Error(), "\n")
 	for _, want := range expected {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("not reported: %s", want)
+			t.Errorf("fault not reported: %s", want)
 		}
 	}
 	if len(lines) != len(expected) {
-		t.Errorf("%d faults reported of %d:\n%v", len(lines), len(expected), err)
+		t.Errorf("%d faults reported, want %d:\n%v", len(lines), len(expected), err)
 	}
 	for _, line := range lines {
 		if !strings.HasPrefix(line, "x.toml:") {
-			t.Errorf("without a position: %s", line)
+			t.Errorf("fault without the file name: %s", line)
 		}
 	}
 	for _, change := range [][2]string{
@@ -118,7 +118,7 @@
 	} {
 		if _, err := Read("x.toml", []byte(strings.Replace(valid, change[0], change[1], 1))); err == nil ||
 			!strings.HasPrefix(err.Error(), "x.toml:") {
-			t.Errorf("%s: %v", change[1], err)
+			t.Errorf("configuration with %s: got error %v, want one that starts with the file name", change[1], err)
 		}
 	}
 }
@@ -128,7 +128,7 @@
 	config, err := Read(exampleFile, []byte(strings.Replace(exampleText(t), "[limits]", peers, 1)))
 	if err != nil || config.Peers.Listen != "127.0.0.1:9003" || config.Peers.KeyFile != "../../deploy/k" ||
 		len(config.Peers.Join) != 1 {
-		t.Errorf("%v %+v", err, config)
+		t.Errorf("error %v, unexpected configuration %+v", err, config)
 	}
 	for _, change := range [][2]string{
 		{"9003\"\nc", "9000\"\nc"},
@@ -140,7 +140,7 @@
 		bad := strings.Replace(strings.Replace(exampleText(t), "[limits]", peers, 1), change[0], change[1], 1)
 		if _, err := Read("x.toml", []byte(bad)); err == nil || !strings.Contains(err.Error(), "x.toml:") ||
 			!strings.Contains(err.Error(), ", allowed ") {
-			t.Errorf("%s: %v", change[1], err)
+			t.Errorf("peers with %s: got error %v, want one with the file name and what is allowed", change[1], err)
 		}
 	}
 }
@@ -154,7 +154,7 @@
 		config, err := Read("f", text)
 		if err != nil {
 			if !strings.HasPrefix(err.Error(), "f:") {
-				t.Fatal(err)
+				t.Fatalf("error without the file name: %v", err)
 			}
 			return
 		}
@@ -163,12 +163,12 @@
 			settings.Instances < 1 ||
 			config.ShutdownTime <= 0 || config.SourceKind == Files && len(config.Patterns) == 0 ||
 			config.SourceKind == Fixed && len(config.Endpoints) == 0 {
-			t.Fatalf("%+v %+v", config, settings)
+			t.Fatalf("accepted an incomplete configuration %+v with settings %+v", config, settings)
 		}
 		for i, class := range settings.Classes {
 			if class.Target <= 0 || config.Deadlines[i] < class.Target || class.Name == "" ||
 				(class.Idempotency == policy.Keyed) != (class.Window > 0) {
-				t.Fatalf("%+v", class)
+				t.Fatalf("accepted an inconsistent class %+v", class)
 			}
 		}
 	})
--- a/internal/config/rules_test.go
+++ b/internal/config/rules_test.go
@@ -32,7 +32,7 @@
 	if err != nil || rules.Settings.Instances != 7 || rules.Settings.ColdCapacity != 0.3 || len(rules.Endpoints) != 1 ||
 		rules.Deadlines[0] != 2*policy.Second ||
 		rules.Settings.Classes[0].Window != 1500*policy.Millisecond || rules.Settings.TotalQuota != 3 {
-		t.Fatalf("%+v %v", rules, err)
+		t.Fatalf("unexpected rules %+v, error %v", rules, err)
 	}
 	for _, change := range [][2]string{
 		{"instances = 7", ""},
@@ -47,7 +47,8 @@
 		text := strings.Replace(rulesText, change[0], change[1], 1)
 		if _, err := ReadRules("v", []byte(text)); text == rulesText || err == nil ||
 			!strings.Contains(err.Error(), "v:") {
-			t.Errorf("%q for %q: %v", change[1], change[0], err)
+			t.Errorf("rules with %q instead of %q: got error %v, want one with the file name",
+				change[1], change[0], err)
 		}
 	}
 }
@@ -60,7 +61,7 @@
 	coordinator, err := ReadCoordinator("/etc/x/k.toml", []byte(text))
 	if err != nil || coordinator.Directory != "/etc/x/f" || coordinator.Listen != "10.0.0.2:4" ||
 		len(coordinator.Members) != 3 || coordinator.Lease != 1500*policy.Millisecond {
-		t.Fatalf("%+v %v", coordinator, err)
+		t.Fatalf("unexpected coordinator configuration %+v, error %v", coordinator, err)
 	}
 	for _, change := range [][2]string{
 		{`name = "k2"`, `name = "k9"`},
@@ -71,7 +72,8 @@
 	} {
 		bad := strings.Replace(text, change[0], change[1], 1)
 		if _, err := ReadCoordinator("k", []byte(bad)); bad == text || err == nil {
-			t.Errorf("%q for %q: %v", change[1], change[0], err)
+			t.Errorf("coordinator configuration with %q instead of %q: got error %v, want a fault",
+				change[1], change[0], err)
 		}
 	}
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -48,7 +48,7 @@
 		len(settings.Classes) != 2 || settings.TotalQuota != 30 || settings.StreamsPerConnection != 1 ||
 		settings.Classes[1].Deadline != 4*policy.Second || settings.Classes[0].Name != "step, first" ||
 		settings.Classes[1].Group != policy.GroupCell || !settings.FixedWeights {
-		t.Errorf("%+v\n%+v", config, settings)
+		t.Errorf("unexpected configuration %+v\nwith settings %+v", config, settings)
 	}
 }
 
@@ -56,7 +56,7 @@
 	text := strings.NewReplacer(`"rough"`, `"live"`, `"max_pushes":3`, `"max_pushes":3,"streams_per_conn":100`).Replace(platformText)
 	config, err := Read(writeConfig(t, text), func(string) string { return "" })
 	if err != nil || config.Settings.FixedWeights || config.Settings.StreamsPerConnection != 100 {
-		t.Errorf("%v %+v", err, config.Settings)
+		t.Errorf("error %v, unexpected settings %+v", err, config.Settings)
 	}
 }
 
@@ -71,11 +71,12 @@
 		path := writeConfig(t, text)
 		_, err := Read(path, noEnvironment)
 		if text == platformText || err == nil || !strings.HasPrefix(err.Error(), path+":") || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q for %q: %v", change[1], change[0], err)
+			t.Errorf("configuration with %q instead of %q: got error %v, want one line that starts with the path",
+				change[1], change[0], err)
 		}
 	}
 	if _, err := Read(filepath.Join(t.TempDir(), "none"), noEnvironment); err == nil || strings.Contains(err.Error(), "\n") {
-		t.Errorf("no file: %v", err)
+		t.Errorf("missing file: got error %v, want one line", err)
 	}
 }
 
@@ -87,17 +88,17 @@
 	path := writeConfig(t, text)
 	_, err := Read(path, func(string) string { return "" })
 	if err == nil {
-		t.Fatal("accepted")
+		t.Fatal("the invalid configuration was accepted")
 	}
 	for _, want := range []string{":1: seed: found \"xx\", allowed", ":2: limits.sockets: found 8, allowed", ":4: settings: limits.cancel: found maybe, allowed true or false",
 		":4: settings: limits.max_pushes: found nothing, allowed", ":8: settings: offerings.1.quoted_time_s: found -1, allowed",
 		":8: settings: offerings.1.cut_off_s: found soon, allowed", ":7: settings: offerings.0.idempotency: found odd, allowed retryable"} {
 		if strings.Count(err.Error(), path+want) != 1 {
-			t.Errorf("not reported exactly once: %s", want)
+			t.Errorf("fault not reported exactly once: %s", want)
 		}
 	}
 	if n := strings.Count(err.Error(), "\n") + 1; n != 7 {
-		t.Errorf("%d lines for 7 faults:\n%v", n, err)
+		t.Errorf("the error has %d lines for 7 faults:\n%v", n, err)
 	}
 }
 
@@ -147,14 +148,15 @@
 		select {
 		case line := <-logLines:
 			if step.discovery != "" || strings.Count(line, "\n") != 1 || !strings.Contains(line, "keeping the previous one") {
-				t.Errorf("for %.20q: %s", step.text, line)
+				t.Errorf("unexpected log output after reloading %.20q: %s", step.text, line)
 			}
 		case next := <-configs:
 			if next.Source.Name() != "discovery at "+step.discovery || next.MessageMemory != config.MessageMemory*messageMemoryPercent/100 {
-				t.Errorf("%s, %d bytes; want %s", next.Source.Name(), next.MessageMemory, step.discovery)
+				t.Errorf("reloaded source %s with %d bytes for messages; want discovery at %s",
+					next.Source.Name(), next.MessageMemory, step.discovery)
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatal("the configuration file was neither applied nor rejected")
+			t.Fatal("after SIGHUP the reloader neither applied nor rejected the configuration file")
 		}
 	}
 	close(signals)
@@ -175,7 +177,7 @@
 	with := strings.Replace(platformText, `"name":"n3",`, `"name":"n3","admin":"127.0.0.4:9100",`, 1)
 	plain, err := Read(writeConfig(t, platformText), func(string) string { return "" })
 	if err != nil || plain.AdminAddress != "" || plain.ReservedDescriptors != 0 || plain.hasProcessGroup() {
-		t.Errorf("%v %+v", err, plain)
+		t.Errorf("without a command server: error %v, unexpected configuration %+v", err, plain)
 	}
 	for _, c := range []struct{ text, admin, fd, wantAdmin, fault string }{
 		{with, "", "", "127.0.0.4:9100", ""}, {with, "127.0.0.5:9100", "7", "127.0.0.5:9100", ""}, {platformText, "", "7", "", ""},
@@ -186,13 +188,14 @@
 		})
 		if c.fault != "" {
 			if err == nil || !strings.Contains(err.Error(), c.fault) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%q %q: %v", c.admin, c.fd, err)
+				t.Errorf("admin address %q, inherited descriptor %q: unexpected error %v", c.admin, c.fd, err)
 			}
 			continue
 		}
 		if err != nil || config.AdminAddress != c.wantAdmin || (config.InheritedListener == 7) != (c.fd == "7") ||
 			config.ReservedDescriptors == 0 || !config.hasProcessGroup() || config.Name != "n3" {
-			t.Errorf("%q %q: %v %+v", c.admin, c.fd, err, config)
+			t.Errorf("admin address %q, inherited descriptor %q: error %v, unexpected configuration %+v",
+				c.admin, c.fd, err, config)
 		}
 	}
 }
--- a/internal/daemon/rewrite_test.go
+++ b/internal/daemon/rewrite_test.go
@@ -149,7 +149,7 @@
 	go func() { ended <- f.proxy.Run(stop, configs) }()
 	for i := 0; !f.proxy.Ready(); i++ {
 		if i > 1000 {
-			f.t.Fatal("no list")
+			f.t.Fatal("the daemon was not ready within 1000 checks, probably without an endpoint list")
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
@@ -162,7 +162,7 @@
 		clientsDone.Wait()
 		stop <- syscall.SIGTERM
 		if err := <-ended; err != nil {
-			f.t.Error(err)
+			f.t.Errorf("the proxy ended with an error: %v", err)
 		}
 	}
 }
@@ -342,27 +342,30 @@
 			got[e.UID] = e
 		}
 		if !advance(got, &written, &positions) {
-			t.Fatalf("list %d of %d is not one that was written: %v", n, len(lists), list.Entries)
+			t.Fatalf("applied list %d of %d is not made of complete files: %v", n, len(lists), list.Entries)
 		}
 	}
 	if positions[0] < len(written[0])-1 || positions[1] < len(written[1])-1 || len(lists) < 300 {
-		t.Errorf("%d lists were applied, the last of issues %v of %d and %d", len(lists), positions, len(written[0]), len(written[1]))
+		t.Errorf("%d lists applied, want 300 or more, the last with issues %v of %d and %d",
+			len(lists), positions, len(written[0]), len(written[1]))
 	}
 	if len(f.lateAttempts) > 0 {
-		t.Errorf("%d late attempts: %v", len(f.lateAttempts), f.lateAttempts[0])
+		t.Errorf("%d attempts reached a drained server too late; the first: %v", len(f.lateAttempts), f.lateAttempts[0])
 	}
 	if f.lost.Load() > 0 || f.requests.Load() < 2000 ||
 		f.results[0].Load()+f.results[1].Load()+f.results[2].Load() != f.requests.Load() {
-		t.Errorf("%d requests, %d lost", f.requests.Load(), f.lost.Load())
+		t.Errorf("%d requests were sent, %d of them were lost", f.requests.Load(), f.lost.Load())
 	}
 	// Servers queue up to 64 requests and work 1 ms on each, so nearly all must succeed.
 	if bad := f.results[1].Load() + f.results[2].Load(); bad*100 > f.requests.Load() {
-		t.Errorf("of %d requests %d were rejected and %d failed", f.requests.Load(), f.results[1].Load(), f.results[2].Load())
+		t.Errorf("of %d requests %d were rejected and %d failed",
+			f.requests.Load(), f.results[1].Load(), f.results[2].Load())
 	}
 	if c := f.proxy.Counters; c.ListsRefused == 0 || c.Reconfigurations == 0 || broken < 300 {
-		t.Errorf("too few incomplete files, refused lists or reloads: %v, %d refused", kinds, c.ListsRefused)
+		t.Errorf("too few incomplete files, reloads or refused lists: steps by kind %v, %d refused",
+			kinds, c.ListsRefused)
 	}
-	t.Logf("%v: %d lists applied, %d refused, %d requests, %d rejected, %d failed", kinds, len(lists),
+	t.Logf("steps by kind %v: %d lists applied, %d refused, %d requests, %d rejected, %d failed", kinds, len(lists),
 		f.proxy.Counters.ListsRefused, f.requests.Load(), f.results[1].Load(), f.results[2].Load())
 }
 
--- a/internal/daemon/seed_test.go
+++ b/internal/daemon/seed_test.go
@@ -33,10 +33,10 @@
 		}
 		again, err := parseProduct("x.toml", text)
 		if err != nil || again.Seed != config.Seed {
-			t.Errorf("%s: seed %x, then %x (%v)", listen, config.Seed, again.Seed, err)
+			t.Errorf("instance at %s: seed %x, after a restart %x (error %v)", listen, config.Seed, again.Seed, err)
 		}
 		if other, exists := seeds[config.Seed]; exists {
-			t.Errorf("%s and %s have the same seed", listen, other)
+			t.Errorf("instances at %s and %s have the same seed", listen, other)
 		}
 		seeds[config.Seed] = listen
 	}
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -43,7 +43,7 @@
 	url := regexp.MustCompile(`curl -i (http://\S+)`)
 	for i := 0; !url.MatchString(out.String()); i++ {
 		if i > 500 {
-			t.Fatal(out.String())
+			t.Fatalf("the demo did not print its address: %s", out.String())
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -60,9 +60,9 @@
 	cancel()
 	if err := <-ended; err != nil || succeeded < 18 || !strings.Contains(out.String(), "    tickets 20\n") ||
 		!strings.Contains(out.String(), "    s-3: ") {
-		t.Errorf("%v, %d succeeded: %s", err, succeeded, out.String())
+		t.Errorf("demo ended with error %v; %d of 20 requests succeeded; output: %s", err, succeeded, out.String())
 	}
 	if err := Run(ctx, Options{Servers: 0}, log, &out); err == nil || !strings.Contains(err.Error(), "allowed 1 to 200") {
-		t.Error(err)
+		t.Errorf("demo without servers: got error %v, want the allowed number", err)
 	}
 }
--- a/internal/migration/migration_test.go
+++ b/internal/migration/migration_test.go
@@ -44,26 +44,27 @@
 		newSettings := *after.Settings
 		if newSettings.FixedWeights || newSettings.StreamsPerConnection != 100 || newSettings.Instances != 12 ||
 			after.Listen != pool.Listen || len(result.Changed) != 4 || len(result.Unconverted) < 3 {
-			t.Errorf("%s: %+v\n%q\n%q", name, newSettings, result.Changed, result.Unconverted)
+			t.Errorf("%s: unexpected new settings %+v\nor notes of changed keys %q\nand unconverted keys %q",
+				name, newSettings, result.Changed, result.Unconverted)
 		}
 		oldSettings := *before.Settings
 		if newSettings.Classes[0] != oldSettings.Classes[0] || len(newSettings.Classes) != len(oldSettings.Classes) ||
 			newSettings.TotalQuota != oldSettings.TotalQuota || newSettings.ColdTime != oldSettings.ColdTime ||
 			newSettings.MaxRetryAfter != oldSettings.MaxRetryAfter || newSettings.Zones != oldSettings.Zones ||
 			after.ShutdownTime != before.ShutdownTime || after.Descriptors != before.Descriptors {
-			t.Errorf("%s: something else has changed:\n%s", name, result.Text)
+			t.Errorf("%s: a value that must stay has changed:\n%s", name, result.Text)
 		}
 		unconverted := strings.Join(result.Unconverted, "\n")
 		for _, key := range map[string][]string{"old.toml": {"instance.seed", "state.folder"}, "old.json": {"seed", "known"}}[name] {
 			if !strings.Contains(unconverted, key+": ") {
-				t.Errorf("%s: %s is not noted:\n%s", name, key, unconverted)
+				t.Errorf("%s: %s is not noted as unconverted:\n%s", name, key, unconverted)
 			}
 		}
 		if strings.Contains(string(result.Text), "8c1f30d27a5be964") || strings.Contains(string(result.Text), "\nseed") {
 			t.Errorf("%s: the seed was kept", name)
 		}
 		if _, err := Convert(name, result.Text, pool); err == nil || !strings.Contains(err.Error(), "for a pool already") {
-			t.Errorf("%s: converted twice: %v", name, err)
+			t.Errorf("%s: converting the result again: got error %v, want \"for a pool already\"", name, err)
 		}
 	}
 }
@@ -84,17 +85,17 @@
 		m, err := Convert(c.name, []byte(c.in), pool)
 		if c.want == "" {
 			if err != nil {
-				t.Error(err)
+				t.Errorf("valid configuration %s: %v", c.name, err)
 			}
 			continue
 		}
 		if err == nil || !strings.HasPrefix(err.Error(), c.want) || m.Text != nil {
-			t.Errorf("want %q, got %v", c.want, err)
+			t.Errorf("got error %v, want one that starts with %q, and no text", err, c.want)
 		}
 	}
 	for _, invalid := range []Pool{{Listen: "here", Sidecars: 1, Streams: 2}, {Listen: pool.Listen, Streams: 2}, {Listen: pool.Listen, Sidecars: 1, Streams: 1}} {
 		if _, err := Convert("a.toml", []byte(valid), invalid); err == nil {
-			t.Errorf("%+v was accepted", invalid)
+			t.Errorf("the invalid pool %+v was accepted", invalid)
 		}
 	}
 }
--- a/internal/platformsettings/settings_test.go
+++ b/internal/platformsettings/settings_test.go
@@ -29,15 +29,15 @@
 	if settings.Instances != 3 || settings.Zones != 2 || !settings.FixedWeights || settings.PollList ||
 		!settings.MayCancel || settings.MaxAttempts != 1 || settings.StreamsPerConnection != 1 ||
 		settings.MaxRetryAfter != 0 || settings.Tick != 5*policy.Millisecond {
-		t.Errorf("%+v", settings)
+		t.Errorf("unexpected settings %+v", settings)
 	}
 	class := settings.Classes[0]
 	if class.Idempotency != policy.Keyed || class.Group != policy.GroupCell || class.Window != 1500*policy.Millisecond ||
 		class.Deadline != 2*policy.Second {
-		t.Errorf("%+v", class)
+		t.Errorf("unexpected class %+v", class)
 	}
 	if tenant := settings.Tenants[0]; tenant.Quota != 5 || settings.TotalQuota != 5 || settings.OverQuotaValue != 0.25 {
-		t.Errorf("%+v", tenant)
+		t.Errorf("unexpected tenant %+v, total quota or over-quota value", tenant)
 	}
 }
 
@@ -59,6 +59,6 @@
 		"offerings.0.credit: found -1, allowed a number from 0 up",
 	}, "\n")
 	if err == nil || err.Error() != want {
-		t.Errorf("found\n%v\nwant\n%s", err, want)
+		t.Errorf("got faults\n%v\nwant\n%s", err, want)
 	}
 }
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -25,16 +25,16 @@
 	endpoints := root.Tables("endpoint")
 	if root.String("name", "") != "a" || limits.Duration("connect", 0, 0, policy.Second) != 200*policy.Millisecond ||
 		limits.Float("share", 0, 0, 5) != 2 || len(endpoints) != 2 || endpoints[1].String("id", "") != "y" {
-		t.Errorf("%+v", root)
+		t.Errorf("unexpected values in the root table %+v", root)
 	}
 	if root.Line("name") != 1 || limits.Line("share") != 5 || endpoints[1].Line("id") != 10 || limits.Line("none") != 3 {
-		t.Errorf("%+v", doc.positions)
+		t.Errorf("unexpected lines of keys: positions %+v", doc.positions)
 	}
 	if doc.LastTable != "endpoint[1]" || document[doc.LastTableOffset:] != "[[endpoint]]\nid = \"y\"\n" {
-		t.Errorf("last table %s at %d", doc.LastTable, doc.LastTableOffset)
+		t.Errorf("unexpected last table %s at offset %d", doc.LastTable, doc.LastTableOffset)
 	}
 	if err := doc.Err(); err != nil {
-		t.Error(err)
+		t.Errorf("unexpected faults: %v", err)
 	}
 }
 
@@ -50,7 +50,7 @@
 f:5: limits.share: found 2, allowed a whole number from 5 to 9
 f:7: endpoint[0].address: found nothing, allowed a value: it must be given`
 	if err := doc.Err(); err == nil || err.Error() != want {
-		t.Errorf("found\n%v\nwant\n%s", err, want)
+		t.Errorf("got faults\n%v\nwant\n%s", err, want)
 	}
 }
 
@@ -64,7 +64,7 @@
 	} {
 		doc, root := Parse("f", []byte(text), 64)
 		if err := doc.Err(); err == nil || !strings.HasPrefix(err.Error(), want) || len(root.values) != 0 {
-			t.Errorf("%q: found %v, want %s", text, err, want)
+			t.Errorf("document %q: got error %v, want %s, and an empty root table", text, err, want)
 		}
 	}
 }
@@ -75,14 +75,15 @@
 	root.Overlay(baseRoot)
 	limits := root.Table("limits")
 	if limits.Float("share", 0, 0, 9) != 7 || limits.String("connect", "") != "200ms" || len(root.Tables("endpoint")) != 2 {
-		t.Errorf("%+v", root.values)
+		t.Errorf("unexpected values after Overlay: %+v", root.values)
 	}
 	limits.Fault("connect", "a", "b")
 	if err := top.Err(); err == nil || !strings.HasPrefix(err.Error(), "base:4: ") || base.Err() != nil {
-		t.Errorf("%v, %v", err, base.Err())
+		t.Errorf("faults of the overlaid document %v, want one at base:4; faults of base %v, want none",
+			err, base.Err())
 	}
 	if err := root.Set("endpoint[1].id", "z"); err != nil || root.Tables("endpoint")[1].String("id", "") != "z" {
-		t.Errorf("%v, %+v", err, root.values)
+		t.Errorf("Set returned error %v, unexpected values %+v", err, root.values)
 	}
 	for path, want := range map[string]string{
 		"limits":         "limits: found a table, allowed a value",
@@ -92,7 +93,7 @@
 		"none.x":         "none.x: there is no none",
 	} {
 		if err := root.Set(path, 1); err == nil || err.Error() != want {
-			t.Errorf("%s: found %v, want %s", path, err, want)
+			t.Errorf("Set of path %s: got error %v, want %s", path, err, want)
 		}
 	}
 }
