--- a/cmd/pepperlead/list.go
+++ b/cmd/pepperlead/list.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	maxIssue   = 1 << 53 // the largest that JSON numbers hold exactly
+	maxIssue   = 1 << 53 // JSON numbers hold integers exactly up to this one
 	maxRemoved = 1 << 20
 )
 
@@ -32,7 +32,7 @@
 	return c
 }
 
-// fileSummary is a summary of a list file.
+// fileSummary is what the commands list check and list seal print about one list file.
 type fileSummary struct {
 	File    string              `json:"file"`
 	Problem string              `json:"problem,omitempty"`
@@ -152,7 +152,7 @@
 			"source.may_take_away allows")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		if *issue < 0 || *issue > maxIssue || *removes < 0 || *removes > maxRemoved {
-			return fmt.Errorf("issue and takes-away: found %d and %d, allowed from 0 up; %w",
+			return fmt.Errorf("--issue and --takes-away: found %d and %d, allowed numbers from 0 up; %w",
 				*issue, *removes, errUsage)
 		}
 		file, err := sealList(args[0], endpointfiles.Issue(*issue), *removes)
--- a/cmd/pepperlead/versions.go
+++ b/cmd/pepperlead/versions.go
@@ -19,7 +19,7 @@
 	defaultWait        = 30 * time.Second
 	waitPollInterval   = 50 * time.Millisecond
 
-	// latestRevision is the value of --on for the latest revision.
+	// latestRevision is the value of --on that means the latest revision of the cluster, whatever its number is.
 	latestRevision = -1
 )
 
@@ -160,7 +160,7 @@
 
 // proposal is a revision to be proposed.
 type proposal struct {
-	last       int64  // the latest revision that its author knows, or latestRevision
+	last       int64  // number of the latest revision that its author knows, or latestRevision
 	rollbackTo string // number of an earlier revision; empty: the text is new
 	text       []byte
 	author     string
@@ -179,7 +179,7 @@
 	return query
 }
 
-// propose proposes a revision and waits until it alone is in force.
+// propose proposes a revision and waits until it alone is in force, but not longer than wait.
 func propose(out io.Writer, client coordinatorClient, p proposal, wait time.Duration) error {
 	known, err := client.revisions()
 	if err != nil {
@@ -201,7 +201,8 @@
 	return waitInForce(out, client, number, wait)
 }
 
-// waitInForce waits until a revision alone is in force.
+// waitInForce waits until a revision alone is in force. It returns an error if the revision is withdrawn meanwhile, or
+// not in force alone after wait.
 func waitInForce(out io.Writer, client coordinatorClient, number uint64, wait time.Duration) error {
 	deadline := time.Now().Add(wait)
 	for ; time.Now().Before(deadline); time.Sleep(waitPollInterval) {
--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -29,7 +29,7 @@
 // definitions maps each name to the line on which it was last defined.
 type definitions map[string]int
 
-// define notes the name of a table, and reports a fault if another table has the same name.
+// define stores the name of a table, and reports a fault if another table has the same name.
 func (d definitions) define(t *tomlfile.Table, name string) {
 	if line, defined := d[name]; defined && name != "" {
 		t.Fault("name", t.Found("name"), fmt.Sprintf("a unique name: line %d has the same", line))
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -32,7 +32,7 @@
 	Anonymous      bool   // requests without an ID are accepted
 	AdminAddress   string // of the command server; empty: none
 	MetricsAddress string // of the metrics server; empty: none
-	Descriptors    int
+	Descriptors    int    // limit on open file descriptors
 	MemoryMB       int
 	ConnectTimeout policy.Time
 	SourceIP       net.IP // source address of outgoing connections; nil: the kernel chooses
--- a/internal/config/coordinator.go
+++ b/internal/config/coordinator.go
@@ -11,7 +11,7 @@
 // CoordinatorConfig is the configuration of a coordinator.
 type CoordinatorConfig struct {
 	Name      string
-	Directory string
+	Directory string // where the coordinator stores its state
 	Listen    string // address for the other coordinators; default: the RaftAddress of this coordinator in Members
 	Members   []Coordinator
 	Lease     policy.Time
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -7,7 +7,7 @@
 	"pepperlead/internal/golden"
 )
 
-// readFunc parses a text as one of the kinds of documents of this package.
+// readFunc parses a text as a document of one kind: an instance's configuration, a client's, a coordinator's or rules.
 type readFunc func(path string, text []byte) (any, error)
 
 // The values parsed from the documents of the repository, and from test documents with each key, must be those of the
--- a/internal/config/instance.go
+++ b/internal/config/instance.go
@@ -34,7 +34,7 @@
 	t.RejectUnknown()
 }
 
-// readInstances reads the number of instances that share budgets.
+// readInstances reads the number of instances of the fleet, among which budgets are divided.
 func readInstances(t *tomlfile.Table) int { return int(t.Count("instances", 1, 1, 1<<16)) }
 
 // readLimits reads resource limits and timeouts.
@@ -62,7 +62,7 @@
 // defaultTick is the default of the policy's time step.
 const defaultTick = 5 * policy.Millisecond
 
-// readColdStart reads how endpoints warm up after their start, and how they behave under overload.
+// readColdStart reads how endpoints warm up after their start, and which multiple of their capacity they can take.
 func readColdStart(t *tomlfile.Table, settings *policy.Settings) {
 	settings.ColdCapacity = t.Float("share", 0.2, 0.001, 1)
 	settings.ColdTime = t.Duration("time", 24*policy.Second, 0, 3600*policy.Second)
--- a/internal/config/source.go
+++ b/internal/config/source.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// checkEndpoints reports duplicates among the endpoints that a table lists. name is the name of the list in the fault.
+// checkEndpoints reports a fault if endpoints that a table lists are duplicates. The fault calls the list by the name.
 func checkEndpoints(t *tomlfile.Table, name string, endpoints []endpointfiles.Entry) {
 	problem := endpointfiles.Join([]endpointfiles.File{{Name: name, Entries: endpoints}})
 	if problem != "" {
--- a/internal/daemon/jsonlines.go
+++ b/internal/daemon/jsonlines.go
@@ -50,7 +50,7 @@
 	return err
 }
 
-// scanValue scans the value at a path and notes its line.
+// scanValue scans the value at a path and stores the number of its line.
 func (s *lineScanner) scanValue(path string) error {
 	token, err := s.decoder.Token()
 	if err != nil {
--- a/internal/daemon/logger.go
+++ b/internal/daemon/logger.go
@@ -22,7 +22,7 @@
 	case "json":
 		log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano})
 	default:
-		return nil, fmt.Errorf("log format: found %q, allowed text, json", format)
+		return nil, fmt.Errorf("log format: found %q, allowed text or json", format)
 	}
 	var err error
 	log.Level, err = logrus.ParseLevel(level)
--- a/internal/daemon/rewrite_test.go
+++ b/internal/daemon/rewrite_test.go
@@ -29,7 +29,7 @@
 // localIP is a loopback address derived from the process id, so that concurrent runs don't reuse each other's ports.
 var localIP = fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()>>14%64, os.Getpid()>>7%128, 1+os.Getpid()%128)
 
-// recordingSource passes lists on and records them.
+// recordingSource records each endpoint list that its Source reports.
 type recordingSource struct {
 	discovery.Source
 	mu    sync.Mutex
@@ -47,7 +47,8 @@
 	})
 }
 
-// fleet is a daemon whose source is list files, with its fake backends and clients that send requests all the time.
+// fleet is a daemon that reads its endpoint list from list files, with fake backends, and with clients that send
+// requests without a pause.
 type fleet struct {
 	t            *testing.T
 	dir          string
@@ -56,7 +57,7 @@
 	source       *recordingSource
 	servers      []*fakebackend.Server
 	mu           sync.Mutex
-	drainedSince map[int]time.Time // when a complete file was written that drains the server
+	drainedSince map[int]time.Time // time at which a complete file that drains the server was written
 	lateAttempts []string          // requests that a server received too long after it was drained
 	requests     atomic.Int64
 	results      [3]atomic.Int64 // succeeded, rejected, failed
@@ -251,7 +252,7 @@
 			drains[file][s] = !drains[file][s]
 			f.mu.Lock()
 			if !drains[file][s] {
-				delete(f.drainedSince, s) // before the daemon can read it
+				delete(f.drainedSince, s) // before the daemon can read the new list
 			}
 			f.mu.Unlock()
 		}
@@ -389,8 +390,8 @@
 	f.Write(start)
 }
 
-// advance reports whether a list consists of written contents of both files, none before the given positions. If so, it
-// advances the positions to these contents.
+// advance reports whether a list consists of contents that were written to the two files, each not earlier than at its
+// position. If so, it advances the positions to these contents.
 func advance(got listContents, written *[2][]listContents, positions *[2]int) bool {
 	for a := positions[0]; a < len(written[0]); a++ {
 		for b := positions[1]; b < len(written[1]); b++ {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -26,17 +26,18 @@
 	Listen   string // address of the sidecar; port 0: any free port
 	Servers  int    // number of fake endpoints
 	Seed     uint64
-	Duration time.Duration // 0: until the context ends
+	Duration time.Duration // 0: the demo runs until the context ends
 }
 
 const (
-	maxServers    = 200 // fake endpoints
+	maxServers    = 200 // limit on the number of fake endpoints
 	descriptors   = 512
 	messageMemory = 32 << 20         // bytes
-	readyInterval = time.Millisecond // between checks whether the sidecar is ready
+	readyInterval = time.Millisecond // time between checks whether the sidecar is ready
 )
 
-// faultRate is the rate of each kind of fault at the endpoints. There are some so that the counters show retries.
+// faultRate is the share of requests that each kind of fault affects at the endpoints. It is above 0 so that the
+// counters show retries.
 const faultRate = 0.01
 
 // classes are the classes of the demo, the same as in deploy/standalone.toml.
--- a/internal/migration/tomleditor.go
+++ b/internal/migration/tomleditor.go
@@ -95,7 +95,7 @@
 	index := table.Line(key) - 1
 	found, ok := parseEntry(e.lines[index])
 	if !ok || found.key != key {
-		table.Fault(key, table.Found(key), "a line of its own under a table header, as "+key+" = "+value)
+		table.Fault(key, table.Found(key), "a line of its own under a table header, such as "+key+" = "+value)
 		return
 	}
 	if found.value == value {
--- a/internal/tomlfile/positions.go
+++ b/internal/tomlfile/positions.go
@@ -20,13 +20,13 @@
 	doc         *Document
 	text        []byte
 	parser      unstable.Parser
-	arrayLength map[string]int // tables so far in each array of tables, by its path
+	arrayLength map[string]int // number of tables scanned so far in each array of tables, by its path
 	scanned     int            // offset up to which lines are counted
 	line        int            // the line at that offset
 }
 
-// scanPositions notes the positions of all keys. It adds a fault and returns false if the document is too deep. Syntax
-// errors are left to the TOML decoder, which describes them better.
+// scanPositions stores the positions of all keys in the document. It adds a fault and returns false if the document
+// exceeds maxDepth. Syntax errors are left to the TOML decoder, which describes them better.
 func (d *Document) scanPositions(text []byte) bool {
 	s := positionScanner{doc: d, text: text, arrayLength: map[string]int{}, line: 1}
 	s.parser.Reset(text)
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// header notes the position of a table header and returns the table's path.
+// header stores the position of a table header in the document and returns the table's path.
 func (s *positionScanner) header(expression *unstable.Node) (string, error) {
 	path, err := s.path("", expression.Key(), expression.Kind == unstable.ArrayTable)
 	if first := expression.Child(); first != nil {
@@ -70,8 +70,8 @@
 	return path, err
 }
 
-// path notes the position of each part of a dotted key within a table and returns the full path. isArray is set if the
-// key is the header of the next table of an array.
+// path stores the position of each part of a dotted key within a table and returns the key's full path. isArray is set
+// if the key is the header of the next table of an array.
 func (s *positionScanner) path(table string, keys unstable.Iterator, isArray bool) (string, error) {
 	path := table
 	for parts := 1; keys.Next(); parts++ {
--- a/internal/tomlfile/table.go
+++ b/internal/tomlfile/table.go
@@ -12,7 +12,7 @@
 	path     string
 	position position
 	values   map[string]any // nil if the table isn't in the document
-	known    []string       // keys that were read, in the order of reading
+	known    []string       // keys that the program has read or looked for, in that order
 }
 
 // Table returns the table under a key; it is empty if there is none.
--- a/internal/tomlfile/values.go
+++ b/internal/tomlfile/values.go
@@ -142,7 +142,7 @@
 
 // Timestamp reads a date with time and zone and returns its Unix time in nanoseconds, or 0 if there is none.
 func (t *Table) Timestamp(key string) policy.Time {
-	const allowed = "a date, time and zone as 2026-12-01T08:00:00Z, from 1970 on"
+	const allowed = "a date, time and zone such as 2026-12-01T08:00:00Z, from 1970 on"
 	value, ok := read[time.Time](t, key, allowed)
 	if !ok {
 		return 0
