--- a/internal/daemon/rewrite_test.go
+++ b/internal/daemon/rewrite_test.go
@@ -47,8 +47,7 @@
 	})
 }
 
-// fleet is a daemon that reads its endpoint list from list files, with fake backends, and with clients that send
-// requests without a pause.
+// fleet is a daemon that reads list files, with fake backends and clients that send requests without a pause.
 type fleet struct {
 	t            *testing.T
 	dir          string
@@ -359,8 +358,7 @@
 	}
 	// Servers queue up to 64 requests and work 1 ms on each, so nearly all must succeed.
 	if bad := f.results[1].Load() + f.results[2].Load(); bad*100 > f.requests.Load() {
-		t.Errorf("of %d requests %d were rejected and %d failed",
-			f.requests.Load(), f.results[1].Load(), f.results[2].Load())
+		t.Errorf("of %d requests %d were rejected and %d failed", f.requests.Load(), f.results[1].Load(), f.results[2].Load())
 	}
 	if c := f.proxy.Counters; c.ListsRefused == 0 || c.Reconfigurations == 0 || broken < 300 {
 		t.Errorf("too few incomplete files, reloads or refused lists: steps by kind %v, %d refused",
