--- a/internal/daemon/rewrite_test.go
+++ b/internal/daemon/rewrite_test.go
@@ -29,7 +29,7 @@
 // localIP is a loopback address derived from the process id, so that concurrent runs don't reuse each other's ports.
 var localIP = fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()>>14%64, os.Getpid()>>7%128, 1+os.Getpid()%128)
 
-// recordingSource passes lists on and records them.
+// recordingSource records each endpoint list that its Source reports.
 type recordingSource struct {
 	discovery.Source
 	mu    sync.Mutex
@@ -47,7 +47,7 @@
 	})
 }
 
-// fleet is a daemon whose source is list files, with its fake backends and clients that send requests all the time.
+// fleet is a daemon that reads list files, with fake backends and clients that send requests without a pause.
 type fleet struct {
 	t            *testing.T
 	dir          string
@@ -56,7 +56,7 @@
 	source       *recordingSource
 	servers      []*fakebackend.Server
 	mu           sync.Mutex
-	drainedSince map[int]time.Time // when a complete file was written that drains the server
+	drainedSince map[int]time.Time // time at which a complete file that drains the server was written
 	lateAttempts []string          // requests that a server received too long after it was drained
 	requests     atomic.Int64
 	results      [3]atomic.Int64 // succeeded, rejected, failed
@@ -149,7 +149,7 @@
 	go func() { ended <- f.proxy.Run(stop, configs) }()
 	for i := 0; !f.proxy.Ready(); i++ {
 		if i > 1000 {
-			f.t.Fatal("no list")
+			f.t.Fatal("the daemon was not ready within 1000 checks, probably without an endpoint list")
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
@@ -162,7 +162,7 @@
 		clientsDone.Wait()
 		stop <- syscall.SIGTERM
 		if err := <-ended; err != nil {
-			f.t.Error(err)
+			f.t.Errorf("the proxy ended with an error: %v", err)
 		}
 	}
 }
@@ -251,7 +251,7 @@
 			drains[file][s] = !drains[file][s]
 			f.mu.Lock()
 			if !drains[file][s] {
-				delete(f.drainedSince, s) // before the daemon can read it
+				delete(f.drainedSince, s) // before the daemon can read the new list
 			}
 			f.mu.Unlock()
 		}
@@ -342,27 +342,29 @@
 			got[e.UID] = e
 		}
 		if !advance(got, &written, &positions) {
-			t.Fatalf("list %d of %d is not one that was written: %v", n, len(lists), list.Entries)
+			t.Fatalf("applied list %d of %d is not made of complete files: %v", n, len(lists), list.Entries)
 		}
 	}
 	if positions[0] < len(written[0])-1 || positions[1] < len(written[1])-1 || len(lists) < 300 {
-		t.Errorf("%d lists were applied, the last of issues %v of %d and %d", len(lists), positions, len(written[0]), len(written[1]))
+		t.Errorf("%d lists applied, want 300 or more, the last with issues %v of %d and %d",
+			len(lists), positions, len(written[0]), len(written[1]))
 	}
 	if len(f.lateAttempts) > 0 {
-		t.Errorf("%d late attempts: %v", len(f.lateAttempts), f.lateAttempts[0])
+		t.Errorf("%d attempts reached a drained server too late; the first: %v", len(f.lateAttempts), f.lateAttempts[0])
 	}
 	if f.lost.Load() > 0 || f.requests.Load() < 2000 ||
 		f.results[0].Load()+f.results[1].Load()+f.results[2].Load() != f.requests.Load() {
-		t.Errorf("%d requests, %d lost", f.requests.Load(), f.lost.Load())
+		t.Errorf("%d requests were sent, %d of them were lost", f.requests.Load(), f.lost.Load())
 	}
 	// Servers queue up to 64 requests and work 1 ms on each, so nearly all must succeed.
 	if bad := f.results[1].Load() + f.results[2].Load(); bad*100 > f.requests.Load() {
 		t.Errorf("of %d requests %d were rejected and %d failed", f.requests.Load(), f.results[1].Load(), f.results[2].Load())
 	}
 	if c := f.proxy.Counters; c.ListsRefused == 0 || c.Reconfigurations == 0 || broken < 300 {
-		t.Errorf("too few incomplete files, refused lists or reloads: %v, %d refused", kinds, c.ListsRefused)
+		t.Errorf("too few incomplete files, reloads or refused lists: steps by kind %v, %d refused",
+			kinds, c.ListsRefused)
 	}
-	t.Logf("%v: %d lists applied, %d refused, %d requests, %d rejected, %d failed", kinds, len(lists),
+	t.Logf("steps by kind %v: %d lists applied, %d refused, %d requests, %d rejected, %d failed", kinds, len(lists),
 		f.proxy.Counters.ListsRefused, f.requests.Load(), f.results[1].Load(), f.results[2].Load())
 }
 
@@ -386,8 +388,8 @@
 	f.Write(start)
 }
 
-// advance reports whether a list consists of written contents of both files, none before the given positions. If so, it
-// advances the positions to these contents.
+// advance reports whether a list consists of contents that were written to the two files, each not earlier than at its
+// position. If so, it advances the positions to these contents.
 func advance(got listContents, written *[2][]listContents, positions *[2]int) bool {
 	for a := positions[0]; a < len(written[0]); a++ {
 		for b := positions[1]; b < len(written[1]); b++ {
--- a/internal/tomlfile/values.go
+++ b/internal/tomlfile/values.go
@@ -84,7 +84,7 @@
 	return index
 }
 
-// Bool reads true or false.
+// Bool reads a boolean. It returns the fallback if the key is missing or its value is invalid.
 func (t *Table) Bool(key string, fallback bool) bool {
 	if value, ok := read[bool](t, key, "true or false"); ok {
 		return value
@@ -142,7 +142,7 @@
 
 // Timestamp reads a date with time and zone and returns its Unix time in nanoseconds, or 0 if there is none.
 func (t *Table) Timestamp(key string) policy.Time {
-	const allowed = "a date, time and zone as 2026-12-01T08:00:00Z, from 1970 on"
+	const allowed = "a date, time and zone such as 2026-12-01T08:00:00Z, from 1970 on"
 	value, ok := read[time.Time](t, key, allowed)
 	if !ok {
 		return 0
