--- a/cmd/pepperlead-sim/cost.go
+++ b/cmd/pepperlead-sim/cost.go
@@ -96,7 +96,7 @@
 // subjectStarter creates the subjects of a benchmark, which are the programs that it measures side by side.
 type subjectStarter struct {
 	ctx       context.Context
-	directory string // for the daemons' configurations
+	directory string // where the daemons' configurations are written
 	self      string // path of this program
 }
 
--- a/cmd/pepperlead-sim/drillplay.go
+++ b/cmd/pepperlead-sim/drillplay.go
@@ -167,7 +167,7 @@
 		verdict = "FAILED"
 	}
 	v := r.Verdict
-	printf(out, "%s, seed %d: %s; contradiction %v (allowed %v), %d rule violations, %d attempts (%d "+
+	printf(out, "%s, seed %d: %s; longest contradiction %v (allowed %v), %d rule violations, %d attempts (%d "+
 		"without a lease), %d repeated effects\n",
 		r.Drill, r.Seed, verdict, v.Contradiction, script.AgreeWithin, v.Broken, v.Attempts, v.Unleased, v.Repeats)
 	printf(out, "  clients: %d requests, %d succeeded, %d rejected, %d failed, %d lost with their sidecar; "+
@@ -177,14 +177,14 @@
 		printApplied(out, a)
 	}
 	printf(out, "  all had the same lease %.1f s after the faults were healed; in total, sidecars had no lease for "+
-		"%.1f s and took another one for gone %.0f times; "+
+		"%.1f s and counted another one as left or dead %.0f times; "+
 		"one sidecar: %.1f packets and %.0f bytes per second, %.4f of a core\n",
 		r.Converged, r.Unleased, r.Departures, r.Packets, r.Bytes, r.CPU)
-	printf(out, "  the fault proxy itself added %.1f ms (99%%); clock readings were up to %.0f ms late; %.0f%% of the "+
-		"machine was in use\n",
+	printf(out, "  the fault proxy itself added %.1f ms (99th percentile); clock readings were up to %.0f ms late; "+
+		"%.0f%% of the machine was in use\n",
 		r.ProxyOverhead*1000, r.ClockLateness*1000, r.Busy*100)
 	if r.Tables > 0 {
-		printf(out, "  %d different slot tables at the end\n", r.Tables)
+		printf(out, "  the sidecars had %d different slot tables at the end\n", r.Tables)
 	}
 	if v.Between != "" {
 		printf(out, "  %s\n", v.Between)
@@ -193,7 +193,7 @@
 		printf(out, "  %s\n", fault)
 	}
 	if r.Void {
-		printf(out, "  void: the machine stalled for longer than a lease\n")
+		printf(out, "  this result is void: the machine stalled for longer than a lease\n")
 	}
 }
 
--- a/cmd/pepperlead-sim/lists.go
+++ b/cmd/pepperlead-sim/lists.go
@@ -34,7 +34,8 @@
 			if !*asJSON {
 				printf(
 					c.OutOrStdout(),
-					"%6d endpoints, %8d bytes: parse %v, evaluate %v, apply on the loop %v, the same list again %v\n",
+					"%6d endpoints, %8d bytes: parse %v, evaluate %v, apply on the loop %v, "+
+						"apply the same list again %v\n",
 					cost.Endpoints,
 					cost.Bytes,
 					cost.Parse,
@@ -106,7 +107,8 @@
 				return err
 			}
 			slices.Sort(delays)
-			printf(c.OutOrStdout(), "sealed %-5v: %d changes, median %v, 90%% %v, maximum %v\n", sealed, len(delays),
+			printf(c.OutOrStdout(), "sealed %-5v: %d changes, median %v, 90th percentile %v, maximum %v\n",
+				sealed, len(delays),
 				delays[len(delays)/2], delays[len(delays)*9/10], delays[len(delays)-1])
 		}
 		return nil
@@ -162,8 +164,8 @@
 	return c
 }
 
-// measureMemory returns the memory, in KiB, of a daemon with a list of the given number of endpoints, of which the
-// first is the backend. With admin set, the daemon has an admin address.
+// measureMemory returns the memory, in KiB, of a daemon with a list of the given number of endpoints. The first of
+// them is at the address backend. With admin set, the daemon has an admin address.
 func measureMemory(program string, endpoints int, backend string, admin bool) (rss int, err error) {
 	extra := ""
 	if admin {
