--- a/internal/emulator/attempt.go
+++ b/internal/emulator/attempt.go
@@ -48,8 +48,8 @@
 	w.beginJob(e, try, newConnection)
 }
 
-// notifyInstance schedules a call of do, which ends the try's attempt. The call takes place when a message that the
-// endpoint sends now reaches the instance.
+// notifyInstance schedules the function do, which ends the try's attempt, for the time at which a message that the
+// endpoint sends now would reach the instance.
 func (w *World) notifyInstance(tryIndex int32, try *clientTry, do func(w *World, e *event)) {
 	at := w.now + w.transit(try.endpoint.zone, try.instance.zone)
 	w.queue.add(event{at: at, rank: rankAttemptEnd, do: do, a: tryIndex, c: try.attemptID})
--- a/internal/emulator/baseline/balancer.go
+++ b/internal/emulator/baseline/balancer.go
@@ -17,7 +17,7 @@
 	inFlight int // attempts of this instance in flight
 }
 
-// request is the state of one request. Its place in balancer.requests is used again after its release.
+// request is the state of one request. Its place in balancer.requests is reused after its release.
 type request struct {
 	inUse      bool
 	index      uint32 // in balancer.requests
@@ -30,7 +30,7 @@
 	inFlight   bool
 	attempts   int
 	tried      []policy.EndpointID
-	mayHaveRun bool          // an attempt has ended that may have run
+	mayHaveRun bool          // an attempt that may have run has ended
 	ranAt      policy.Time   // start of the first such attempt
 	ranOn      policy.Member // endpoint of the first such attempt
 	sentAt     policy.Time   // start of the latest attempt
@@ -54,7 +54,7 @@
 	now        policy.Time
 	requests   []*request
 	free       []uint32    // indexes of unused requests
-	wakeAt     policy.Time // of the next call of Woken; 0: none is scheduled
+	wakeAt     policy.Time // time of the next call of Woken; 0: no call is scheduled
 	usesSlots  bool
 	slots      *SlotTable
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -95,7 +95,8 @@
 		t.Errorf("violations by rule %v, want some of rule 4 and none of the others", v.ViolationCounts)
 	}
 	if seeing, module := simulate(t, sc, 1, "seeing"), simulate(t, sc, 1, "module"); seeing.Service < module.Service-0.005 || module.Service < v.Service {
-		t.Errorf("seeing %.3f, module %.3f, table %.3f", seeing.Service, module.Service, v.Service)
+		t.Errorf("service of seeing %.3f, module %.3f, table %.3f: want no policy below the one after it",
+			seeing.Service, module.Service, v.Service)
 	}
 }
 
--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -20,7 +20,7 @@
 	traits         machine.Traits
 	zone           policy.Zone
 	cell           policy.Cell
-	weight         float64 // in lists
+	weight         float64 // weight that endpoint lists show
 	machine        *machine.Machine
 	started        policy.Time
 	status         policy.EndpointStatus
@@ -30,13 +30,13 @@
 	slowFactors    []float64   // of active faults; each divides its speed
 	errorRate      float64     // set by an errors fault; 0: none is active
 	incarnation    int         // counts starts and stops
-	scheduledAt    policy.Time // of its next event; 0: none is scheduled
+	scheduledAt    policy.Time // time of its next event; 0: no event is scheduled
 	scheduledEvent uint32      // number of its latest scheduled event; earlier ones are ignored
 	pod            *pod
 	inFlight       int                   // attempts in flight
-	knownStatus    policy.EndpointStatus // as discovery knows it
-	knownStart     policy.Time           // as discovery knows it
-	knownVersion   int64                 // of the list in which discovery last changed it
+	knownStatus    policy.EndpointStatus // status that discovery knows
+	knownStart     policy.Time           // start time that discovery knows
+	knownVersion   int64                 // version of the list in which discovery last changed the endpoint
 	noise          *rand.Rand
 }
 
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -25,7 +25,8 @@
 	}
 }
 
-// drawAffected draws the elements that a fault affects: by the fault's share or count, from those that affects accepts.
+// drawAffected draws the elements that a fault affects: the fault's share or count of those for which the function
+// affects returns true.
 func drawAffected[T any](f *Fault, r *rand.Rand, all []T, affects func(T) bool) []T {
 	var candidates []T
 	for _, x := range all {
--- a/internal/emulator/instance.go
+++ b/internal/emulator/instance.go
@@ -16,8 +16,8 @@
 	tenant      policy.TenantID
 	instance    int32
 	key         uint64
-	workFactor  float64 // its work over the mean of its class
-	ioFactor    float64 // its I/O time over the mean of its class
+	workFactor  float64 // its work divided by the mean work of its class
+	ioFactor    float64 // its I/O time divided by the mean I/O time of its class
 	tries       int
 	at          policy.Time // when it began
 	deadline    policy.Time
@@ -34,7 +34,7 @@
 	judgeID             judge.RequestID
 	request             int32 // index in World.requests
 	instance            *instance
-	instanceIncarnation int // of the instance when the try reached it
+	instanceIncarnation int // incarnation of the instance when the try reached it
 	handle              policy.Handle
 	deadline            policy.Time
 	arrivedAt           policy.Time // time at which it reached the instance
@@ -42,7 +42,7 @@
 	attemptID           uint64 // counts attempts, so that events of earlier attempts can be told apart
 	judgeAttempt        int    // number that the judge has given to the current attempt
 	endpoint            *endpoint
-	endpointIncarnation int // of the endpoint when the attempt reached it
+	endpointIncarnation int // incarnation of the endpoint when the attempt reached it
 	job                 machine.JobID
 	written             bool // the attempt is sent completely and may run
 	sentAt              policy.Time
@@ -61,8 +61,8 @@
 	incarnation     int             // counts restarts
 	tries           []int32         // indexes in World.tries, by the index of the handle
 	idleConnections [][]policy.Time // by endpoint number: when each idle connection was last used
-	wakeAt          policy.Time     // of the next call of Woken; 0: none is scheduled
-	version         int64           // of its endpoint list
+	wakeAt          policy.Time     // time of the next call of Woken; 0: no call is scheduled
+	version         int64           // version of its endpoint list
 	pollPending     bool            // it has requested the list and not received it yet
 	following       bool            // it receives changes of the list
 	list            map[*endpoint]notifiedStatus
@@ -105,8 +105,8 @@
 	return inst
 }
 
-// shareLoad sets the part of all requests that each instance gets. With Load.ZoneSkew, it falls from the first zone to
-// the last.
+// shareLoad sets the part of all requests that each instance gets. With Load.ZoneSkew, this part falls from the first
+// zone to the last.
 func (w *World) shareLoad() {
 	sum := 0.0
 	last := float64(max(1, len(w.scenario.Zones)-1))
@@ -164,7 +164,7 @@
 	inst.notify(policy.ListFull, inst.world.endpoints)
 }
 
-// stop kills an instance. The connections of its clients and to its endpoints break.
+// stop kills an instance. Its connections with clients and endpoints break.
 func (inst *instance) stop() {
 	inst.alive = false
 	inst.incarnation++
--- a/internal/emulator/judge/attempts.go
+++ b/internal/emulator/judge/attempts.go
@@ -16,10 +16,10 @@
 	mayHaveRun bool // the endpoint may have run the request
 }
 
-// notification is the state of an endpoint as its instance was last notified of it.
+// notification is the latest state of an endpoint of which an instance was notified.
 type notification struct {
 	drainingSince policy.Time // time of the notification that it drains or is removed; 0: it is ready
-	startedAt     policy.Time // latest start of the endpoint that was notified
+	startedAt     policy.Time // latest start of the endpoint of which the instance was notified
 }
 
 // arrivedWork is work that has reached a cold endpoint, in ns of a core at speed 1.
@@ -123,7 +123,7 @@
 	j.notifications[instance][endpoint] = notified
 }
 
-// InstanceDied records that an instance has died, and with it its endpoint list.
+// InstanceDied records that an instance has died and has thereby lost its endpoint list.
 func (j *Judge) InstanceDied(instance InstanceID) { clear(j.notifications[instance]) }
 
 // ColdWorkArrived records work that reaches an endpoint while it is cold, and checks rule 4. work is in ns of a core at
--- a/internal/emulator/judge/judge_test.go
+++ b/internal/emulator/judge/judge_test.go
@@ -38,7 +38,7 @@
 	judge   *Judge
 	client  ClientRequestID
 	request RequestID
-	at      policy.Time // of the next event
+	at      policy.Time // time of the next event
 }
 
 // accept begins a request at 10 s, which instance 0 accepts. Its deadline is at 14 s.
--- a/internal/emulator/judge/spread.go
+++ b/internal/emulator/judge/spread.go
@@ -14,7 +14,7 @@
 	Scatter [2]float64 `json:"scatter"`
 	// KeyScatter is what Scatter would be if all attempts with the same key went to one endpoint, chosen at random.
 	KeyScatter  [2]float64 `json:"forced"`
-	Busiest     float64    `json:"busiest"`      // attempts at the busiest endpoint over its share, mean of 5 s windows
+	Busiest     float64    `json:"busiest"`      // attempts at the busiest endpoint / its share, mean of 5 s windows
 	BusiestMax  float64    `json:"busiest_most"` // the same, maximum of these windows
 	IdleSeconds float64    `json:"idle_s"`       // seconds that endpoints were idle while others had queues, summed
 	Herd        float64    `json:"herd"`         // attempts at an endpoint beyond its share, maximum of 50 ms windows
@@ -26,12 +26,13 @@
 	longWindow
 	herdWindow
 	windowCount
-	keyWindowCount = herdWindow // the number of windows in which keys are counted too
+	keyWindowCount = herdWindow // keys are counted in the windows before this index only
 )
 
 var windowLengths = [windowCount]policy.Time{policy.Second, 5 * policy.Second, 50 * policy.Millisecond}
 
-// requestKey marks the key that a request without a key is counted under, which is made from the request's number.
+// requestKey is the bit that marks a substitute key: a request without a key is counted under its number with this bit
+// set.
 const requestKey = 1 << 63
 
 // window counts the attempts of the current window and adds up the results of earlier ones.
--- a/internal/emulator/judge/verdict.go
+++ b/internal/emulator/judge/verdict.go
@@ -36,7 +36,7 @@
 	s.earned += other.earned
 }
 
-// fraction returns the same as ServedValue.Fraction.
+// fraction returns the earned part of the value, or 1 if there is no value, like ServedValue.Fraction.
 func (s secondValue) fraction() float64 {
 	return ServedValue{Requested: s.requested, Earned: s.earned}.Fraction()
 }
@@ -45,7 +45,7 @@
 type Verdict struct {
 	ViolationCounts [ruleCount]int `json:"broken"` // by rule
 	Violations      []Violation    `json:"breaks,omitempty"`
-	Service         float64        `json:"service"`   // earned value over requested value
+	Service         float64        `json:"service"`   // earned value divided by requested value
 	Worst10         float64        `json:"worst_10s"` // the same, minimum over windows of 10 s
 	Classes         []ServedValue  `json:"offerings"`
 	Tenants         []ServedValue  `json:"franchises,omitempty"`
--- a/internal/emulator/largefleet_test.go
+++ b/internal/emulator/largefleet_test.go
@@ -46,19 +46,22 @@
 		t.Errorf("rules broken: %v", module.Violations)
 	}
 	if module.Service < random.Service {
-		t.Errorf("served %.3f of the value, random choice %.3f", module.Service, random.Service)
+		t.Errorf("the module served %.3f of the value, random choice %.3f", module.Service, random.Service)
 	}
 	if module.Service < seeing.Service/2 {
-		t.Errorf("served %.3f of the value, the policy that sees the true state %.3f", module.Service, seeing.Service)
+		t.Errorf("the module served %.3f of the value, the policy that sees the true state %.3f",
+			module.Service, seeing.Service)
 	}
 	for i := range 3 {
 		if own, best := third(module, i), third(seeing, i); own < best/2 {
-			t.Errorf("third %d: served %.3f of the value, the policy that sees the true state %.3f", i+1, own, best)
+			t.Errorf("third %d: the module served %.3f of the value, the policy that sees the true state %.3f",
+				i+1, own, best)
 		}
 	}
 	for i, own := range module.Classes {
 		if best := seeing.Classes[i]; own.Fraction() < best.Fraction()/2 && isLarge(sc, module, i) {
-			t.Errorf("class %s: served %.3f of the value, the policy that sees the true state %.3f", own.Name, own.Fraction(), best.Fraction())
+			t.Errorf("class %s: the module served %.3f of the value, the policy that sees the true state %.3f",
+				own.Name, own.Fraction(), best.Fraction())
 		}
 	}
 }
--- a/internal/emulator/machine/machine.go
+++ b/internal/emulator/machine/machine.go
@@ -327,7 +327,7 @@
 	n := float64(len(m.working.ids) + 1)
 	span := float64(work) / (s * min(1, m.Cores/n))
 	if m.Workers > 0 {
-		// The jobs ahead of it are assumed to take as long as it does.
+		// Each job ahead of this one in the queue is assumed to take as long as this one.
 		if ahead := float64(m.Jobs()+1) - float64(m.Workers); ahead > 0 {
 			span += ahead / float64(m.Workers) * (float64(work)/(s*min(1, m.Cores/float64(m.Workers))) + float64(io))
 		}
--- a/internal/emulator/machine/machine_test.go
+++ b/internal/emulator/machine/machine_test.go
@@ -129,7 +129,7 @@
 	got := simulate(m, []submission{{at: 1, work: 300 * ms}}, nil)
 	want := (-0.2 + math.Sqrt(0.04+4*0.4*0.3)) / 0.8
 	if took := float64(got[0]) / 1e9; math.Abs(took-want) > 0.03 {
-		t.Errorf("finished after %.4fs, want %.4fs by the formula", took, want)
+		t.Errorf("the job finished after %.4fs, want %.4fs by the formula", took, want)
 	}
 }
 
@@ -211,10 +211,10 @@
 	}
 	// In these 3 s its speed rises from 0.2 to 0.44, so it can do 20 to 44 of these jobs per second.
 	if overloads(20 * ms) {
-		t.Error("overloaded by less than twice its capacity")
+		t.Error("the cold machine was overloaded by less than twice its capacity")
 	}
 	if !overloads(8 * ms) {
-		t.Error("not overloaded by six times its capacity")
+		t.Error("the cold machine was not overloaded by six times its capacity")
 	}
 	m := New(traits, 1)
 	m.Run(20000*ms, nil)
@@ -222,7 +222,7 @@
 		m.Submit(20000*ms, uint64(i), 0, 10*ms, 0, false)
 	}
 	if m.Overloaded() {
-		t.Error("overloaded though it is warm")
+		t.Error("the machine was overloaded although it is warm")
 	}
 }
 
@@ -232,7 +232,7 @@
 	second, _ := m.Submit(0, 1, 0, 100*ms, 0, false)
 	m.Submit(0, 2, 0, 100*ms, 0, false)
 	if m.Cancel(10*ms, first, true) || !m.Cancel(10*ms, second, true) || !m.Cancel(50*ms, first, false) {
-		t.Error("cancelled the wrong jobs")
+		t.Error("Cancel removed the wrong jobs")
 	}
 	if at, _ := m.Next(); at != 150*ms || m.Jobs() != 1 || math.Abs(m.WorkDone()-50e6) > 1 {
 		t.Errorf("next event at %d, %d jobs, %.0f ns of work done", at, m.Jobs(), m.WorkDone())
--- a/internal/emulator/random.go
+++ b/internal/emulator/random.go
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 )
 
-// stream returns a source of random numbers for one purpose and, by its number, one instance, endpoint or fault.
-// Drawing from it does not affect other streams.
+// stream returns a source of random numbers for one purpose and for the instance, endpoint or fault with the given
+// number. Drawing from it does not affect other streams.
 func stream(seed uint64, purpose string, number int) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(purpose))
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -57,7 +57,7 @@
 	Rate          float64     // requests per second, over all instances
 	CapacityShare float64     // if Rate is 0: the rate as a part of the fleet's capacity with no key cached
 	Swing         float64     // amplitude of a sine wave of the rate, as a part of the rate
-	Period        policy.Time // of that wave
+	Period        policy.Time // period of that sine wave
 	RateVariation float64     // coefficient of variation of each instance's rate from second to second
 	ZoneSkew      float64     // relative surplus of the first zone's load, and deficit of the last zone's
 	Keys          int         // number of different keys
@@ -67,7 +67,7 @@
 
 // Clients describes how clients retry.
 type Clients struct {
-	Retries          int         // maximum for each request
+	Retries          int         // maximum number of retries for each request
 	HonourRetryAfter float64     // part of the retries that wait for Retry-After
 	Backoff          policy.Time // mean before the first retry; doubles with each further one
 	MarkRetries      bool        // whether retries are marked as such
@@ -80,7 +80,7 @@
 	Jitter         float64     // coefficient of variation of the delays between instances and endpoints
 	Handshakes     int         // round trips before a new connection carries a request
 	ConnectTimeout policy.Time
-	IdleTimeout    policy.Time // after which an idle connection is closed
+	IdleTimeout    policy.Time // time after which an idle connection is closed
 }
 
 // Discovery describes how instances learn of endpoints.
@@ -93,7 +93,7 @@
 
 // Limits describes what the rules allow instances to do.
 type Limits struct {
-	MaxAttempts    int         // for each request
+	MaxAttempts    int         // maximum number of attempts for each request
 	MayCancel      bool        // whether instances may cancel attempts
 	MaxRetryAfter  policy.Time // maximum of the Retry-After of a rejection
 	CrossZonePrice float64     // of an attempt to another zone, as a part of the target latency
@@ -173,8 +173,8 @@
 	Key        uint64      // 0: none
 	TimeLeft   policy.Time // until its deadline
 	Retry      bool        // marked as a retry by the client
-	WorkFactor float64     // work over the mean work of its class; 0: both factors are drawn
-	IOFactor   float64     // I/O time over the mean I/O time of its class
+	WorkFactor float64     // work divided by the mean work of its class; 0: both factors are drawn
+	IOFactor   float64     // I/O time divided by the mean I/O time of its class
 }
 
 func contains[T comparable](all []T, wanted T) bool {
--- a/internal/emulator/trueview.go
+++ b/internal/emulator/trueview.go
@@ -9,8 +9,8 @@
 // View gives access to the true state of the fleet, which a real instance cannot see. Only the baseline that serves
 // as an upper bound uses it.
 type View interface {
-	// Best returns the allowed endpoint where a request would finish first and how long it would take there; false if
-	// there is none.
+	// Best returns the allowed endpoint where a request would finish first and how long it would take there. It
+	// returns false if no endpoint is allowed.
 	Best(
 		now policy.Time,
 		zone policy.Zone,
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -63,7 +63,7 @@
 	judge             *judge.Judge
 	judgeConfig       judge.Config
 	tenantNames       []string
-	settings          policy.Settings // the zone is set for each instance
+	settings          policy.Settings // shared by all instances; each of them sets its own zone
 	endpoints         []*endpoint
 	pods              []*pod
 	byID              map[policy.EndpointID]*endpoint
@@ -80,11 +80,11 @@
 	burstFactor       float64               // factor on the rate: the product of the sizes of active bursts
 	lostZones         map[policy.Zone]int   // number of active zone-lost faults by zone
 	listsDelayedUntil policy.Time           // latest end of the list-behind faults so far
-	version           int64                 // of the endpoint list that discovery has
+	version           int64                 // version of the endpoint list that discovery has
 	finishedJobs      []machine.FinishedJob // buffer of endpoint.advance
 	eventCount        uint64
 	wastedWork        float64 // part of totalWork done for attempts that had already ended at their instance
-	totalWork         float64 // of all finished jobs, each counted as the mean work of its class, in ns
+	totalWork         float64 // work of all finished jobs, each counted as the mean work of its class, in ns
 	values            *ValueMeter
 	faults            []fault
 	observer          AnswerObserver
