--- a/internal/experiment/charts.go
+++ b/internal/experiment/charts.go
@@ -57,7 +57,7 @@
 	note   string
 	yLabel string
 	yMin   float64
-	yMax   float64     // 0: the largest value of the lines
+	yMax   float64     // upper end of the y axis; 0: the largest value of the lines
 	faults []FaultSpan // shown as grey bands
 	lines  lineSet
 }
@@ -65,7 +65,7 @@
 const (
 	// maxService is the upper end of the axis of the service, with a margin above the maximum of 1.
 	maxService = 1.02
-	// maxTotalLimit caps the total limit that is drawn, for instances without a limit.
+	// maxTotalLimit is the highest total limit that is drawn, so that instances without a limit don't stretch the axis.
 	maxTotalLimit = 200
 	// waitingScale divides the number of waiting jobs, which share an axis with the share of busy cores.
 	waitingScale = 10
@@ -100,7 +100,7 @@
 	return all, nil
 }
 
-// serviceLine returns the service by the second in which requests were first sent.
+// serviceLine returns the service for each second. A request counts in the second in which it was first sent.
 func serviceLine(r *Result) plotter.XYs {
 	var line plotter.XYs
 	for i, second := range r.Verdict.Seconds {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -32,7 +32,7 @@
 		b, _ := os.ReadFile(filepath.Join(out, "sweep.json"))
 		sweeps[i] = string(b)
 		if rows := Table(got); len(rows) != 8 || rows[0].Runs != 2 || rows[0].Set != "load.part=0.5" || rows[1].Policy != "two" {
-			t.Errorf("%+v", rows)
+			t.Errorf("table rows of the sweep: %+v", rows)
 		}
 		if err := PlotRows(filepath.Join(out, "table.svg"), Table(got)); err != nil {
 			t.Error(err)
@@ -41,15 +41,15 @@
 			t.Errorf("the SVG file lacks a group: %v", err)
 		}
 		if again, err := ReadResults(out); err != nil || len(again) != 16 || again[15].Verdict.Service != got[15].Verdict.Service {
-			t.Errorf("%d results were read back: %v", len(again), err)
+			t.Errorf("%d results were read back, error %v", len(again), err)
 		}
 		self, err := Compare(FilterByPolicy(got, "module"), FilterByPolicy(got, "module"))
 		if err != nil || len(self) != 4 || self[0].Gain != 0 || self[0].Pairs != 2 {
-			t.Errorf("%+v %v", self, err)
+			t.Errorf("comparison of a sweep with itself: %+v, error %v", self, err)
 		}
 		two, err := Compare(FilterByPolicy(got, "module"), FilterByPolicy(got, "two"))
 		if err != nil || two[3].Scenario != "slow" || two[3].Gain > -0.01 || two[3].HalfWidth <= 0 {
-			t.Errorf("%+v %v", two, err)
+			t.Errorf("comparison of two policies: %+v, error %v", two, err)
 		}
 		if _, err := Compare(got, got); err == nil {
 			t.Error("two policies in one sweep were accepted")
@@ -104,11 +104,11 @@
 func TestIntervalsAndRanges(t *testing.T) {
 	// 1, 2, 3 have the mean 2 and the standard error 1/sqrt(3); Student's t for two degrees of freedom is 4.303.
 	if mean, halfWidth := ConfidenceInterval([]float64{1, 2, 3}); math.Abs(mean-2) > 1e-12 || math.Abs(halfWidth-4.3027/math.Sqrt(3)) > 1e-3 {
-		t.Errorf("%v ± %v", mean, halfWidth)
+		t.Errorf("mean and half width of the 95%% interval of 1, 2, 3: %v ± %v", mean, halfWidth)
 	}
 	for text, want := range map[string]string{"1,2": "1 2", "0.5:0.9:0.2": "0.5 0.7 0.9", "1:8:2": "1 3 5 7", "1:0:1": "", "a:2:1": ""} {
 		if got, err := ParseValues(text); strings.Join(got, " ") != want || (err != nil) != (want == "") {
-			t.Errorf("%s: %v %v", text, got, err)
+			t.Errorf("%s: values %v, error %v", text, got, err)
 		}
 	}
 }
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -17,8 +17,8 @@
 		"comparisons.json": &[]Comparison{}, "replayed.json": &ReplaySummary{}}
 }
 
-// TestDocumentsMatchGoldenFiles compares each document, with all fields filled, with its golden file, and checks that the golden file
-// can be read without loss.
+// TestDocumentsMatchGoldenFiles compares each document, with all fields filled, with its golden file, and checks that
+// the golden file can be read without loss.
 func TestDocumentsMatchGoldenFiles(t *testing.T) {
 	for name, document := range documents() {
 		t.Run(name, func(t *testing.T) {
@@ -66,8 +66,8 @@
 // svgElement matches a plot within a report, which depends on the plotting library.
 var svgElement = regexp.MustCompile(`(?s)<svg.*?</svg>`)
 
-// TestReportMatchesGoldenFile compares the report of a run with a golden file, without its plots: the template refers to fields by
-// names that the compiler does not check.
+// TestReportMatchesGoldenFile compares the report of a run, without its plots, with a golden file: the template refers
+// to fields by names that the compiler does not check.
 func TestReportMatchesGoldenFile(t *testing.T) {
 	var result Result
 	var series Series
--- a/internal/experiment/outages.go
+++ b/internal/experiment/outages.go
@@ -156,7 +156,7 @@
 // findOutages finds the spans in which an endpoint was down.
 func findOutages(observations []observation) (outages []outage) {
 	var run failureRun
-	counted := policy.Time(0) // start time of the last restart counted: the traces of all instances show the same one
+	counted := policy.Time(0) // start time of the last counted restart; the traces of several instances repeat it
 	for _, o := range observations {
 		switch {
 		case o.started > 0:
--- a/internal/experiment/replay.go
+++ b/internal/experiment/replay.go
@@ -15,10 +15,10 @@
 type ReplaySummary struct {
 	Arrivals       int      `json:"arrivals"`
 	Retries        int      `json:"further"` // retries by clients, left out as emulated clients make their own
-	Endpoints      int      `json:"servers"` // of the scenario, with observations in the traces
+	Endpoints      int      `json:"servers"` // endpoints of the scenario about which the traces have observations
 	Faults         []string `json:"faults"`
 	Truncated      int      `json:"cut"`      // traces that end within a record
-	SucceededShare float64  `json:"honoured"` // of the recorded requests that ended
+	SucceededShare float64  `json:"honoured"` // share of the ended requests in the traces that succeeded
 }
 
 // FromTraces replaces a scenario's load by the requests of traces, and its faults by those that the traces show:
@@ -60,8 +60,8 @@
 	result    *ReplaySummary
 	begin     policy.Time    // start of the earliest trace, Unix time
 	instances map[string]int // numbers by name
-	first     policy.Time    // first arrival, since begin; -1: none yet
-	last      policy.Time    // last arrival, since begin
+	first     policy.Time    // time of the first arrival, since begin; -1: no arrival yet
+	last      policy.Time    // time of the last arrival, since begin
 	answers   int
 	succeeded int
 }
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -27,7 +27,7 @@
 	Scenarios []string // paths
 	Seeds     []uint64
 	Vary      string   // path of the setting that varies, may be ScalePath; "": none
-	Values    []string // of that setting
+	Values    []string // values of the setting that varies
 	Policies  []string
 	Workers   int       // 0: GOMAXPROCS
 	Progress  io.Writer // nil: no progress bar
--- a/internal/simprotocol/adapter_test.go
+++ b/internal/simprotocol/adapter_test.go
@@ -96,7 +96,7 @@
 		err := Run(bytes.NewReader(in), &out)
 		for line := range strings.Lines(out.String()) {
 			if line != "ack\n" && !strings.Contains(line, " sidecar_id=") {
-				t.Errorf("not a reply: %q (%v)", line, err)
+				t.Errorf("line %q is not part of a reply; Run returned error %v", line, err)
 			}
 		}
 	})
--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -10,7 +10,8 @@
 	"pepperlead/internal/golden"
 )
 
-// goldenTrace returns the header and the records of a trace with one record of each kind. Each field has a different value.
+// goldenTrace returns the header and the records of a trace with one record of each kind. Each field has a different
+// value.
 func goldenTrace() (Header, []Record) {
 	var header Header
 	golden.Fill(&header)
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -92,7 +92,7 @@
 	bytes int64
 }
 
-// Write writes to the underlying writer.
+// Write writes to the underlying writer and counts the written bytes.
 func (w *countingWriter) Write(b []byte) (int, error) {
 	n, err := w.to.Write(b)
 	w.bytes += int64(n)
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -37,7 +37,8 @@
 	return written, want
 }
 
-// A trace that is truncated at any byte, as when its process is killed, is read up to its last complete record and marked as truncated.
+// A trace that is truncated at any byte, which happens when its process is killed, is read up to its last complete
+// record and marked as truncated.
 func TestReadTruncatedTraces(t *testing.T) {
 	complete, want := write(t)
 	last := -1
@@ -45,15 +46,16 @@
 		got, err := Read(bytes.NewReader(complete[:i]))
 		if err != nil {
 			if last >= 0 {
-				t.Fatalf("truncated at %d: %v", i, err)
+				t.Fatalf("trace truncated at byte %d: error %v", i, err)
 			}
 			continue
 		}
 		if n := len(got.Records); n < last || n > last+1 && last >= 0 || n > 0 && !reflect.DeepEqual(got.Records, want[:n]) {
-			t.Fatalf("truncated at %d: %d records after %d", i, n, last)
+			t.Fatalf("trace truncated at byte %d: wrong records, or %d records although one byte fewer gave %d",
+				i, n, last)
 		}
 		if n := len(got.Records); n == last && !got.Truncated {
-			t.Fatalf("truncated at %d: not marked as truncated", i)
+			t.Fatalf("trace truncated at byte %d is not marked as truncated", i)
 		}
 		last = len(got.Records)
 	}
