--- a/internal/faulttest/configuration.go
+++ b/internal/faulttest/configuration.go
@@ -58,8 +58,8 @@
 	return text.String()
 }
 
-// peers returns the table with the addresses at which a process's peers reach it; all processes join at the
-// coordinators.
+// peers returns the table with the addresses at which a process's peers reach it; all processes join the
+// cluster through the coordinators.
 func (c *clusterConfig) peers(addresses peerAddresses) string {
 	return fmt.Sprintf("[peers]\nlisten = %q\nadvertise = %q\n", addresses.listen, addresses.advertise) +
 		fmt.Sprintf("cluster = %q\nkey_file = %q\n", clusterName, keyFile) +
--- a/internal/faulttest/drill_test.go
+++ b/internal/faulttest/drill_test.go
@@ -45,7 +45,7 @@
 	defer stage.Close()
 	result, err := RunPeersTest(t.Context(), stage, 5)
 	if err != nil {
-		t.Errorf("%v\n%+v", err, result)
+		t.Errorf("error %v, result\n%+v", err, result)
 	}
 	t.Logf("%+v", result)
 	dropped := 0.0
@@ -93,7 +93,7 @@
 				t.Skip("the machine stalled for longer than a lease") // the result is meaningless then
 			}
 			if !result.Passed(script) || verdict.Attempts < 300 || verdict.Repeats == 0 || verdict.Unleased == 0 {
-				t.Errorf("%+v %v", verdict, result.Failed)
+				t.Errorf("verdict %+v, failures %v", verdict, result.Failed)
 			}
 		})
 	}
--- a/internal/faulttest/golden_test.go
+++ b/internal/faulttest/golden_test.go
@@ -47,7 +47,7 @@
 		{ActiveRules: rules(14, true, 5), ID: "a-1", Endpoint: "s-2", AttemptNumber: 3},
 	}
 	if !reflect.DeepEqual(history.Changes, changes) || !reflect.DeepEqual(history.Steps, steps) {
-		t.Errorf("got %+v and %+v", history.Changes, history.Steps)
+		t.Errorf("the logs gave changes %+v and steps %+v", history.Changes, history.Steps)
 	}
 }
 
--- a/internal/faulttest/judge/judge.go
+++ b/internal/faulttest/judge/judge.go
@@ -11,8 +11,8 @@
 
 // Verdict is the result of checking a history.
 type Verdict struct {
-	// Contradiction is the longest time by which an attempt under older revisions only came after an attempt of another
-	// process under newer revisions only.
+	// Contradiction is the longest time from an attempt of one process under newer revisions only to a later attempt of
+	// another process under older revisions only.
 	Contradiction    time.Duration `json:"Contradiction"`
 	Between          string        `json:"Between"` // describes the longest contradiction
 	Faults           []string      `json:"Faults"`  // texts of the first violations
@@ -52,7 +52,7 @@
 	return v
 }
 
-// firstAttempt is the first attempt that a process made with a certain revision as the oldest one.
+// firstAttempt is the first of a process's attempts whose oldest revision is a certain one.
 type firstAttempt struct {
 	process string
 	at      int64
--- a/internal/faulttest/judge/judge_test.go
+++ b/internal/faulttest/judge/judge_test.go
@@ -63,7 +63,7 @@
 	} {
 		test.h.RuleSets = ruleSets
 		if v := Judge(&test.h); v.Broken != test.broken || v.Contradiction != test.contradiction {
-			t.Errorf("%s: %+v", name, v)
+			t.Errorf("%s: unexpected verdict %+v", name, v)
 		}
 	}
 }
--- a/internal/faulttest/peers.go
+++ b/internal/faulttest/peers.go
@@ -34,7 +34,7 @@
 	minPeers           = 5
 	stepTimeout        = 90 * time.Second
 	idleTime           = 10 * time.Second
-	oneWayTime         = 3 * time.Second // for which a link stays blocked in one direction
+	oneWayTime         = 3 * time.Second // how long a link stays blocked in one direction
 	overheadPercentile = 99
 )
 
@@ -71,7 +71,7 @@
 	killed    *Process
 	survivors []*Process // all but the killed one
 	result    PeersResult
-	err       error // the first; later steps still run, but are not checked
+	err       error // the first error; later steps still run, but are not checked
 }
 
 func (t *peersTest) fail(err error) {
--- a/internal/faulttest/report.go
+++ b/internal/faulttest/report.go
@@ -49,7 +49,7 @@
 
 // Sizes of the picture, in pixels.
 const (
-	lanesTop   = 60.0 // under the marks
+	lanesTop   = 60.0 // upper end of the lanes, below the marks
 	nameWidth  = 50.0
 	plotWidth  = 1120.0
 	plotHeight = 80.0
@@ -115,7 +115,7 @@
 	return p
 }
 
-// x returns where a time is drawn.
+// x returns the horizontal position of a time in the picture, in pixels.
 func (p *picture) x(at int64) float64 {
 	return nameWidth + plotWidth*float64(min(max(at, p.start), p.end)-p.start)/float64(p.end-p.start)
 }
--- a/internal/faulttest/result.go
+++ b/internal/faulttest/result.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// recordEarliest records the time of the rules if it is the earliest of their process.
+// recordEarliest records when a process applied the rules, unless an earlier time is recorded for the process.
 func recordEarliest(times map[string]int64, rules judge.ActiveRules) {
 	if at, known := times[rules.Process]; !known || rules.At < at {
 		times[rules.Process] = rules.At
--- a/internal/faulttest/script.go
+++ b/internal/faulttest/script.go
@@ -42,7 +42,7 @@
 // revision.
 type Action struct {
 	At              time.Duration // since the start
-	Share           float64       // of the sidecars, that must apply AwaitedRevision
+	Share           float64       // share of the sidecars that must apply AwaitedRevision
 	AwaitedRevision int           // revision that the share of sidecars must apply
 	After           time.Duration // delay once they apply it
 	Kind            string
@@ -50,7 +50,7 @@
 	From            []string
 	To              []string
 	RuleSet         string
-	Revision        int // to withdraw or to roll back to
+	Revision        int // revision to withdraw or to roll back to
 	Drop            float64
 	Duplicate       float64
 	Delay           time.Duration
--- a/internal/faulttest/script_test.go
+++ b/internal/faulttest/script_test.go
@@ -33,7 +33,7 @@
 	for count, accepted := range map[int]bool{1024: true, maxProcesses: true, maxProcesses + 1: false} {
 		script, err := ReadScript("large", fmt.Appendf(nil, "[drill]\nsidecars = %d\nservers = %d\n", count, count))
 		if accepted != (err == nil) || accepted && (script.Instances != count || script.Endpoints != count) {
-			t.Errorf("%d: %v", count, err)
+			t.Errorf("%d sidecars and endpoints: error %v", count, err)
 		}
 	}
 	seen := map[string]bool{}
