--- a/internal/benchmark/cost.go
+++ b/internal/benchmark/cost.go
@@ -40,7 +40,7 @@
 	Clients  int           `json:"clients"`
 	Requests int           `json:"tickets"`
 	Failed   int           `json:"failed"`
-	CPU      time.Duration `json:"cpu_ns"` // of the subject's process, per request
+	CPU      time.Duration `json:"cpu_ns"` // CPU time of the subject's process, per request
 	P50      time.Duration `json:"p50_ns"`
 	P99      time.Duration `json:"p99_ns"`
 	RSS      int           `json:"rss_kib"`
@@ -57,7 +57,7 @@
 }
 
 // ServePlainProxy serves the baseline: the standard library's reverse proxy, which sends requests to one endpoint after
-// another and keeps idle connections like the daemon, and does nothing else.
+// another. Like the daemon, it keeps idle connections; it does nothing else.
 func ServePlainProxy(address string, endpoints []string) error {
 	var targets []*url.URL
 	for _, endpoint := range endpoints {
--- a/internal/fakebackend/discovery.go
+++ b/internal/fakebackend/discovery.go
@@ -47,7 +47,8 @@
 	Targets  []Target `json:"targets"`
 }
 
-// StartCatalog serves on the address, whose port may be 0. The list is empty until SetTargets.
+// StartCatalog starts a fake discovery service that listens on the address. If the port is 0, the system chooses a
+// free one. The list is empty until SetTargets is called.
 func StartCatalog(address string) (*Catalog, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/internal/fakebackend/modelserver.go
+++ b/internal/fakebackend/modelserver.go
@@ -70,7 +70,7 @@
 
 // Status is the load and the capacity of a ModelServer.
 type Status struct {
-	Requests int     // in the server
+	Requests int     // requests in the server, queued or begun
 	Queued   int     // of these, those that wait for a core
 	Capacity float64 // cores times speed once warm; 0 while the server is stopped or silent
 }
--- a/internal/fakebackend/server.go
+++ b/internal/fakebackend/server.go
@@ -104,7 +104,7 @@
 	drainingSince time.Time // zero: not draining
 }
 
-// Start serves on the address, whose port may be 0.
+// Start starts a server that listens on the address. If the port is 0, the system chooses a free one.
 func Start(address string, traits Traits) (*Server, error) {
 	if err := traits.validate(); err != nil {
 		return nil, err
--- a/internal/fakebackend/server_test.go
+++ b/internal/fakebackend/server_test.go
@@ -35,14 +35,14 @@
 			}
 		})
 	}
-	rejected.Wait() // one is worked on, one waits
+	rejected.Wait() // of the five requests, one is worked on and one waits
 	s.Drain()
 	if status, notProcessed := post(t, s); status != 503 || !notProcessed {
-		t.Errorf("draining: %d", status)
+		t.Errorf("status of a request to a draining server: %d", status)
 	}
 	served.Wait()
 	if c := s.Counts(); len(count) != 3 || c.Served != 2 || c.Rejected != 4 || c.Requests != 6 || c.AfterDrain != 0 {
-		t.Errorf("%+v", c)
+		t.Errorf("unexpected counters: %+v", c)
 	}
 }
 
@@ -68,9 +68,9 @@
 	}
 	if runs[0] != runs[1] || strings.Count(runs[0], "E") < 8 || strings.Count(runs[0], "R") < 8 ||
 		strings.Count(runs[0], ".") < 8 {
-		t.Errorf("%v", runs)
+		t.Errorf("faults drawn in each run: %v", runs)
 	}
 	if _, err := Start("127.0.0.1:0", Traits{Cores: 1, Faults: Faults{Errors: 0.6, Silent: 0.6}}); err == nil {
-		t.Error("started with more faults than requests")
+		t.Error("a server started with fault shares that add up to more than 1")
 	}
 }
--- a/internal/faultproxy/network.go
+++ b/internal/faultproxy/network.go
@@ -46,7 +46,7 @@
 // Counters counts the traffic of a link.
 type Counters struct {
 	Connections uint64 // opened
-	Chunks      uint64 // of bytes on connections
+	Chunks      uint64 // parts in which the bytes of connections were relayed
 	Packets     uint64
 	Held        uint64 // chunks that arrived while the link was blocked
 	Lost        uint64 // packets that were dropped or blocked
@@ -60,7 +60,7 @@
 	counters map[Link]*Counters
 	changed  chan struct{} // closed and replaced at each change of faults
 	random   *rand.Rand
-	overhead *hdrhistogram.Histogram // of the proxies, in microseconds
+	overhead *hdrhistogram.Histogram // time that the proxies took, in microseconds
 	closed   bool
 
 	listeners  []io.Closer
--- a/internal/faultproxy/network_test.go
+++ b/internal/faultproxy/network_test.go
@@ -76,7 +76,7 @@
 	c := dial(t, addressA, proxy)
 	c.Write([]byte{1})
 	if !receives(c, time.Second) {
-		t.Fatal("nothing passes")
+		t.Fatal("no byte passes an open link")
 	}
 	for _, link := range []Link{{"a", "b"}, {"b", "a"}} {
 		before := n.Counters(link)
@@ -92,10 +92,10 @@
 		}
 		n.Heal()
 		if !receives(c, time.Second) || !receives(late, time.Second) {
-			t.Errorf("%v: nothing passes after the end of the fault", link)
+			t.Errorf("%v: no byte passes after the end of the fault", link)
 		}
 		if now := n.Counters(link); now.Held != before.Held+1 || now.Chunks <= before.Chunks {
-			t.Errorf("%v: %+v after %+v", link, now, before)
+			t.Errorf("%v: counters %+v after the fault, %+v before it", link, now, before)
 		}
 	}
 	other := dial(t, netip.MustParseAddr("127.3.0.9"), proxy)
@@ -117,15 +117,15 @@
 	start := time.Now()
 	c.Write([]byte{1})
 	if !receives(c, time.Second) || time.Since(start) < 40*time.Millisecond {
-		t.Errorf("answered after %v", time.Since(start))
+		t.Errorf("the answer is missing or came too early, %v after the request", time.Since(start))
 	}
 	if overhead := n.Overhead(50); overhead > 20*time.Millisecond {
-		t.Errorf("the proxy took %v", overhead)
+		t.Errorf("the overhead of the proxy is %v", overhead)
 	}
 	c.(*net.TCPConn).CloseWrite()
 	c.SetReadDeadline(time.Now().Add(time.Second))
 	if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("the end of the connection does not pass: %v", err)
+		t.Errorf("the proxy did not pass on the end of the connection: %v", err)
 	}
 	unreachable, err := n.TCP("127.0.0.1:0", "b", "127.3.0.2:1")
 	if err != nil {
@@ -134,7 +134,7 @@
 	if c, err = net.Dial("tcp", unreachable); err == nil { // the reset may come during the handshake
 		c.SetReadDeadline(time.Now().Add(time.Second))
 		if _, err := c.Read(make([]byte, 1)); err == nil || err == io.EOF {
-			t.Errorf("the target refuses, the caller gets %v", err)
+			t.Errorf("the target refuses connections, but the caller gets %v instead of a reset", err)
 		}
 		c.Close()
 	}
@@ -178,14 +178,14 @@
 	}
 	if c := n.Counters(Link{"a", "b"}); c.Packets != sent || int(c.Lost) != sent-received || received < sent*7/10 ||
 		received > sent*9/10 || reordered == 0 {
-		t.Errorf("%+v, %d received, %d reordered", c, received, reordered)
+		t.Errorf("counters %+v, %d packets received, %d of them reordered", c, received, reordered)
 	}
 	answered := func() bool {
 		to.WriteTo([]byte("back"), sender)
 		return receives(from, 200*time.Millisecond)
 	}
 	if !answered() {
-		t.Error("no answer")
+		t.Error("no answer to a packet arrived")
 	}
 	if n.Set(Link{"b", "a"}, Faults{Blocked: true}); answered() {
 		t.Error("a packet passed a blocked link")
--- a/internal/faultproxy/tcp.go
+++ b/internal/faultproxy/tcp.go
@@ -19,8 +19,8 @@
 )
 
 // TCP listens on an address and relays the connections there to a target, the address of a process. It returns the
-// address on which it listens. Connections are established even if the link is blocked, as the kernel accepts them, but
-// carry nothing.
+// address on which it listens. Connections are established even if the link is blocked, because the kernel accepts
+// them, but they carry no bytes until it is open.
 func (n *Network) TCP(listen string, to Node, target string) (string, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
--- a/internal/faultproxy/udp.go
+++ b/internal/faultproxy/udp.go
@@ -145,7 +145,7 @@
 	return delays
 }
 
-// happens draws whether an event of a probability happens. The caller holds the lock.
+// happens draws whether an event with the given probability happens. The caller holds the lock.
 func (n *Network) happens(probability float64) bool {
 	return probability > 0 && n.random.Float64() < probability
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -74,7 +74,7 @@
 	}
 	want := ReadOrWrite(t, name, encoded)
 	if !bytes.Equal(encoded, want) {
-		t.Errorf("encoded\n%q\nwant\n%q", encoded, want)
+		t.Errorf("the value was encoded as\n%q\nwant\n%q", encoded, want)
 	}
 	if err := unmarshal(want, decoded); err != nil {
 		t.Fatal(err)
@@ -84,7 +84,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(again, want) {
-		t.Errorf("decoded and encoded again\n%q\nwant\n%q", again, want)
+		t.Errorf("the decoded value was encoded again as\n%q\nwant\n%q", again, want)
 	}
 }
 
--- a/internal/livetest/faults.go
+++ b/internal/livetest/faults.go
@@ -21,7 +21,7 @@
 
 // scheduleFaults sets a timer for each fault of the scenario. Faults that change the load are part of the plan of
 // requests already; the others are applied to endpoints, instances and lists. The endpoints of a lost zone only fall
-// silent: connections to them are still established, as the kernel accepts them for the process.
+// silent: connections to them are still established, because the kernel accepts them.
 func (r *liveRun) scheduleFaults() []*time.Timer {
 	var timers []*time.Timer
 	for i := range r.Scenario.Faults {
@@ -36,7 +36,7 @@
 func (r *liveRun) apply(fault *emulator.Fault, random *rand.Rand) {
 	r.log("%v begins", fault.Kind)
 	switch fault.Kind {
-	case emulator.Burst, emulator.HotKey: // in the plan of requests
+	case emulator.Burst, emulator.HotKey: // the plan of requests contains them
 	case emulator.ListBehind:
 		r.delayLists(fault.Duration)
 	case emulator.SidecarRestart:
@@ -127,7 +127,7 @@
 	afterFunc(duration, func() { set(1) })
 }
 
-// setErrorRate has endpoints answer a share of requests with errors for a time.
+// setErrorRate makes endpoints answer a share of requests with errors for a time.
 func (r *liveRun) setErrorRate(endpoints []*fakeEndpoint, share float64, duration policy.Time) {
 	set := func(share float64) {
 		for _, endpoint := range endpoints {
--- a/internal/livetest/livetest.go
+++ b/internal/livetest/livetest.go
@@ -40,7 +40,7 @@
 	Seed     uint64
 	Daemon   string    // path of the program
 	TraceDir string    // directory for the traces of the instances; empty for none
-	Log      io.Writer // nil for none
+	Log      io.Writer // receives the log lines of the run; nil: no log
 }
 
 // Run plays the scenario and returns the judge's verdict.
--- a/internal/livetest/livetest_test.go
+++ b/internal/livetest/livetest_test.go
@@ -110,7 +110,7 @@
 	}
 	traces := readTraces(t, dir)
 	if len(traces) != 3 {
-		t.Fatalf("%d traces", len(traces))
+		t.Fatalf("unexpected number of traces: %d", len(traces))
 	}
 	replayed, err := experiment.FromTraces(scenario, traces)
 	if err != nil {
@@ -120,7 +120,7 @@
 	if replayed.Arrivals < verdict.ClientRequests*8/10 || replayed.Arrivals > verdict.ClientRequests ||
 		replayed.Endpoints != 4 || len(replayed.Faults) == 0 ||
 		!strings.HasPrefix(replayed.Faults[0], "s-00001: crash from ") {
-		t.Errorf("of %d requests: %+v", verdict.ClientRequests, replayed)
+		t.Errorf("summary of the replay of a run with %d requests: %+v", verdict.ClientRequests, replayed)
 	}
 	result, _, err := experiment.Play(scenario, 1, "module", false)
 	if err != nil {
@@ -135,7 +135,7 @@
 	scenario.Instances = maxInstances + 1
 	_, err = Run(context.Background(), Options{Scenario: scenario, Daemon: daemon})
 	if err == nil || !strings.Contains(err.Error(), fmt.Sprint(scenario.Instances, " sidecars")) {
-		t.Errorf("a live test of %d sidecars: %v", scenario.Instances, err)
+		t.Errorf("a live test of %d sidecars ended with error %v", scenario.Instances, err)
 	}
 }
 
@@ -155,7 +155,7 @@
 	} {
 		scenario := &emulator.Scenario{Endpoints: test.endpoints, Instances: test.instances}
 		if err := checkSize(scenario, test.rate); (err == nil) != test.accepted {
-			t.Errorf("%+v: %v", test, err)
+			t.Errorf("size %+v: error %v", test, err)
 		}
 	}
 }
--- a/internal/livetest/requests.go
+++ b/internal/livetest/requests.go
@@ -27,8 +27,8 @@
 	headerID    string // value of X-Request-ID
 	id          judge.RequestID
 	instance    *daemonProcess
-	generation  int           // of the instance when the request was sent
-	answeredAt  policy.Time   // 0: not yet
+	generation  int           // generation of the instance when the request was sent
+	answeredAt  policy.Time   // 0: not answered yet
 	attemptDone chan struct{} // closed when the latest attempt has ended at its endpoint; nil: none is open
 }
 
--- a/internal/livetest/run.go
+++ b/internal/livetest/run.go
@@ -29,7 +29,7 @@
 	Options
 	dir       string
 	clock     clock.Clock
-	start     policy.Time // of the scenario, by the clock
+	start     policy.Time // start of the scenario, by the clock
 	settings  policy.Settings
 	endpoints []*fakeEndpoint
 	instances []*daemonProcess
