--- a/cmd/pepperlead-sim/output.go
+++ b/cmd/pepperlead-sim/output.go
@@ -30,10 +30,10 @@
 func printSpread(out io.Writer, s *judge.Spread) {
 	printf(out, "attempts scatter over endpoints %.2f times as much as by chance in 1 s, %.2f in 5 s (with one "+
 		"endpoint per key %.2f, %.2f); "+
-		"busiest endpoint %.2f times its share in 5 s, at most %.1f;\n",
+		"the busiest endpoint got %.2f times its share in 5 s on average, and at most %.1f times;\n",
 		s.Scatter[0], s.Scatter[1], s.KeyScatter[0], s.KeyScatter[1], s.Busiest, s.BusiestMax)
-	printf(out, "%.1f endpoint seconds idle while others queued; at most %.1f attempts beyond an endpoint's share "+
-		"in 50 ms\n", s.IdleSeconds, s.Herd)
+	printf(out, "endpoints were idle for %.1f s in total while others had queues; at most %.1f attempts beyond an "+
+		"endpoint's share in 50 ms\n", s.IdleSeconds, s.Herd)
 }
 
 func printViolations(out io.Writer, v *judge.Verdict) {
--- a/cmd/pepperlead-sim/replay.go
+++ b/cmd/pepperlead-sim/replay.go
@@ -36,7 +36,7 @@
 		"the `scenario` whose fleet, classes and clients are used (required)")
 	c.Flags().BoolVar(&o.scripted, "scripted", false,
 		"play the scenario's faults instead of those that the traces show; faults that change the load are left "+
-			"out, as the recorded requests already contain them")
+			"out, because the recorded requests already contain them")
 	c.Flags().Uint64Var(&o.seed, "seed", 1, "random seed for what was not recorded, such as sizes of work and speeds")
 	c.Flags().StringVar(&o.policyName, "policy", "module", policyHelp)
 	c.Flags().StringVar(&o.directory, "out", "",
--- a/cmd/pepperlead-sim/sockets.go
+++ b/cmd/pepperlead-sim/sockets.go
@@ -28,8 +28,8 @@
 		Long: "Play a scenario over sockets in real time. The daemons are separate processes, fake backends follow " +
 			"the emulator's model of\n" +
 			"endpoints, clients send the same requests as in the emulator, and the emulator's judge checks the run. " +
-			"At most 2,048 sidecars,\n" +
-			"2,048 endpoints and 5,000 requests per second.",
+			"A scenario may have at most\n" +
+			"2,048 sidecars, 2,048 endpoints and 5,000 requests per second.",
 		Example: "  pepperlead-sim sockets scenarios/monday.toml --seed 1 --record /tmp/monday",
 	}
 	var o socketsOptions
--- a/cmd/pepperlead-sim/sweep.go
+++ b/cmd/pepperlead-sim/sweep.go
@@ -41,7 +41,7 @@
 			"  cross-zone        share of the attempts that went to another zone\n" +
 			"  scatter           scatter of attempts per endpoint in 1 s and 5 s, relative to a random distribution\n" +
 			"  forced            what the scatter would be if each key had one random endpoint\n" +
-			"  busiest, maximum  attempts at the busiest endpoint over its share in 5 s, mean and maximum\n" +
+			"  busiest, maximum  attempts at the busiest endpoint / its share in 5 s, mean and maximum\n" +
 			"  idle s            seconds that endpoints were idle while others had queues, summed\n" +
 			"  herd              attempts at an endpoint beyond its share within 50 ms",
 		Example: "  pepperlead-sim sweep scenarios/*.toml --seeds 20 --policies module,two,seeing --out /tmp/all\n" +
