--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -41,7 +41,7 @@
 	if gap > 3600 {
 		gap = 3600
 	}
-	// Gaps are limited to a second, so that a rise of the rate, as by a burst, takes effect soon even if requests are
+	// Gaps are limited to a second, so that a rise of the rate, such as a burst, takes effect soon even if requests are
 	// rare. At the end of a limited gap no request arrives.
 	isRequest := int32(1)
 	if gap > 1 {
@@ -215,7 +215,7 @@
 	return int32(len(w.tries) - 1)
 }
 
-// keyText returns the routing key of a request as text, as the decider gets it.
+// keyText returns the routing key of a request in the text form that the decider receives.
 func keyText(key uint64) string { return "k" + strconv.FormatUint(key, 36) }
 
 // parseKey is the inverse of keyText.
@@ -261,8 +261,8 @@
 
 // retryLater schedules the client's next try after a backoff with jitter, which doubles with each try, or after
 // Retry-After if that is longer and the client follows it. It ends the request if the client has no retry or no time
-// left, or if the request must not be repeated. safe says that clients repeat a request of any class, as after a
-// rejection or the loss of their instance. If it is false, they do not repeat non-idempotent requests.
+// left, or if the request must not be repeated. safe is true after a rejection and after the loss of the instance:
+// clients then repeat requests of any class. If safe is false, they do not repeat non-idempotent requests.
 func (w *World) retryLater(requestIndex int32, safe bool, retryAfter policy.Time) {
 	req := &w.requests[requestIndex]
 	class := &w.scenario.Classes[req.class]
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -163,7 +163,7 @@
 				v.Succeeded, v.Rejected, v.Failed)
 		}
 		if name == "ring" && v.Succeeded < 1100 {
-			t.Errorf("%d succeeded: the queue rejected requests", v.Succeeded)
+			t.Errorf("%d requests succeeded, want at least 1100; the queue rejected the others", v.Succeeded)
 		}
 	}
 }
--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -27,7 +27,7 @@
 	down           bool        // its process has ended
 	silentFaults   int         // number of active silent faults
 	lost           bool        // its process ended when it became unreachable, and starts when it is reachable again
-	slowFactors    []float64   // of active faults; each divides its speed
+	slowFactors    []float64   // sizes of the active slow faults; each divides the speed
 	errorRate      float64     // set by an errors fault; 0: none is active
 	incarnation    int         // counts starts and stops
 	scheduledAt    policy.Time // time of its next event; 0: no event is scheduled
--- a/internal/emulator/front.go
+++ b/internal/emulator/front.go
@@ -116,7 +116,7 @@
 	w := inst.world
 	tryIndex, try := inst.lookup(handle)
 	if !try.clientWaiting {
-		// The client is gone or has its answer. The judge checks this answer too, as a second one breaks a rule.
+		// The client is gone or has its answer. The judge checks this answer too, because a second one breaks a rule.
 		w.judge.RequestAnswered(w.sinceStart(w.now), try.judgeID, w.requests[try.request].judgeID, answer)
 		return
 	}
--- a/internal/emulator/judge/judge.go
+++ b/internal/emulator/judge/judge.go
@@ -51,8 +51,8 @@
 	MaxAttempts      int
 	Grace            policy.Time // grace period of rule 3
 	OverloadMultiple float64     // multiple of its capacity that overloads a cold endpoint; 0: no overloads
-	OverloadWindow   policy.Time // over which the work sent to a cold endpoint is added up
-	Length           policy.Time // of the run: requests that begin later are not counted
+	OverloadWindow   policy.Time // span over which the work sent to a cold endpoint is added up
+	Length           policy.Time // length of the run; requests that begin after it are not counted
 }
 
 // Violation is one case in which a rule was broken. Its texts are part of stored results.
--- a/internal/emulator/judge/judge_test.go
+++ b/internal/emulator/judge/judge_test.go
@@ -10,7 +10,7 @@
 
 const sec = policy.Second
 
-// The classes of newJudge.
+// The classes of the judge that newJudge returns.
 const (
 	idempotent policy.ClassID = iota
 	keyedAnywhere
@@ -231,10 +231,10 @@
 	}
 	request(60*sec, 0, 100, Failed) // begins after the end of the run
 	v := j.Finish(70 * sec)
-	// Earned in each second: 2 of 2 and 1 of 2; in the first ten also 0 of 4.
+	// In each second, responses earn 2 of 2 and 1 of 2; in the first ten seconds, a rejection also earns 0 of 4.
 	if v.Service != 60./120 || v.Worst10 != 30./80 || v.Late != 20 || v.Succeeded != 40 || v.Rejected != 10 || v.Classes[0].Requested != 120 ||
 		v.Tenants[0].Earned != 60 || len(v.Seconds) != 20 {
-		t.Errorf("%+v", v)
+		t.Errorf("verdict on late, rejected and uncounted requests: %+v", v)
 	}
 	// A successful retry earns the value of the client's request, once.
 	j = newJudge()
@@ -245,7 +245,7 @@
 	j.RequestAnswered(sec/2, retry, client, Succeeded)
 	j.ClientRequestEnded(client)
 	if v := j.Finish(5 * sec); v.Service != 1 || v.ClientRequests != 1 || v.Requests != 2 {
-		t.Errorf("%+v", v)
+		t.Errorf("verdict on a rejected request whose retry succeeded: %+v", v)
 	}
 }
 
@@ -271,10 +271,10 @@
 		}
 	}); s.Scatter != [2]float64{} || s.KeyScatter != [2]float64{1, 1} ||
 		s.Busiest != 1 || s.BusiestMax != 1 || s.IdleSeconds != 0 || s.Herd != 0.75 {
-		t.Errorf("%+v", s)
+		t.Errorf("spread of attempts by capacity: %+v", s)
 	}
-	// All attempts have the same key and go to one endpoint of capacity 1: 4 in each second; 20 in 5 s, of which 5 are
-	// its share; 2 within 50 ms.
+	// All attempts have the same key and go to one endpoint of capacity 1. It gets 4 attempts in each second, 20
+	// in 5 s, of which 5 are its share, and 2 within 50 ms.
 	if s := spreadOf(func(j *Judge, attempt func(policy.Time, EndpointID, uint64)) {
 		for at := policy.Time(0); at < 50*sec; at += sec / 2 {
 			attempt(at, 0, 7)
@@ -284,6 +284,6 @@
 		j.IdleObserved(2, false, sec)
 	}); math.Abs(s.Scatter[1]-math.Sqrt(15*15/5./2+5/2.+10/2.)) > 1e-9 || s.KeyScatter != [2]float64{2, math.Sqrt(20)} ||
 		s.Busiest != 4 || s.IdleSeconds != 2 || s.Herd != 1.5 {
-		t.Errorf("%+v", s)
+		t.Errorf("spread of attempts at a single endpoint: %+v", s)
 	}
 }
--- a/internal/emulator/judge/spread.go
+++ b/internal/emulator/judge/spread.go
@@ -15,7 +15,7 @@
 	// KeyScatter is what Scatter would be if all attempts with the same key went to one endpoint, chosen at random.
 	KeyScatter  [2]float64 `json:"forced"`
 	Busiest     float64    `json:"busiest"`      // attempts at the busiest endpoint / its share, mean of 5 s windows
-	BusiestMax  float64    `json:"busiest_most"` // the same, maximum of these windows
+	BusiestMax  float64    `json:"busiest_most"` // like Busiest, but the maximum of the 5 s windows
 	IdleSeconds float64    `json:"idle_s"`       // seconds that endpoints were idle while others had queues, summed
 	Herd        float64    `json:"herd"`         // attempts at an endpoint beyond its share, maximum of 50 ms windows
 }
--- a/internal/emulator/machine/machine.go
+++ b/internal/emulator/machine/machine.go
@@ -12,18 +12,18 @@
 // Traits describes an endpoint. Amounts of work are times of one core at speed 1.
 type Traits struct {
 	Cores            float64
-	Speed            float64     // of each core
+	Speed            float64     // speed of each core
 	Workers          int         // jobs processed at once, including those that wait for I/O; 0: all share the cores
 	QueueSize        int         // jobs that may wait for a worker; without workers, jobs that may be in the machine
 	ColdSpeed        float64     // part of the speed just after a start; rises linearly to 1
-	WarmUpTime       policy.Time // until the full speed is reached
+	WarmUpTime       policy.Time // time from a start until the full speed is reached
 	CacheSize        int         // most recently used keys that are cached; 0: none
 	CacheDiscount    float64     // part of the work that a cached key saves
 	CacheColdTime    policy.Time // time after a start during which the cache is not used
 	CongestAt        int         // number of jobs at which the machine becomes congested; 0: never
 	CongestedSpeed   float64     // part of the speed while congested, until fewer than half of those jobs are left
 	OverloadMultiple float64     // while cold, more work than this multiple of the capacity overloads it; 0: never
-	OverloadWindow   policy.Time // over which that work is added up
+	OverloadWindow   policy.Time // span over which that work is added up
 	ConnectWork      policy.Time // work of a new connection
 	FreeConnections  int         // open connections that do not cost speed; 0: all
 	MaxConnections   int         // connections that may be open; 0: no limit
--- a/internal/emulator/queue.go
+++ b/internal/emulator/queue.go
@@ -11,7 +11,7 @@
 	rankAttemptEnd             // results of attempts that reach an instance
 	rankAnswer                 // final answers that reach a client
 	rankTimeout                // timeouts of attempts
-	rankArrive                 // requests that reach an instance, attempts that reach an endpoint
+	rankArrive                 // requests that reach an instance, and attempts that reach an endpoint
 	rankWake                   // calls of Decider.Woken
 	rankDeadline               // deadlines of requests
 )
--- a/internal/emulator/samples.go
+++ b/internal/emulator/samples.go
@@ -13,7 +13,7 @@
 // Sample is the state of the fleet at a point in time.
 type Sample struct {
 	At       policy.Time `json:"at_ns"`
-	Attempts []int       `json:"pushes"`  // in flight, by endpoint
+	Attempts []int       `json:"pushes"`  // number of attempts in flight, by endpoint
 	Waiting  int         `json:"waiting"` // jobs beyond the cores of their endpoints
 	Busy     float64     `json:"busy"`    // part of the cores that are in use
 	// These are means over the running instances, 0 if the policy has no gauges.
--- a/internal/emulator/trueview.go
+++ b/internal/emulator/trueview.go
@@ -10,7 +10,7 @@
 // as an upper bound uses it.
 type View interface {
 	// Best returns the allowed endpoint where a request would finish first and how long it would take there. It
-	// returns false if no endpoint is allowed.
+	// returns false if no allowed endpoint is usable.
 	Best(
 		now policy.Time,
 		zone policy.Zone,
