--- a/internal/fakebackend/modelserver.go
+++ b/internal/fakebackend/modelserver.go
@@ -105,7 +105,7 @@
 	return s, nil
 }
 
-// Status returns the load of the server.
+// Status returns the current load and capacity of the server.
 func (s *ModelServer) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/faultproxy/network.go
+++ b/internal/faultproxy/network.go
@@ -36,7 +36,7 @@
 	// Blocked blocks the link. Bytes of connections are held until the link is open again, as a sender would retransmit
 	// them; packets are lost.
 	Blocked bool
-	Delay   time.Duration // of all bytes and packets
+	Delay   time.Duration // delay of all bytes and packets
 	// Jitter is the maximum of a further random delay. It reorders packets, but not the bytes of a connection.
 	Jitter    time.Duration
 	Drop      float64 // share of packets that are lost; bytes of connections are not, as a loss would only delay them
@@ -45,7 +45,7 @@
 
 // Counters counts the traffic of a link.
 type Counters struct {
-	Connections uint64 // opened
+	Connections uint64 // opened connections
 	Chunks      uint64 // parts in which the bytes of connections were relayed
 	Packets     uint64
 	Held        uint64 // chunks that arrived while the link was blocked
--- a/internal/faultproxy/udp.go
+++ b/internal/faultproxy/udp.go
@@ -80,7 +80,7 @@
 			return
 		}
 		if err != nil {
-			continue // an ICMP error for an earlier packet
+			continue // the error is an ICMP error for an earlier packet
 		}
 		handle(slices.Clone(buffer[:size]), from, time.Now())
 	}
--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -22,7 +22,7 @@
 	coordinators      []*Process
 	endpoints         []*fakebackend.Server
 	endpointNames     []string
-	endpointAddresses map[string]string    // by name, at the fault proxy
+	endpointAddresses map[string]string    // addresses at the fault proxy, by endpoint name
 	catalog           *fakebackend.Catalog // nil: each sidecar has its endpoints in its configuration
 	random            *rand.Rand
 	frontPort         int
@@ -46,7 +46,7 @@
 }
 
 const (
-	deadline      = 2 * time.Second // of the class of all test requests
+	deadline      = 2 * time.Second // deadline of the class of all test requests
 	targetLatency = 500 * time.Millisecond
 	endpointWork  = 20 * time.Millisecond
 	answerTimeout = deadline + 3*time.Second
--- a/internal/faulttest/configuration.go
+++ b/internal/faulttest/configuration.go
@@ -19,7 +19,7 @@
 	script  *Script
 	seed    uint64
 	ports   portSet
-	logPort int    // of the coordinators' replicated log
+	logPort int    // port of the coordinators' replicated log
 	source  string // the table of the endpoint source
 }
 
--- a/internal/faulttest/figures.go
+++ b/internal/faulttest/figures.go
@@ -13,7 +13,7 @@
 type usage struct {
 	packets    float64 // sent
 	bytes      float64 // sent
-	cpu        float64 // seconds
+	cpu        float64 // CPU time in seconds
 	departures float64 // other members that left or were declared dead, counted by each
 }
 
--- a/internal/faulttest/judge/history.go
+++ b/internal/faulttest/judge/history.go
@@ -85,5 +85,5 @@
 	// UnnotifiedIntervals holds the intervals in which processes may not have been notified by discovery.
 	UnnotifiedIntervals []Interval
 	Deadline            time.Duration
-	Slack               time.Duration // delay of a client's response that the machine and the links may cause
+	Slack               time.Duration // longest delay of a client's response that the machine and the links may cause
 }
--- a/internal/faulttest/report.go
+++ b/internal/faulttest/report.go
@@ -120,7 +120,7 @@
 	return nameWidth + plotWidth*float64(min(max(at, p.start), p.end)-p.start)/float64(p.end-p.start)
 }
 
-// lane returns the lane of a process.
+// lane returns the lane of a process, which it adds if there is none yet.
 func (p *picture) lane(name string) *lane {
 	i := slices.IndexFunc(p.lanes, func(l lane) bool { return l.Name == name })
 	if i < 0 {
--- a/internal/faulttest/script.go
+++ b/internal/faulttest/script.go
@@ -25,7 +25,7 @@
 	Discovery    bool          // endpoints come from a fake discovery, which lists all of them at first
 	Contradicts  bool          // the judge must find a contradiction; for tests of the judge itself
 	RuleSets     []RuleSet
-	Clocks       map[string]string // by process: its clock skew
+	Clocks       map[string]string // clock skews by the names of processes
 	Actions      []Action
 }
 
--- a/internal/simprotocol/adapter.go
+++ b/internal/simprotocol/adapter.go
@@ -33,7 +33,7 @@
 type adapter struct {
 	in        *bufio.Reader
 	out       io.Writer
-	reply     bytes.Buffer // to the current batch
+	reply     bytes.Buffer // reply to the current batch
 	inBatch   bool
 	now       policy.Time
 	instances map[string]*instance
@@ -41,7 +41,7 @@
 	listNo    int     // number of the list that was begun last
 	remaining int     // entries of that list that are still to be read
 	line      []byte  // buffer of readLine
-	fields    []field // of the current line
+	fields    []field // fields of the current line
 }
 
 // Run serves batches until the input ends. It stops at a line that it cannot handle, with an error that quotes the line
--- a/internal/simprotocol/instance.go
+++ b/internal/simprotocol/instance.go
@@ -21,7 +21,7 @@
 	classes  map[string]policy.ClassID
 	tenants  map[string]policy.TenantID
 	handles  map[requestID]policy.Handle
-	ids      []requestID // by the index of the handle
+	ids      []requestID // IDs of the requests, by the index of their handles
 }
 
 var _ policy.Front = (*instance)(nil)
