--- a/internal/benchmark/follow.go
+++ b/internal/benchmark/follow.go
@@ -107,7 +107,7 @@
 	deadline := time.Now().Add(followTimeout)
 	for p.firstRequest[ready].Load() == 0 {
 		if time.Now().After(deadline) {
-			return 0, fmt.Errorf("issue %d was not followed within 5 s", issue)
+			return 0, fmt.Errorf("the daemon did not follow issue %d of the list within 5 s", issue)
 		}
 		time.Sleep(followPoll)
 	}
--- a/internal/benchmark/load.go
+++ b/internal/benchmark/load.go
@@ -52,7 +52,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("not ready at %s within %v", address, timeout)
+	return fmt.Errorf("the daemon at %s was not ready within %v", address, timeout)
 }
 
 // sendRequest sends a request and returns the status of the response, which it reads to its end.
--- a/internal/benchmark/process.go
+++ b/internal/benchmark/process.go
@@ -23,7 +23,7 @@
 	const firstTime, lastTime = 11, 12
 	fields := strings.Fields(string(content[strings.LastIndexByte(string(content), ')')+1:]))
 	if len(fields) <= lastTime {
-		return 0, fmt.Errorf("process %d: stat has %d fields", pid, len(fields))
+		return 0, fmt.Errorf("process %d: /proc/PID/stat has only %d fields", pid, len(fields))
 	}
 	var sum time.Duration
 	for _, field := range fields[firstTime : lastTime+1] {
@@ -47,7 +47,7 @@
 			return strconv.Atoi(strings.TrimSpace(strings.TrimSuffix(strings.TrimSpace(size), "kB")))
 		}
 	}
-	return 0, fmt.Errorf("process %d: no VmRSS", pid)
+	return 0, fmt.Errorf("process %d: /proc/PID/status has no line VmRSS", pid)
 }
 
 // Kill ends a process and waits for it.
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -72,8 +72,8 @@
 	freeRequests      []int32
 	tries             []clientTry
 	freeTries         []int32
-	classShares       []float64 // cumulative
-	tenantShares      []float64 // cumulative
+	classShares       []float64 // cumulative sums of the classes' shares
+	tenantShares      []float64 // cumulative sums of the tenants' shares
 	rate              float64   // requests per second
 	keys              *zipf
 	hotKeyShare       float64               // part of the requests that use the hot key
--- a/internal/faultproxy/network.go
+++ b/internal/faultproxy/network.go
@@ -33,8 +33,8 @@
 
 // Faults are the faults of a link.
 type Faults struct {
-	// Blocked blocks the link. Bytes of connections are held until the link is open again, as a sender would retransmit
-	// them; packets are lost.
+	// Blocked blocks the link. Bytes of connections are held until the link is open again, because a sender would
+	// retransmit them; packets are lost.
 	Blocked bool
 	Delay   time.Duration // delay of all bytes and packets
 	// Jitter is the maximum of a further random delay. It reorders packets, but not the bytes of a connection.
--- a/internal/faulttest/judge/history.go
+++ b/internal/faulttest/judge/history.go
@@ -13,7 +13,7 @@
 	Drained     []string
 }
 
-// ActiveRules holds the revisions that a process applied at a time, and whether it held a lease.
+// ActiveRules holds the revisions that a process applied at the time At, and whether it held a lease then.
 type ActiveRules struct {
 	Process   string
 	Revisions []int
--- a/internal/livetest/faults.go
+++ b/internal/livetest/faults.go
@@ -250,10 +250,10 @@
 		for _, instance := range killed {
 			<-instance.exited // until then its address may be in use
 			if err := r.writeList(instance); err != nil {
-				r.log("sidecar %d: %v", instance.id, err)
+				r.log("sidecar %d: cannot write its list: %v", instance.id, err)
 			}
 			if err := r.startInstance(instance); err != nil {
-				r.log("sidecar %d: %v", instance.id, err)
+				r.log("sidecar %d: cannot start it again: %v", instance.id, err)
 			}
 		}
 		for _, instance := range killed {
--- a/internal/livetest/instances.go
+++ b/internal/livetest/instances.go
@@ -35,7 +35,7 @@
 	generation       int           // incremented each time it is killed
 	process          *exec.Cmd     // nil: killed and not started again
 	exited           chan struct{} // closed once a killed process has exited
-	ready            bool          // it has been healthy since its start
+	ready            bool          // it has answered a health check since its start
 	listDelayedUntil policy.Time
 }
 
--- a/internal/livetest/requests.go
+++ b/internal/livetest/requests.go
@@ -36,7 +36,7 @@
 type requestResult struct {
 	answer     judge.Answer
 	retryAfter policy.Time
-	answered   bool // false if there was no response, for example because the instance was killed
+	answered   bool // whether there was a response; none comes, for example, if the instance was killed
 }
 
 // serveClient sends a planned request with its retries.
--- a/internal/livetest/run.go
+++ b/internal/livetest/run.go
@@ -15,8 +15,8 @@
 	"pepperlead/policy"
 )
 
-// Random streams of the seed, one for each purpose. Each endpoint and each fault adds its index to the number, to have
-// a stream of its own.
+// Random streams of the seed, one for each purpose. The index of an endpoint or a fault is added to the number of the
+// stream, so that each of them has its own.
 const (
 	listStream     = 1
 	retryStream    = 2
@@ -39,7 +39,7 @@
 	// mu guards the fields below, and those of endpoints, instances and pending requests that change.
 	mu          sync.Mutex
 	judge       *judge.Judge
-	pending     map[string]*pendingRequest // by the value of X-Request-ID
+	pending     map[string]*pendingRequest // pending requests, by the value of X-Request-ID
 	values      *emulator.ValueMeter
 	listRandom  *rand.Rand
 	retryRandom *rand.Rand
