--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -95,7 +95,8 @@
 		t.Errorf("violations by rule %v, want some of rule 4 and none of the others", v.ViolationCounts)
 	}
 	if seeing, module := simulate(t, sc, 1, "seeing"), simulate(t, sc, 1, "module"); seeing.Service < module.Service-0.005 || module.Service < v.Service {
-		t.Errorf("seeing %.3f, module %.3f, table %.3f", seeing.Service, module.Service, v.Service)
+		t.Errorf("service of seeing %.3f, module %.3f, table %.3f: want no policy below the one after it",
+			seeing.Service, module.Service, v.Service)
 	}
 }
 
@@ -162,7 +163,7 @@
 				v.Succeeded, v.Rejected, v.Failed)
 		}
 		if name == "ring" && v.Succeeded < 1100 {
-			t.Errorf("%d succeeded: the queue rejected requests", v.Succeeded)
+			t.Errorf("%d requests succeeded, want at least 1100; the queue rejected the others", v.Succeeded)
 		}
 	}
 }
--- a/internal/faulttest/script.go
+++ b/internal/faulttest/script.go
@@ -25,7 +25,7 @@
 	Discovery    bool          // endpoints come from a fake discovery, which lists all of them at first
 	Contradicts  bool          // the judge must find a contradiction; for tests of the judge itself
 	RuleSets     []RuleSet
-	Clocks       map[string]string // by process: its clock skew
+	Clocks       map[string]string // clock skews by the names of processes
 	Actions      []Action
 }
 
@@ -42,7 +42,7 @@
 // revision.
 type Action struct {
 	At              time.Duration // since the start
-	Share           float64       // of the sidecars, that must apply AwaitedRevision
+	Share           float64       // share of the sidecars that must apply AwaitedRevision
 	AwaitedRevision int           // revision that the share of sidecars must apply
 	After           time.Duration // delay once they apply it
 	Kind            string
@@ -50,7 +50,7 @@
 	From            []string
 	To              []string
 	RuleSet         string
-	Revision        int // to withdraw or to roll back to
+	Revision        int // revision to withdraw or to roll back to
 	Drop            float64
 	Duplicate       float64
 	Delay           time.Duration
