--- a/cmd/pepperlead-sim/sweep.go
+++ b/cmd/pepperlead-sim/sweep.go
@@ -30,9 +30,9 @@
 	c := &cobra.Command{
 		Use:   "sweep SCENARIO...",
 		Args:  cobra.MinimumNArgs(1),
-		Short: "Run scenarios over many seeds, values of a setting and policies",
-		Long: "Run scenarios over many seeds, values of a setting and policies, and print a row for each scenario, " +
-			"value and policy.\n" +
+		Short: "Run scenarios for each combination of seeds, policies and values of a setting",
+		Long: "Run scenarios for each combination of seeds, policies and values of a setting, and print a row " +
+			"for each scenario, value and policy.\n" +
 			"Columns are means over the seeds, except for maximum and herd, which are maxima, and the last one, " +
 			"which counts runs:\n" +
 			"  service           earned part of the requests' value; ± is half its 95% interval\n" +
@@ -41,7 +41,7 @@
 			"  cross-zone        share of the attempts that went to another zone\n" +
 			"  scatter           scatter of attempts per endpoint in 1 s and 5 s, relative to a random distribution\n" +
 			"  forced            what the scatter would be if each key had one random endpoint\n" +
-			"  busiest, maximum  attempts at the busiest endpoint over its share in 5 s, mean and maximum\n" +
+			"  busiest, maximum  attempts at the busiest endpoint / its share in 5 s, mean and maximum\n" +
 			"  idle s            seconds that endpoints were idle while others had queues, summed\n" +
 			"  herd              attempts at an endpoint beyond its share within 50 ms",
 		Example: "  pepperlead-sim sweep scenarios/*.toml --seeds 20 --policies module,two,seeing --out /tmp/all\n" +
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -30,7 +30,7 @@
 	fileDiscovery  string // the discovery address in the file, which the environment may override
 	AdminAddress   string // of the command server; empty: none
 	MetricsAddress string // of the metrics server; empty: none
-	LogLevel       string // empty: as set on the command line, or by default
+	LogLevel       string // empty: the level of the command line, or the default
 	LogFormat      string
 	Membership     *membership.Config // nil: the instance is in no cluster
 	AgreedRules    bool               // the rules come from coordinators
@@ -63,7 +63,7 @@
 func (c *Config) setAdmin(address string, env func(string) string) error {
 	c.AdminAddress = valueOrEnv(env, "GW_ADMIN", address)
 	if c.AdminAddress != "" && !endpointfiles.ValidAddress(c.AdminAddress) {
-		return fmt.Errorf("admin: found %q, allowed an IP address and port, as 127.0.0.1:9002", c.AdminAddress)
+		return fmt.Errorf("admin: found %q, allowed an IP address and port, such as 127.0.0.1:9002", c.AdminAddress)
 	}
 	if inherited := env("GW_INHERITED_FD"); inherited != "" {
 		descriptor, err := strconv.Atoi(inherited)
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -63,7 +63,7 @@
 	judge             *judge.Judge
 	judgeConfig       judge.Config
 	tenantNames       []string
-	settings          policy.Settings // the zone is set for each instance
+	settings          policy.Settings // shared by all instances; each of them sets its own zone
 	endpoints         []*endpoint
 	pods              []*pod
 	byID              map[policy.EndpointID]*endpoint
@@ -72,19 +72,19 @@
 	freeRequests      []int32
 	tries             []clientTry
 	freeTries         []int32
-	classShares       []float64 // cumulative
-	tenantShares      []float64 // cumulative
+	classShares       []float64 // cumulative sums of the classes' shares
+	tenantShares      []float64 // cumulative sums of the tenants' shares
 	rate              float64   // requests per second
 	keys              *zipf
 	hotKeyShare       float64               // part of the requests that use the hot key
 	burstFactor       float64               // factor on the rate: the product of the sizes of active bursts
 	lostZones         map[policy.Zone]int   // number of active zone-lost faults by zone
 	listsDelayedUntil policy.Time           // latest end of the list-behind faults so far
-	version           int64                 // of the endpoint list that discovery has
+	version           int64                 // version of the endpoint list that discovery has
 	finishedJobs      []machine.FinishedJob // buffer of endpoint.advance
 	eventCount        uint64
 	wastedWork        float64 // part of totalWork done for attempts that had already ended at their instance
-	totalWork         float64 // of all finished jobs, each counted as the mean work of its class, in ns
+	totalWork         float64 // work of all finished jobs, each counted as the mean work of its class, in ns
 	values            *ValueMeter
 	faults            []fault
 	observer          AnswerObserver
@@ -194,7 +194,8 @@
 	defaultOverloadMultiple = 3
 )
 
-// settings returns the settings of all instances, without zone, classes and tenants.
+// settings returns the settings that all instances share. The caller sets the classes and tenants, and each instance
+// its zone.
 func (sc *Scenario) settings() policy.Settings {
 	settings := policy.Settings{
 		Instances:        sc.Instances,
--- a/internal/fakebackend/modelserver.go
+++ b/internal/fakebackend/modelserver.go
@@ -70,7 +70,7 @@
 
 // Status is the load and the capacity of a ModelServer.
 type Status struct {
-	Requests int     // in the server
+	Requests int     // requests in the server, queued or begun
 	Queued   int     // of these, those that wait for a core
 	Capacity float64 // cores times speed once warm; 0 while the server is stopped or silent
 }
@@ -84,7 +84,7 @@
 	Observer Observer       // nil for none
 }
 
-// StartModelServer serves on the address, whose port may be 0.
+// StartModelServer starts a model server that listens on the address. If the port is 0, the system chooses a free one.
 func StartModelServer(address string, options ModelServerOptions) (*ModelServer, error) {
 	s := &ModelServer{
 		clock:    options.Clock,
@@ -105,7 +105,7 @@
 	return s, nil
 }
 
-// Status returns the load of the server.
+// Status returns the current load and capacity of the server.
 func (s *ModelServer) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/faultproxy/network.go
+++ b/internal/faultproxy/network.go
@@ -33,10 +33,10 @@
 
 // Faults are the faults of a link.
 type Faults struct {
-	// Blocked blocks the link. Bytes of connections are held until the link is open again, as a sender would retransmit
-	// them; packets are lost.
+	// Blocked blocks the link. Bytes of connections are held until the link is open again, because a sender would
+	// retransmit them; packets are lost.
 	Blocked bool
-	Delay   time.Duration // of all bytes and packets
+	Delay   time.Duration // delay of all bytes and packets
 	// Jitter is the maximum of a further random delay. It reorders packets, but not the bytes of a connection.
 	Jitter    time.Duration
 	Drop      float64 // share of packets that are lost; bytes of connections are not, as a loss would only delay them
@@ -45,8 +45,8 @@
 
 // Counters counts the traffic of a link.
 type Counters struct {
-	Connections uint64 // opened
-	Chunks      uint64 // of bytes on connections
+	Connections uint64 // opened connections
+	Chunks      uint64 // parts in which the bytes of connections were relayed
 	Packets     uint64
 	Held        uint64 // chunks that arrived while the link was blocked
 	Lost        uint64 // packets that were dropped or blocked
@@ -60,7 +60,7 @@
 	counters map[Link]*Counters
 	changed  chan struct{} // closed and replaced at each change of faults
 	random   *rand.Rand
-	overhead *hdrhistogram.Histogram // of the proxies, in microseconds
+	overhead *hdrhistogram.Histogram // time that the proxies took, in microseconds
 	closed   bool
 
 	listeners  []io.Closer
--- a/internal/faultproxy/udp.go
+++ b/internal/faultproxy/udp.go
@@ -80,7 +80,7 @@
 			return
 		}
 		if err != nil {
-			continue // an ICMP error for an earlier packet
+			continue // the error is an ICMP error for an earlier packet
 		}
 		handle(slices.Clone(buffer[:size]), from, time.Now())
 	}
@@ -145,7 +145,7 @@
 	return delays
 }
 
-// happens draws whether an event of a probability happens. The caller holds the lock.
+// happens draws whether an event with the given probability happens. The caller holds the lock.
 func (n *Network) happens(probability float64) bool {
 	return probability > 0 && n.random.Float64() < probability
 }
--- a/internal/faulttest/configuration.go
+++ b/internal/faulttest/configuration.go
@@ -19,11 +19,11 @@
 	script  *Script
 	seed    uint64
 	ports   portSet
-	logPort int    // of the coordinators' replicated log
+	logPort int    // port of the coordinators' replicated log
 	source  string // the table of the endpoint source
 }
 
-// instance returns the configuration of the sidecar whose addresses have the given index.
+// instance returns the configuration of a sidecar. Its index i determines its IP address and its seed.
 func (c *clusterConfig) instance(process *Process, i int, addresses peerAddresses) string {
 	return fmt.Sprintf("[instance]\nname = %q\n", process.Name) +
 		fmt.Sprintf("instances = %d\nseed = \"%x\"\n", c.script.Instances, c.seed*1000+uint64(i)) +
@@ -37,7 +37,7 @@
 		"agree = true\n"
 }
 
-// coordinator returns the configuration of the coordinator whose addresses have the given index.
+// coordinator returns the configuration of a coordinator. Its index determines its IP address.
 func (c *clusterConfig) coordinator(process *Process, index int, addresses peerAddresses) string {
 	return fmt.Sprintf("[instance]\nname = %q\n", process.Name) +
 		fmt.Sprintf("[keep]\nfolder = %q\n", process.stateDirectory()) +
@@ -58,8 +58,8 @@
 	return text.String()
 }
 
-// peers returns the table with the addresses at which a process's peers reach it; all processes join at the
-// coordinators.
+// peers returns the table with the addresses at which a process's peers reach it; all processes join the
+// cluster through the coordinators.
 func (c *clusterConfig) peers(addresses peerAddresses) string {
 	return fmt.Sprintf("[peers]\nlisten = %q\nadvertise = %q\n", addresses.listen, addresses.advertise) +
 		fmt.Sprintf("cluster = %q\nkey_file = %q\n", clusterName, keyFile) +
--- a/internal/faulttest/judge/history.go
+++ b/internal/faulttest/judge/history.go
@@ -13,7 +13,7 @@
 	Drained     []string
 }
 
-// ActiveRules holds the revisions that a process applied at a time, and whether it held a lease.
+// ActiveRules holds the revisions that a process applied at the time At, and whether it held a lease then.
 type ActiveRules struct {
 	Process   string
 	Revisions []int
@@ -85,5 +85,5 @@
 	// UnnotifiedIntervals holds the intervals in which processes may not have been notified by discovery.
 	UnnotifiedIntervals []Interval
 	Deadline            time.Duration
-	Slack               time.Duration // delay of a client's response that the machine and the links may cause
+	Slack               time.Duration // longest delay of a client's response that the machine and the links may cause
 }
--- a/internal/faulttest/judge/judge.go
+++ b/internal/faulttest/judge/judge.go
@@ -11,8 +11,8 @@
 
 // Verdict is the result of checking a history.
 type Verdict struct {
-	// Contradiction is the longest time by which an attempt under older revisions only came after an attempt of another
-	// process under newer revisions only.
+	// Contradiction is the longest time from an attempt of one process under newer revisions only to a later attempt of
+	// another process under older revisions only.
 	Contradiction    time.Duration `json:"Contradiction"`
 	Between          string        `json:"Between"` // describes the longest contradiction
 	Faults           []string      `json:"Faults"`  // texts of the first violations
@@ -52,7 +52,7 @@
 	return v
 }
 
-// firstAttempt is the first attempt that a process made with a certain revision as the oldest one.
+// firstAttempt is the first of a process's attempts whose oldest revision is a certain one.
 type firstAttempt struct {
 	process string
 	at      int64
@@ -146,9 +146,10 @@
 	}
 }
 
-// checkDelisted looks for attempts at endpoints that are ready on no list that the process may have followed: the list
-// that was current DrainGrace before the attempt, and the later ones. It ignores processes that were down or may not
-// have been notified, and attempts under revisions that name their endpoints.
+// checkDelisted reports attempts at endpoints that are not ready on any list that the process may have followed: the
+// list that was current DrainGrace before the attempt, and the lists announced between then and the attempt. It ignores
+// attempts of processes that were down or may not have been notified of a list, and attempts under a revision that
+// names the endpoints to use.
 func (v *Verdict) checkDelisted(h *History) {
 	for i := range h.Steps {
 		s := &h.Steps[i]
--- a/internal/httpproxy/responses.go
+++ b/internal/httpproxy/responses.go
@@ -8,7 +8,8 @@
 	"pepperlead/policy"
 )
 
-// Kinds of final responses, with the values of the engine's constants AnswerSucceeded and so on.
+// Kinds of final responses. Their values equal those of the engine's constants AnswerSucceeded, AnswerDeclined,
+// AnswerRejected and AnswerFailed.
 const (
 	answerSucceeded = iota
 	answerDeclined
@@ -20,7 +21,7 @@
 type localResponse struct {
 	status     int
 	body       string
-	retryAfter policy.Time // value of the Retry-After header; 0: no such header
+	retryAfter policy.Time // value of the Retry-After header; 0 if the response has no such header
 }
 
 // detachClient separates the client from a request that is being answered. It returns the client connection, or nil if
@@ -77,7 +78,7 @@
 	p.responseSent(now, c, closing)
 }
 
-// Reject answers a request that the module has rejected.
+// Reject answers a request that the decision module has rejected.
 func (p *Proxy) Reject(now policy.Time, request *engine.Request, retryAfter policy.Time) {
 	r := connstate.AsRequest(request)
 	if c := p.detachClient(now, r, answerRejected); c != nil {
@@ -87,7 +88,7 @@
 	}
 }
 
-// Fail answers a request that the module has failed.
+// Fail answers a request that the decision module has given up as failed.
 func (p *Proxy) Fail(now policy.Time, request *engine.Request) {
 	r := connstate.AsRequest(request)
 	if c := p.detachClient(now, r, answerFailed); c != nil {
--- a/internal/httpproxy/sockets.go
+++ b/internal/httpproxy/sockets.go
@@ -40,9 +40,9 @@
 
 // Limits of the sockets.
 const (
-	maxDiscarded          = 512 << 10 // bytes of input discarded after the last response of a connection
-	maxPendingBytes       = 128 << 10 // unprocessed input or unwritten output of one connection, in bytes
-	endpointReceiveBuffer = 64 << 10  // of the kernel, in bytes; all of it may be read at once when an endpoint closes
+	maxDiscarded          = 512 << 10 // maximum input discarded after the last response of a connection, in bytes
+	maxPendingBytes       = 128 << 10 // maximum unprocessed input or unwritten output of a connection, in bytes
+	endpointReceiveBuffer = 64 << 10  // kernel's buffer in bytes; all of it may be read at once when an endpoint closes
 	spareDescriptors      = 64        // added to the size of nbio's connection table
 	acceptRetryInterval   = 20 * time.Millisecond
 )
@@ -249,7 +249,7 @@
 		if !socket.read(conn, buf) {
 			s.buffers.Put(buf)
 			if socket.ended && conn.Side == connstate.ClientSide {
-				conn.Input.PeerClosed.Store(true) // set before the last request is posted, which needs no response
+				conn.Input.PeerClosed.Store(true) // set before the last request is posted: that one needs no response
 			}
 			return
 		}
--- a/internal/migration/migration.go
+++ b/internal/migration/migration.go
@@ -16,7 +16,7 @@
 // maxConfigSize is the largest size of a configuration in bytes.
 const maxConfigSize = 1 << 20
 
-// Bounds on the pool.
+// Bounds on the number of sidecars in a pool and of requests that a connection may carry at once.
 const (
 	minSidecars = 1
 	maxSidecars = 1 << 16
@@ -62,7 +62,7 @@
 // validate checks the address and the bounds.
 func (p Pool) validate() error {
 	if !endpointfiles.ValidAddress(p.Listen) {
-		return fmt.Errorf("listen: found %q, allowed an IP address and port, as 10.0.0.7:9000", p.Listen)
+		return fmt.Errorf("listen: found %q, allowed an IP address and port, such as 10.0.0.7:9000", p.Listen)
 	}
 	sidecarsValid := p.Sidecars >= minSidecars && p.Sidecars <= maxSidecars
 	streamsValid := p.Streams >= minStreams && p.Streams <= maxStreams
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -5,9 +5,9 @@
 const (
 	// meanLatencyWeight is the weight of the latest answer in a class's mean latency.
 	meanLatencyWeight = 0.05
-	// baselineRise and baselineFall are the weights of an answer in the baseline latency, where the
-	// endpoint's mean latency is above or below it. It rises slowly, so that a long overload is not taken for
-	// the baseline.
+	// baselineRise is the weight of an answer in the baseline latency if the endpoint's mean latency is above
+	// the baseline, and baselineFall is the weight if it is below. The baseline rises slowly so that it does
+	// not adapt to a long overload.
 	baselineRise = 0.0005
 	baselineFall = 0.05
 
@@ -59,7 +59,7 @@
 // recordFailure distinguishes overload, which reduces the limits, from other failures, which count towards an
 // ejection. An endpoint that rejects attempts although it answers in time is about to shut down. Other errors
 // are no sign of load, and neither is a timeout while attempts that were sent later succeed, unless the load
-// is above lowLoad. A timeout of either kind also counts towards an ejection.
+// is above lowLoad. A timeout counts towards an ejection whether or not it shows overload.
 func (b *Balancer) recordFailure(now Time, r *request, e *endpoint, outcome Outcome, elapsed Time) {
 	overloaded := outcome == Rejected && (b.load(e) > highLoad || e.reportedLoad > b.reports.mean)
 	if !overloaded {
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -24,12 +24,12 @@
 	_, front := balancerAfter(200, 10)
 	slices.Sort(front.sentTo)
 	if endpoints := len(slices.Compact(front.sentTo)); endpoints < 100 {
-		t.Errorf("ten keys with a tenth of the traffic each went to %d of 200 endpoints", endpoints)
+		t.Errorf("ten keys with a tenth of the traffic each went to %d of 200 endpoints, want at least 100", endpoints)
 	}
 }
 
-// Each of hundreds of instances sees only a small part of the traffic, so it must detect a key that becomes hot within
-// a few requests.
+// Each of hundreds of instances sees only a small part of the traffic, so it must need only a few requests to detect
+// that a key has become hot.
 func TestHotKeysAreDetectedWithinFewRequests(t *testing.T) {
 	b, front := newTestBalancer(testMembers(100, "a"))
 	for i := range 256 {
@@ -45,7 +45,7 @@
 		}
 	}
 	if len(hotAttempts) < 4 {
-		t.Errorf("six requests of a key with a quarter of the traffic went to %d of 100 endpoints", len(hotAttempts))
+		t.Errorf("six requests with a quarter of the traffic on their key went to %d endpoints, want >= 4", len(hotAttempts))
 	}
 }
 
@@ -57,17 +57,18 @@
 	for i := range b.table.endpoints {
 		b.table.endpoints[i].limit = 100
 		if i%2 == 0 {
-			b.table.endpoints[i].latencyRatio = 1.4 * b.baseline // below the bound
+			b.table.endpoints[i].latencyRatio = 1.4 * b.baseline // below the bound for passing over the endpoint
 		} else {
 			b.table.endpoints[i].latencyRatio = b.baseline
 		}
 	}
 	for range 4000 {
-		r := request{key: uint64(b.random.fraction() * slotCount), keyFrequency: 1. / hotKeySpread} // spread over all ten
+		// The key is so hot that all ten endpoints share it.
+		r := request{key: uint64(b.random.fraction() * slotCount), keyFrequency: 1. / hotKeySpread}
 		share[b.choose(2*Second, &r, ordinaryTry)%2]++
 	}
 	if share[0] > 1500 || share[0] < 500 {
-		t.Errorf("%d of 4000 requests with hot keys went to the loaded half", share[0])
+		t.Errorf("%d of 4000 requests with hot keys went to the loaded half of endpoints, want 500 to 1500", share[0])
 	}
 	// A cold endpoint without answers so far must not count as the less loaded one: it would be sent all that its
 	// budget allows, with keys that other endpoints have cached.
@@ -84,7 +85,7 @@
 		}
 	}
 	if cold > 2300 || cold < 1700 {
-		t.Errorf("%d of 4000 requests with hot keys went to the cold half", cold)
+		t.Errorf("%d of 4000 requests with hot keys went to the cold half of endpoints, want 1700 to 2300", cold)
 	}
 	r := request{key: 5}
 	first := b.choose(2*Second, &r, ordinaryTry)
@@ -95,9 +96,9 @@
 	}
 }
 
-// Where the list shows no load, part of the requests pass over an endpoint whose latency exceeds the bound over the
-// mean. One answer after a long time without any is enough to show that. If all endpoints are equally late, none is
-// passed over.
+// Where the list shows no load, part of the requests pass over an endpoint whose latency is above the bound, a multiple
+// of the mean. After a long time without answers, one late answer is enough to show that. If all endpoints are equally
+// late, none is passed over.
 func TestLatencyShowsALoadedEndpoint(t *testing.T) {
 	b, front := newTestBalancer(testMembers(10, "a"))
 	home := sendRequest(b, front, 2*Second, "k", Succeeded, Second/4)
@@ -113,18 +114,19 @@
 	}
 	e := &b.table.endpoints[b.table.indexes[home]]
 	if e.limit = 100; e.latencyRatio < 1 {
-		t.Errorf("after one answer of two target latencies in a minute its mean is %.2f", e.latencyRatio)
+		t.Errorf("after a single answer in a minute, which took two target latencies, the mean latency ratio is %.2f",
+			e.latencyRatio)
 	}
 	b.concurrency.latenessMean = 0.4
 	part := loadBound * b.concurrency.latenessMean / e.latencyRatio
 	if n := kept(); math.Abs(float64(n)/1000-part*part) > 0.06 {
-		t.Errorf("%d of 1000 requests stayed, want a part of %.2f", n, part*part)
+		t.Errorf("%d of 1000 requests stayed at the late endpoint, want a part of %.2f", n, part*part)
 	}
 	b.concurrency.latenessMean = e.latencyRatio
 	if n := kept(); n != 1000 {
-		t.Errorf("all endpoints are equally late, and %d of 1000 requests stayed", n)
+		t.Errorf("only %d of 1000 requests stayed at their endpoint although all endpoints are equally late", n)
 	}
-	// Idle endpoints may answer in one or in ten milliseconds: that is no load.
+	// Idle endpoints may take one or ten milliseconds to answer. This difference is no sign of load.
 	if b.concurrency.latenessMean, b.baseline, e.latencyRatio = 0.001, 0.001, 0.01; kept() != 1000 {
 		t.Error("an idle endpoint was passed over")
 	}
--- a/rpc/methods.go
+++ b/rpc/methods.go
@@ -6,7 +6,8 @@
 	"pepperlead/policy"
 )
 
-// methodClasses binds methods to classes: by the full name, else by the service, else by the fallback.
+// methodClasses maps methods to classes. A method gets the class of its full name; without one, the class of its
+// service; and without that, the fallback.
 type methodClasses struct {
 	byMethod  map[string]policy.ClassID
 	byService map[string]policy.ClassID
